--- a/internal/crowd/place.go
+++ b/internal/crowd/place.go
@@ -129,6 +129,7 @@
 // Place is a deployment at work.
 type Place struct {
 	D             drawn.Deployment
+	Trace         func(slot int, now time.Duration, effects []core.Effect) // called before a balancer's effects are carried out; may be nil
 	Judge         Judge
 	seer          bool
 	broken        Break
@@ -374,7 +375,11 @@
 	if d.dead {
 		return
 	}
-	for _, e := range d.r.Step(p.now, ev, nil) {
+	effects := d.r.Step(p.now, ev, nil)
+	if p.Trace != nil {
+		p.Trace(d.slot, p.now, effects)
+	}
+	for _, e := range effects {
 		p.effect(d, e)
 	}
 }
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,76 @@
+package handover
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"oatloft/internal/golden"
+)
+
+var writtenAt = regexp.MustCompile(`"written_ms":\d+`)
+
+// Files that an earlier version left are read, and what is written today has the same bytes but for the time.
+func TestFormsOfFiles(t *testing.T) {
+	m := Maintenance{Out: []string{"s-1", "s-2"}, Known: []string{"s-1", "s-2", "s-3"}}
+	l := Left{Known: []string{"s-1"}, Standing: map[string]string{"key-a": "s-1", "key-b": "s-3"}}
+	d := Open(t.TempDir(), "lb 1/a")
+	if err := errors.Join(d.write(maintenance, m), d.write(left, l)); err != nil {
+		t.Fatal(err)
+	}
+	for _, kind := range []string{maintenance, left} {
+		body, err := os.ReadFile(d.file(kind))
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, kind+".json", writtenAt.ReplaceAll(body, []byte(`"written_ms":1700000000000`)))
+		if err := os.WriteFile(d.file(kind), golden.Read(t, kind+".json"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	gotM, err := d.Maintenance()
+	if diff := cmp.Diff(m, gotM); err != nil || diff != "" {
+		t.Error(err, diff)
+	}
+	gotL, ok, err := d.Left(100 * 365 * 24 * time.Hour)
+	if diff := cmp.Diff(l, gotL); err != nil || !ok || diff != "" {
+		t.Error(ok, err, diff)
+	}
+}
+
+// The file by which processes see each other is read by one of another version while both run.
+func TestFormOfPresence(t *testing.T) {
+	d := Open(t.TempDir(), "lb")
+	p, err := d.Appear()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer p.Close()
+	if err := p.Write(Use{Sockets: 300, Memory: 1 << 40, Leaving: 1}); err != nil {
+		t.Fatal(err)
+	}
+	body, err := os.ReadFile(d.slot(p.mine))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "presence.use", body)
+	q, err := d.Appear()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer q.Close()
+	if _, err := p.file.WriteAt(golden.Read(t, "presence.use"), 0); err != nil {
+		t.Fatal(err)
+	}
+	if others := q.Others(); len(others) != 1 || others[0] != (Use{300, 1 << 40, 1}) {
+		t.Errorf("%+v", others)
+	}
+	if _, err := os.Stat(d.path + "/oatloft-lb-0.use"); err != nil || !bytes.HasSuffix([]byte(d.slot(0)), []byte("/oatloft-lb-0.use")) {
+		t.Error("the file has another name:", d.slot(0), err)
+	}
+}
--- /dev/null
+++ b/internal/net/golden_test.go
@@ -0,0 +1,27 @@
+package net
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"oatloft/internal/golden"
+)
+
+// Operators' tools read the counters by these keys.
+func TestFormOfCounters(t *testing.T) {
+	s := &Server{}
+	golden.Fill(&s.counters)
+	body, err := json.Marshal(s.counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "counters.json", body)
+	again := reflect.New(reflect.TypeOf(s.counters))
+	if err := json.Unmarshal(golden.Read(t, "counters.json"), again.Interface()); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := json.Marshal(again.Interface()); err != nil || string(got) != string(body) {
+		t.Errorf("%v: %s, want %s", err, got, body)
+	}
+}
--- /dev/null
+++ b/internal/peers/golden_test.go
@@ -0,0 +1,32 @@
+package peers
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"oatloft/internal/golden"
+)
+
+// Gossip of members of another version is understood, and what is said to them has the same bytes.
+func TestFormOfMessages(t *testing.T) {
+	var filled Message
+	golden.Fill(&filled)
+	filled.Form, filled.Kind, filled.From.State, filled.Members[0].State = Form, Tell, Leaving, Suspect
+	for name, message := range map[string]Message{
+		"message-full.bin": filled,
+		"message-ping.bin": {Form: Form, Cluster: "c", From: Record{Name: "lb-1", Addr: "10.0.0.1:7000", Generation: 1 << 40}, Kind: Ping, Seq: 9, Target: "lb-2"},
+	} {
+		body, err := Encode(&message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, name, body)
+		read, err := Decode(golden.Read(t, name))
+		if diff := cmp.Diff(message, read); err != nil || diff != "" {
+			t.Error(name, err, diff)
+		}
+	}
+}
+
+func TestFormOfCounters(t *testing.T) { golden.JSON[Counters](t, "counters.json") }
--- /dev/null
+++ b/internal/revision/golden_test.go
@@ -0,0 +1,61 @@
+package revision
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oatloft/internal/golden"
+)
+
+// A revision's text and hash are the same at members of any version, and so is what they say to each other of it.
+func TestFormOfRevisions(t *testing.T) {
+	var c Content
+	golden.Fill(&c)
+	c.Form, c.Note = Form, "naïve ☃ 𝄞"
+	golden.Check(t, "content.json", Encode(&c))
+	golden.Check(t, "content.sha256", []byte(Hash(&c)))
+	golden.Check(t, "empty.json", Encode(&Content{Form: Form}))
+	read, err := Decode(golden.Read(t, "content.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "content.json", Encode(read))
+	golden.JSON[Command](t, "command.json")
+	golden.JSON[Renew](t, "renew.json")
+	golden.JSON[Reply](t, "reply.json")
+	golden.JSON[Holder](t, "holder.json")
+}
+
+func TestFormOfState(t *testing.T) {
+	var s State
+	golden.Fill(&s)
+	golden.Check(t, "state.json", s.Snapshot())
+	var read State
+	if err := read.Restore(golden.Read(t, "state.json")); err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "state.json", read.Snapshot())
+	c, err := ReadCommand(golden.Read(t, "command.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "command.json", append(c.Entry(), '\n'))
+}
+
+// Operators' calls keep their words.
+func TestFormOfOrders(t *testing.T) {
+	out := ""
+	for _, o := range []Order{
+		{Verb: VerbPropose, Key: "k", From: 3, Watch: time.Minute, Deadline: time.Second, By: "ann", Text: []byte(`{"oatloft_revision":1}`)},
+		{Verb: VerbPropose, Key: "k", From: Latest, Text: []byte(`{}`)}, {Verb: VerbRollback, Key: "k", From: Latest, Number: 2},
+		{Verb: VerbGet, Number: Latest}, {Verb: VerbList, Number: 7}, {Verb: VerbStatus}, {Verb: VerbOutcome, Key: "k"}, {Verb: VerbReplace, Name: "a", Other: "b"},
+		{Verb: VerbForget, Name: "a"}} {
+		out += o.String() + "\n"
+		if read, err := ParseOrder(o.String()); err != nil || read.String() != o.String() {
+			t.Error(err, read)
+		}
+	}
+	_, err := ParseOrder("settle x")
+	golden.Check(t, "orders.txt", []byte(out+fmt.Sprint(err, "\n")))
+}
--- /dev/null
+++ b/policy/digest_test.go
@@ -0,0 +1,47 @@
+package policy
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"testing"
+
+	"oatloft/internal/golden"
+)
+
+// describeAction writes an action in words of this file alone, so that renaming a type or field changes nothing.
+func describeAction(a Action) string {
+	switch a := a.(type) {
+	case Send:
+		return fmt.Sprintln("send", a.ID, a.Server, int64(a.Until))
+	case Refuse:
+		return fmt.Sprintln("refuse", a.ID, int64(a.RetryAfter), a.Why)
+	case Fail:
+		return fmt.Sprintln("fail", a.ID, a.Why)
+	case Move:
+		return fmt.Sprintln("move", a.ID, a.Why)
+	case Probe:
+		return fmt.Sprintln("probe", a.Server)
+	case Subscribe:
+		return fmt.Sprintln("subscribe")
+	case SetTimer:
+		return fmt.Sprintln("timer", a.Token, int64(a.After))
+	}
+	return fmt.Sprintf("unknown %T\n", a)
+}
+
+// Every decision of fifty random days is the one that was recorded: no refactoring may change one.
+func TestDecisionsAreAsRecorded(t *testing.T) {
+	var out bytes.Buffer
+	for seed := range uint64(50) {
+		w := newWorld(t, seed, 20)
+		w.others = seed%2 == 1
+		w.run()
+		sum := sha256.New()
+		for _, a := range w.actions {
+			fmt.Fprint(sum, describeAction(a))
+		}
+		fmt.Fprintf(&out, "%d %d %x\n", seed, len(w.actions), sum.Sum(nil))
+	}
+	golden.Check(t, "decisions.txt", out.Bytes())
+}
