--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -18,14 +18,14 @@
 // left for it: then it has never run.
 func (r *Reducer) send(t *transaction, a policy.Send) {
 	until := t.deadline
-	if a.Until > 0 {
-		until = min(until, a.Until)
+	if a.TimeoutAt > 0 {
+		until = min(until, a.TimeoutAt)
 	}
 	g := r.regions[a.Server]
 	if g == nil || t.state != waiting || until < r.now+leastLeft {
 		r.Counters.NotSent++
 		t.attempt++
-		r.feed(policy.Outcome{ID: t.ID, Attempt: t.attempt, Server: a.Server, Result: policy.Unreachable})
+		r.feed(policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: a.Server, Result: policy.ResultUnreachable})
 		return
 	}
 	r.dial(t, g, until)
@@ -67,24 +67,24 @@
 		return
 	}
 	g := r.regions[t.region]
-	if t.at == "" && (g == nil || g.State != policy.Live || r.permit != policy.May || !t.MidFlow && r.leftOut(g)) {
+	if t.at == "" && (g == nil || g.State != policy.Live || r.permit != policy.LeaseActive || !t.MidFlow && r.leftOut(g)) {
 		r.Counters.NotSent++
-		r.giveUp(t, policy.Unreachable, "unlisted")
+		r.giveUp(t, policy.ResultUnreachable, "unlisted")
 		return
 	}
-	if t.ended > 0 && r.now > t.ended+policy.LeaveGrace {
+	if t.ended > 0 && r.now > t.ended+policy.DisconnectGrace {
 		r.Counters.NotSent++
-		r.giveUp(t, policy.Unreachable, "client")
+		r.giveUp(t, policy.ResultUnreachable, "client")
 		return
 	}
-	if k := r.classes[t.Class]; k.Effect == policy.Keyed && t.ranAt > 0 && r.now > t.ranAt+k.KeyTTL {
+	if k := r.classes[t.Class]; k.Idempotency == policy.IdempotentByKey && t.ranAt > 0 && r.now > t.ranAt+k.KeyTTL {
 		r.Counters.NotSent++ // it came up so late that the repeat would be taken for a new one
-		r.giveUp(t, policy.Unreachable, "key")
+		r.giveUp(t, policy.ResultUnreachable, "key")
 		return
 	}
 	if t.until < r.now+leastLeft { // its time passed while it came up, and the timer that tells so is not due yet
 		r.Counters.NotSent++
-		r.giveUp(t, policy.Unreachable, "late")
+		r.giveUp(t, policy.ResultUnreachable, "late")
 		return
 	}
 	t.state, t.lineAt = sending, r.now
@@ -111,18 +111,18 @@
 // module's: its transaction fails.
 func (r *Reducer) outcome(t *transaction, how policy.Result) {
 	switch how {
-	case policy.Unreachable:
+	case policy.ResultUnreachable:
 		r.Counters.Unreachable++
-	case policy.Reset:
+	case policy.ResultReset:
 		r.Counters.Reset++
-	case policy.Full:
+	case policy.ResultRejected:
 		r.Counters.TurnedAway++
-	case policy.Failed:
+	case policy.ResultFailed:
 		r.Counters.Erred++
-	case policy.TimedOut:
+	case policy.ResultTimedOut:
 		r.Counters.TimedOut++
 	}
-	if t.state = waiting; how.Ran() && t.ranAt == 0 {
+	if t.state = waiting; how.MayHaveRun() && t.ranAt == 0 {
 		t.ranAt = t.lineAt
 	}
 	if t.at != "" {
@@ -130,7 +130,7 @@
 		r.answer(t, false, 0, "platform")
 		return
 	}
-	r.feed(policy.Outcome{ID: t.ID, Attempt: t.attempt, Server: t.region, Result: how})
+	r.feed(policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: t.region, Result: how})
 }
 
 // up passes the server's answer on: the attempt stands, and the connection belongs to that server from now on.
@@ -142,16 +142,16 @@
 	r.Counters.Up++
 	r.Counters.TasksUp++
 	r.owed--
-	if r.now-t.deadline+t.Patience > r.classes[t.Class].Aim && t.at == "" {
+	if r.now-t.deadline+t.Timeout > r.classes[t.Class].LatencyObjective && t.at == "" {
 		r.Counters.Late++
 	}
 	t.state, t.heardAt = open, r.now
 	r.do(Pass{Of: t.from, Data: ev.Data})
 	if t.at != "" {
 		r.Counters.Adopted++
-		r.feed(policy.Adopted{Request: t.Request, Server: t.region})
+		r.feed(policy.AdoptedConnection{Request: t.Request, Server: t.region})
 	} else {
-		r.feed(policy.Established{ID: t.ID, Attempt: t.attempt, Server: t.region, Latency: r.now - t.sentAt})
+		r.feed(policy.AttemptEstablished{ID: t.ID, Attempt: t.attempt, Server: t.region, Latency: r.now - t.sentAt})
 	}
 	if r.open[t.from] != t {
 		return
@@ -204,36 +204,36 @@
 	}
 	if t.state == open {
 		r.Counters.EndedByRegion++
-		result := policy.Reset
+		result := policy.ResultReset
 		switch ev.How {
 		case Finished:
-			result = policy.OK
+			result = policy.ResultOK
 		case MovedAway:
-			result = policy.Canceled
+			result = policy.ResultCanceled
 		}
 		if ev.How != Broken {
 			ev.How = Closed
 		}
-		if t.ended > 0 && result == policy.Reset {
-			result = policy.Canceled
+		if t.ended > 0 && result == policy.ResultReset {
+			result = policy.ResultCanceled
 		}
 		r.do(EndTerminal{Of: t.from, How: ev.How})
 		r.closed(t, result)
 		return
 	}
-	how := policy.Reset
+	how := policy.ResultReset
 	switch ev.How {
 	case Refused:
-		how = policy.Unreachable
+		how = policy.ResultUnreachable
 	case TurnedAway:
-		how = policy.Full
+		how = policy.ResultRejected
 	case Erred, Finished:
-		how = policy.Failed
+		how = policy.ResultFailed
 	case MovedAway:
-		how = policy.Canceled
+		how = policy.ResultCanceled
 	case Closed, Broken:
 		if t.state != asked {
-			how = policy.Unreachable // the line's last byte never left
+			how = policy.ResultUnreachable // the line's last byte never left
 		}
 	}
 	r.giveUp(t, how, "ended")
@@ -242,9 +242,9 @@
 // lateResult tells how a routed task ends whose time is up: one that was never sent has not run.
 func (r *Reducer) lateResult(t *transaction) policy.Result {
 	if t.state == dialing {
-		return policy.Unreachable
+		return policy.ResultUnreachable
 	}
-	return policy.TimedOut
+	return policy.ResultTimedOut
 }
 
 // deadline makes sure of the final answer: the module gets its time-out first, and if it still holds the
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -41,9 +41,9 @@
 }
 
 // triesBed has four regions and one class with the given effect.
-func triesBed(t *testing.T, effect policy.Effect, window time.Duration, change func(*Config)) *bed {
+func triesBed(t *testing.T, effect policy.Idempotency, window time.Duration, change func(*Config)) *bed {
 	b := newBed(t, func(c *Config) {
-		c.Policy.Classes[0].Effect, c.Policy.Classes[0].KeyTTL = effect, window
+		c.Policy.Classes[0].Idempotency, c.Policy.Classes[0].KeyTTL = effect, window
 		if change != nil {
 			change(c)
 		}
@@ -73,7 +73,7 @@
 	} {
 		for _, tickFirst := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, tick first %v", x.name, tickFirst), func(t *testing.T) {
-				b := triesBed(t, policy.Safe, 0, func(c *Config) { c.ConnectTimeout = 5 * time.Second })
+				b := triesBed(t, policy.Idempotent, 0, func(c *Config) { c.ConnectTimeout = 5 * time.Second })
 				f := &triesFollower{t: t}
 				f.read(b.open(1, x.patience))
 				first := f.latest
@@ -143,14 +143,14 @@
 	} {
 		for _, class := range []struct {
 			name   string
-			effect policy.Effect
+			effect policy.Idempotency
 			window time.Duration
 			after  bool // repeated though it may have run
 		}{
-			{"safe", policy.Safe, 0, true},
-			{"keyed", policy.Keyed, time.Minute, true},
-			{"keyed, window over at once", policy.Keyed, time.Nanosecond, false},
-			{"unsafe", policy.Unsafe, 0, false},
+			{"safe", policy.Idempotent, 0, true},
+			{"keyed", policy.IdempotentByKey, time.Minute, true},
+			{"keyed, window over at once", policy.IdempotentByKey, time.Nanosecond, false},
+			{"unsafe", policy.NotIdempotent, 0, false},
 		} {
 			t.Run(x.name+", "+class.name, func(t *testing.T) {
 				b := triesBed(t, class.effect, class.window, nil)
@@ -185,7 +185,7 @@
 		at   time.Duration // from when the first line left
 		line bool
 	}{{window - time.Millisecond, true}, {window, true}, {window + time.Millisecond, false}} {
-		b := triesBed(t, policy.Keyed, window, nil)
+		b := triesBed(t, policy.IdempotentByKey, window, nil)
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 20*time.Second))
 		first := f.latest
@@ -215,7 +215,7 @@
 // UP and the deadline in the same turn: whichever is handled first is the one answer.
 func TestUpMeetsTheDeadline(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
-		b := triesBed(t, policy.Safe, 0, nil)
+		b := triesBed(t, policy.Idempotent, 0, nil)
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 500*time.Millisecond))
 		f.read(b.do(Connected{1, 0}))
@@ -239,7 +239,7 @@
 // UP from an attempt that was given up reaches nobody, also while the next one dials or has been asked.
 func TestUpFromAnAttemptGivenUp(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		b := triesBed(t, policy.Safe, 0, nil)
+		b := triesBed(t, policy.Idempotent, 0, nil)
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 20*time.Second))
 		f.read(b.do(Connected{1, 0}))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -155,7 +155,7 @@
 	Probed struct {
 		Region string
 		Result policy.Result
-		Report *policy.Report
+		Report *policy.LoadReport
 	}
 	// Reconfigured brings new settings. Moved tells that discovery is to be asked elsewhere from now on.
 	Reconfigured struct {
@@ -182,7 +182,7 @@
 	// FromOthers brings what other balancers tell, as the module's events.
 	FromOthers struct{ Events []policy.Event }
 	// Permitted tells whether anything new may be sent to a region now, where all balancers go by one revision.
-	Permitted struct{ Permit policy.Permit }
+	Permitted struct{ Permit policy.LeaseState }
 	// Tick lets the time pass.
 	Tick struct{}
 )
--- a/internal/core/list_clock_test.go
+++ b/internal/core/list_clock_test.go
@@ -32,7 +32,7 @@
 func TestSilentWatchIsBegunAnewInTime(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 		for seed := range int64(20) {
-			b := newBed(t, func(c *Config) { c.Policy.AskWithin, c.Seed = within, seed })
+			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 8000 {
 				if len(all[Watch](b.pass(TickEvery))) > 0 {
 					break
@@ -57,7 +57,7 @@
 
 // A balancer that is given no list of before calls for one though no terminal has come: the first ones would all be refused.
 func TestTheListIsAskedForBeforeTheFirstTerminal(t *testing.T) {
-	r, err := New(newBed(t, func(c *Config) { c.Policy.AskWithin = 10 * time.Second }).r.cfg)
+	r, err := New(newBed(t, func(c *Config) { c.Policy.PollInterval = 10 * time.Second }).r.cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 func TestCallsFollowSoonAfterManyHaveFailed(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, 2 * time.Minute} {
 		for seed := range int64(20) {
-			b := newBed(t, func(c *Config) { c.Policy.AskWithin, c.Seed = within, seed })
+			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 8 {
 				b.watch()
 				b.do(WatchEnded{})
@@ -95,7 +95,7 @@
 // A process that starts with no list asks for one soon, however rarely the settings have it ask.
 func TestANewProcessAsksSoon(t *testing.T) {
 	for seed := range int64(20) {
-		b := newBed(t, func(c *Config) { c.Policy.AskWithin, c.Seed = 2*time.Minute, seed })
+		b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = 2*time.Minute, seed })
 		began := b.now
 		if b.watch(); b.now-began > 2*time.Second {
 			t.Fatalf("seed %d: the first call %v after the start", seed, b.now-began)
@@ -144,7 +144,7 @@
 func TestListWithoutEndIsNoLife(t *testing.T) {
 	for _, within := range []time.Duration{500 * time.Millisecond, 10 * time.Second, 2 * time.Minute} {
 		for seed := range int64(20) {
-			b := newBed(t, func(c *Config) { c.Policy.AskWithin, c.Seed = within, seed })
+			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 5 {
 				b.watch()
 				b.do(WatchEnded{})
@@ -327,8 +327,8 @@
 	b := newBed(t, nil)
 	b.watch()
 	b.do(Listed{Kind: policy.ListDelta, Seq: 8, Regions: []Region{
-		{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, Started: b.now + 24*time.Hour}}}})
-	if at := b.r.regions["r1"].Started; at != b.now {
+		{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, StartedAt: b.now + 24*time.Hour}}}})
+	if at := b.r.regions["r1"].StartedAt; at != b.now {
 		t.Fatal("started", at-b.now, "from now")
 	}
 }
--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -182,18 +182,18 @@
 
 // Readings are those of all regions that were read or found silent, by id.
 func (r *Reducer) Readings() (list []Reading) {
-	r.module.Readings(func(id string, x float64, at time.Duration, fails int) {
+	r.module.LoadReadings(func(id string, x float64, at time.Duration, fails int) {
 		list = append(list, Reading{id, x, at, fails})
 	})
 	return list
 }
 
 // Clock is the module's clock: its explore slots so far.
-func (r *Reducer) Clock() int { return r.module.Clock() }
+func (r *Reducer) Clock() int { return r.module.ExplorationSlots() }
 
 // Slots tells how long ago the module's last explore slot began, the time from one to the next, and how many choices a second
 // it makes.
-func (r *Reducer) Slots() (since, period time.Duration, demand float64) { return r.module.Slots() }
+func (r *Reducer) Slots() (since, period time.Duration, demand float64) { return r.module.ExplorationSchedule() }
 
 // ListedRegions are the regions as the module has them now, by id.
 func (r *Reducer) ListedRegions() []policy.Server {
--- a/internal/core/operators_test.go
+++ b/internal/core/operators_test.go
@@ -91,7 +91,7 @@
 		t.Fatal("ids that were listed before")
 	}
 	for i := range 10 { // fewer than the module sets up at once
-		d := find[Dial](b, b.do(Opened{From: Handle(i + 1), Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Patience: 2 * time.Second}}))
+		d := find[Dial](b, b.do(Opened{From: Handle(i + 1), Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second}}))
 		if d.Region != "r1" {
 			t.Fatalf("k%d went to %s", i, d.Region)
 		}
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -92,7 +92,7 @@
 	standby    bool
 	clearing   bool                 // the timer for it is set
 	clears     map[string]clearance // of a region, or with "" of all
-	permit     policy.Permit
+	permit     policy.LeaseState
 	stood      map[string]string // region by flow's key, as the process before has left it ...
 	stoodTill  time.Duration     // ... until then
 	seq        int64
@@ -123,7 +123,7 @@
 	r.cfg, r.delayAim, r.classes = cfg, 0, map[string]policy.Class{}
 	for _, k := range cfg.Policy.Classes {
 		r.classes[k.Name] = k
-		if aim := k.MessageAim / 3; aim > 0 && (r.delayAim == 0 || aim < r.delayAim) {
+		if aim := k.MessageLatencyObjective / 3; aim > 0 && (r.delayAim == 0 || aim < r.delayAim) {
 			r.delayAim = aim
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 	r.now, r.out = max(r.now, now), out
 	if first { // the module begins with the balancer: its first call for the list must not wait for a terminal
-		r.feed(policy.Stands{})
+		r.feed(policy.PredecessorFlow{})
 	}
 	switch ev := ev.(type) {
 	case Arrived:
@@ -207,12 +207,12 @@
 	case WatchEnded:
 		r.watchEnded()
 	case Probed:
-		if ev.Result != policy.OK {
+		if ev.Result != policy.ResultOK {
 			r.Counters.ProbesFailed++
 		}
 		g := r.regions[ev.Region]
 		heard := g != nil && g.heardAt > g.probedAt
-		r.feed(policy.ProbeResult{Server: ev.Region, Result: ev.Result, Report: ev.Report, Heard: heard})
+		r.feed(policy.ProbeResult{Server: ev.Region, Result: ev.Result, Report: ev.Report, ServerActive: heard})
 	case FromOthers:
 		for _, told := range ev.Events {
 			r.feed(told)
@@ -221,14 +221,14 @@
 		r.permit = ev.Permit
 		r.feed(ev.Permit)
 	case Beside:
-		if r.cfg.Policy.Beside != ev.Others { // what is shared with other balancers is shared once more
-			r.cfg.Policy.Beside = ev.Others
-			r.feed(policy.Settings{Config: r.cfg.Policy})
+		if r.cfg.Policy.OverlappingProcesses != ev.Others { // what is shared with other balancers is shared once more
+			r.cfg.Policy.OverlappingProcesses = ev.Others
+			r.feed(policy.ConfigUpdate{Config: r.cfg.Policy})
 		}
 	case Reconfigured:
-		ev.Policy.Beside = r.cfg.Policy.Beside
+		ev.Policy.OverlappingProcesses = r.cfg.Policy.OverlappingProcesses
 		r.configure(ev.Config)
-		r.feed(policy.Settings{Config: ev.Policy})
+		r.feed(policy.ConfigUpdate{Config: ev.Policy})
 		if ev.Moved {
 			r.watch()
 		}
@@ -278,19 +278,19 @@
 		if t := r.byID[a.ID]; t != nil {
 			r.send(t, a)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		if t := r.byID[a.ID]; t != nil && t.state != open {
 			r.Counters.Short++
-			r.answer(t, true, a.RetryAfter, a.Why)
+			r.answer(t, true, a.RetryAfter, a.Reason)
 		}
 	case policy.Fail:
 		if t := r.byID[a.ID]; t != nil && t.state != open {
 			r.Counters.Failed++
-			r.answer(t, false, 0, a.Why)
+			r.answer(t, false, 0, a.Reason)
 		}
-	case policy.Move:
+	case policy.Migrate:
 		if t := r.byID[a.ID]; t != nil && t.state == open {
-			r.sendAway(t, a.Why)
+			r.sendAway(t, a.Reason)
 		}
 	case policy.Probe:
 		r.Counters.Probes++
@@ -298,7 +298,7 @@
 			g.probedAt = r.now
 			r.do(Probe{Region: a.Server, Addr: g.Dial, Timeout: r.cfg.ProbeTimeout})
 		} else {
-			r.feed(policy.ProbeResult{Server: a.Server, Result: policy.Unreachable})
+			r.feed(policy.ProbeResult{Server: a.Server, Result: policy.ResultUnreachable})
 		}
 	case policy.Subscribe:
 		if !r.watching || r.watchUp { // else a call is under way, and its answer is the module's as well
@@ -318,9 +318,9 @@
 		return
 	}
 	t := &transaction{Request: ev.Request, from: ev.From, at: ev.At, attempt: -1}
-	t.Patience = max(0, t.Patience-endEarly)
-	t.Patience = r.patience(t.Patience)
-	t.deadline = r.now + t.Patience
+	t.Timeout = max(0, t.Timeout-endEarly)
+	t.Timeout = r.patience(t.Timeout)
+	t.deadline = r.now + t.Timeout
 	r.open[t.from], r.byID[t.ID] = t, t
 	r.owed++
 	r.wheel.set(t.deadline, timer{kind: deadlineTimer, of: t.from})
@@ -330,7 +330,7 @@
 	if g, ok := r.stood[t.Key]; ok { // it left the process before, or comes in mid-flow: nothing is added where it stood
 		delete(r.stood, t.Key)
 		r.Counters.Handed++
-		r.feed(policy.Stands{Key: t.Key, Server: g})
+		r.feed(policy.PredecessorFlow{Key: t.Key, Server: g})
 	}
 	if t.at != "" {
 		r.goBack(t)
@@ -350,7 +350,7 @@
 func (r *Reducer) notes(t *transaction, b Bytes) {
 	if b.Load {
 		r.Counters.Loads++
-		r.feed(policy.LoadChange{ID: t.ID, Load: b.Told})
+		r.feed(policy.ConnectionLoad{ID: t.ID, Load: b.Told})
 	}
 }
 
@@ -367,7 +367,7 @@
 	}
 	g.toldLong, g.toldAt = long, r.now
 	r.Counters.Delays++
-	r.feed(policy.Delay{ID: t.ID, Server: g.ID, Delay: took})
+	r.feed(policy.MessageDelay{ID: t.ID, Server: g.ID, Delay: took})
 }
 
 // terminalEnded follows a terminal's end. One that only closed its sending still waits for its answer.
@@ -384,12 +384,12 @@
 	case ev.How == Closed:
 		t.ended = r.now
 		if t.at == "" {
-			r.feed(policy.ClientGone{ID: t.ID, HalfClosed: true})
+			r.feed(policy.ClientDisconnected{ID: t.ID, HalfClosed: true})
 		}
 	case t.state == open:
 		r.Counters.EndedTerminal++
 		r.do(EndRegion{Of: t.from, How: Broken})
-		r.closed(t, policy.Canceled)
+		r.closed(t, policy.ResultCanceled)
 	default:
 		r.Counters.GoneUnanswered++
 		r.abandon(t)
@@ -400,14 +400,14 @@
 func (r *Reducer) abandon(t *transaction) {
 	if t.state == open {
 		r.do(EndRegion{Of: t.from, How: Closed})
-		r.closed(t, policy.Canceled)
+		r.closed(t, policy.ResultCanceled)
 		return
 	}
 	if t.state != waiting {
 		r.do(DropTask{Of: t.from, Attempt: t.attempt})
 	}
 	r.owed--
-	r.over(t, policy.ClientGone{ID: t.ID})
+	r.over(t, policy.ClientDisconnected{ID: t.ID})
 }
 
 // answer gives the final answer; the module has closed the transaction.
@@ -422,7 +422,7 @@
 
 // closed forgets a transaction that was open.
 func (r *Reducer) closed(t *transaction, how policy.Result) {
-	r.over(t, policy.Outcome{ID: t.ID, Attempt: t.attempt, Server: t.region, Result: how, Final: true})
+	r.over(t, policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: t.region, Result: how, Final: true})
 }
 
 // inOrder lists the transactions by their handles: the same events must lead to the same effects.
@@ -447,17 +447,17 @@
 func (r *Reducer) sendAway(t *transaction, why string) {
 	r.Counters.Moved++
 	r.do(MoveTerminal{Of: t.from, Why: why})
-	r.closed(t, policy.Canceled)
+	r.closed(t, policy.ResultCanceled)
 }
 
 // due fires one timer.
 func (r *Reducer) due(t timer) {
 	switch t.kind {
 	case wakeTimer:
-		r.feed(policy.Wake{Token: t.token})
+		r.feed(policy.TimerFired{Token: t.token})
 	case connectTimer:
 		if x := r.task(t.of, t.attempt); x != nil && x.state == dialing {
-			r.giveUp(x, policy.Unreachable, "connect")
+			r.giveUp(x, policy.ResultUnreachable, "connect")
 		}
 	case untilTimer:
 		if x := r.task(t.of, t.attempt); x != nil && x.state != open {
--- a/internal/core/reducer_test.go
+++ b/internal/core/reducer_test.go
@@ -20,9 +20,9 @@
 // newBed has a module that needs no probes and is told of regions r1 and r2; patience is the caller's.
 func newBed(t *testing.T, change func(*Config)) *bed {
 	cfg := Config{ConnectTimeout: 250 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, PassThrough: true,
-		Policy: policy.Config{Zone: "a", Balancers: 1, MaxAttempts: 3, Tick: 5 * time.Millisecond,
-			PullList: true, AskWithin: 10 * time.Second, Classes: []policy.Class{
-				{Name: "chat", Aim: 800 * time.Millisecond, MessageAim: 60 * time.Millisecond}}}}
+		Policy: policy.Config{Zone: "a", Balancers: 1, MaxAttempts: 3, TimerResolution: 5 * time.Millisecond,
+			PollEndpointList: true, PollInterval: 10 * time.Second, Classes: []policy.Class{
+				{Name: "chat", LatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}}}}
 	if change != nil {
 		change(&cfg)
 	}
@@ -55,7 +55,7 @@
 }
 
 func (b *bed) open(from Handle, d time.Duration) []Effect {
-	return b.do(Opened{From: from, Request: policy.Request{ID: fmt.Sprint("id", from), Key: "k", Class: "chat", Patience: d}})
+	return b.do(Opened{From: from, Request: policy.Request{ID: fmt.Sprint("id", from), Key: "k", Class: "chat", Timeout: d}})
 }
 
 // up opens a transaction and brings it up; it returns its region.
@@ -346,7 +346,7 @@
 // A connection from before the run goes back, and is the module's from then on.
 func TestAdopted(t *testing.T) {
 	b := newBed(t, nil)
-	ev := Opened{From: 1, At: "r2", Request: policy.Request{ID: "x", Class: "chat", Patience: 30 * time.Second}}
+	ev := Opened{From: 1, At: "r2", Request: policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second}}
 	d := find[Dial](b, b.do(ev))
 	b.none(all2(b.pass(2 * time.Second))) // slow at the start of a run, when all come at once
 	if find[SendLine](b, b.do(Connected{1, d.Attempt})); d.Region != "r2" || d.Timeout < 20*time.Second {
@@ -418,7 +418,7 @@
 func TestLeavingAnswersBeforeTheEndByForce(t *testing.T) {
 	for _, through := range []bool{true, false} {
 		for _, wait := range []time.Duration{1200 * time.Millisecond, 4800 * time.Millisecond} {
-			b := newBed(t, func(c *Config) { c.PassThrough, c.LongestWait = through, wait; c.Policy.Classes[0].Aim = wait })
+			b := newBed(t, func(c *Config) { c.PassThrough, c.LongestWait = through, wait; c.Policy.Classes[0].LatencyObjective = wait })
 			d := find[Dial](b, b.open(1, wait))
 			b.do(Connected{1, d.Attempt})
 			b.do(Sent{1, d.Attempt})
@@ -440,7 +440,7 @@
 func TestNoRepeatOnceTheKeyIsForgotten(t *testing.T) {
 	for late, sent := range map[time.Duration]int{20 * time.Millisecond: 1, 200 * time.Millisecond: 0} {
 		b := newBed(t, func(c *Config) {
-			c.Policy.Classes[0].Effect, c.Policy.Classes[0].KeyTTL = policy.Keyed, time.Second
+			c.Policy.Classes[0].Idempotency, c.Policy.Classes[0].KeyTTL = policy.IdempotentByKey, time.Second
 		})
 		d := find[Dial](b, b.open(1, 4*time.Second))
 		find[SendLine](b, b.do(Connected{1, d.Attempt}))
@@ -505,7 +505,7 @@
 // A region whose probes come up late while its open connections answer is no silent one: nobody is led away.
 func TestLateProbesAreNoSilence(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		b := newBed(t, func(c *Config) { c.Policy.Probes = true })
+		b := newBed(t, func(c *Config) { c.Policy.ProbesEnabled = true })
 		late, due := "", []time.Duration{}
 		moved := 0
 		var act func(effects []Effect)
@@ -517,7 +517,7 @@
 						due = append(due, b.now+e.Timeout)
 						continue
 					}
-					act(b.do(Probed{Region: e.Region, Report: &policy.Report{Load: 0.3, Busy: -1, InFlight: 9, Backlog: -1}}))
+					act(b.do(Probed{Region: e.Region, Report: &policy.LoadReport{Load: 0.3, Utilization: -1, InFlight: 9, BacklogSeconds: -1}}))
 				case Dial:
 					act(b.do(Connected{e.Of, e.Attempt}))
 					act(b.do(Up{Of: e.Of, Attempt: e.Attempt, Bytes: Bytes{Data: []byte("UP\r\n")}}))
@@ -535,10 +535,10 @@
 			act(b.pass(TickEvery))
 			if len(due) > 0 && b.now >= due[0] {
 				due = due[1:]
-				act(b.do(Probed{Region: late, Result: policy.TimedOut}))
+				act(b.do(Probed{Region: late, Result: policy.ResultTimedOut}))
 			}
 			if i%100 == 0 { // newcomers have it read
-				act(b.do(Opened{From: Handle(10 + i), Request: policy.Request{ID: fmt.Sprint("n", i), Key: fmt.Sprint(i), Class: "chat", Patience: time.Second}}))
+				act(b.do(Opened{From: Handle(10 + i), Request: policy.Request{ID: fmt.Sprint("n", i), Key: fmt.Sprint(i), Class: "chat", Timeout: time.Second}}))
 				act(b.do(TerminalEnded{Handle(10 + i), Broken}))
 			}
 		}
--- a/internal/core/server_list.go
+++ b/internal/core/server_list.go
@@ -36,7 +36,7 @@
 		if defects.On("fit-zones") && r.zoneBeyond(3, g.Zone) {
 			continue
 		}
-		g.Started = min(g.Started, r.now) // one that starts in the future would be cold until then, and longer
+		g.StartedAt = min(g.StartedAt, r.now) // one that starts in the future would be cold until then, and longer
 		listed := g.State
 		if listed == policy.Live && (r.maint[g.ID] || r.returning[g.ID]) {
 			g.State = policy.Draining
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -9,7 +9,7 @@
 func leaving(t *testing.T, longest time.Duration, passes bool) *bed {
 	b := newBed(t, func(c *Config) {
 		c.LongestWait, c.PassThrough = longest, passes
-		c.Policy.Classes[0].Aim = max(longest, 50*time.Millisecond)
+		c.Policy.Classes[0].LatencyObjective = max(longest, 50*time.Millisecond)
 	})
 	d := find[Dial](b, b.open(9, longest))
 	b.do(Connected{9, d.Attempt})
@@ -23,7 +23,7 @@
 // closing: who is owed one in the draining, who rests at its end.
 func TestPhasesOfAShutdown(t *testing.T) {
 	b := newBed(t, func(c *Config) {
-		c.LongestWait, c.PassThrough, c.Policy.Classes[0].Aim = 2*time.Second, false, 2*time.Second
+		c.LongestWait, c.PassThrough, c.Policy.Classes[0].LatencyObjective = 2*time.Second, false, 2*time.Second
 	})
 	b.do(Arrived{From: 1})
 	d := find[Dial](b, b.open(2, 2*time.Second))
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -183,7 +183,7 @@
 	for i := range int(set.Load * set.Fill * float64(set.Regions)) { // who stands already
 		d, r := w.all[i%len(w.all)], w.order[i%len(w.order)]
 		id := w.id()
-		w.event(d, policy.Adopted{Request: policy.Request{ID: id, Key: id, Class: "c", Patience: time.Second}, Server: r.ID})
+		w.event(d, policy.AdoptedConnection{Request: policy.Request{ID: id, Key: id, Class: "c", Timeout: time.Second}, Server: r.ID})
 		d.conns[id] = &conn{key: id}
 		w.stands(d, id, r)
 	}
@@ -205,7 +205,7 @@
 		r := &region{Server: policy.Server{ID: id, Zone: fmt.Sprint("z", w.next%w.Set.Zones), Weight: 1}, began: -1, owners: map[*balancer]int{}, past: []float64{0}}
 		w.next++
 		if cold {
-			r.began, r.Started = w.Now, w.Now
+			r.began, r.StartedAt = w.Now, w.Now
 		}
 		w.regions[id] = r
 		w.order = append(w.order, r)
@@ -244,8 +244,8 @@
 }
 
 func (w *World) start(d *balancer) (err error) {
-	cfg := policy.Config{Zone: d.zone, Balancers: w.Set.Balancers, Classes: []policy.Class{{Name: "c", Aim: 500 * time.Millisecond, MessageAim: time.Second}},
-		Tick: step, MaxAttempts: 4, Probes: true, AskWithin: 10 * time.Second, CrossZonePrice: 0.02, ColdShare: coldFrom, ColdTime: coldFor, FallMultiple: fallAt, FallTime: fallAfter}
+	cfg := policy.Config{Zone: d.zone, Balancers: w.Set.Balancers, Classes: []policy.Class{{Name: "c", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: time.Second}},
+		TimerResolution: step, MaxAttempts: 4, ProbesEnabled: true, PollInterval: 10 * time.Second, CrossZoneCost: 0.02, WarmUpInitialCapacity: coldFrom, WarmUpDuration: coldFor, OverloadMultiple: fallAt, OverloadWindow: fallAfter}
 	if d.b, err = policy.New(cfg, int64(d.rng.Uint64()>>1)); err != nil {
 		return err
 	}
@@ -365,7 +365,7 @@
 	}
 	w.gone(d, c)
 	delete(d.conns, id)
-	w.event(d, policy.Outcome{ID: id, Attempt: c.attempt, Server: c.on.ID, Result: policy.OK, Final: true})
+	w.event(d, policy.AttemptEnded{ID: id, Attempt: c.attempt, Server: c.on.ID, Result: policy.ResultOK, Final: true})
 }
 
 // x is what a region holds over what it can do.
@@ -380,7 +380,7 @@
 		case policy.Probe:
 			r := w.regions[a.Server]
 			if r == nil {
-				w.event(d, policy.ProbeResult{Server: a.Server, Result: policy.Unreachable})
+				w.event(d, policy.ProbeResult{Server: a.Server, Result: policy.ResultUnreachable})
 				continue
 			}
 			d.todo = append(d.todo, want{probe: true, on: r})
@@ -388,18 +388,18 @@
 			held := r.past[max(0, len(r.past)-late)]
 			x := max(0, w.x(r, held)*(1+noise*d.rng.NormFloat64()))
 			d.own[r.ID] = reading{x: x, at: w.Now}
-			w.event(d, policy.ProbeResult{Server: a.Server, Report: &policy.Report{Load: x, Busy: -1, InFlight: held, Backlog: -1}})
+			w.event(d, policy.ProbeResult{Server: a.Server, Report: &policy.LoadReport{Load: x, Utilization: -1, InFlight: held, BacklogSeconds: -1}})
 		case policy.Send:
 			c, r := d.conns[a.ID], w.regions[a.Server]
 			if c.attempt++; r == nil || r.downTill > w.Now {
-				w.event(d, policy.Outcome{ID: a.ID, Attempt: c.attempt, Server: a.Server, Result: policy.Unreachable})
+				w.event(d, policy.AttemptEnded{ID: a.ID, Attempt: c.attempt, Server: a.Server, Result: policy.ResultUnreachable})
 				continue
 			}
 			d.todo = append(d.todo, want{id: a.ID, on: r})
-			w.event(d, policy.Established{ID: a.ID, Attempt: c.attempt, Server: a.Server, Latency: 20 * time.Millisecond})
-		case policy.Refuse:
+			w.event(d, policy.AttemptEstablished{ID: a.ID, Attempt: c.attempt, Server: a.Server, Latency: 20 * time.Millisecond})
+		case policy.Reject:
 			d.todo = append(d.todo, want{id: a.ID})
-		case policy.Move:
+		case policy.Migrate:
 			d.todo = append(d.todo, want{id: a.ID, move: true})
 		}
 	}
@@ -466,9 +466,9 @@
 	for i, key := range asks {
 		id := fmt.Sprint(d.name, "/", w.Now.Milliseconds(), "/", i)
 		d.conns[id] = &conn{key: cmp.Or(key, id), attempt: -1}
-		w.event(d, policy.Request{ID: id, Key: cmp.Or(key, id), Class: "c", Patience: 2 * time.Second})
+		w.event(d, policy.Request{ID: id, Key: cmp.Or(key, id), Class: "c", Timeout: 2 * time.Second})
 	}
-	w.event(d, policy.Wake{Token: "tick"})
+	w.event(d, policy.TimerFired{Token: "tick"})
 }
 
 // tell gathers what each said a lag ago: what the others know of it now.
@@ -512,11 +512,11 @@
 }
 
 func (w *World) own(d *balancer) together.Own {
-	own := together.Own{Clock: d.b.Clock(), Refused: d.refused}
-	own.SlotAge, own.SlotPeriod, own.Demand = d.b.Slots()
+	own := together.Own{Clock: d.b.ExplorationSlots(), Refused: d.refused}
+	own.SlotAge, own.SlotPeriod, own.Demand = d.b.ExplorationSchedule()
 	for _, s := range w.servers {
 		r := d.own[s.ID]
-		own.Regions = append(own.Regions, together.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.Started > 0 && w.Now-s.Started < coldFor, X: r.x, At: r.at, Fails: r.fails})
+		own.Regions = append(own.Regions, together.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, X: r.x, At: r.at, Fails: r.fails})
 	}
 	return own
 }
@@ -524,7 +524,7 @@
 func (w *World) look(d *balancer) {
 	events, words := d.t.Look(w.Now, w.view(d), w.own(d))
 	for _, ev := range events {
-		if c, ok := ev.(policy.Candidates); ok {
+		if c, ok := ev.(policy.CandidateSubset); ok {
 			d.candidates = c.Servers
 		}
 		w.event(d, ev)
--- a/internal/crowd/judge.go
+++ b/internal/crowd/judge.go
@@ -121,8 +121,8 @@
 	}
 	if first := r.ran; first != nil {
 		k := r.c.class.Class
-		apart := k.Scope == policy.ScopeZone && first.zone != h.zone || k.Scope == policy.ScopeCell && first.Block != h.Block
-		if k.Effect == policy.Unsafe || k.Effect == policy.Keyed && (apart || p.now > r.ranAt+k.KeyTTL+slackTime) {
+		apart := k.KeyScope == policy.KeyScopeZone && first.zone != h.zone || k.KeyScope == policy.KeyScopeCell && first.Block != h.Block
+		if k.Idempotency == policy.NotIdempotent || k.Idempotency == policy.IdempotentByKey && (apart || p.now > r.ranAt+k.KeyTTL+slackTime) {
 			j.fault(p, "repeats", "%s (%s) is repeated at %s after it may have run at %s", r.id, k.Name, h.Host.Host, first.Host.Host)
 		}
 	}
@@ -142,7 +142,7 @@
 		j.fault(p, "in time", "%s is answered %v late", r.id, p.now-r.due)
 	}
 	if e == nil {
-		if j.Placed++; p.now > r.came+r.c.class.Aim {
+		if j.Placed++; p.now > r.came+r.c.class.LatencyObjective {
 			j.Late++
 		}
 		return
@@ -150,7 +150,7 @@
 	if r.task != nil {
 		j.fault(p, "one task at once", "%s is answered with a task out", r.id)
 	}
-	if k := r.c.class; e.Short && r.ran != nil && (k.Effect == policy.Unsafe || k.Effect == policy.Keyed && k.Scope != policy.ScopeAll) {
+	if k := r.c.class; e.Short && r.ran != nil && (k.Idempotency == policy.NotIdempotent || k.Idempotency == policy.IdempotentByKey && k.KeyScope != policy.KeyScopeAll) {
 		j.fault(p, "repeats", "%s (%s) is told to try again after it may have run at %s", r.id, k.Name, r.ran.Host.Host)
 	}
 	if e.After > p.D.Advice {
--- a/internal/crowd/place.go
+++ b/internal/crowd/place.go
@@ -438,7 +438,7 @@
 	c.req, c.why = r, waits
 	d.reqs[r.h] = r
 	d.order = append(d.order, r)
-	ev := core.Opened{From: r.h, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Patience: wait, MidFlow: c.mid != nil}}
+	ev := core.Opened{From: r.h, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Timeout: wait, MidFlow: c.mid != nil}}
 	if r.before = at != nil; r.before {
 		ev.At = at.Host.Host
 	}
@@ -610,11 +610,11 @@
 	wait, ev := p.way(d, h)*2+p.between(time.Millisecond, 10*time.Millisecond), core.Probed{Region: e.Region}
 	switch {
 	case h.hung, h.down && h.state != policy.Gone:
-		wait, ev.Result = e.Timeout, policy.TimedOut
+		wait, ev.Result = e.Timeout, policy.ResultTimedOut
 	case h.down:
-		ev.Result = policy.Unreachable
+		ev.Result = policy.ResultUnreachable
 	case p.rng.Float64() < h.errs/4:
-		ev.Result = policy.Failed
+		ev.Result = policy.ResultFailed
 	default:
 		back := int((p.D.ReportLate + p.between(0, p.D.ReportEvery)) / lookStep)
 		l := h.past[max(0, len(h.past)-1-back)]
--- a/internal/crowd/place_test.go
+++ b/internal/crowd/place_test.go
@@ -68,14 +68,14 @@
 	}{
 		{"news of a drain count only after 1.5 s", "drains", Break{News: 1500 * time.Millisecond}, whatever},
 		{"a literal cold bound", "cold", Break{Told: func(c *core.Config) {
-			c.Policy.Balancers, c.Policy.FallMultiple, c.Policy.FallTime, c.Policy.ColdTime = 1, 8, 5*time.Second, time.Second
+			c.Policy.Balancers, c.Policy.OverloadMultiple, c.Policy.OverloadWindow, c.Policy.WarmUpDuration = 1, 8, 5*time.Second, time.Second
 		}}, whatever},
 		{"a literal number of attempts", "attempts", Break{Told: func(c *core.Config) { c.Policy.MaxAttempts = 6 }}, func(d *drawn.Deployment) bool { return d.Attempts < 4 }},
 		{"a literal advice", "advice", Break{Told: func(c *core.Config) { c.Policy.MaxRetryAfter = 2 * time.Second }}, func(d *drawn.Deployment) bool { return d.Advice < time.Second }},
-		{"probes whatever the settings say", "probes", Break{Told: func(c *core.Config) { c.Policy.Probes = true }}, func(d *drawn.Deployment) bool { return !d.Probes }},
+		{"probes whatever the settings say", "probes", Break{Told: func(c *core.Config) { c.Policy.ProbesEnabled = true }}, func(d *drawn.Deployment) bool { return !d.Probes }},
 		{"a literal effect", "repeats", Break{Told: func(c *core.Config) {
 			for i := range c.Policy.Classes {
-				c.Policy.Classes[i].Effect = 0
+				c.Policy.Classes[i].Idempotency = 0
 			}
 		}}, whatever},
 		{"a literal connect time-out", "connect time-out", Break{Told: func(c *core.Config) { c.ConnectTimeout = 2 * time.Second }}, func(d *drawn.Deployment) bool { return d.ConnectTimeout < 600*time.Millisecond && d.Has(drawn.Lost) }},
--- a/internal/drawn/drawn.go
+++ b/internal/drawn/drawn.go
@@ -161,14 +161,14 @@
 	}
 	total, work := 0.0, 0.0
 	for i := range rapid.IntRange(1, 5).Draw(t, "classes") {
-		c := Class{Class: policy.Class{Name: name(t, "class", i), Aim: span(t, "aim", 50*ms, 3*time.Second), Effect: policy.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))},
+		c := Class{Class: policy.Class{Name: name(t, "class", i), LatencyObjective: span(t, "aim", 50*ms, 3*time.Second), Idempotency: policy.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))},
 			GiveUp: span(t, "give up", 300*ms, time.Minute), Part: part(t, "part", 0.1, 1), Work: part(t, "work", 0.2, 3), Worth: part(t, "worth", 0.5, 4)}
-		c.Aim = min(c.Aim, c.GiveUp)
+		c.LatencyObjective = min(c.LatencyObjective, c.GiveUp)
 		if rapid.Bool().Draw(t, "messages have an aim") {
-			c.MessageAim = span(t, "message aim", 60*ms, 500*ms)
+			c.MessageLatencyObjective = span(t, "message aim", 60*ms, 500*ms)
 		}
-		if c.Effect == policy.Keyed {
-			c.Scope, c.KeyTTL = policy.Scope(rapid.IntRange(0, 2).Draw(t, "scope")), span(t, "key's time", 300*ms, 20*time.Second)
+		if c.Idempotency == policy.IdempotentByKey {
+			c.KeyScope, c.KeyTTL = policy.KeyScope(rapid.IntRange(0, 2).Draw(t, "scope")), span(t, "key's time", 300*ms, 20*time.Second)
 		}
 		total, work = total+c.Part, work+c.Part*c.Work
 		d.Classes = append(d.Classes, c)
@@ -182,7 +182,7 @@
 		f := left * part(t, "fraction", 0.05, 0.9)
 		left -= f
 		d.Fractions = append(d.Fractions, f)
-		d.Tenants = append(d.Tenants, policy.Tenant{Name: name(t, "tenant", i), Connections: float64(rapid.SampledFrom([]int{0, 1, 20, 300, 6000}).Draw(t, "share"))})
+		d.Tenants = append(d.Tenants, policy.Tenant{Name: name(t, "tenant", i), ConnectionQuota: float64(rapid.SampledFrom([]int{0, 1, 20, 300, 6000}).Draw(t, "share"))})
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "troubles") {
 		d.Troubles = append(d.Troubles, Trouble{Kind: kinds[wide(t, "trouble", 0, len(kinds)-1)], At: span(t, "at", 4*time.Second, 16*time.Second),
@@ -238,11 +238,11 @@
 
 // Core is what a balancer has to make of the settings, made without their readers.
 func (d *Deployment) Core(zone int, seed int64) core.Config {
-	p := policy.Config{Zone: d.Zone(zone), Balancers: d.Balancers, Tick: d.Tick, MaxAttempts: d.Attempts, Probes: d.Probes, MaxRetryAfter: d.Advice,
-		PullList: true, AskWithin: d.AskEvery, CrossZonePrice: d.Cross, ColdShare: d.ColdFrom, ColdTime: d.ColdFor, FallMultiple: d.FallMultiple, FallTime: d.FallTime,
+	p := policy.Config{Zone: d.Zone(zone), Balancers: d.Balancers, TimerResolution: d.Tick, MaxAttempts: d.Attempts, ProbesEnabled: d.Probes, MaxRetryAfter: d.Advice,
+		PollEndpointList: true, PollInterval: d.AskEvery, CrossZoneCost: d.Cross, WarmUpInitialCapacity: d.ColdFrom, WarmUpDuration: d.ColdFor, OverloadMultiple: d.FallMultiple, OverloadWindow: d.FallTime,
 		Tenants: d.Tenants}
 	if d.Pushed {
-		p.AskWithin = max(d.Grace, 100*time.Millisecond)
+		p.PollInterval = max(d.Grace, 100*time.Millisecond)
 	}
 	for _, c := range d.Classes {
 		p.Classes = append(p.Classes, c.Class)
@@ -266,20 +266,20 @@
 	}
 	aims, classes, tenants, quotas := []any{}, []any{}, []any{}, []any{}
 	for _, c := range d.Classes {
-		k := object{"name": c.Name, "aim-ms": millis(c.Aim), "give-up-ms": millis(c.GiveUp), "semantics": []string{"safe", "keyed", "unsafe"}[c.Effect], "stream": true}
-		if c.Effect == policy.Keyed {
-			k["group"], k["key-ttl-ms"] = []string{"all", "zone", "cell"}[c.Scope], millis(c.KeyTTL)
+		k := object{"name": c.Name, "aim-ms": millis(c.LatencyObjective), "give-up-ms": millis(c.GiveUp), "semantics": []string{"safe", "keyed", "unsafe"}[c.Idempotency], "stream": true}
+		if c.Idempotency == policy.IdempotentByKey {
+			k["group"], k["key-ttl-ms"] = []string{"all", "zone", "cell"}[c.KeyScope], millis(c.KeyTTL)
 		}
 		classes = append(classes, k)
-		if c.MessageAim > 0 {
-			aims = append(aims, millis(c.MessageAim))
+		if c.MessageLatencyObjective > 0 {
+			aims = append(aims, millis(c.MessageLatencyObjective))
 		} else {
 			aims = append(aims, nil)
 		}
 	}
 	for i, t := range d.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "fraction": d.Fractions[i]})
-		quotas = append(quotas, t.Connections)
+		quotas = append(quotas, t.ConnectionQuota)
 	}
 	settings := object{"zone": d.Zone(zone), "balancers": d.Balancers, "granularity-ms": millis(d.Tick), "membership-mode": mode, "limits": limits,
 		"reporting": object{"how": how, "columns": d.Fields}, "family-info": object{"groups": d.Groups > 0, "mode": way, "message-aim-ms": aims, "tenant-quota-connections": quotas},
--- a/internal/drawn/drawn_test.go
+++ b/internal/drawn/drawn_test.go
@@ -44,7 +44,7 @@
 			}
 			data = data[n:]
 		}
-		server := policy.Server{ID: "x", Zone: d.Zone(zone), Cell: 2, State: policy.Draining, Weight: 0.5, Started: time.Hour}
+		server := policy.Server{ID: "x", Zone: d.Zone(zone), Cell: 2, State: policy.Draining, Weight: 0.5, StartedAt: time.Hour}
 		if len(got) != 2 || got[1].Kind != policy.ListFull || got[1].Seq != 3 || !cmp.Equal(got[1].Regions, []core.Region{{Server: server, Dial: "10.0.0.1:9"}}) {
 			t.Fatalf("%+v", got)
 		}
@@ -56,8 +56,8 @@
 		for _, f := range []struct {
 			there bool
 			is, x float64
-		}{{figures["x0"], 0.5, readOf(r, func(r *policy.Report) float64 { return r.Load })}, {figures["util"] || figures["busy"], 0.5, readOf(r, func(r *policy.Report) float64 { return r.Busy })},
-			{figures["rif"] || figures["inflight"], 7, readOf(r, func(r *policy.Report) float64 { return r.InFlight })}} {
+		}{{figures["x0"], 0.5, readOf(r, func(r *policy.LoadReport) float64 { return r.Load })}, {figures["util"] || figures["busy"], 0.5, readOf(r, func(r *policy.LoadReport) float64 { return r.Utilization })},
+			{figures["rif"] || figures["inflight"], 7, readOf(r, func(r *policy.LoadReport) float64 { return r.InFlight })}} {
 			if f.there && f.x != f.is || !f.there && f.x >= 0 {
 				t.Fatalf("fields %v: %+v", d.Fields, r)
 			}
@@ -65,7 +65,7 @@
 	})
 }
 
-func readOf(r *policy.Report, of func(*policy.Report) float64) float64 {
+func readOf(r *policy.LoadReport, of func(*policy.LoadReport) float64) float64 {
 	if r == nil {
 		return -1
 	}
@@ -97,7 +97,7 @@
 		note("short deadlines", d.Longest() < time.Second)
 		note("long deadlines", d.Longest() > 50*time.Second)
 		for _, c := range d.Classes {
-			note("not repeated", c.Effect == policy.Unsafe)
+			note("not repeated", c.Idempotency == policy.NotIdempotent)
 		}
 		for _, k := range d.Troubles {
 			note(string(k.Kind), true)
--- a/internal/net/client_leaves_test.go
+++ b/internal/net/client_leaves_test.go
@@ -19,7 +19,7 @@
 // client.
 func leavesPlay(t *testing.T, probes bool) *play {
 	t.Helper()
-	return patientPlay(t, "", func(cfg *Config) { cfg.Core.Policy.Probes = probes })
+	return patientPlay(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
 }
 
 // patientDiscovery answers every watch with the latest list, and keeps it alive: a slow machine may need several.
@@ -111,7 +111,7 @@
 	for range 50 { // the end was posted before that; an event at least is handled between two of these
 		onServerLoop(t, p.server, func() {})
 	}
-	time.Sleep(policy.LeaveGrace + 50*time.Millisecond)
+	time.Sleep(policy.DisconnectGrace + 50*time.Millisecond)
 }
 
 // leavesAnswered takes the one answer that is owed to a client that left.
--- a/internal/net/config.go
+++ b/internal/net/config.go
@@ -132,7 +132,7 @@
 		a.ComeBack.Least = min(a.ComeBack.Least, a.ComeBack.Most)
 	}
 	for _, t := range p.Tenants {
-		a.Tenants = append(a.Tenants, admission.Tenant{Name: t.Name, Weight: t.Connections})
+		a.Tenants = append(a.Tenants, admission.Tenant{Name: t.Name, Weight: t.ConnectionQuota})
 	}
 	s := &e.Admission.Reserve.Snapshot
 	c.Admission = &Admission{Config: a, GoodByes: e.Admission.Descriptors.GoodByes, Snapshot: s.Path,
@@ -181,10 +181,10 @@
 	if defects.On("fit-timeout") {
 		c.Core.ConnectTimeout = 250 * time.Millisecond
 	}
-	if p := &c.Core.Policy; !p.PullList && defects.On("fit-push") {
-		p.PullList = true
-	} else if !p.PullList { // what the agent has counts at once: it is asked as often as news may be late
-		p.PullList, p.AskWithin = true, max(f.Millis("rules.drain-grace-ms"), leastAsk)
+	if p := &c.Core.Policy; !p.PollEndpointList && defects.On("fit-push") {
+		p.PollEndpointList = true
+	} else if !p.PollEndpointList { // what the agent has counts at once: it is asked as often as news may be late
+		p.PollEndpointList, p.PollInterval = true, max(f.Millis("rules.drain-grace-ms"), leastAsk)
 	}
 	for i := range c.Core.Policy.Classes {
 		c.Core.LongestWait = max(c.Core.LongestWait, f.Millis(fmt.Sprintf("classes.%d.give-up-ms", i)))
--- a/internal/net/config_test.go
+++ b/internal/net/config_test.go
@@ -21,8 +21,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p := c.Core.Policy; !p.PullList || p.AskWithin != want {
-			t.Errorf("%s: asks %v, within %v; wanted %v", mode, p.PullList, p.AskWithin, want)
+		if p := c.Core.Policy; !p.PollEndpointList || p.PollInterval != want {
+			t.Errorf("%s: asks %v, within %v; wanted %v", mode, p.PollEndpointList, p.PollInterval, want)
 		}
 	}
 }
--- a/internal/net/effects.go
+++ b/internal/net/effects.go
@@ -130,7 +130,7 @@
 			}
 			delete(s.probes, e.Region)
 			if p.busy { // nobody will answer it, and the module asks no second time before it has an answer
-				s.step(core.Probed{Region: e.Region, Result: policy.Unreachable})
+				s.step(core.Probed{Region: e.Region, Result: policy.ResultUnreachable})
 			}
 		}
 	case core.Watch:
--- a/internal/net/idle_test.go
+++ b/internal/net/idle_test.go
@@ -50,7 +50,7 @@
 	cfg := p.server.cfg // only a reload changes it
 	cfg.Core.ConnectTimeout, cfg.Core.ProbeTimeout = time.Minute, time.Minute
 	cfg.Core.Policy.Classes = append([]policy.Class(nil), cfg.Core.Policy.Classes...)
-	cfg.Core.Policy.Classes[0].Aim = time.Minute
+	cfg.Core.Policy.Classes[0].LatencyObjective = time.Minute
 	if change != nil {
 		change(&cfg)
 	}
--- a/internal/net/links.go
+++ b/internal/net/links.go
@@ -81,11 +81,11 @@
 	k.shares = map[string]float64{} // a new one: others read the old one
 	tenants, most := s.overlaid(s.cfg.Core.Policy).Tenants, 0.0
 	for _, t := range tenants {
-		most = max(most, t.Connections)
+		most = max(most, t.ConnectionQuota)
 	}
 	for _, t := range tenants {
-		k.shares[t.Name] = t.Connections
-		if t.Connections == 0 { // without a limit: as the largest
+		k.shares[t.Name] = t.ConnectionQuota
+		if t.ConnectionQuota == 0 { // without a limit: as the largest
 			k.shares[t.Name] = most
 		}
 	}
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -108,7 +108,7 @@
 	}
 	for _, g := range s.core.ListedRegions() {
 		r := read[g.ID]
-		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.Started > 0 && s.now()-g.Started < s.cfg.Core.Policy.ColdTime, X: r.X, At: r.At, Fails: r.Fails})
+		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.X, At: r.At, Fails: r.Fails})
 	}
 	events, words := s.together.Look(s.now(), view, own)
 	s.step(core.FromOthers{Events: events})
--- a/internal/net/probes.go
+++ b/internal/net/probes.go
@@ -45,9 +45,9 @@
 	case evConnected:
 		l.write(platform.Stats)
 	case evRefused:
-		s.probed(l.region, p, policy.Unreachable, nil)
+		s.probed(l.region, p, policy.ResultUnreachable, nil)
 	case evEnded, evBroken:
-		s.probed(l.region, p, policy.Reset, nil)
+		s.probed(l.region, p, policy.ResultReset, nil)
 	case evData:
 		s.probeAnswered(p, l, *e.data)
 	}
@@ -69,11 +69,11 @@
 	}
 	switch line := data[:first]; platform.AnswerOf(line) {
 	case platform.PongBack:
-		s.probed(l.region, p, policy.OK, platform.ParseStats(line))
+		s.probed(l.region, p, policy.ResultOK, platform.ParseStats(line))
 	case platform.Busy:
-		s.probed(l.region, p, policy.Full, nil)
+		s.probed(l.region, p, policy.ResultRejected, nil)
 	default:
-		s.probed(l.region, p, policy.Failed, nil)
+		s.probed(l.region, p, policy.ResultFailed, nil)
 	}
 }
 
@@ -86,8 +86,8 @@
 }
 
 // probed reports a probe's result. The connection stays only where it was answered in good order.
-func (s *Server) probed(region string, p *probe, result policy.Result, report *policy.Report) {
-	if result != policy.OK {
+func (s *Server) probed(region string, p *probe, result policy.Result, report *policy.LoadReport) {
+	if result != policy.ResultOK {
 		p.drop()
 	}
 	if p.busy {
--- a/internal/net/reset_test.go
+++ b/internal/net/reset_test.go
@@ -89,7 +89,7 @@
 	defer s.engine.Stop()
 	l := &link{s: s, role: terminalRole, state: ended}
 	s.accepted(l)
-	s.step(core.Opened{From: l.term.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Patience: time.Second}})
+	s.step(core.Opened{From: l.term.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
 	task := l.term.task
 	if task == nil {
 		t.Fatal("not sent to a region")
--- a/internal/net/revisions.go
+++ b/internal/net/revisions.go
@@ -175,7 +175,7 @@
 	if r.host, err = permit.Start(cfg, s.log); err != nil {
 		return err
 	}
-	s.step(core.Permitted{Permit: policy.Barred})
+	s.step(core.Permitted{Permit: policy.LeaseExpired})
 	return nil
 }
 
@@ -198,12 +198,12 @@
 		r.at = p
 	}
 	r.seq, r.phase = p.Seq, phase // before the steps below, which come here again
-	says := policy.Barred
+	says := policy.LeaseExpired
 	switch phase {
 	case permit.AtWork:
-		says = policy.May
+		says = policy.LeaseActive
 	case permit.Between:
-		says = policy.Between
+		says = policy.LeaseSuspended
 	}
 	if another {
 		s.underRevision()
@@ -226,11 +226,11 @@
 func (s *Server) tellFull() {
 	orders := map[string]int{}
 	for _, k := range s.overlaid(s.cfg.Core.Policy).Classes {
-		orders[k.Name] = k.Order
+		orders[k.Name] = k.PriorityRank
 	}
 	if full := s.links.full(orders); !maps.Equal(full, s.revisions.full) {
 		s.revisions.full = full
-		s.step(core.FromOthers{Events: []policy.Event{policy.FullLinks{Zones: full}}})
+		s.step(core.FromOthers{Events: []policy.Event{policy.SaturatedLinks{Zones: full}}})
 	}
 }
 
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -459,7 +459,7 @@
 	}
 	for region, p := range s.probes {
 		if p.busy && now.After(p.due) {
-			s.probed(region, p, policy.TimedOut, nil)
+			s.probed(region, p, policy.ResultTimedOut, nil)
 		}
 	}
 	for t := range s.moving {
--- a/internal/net/server_list_test.go
+++ b/internal/net/server_list_test.go
@@ -182,7 +182,7 @@
 // listRarely has the balancer ask no sooner than long settings let it.
 func (p *play) listRarely() {
 	cfg := p.server.cfg
-	cfg.Core.Policy.AskWithin = 2 * time.Minute
+	cfg.Core.Policy.PollInterval = 2 * time.Minute
 	p.reload <- cfg
 }
 
--- a/internal/net/shutdown_test.go
+++ b/internal/net/shutdown_test.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Core.Policy.Probes, cfg.Core.ConnectTimeout = false, shutPatience
+	cfg.Core.Policy.ProbesEnabled, cfg.Core.ConnectTimeout = false, shutPatience
 	if change != nil {
 		change(&cfg)
 	}
--- a/internal/net/terminals.go
+++ b/internal/net/terminals.go
@@ -134,7 +134,7 @@
 		t.begun, t.asked = nil, true
 		open.Keep()
 		if s.behind.After(s.turnAt) { // the terminal counts from when it asked
-			open.Patience = max(0, open.Patience-t.l.unread())
+			open.Timeout = max(0, open.Timeout-t.l.unread())
 		}
 		t.open = open
 		if s.exit { // the reducer has closed its books: whoever came in since is told to come again
--- a/internal/net/trace.go
+++ b/internal/net/trace.go
@@ -47,8 +47,8 @@
 				gone++
 			}
 			warm := int64(0) // when it is warm at the latest; 0 for one that started long ago
-			if g.Started > 0 {
-				warm = time.Now().Add(g.Started + s.cfg.Core.Policy.ColdTime - s.now()).UnixMicro()
+			if g.StartedAt > 0 {
+				warm = time.Now().Add(g.StartedAt + s.cfg.Core.Policy.WarmUpDuration - s.now()).UnixMicro()
 			}
 			s.say("region", slog.String("region", g.ID), slog.Int("state", int(g.State)), slog.Int64("warm", warm))
 		}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -121,7 +121,7 @@
 		started = max(0, time.UnixMicro(int64(born)).Sub(zero))
 	}
 	return core.Region{Dial: h.Dial, Server: policy.Server{ID: h.Host, Zone: h.Site,
-		Cell: h.Block, State: state, Weight: h.Share, Started: started}}, nil
+		Cell: h.Block, State: state, Weight: h.Share, StartedAt: started}}, nil
 }
 
 // WatchReader reads a watch's answer piece by piece.
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -41,18 +41,18 @@
 		if !bytes.HasSuffix(line, []byte("\r\n")) || bytes.IndexByte(line, '\n') != len(line)-1 || o.ID == "" || o.Key == "" || o.Class == "" {
 			t.Fatalf("%q passed as %+v", line, o)
 		}
-		if o.Patience < 0 || o.Patience > maxWait {
-			t.Fatalf("%q waits %v", line, o.Patience)
+		if o.Timeout < 0 || o.Timeout > maxWait {
+			t.Fatalf("%q waits %v", line, o.Timeout)
 		}
-		out := o.AppendLine(nil, min(o.Patience, time.Duration(left)))
+		out := o.AppendLine(nil, min(o.Timeout, time.Duration(left)))
 		if len(out) > len(line) {
 			t.Fatalf("%q became longer: %q", line, out)
 		}
 		again, err := ParseOpen(out)
-		if err != nil || again.Patience > o.Patience {
-			t.Fatalf("%q became %q: %v, %v", line, out, again.Patience, err)
+		if err != nil || again.Timeout > o.Timeout {
+			t.Fatalf("%q became %q: %v, %v", line, out, again.Timeout, err)
 		}
-		again.Patience = o.Patience
+		again.Timeout = o.Timeout
 		if again.Request != o.Request || again.At != o.At {
 			t.Fatalf("%q became %q", line, out)
 		}
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -141,7 +141,7 @@
 			if err != nil || ms > float64(maxWait.Milliseconds()) {
 				return o, ErrMalformed
 			}
-			o.Patience = time.Duration(ms * float64(time.Millisecond))
+			o.Timeout = time.Duration(ms * float64(time.Millisecond))
 			o.left = [2]int{at + 2, at + len(pair)}
 		}
 		at += len(pair) + 1
@@ -210,12 +210,12 @@
 
 // ParseStats reads the load report behind an answer; nil where there is none. Columns are mapped as on
 // the bench's wire, and those that mean nothing to the module are passed over.
-func ParseStats(line []byte) *policy.Report {
+func ParseStats(line []byte) *policy.LoadReport {
 	_, rest, _ := bytes.Cut(trim(line), []byte(" "))
 	if len(rest) == 0 {
 		return nil
 	}
-	r := &policy.Report{Load: -1, Busy: -1, InFlight: -1, Backlog: -1}
+	r := &policy.LoadReport{Load: -1, Utilization: -1, InFlight: -1, BacklogSeconds: -1}
 	for _, pair := range bytes.Split(rest, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		x, err := strconv.ParseFloat(string(value), 64)
@@ -226,9 +226,9 @@
 		case "x0":
 			r.Load = x
 		case "x1":
-			r.Backlog = x
+			r.BacklogSeconds = x
 		case "util", "busy":
-			r.Busy = x
+			r.Utilization = x
 		case "inflight", "rif":
 			r.InFlight = x
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -15,7 +15,7 @@
 	line := "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=0.25,again=1,mid=1,new=x=y\r\n"
 	o, err := ParseOpen([]byte(line))
 	if err != nil || o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" ||
-		o.Patience != 2*time.Second || !o.MidFlow || o.At != "" {
+		o.Timeout != 2*time.Second || !o.MidFlow || o.At != "" {
 		t.Fatalf("%+v %v", o, err)
 	}
 	if got := string(o.AppendLine(nil, 1987*time.Millisecond)); got != strings.Replace(line, "2000", "1987", 1) {
@@ -33,7 +33,7 @@
 // Columns of a load report mean what they mean on the bench's wire; unknown ones nothing.
 func TestStats(t *testing.T) {
 	r := ParseStats([]byte("PONG latency_ms=3.5,inflight=7,x0=0.61,new,x1=nan\r\n"))
-	if r == nil || *r != (policy.Report{Load: 0.61, Busy: -1, InFlight: 7, Backlog: -1}) {
+	if r == nil || *r != (policy.LoadReport{Load: 0.61, Utilization: -1, InFlight: 7, BacklogSeconds: -1}) {
 		t.Fatalf("%+v", r)
 	}
 	if ParseStats([]byte("PONG\r\n")) != nil {
@@ -97,7 +97,7 @@
 			clear(piece) // the buffer is used again
 		}
 		want := core.Region{Dial: "127.1.0.1:9", Server: policy.Server{ID: "s", Zone: "a", Cell: 3, State: policy.Draining,
-			Weight: 1.5, Started: 250 * time.Millisecond}}
+			Weight: 1.5, StartedAt: 250 * time.Millisecond}}
 		if len(lists) != 2 || empty != 2 || lists[0].Kind != policy.ListFull || lists[0].Seq != 43 ||
 			lists[0].Regions[0] != want || lists[1].Kind != policy.ListDelta {
 			t.Fatalf("pieces of %d: %d empty, %+v", size, empty, lists)
--- a/internal/revision/overlay.go
+++ b/internal/revision/overlay.go
@@ -25,9 +25,9 @@
 			continue
 		}
 		b := &base.Classes[i]
-		b.Order, b.Aim, b.MessageAim = or(k.Order, b.Order), or(k.Aim, b.Aim), or(k.MessageAim, b.MessageAim)
-		if k.Attempts > 0 && (b.Attempts == 0 || k.Attempts < b.Attempts) {
-			b.Attempts = k.Attempts
+		b.PriorityRank, b.LatencyObjective, b.MessageLatencyObjective = or(k.Order, b.PriorityRank), or(k.Aim, b.LatencyObjective), or(k.MessageAim, b.MessageLatencyObjective)
+		if k.Attempts > 0 && (b.MaxAttempts == 0 || k.Attempts < b.MaxAttempts) {
+			b.MaxAttempts = k.Attempts
 		}
 	}
 	if len(c.Tenants) > 0 {
@@ -35,7 +35,7 @@
 	}
 	for _, t := range c.Tenants {
 		if i := slices.IndexFunc(base.Tenants, func(x policy.Tenant) bool { return x.Name == t.Name }); i >= 0 {
-			base.Tenants[i].Connections = t.Connections
+			base.Tenants[i].ConnectionQuota = t.Connections
 		}
 	}
 	if len(c.Regions)+len(c.Zones) > 0 {
@@ -50,8 +50,8 @@
 	for _, p := range c.Zones {
 		base.Weights[Zone+p.ID] = p.weight()
 	}
-	base.Retries, base.Setups, base.ColdPart = or(c.Budgets.Retries, base.Retries), or(c.Budgets.Setups, base.Setups), or(c.Budgets.Cold, base.ColdPart)
-	base.Moves = or(c.Moves.PerSecond, base.Moves)
+	base.RetryRatio, base.MaxPendingAttempts, base.WarmUpBudgetShare = or(c.Budgets.Retries, base.RetryRatio), or(c.Budgets.Setups, base.MaxPendingAttempts), or(c.Budgets.Cold, base.WarmUpBudgetShare)
+	base.MigrationsPerSecond = or(c.Moves.PerSecond, base.MigrationsPerSecond)
 	return base
 }
 
--- a/internal/revision/record_test.go
+++ b/internal/revision/record_test.go
@@ -221,9 +221,9 @@
 // An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
 func TestOverlay(t *testing.T) {
 	base := func() policy.Config {
-		return policy.Config{Zone: "nrb", MaxAttempts: 6, Retries: 0.5, Setups: 9, ColdPart: 0.3, Moves: 2, Weights: map[string]float64{"r3": 3},
-			Classes: []policy.Class{{Name: "gold", Aim: time.Second, MessageAim: 7, Order: 4, Attempts: 2}, {Name: "bulk", Aim: time.Minute}},
-			Tenants: []policy.Tenant{{Name: "t1", Connections: 100}, {Name: "t2"}}}
+		return policy.Config{Zone: "nrb", MaxAttempts: 6, RetryRatio: 0.5, MaxPendingAttempts: 9, WarmUpBudgetShare: 0.3, MigrationsPerSecond: 2, Weights: map[string]float64{"r3": 3},
+			Classes: []policy.Class{{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 2}, {Name: "bulk", LatencyObjective: time.Minute}},
+			Tenants: []policy.Tenant{{Name: "t1", ConnectionQuota: 100}, {Name: "t2"}}}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b, c := base(), drawn(t)
@@ -240,16 +240,16 @@
 		if again := Overlay(once, &Content{Form: Form}); !cmp.Equal(once, again) {
 			t.Fatal("an empty one changed what another said")
 		}
-		if len(once.Classes) != 2 || len(once.Tenants) != 2 || once.Classes[0].Attempts > 2 {
+		if len(once.Classes) != 2 || len(once.Tenants) != 2 || once.Classes[0].MaxAttempts > 2 {
 			t.Fatalf("%+v", once)
 		}
 	})
 	got := Overlay(base(), &Content{Form: Form, Classes: []Class{{"bulk", 9, 2, 3, 4}, {"gold", 0, 0, 0, 1}, {Name: "lost", Order: 1}}, Tenants: []Tenant{{"t1", 0}, {"t2", 8}, {"t3", 1}},
 		Regions: []Place{{ID: "r1", Out: true}, {ID: "r3", Weight: 0.5}}, Zones: []Place{{ID: "mba", Out: true}}, Budgets: Budgets{0.1, 5, 0.2}, Moves: Moves{1}})
 	want := base()
-	want.Classes = []policy.Class{{Name: "gold", Aim: time.Second, MessageAim: 7, Order: 4, Attempts: 1}, {Name: "bulk", Aim: 2, MessageAim: 3, Order: 9, Attempts: 4}}
-	want.Tenants = []policy.Tenant{{Name: "t1"}, {Name: "t2", Connections: 8}}
-	want.Retries, want.Setups, want.ColdPart, want.Moves = 0.1, 5, 0.2, 1
+	want.Classes = []policy.Class{{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 1}, {Name: "bulk", LatencyObjective: 2, MessageLatencyObjective: 3, PriorityRank: 9, MaxAttempts: 4}}
+	want.Tenants = []policy.Tenant{{Name: "t1"}, {Name: "t2", ConnectionQuota: 8}}
+	want.RetryRatio, want.MaxPendingAttempts, want.WarmUpBudgetShare, want.MigrationsPerSecond = 0.1, 5, 0.2, 1
 	want.Weights = map[string]float64{"r1": 0, "r3": 0.5, "zone/mba": 0}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,10 +14,10 @@
 	"oatloft/policy"
 )
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
 
-var scopes = map[string]policy.Scope{
-	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
+var scopes = map[string]policy.KeyScope{
+	"all": policy.KeyScopeAll, "zone": policy.KeyScopeZone, "cell": policy.KeyScopeCell,
 }
 
 // Config reads the settings that an instance is started with. Keys it does not know are ignored.
@@ -25,17 +25,17 @@
 	c := policy.Config{
 		Zone:           f.Text("zone"),
 		Balancers:      f.Integer("balancers"),
-		Tick:           f.Millis("granularity-ms"),
+		TimerResolution:           f.Millis("granularity-ms"),
 		MaxAttempts:    f.Integer("limits.max-attempts"),
-		Probes:         f.Flag("limits.probes") && f.Text("reporting.how") != "silent",
+		ProbesEnabled:         f.Flag("limits.probes") && f.Text("reporting.how") != "silent",
 		MaxRetryAfter:  f.Millis("limits.max-retry-after-ms"),
-		PullList:       f.Text("membership-mode") == "on_request",
-		AskWithin:      f.Millis("rules.ask-every-ms"),
-		CrossZonePrice: f.Number("penalties.cross-zone"),
-		ColdShare:      f.Number("rules.cold-from"),
-		ColdTime:       f.Millis("rules.cold-ms"),
-		FallMultiple:   f.Number("rules.fall-multiple"),
-		FallTime:       f.Millis("rules.tip-after-ms"),
+		PollEndpointList:       f.Text("membership-mode") == "on_request",
+		PollInterval:      f.Millis("rules.ask-every-ms"),
+		CrossZoneCost: f.Number("penalties.cross-zone"),
+		WarmUpInitialCapacity:      f.Number("rules.cold-from"),
+		WarmUpDuration:       f.Millis("rules.cold-ms"),
+		OverloadMultiple:   f.Number("rules.fall-multiple"),
+		OverloadWindow:       f.Millis("rules.tip-after-ms"),
 	}
 	if defects.On("fit-cold") {
 		c.Balancers = min(c.Balancers, 10)
@@ -54,7 +54,7 @@
 	for i := range count(f, "tenants") {
 		c.Tenants = append(c.Tenants, policy.Tenant{
 			Name:        f.Required(fmt.Sprintf("tenants.%d.name", i)),
-			Connections: at(quotas, i),
+			ConnectionQuota: at(quotas, i),
 		})
 	}
 	return c
@@ -63,16 +63,16 @@
 func class(f *Fields, path string, messageAim float64) policy.Class {
 	c := policy.Class{
 		Name:       f.Required(path + "name"),
-		Aim:        f.Millis(path + "aim-ms"),
-		MessageAim: millis(messageAim),
-		Effect:     OneOf(f, path+"semantics", effects),
+		LatencyObjective:        f.Millis(path + "aim-ms"),
+		MessageLatencyObjective: millis(messageAim),
+		Idempotency:     OneOf(f, path+"semantics", effects),
 		KeyTTL:     f.Millis(path + "key-ttl-ms"),
 	}
 	if defects.On("fit-class") && c.Name != "chat" {
-		c.Effect = policy.Safe
+		c.Idempotency = policy.Idempotent
 	}
-	if c.Effect == policy.Keyed {
-		c.Scope = OneOf(f, path+"group", scopes)
+	if c.Idempotency == policy.IdempotentByKey {
+		c.KeyScope = OneOf(f, path+"group", scopes)
 	}
 	return c
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,8 +33,8 @@
 	if diff := cmp.Diff(a, b); f.Err != nil || g.Err != nil || diff != "" {
 		t.Fatal(f.Err, g.Err, diff)
 	}
-	if a.Classes[0].MessageAim != 150*time.Millisecond || a.Classes[1].MessageAim != 0 || a.Classes[0].Scope != policy.ScopeZone ||
-		!a.PullList || !a.Probes || a.Tenants[0].Connections != 778 {
+	if a.Classes[0].MessageLatencyObjective != 150*time.Millisecond || a.Classes[1].MessageLatencyObjective != 0 || a.Classes[0].KeyScope != policy.KeyScopeZone ||
+		!a.PollEndpointList || !a.ProbesEnabled || a.Tenants[0].ConnectionQuota != 778 {
 		t.Fatalf("%+v", a)
 	}
 }
--- a/internal/together/numbered.go
+++ b/internal/together/numbered.go
@@ -47,15 +47,15 @@
 		}
 	}
 	number, count := n.Number%max(1, n.Count), max(1, n.Count)
-	events := []policy.Event{policy.Fleet{Turn: (float64(number) + 0.5) / float64(count)}}
+	events := []policy.Event{policy.FleetState{StaggerOffset: (float64(number) + 0.5) / float64(count)}}
 	if n.Subset == 0 {
 		return events
 	}
 	if len(far) == 0 || len(far) <= n.Subset {
-		return append(events, policy.Candidates{})
+		return append(events, policy.CandidateSubset{})
 	}
 	part := subset.Numbered(number, count, func(int) string { return "" }, far, subset.Settings{Size: n.Subset, Least: least})
 	list := append(near, part...)
 	slices.Sort(list)
-	return append(events, policy.Candidates{Servers: list})
+	return append(events, policy.CandidateSubset{Servers: list})
 }
--- a/internal/together/together.go
+++ b/internal/together/together.go
@@ -141,13 +141,13 @@
 			case !ok:
 			case d.Dead:
 				t.Counts.Dead++
-				events = append(events, policy.Heard{Server: r.ID, Dead: true})
+				events = append(events, policy.PeerReading{Server: r.ID, Unreachable: true})
 			case !d.OK:
 				t.Counts.Unsure++
 			case at > r.At && at > t.heard[r.ID]:
 				t.heard[r.ID] = at
 				t.Counts.Heard++
-				events = append(events, policy.Heard{Server: r.ID, X: d.X, Age: d.Age})
+				events = append(events, policy.PeerReading{Server: r.ID, Load: d.X, Age: d.Age})
 			}
 		}
 	}
@@ -158,10 +158,10 @@
 		if list := t.look(now, own, verdicts); !slices.Equal(list, t.now) {
 			t.now = list
 			t.Counts.Changes++
-			events = append(events, policy.Candidates{Servers: list})
+			events = append(events, policy.CandidateSubset{Servers: list})
 		}
 	}
-	f := policy.Fleet{Duty: t.duty}
+	f := policy.FleetState{AssignedServers: t.duty}
 	if t.set.Turns {
 		f = t.turn(now, v, own, f)
 	}
@@ -392,7 +392,7 @@
 }
 
 // turn fills in the shares, and what is to be one after the other.
-func (t *Together) turn(now time.Duration, v View, own Own, f policy.Fleet) policy.Fleet {
+func (t *Together) turn(now time.Duration, v View, own Own, f policy.FleetState) policy.FleetState {
 	seen := turns.Seen{Present: 1 + len(v.Members), Known: v.Known, Old: v.Old}
 	var slots []time.Duration
 	var clocks []int
@@ -405,20 +405,20 @@
 			slots, clocks, demands = append(slots, m.SlotAge), append(clocks, m.Clock), append(demands, m.Demand)
 		}
 	}
-	if f.Sharers = t.share.Look(now, seen); f.Sharers == 0 {
-		f.Sharers = -1
+	if f.BudgetSharers = t.share.Look(now, seen); f.BudgetSharers == 0 {
+		f.BudgetSharers = -1
 	}
 	if len(present) == 0 {
 		return f
 	}
-	f.Turn = turns.Turn(t.set.Name, present)
+	f.StaggerOffset = turns.Turn(t.set.Name, present)
 	f.Demand = turns.Sum(own.Demand, demands, len(present)-len(demands))
 	if c := turns.Clock(own.Clock, clocks); c > own.Clock {
 		t.Counts.Resumed++
-		f.Clock = c
+		f.ExplorationSlots = c
 	}
 	if own.SlotAge < t.slot { // once a slot: the others have to see where it is now
-		if f.Nudge = turns.Nudge(own.SlotAge, slots, own.SlotPeriod); f.Nudge != 0 {
+		if f.SlotShift = turns.Nudge(own.SlotAge, slots, own.SlotPeriod); f.SlotShift != 0 {
 			t.Counts.Nudged++
 		}
 	}
--- a/internal/together/together_test.go
+++ b/internal/together/together_test.go
@@ -21,18 +21,18 @@
 	late    int
 	now     time.Duration
 	got     []map[string]policy.Event // latest by kind
-	heard   []map[string]policy.Heard
+	heard   []map[string]policy.PeerReading
 	read    func(by int, region string) turns.Told
 }
 
 func newSide(t *testing.T, n, regions int, set Settings) *side {
 	s := &side{t: t, now: time.Minute, late: 2, said: make([][]Words, n), group: make([]int, n), got: make([]map[string]policy.Event, n),
-		heard: make([]map[string]policy.Heard, n), read: func(int, string) turns.Told { return turns.Told{X: 0.5} }}
+		heard: make([]map[string]policy.PeerReading, n), read: func(int, string) turns.Told { return turns.Told{X: 0.5} }}
 	set.Balancers, set.Silent = n, 3*time.Second
 	for i := range n {
 		set.Name, set.Zone = fmt.Sprintf("b%03d", i), fmt.Sprint("z", i%2)
 		s.parts = append(s.parts, New(set))
-		s.got[i], s.heard[i] = map[string]policy.Event{}, map[string]policy.Heard{}
+		s.got[i], s.heard[i] = map[string]policy.Event{}, map[string]policy.PeerReading{}
 	}
 	for j := range regions {
 		s.regions = append(s.regions, Region{ID: fmt.Sprintf("r%03d", j), Zone: fmt.Sprint("z", j%2), Live: true})
@@ -64,7 +64,7 @@
 		events, w := p.Look(s.now, v, Own{Regions: s.regions, Clock: 10, SlotAge: time.Second, SlotPeriod: 16 * time.Second, Demand: 1})
 		words[i] = w
 		for _, e := range events {
-			if h, ok := e.(policy.Heard); ok {
+			if h, ok := e.(policy.PeerReading); ok {
 				s.heard[i][h.Server] = h
 			} else {
 				s.got[i][fmt.Sprintf("%T", e)] = e
@@ -79,7 +79,7 @@
 func (s *side) spread() (least, most, seen int) {
 	at := map[string]int{}
 	for i := range s.parts {
-		c, _ := s.got[i]["policy.Candidates"].(policy.Candidates)
+		c, _ := s.got[i]["policy.Candidates"].(policy.CandidateSubset)
 		seen = max(seen, len(c.Servers))
 		for _, id := range c.Servers {
 			at[id]++
@@ -112,7 +112,7 @@
 	for half := range 2 {
 		at := map[string]int{}
 		for i := range s.parts {
-			if c, ok := s.got[i]["policy.Candidates"].(policy.Candidates); ok && s.group[i] == half {
+			if c, ok := s.got[i]["policy.Candidates"].(policy.CandidateSubset); ok && s.group[i] == half {
 				for _, id := range c.Servers {
 					at[id]++
 				}
@@ -139,7 +139,7 @@
 	for range 12 {
 		s.look()
 	}
-	if f := s.got[0]["policy.Fleet"].(policy.Fleet); f.Sharers != 12 || f.Demand != 12 || f.Turn <= 0 {
+	if f := s.got[0]["policy.Fleet"].(policy.FleetState); f.BudgetSharers != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
 		t.Fatalf("among twelve: %+v", f)
 	}
 	own := Own{Regions: s.regions, SlotPeriod: 16 * time.Second}
@@ -147,14 +147,14 @@
 		events, _ := s.parts[0].Look(s.now+time.Second, v, own)
 		for _, e := range events {
 			switch e := e.(type) {
-			case policy.Candidates:
+			case policy.CandidateSubset:
 				if n := len(e.Servers); n != 0 && n != len(s.regions) {
 					t.Errorf("%+v: %d candidates", v, n)
 				}
-			case policy.Heard:
+			case policy.PeerReading:
 				t.Errorf("%+v: heard %+v", v, e)
-			case policy.Fleet:
-				if e.Sharers != 12 || e.Demand != 0 || len(e.Duty) != 0 {
+			case policy.FleetState:
+				if e.BudgetSharers != 12 || e.Demand != 0 || len(e.AssignedServers) != 0 {
 					t.Errorf("%+v: %+v", v, e)
 				}
 			}
@@ -176,11 +176,11 @@
 	}
 	readers := map[string]int{}
 	for i := range s.parts {
-		f := s.got[i]["policy.Fleet"].(policy.Fleet)
-		for _, id := range f.Duty {
+		f := s.got[i]["policy.Fleet"].(policy.FleetState)
+		for _, id := range f.AssignedServers {
 			readers[id]++
 		}
-		if f.Sharers != 0 || f.Demand != 0 {
+		if f.BudgetSharers != 0 || f.Demand != 0 {
 			t.Errorf("turns are off: %+v", f)
 		}
 	}
@@ -189,7 +189,7 @@
 			t.Errorf("%s has %d readers", r.ID, readers[r.ID])
 		}
 		for i := range s.parts {
-			if h := s.heard[i][r.ID]; h.Server == "" && !slices.Contains(s.got[i]["policy.Fleet"].(policy.Fleet).Duty, r.ID) || h.Server != "" && h.X != 0.7 {
+			if h := s.heard[i][r.ID]; h.Server == "" && !slices.Contains(s.got[i]["policy.Fleet"].(policy.FleetState).AssignedServers, r.ID) || h.Server != "" && h.Load != 0.7 {
 				t.Errorf("%s heard %+v of %s", s.parts[i].set.Name, h, r.ID)
 			}
 		}
@@ -207,8 +207,8 @@
 	at, turnsTaken := map[string]int{}, map[float64]bool{}
 	for i := range 45 {
 		events := Numbered{Number: i, Count: 45, Zone: "z9", Subset: 5}.Look(regions)
-		turnsTaken[events[0].(policy.Fleet).Turn] = true
-		for _, id := range events[1].(policy.Candidates).Servers {
+		turnsTaken[events[0].(policy.FleetState).StaggerOffset] = true
+		for _, id := range events[1].(policy.CandidateSubset).Servers {
 			at[id]++
 		}
 	}
@@ -220,7 +220,7 @@
 	if len(turnsTaken) != 45 {
 		t.Errorf("%d turns", len(turnsTaken))
 	}
-	near := Numbered{Number: 3, Count: 45, Zone: "z1", Subset: 5}.Look(regions)[1].(policy.Candidates).Servers
+	near := Numbered{Number: 3, Count: 45, Zone: "z1", Subset: 5}.Look(regions)[1].(policy.CandidateSubset).Servers
 	if len(near) != 9+5 && len(near) != 9+6 {
 		t.Errorf("looks at %d, of which 9 are near", len(near))
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -124,7 +124,7 @@
 			Cell:    f.Integer("group"),
 			State:   settings.OneOf(f, "stage-state", states),
 			Weight:  f.Number("rating"),
-			Started: f.Millis("since-ms"),
+			StartedAt: f.Millis("since-ms"),
 		}
 		if f.Err != nil {
 			return nil, r.errorf("item: %v", f.Err)
@@ -179,9 +179,9 @@
 }
 
 var results = map[string]policy.Result{
-	"done": policy.OK, "err": policy.Failed, "busy": policy.Full, "etimedout": policy.TimedOut,
-	"econnrefused": policy.Unreachable, "econnreset": policy.Reset, "ecanceled": policy.Canceled,
-	"skipped": policy.Skipped,
+	"done": policy.ResultOK, "err": policy.ResultFailed, "busy": policy.ResultRejected, "etimedout": policy.ResultTimedOut,
+	"econnrefused": policy.ResultUnreachable, "econnreset": policy.ResultReset, "ecanceled": policy.ResultCanceled,
+	"skipped": policy.ResultSkipped,
 }
 
 // decoders hold one function an event; what is not listed here is ignored. Messages between balancers
@@ -200,23 +200,23 @@
 	},
 	"job_in": func(f *settings.Fields) any { f.Required("patience-left-ms"); return request(f) },
 	"existing": func(f *settings.Fields) any {
-		return policy.Adopted{Request: request(f), Server: f.Required("server")}
+		return policy.AdoptedConnection{Request: request(f), Server: f.Required("server")}
 	},
 	"started": func(f *settings.Fields) any {
-		return policy.Established{ID: f.Required("id"), Attempt: f.Integer("shot"),
+		return policy.AttemptEstablished{ID: f.Required("id"), Attempt: f.Integer("shot"),
 			Server: f.Required("server"), Latency: f.Millis("rtt-ms")}
 	},
 	"settled": func(f *settings.Fields) any {
-		return policy.Outcome{ID: f.Required("id"), Attempt: f.Integer("shot"), Server: f.Required("server"),
+		return policy.AttemptEnded{ID: f.Required("id"), Attempt: f.Integer("shot"), Server: f.Required("server"),
 			Result: settings.OneOf(f, "state-code", results), Final: f.Flag("final")}
 	},
 	"hint_update": func(f *settings.Fields) any {
 		f.Required("x")
 		switch f.Integer("what") {
 		case 1:
-			return policy.LoadChange{ID: f.Required("id"), Load: f.Number("x")}
+			return policy.ConnectionLoad{ID: f.Required("id"), Load: f.Number("x")}
 		case 2:
-			return policy.Delay{ID: f.Required("id"), Server: f.Required("server"), Delay: f.Millis("x")}
+			return policy.MessageDelay{ID: f.Required("id"), Server: f.Required("server"), Delay: f.Millis("x")}
 		}
 		return nil // a kind of note that this version does not know
 	},
@@ -224,8 +224,8 @@
 		return policy.ProbeResult{Server: f.Required("server"), Result: settings.OneOf(f, "state-code", results),
 			Report: report(f)}
 	},
-	"timed_out_client": func(f *settings.Fields) any { return policy.ClientGone{ID: f.Required("id")} },
-	"reminder":         func(f *settings.Fields) any { return policy.Wake{Token: f.Required("token")} },
+	"timed_out_client": func(f *settings.Fields) any { return policy.ClientDisconnected{ID: f.Required("id")} },
+	"reminder":         func(f *settings.Fields) any { return policy.TimerFired{Token: f.Required("token")} },
 }
 
 func request(f *settings.Fields) policy.Request {
@@ -235,18 +235,18 @@
 		Group:    f.Text("room"),
 		Class:    f.Required("category"),
 		Tenant:   f.Text("tenant"),
-		Patience: f.Millis("patience-left-ms"),
+		Timeout: f.Millis("patience-left-ms"),
 		MidFlow:  f.Flag("mid-flow"),
 	}
 }
 
 // report reads a load report; columns that mean nothing to the policy are ignored.
-func report(f *settings.Fields) *policy.Report {
+func report(f *settings.Fields) *policy.LoadReport {
 	text := f.Text("load")
 	if text == "" || text == "-" || text == settings.Null {
 		return nil
 	}
-	r := &policy.Report{Load: -1, Busy: -1, InFlight: -1, Backlog: -1}
+	r := &policy.LoadReport{Load: -1, Utilization: -1, InFlight: -1, BacklogSeconds: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if value == settings.Null {
@@ -261,9 +261,9 @@
 		case "x0":
 			r.Load = x
 		case "x1":
-			r.Backlog = x
+			r.BacklogSeconds = x
 		case "busy":
-			r.Busy = x
+			r.Utilization = x
 		case "rif":
 			r.InFlight = x
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -23,17 +23,17 @@
 	switch a := a.(type) {
 	case policy.Send:
 		w.start("place", instance).text("id", a.ID).text("server", a.Server)
-		if a.Until > 0 {
-			w.millis("until-ms", a.Until)
+		if a.TimeoutAt > 0 {
+			w.millis("until-ms", a.TimeoutAt)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		w.start("decline", instance).text("id", a.ID)
 		if a.RetryAfter > 0 {
 			w.millis("come-back-ms", a.RetryAfter)
 		}
 	case policy.Fail:
 		w.start("end_failed", instance).text("id", a.ID)
-	case policy.Move:
+	case policy.Migrate:
 		w.start("relocate", instance).text("id", a.ID)
 	case policy.Probe:
 		w.start("sample", instance).text("server", a.Server)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -57,25 +57,25 @@
 		t.Fatal(err)
 	}
 	want := []any{
-		&Start{Seed: -5, Config: policy.Config{Zone: "b", Balancers: 2, Tick: 4 * ms, MaxAttempts: 3, Probes: true,
-			PullList: true, AskWithin: 10 * time.Second,
+		&Start{Seed: -5, Config: policy.Config{Zone: "b", Balancers: 2, TimerResolution: 4 * ms, MaxAttempts: 3, ProbesEnabled: true,
+			PollEndpointList: true, PollInterval: 10 * time.Second,
 			Classes: []policy.Class{
-				{Name: "map", Aim: 800 * ms, MessageAim: 50 * ms, Effect: policy.Keyed, KeyTTL: 5 * time.Second},
-				{Name: "sync", Aim: 300 * ms, MessageAim: 60 * ms, Effect: policy.Unsafe}},
-			Tenants: []policy.Tenant{{Name: "t", Connections: 133}}}},
+				{Name: "map", LatencyObjective: 800 * ms, MessageLatencyObjective: 50 * ms, Idempotency: policy.IdempotentByKey, KeyTTL: 5 * time.Second},
+				{Name: "sync", LatencyObjective: 300 * ms, MessageLatencyObjective: 60 * ms, Idempotency: policy.NotIdempotent}},
+			Tenants: []policy.Tenant{{Name: "t", ConnectionQuota: 133}}}},
 		policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{
 			{ID: "10.0.0.1:5003", Zone: "a", Cell: 2, State: policy.Draining, Weight: 1.5},
-			{ID: "10.0.0.2:5003", Zone: "b", Weight: 1, Started: 6100*ms + 500*time.Microsecond}}},
-		policy.Request{ID: "3c2f", Key: "s-k", Group: "c:x", Class: "map", Tenant: "t", Patience: 240 * ms, MidFlow: true},
-		policy.Adopted{Request: policy.Request{ID: "3c30", Class: "map"}, Server: "10.0.0.1:5003"},
-		policy.Established{ID: "3c2f", Attempt: 1, Server: "10.0.0.1:5003", Latency: 18*ms + 500*time.Microsecond},
-		policy.Outcome{ID: "3c2f", Server: "10.0.0.1:5003", Result: policy.Full},
-		policy.LoadChange{ID: "3c2f", Load: 250},
-		policy.Delay{ID: "3c2f", Server: "10.0.0.1:5003", Delay: 75 * ms},
+			{ID: "10.0.0.2:5003", Zone: "b", Weight: 1, StartedAt: 6100*ms + 500*time.Microsecond}}},
+		policy.Request{ID: "3c2f", Key: "s-k", Group: "c:x", Class: "map", Tenant: "t", Timeout: 240 * ms, MidFlow: true},
+		policy.AdoptedConnection{Request: policy.Request{ID: "3c30", Class: "map"}, Server: "10.0.0.1:5003"},
+		policy.AttemptEstablished{ID: "3c2f", Attempt: 1, Server: "10.0.0.1:5003", Latency: 18*ms + 500*time.Microsecond},
+		policy.AttemptEnded{ID: "3c2f", Server: "10.0.0.1:5003", Result: policy.ResultRejected},
+		policy.ConnectionLoad{ID: "3c2f", Load: 250},
+		policy.MessageDelay{ID: "3c2f", Server: "10.0.0.1:5003", Delay: 75 * ms},
 		nil,
-		policy.ProbeResult{Server: "10.0.0.1:5003", Result: policy.TimedOut,
-			Report: &policy.Report{Load: 0.5, Busy: 0.25, InFlight: 7, Backlog: 2}},
-		policy.ClientGone{ID: "3c2f"}, policy.Wake{Token: "sweep"}, Stop{},
+		policy.ProbeResult{Server: "10.0.0.1:5003", Result: policy.ResultTimedOut,
+			Report: &policy.LoadReport{Load: 0.5, Utilization: 0.25, InFlight: 7, BacklogSeconds: 2}},
+		policy.ClientDisconnected{ID: "3c2f"}, policy.TimerFired{Token: "sweep"}, Stop{},
 	}
 	if len(batches) != 2 || batches[0].Now != 8412*ms+250*time.Microsecond || len(batches[1].Events) != 0 {
 		t.Fatalf("batches %+v", batches)
@@ -129,11 +129,11 @@
 		t.Fatal(err)
 	}
 	got := batches[0].Events[0].What.(*Start).Config.Tenants
-	if want := []policy.Tenant{{Name: "a"}, {Name: "b", Connections: 5}}; !cmp.Equal(got, want) {
+	if want := []policy.Tenant{{Name: "a"}, {Name: "b", ConnectionQuota: 5}}; !cmp.Equal(got, want) {
 		t.Error(cmp.Diff(want, got))
 	}
 	report := batches[0].Events[1].What.(policy.ProbeResult).Report
-	if want := (&policy.Report{Load: -1, Busy: -1, InFlight: 3, Backlog: -1}); !cmp.Equal(report, want) {
+	if want := (&policy.LoadReport{Load: -1, Utilization: -1, InFlight: 3, BacklogSeconds: -1}); !cmp.Equal(report, want) {
 		t.Error(cmp.Diff(want, report))
 	}
 }
@@ -143,10 +143,10 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for _, a := range []policy.Action{
-		policy.Send{ID: "3c2f", Server: "10.0.0.1:5003", Until: 8492*ms + 250*time.Microsecond},
+		policy.Send{ID: "3c2f", Server: "10.0.0.1:5003", TimeoutAt: 8492*ms + 250*time.Microsecond},
 		policy.Send{ID: "3c2f", Server: "10.0.0.1:5003"},
-		policy.Refuse{ID: "3c2f", RetryAfter: 100 * ms}, policy.Refuse{ID: "3c2f"}, policy.Fail{ID: "3c2f"},
-		policy.Move{ID: "3c2f"}, policy.Probe{Server: "10.0.0.1:5003"}, policy.Subscribe{},
+		policy.Reject{ID: "3c2f", RetryAfter: 100 * ms}, policy.Reject{ID: "3c2f"}, policy.Fail{ID: "3c2f"},
+		policy.Migrate{ID: "3c2f"}, policy.Probe{Server: "10.0.0.1:5003"}, policy.Subscribe{},
 		policy.SetTimer{Token: "tick", After: 20 * ms},
 	} {
 		w.Action(3, a)
--- a/policy/cold_fleet_test.go
+++ b/policy/cold_fleet_test.go
@@ -104,13 +104,13 @@
 	for i := range int(f.load * f.fill * float64(f.warm)) {
 		by, class := p.rng.IntN(f.balancers), p.class()
 		s := p.stand(by, fmt.Sprint("before", i), fmt.Sprintf("s%02d", i%f.warm), class)
-		p.feed(by, Adopted{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.on})
+		p.feed(by, AdoptedConnection{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.on})
 		p.tells(s)
 	}
 	if f.returns {
 		p.list(Server{ID: "cold", Zone: "a", Weight: 1})
 	}
-	began, until := p.now, p.now+coldStart+min(f.ColdTime, 12*time.Second)
+	began, until := p.now, p.now+coldStart+min(f.WarmUpDuration, 12*time.Second)
 	for step := 1; p.now < until; step++ {
 		p.now += 20 * time.Millisecond
 		p.trouble(p.now-began, step)
@@ -140,7 +140,7 @@
 		}
 	case p.reloads && each(time.Second):
 		for i := range p.all {
-			p.feed(i, Settings{p.all[i].cfg})
+			p.feed(i, ConfigUpdate{p.all[i].cfg})
 		}
 	case p.repeats && each(time.Second):
 		p.list(p.listed)
@@ -151,7 +151,7 @@
 	p.born = 0
 	for _, s := range p.stands {
 		if s.on == "cold" {
-			p.end(s, Reset)
+			p.end(s, ResultReset)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 func (p *coldPlay) up() {
 	p.born = p.now
 	clear(p.knows)
-	p.list(Server{ID: "cold", Zone: "a", Weight: 1, Started: p.now})
+	p.list(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: p.now})
 }
 
 // list has discovery tell the cold server's entry: each balancer hears it at its own time.
@@ -172,8 +172,8 @@
 
 func (p *coldPlay) entry() Server {
 	s := p.listed
-	if s.Started > 0 {
-		s.Started += time.Duration((2*p.rng.Float64() - 1) * float64(p.jitterStart))
+	if s.StartedAt > 0 {
+		s.StartedAt += time.Duration((2*p.rng.Float64() - 1) * float64(p.jitterStart))
 	}
 	return s
 }
@@ -192,7 +192,7 @@
 		p.t.Fatal(err)
 	}
 	p.all[i] = b
-	p.knows[i] = p.listed.Started > 0 || p.knows[i]
+	p.knows[i] = p.listed.StartedAt > 0 || p.knows[i]
 	p.feed(i, p.whole())
 }
 
@@ -231,7 +231,7 @@
 
 func (p *coldPlay) tells(s *standing) {
 	if p.tellsLoad {
-		p.feed(s.by, LoadChange{ID: s.id, Load: s.work})
+		p.feed(s.by, ConnectionLoad{ID: s.id, Load: s.work})
 	}
 }
 
@@ -246,7 +246,7 @@
 func (p *coldPlay) end(s *standing, how Result) {
 	if !s.closed {
 		p.leaves(s)
-		p.feed(s.by, Outcome{ID: s.id, Server: s.on, Result: how, Final: true})
+		p.feed(s.by, AttemptEnded{ID: s.id, Server: s.on, Result: how, Final: true})
 	}
 }
 
@@ -254,7 +254,7 @@
 	if p.born == 0 {
 		return 1
 	}
-	return min(1, p.ColdShare+(1-p.ColdShare)*float64(p.now-p.born)/float64(max(1, p.ColdTime)))
+	return min(1, p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.born)/float64(max(1, p.WarmUpDuration)))
 }
 
 func (p *coldPlay) can(server string) float64 {
@@ -266,7 +266,7 @@
 
 // bears is the budget of the cold server for one window.
 func (p *coldPlay) bears() float64 {
-	return p.FallMultiple * p.can("cold") / p.ColdTime.Seconds() * p.FallTime.Seconds()
+	return p.OverloadMultiple * p.can("cold") / p.WarmUpDuration.Seconds() * p.OverloadWindow.Seconds()
 }
 
 func (p *coldPlay) feed(by int, ev Event) {
@@ -276,10 +276,10 @@
 			p.probe(by, a.Server)
 		case Send:
 			p.send(by, a)
-		case Move:
+		case Migrate:
 			for _, s := range p.stands {
 				if s.by == by && s.id == a.ID {
-					p.end(s, Canceled)
+					p.end(s, ResultCanceled)
 				}
 			}
 		}
@@ -288,11 +288,11 @@
 
 func (p *coldPlay) probe(by int, server string) {
 	if server == "cold" && p.born == 0 && !(p.returns && p.now < time.Hour+coldStart-time.Second) {
-		p.feed(by, ProbeResult{Server: server, Result: Unreachable})
+		p.feed(by, ProbeResult{Server: server, Result: ResultUnreachable})
 		return
 	}
 	x := max(0, p.held[server]/p.can(server)*(1+p.noise*p.rng.NormFloat64()))
-	r := &Report{Load: x, Busy: -1, InFlight: float64(p.count[server]), Backlog: -1}
+	r := &LoadReport{Load: x, Utilization: -1, InFlight: float64(p.count[server]), BacklogSeconds: -1}
 	if p.uncounted {
 		r.InFlight = -1
 	}
@@ -305,25 +305,25 @@
 	class := slices.IndexFunc(p.Classes, func(k Class) bool { return k.Name == b.requests[a.ID].Class })
 	isDown := a.Server == "cold" && p.born == 0 && !(p.returns && p.now < time.Hour+coldStart-time.Second)
 	if isDown {
-		p.feed(by, Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Unreachable})
+		p.feed(by, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
 		return
 	}
 	s := p.stand(by, a.ID, a.Server, class)
-	if a.Server == "cold" && p.born > 0 && p.now-p.born < p.ColdTime-p.jitterStart {
+	if a.Server == "cold" && p.born > 0 && p.now-p.born < p.WarmUpDuration-p.jitterStart {
 		p.judge(by, s.work)
 	}
 	if p.held[a.Server] > 1.3*p.can(a.Server) {
 		p.leaves(s)
-		p.feed(by, Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Full})
+		p.feed(by, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultRejected})
 		return
 	}
-	p.feed(by, Established{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
+	p.feed(by, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
 	p.tells(s)
 }
 
 // judge holds a send to the cold server's bound.
 func (p *coldPlay) judge(by int, work float64) {
-	p.sent = slices.DeleteFunc(p.sent, func(s coldSendMade) bool { return s.at <= p.now-p.FallTime || s.at < p.born })
+	p.sent = slices.DeleteFunc(p.sent, func(s coldSendMade) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.born })
 	p.sent = append(p.sent, coldSendMade{p.now, work, p.knows[by]})
 	sum, told := 0.0, 0.0
 	for _, s := range p.sent {
@@ -342,7 +342,7 @@
 // step lets 20 ms pass: news, newcomers, ends and timers.
 func (p *coldPlay) step(at time.Duration) {
 	if p.born > 0 {
-		p.allowed += p.bears() / p.FallTime.Seconds() * 0.02
+		p.allowed += p.bears() / p.OverloadWindow.Seconds() * 0.02
 	}
 	for i, when := range p.told {
 		if when > 0 && p.now >= when {
@@ -356,7 +356,7 @@
 	}
 	for _, s := range p.stands {
 		if p.now >= s.ends {
-			p.end(s, OK)
+			p.end(s, ResultOK)
 		}
 	}
 	p.stands = slices.DeleteFunc(p.stands, func(s *standing) bool { return s.closed })
@@ -371,10 +371,10 @@
 		}
 		p.ids++
 		id := fmt.Sprint("r", p.ids)
-		p.feed(by, Request{ID: id, Key: id, Class: p.Classes[p.class()].Name, Patience: time.Second})
+		p.feed(by, Request{ID: id, Key: id, Class: p.Classes[p.class()].Name, Timeout: time.Second})
 	}
 	for i := range p.all {
-		p.feed(i, Wake{"tick"})
+		p.feed(i, TimerFired{"tick"})
 	}
 }
 
@@ -388,7 +388,7 @@
 // coldSettings are those of a place whose cold servers bear budget connections of mean work in a window when they start.
 func coldSettings(balancers int, fill, share, budget float64, window time.Duration) Config {
 	c := testConfig()
-	c.Balancers, c.ColdShare, c.ColdTime, c.FallTime = balancers, share, 10*time.Second, window
-	c.FallMultiple = budget * c.ColdTime.Seconds() / window.Seconds() / (fill * max(share, 0.05))
+	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadWindow = balancers, share, 10*time.Second, window
+	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() / (fill * max(share, 0.05))
 	return c
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -12,7 +12,7 @@
 func TestColdServersAreUsedAtThinTraffic(t *testing.T) {
 	const balancers, servers, fill = 200, 20, 100.0
 	c := testConfig()
-	c.Balancers, c.ColdShare, c.ColdTime, c.FallMultiple, c.FallTime = balancers, 0.34, 8600*time.Millisecond, 4, 3*time.Second
+	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = balancers, 0.34, 8600*time.Millisecond, 4, 3*time.Second
 	now := time.Hour
 	var list []Server
 	held := map[string]float64{}
@@ -32,7 +32,7 @@
 	}
 	began, sent := now, 0.0
 	ramp := func() float64 {
-		return min(1, c.ColdShare+(1-c.ColdShare)*float64(now-began)/float64(c.ColdTime))
+		return min(1, c.WarmUpInitialCapacity+(1-c.WarmUpInitialCapacity)*float64(now-began)/float64(c.WarmUpDuration))
 	}
 	var feed func(b *Balancer, ev Event)
 	feed = func(b *Balancer, ev Event) {
@@ -43,13 +43,13 @@
 				if a.Server == "cold" {
 					can *= ramp()
 				}
-				feed(b, ProbeResult{Server: a.Server, Report: &Report{Load: held[a.Server] / can, Busy: -1, InFlight: held[a.Server], Backlog: -1}})
+				feed(b, ProbeResult{Server: a.Server, Report: &LoadReport{Load: held[a.Server] / can, Utilization: -1, InFlight: held[a.Server], BacklogSeconds: -1}})
 			case Send:
 				held[a.Server]++
 				if a.Server == "cold" {
 					sent++
 				}
-				feed(b, Established{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
+				feed(b, AttemptEstablished{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
 			}
 		}
 	}
@@ -59,22 +59,22 @@
 			now += 20 * time.Millisecond
 			for i, b := range all {
 				if (next+i)%50 == 0 {
-					feed(b, Request{ID: fmt.Sprint("r", next, "-", i), Key: fmt.Sprint(next, "-", i), Class: "safe", Patience: time.Second})
+					feed(b, Request{ID: fmt.Sprint("r", next, "-", i), Key: fmt.Sprint(next, "-", i), Class: "safe", Timeout: time.Second})
 				}
-				feed(b, Wake{"tick"})
+				feed(b, TimerFired{"tick"})
 			}
 			next++
 		}
 	}
 	run(2 * time.Second)
 	began = now
-	list = append(list, Server{ID: "cold", Zone: "a", Weight: 1, Started: now})
+	list = append(list, Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: now})
 	for _, b := range all {
 		feed(b, ServerList{Kind: ListFull, Servers: list})
 	}
 	run(3 * time.Second)
 	// In three seconds the budget is 0.6 of 4 times what it can do, over its cold time, of which it can do a third to a half.
-	budget := usualColdPart * c.FallMultiple * fill * (c.ColdShare + (1-c.ColdShare)*3/8.6/2) * 3 / 8.6
+	budget := usualColdPart * c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2) * 3 / 8.6
 	t.Logf("%.0f sent of a budget of %.0f", sent, budget)
 	if sent < 0.4*budget || sent > 1.1*budget {
 		t.Errorf("%.0f sent of a budget of %.0f", sent, budget)
@@ -87,7 +87,7 @@
 	const fill, each = 50.0, 20
 	for name, probes := range map[string]bool{"no counts": true, "no probes": false} {
 		c := testConfig()
-		c.Probes, c.ColdShare, c.ColdTime, c.FallMultiple, c.FallTime = probes, 0.05, 40*time.Second, 4, 5*time.Second
+		c.ProbesEnabled, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = probes, 0.05, 40*time.Second, 4, 5*time.Second
 		b, err := New(c, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -99,36 +99,36 @@
 			for _, a := range b.Step(now, ev, nil) {
 				switch a := a.(type) {
 				case Probe:
-					feed(ProbeResult{Server: a.Server, Report: &Report{Load: each / fill, Busy: -1, InFlight: -1, Backlog: -1}})
+					feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: each / fill, Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
 				case Send:
 					if a.Server == "cold" {
 						sent++
 					}
-					feed(Established{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
-					feed(Outcome{ID: a.ID, Server: a.Server, Final: true})
+					feed(AttemptEstablished{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
+					feed(AttemptEnded{ID: a.ID, Server: a.Server, Final: true})
 				}
 			}
 		}
 		feed(ServerList{Kind: ListFull, Servers: list})
 		for i := range 10 * each {
-			feed(Adopted{Request: Request{ID: fmt.Sprint("a", i), Class: "safe"}, Server: list[i%10].ID})
+			feed(AdoptedConnection{Request: Request{ID: fmt.Sprint("a", i), Class: "safe"}, Server: list[i%10].ID})
 		}
 		come := func(n int) {
 			for i := range n {
 				now += 20 * time.Millisecond
 				for range 10 {
-					feed(Request{ID: fmt.Sprint("r", now, i), Key: fmt.Sprint(now, i), Class: "safe", Patience: time.Second})
+					feed(Request{ID: fmt.Sprint("r", now, i), Key: fmt.Sprint(now, i), Class: "safe", Timeout: time.Second})
 					i += n
 				}
-				feed(Wake{"tick"})
+				feed(TimerFired{"tick"})
 			}
 		}
 		come(500)
-		feed(ServerList{Kind: ListDelta, Servers: []Server{{ID: "cold", Zone: "a", Weight: 1, Started: now}}})
+		feed(ServerList{Kind: ListDelta, Servers: []Server{{ID: "cold", Zone: "a", Weight: 1, StartedAt: now}}})
 		come(250)
-		bears := c.FallMultiple * fill * (c.ColdShare + 0.125) / c.ColdTime.Seconds() * c.FallTime.Seconds()
+		bears := c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + 0.125) / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds()
 		if most := bears + 2*math.Sqrt(bears) + 2; float64(sent) > most {
-			t.Errorf("%s: %d sent to a cold server within %v, it falls at %.1f", name, sent, c.FallTime, most)
+			t.Errorf("%s: %d sent to a cold server within %v, it falls at %.1f", name, sent, c.OverloadWindow, most)
 		}
 	}
 }
@@ -137,9 +137,9 @@
 // more than its rate, which is most of what there is here. They are used, and the bound is kept.
 func TestAFewBalancersUseTheColdBound(t *testing.T) {
 	c := testConfig()
-	c.Balancers, c.ColdShare, c.ColdTime, c.FallMultiple, c.FallTime = 3, 0.2, 20*time.Second, 4, 2*time.Second
+	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = 3, 0.2, 20*time.Second, 4, 2*time.Second
 	list := servers(1)
-	list[0].Started = time.Hour
+	list[0].StartedAt = time.Hour
 	const fill = 70 // connections, when warm
 	held, most := 0.0, 0
 	sent := []time.Duration{}
@@ -151,23 +151,23 @@
 		all = append(all, b)
 	}
 	for at := time.Duration(0); at < 8*time.Second; at += 20 * ms {
-		ramp := c.ColdShare + (1-c.ColdShare)*float64(at)/float64(c.ColdTime)
+		ramp := c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*float64(at)/float64(c.WarmUpDuration)
 		for i, b := range all {
 			now, id := time.Hour+at, fmt.Sprint(i, at)
-			out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Patience: time.Second}, nil)
-			out = b.Step(now, Wake{"tick"}, out)
+			out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil)
+			out = b.Step(now, TimerFired{"tick"}, out)
 			for j := 0; j < len(out); j++ {
 				switch a := out[j].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Report: &Report{Load: held / fill / ramp, Busy: -1, InFlight: held, Backlog: -1}}, out)
+					out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: held / fill / ramp, Utilization: -1, InFlight: held, BacklogSeconds: -1}}, out)
 				case Send:
 					held++
 					sent = append(sent, at)
-					out = b.Step(now, Established{ID: a.ID, Server: a.Server}, out)
+					out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
 				}
 			}
 		}
-		n, from := 0, at-c.FallTime
+		n, from := 0, at-c.OverloadWindow
 		for _, s := range sent {
 			if s > from {
 				n++
@@ -175,10 +175,10 @@
 		}
 		most = max(most, n)
 	}
-	rate := c.FallMultiple * fill * c.ColdShare / c.ColdTime.Seconds() * c.FallTime.Seconds() // when it starts
-	t.Logf("%d sent, at most %d in %v; the rate alone is %.1f at the start", len(sent), most, c.FallTime, rate)
-	if float64(most) > rate*(c.ColdShare+0.4*(1-c.ColdShare))/c.ColdShare+fallSlack || len(sent) < 26 {
-		t.Errorf("%d sent, at most %d in %v", len(sent), most, c.FallTime)
+	rate := c.OverloadMultiple * fill * c.WarmUpInitialCapacity / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds() // when it starts
+	t.Logf("%d sent, at most %d in %v; the rate alone is %.1f at the start", len(sent), most, c.OverloadWindow, rate)
+	if float64(most) > rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity+fallSlack || len(sent) < 26 {
+		t.Errorf("%d sent, at most %d in %v", len(sent), most, c.OverloadWindow)
 	}
 }
 
@@ -257,11 +257,11 @@
 }
 
 // mostInAWindow is the most sends that one balancer makes to a cold server within FallTime, with newcomers without end.
-func mostInAWindow(t *testing.T, c Config, fleet Fleet, budget float64) int {
+func mostInAWindow(t *testing.T, c Config, fleet FleetState, budget float64) int {
 	t.Helper()
 	const fill = 1000.0
-	c.ColdShare, c.ColdTime, c.FallTime = 1, time.Minute, 2*time.Second // it stays as it is while it counts as cold
-	c.FallMultiple = budget * c.ColdTime.Seconds() / c.FallTime.Seconds() / fill
+	c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadWindow = 1, time.Minute, 2*time.Second // it stays as it is while it counts as cold
+	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / c.OverloadWindow.Seconds() / fill
 	most := 0
 	for seed := range int64(3) {
 		b, err := New(c, seed)
@@ -269,34 +269,34 @@
 			t.Fatal(err)
 		}
 		list := servers(1)
-		list[0].Started = time.Hour
+		list[0].StartedAt = time.Hour
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		b.Step(time.Hour, fleet, nil)
 		b.meanStep = 1 / fill
-		b.cfg.ColdShare = 0.999999 // a part of 1 is warm
+		b.cfg.WarmUpInitialCapacity = 0.999999 // a part of 1 is warm
 		sent := []time.Duration{}
 		for at := time.Duration(0); at < 20*time.Second; at += 20 * ms {
 			for id := fmt.Sprint(at, " "); ; id += "+" {
 				now, before := time.Hour+at, len(sent)
-				out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Patience: time.Second}, nil)
+				out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil)
 				for j := 0; j < len(out); j++ {
 					switch a := out[j].(type) {
 					case Probe:
-						out = b.Step(now, ProbeResult{Server: a.Server, Report: &Report{Load: 0.001, Busy: -1, InFlight: 1, Backlog: -1}}, out)
+						out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: 0.001, Utilization: -1, InFlight: 1, BacklogSeconds: -1}}, out)
 					case Send:
 						sent = append(sent, at)
-						out = b.Step(now, Established{ID: a.ID, Server: a.Server}, out)
-						out = b.Step(now, Outcome{ID: a.ID, Server: a.Server, Final: true}, out)
+						out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
+						out = b.Step(now, AttemptEnded{ID: a.ID, Server: a.Server, Final: true}, out)
 					}
 				}
-				b.Step(now, ClientGone{ID: id}, nil)
+				b.Step(now, ClientDisconnected{ID: id}, nil)
 				if len(sent) == before {
 					break
 				}
 			}
 			n := 0
 			for _, s := range sent {
-				if s > at-c.FallTime {
+				if s > at-c.OverloadWindow {
 					n++
 				}
 			}
@@ -321,7 +321,7 @@
 		for _, n := range []float64{0.3, 1, 2, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = m
-			sum, part := float64(m*mostInAWindow(t, c, Fleet{}, n)), usualColdPart*n
+			sum, part := float64(m*mostInAWindow(t, c, FleetState{}, n)), usualColdPart*n
 			if !keepsToSlack(m, sum, part) {
 				t.Errorf("%d balancers, budget %.1f: %.0f sends in a window", m, n, sum)
 			}
@@ -341,7 +341,7 @@
 		for _, n := range []float64{0.3, 1, 2, 3.5, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = 4
-			sum, part := float64(sharers*mostInAWindow(t, c, Fleet{Sharers: sharers}, n)), usualColdPart*n
+			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetSharers: sharers}, n)), usualColdPart*n
 			if !keepsToSlack(sharers, sum, part) {
 				t.Errorf("%d of 4 share, budget %.1f: %.0f sends in a window", sharers, n, sum)
 			}
@@ -356,36 +356,36 @@
 		for _, ahead := range []time.Duration{0, ms, 500 * ms, 5 * time.Second} {
 			for _, meanStep := range []float64{0, 1.0 / 60} { // nothing is known, or the warm ones are
 				c := testConfig()
-				c.ColdShare, c.ColdTime, c.FallMultiple, c.FallTime = share, 10*time.Second, 4, 2*time.Second
+				c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = share, 10*time.Second, 4, 2*time.Second
 				b, err := New(c, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
 				list := servers(1)
-				list[0].Started = time.Hour + ahead
+				list[0].StartedAt = time.Hour + ahead
 				b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 				b.meanStep = meanStep
 				sent := map[bool]int{} // by whether it had started
 				held := 0.0
 				for at := time.Duration(0); at < ahead+9*time.Second; at += 20 * ms {
 					now, id := time.Hour+at, fmt.Sprint(at)
-					out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Patience: time.Second}, nil)
-					out = b.Step(now, Wake{"tick"}, out)
+					out := b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil)
+					out = b.Step(now, TimerFired{"tick"}, out)
 					for j := 0; j < len(out); j++ {
 						switch a := out[j].(type) {
 						case Probe:
-							out = b.Step(now, ProbeResult{Server: a.Server, Report: &Report{Load: 0.001, Busy: -1, InFlight: held, Backlog: -1}}, out)
+							out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: 0.001, Utilization: -1, InFlight: held, BacklogSeconds: -1}}, out)
 						case Send:
 							held++
 							sent[at >= ahead]++
-							out = b.Step(now, Established{ID: a.ID, Server: a.Server}, out)
-							out = b.Step(now, Outcome{ID: a.ID, Server: a.Server, Final: true}, out)
+							out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
+							out = b.Step(now, AttemptEnded{ID: a.ID, Server: a.Server, Final: true}, out)
 							held--
 						}
 					}
 				}
-				n := c.FallMultiple * 60 * share / c.ColdTime.Seconds() * c.FallTime.Seconds()
-				windows := ahead.Seconds()/c.FallTime.Seconds() + 1
+				n := c.OverloadMultiple * 60 * share / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds()
+				windows := ahead.Seconds()/c.OverloadWindow.Seconds() + 1
 				if most := windows * (n + 2*math.Sqrt(n) + 2); float64(sent[false]) > most {
 					t.Errorf("part %v, told %v ahead, step %v: %d sends before it started, at most %.1f are borne", share, ahead, meanStep, sent[false], most)
 				}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -13,13 +13,13 @@
 func describeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
-		return fmt.Sprintln("send", a.ID, a.Server, int64(a.Until))
-	case Refuse:
-		return fmt.Sprintln("refuse", a.ID, int64(a.RetryAfter), a.Why)
+		return fmt.Sprintln("send", a.ID, a.Server, int64(a.TimeoutAt))
+	case Reject:
+		return fmt.Sprintln("refuse", a.ID, int64(a.RetryAfter), a.Reason)
 	case Fail:
-		return fmt.Sprintln("fail", a.ID, a.Why)
-	case Move:
-		return fmt.Sprintln("move", a.ID, a.Why)
+		return fmt.Sprintln("fail", a.ID, a.Reason)
+	case Migrate:
+		return fmt.Sprintln("move", a.ID, a.Reason)
 	case Probe:
 		return fmt.Sprintln("probe", a.Server)
 	case Subscribe:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -69,16 +69,16 @@
 				continue
 			}
 			n := f.reported[max(0, len(f.reported)-1-f.late)][a.Server]
-			f.feed(i, at, ProbeResult{Server: a.Server, Report: &Report{Load: n / f.fill, Busy: -1, InFlight: n, Backlog: -1}})
+			f.feed(i, at, ProbeResult{Server: a.Server, Report: &LoadReport{Load: n / f.fill, Utilization: -1, InFlight: n, BacklogSeconds: -1}})
 		case Send:
 			f.held[a.Server]++
-			f.feed(i, at, Established{ID: a.ID, Attempt: 0, Server: a.Server, Latency: stepTime})
-		case Refuse:
+			f.feed(i, at, AttemptEstablished{ID: a.ID, Attempt: 0, Server: a.Server, Latency: stepTime})
+		case Reject:
 			f.refused++
-			f.again = append(f.again, Request{ID: a.ID + "+", Key: a.ID, Class: "safe", Patience: 2 * time.Second})
-		case Move:
+			f.again = append(f.again, Request{ID: a.ID + "+", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
+		case Migrate:
 			f.held[b.requests[a.ID].on.ID]--
-			f.again = append(f.again, Request{ID: a.ID + "-", Key: a.ID, Class: "safe", Patience: 2 * time.Second})
+			f.again = append(f.again, Request{ID: a.ID + "-", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
 		}
 	}
 }
@@ -103,14 +103,14 @@
 			for range 8 {
 				next++
 				id := fmt.Sprint("r", next)
-				come = append(come, Request{ID: id, Key: id, Class: "safe", Patience: 2 * time.Second})
+				come = append(come, Request{ID: id, Key: id, Class: "safe", Timeout: 2 * time.Second})
 			}
 		}
 		for k, q := range come {
 			f.feed((next*7+k*13+s)%80, at, q)
 		}
 		for i := range f.balancers {
-			f.feed(i, at, Wake{"tick"})
+			f.feed(i, at, TimerFired{"tick"})
 		}
 		f.note()
 	}
@@ -129,15 +129,15 @@
 // A server dies, or answers with errors, while it reads over, and discovery is seconds late with that. Eighty balancers may look after it for
 // their connections' sake, but not storm it.
 func TestADeadServerIsNotStormedByMany(t *testing.T) {
-	for _, answer := range []Result{Unreachable, Failed} {
+	for _, answer := range []Result{ResultUnreachable, ResultFailed} {
 		held := map[string]float64{"s0": 230, "s1": 120, "s2": 120, "s3": 120}
 		f := newSideBySide(t, 80, 15, 200, held)
 		for i := range f.balancers {
 			for k := range 3 {
-				f.feed(i, time.Hour, Adopted{Request: Request{ID: fmt.Sprint(i, "-", k), Key: fmt.Sprint(i, "-", k), Class: "safe"}, Server: "s0"})
+				f.feed(i, time.Hour, AdoptedConnection{Request: Request{ID: fmt.Sprint(i, "-", k), Key: fmt.Sprint(i, "-", k), Class: "safe"}, Server: "s0"})
 			}
 			f.balancers[i].read(f.balancers[i].servers["s0"], nil)
-			f.feed(i, time.Hour, ProbeResult{Server: "s0", Report: &Report{Load: 1.15, Busy: -1, InFlight: 230, Backlog: -1}})
+			f.feed(i, time.Hour, ProbeResult{Server: "s0", Report: &LoadReport{Load: 1.15, Utilization: -1, InFlight: 230, BacklogSeconds: -1}})
 		}
 		f.dead, f.answer = map[string]bool{"s0": true}, answer
 		for s := range 150 { // three seconds
@@ -148,7 +148,7 @@
 				f.feed((k*13+s)%80, at, q)
 			}
 			for i := range f.balancers {
-				f.feed(i, at, Wake{"tick"})
+				f.feed(i, at, TimerFired{"tick"})
 			}
 			f.note()
 		}
@@ -161,7 +161,7 @@
 // Balancers that start together, as after a release, ask discovery spread over time, and so do those that failed.
 func TestManyThatStartTogetherAskDiscoverySpread(t *testing.T) {
 	c := testConfig()
-	c.Balancers, c.PullList, c.AskWithin = 80, true, 8*time.Second
+	c.Balancers, c.PollEndpointList, c.PollInterval = 80, true, 8*time.Second
 	calls := map[int]int{}
 	for i := range 80 {
 		b, err := New(c, int64(i))
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 		for s := range 300 {
-			for _, a := range b.Step(time.Hour+time.Duration(s)*stepTime, Wake{"tick"}, nil) {
+			for _, a := range b.Step(time.Hour+time.Duration(s)*stepTime, TimerFired{"tick"}, nil) {
 				if _, ok := a.(Subscribe); ok {
 					calls[s/5]++ // a tenth of a second
 					b.Step(time.Hour+time.Duration(s)*stepTime, ServerList{Kind: ListFailed}, nil)
--- a/policy/found_test.go
+++ b/policy/found_test.go
@@ -16,11 +16,11 @@
 	first, _ := last[Send](r)
 	r.run(1980 * ms)
 	r.log = nil
-	r.feed(Outcome{ID: "x", Server: first.Server, Result: Failed})
+	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultFailed})
 	if len(r.log) != 1 {
 		t.Fatalf("actions %v", r.log)
 	}
-	if _, ok := r.log[0].(Refuse); !ok {
+	if _, ok := r.log[0].(Reject); !ok {
 		t.Errorf("%T in place of the final answer", r.log[0])
 	}
 }
@@ -34,7 +34,7 @@
 		for _, a := range r.log {
 			if s, ok := a.(Send); ok {
 				sent++
-				r.feed(Outcome{ID: s.ID, Attempt: r.b.requests[s.ID].attempts - 1, Server: s.Server, Result: Failed})
+				r.feed(AttemptEnded{ID: s.ID, Attempt: r.b.requests[s.ID].attempts - 1, Server: s.Server, Result: ResultFailed})
 			}
 		}
 		r.log = nil
@@ -83,21 +83,21 @@
 		r.b.setup = 5000 // set-ups are slow
 		r.loads["s00"] = c.load
 		if c.delay > 0 {
-			r.feed(Delay{ID: "1", Server: "s00", Delay: c.delay})
+			r.feed(MessageDelay{ID: "1", Server: "s00", Delay: c.delay})
 		} else {
 			r.b.read(r.b.servers["s00"], nil)
-			r.feed(ProbeResult{Server: "s00", Report: &Report{Load: c.load, Busy: -1, InFlight: -1, Backlog: -1}})
-			if n := len(all[Move](r)); n > 0 { // it may be noise, or a wave of set-ups that is over soon
+			r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: c.load, Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
+			if n := len(all[Migrate](r)); n > 0 { // it may be noise, or a wave of set-ups that is over soon
 				t.Errorf("%s: %d left by a single reading", name, n)
 			}
 			r.run(time.Second)
 		}
-		if n := len(all[Move](r)); n < c.low || n > c.high {
+		if n := len(all[Migrate](r)); n < c.low || n > c.high {
 			t.Errorf("%s: %d of 100 left, want %d to %d", name, n, c.low, c.high)
 		}
-		moved := len(all[Move](r))
-		r.feed(ProbeResult{Server: "s00", Report: &Report{Load: c.load, Busy: -1, InFlight: -1, Backlog: -1}})
-		if n := len(all[Move](r)); n != moved {
+		moved := len(all[Migrate](r))
+		r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: c.load, Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
+		if n := len(all[Migrate](r)); n != moved {
 			t.Errorf("%s: %d more left before the first escape could show", name, n-moved)
 		}
 	}
@@ -108,9 +108,9 @@
 	for i := range 10 {
 		r.open(fmt.Sprint(i), "s00")
 	}
-	r.mute["s00"] = TimedOut
+	r.mute["s00"] = ResultTimedOut
 	r.run(25 * time.Second) // nothing points at it but the regular check
-	if n := len(all[Move](r)); n < 10 {
+	if n := len(all[Migrate](r)); n < 10 {
 		t.Errorf("%d of 10 left", n)
 	}
 }
@@ -149,7 +149,7 @@
 				n++
 			}
 			r.now += 10 * ms
-			r.feed(ClientGone{ID: fmt.Sprint(i)})
+			r.feed(ClientDisconnected{ID: fmt.Sprint(i)})
 		}
 		return n
 	}
@@ -164,13 +164,13 @@
 	r := newRig(t, testConfig(), servers(1)...)
 	r.open("old", "s00")
 	r.loads["s00"] = 0.3
-	r.feed(Delay{ID: "old", Server: "s00", Delay: time.Second})
+	r.feed(MessageDelay{ID: "old", Server: "s00", Delay: time.Second})
 	r.request("x", "safe")
 	if _, sent := last[Send](r); sent {
 		t.Error("sent to a server that lags")
 	}
 	r.run(time.Second)
-	if _, ok := last[Refuse](r); !ok {
+	if _, ok := last[Reject](r); !ok {
 		t.Error("not refused before its aim had passed")
 	}
 }
@@ -179,15 +179,15 @@
 func TestOwnPlacementsOutlastAReport(t *testing.T) {
 	r := newRig(t, testConfig(), servers(1)...)
 	s := r.b.servers["s00"]
-	r.b.reading(s, Report{Load: 0.2, InFlight: 10, Backlog: -1})
+	r.b.reading(s, LoadReport{Load: 0.2, InFlight: 10, BacklogSeconds: -1})
 	s.placed = 0.4
 	r.b.now += 300 * ms
-	r.b.reading(s, Report{Load: 0.21, InFlight: 10, Backlog: -1})
+	r.b.reading(s, LoadReport{Load: 0.21, InFlight: 10, BacklogSeconds: -1})
 	if s.placed < 0.25 {
 		t.Errorf("%v of 0.4 is left after 300 ms", s.placed)
 	}
 	r.b.now += 20 * time.Second
-	r.b.reading(s, Report{Load: 0.6, InFlight: 10, Backlog: -1})
+	r.b.reading(s, LoadReport{Load: 0.6, InFlight: 10, BacklogSeconds: -1})
 	if s.placed > 0.01 {
 		t.Errorf("%v of 0.4 is left after 20 s", s.placed)
 	}
@@ -201,7 +201,7 @@
 	}
 	r.log = nil
 	for i := range 1000 {
-		r.feed(Delay{ID: "0", Server: "s00", Delay: time.Second})
+		r.feed(MessageDelay{ID: "0", Server: "s00", Delay: time.Second})
 		if i%10 == 0 {
 			r.run(10 * ms)
 		}
@@ -221,10 +221,10 @@
 	c := testConfig()
 	c.Balancers = 20
 	list := servers(2)
-	list[1].Started = time.Hour
+	list[1].StartedAt = time.Hour
 	r := newRig(t, c, list...)
 	r.loads["s00"], r.rif["s00"] = 0.6, 30 // 50 connections fill a server
-	r.b.reading(r.b.servers["s00"], Report{Load: 0.6, InFlight: 30, Backlog: -1})
+	r.b.reading(r.b.servers["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
 	sent := 0
 	for i := range 300 {
 		id := fmt.Sprint(i)
@@ -234,9 +234,9 @@
 			if s.Server == "s01" {
 				sent++
 			}
-			r.feed(Established{ID: id, Server: s.Server})
+			r.feed(AttemptEstablished{ID: id, Server: s.Server})
 		}
-		r.feed(ClientGone{ID: id})
+		r.feed(ClientDisconnected{ID: id})
 	}
 	// In 3 s all balancers may send at most 3 * 0.51 * 50/10 * 3 = 23, this one a twentieth of it.
 	if sent > 2 {
@@ -263,29 +263,29 @@
 		back  bool
 	}{"worse there": {0.6, true}, "better there": {0.1, false}} {
 		cfg := testConfig()
-		cfg.Explore = 0.5
+		cfg.MaxExploration = 0.5
 		r := newRig(t, cfg, servers(2)...)
 		r.loads["s00"], r.loads["s01"] = 0.4, c.there
 		r.open("x", "s00")
-		for i := 0; len(all[Move](r)) == 0; i++ {
+		for i := 0; len(all[Migrate](r)) == 0; i++ {
 			if r.run(time.Second); i > 300 {
 				t.Fatal("never explored")
 			}
 		}
-		r.feed(Outcome{ID: "x", Server: "s00", Result: Canceled, Final: true})
-		r.feed(Request{ID: "y", Key: "kx", Class: "safe", Patience: 2 * time.Second})
+		r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
+		r.feed(Request{ID: "y", Key: "kx", Class: "safe", Timeout: 2 * time.Second})
 		if s, _ := last[Send](r); s.ID != "y" || s.Server != "s01" {
 			t.Fatalf("%s: the explorer went to %q", name, s.Server)
 		}
-		r.feed(Established{ID: "y", Server: "s01"})
+		r.feed(AttemptEstablished{ID: "y", Server: "s01"})
 		r.log = nil
 		r.run(r.b.slotLength() + 100*ms)
-		if got := len(all[Move](r)) > 0; got != c.back {
+		if got := len(all[Migrate](r)) > 0; got != c.back {
 			t.Errorf("%s: went back: %v", name, got)
 		}
 		if c.back {
-			r.feed(Outcome{ID: "y", Server: "s01", Result: Canceled, Final: true})
-			r.feed(Request{ID: "z", Key: "kx", Class: "safe", Patience: 2 * time.Second})
+			r.feed(AttemptEnded{ID: "y", Server: "s01", Result: ResultCanceled, Final: true})
+			r.feed(Request{ID: "z", Key: "kx", Class: "safe", Timeout: 2 * time.Second})
 			if s, _ := last[Send](r); s.ID != "z" || s.Server != "s00" {
 				t.Errorf("came back to %q", s.Server)
 			}
@@ -295,16 +295,16 @@
 
 func TestExplorerThatIsTurnedAwayGoesBack(t *testing.T) {
 	cfg := testConfig()
-	cfg.Explore = 0.5
+	cfg.MaxExploration = 0.5
 	r := newRig(t, cfg, servers(3)...)
 	r.open("x", "s00")
-	for len(all[Move](r)) == 0 {
+	for len(all[Migrate](r)) == 0 {
 		r.run(time.Second)
 	}
-	r.feed(Outcome{ID: "x", Server: "s00", Result: Canceled, Final: true})
-	r.feed(Request{ID: "y", Key: "kx", Class: "safe", Patience: 2 * time.Second})
+	r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
+	r.feed(Request{ID: "y", Key: "kx", Class: "safe", Timeout: 2 * time.Second})
 	s, _ := last[Send](r)
-	r.feed(Outcome{ID: "y", Server: s.Server, Result: Full})
+	r.feed(AttemptEnded{ID: "y", Server: s.Server, Result: ResultRejected})
 	if s, _ := last[Send](r); s.Server != "s00" {
 		t.Errorf("placed on %q in place of its old server", s.Server)
 	}
@@ -316,11 +316,11 @@
 		r := newRig(t, testConfig(), servers(4)...)
 		s := r.b.servers["s00"]
 		for range overloads {
-			r.b.reading(s, Report{Load: 3, InFlight: -1, Backlog: -1})
+			r.b.reading(s, LoadReport{Load: 3, InFlight: -1, BacklogSeconds: -1})
 			r.b.escape(s)
 			r.b.now += r.b.settle()
 		}
-		r.b.reading(s, Report{Load: 0.2, InFlight: -1, Backlog: -1})
+		r.b.reading(s, LoadReport{Load: 0.2, InFlight: -1, BacklogSeconds: -1})
 		n := 0
 		for range 400 {
 			r.b.now += 5 * ms
@@ -348,11 +348,11 @@
 		id := fmt.Sprint(i)
 		holder := one.connect(id)
 		one.run(1500 * ms)
-		two.feed(Request{ID: id, Key: "k" + id, Class: "safe", Patience: time.Second, MidFlow: true})
+		two.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: time.Second, MidFlow: true})
 		if s, ok := last[Send](two); ok && s.ID == id && s.Server == holder {
 			found++
 		}
-		two.feed(ClientGone{ID: id})
+		two.feed(ClientDisconnected{ID: id})
 		two.run(time.Second)
 	}
 	if found < 90 {
@@ -364,11 +364,11 @@
 func TestSecondLookAtOnce(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	r.open("x", "s00")
-	r.mute["s00"] = TimedOut
+	r.mute["s00"] = ResultTimedOut
 	r.log = nil
 	r.b.read(r.b.servers["s00"], nil)
-	r.feed(ProbeResult{Server: "s00", Result: TimedOut})
-	if n := len(all[Move](r)); n != 1 {
+	r.feed(ProbeResult{Server: "s00", Result: ResultTimedOut})
+	if n := len(all[Migrate](r)); n != 1 {
 		t.Errorf("%d of 1 left after a probe and a second look", n)
 	}
 }
@@ -376,15 +376,15 @@
 // A flood beyond a tenant's share is worth little and must leave room to the others.
 func TestTrafficBeyondAShareGivesWay(t *testing.T) {
 	c := testConfig()
-	c.Tenants = []Tenant{{Name: "flood", Connections: 10}, {Name: "calm", Connections: 10}}
+	c.Tenants = []Tenant{{Name: "flood", ConnectionQuota: 10}, {Name: "calm", ConnectionQuota: 10}}
 	for tenant, want := range map[string]bool{"flood": false, "calm": true} {
 		r := newRig(t, c, servers(2)...)
 		for i := range 30 {
-			r.feed(Adopted{Request: Request{ID: fmt.Sprint(i), Class: "safe", Tenant: "flood"}, Server: "s00"})
+			r.feed(AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Class: "safe", Tenant: "flood"}, Server: "s00"})
 		}
 		r.loads["s00"], r.loads["s01"] = 0.68, 0.68
 		r.rif["s00"], r.rif["s01"] = 60, 60
-		r.feed(Request{ID: "x", Class: "safe", Tenant: tenant, Patience: time.Second})
+		r.feed(Request{ID: "x", Class: "safe", Tenant: tenant, Timeout: time.Second})
 		r.run(time.Second)
 		if _, sent := last[Send](r); sent != want {
 			t.Errorf("%s: sent %v", tenant, sent)
@@ -396,21 +396,21 @@
 func TestSettingsAreTakenWhileServing(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	cfg := testConfig()
-	cfg.Tenants = []Tenant{{Name: "a", Connections: 10}}
-	r.feed(Settings{cfg})
-	r.feed(Adopted{Request: Request{ID: "x", Class: "safe", Tenant: "a"}, Server: "s00"})
-	cfg.Tenants, cfg.MaxAttempts = []Tenant{{Name: "a", Connections: 20}}, 1
+	cfg.Tenants = []Tenant{{Name: "a", ConnectionQuota: 10}}
+	r.feed(ConfigUpdate{cfg})
+	r.feed(AdoptedConnection{Request: Request{ID: "x", Class: "safe", Tenant: "a"}, Server: "s00"})
+	cfg.Tenants, cfg.MaxAttempts = []Tenant{{Name: "a", ConnectionQuota: 20}}, 1
 	cfg.Classes = cfg.Classes[:1]
-	r.feed(Settings{cfg})
-	if a := r.b.tenants["a"]; a.open != 1 || a.Connections != 20 || r.b.cfg.MaxAttempts != 1 || len(r.b.classes) != 1 {
+	r.feed(ConfigUpdate{cfg})
+	if a := r.b.tenants["a"]; a.open != 1 || a.ConnectionQuota != 20 || r.b.cfg.MaxAttempts != 1 || len(r.b.classes) != 1 {
 		t.Errorf("%+v, %d attempts, %d classes", a, r.b.cfg.MaxAttempts, len(r.b.classes))
 	}
-	r.feed(Outcome{ID: "x", Server: "s00", Result: Canceled, Final: true})
+	r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
 	if a := r.b.tenants["a"]; a.open != 0 {
 		t.Errorf("%d open", a.open)
 	}
 	cfg.Balancers = 0
-	if r.feed(Settings{cfg}); r.b.cfg.Balancers == 0 {
+	if r.feed(ConfigUpdate{cfg}); r.b.cfg.Balancers == 0 {
 		t.Error("settings that can't work were taken")
 	}
 }
@@ -432,7 +432,7 @@
 	s.placed = 0.4
 	for range 8 {
 		r.run(200 * ms)
-		r.feed(ProbeResult{Server: "s00", Report: &Report{Load: 0.5, InFlight: -1}})
+		r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: 0.5, InFlight: -1}})
 	}
 	if s.placed > 0.1 {
 		t.Errorf("%v still counts beside what is reported", s.placed)
@@ -447,17 +447,17 @@
 		list[i].Zone = "b"
 	}
 	c := testConfig()
-	c.CrossZonePrice = 0.16
+	c.CrossZoneCost = 0.16
 	r := newRig(t, c, list...)
 	for _, s := range list {
 		r.loads[s.ID] = 0.5
 	}
 	sent := map[string]int{}
 	for i := range 60 {
-		r.feed(Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "safe", Patience: time.Second, MidFlow: true})
+		r.feed(Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "safe", Timeout: time.Second, MidFlow: true})
 		if s, ok := last[Send](r); ok && s.ID == fmt.Sprint(i) {
 			sent[s.Server]++
-			r.feed(Established{ID: s.ID, Server: s.Server})
+			r.feed(AttemptEstablished{ID: s.ID, Server: s.Server})
 		}
 		r.run(500 * ms)
 	}
@@ -469,7 +469,7 @@
 	}
 	r.run(10 * time.Second) // readings that never change are trusted for long
 	r.log = nil
-	r.feed(Request{ID: "x", Key: "kx", Class: "safe", Patience: time.Second, MidFlow: true})
+	r.feed(Request{ID: "x", Key: "kx", Class: "safe", Timeout: time.Second, MidFlow: true})
 	if s, ok := last[Send](r); ok {
 		t.Errorf("%v, which is full", s)
 	}
@@ -494,7 +494,7 @@
 	r.log = nil
 	r.request("y", "safe")
 	r.run(510 * ms)
-	if _, ok := last[Refuse](r); !ok {
+	if _, ok := last[Reject](r); !ok {
 		t.Errorf("%v in place of a refusal at the aim", r.log)
 	}
 }
@@ -505,7 +505,7 @@
 	list := servers(3)
 	list[1].Zone, list[2].Zone = "b", "c"
 	c := testConfig()
-	c.CrossZonePrice = 0.16
+	c.CrossZoneCost = 0.16
 	for _, x := range []struct {
 		own  float64
 		home bool
@@ -535,9 +535,9 @@
 			}
 			r.log = nil
 			if attempt := r.b.requests[id].attempts - 1; i%5 == 4 {
-				r.feed(Outcome{ID: id, Attempt: attempt, Server: s.Server, Result: Failed})
+				r.feed(AttemptEnded{ID: id, Attempt: attempt, Server: s.Server, Result: ResultFailed})
 			} else {
-				r.feed(Established{ID: id, Attempt: attempt, Server: s.Server})
+				r.feed(AttemptEstablished{ID: id, Attempt: attempt, Server: s.Server})
 			}
 		}
 		if r.b.window < 8 || r.b.pauseTill > r.now {
@@ -549,9 +549,9 @@
 // Sends to a cold server that nobody wanted lapse: saved up by eighty balancers, they would all come at once.
 func TestUnusedColdSendsLapse(t *testing.T) {
 	c := testConfig()
-	c.Balancers, c.FallTime = 80, 3*time.Second
+	c.Balancers, c.OverloadWindow = 80, 3*time.Second
 	list := servers(1)
-	list[0].Started = time.Hour
+	list[0].StartedAt = time.Hour
 	ready := 0
 	for seed := range int64(400) {
 		b, _ := New(c, seed)
@@ -581,7 +581,7 @@
 	}
 	for _, k := range []struct{ balancers, least, most int }{{80, 195, 200}, {3, 40, 100}} {
 		c := testConfig()
-		c.Balancers, c.CrossZonePrice = k.balancers, 0.16
+		c.Balancers, c.CrossZoneCost = k.balancers, 0.16
 		r := newRig(t, c, list...)
 		found := 0
 		for i := range 200 {
@@ -604,18 +604,18 @@
 	c := testConfig()
 	c.Balancers = 80
 	list := servers(3)
-	list[2].Started = time.Hour
+	list[2].StartedAt = time.Hour
 	r := newRig(t, c, list...)
 	for _, id := range []string{"s00", "s01"} {
 		for range 20 {
-			r.b.reading(r.b.servers[id], Report{Load: 0.7, Busy: -1, InFlight: 140, Backlog: -1})
+			r.b.reading(r.b.servers[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
 		}
 	}
 	cold := r.b.servers["s02"]
 	if got, want := r.b.step(cold), 0.005/r.b.ramp(cold); math.Abs(got/want-1) > 0.1 {
 		t.Errorf("one connection adds %.4f to a cold server, by the others' reports it is %.4f", got, want)
 	}
-	r.b.reading(cold, Report{Load: 0.09, Busy: -1, InFlight: 3, Backlog: -1}) // three large ones
+	r.b.reading(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three large ones
 	if got, want := r.b.step(cold), 0.005/r.b.ramp(cold); got > 1.4*want {
 		t.Errorf("three connections made it %.4f", got)
 	}
@@ -629,16 +629,16 @@
 		for i, s := range r.b.order {
 			r.loads[s.ID], r.rif[s.ID] = others, 100
 			r.open(fmt.Sprint("c", i), s.ID)
-			r.b.reading(s, Report{Load: others, Busy: -1, InFlight: 100, Backlog: -1})
+			r.b.reading(s, LoadReport{Load: others, Utilization: -1, InFlight: 100, BacklogSeconds: -1})
 		}
 		for i := range 60 {
 			r.open(fmt.Sprint(i), "s00")
 		}
-		r.b.reading(r.b.servers["s00"], Report{Load: 0.85, Busy: -1, InFlight: 160, Backlog: -1})
+		r.b.reading(r.b.servers["s00"], LoadReport{Load: 0.85, Utilization: -1, InFlight: 160, BacklogSeconds: -1})
 		r.b.slotAt = r.now + time.Hour // nothing but the watch reads
 		r.loads["s00"] = 0.97
 		r.run(5 * time.Second)
-		n := len(all[Move](r))
+		n := len(all[Migrate](r))
 		if others < fullX && (n < 3 || n > 25) {
 			t.Errorf("%d of 61 left where others have room", n)
 		} else if others > fullX && n > 0 {
@@ -660,13 +660,13 @@
 		n := 0
 		for i := range 40 { // in two seconds
 			id := fmt.Sprint(i)
-			r.feed(Request{ID: id, Key: "k" + id, Class: "safe", Patience: 2 * time.Second, MidFlow: true})
+			r.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: 2 * time.Second, MidFlow: true})
 			if s, ok := last[Send](r); ok && s.ID == id {
 				n++
-				r.feed(Established{ID: id, Server: s.Server})
-				r.feed(Outcome{ID: id, Final: true})
+				r.feed(AttemptEstablished{ID: id, Server: s.Server})
+				r.feed(AttemptEnded{ID: id, Final: true})
 			} else {
-				r.feed(ClientGone{ID: id})
+				r.feed(ClientDisconnected{ID: id})
 			}
 			for _, s := range r.b.order {
 				s.placed = 0 // the others' placements are no more known than one's own here
@@ -683,25 +683,25 @@
 // In an upgrade two processes send to a cold server for one balancer: each takes half of its part.
 func TestColdBudgetIsSharedBesides(t *testing.T) {
 	sent := func(beside int) (n int) {
-		b, err := New(Config{Zone: "a", Balancers: 2, MaxAttempts: 2, Probes: true, PullList: true, Beside: beside,
-			AskWithin: 10 * time.Second, ColdShare: 0.4, ColdTime: 8 * time.Second, FallMultiple: 4, FallTime: 3 * time.Second,
-			Classes: []Class{{Name: "chat", Aim: 800 * time.Millisecond}}}, 5)
+		b, err := New(Config{Zone: "a", Balancers: 2, MaxAttempts: 2, ProbesEnabled: true, PollEndpointList: true, OverlappingProcesses: beside,
+			PollInterval: 10 * time.Second, WarmUpInitialCapacity: 0.4, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: 3 * time.Second,
+			Classes: []Class{{Name: "chat", LatencyObjective: 800 * time.Millisecond}}}, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		b.Step(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "s", Zone: "a", Weight: 1, Started: now}}}, nil)
+		b.Step(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "s", Zone: "a", Weight: 1, StartedAt: now}}}, nil)
 		for i := range 400 {
 			now += 10 * time.Millisecond
-			out := b.Step(now, Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "chat", Patience: 700 * time.Millisecond}, nil)
-			out = b.Step(now, Wake{Token: "tick"}, out)
+			out := b.Step(now, Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "chat", Timeout: 700 * time.Millisecond}, nil)
+			out = b.Step(now, TimerFired{Token: "tick"}, out)
 			for j := 0; j < len(out); j++ {
 				switch a := out[j].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Result: OK, Report: &Report{Load: 0.2, InFlight: 20, Busy: -1, Backlog: -1}}, out)
+					out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: &LoadReport{Load: 0.2, InFlight: 20, Utilization: -1, BacklogSeconds: -1}}, out)
 				case Send:
 					n++
-					out = b.Step(now, Established{ID: a.ID, Server: a.Server}, out)
+					out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
 				}
 			}
 		}
@@ -748,15 +748,15 @@
 		r := newRig(t, testConfig(), servers(2)...)
 		r.loads["s00"], r.loads["s01"] = c.here, c.there
 		for i := range 8 {
-			r.feed(Adopted{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Group: "g", Class: "safe"}, Server: "s00"})
+			r.feed(AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Group: "g", Class: "safe"}, Server: "s00"})
 		}
-		r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Patience: 2 * time.Second})
+		r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
 		r.run(300 * ms)
 		if s, _ := last[Send](r); s.Server != c.sent {
 			t.Errorf("group's server at %v, the other at %v: sent to %q, want %q", c.here, c.there, s.Server, c.sent)
 		}
 		for i := range 8 {
-			r.feed(ClientGone{ID: fmt.Sprint(i)})
+			r.feed(ClientDisconnected{ID: fmt.Sprint(i)})
 		}
 		if n := r.b.servers["s00"].groups["g"]; c.sent != "s00" && n != 0 {
 			t.Errorf("%d of the group left when all are gone", n)
@@ -773,10 +773,10 @@
 		if i%2 == 0 {
 			class, load = "keyed", 100e3
 		}
-		r.feed(Adopted{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: class}, Server: "s00"})
-		r.feed(LoadChange{ID: fmt.Sprint(i), Load: load})
-		r.feed(LoadChange{ID: fmt.Sprint(i)})
-		r.feed(LoadChange{ID: fmt.Sprint(i), Load: -1})
+		r.feed(AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: class}, Server: "s00"})
+		r.feed(ConnectionLoad{ID: fmt.Sprint(i), Load: load})
+		r.feed(ConnectionLoad{ID: fmt.Sprint(i)})
+		r.feed(ConnectionLoad{ID: fmt.Sprint(i), Load: -1})
 	}
 	if w, v := r.b.weight("safe"), r.b.weight("keyed"); math.Abs(w-16.0/9) > 0.1 || math.Abs(v-2.0/9) > 0.05 {
 		t.Fatalf("weights %v and %v, told were 16/9 and 2/9 of the mean", w, v)
@@ -804,14 +804,14 @@
 		for id, n := range held {
 			s := r.b.servers[id]
 			s.probing = false
-			r.b.reading(s, Report{Load: -1, Busy: -1, InFlight: n, Backlog: -1})
+			r.b.reading(s, LoadReport{Load: -1, Utilization: -1, InFlight: n, BacklogSeconds: -1})
 		}
 		r.request(fmt.Sprint(i), "safe")
 		for _, a := range r.log {
 			if s, ok := a.(Send); ok {
 				sent[s.Server]++
-				r.feed(Established{ID: s.ID, Server: s.Server, Latency: ms})
-				r.feed(ClientGone{ID: s.ID})
+				r.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Latency: ms})
+				r.feed(ClientDisconnected{ID: s.ID})
 			}
 		}
 		r.log = nil
@@ -836,12 +836,12 @@
 	r.feed(ServerList{Kind: ListDelta, Servers: draining})
 	most := 0
 	for range 100 {
-		before := len(all[Move](r))
+		before := len(all[Migrate](r))
 		r.run(100 * ms)
-		most = max(most, len(all[Move](r))-before)
+		most = max(most, len(all[Migrate](r))-before)
 	}
 	moved := map[string]bool{}
-	for _, m := range all[Move](r) {
+	for _, m := range all[Migrate](r) {
 		moved[m.ID] = true
 	}
 	if len(moved) != 60 || moved["elsewhere"] || most > 15 {
@@ -855,18 +855,18 @@
 	r := newRig(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.7, 0.7
 	for i := range 3 {
-		r.feed(Adopted{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i)}, Server: "s00"}) // of no class: passed over
+		r.feed(AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i)}, Server: "s00"}) // of no class: passed over
 		r.open(fmt.Sprint("o", i), "s00")                                                       // of no group
 	}
-	r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Patience: 2 * time.Second})
+	r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
 	r.run(300 * ms)
 	if _, sent := last[Send](r); !sent {
 		t.Error("held, though both have room and the group is not known to stand anywhere")
 	}
 	for i := range 3 {
-		r.feed(ClientGone{ID: fmt.Sprint("o", i)})
+		r.feed(ClientDisconnected{ID: fmt.Sprint("o", i)})
 	}
-	r.feed(Request{ID: "y", Key: "y", Class: "safe", Patience: 2 * time.Second})
+	r.feed(Request{ID: "y", Key: "y", Class: "safe", Timeout: 2 * time.Second})
 	if s := r.b.servers["s00"]; len(s.groups) > 1 || r.b.groups[""] != 0 {
 		t.Errorf("kept: %v and %v", s.groups, r.b.groups)
 	}
@@ -879,7 +879,7 @@
 	r := newRig(t, testConfig(), servers(4)...)
 	for _, s := range r.b.order {
 		r.loads[s.ID], r.rif[s.ID] = 0.5, 50
-		r.b.reading(s, Report{Load: 0.5, Busy: -1, InFlight: 50, Backlog: -1})
+		r.b.reading(s, LoadReport{Load: 0.5, Utilization: -1, InFlight: 50, BacklogSeconds: -1})
 	}
 	for i := range 20 {
 		r.open(fmt.Sprint(i), "s00")
@@ -891,7 +891,7 @@
 		t.Errorf("the mean connection adds %.3f, it is 0.010", got)
 	}
 	r.loads["s00"], r.rif["s00"] = 0, 0
-	r.b.reading(s, Report{Load: 0, Busy: -1, InFlight: 0, Backlog: -1})
+	r.b.reading(s, LoadReport{Load: 0, Utilization: -1, InFlight: 0, BacklogSeconds: -1})
 	if q := (&request{class: r.b.classes["safe"]}); (fullX-r.b.counts(s, q))/r.b.step(s)/(1+s.doubt) < 5 {
 		t.Errorf("well again and empty it has room for %.1f: step %.3f, doubt %.1f", (fullX-s.x)/r.b.step(s)/(1+s.doubt), r.b.step(s), s.doubt)
 	}
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -38,17 +38,17 @@
 // empty list all count again.
 func TestOnlyCandidatesAreDrawn(t *testing.T) {
 	b, now := listed(t, 10, nil)
-	b.Step(now, Candidates{Servers: []string{"s3", "s5", "s9"}}, nil)
+	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5", "s9"}}, nil)
 	ask := func(n int) map[string]bool {
 		drawn := map[string]bool{}
 		for i := range n {
 			now += 10 * time.Second
-			q := Request{ID: fmt.Sprint(now, i), Key: fmt.Sprint(now), Class: "safe", Patience: time.Second}
+			q := Request{ID: fmt.Sprint(now, i), Key: fmt.Sprint(now), Class: "safe", Timeout: time.Second}
 			for _, id := range probesOf(b.Step(now, q, nil)) {
 				drawn[id] = true
-				b.Step(now, ProbeResult{Server: id, Result: Failed}, nil)
+				b.Step(now, ProbeResult{Server: id, Result: ResultFailed}, nil)
 			}
-			b.Step(now, ClientGone{ID: q.ID}, nil)
+			b.Step(now, ClientDisconnected{ID: q.ID}, nil)
 		}
 		return drawn
 	}
@@ -73,7 +73,7 @@
 	if got := ask(60); len(got) != 7 {
 		t.Errorf("with all candidates draining, drawn: %v", got)
 	}
-	b.Step(now, Candidates{}, nil)
+	b.Step(now, CandidateSubset{}, nil)
 	if b.looked() != 10 {
 		t.Errorf("with no candidates named, %d of 10 are looked at", b.looked())
 	}
@@ -84,31 +84,31 @@
 func TestOthersReadingsSaveProbes(t *testing.T) {
 	b, now := listed(t, 2, nil)
 	come := func(id string) []string {
-		return probesOf(b.Step(now, Request{ID: id, Key: id, Class: "safe", Patience: time.Second}, nil))
+		return probesOf(b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil))
 	}
 	for _, id := range []string{"s0", "s1"} {
-		b.Step(now, Heard{Server: id, X: 0.2, Age: 300 * time.Millisecond}, nil)
+		b.Step(now, PeerReading{Server: id, Load: 0.2, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
 	if got := come("a"); len(got) != 0 {
 		t.Errorf("with room told of 1.3 s ago, asked %v", got)
 	}
-	b.Readings(func(id string, x float64, _ time.Duration, _ int) { t.Errorf("%s at %v told on", id, x) })
+	b.LoadReadings(func(id string, x float64, _ time.Duration, _ int) { t.Errorf("%s at %v told on", id, x) })
 	now += 10 * time.Second
 	for _, id := range []string{"s0", "s1"} {
-		b.Step(now, Heard{Server: id, X: 0.78, Age: 300 * time.Millisecond}, nil)
+		b.Step(now, PeerReading{Server: id, Load: 0.78, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
 	if got := come("b"); len(got) != 2 {
 		t.Errorf("near full, asked %v", got)
 	}
-	b.Step(now, ProbeResult{Server: "s0", Report: &Report{Load: 0.5, Busy: -1, InFlight: 5, Backlog: -1}}, nil)
-	b.Step(now, Heard{Server: "s0", X: 0.1, Age: 50 * time.Millisecond}, nil)
+	b.Step(now, ProbeResult{Server: "s0", Report: &LoadReport{Load: 0.5, Utilization: -1, InFlight: 5, BacklogSeconds: -1}}, nil)
+	b.Step(now, PeerReading{Server: "s0", Load: 0.1, Age: 50 * time.Millisecond}, nil)
 	if x := b.servers["s0"].x; x != 0.5 {
 		t.Errorf("an older reading of others took the place of the own one: %v", x)
 	}
 	now += 10 * time.Second
-	if got := probesOf(b.Step(now, Heard{Server: "s0", Dead: true}, nil)); len(got) != 1 || got[0] != "s0" {
+	if got := probesOf(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
 		t.Errorf("told that s0 is dead, asked %v", got)
 	}
 	if s := b.servers["s0"]; s.fails != 0 || s.heldOff != 0 {
@@ -119,16 +119,16 @@
 // Who reads a server for the others reads it, own connections or not.
 func TestDutyIsDone(t *testing.T) {
 	b, now := listed(t, 3, nil)
-	b.Step(now, Fleet{Duty: []string{"s1"}}, nil)
+	b.Step(now, FleetState{AssignedServers: []string{"s1"}}, nil)
 	asked := 0
 	for range 500 { // ten seconds
 		now += 20 * time.Millisecond
-		for _, id := range probesOf(b.Step(now, Wake{"tick"}, nil)) {
+		for _, id := range probesOf(b.Step(now, TimerFired{"tick"}, nil)) {
 			if id != "s1" {
 				t.Fatalf("asked %s", id)
 			}
 			asked++
-			b.Step(now, ProbeResult{Server: id, Report: &Report{Load: 0.3, Busy: -1, InFlight: 9, Backlog: -1}}, nil)
+			b.Step(now, ProbeResult{Server: id, Report: &LoadReport{Load: 0.3, Utilization: -1, InFlight: 9, BacklogSeconds: -1}}, nil)
 		}
 	}
 	if asked < 10 || asked > 13 {
@@ -138,9 +138,9 @@
 
 // The cold budget is divided by those who share it: none of it below 0, the settings' part at 0.
 func TestColdBudgetIsShared(t *testing.T) {
-	sends := func(f Fleet) float64 {
+	sends := func(f FleetState) float64 {
 		b, now := listed(t, 1, func(c *Config) {
-			c.ColdShare, c.ColdTime, c.FallMultiple, c.FallTime = 0.3, 10*time.Second, 4, time.Second
+			c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = 0.3, 10*time.Second, 4, time.Second
 		})
 		s := b.servers["s0"]
 		b.chill(s, now)
@@ -156,8 +156,8 @@
 		}
 		return total + max(0, s.tokens)
 	}
-	alone, five := sends(Fleet{}), sends(Fleet{Sharers: 5})
-	if none := sends(Fleet{Sharers: -1}); none != 0 {
+	alone, five := sends(FleetState{}), sends(FleetState{BudgetSharers: 5})
+	if none := sends(FleetState{BudgetSharers: -1}); none != 0 {
 		t.Errorf("who is to take none may send %v", none)
 	}
 	if five < 1.9*alone || five > 2.1*alone {
@@ -168,18 +168,18 @@
 // A restarted balancer goes on with the fleet's clock, and a slot is moved, never into the past nor out of reach.
 func TestClockAndSlotsFollowTheFleet(t *testing.T) {
 	b, now := listed(t, 3, nil)
-	b.Step(now, Wake{"tick"}, nil)
-	b.Step(now, Fleet{Clock: 40}, nil)
-	if b.Clock() != 40 {
-		t.Errorf("clock %d", b.Clock())
+	b.Step(now, TimerFired{"tick"}, nil)
+	b.Step(now, FleetState{ExplorationSlots: 40}, nil)
+	if b.ExplorationSlots() != 40 {
+		t.Errorf("clock %d", b.ExplorationSlots())
 	}
-	b.Step(now, Fleet{Clock: 7}, nil)
-	if b.Clock() != 40 {
-		t.Errorf("the clock went back to %d", b.Clock())
+	b.Step(now, FleetState{ExplorationSlots: 7}, nil)
+	if b.ExplorationSlots() != 40 {
+		t.Errorf("the clock went back to %d", b.ExplorationSlots())
 	}
 	for _, nudge := range []time.Duration{-time.Hour, time.Hour} {
 		was := b.slotAt
-		b.Step(now, Fleet{Nudge: nudge}, nil)
+		b.Step(now, FleetState{SlotShift: nudge}, nil)
 		if b.slotAt <= now || b.slotAt > max(was, now+b.slotLength()) {
 			t.Errorf("moved by %v the next slot is in %v", nudge, b.slotAt-now)
 		}
@@ -189,7 +189,7 @@
 // Whoever finds no room among the candidates twice looks at all servers, before it would be refused.
 func TestFullCandidatesRefuseNobody(t *testing.T) {
 	b, now := listed(t, 10, nil)
-	b.Step(now, Candidates{Servers: []string{"s3", "s5"}}, nil)
+	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5"}}, nil)
 	sent := ""
 	var feed func(ev Event)
 	feed = func(ev Event) {
@@ -200,18 +200,18 @@
 				if a.Server == "s3" || a.Server == "s5" {
 					x = 0.99
 				}
-				feed(ProbeResult{Server: a.Server, Report: &Report{Load: x, Busy: -1, InFlight: 100 * x, Backlog: -1}})
+				feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: x, Utilization: -1, InFlight: 100 * x, BacklogSeconds: -1}})
 			case Send:
 				sent = a.Server
-			case Refuse:
+			case Reject:
 				t.Fatal("refused beside eight empty servers")
 			}
 		}
 	}
-	feed(Request{ID: "r", Key: "r", Class: "safe", Patience: 2 * time.Second})
+	feed(Request{ID: "r", Key: "r", Class: "safe", Timeout: 2 * time.Second})
 	for range 100 {
 		now += 20 * time.Millisecond
-		feed(Wake{"tick"})
+		feed(TimerFired{"tick"})
 	}
 	if sent == "" || sent == "s3" || sent == "s5" {
 		t.Errorf("sent to %q", sent)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -51,12 +51,12 @@
 
 // configure takes settings, unless there is one among them that can't work.
 func (b *Balancer) configure(cfg Config) error {
-	cfg.Beta, cfg.Explore = cmp.Or(cfg.Beta, defaultBeta), cmp.Or(cfg.Explore, defaultExplore)
-	cfg.ColdPart, cfg.Setups = cmp.Or(cfg.ColdPart, usualColdPart), cmp.Or(cfg.Setups, maxWindow)
+	cfg.ExplorationDecay, cfg.MaxExploration = cmp.Or(cfg.ExplorationDecay, defaultBeta), cmp.Or(cfg.MaxExploration, defaultExplore)
+	cfg.WarmUpBudgetShare, cfg.MaxPendingAttempts = cmp.Or(cfg.WarmUpBudgetShare, usualColdPart), cmp.Or(cfg.MaxPendingAttempts, maxWindow)
 	if err := cfg.check(); err != nil {
 		return err
 	}
-	b.cfg, b.tick = cfg, max(tickEvery, cfg.Tick)
+	b.cfg, b.tick = cfg, max(tickEvery, cfg.TimerResolution)
 	b.index()
 	return nil
 }
@@ -73,24 +73,24 @@
 		b.list(ev)
 	case Request:
 		b.arrive(ev)
-	case Adopted, Stands, Candidates, Fleet, Permit, FullLinks, ClientGone:
+	case AdoptedConnection, PredecessorFlow, CandidateSubset, FleetState, LeaseState, SaturatedLinks, ClientDisconnected:
 		b.note(ev)
-	case Heard:
+	case PeerReading:
 		b.hear(ev)
-	case Established:
+	case AttemptEstablished:
 		if r := b.requests[ev.ID]; r != nil && r.out && ev.Attempt == r.attempts-1 {
 			r.on.fails, r.on.heldOff, r.on.heardAt = 0, 0, b.now
 			b.settled(r, true, ev.Latency)
 			b.stand(r)
 		}
-	case Outcome:
+	case AttemptEnded:
 		b.outcome(ev)
-	case LoadChange:
+	case ConnectionLoad:
 		if r := b.requests[ev.ID]; r != nil && r.open {
 			r.on.heardAt = b.now
 			b.weigh(r.Class, ev.Load)
 		}
-	case Delay:
+	case MessageDelay:
 		if s := b.servers[ev.Server]; s != nil {
 			if s.lag, s.lagAt, s.heardAt = ev.Delay, b.now, b.now; b.lagging(s, b.messageAim) {
 				b.read(s, nil)
@@ -98,9 +98,9 @@
 		}
 	case ProbeResult:
 		b.probed(ev)
-	case Settings:
+	case ConfigUpdate:
 		_ = b.configure(ev.Config) // New, which reports it, has checked them
-	case Wake:
+	case TimerFired:
 		b.wake()
 	}
 	return b.out
@@ -121,15 +121,15 @@
 			b.choose(r)
 		}
 	}
-	if b.cfg.PullList && !b.subscribed && b.now >= b.askAt {
+	if b.cfg.PollEndpointList && !b.subscribed && b.now >= b.askAt {
 		b.do(Subscribe{})
-		b.askAt = b.now + min(b.cfg.AskWithin, toldAfter)/2
+		b.askAt = b.now + min(b.cfg.PollInterval, toldAfter)/2
 	}
 	for _, s := range b.order { // one reading that is over can be noise, or set-ups that are over soon
 		if s.State == Draining { // not all at once: they are a wave where they go
 			b.leave(s, b.tick.Seconds()/drainIn.Seconds())
-		} else if s.share == 0 && b.cfg.Moves > 0 {
-			b.leave(s, b.tick.Seconds()*b.cfg.Moves/float64(max(1, s.open)))
+		} else if s.share == 0 && b.cfg.MigrationsPerSecond > 0 {
+			b.leave(s, b.tick.Seconds()*b.cfg.MigrationsPerSecond/float64(max(1, s.open)))
 		} else if s.overSince > 0 || b.due(s) {
 			b.read(s, nil)
 		}
@@ -149,7 +149,7 @@
 // list follows discovery.
 func (b *Balancer) list(l ServerList) {
 	if l.Kind == ListFailed { // calls that fail together must not come again together
-		b.subscribed, b.askWait = false, min(2*b.askWait, b.cfg.AskWithin*3/4, toldAfter/4)
+		b.subscribed, b.askWait = false, min(2*b.askWait, b.cfg.PollInterval*3/4, toldAfter/4)
 		b.askAt = b.now + b.askWait/2 + b.inTurn(b.askWait/2)
 		return
 	}
@@ -167,11 +167,11 @@
 
 // ramp is the part of its capacity that a server can do now at the least. Its start may be told ahead of now.
 func (b *Balancer) ramp(s *server) float64 {
-	if s.coldSince == 0 || b.now-s.coldSince >= b.cfg.ColdTime {
+	if s.coldSince == 0 || b.now-s.coldSince >= b.cfg.WarmUpDuration {
 		return 1
 	}
-	warm := float64(max(0, b.now-s.coldSince)) / float64(b.cfg.ColdTime)
-	return max(minRamp, b.cfg.ColdShare+(1-b.cfg.ColdShare)*warm)
+	warm := float64(max(0, b.now-s.coldSince)) / float64(b.cfg.WarmUpDuration)
+	return max(minRamp, b.cfg.WarmUpInitialCapacity+(1-b.cfg.WarmUpInitialCapacity)*warm)
 }
 
 // step estimates what one mean connection adds to X at s: from its own report, or else from those of the
@@ -187,9 +187,9 @@
 // root), one beside: 1.25 of a rate and one make the next whole. What nobody wanted lapses: all would save
 // one up. Heavy classes go elsewhere while the budget is small: all balancers may send one at once.
 func (b *Balancer) budget(s *server) float64 {
-	within, all := max(b.cfg.FallTime, b.tick).Seconds(), b.sharers()
-	part := b.cfg.ColdPart * b.cfg.FallMultiple / max(b.step(s), 1e-3) / b.cfg.ColdTime.Seconds() * within
-	root := (math.Sqrt(0.5625+4*max(0, part+fallSlack*(1+math.Sqrt(part/b.cfg.ColdPart))-1)) - 0.75) / 2
+	within, all := max(b.cfg.OverloadWindow, b.tick).Seconds(), b.sharers()
+	part := b.cfg.WarmUpBudgetShare * b.cfg.OverloadMultiple / max(b.step(s), 1e-3) / b.cfg.WarmUpDuration.Seconds() * within
+	root := (math.Sqrt(0.5625+4*max(0, part+fallSlack*(1+math.Sqrt(part/b.cfg.WarmUpBudgetShare))-1)) - 0.75) / 2
 	rate := max(part/all, 0.79*math.Floor(root*root/all)) / within
 	s.tokens, s.tokensAt = s.tokens+rate*(b.now-s.tokensAt).Seconds(), b.now
 	s.heaviest, s.chance = 1.5+part/4, rate*within/4
@@ -201,20 +201,20 @@
 // leave out. What stands there already, in mid-flow, goes on.
 func (b *Balancer) usable(s *server, r *request) bool {
 	last, full := b.full[s.Zone]
-	open := r.MidFlow || s.share > 0 && (!full || r.class.Order <= last)
-	return open && b.permit == May && s.State == Live && s != r.avoid && b.mayRepeat(s, r) &&
+	open := r.MidFlow || s.share > 0 && (!full || r.class.PriorityRank <= last)
+	return open && b.permit == LeaseActive && s.State == Live && s != r.avoid && b.mayRepeat(s, r) &&
 		(b.ramp(s) >= 1 || b.budget(s) >= 1 && b.weight(r.Class) <= s.heaviest)
 }
 
 // mayRepeat keeps a request that may have run to where its repeats do no harm.
 func (b *Balancer) mayRepeat(s *server, r *request) bool {
 	k := r.class
-	if r.ranAt < 0 || k.Effect == Safe {
+	if r.ranAt < 0 || k.Idempotency == Idempotent {
 		return true
 	}
-	in, ran := k.Scope, r.ranOn
-	apart := in == ScopeZone && s.Zone != ran.Zone || in == ScopeCell && s.Cell != ran.Cell
-	return !apart && k.Effect == Keyed && b.now-r.ranAt <= k.KeyTTL
+	in, ran := k.KeyScope, r.ranOn
+	apart := in == KeyScopeZone && s.Zone != ran.Zone || in == KeyScopeCell && s.Cell != ran.Cell
+	return !apart && k.Idempotency == IdempotentByKey && b.now-r.ranAt <= k.KeyTTL
 }
 
 // panicking tells that so many servers look bad that the cause lies elsewhere.
@@ -238,7 +238,7 @@
 	for _, s := range drawn {
 		weight := s.share * b.ramp(s) / b.odds(s) // few may send to a cold one: they draw it sooner
 		if s.Zone != b.cfg.Zone && near {
-			weight *= math.Exp(-40 * b.cfg.CrossZonePrice)
+			weight *= math.Exp(-40 * b.cfg.CrossZoneCost)
 		}
 		s.rank = -math.Log(mix(s.hash+salt)) / weight
 	}
@@ -266,7 +266,7 @@
 	k := b.classes[q.Class]
 	if known := b.requests[q.ID] != nil; known || k == nil {
 		if !known { // nothing is known of the effect of its class, and nothing was sent
-			b.do(Refuse{ID: q.ID, Why: "class"})
+			b.do(Reject{ID: q.ID, Reason: "class"})
 		}
 		return
 	}
@@ -290,7 +290,7 @@
 	case r.target != nil && b.usable(r.target, r):
 		b.send(r, r.target)
 	default:
-		r.choice, r.chooseAt = b.draw(r), b.now+r.class.Aim/8
+		r.choice, r.chooseAt = b.draw(r), b.now+r.class.LatencyObjective/8
 		for _, s := range r.choice {
 			b.read(s, r)
 		}
@@ -302,8 +302,8 @@
 
 // exhausted tells that r gets no further attempt: for its time, their number, or what all retries may be.
 func (b *Balancer) exhausted(r *request) bool {
-	spent := b.cfg.Retries > 0 && b.retries < 1 && r.attempts > 0
-	return spent || b.overdue(r) || r.attempts >= r.class.Attempts || r.ranAt >= 0 && r.class.Effect == Unsafe
+	spent := b.cfg.RetryRatio > 0 && b.retries < 1 && r.attempts > 0
+	return spent || b.overdue(r) || r.attempts >= r.class.MaxAttempts || r.ranAt >= 0 && r.class.Idempotency == NotIdempotent
 }
 
 // read gets a reading of s, for r if not nil: it is there already where true comes back, else a probe
@@ -311,7 +311,7 @@
 func (b *Balancer) read(s *server, r *request) bool {
 	fresh := b.now - b.shows()/2 // also an answer that told nothing counts: errors must bring no more probes
 	good := s.known && s.readAt >= fresh-s.grace || !s.probing && s.askedAt >= fresh
-	if good || !b.cfg.Probes || s.State == Gone {
+	if good || !b.cfg.ProbesEnabled || s.State == Gone {
 		return true
 	}
 	if r != nil {
@@ -333,7 +333,7 @@
 // load is X as this balancer knows it.
 func (b *Balancer) load(s *server) float64 {
 	switch {
-	case !b.cfg.Probes:
+	case !b.cfg.ProbesEnabled:
 		return float64(s.open) / max(s.Weight, 1e-6) // only own connections are known
 	case !s.known:
 		return b.meanX + s.placed
@@ -355,7 +355,7 @@
 	if s.Zone == b.cfg.Zone {
 		return 0
 	}
-	return farFactor * b.cfg.CrossZonePrice
+	return farFactor * b.cfg.CrossZoneCost
 }
 
 // choose places r on the better of its two servers, holds it while both are full, and refuses it
@@ -388,7 +388,7 @@
 
 // late tells that a held request should be refused, so that no worth is lost after its aim.
 func (b *Balancer) late(r *request) bool {
-	return b.permit == Barred || b.now >= r.since+r.class.Aim || b.overdue(r)
+	return b.permit == LeaseExpired || b.now >= r.since+r.class.LatencyObjective || b.overdue(r)
 }
 
 // lagging tells that messages at s lately took longer than aim: a backlog has to drain first.
@@ -400,14 +400,14 @@
 // each admits its part of what they all want to send before the load shows. A cold server's room has been
 // shared out already: by the budget.
 func (b *Balancer) admit(s *server, r *request) bool {
-	yields := float64(max(0, r.class.Order-1)) / float64(max(1, b.lastOrder)) // the last class first
+	yields := float64(max(0, r.class.PriorityRank-1)) / float64(max(1, b.lastOrder)) // the last class first
 	limit := fullX - yields*(fullX-overShareX)
-	if t := r.tenant; t != nil && t.Connections > 0 && float64(t.open*b.cfg.Balancers) > 1.2*t.Connections {
+	if t := r.tenant; t != nil && t.ConnectionQuota > 0 && float64(t.open*b.cfg.Balancers) > 1.2*t.ConnectionQuota {
 		limit = overShareX
 	}
 	room := (limit - b.counts(s, r)) / max(b.step(s)*b.weight(r.Class), 1e-6) / (1 + s.doubt)
-	lags := b.lagging(s, r.class.MessageAim)
-	return !b.cfg.Probes || room >= 1 && !lags && (b.ramp(s) < 1 || b.lot(room))
+	lags := b.lagging(s, r.class.MessageLatencyObjective)
+	return !b.cfg.ProbesEnabled || room >= 1 && !lags && (b.ramp(s) < 1 || b.lot(room))
 }
 
 // keeps tells whether a connection in mid-flow is sent to where it is likely to stand. It adds nothing there
@@ -427,13 +427,13 @@
 // mayStart keeps set-ups within the window: what all set-ups share (a session store, the network) may be
 // the bottleneck, and more of them at once would only end in errors.
 func (b *Balancer) mayStart() bool {
-	return b.permit == May && b.now >= b.pauseTill && float64(b.outs) < max(1, b.window)
+	return b.permit == LeaseActive && b.now >= b.pauseTill && float64(b.outs) < max(1, b.window)
 }
 
 // mayExplore keeps connections where they are while set-ups are scarce: each move takes another one.
 func (b *Balancer) mayExplore(r *request) bool {
-	scarce := b.cutAt > 0 && b.now < b.cutAt+settleMin || b.setup > float64(r.class.Aim.Milliseconds())/2
-	return !scarce && b.permit == May && r.from == nil && r.Key != ""
+	scarce := b.cutAt > 0 && b.now < b.cutAt+settleMin || b.setup > float64(r.class.LatencyObjective.Milliseconds())/2
+	return !scarce && b.permit == LeaseActive && r.from == nil && r.Key != ""
 }
 
 // settled follows an attempt that ended or stands. Failures at one server say nothing of the others.
@@ -442,7 +442,7 @@
 	b.outs--
 	b.setup += 0.1 * (float64(took.Milliseconds()) - b.setup)
 	if ok {
-		b.window = min(float64(b.cfg.Setups), b.window+min(b.window, 1/b.window))
+		b.window = min(float64(b.cfg.MaxPendingAttempts), b.window+min(b.window, 1/b.window))
 		b.failing -= 0.1 * b.failing
 		return
 	}
@@ -466,8 +466,8 @@
 	s.tokens -= b.weight(r.Class) // only counts while s is cold
 	s.placed += b.step(s) * b.weight(r.Class)
 	// One attempt should leave time for another, unless set-ups take long everywhere.
-	until := b.now + max(r.class.Aim, time.Duration(4*b.setup)*time.Millisecond)
-	if until >= r.deadline-r.class.Aim/2 {
+	until := b.now + max(r.class.LatencyObjective, time.Duration(4*b.setup)*time.Millisecond)
+	if until >= r.deadline-r.class.LatencyObjective/2 {
 		until = 0
 	}
 	b.do(Send{r.ID, s.ID, until})
@@ -475,15 +475,15 @@
 
 // finish answers a request without an attempt out for good. A refusal says that a new try is harmless.
 func (b *Balancer) finish(r *request) {
-	if k := r.class; r.ranAt < 0 || k.Effect == Safe || k.Effect == Keyed && k.Scope == ScopeAll {
-		b.do(Refuse{r.ID, b.cfg.MaxRetryAfter/2 + b.jitter(b.cfg.MaxRetryAfter/2), b.why(r)})
+	if k := r.class; r.ranAt < 0 || k.Idempotency == Idempotent || k.Idempotency == IdempotentByKey && k.KeyScope == KeyScopeAll {
+		b.do(Reject{r.ID, b.cfg.MaxRetryAfter/2 + b.jitter(b.cfg.MaxRetryAfter/2), b.why(r)})
 	} else {
 		b.do(Fail{r.ID, b.why(r)})
 	}
 	b.forget(r)
 }
 
-func (b *Balancer) outcome(o Outcome) {
+func (b *Balancer) outcome(o AttemptEnded) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt != r.attempts-1 || !r.out && !r.open {
 		return
@@ -494,12 +494,12 @@
 	}
 	s, from := r.on, r.from
 	took := time.Duration(b.setup) * time.Millisecond
-	if o.Result == TimedOut || o.Result == Unreachable {
-		took = r.class.Aim
+	if o.Result == ResultTimedOut || o.Result == ResultUnreachable {
+		took = r.class.LatencyObjective
 		b.read(s, nil) // one server, or all? its probe will tell
 	}
-	b.settled(r, o.Result != TimedOut && o.Result != Failed, took)
-	if o.Result.Ran() && r.ranAt < 0 {
+	b.settled(r, o.Result != ResultTimedOut && o.Result != ResultFailed, took)
+	if o.Result.MayHaveRun() && r.ranAt < 0 {
 		r.ranAt, r.ranOn = r.sentAt, s
 	}
 	r.avoid, r.from, r.target = s, nil, nil
@@ -517,13 +517,13 @@
 	if s == nil {
 		return
 	}
-	if s.probing = false; p.Result != OK { // else one that is gone would be asked again at each tick
+	if s.probing = false; p.Result != ResultOK { // else one that is gone would be asked again at each tick
 		s.overSince = 0
 	}
 	switch {
-	case p.Result == OK && p.Report != nil:
+	case p.Result == ResultOK && p.Report != nil:
 		b.reading(s, *p.Report)
-	case !p.Heard && (p.Result == TimedOut || p.Result == Unreachable): // else the way to it was slow
+	case !p.ServerActive && (p.Result == ResultTimedOut || p.Result == ResultUnreachable): // else the way to it was slow
 		s.fails++
 		s.heldOff = b.now + b.jitter(time.Duration(min(s.fails, 8))*500*time.Millisecond)
 		if s.fails == 1 && s.open > 0 { // once can be chance, but connections are at stake
@@ -534,12 +534,12 @@
 	waiters := s.waiters
 	s.waiters = nil
 	for _, r := range waiters {
-		b.resume(r, s, p.Result == OK)
+		b.resume(r, s, p.Result == ResultOK)
 	}
 	b.escape(s)
 }
 
-func (b *Balancer) reading(s *server, p Report) {
+func (b *Balancer) reading(s *server, p LoadReport) {
 	x := b.loadOf(p, s.Weight)
 	if s.known { // learn how often reports change: an equal one means that asking was too early
 		if b.age = max(minAge, b.age*98/100); x == s.x {
@@ -553,8 +553,8 @@
 	if s.x, s.known, s.readAt, s.overSince = x, true, b.now, cmp.Or(s.overSince, b.now); x <= overX {
 		s.overSince = 0
 	}
-	if p.Backlog > 0 {
-		s.lag, s.lagAt = time.Duration(p.Backlog*float64(time.Second)), b.now
+	if p.BacklogSeconds > 0 {
+		s.lag, s.lagAt = time.Duration(p.BacklogSeconds*float64(time.Second)), b.now
 	}
 	switch tells := p.InFlight >= 3 && x > 0.02; {
 	case tells && b.ramp(s) >= 1:
@@ -572,17 +572,17 @@
 
 // hear takes what others read, as old as it is. The more room that is, the longer it is as good as asking:
 // what is sent meanwhile matters less. A server that they find dead is asked, whatever is known of it.
-func (b *Balancer) hear(h Heard) {
+func (b *Balancer) hear(h PeerReading) {
 	s := b.servers[h.Server]
 	switch at := b.now - h.Age; {
 	case s == nil:
-	case h.Dead && s.fails == 0:
+	case h.Unreachable && s.fails == 0:
 		s.known, s.askedAt = false, -b.shows()
 		b.read(s, nil)
-	case !h.Dead && at > s.readAt: // else it knows better
+	case !h.Unreachable && at > s.readAt: // else it knows better
 		s.placed *= math.Exp(-(at - s.readAt).Seconds() / b.shows().Seconds())
-		s.x, s.known, s.readAt, s.toldAt = h.X, true, at, b.now
-		s.grace = time.Duration(max(0, fullX-h.X) / fullX * float64(settleMin))
+		s.x, s.known, s.readAt, s.toldAt = h.Load, true, at, b.now
+		s.grace = time.Duration(max(0, fullX-h.Load) / fullX * float64(settleMin))
 	}
 }
 
@@ -613,7 +613,7 @@
 
 // gamma is the chance that a connection explores in this slot.
 func (b *Balancer) gamma() float64 {
-	return min(b.cfg.Explore, math.Pow(float64(max(b.t, 1)), -b.cfg.Beta))
+	return min(b.cfg.MaxExploration, math.Pow(float64(max(b.t, 1)), -b.cfg.ExplorationDecay))
 }
 
 // slot runs the mechanism: connections explore in one slot, and go back or stay in the next.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,15 +14,15 @@
 
 func testConfig() Config {
 	return Config{
-		Zone: "a", Balancers: 1, MaxAttempts: 3, Probes: true, Tick: ms,
+		Zone: "a", Balancers: 1, MaxAttempts: 3, ProbesEnabled: true, TimerResolution: ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 500 * ms, MessageAim: 100 * ms},
-			{Name: "keyed", Aim: 500 * ms, MessageAim: 100 * ms, Effect: Keyed, KeyTTL: 800 * ms},
-			{Name: "zone", Aim: 500 * ms, MessageAim: 100 * ms, Effect: Keyed, Scope: ScopeZone, KeyTTL: 10 * time.Second},
-			{Name: "cell", Aim: 500 * ms, MessageAim: 100 * ms, Effect: Keyed, Scope: ScopeCell, KeyTTL: 10 * time.Second},
-			{Name: "unsafe", Aim: 500 * ms, MessageAim: 100 * ms, Effect: Unsafe},
+			{Name: "safe", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms},
+			{Name: "keyed", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyTTL: 800 * ms},
+			{Name: "zone", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyScope: KeyScopeZone, KeyTTL: 10 * time.Second},
+			{Name: "cell", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, KeyTTL: 10 * time.Second},
+			{Name: "unsafe", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: NotIdempotent},
 		},
-		ColdShare: 0.3, ColdTime: 10 * time.Second, FallMultiple: 3, FallTime: time.Second,
+		WarmUpInitialCapacity: 0.3, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}
 }
 
@@ -73,7 +73,7 @@
 			if rif == 0 {
 				rif = -1
 			}
-			r.feed(ProbeResult{Server: a.Server, Report: &Report{Load: r.loads[a.Server], Busy: -1, InFlight: rif, Backlog: -1}})
+			r.feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: r.loads[a.Server], Utilization: -1, InFlight: rif, BacklogSeconds: -1}})
 		}
 	}
 }
@@ -84,13 +84,13 @@
 	for len(r.wakes) > 0 && r.wakes[0] <= end {
 		r.now = r.wakes[0]
 		r.wakes = r.wakes[1:]
-		r.feed(Wake{"tick"})
+		r.feed(TimerFired{"tick"})
 	}
 	r.now = end
 }
 
 func (r *rig) request(id, class string) {
-	r.feed(Request{ID: id, Key: "k" + id, Class: class, Patience: 2 * time.Second})
+	r.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
 }
 
 // connect opens a connection on whatever server it is sent to, and returns that server.
@@ -99,7 +99,7 @@
 	r.request(id, "safe")
 	for range 30 {
 		if s, ok := last[Send](r); ok && s.ID == id {
-			r.feed(Established{ID: id, Server: s.Server, Latency: 5 * ms})
+			r.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
 			return s.Server
 		}
 		r.run(20 * ms)
@@ -109,7 +109,7 @@
 }
 
 func (r *rig) open(id, server string) {
-	r.feed(Adopted{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
+	r.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
 }
 
 func all[T Action](r *rig) (list []T) {
@@ -165,7 +165,7 @@
 		want float64
 	}{{1, 0, 0.05}, {1, 1, 0.05}, {1, 20, 0.05}, {1, 40, 0.025}, {0.5, 100, 0.05}, {0.5, 10000, 0.01}} {
 		cfg := testConfig()
-		cfg.Beta = c.beta
+		cfg.ExplorationDecay = c.beta
 		b, err := New(cfg, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -180,16 +180,16 @@
 func TestSettingsThatCannotWork(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"no classes":   func(c *Config) { c.Classes = nil },
-		"beta":         func(c *Config) { c.Beta = 0.4 },
-		"beta NaN":     func(c *Config) { c.Beta = math.NaN() },
-		"exploration":  func(c *Config) { c.Explore = 0.6 },
+		"beta":         func(c *Config) { c.ExplorationDecay = 0.4 },
+		"beta NaN":     func(c *Config) { c.ExplorationDecay = math.NaN() },
+		"exploration":  func(c *Config) { c.MaxExploration = 0.6 },
 		"balancers":    func(c *Config) { c.Balancers = 0 },
 		"attempts":     func(c *Config) { c.MaxAttempts = 0 },
-		"negative":     func(c *Config) { c.ColdTime = -1 },
-		"cold share":   func(c *Config) { c.ColdShare = 2 },
-		"no aim":       func(c *Config) { c.Classes[0].Aim = 0 },
-		"ask within":   func(c *Config) { c.PullList = true },
-		"negative aim": func(c *Config) { c.Classes[0].MessageAim = -1 },
+		"negative":     func(c *Config) { c.WarmUpDuration = -1 },
+		"cold share":   func(c *Config) { c.WarmUpInitialCapacity = 2 },
+		"no aim":       func(c *Config) { c.Classes[0].LatencyObjective = 0 },
+		"ask within":   func(c *Config) { c.PollEndpointList = true },
+		"negative aim": func(c *Config) { c.Classes[0].MessageLatencyObjective = -1 },
 	} {
 		c := testConfig()
 		change(&c)
@@ -224,13 +224,13 @@
 		result Result
 		want   string
 	}{
-		{"safe", Failed, again}, {"safe", Full, again}, {"safe", TimedOut, again}, {"safe", Unreachable, again},
-		{"safe", Reset, again}, {"safe", Canceled, again}, {"safe", Skipped, again},
-		{"unsafe", Failed, fail}, {"unsafe", TimedOut, fail}, {"unsafe", Reset, fail}, {"unsafe", Canceled, fail},
-		{"unsafe", Full, again}, {"unsafe", Unreachable, again}, {"unsafe", Skipped, again},
-		{"keyed", TimedOut, again}, {"keyed", Full, again},
-		{"zone", TimedOut, again}, {"zone", Full, again},
-		{"cell", Reset, again}, {"cell", Unreachable, again},
+		{"safe", ResultFailed, again}, {"safe", ResultRejected, again}, {"safe", ResultTimedOut, again}, {"safe", ResultUnreachable, again},
+		{"safe", ResultReset, again}, {"safe", ResultCanceled, again}, {"safe", ResultSkipped, again},
+		{"unsafe", ResultFailed, fail}, {"unsafe", ResultTimedOut, fail}, {"unsafe", ResultReset, fail}, {"unsafe", ResultCanceled, fail},
+		{"unsafe", ResultRejected, again}, {"unsafe", ResultUnreachable, again}, {"unsafe", ResultSkipped, again},
+		{"keyed", ResultTimedOut, again}, {"keyed", ResultRejected, again},
+		{"zone", ResultTimedOut, again}, {"zone", ResultRejected, again},
+		{"cell", ResultReset, again}, {"cell", ResultUnreachable, again},
 	} {
 		list := servers(6)
 		list[0].Zone, list[1].Zone = "b", "b"
@@ -242,14 +242,14 @@
 		}
 		r.run(50 * ms)
 		r.log = nil
-		r.feed(Outcome{ID: "x", Server: first.Server, Result: c.result})
+		r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
 		r.run(300 * ms)
 		got := "nothing"
 		for _, a := range r.log {
 			switch a.(type) {
 			case Send:
 				got = again
-			case Refuse:
+			case Reject:
 				got = refuse
 			case Fail:
 				got = fail
@@ -259,7 +259,7 @@
 			t.Errorf("%s after result %d: %s, want %s", c.class, c.result, got, c.want)
 		}
 		second, _ := last[Send](r)
-		if c.result.Ran() && c.want == again {
+		if c.result.MayHaveRun() && c.want == again {
 			x, y := r.b.servers[first.Server], r.b.servers[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
 				t.Errorf("%s: repeated out of its scope", c.class)
@@ -274,12 +274,12 @@
 	first, _ := last[Send](r)
 	r.run(900 * ms) // the key is remembered for 800 ms from the send
 	r.log = nil
-	r.feed(Outcome{ID: "x", Server: first.Server, Result: TimedOut})
+	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
 	r.run(2 * time.Second)
 	if sent := all[Send](r); len(sent) > 0 {
 		t.Errorf("sent again %d times", len(sent))
 	}
-	if refused := all[Refuse](r); len(refused) != 1 { // every server drops its repeats for the client too
+	if refused := all[Reject](r); len(refused) != 1 { // every server drops its repeats for the client too
 		t.Errorf("%d refusals", len(refused))
 	}
 }
@@ -292,10 +292,10 @@
 	r := newRig(t, testConfig(), list...)
 	r.request("x", "zone")
 	first, _ := last[Send](r)
-	r.feed(Outcome{ID: "x", Server: first.Server, Result: TimedOut})
+	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
 	r.run(2 * time.Second)
-	if len(all[Refuse](r)) != 0 || len(all[Fail](r)) != 1 || len(all[Send](r)) != 1 {
-		t.Errorf("%d sends, %d refusals, %d failures", len(all[Send](r)), len(all[Refuse](r)), len(all[Fail](r)))
+	if len(all[Reject](r)) != 0 || len(all[Fail](r)) != 1 || len(all[Send](r)) != 1 {
+		t.Errorf("%d sends, %d refusals, %d failures", len(all[Send](r)), len(all[Reject](r)), len(all[Fail](r)))
 	}
 }
 
@@ -303,32 +303,32 @@
 	r := newRig(t, testConfig(), servers(3)...)
 	r.connect("a")
 	r.log = nil
-	r.feed(Outcome{ID: "nobody", Result: Failed})
-	r.feed(Established{ID: "nobody"})
-	r.feed(Established{ID: "a", Server: "s00"})
-	r.feed(Outcome{ID: "a", Attempt: 7, Result: Failed})
-	r.feed(Request{ID: "a", Class: "safe", Patience: time.Second}) // a second request with a known id
-	r.feed(Request{ID: "a", Class: "no such class", Patience: time.Second})
-	r.feed(ClientGone{ID: "nobody"})
+	r.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
+	r.feed(AttemptEstablished{ID: "nobody"})
+	r.feed(AttemptEstablished{ID: "a", Server: "s00"})
+	r.feed(AttemptEnded{ID: "a", Attempt: 7, Result: ResultFailed})
+	r.feed(Request{ID: "a", Class: "safe", Timeout: time.Second}) // a second request with a known id
+	r.feed(Request{ID: "a", Class: "no such class", Timeout: time.Second})
+	r.feed(ClientDisconnected{ID: "nobody"})
 	r.feed(ProbeResult{Server: "nowhere"})
-	r.feed(Delay{ID: "nobody", Server: "nowhere"})
+	r.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
 	if len(r.log) > 0 {
 		t.Errorf("actions %v", r.log)
 	}
 	r.now -= time.Minute // time stands still then
-	r.feed(Request{ID: "b", Class: "no such class", Patience: time.Second})
-	if _, ok := last[Refuse](r); !ok {
+	r.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
+	if _, ok := last[Reject](r); !ok {
 		t.Error("a request of an unknown class got no answer")
 	}
 	r.request("c", "safe")
-	if s, _ := last[Send](r); s.Until != 0 && s.Until < time.Hour {
-		t.Errorf("a time-out in the past: %v", s.Until)
+	if s, _ := last[Send](r); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
+		t.Errorf("a time-out in the past: %v", s.TimeoutAt)
 	}
 }
 
 func TestListFailuresAreAskedAgainInTime(t *testing.T) {
 	c := testConfig()
-	c.PullList, c.AskWithin = true, 10*time.Second
+	c.PollEndpointList, c.PollInterval = true, 10*time.Second
 	r := newRig(t, c)
 	r.feed(ServerList{Kind: ListFailed})
 	r.log = nil
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -75,9 +75,9 @@
 	groups   int                           // that connections belong to
 	grace    time.Duration                 // after a draining server was told, in which sends still may reach it
 	news     time.Duration                 // after which what discovery tells is told on (a deliberate break)
-	report   func(x, held float64) *Report // the fields that reports have here
+	report   func(x, held float64) *LoadReport // the fields that reports have here
 	loads    float64                       // highest X that servers report
-	truth    map[*Report]float64           // X of the reports under way
+	truth    map[*LoadReport]float64           // X of the reports under way
 	reads    map[string]float64            // X of the latest report
 	over     int                           // sends of newcomers to a server that reads overloaded
 	goaway   bool                          // draining servers send their connections away
@@ -104,10 +104,10 @@
 func newWorld(t *testing.T, seed uint64, seconds int) *world {
 	cfg := testConfig()
 	cfg.Balancers = 1 + int(seed%7)
-	cfg.PullList, cfg.AskWithin = seed%2 == 0, 10*time.Second
-	cfg.Probes = seed%5 != 0
-	cfg.Tenants = []Tenant{{Name: "t", Connections: 50}}
-	cfg.CrossZonePrice = float64(seed%3) / 20
+	cfg.PollEndpointList, cfg.PollInterval = seed%2 == 0, 10*time.Second
+	cfg.ProbesEnabled = seed%5 != 0
+	cfg.Tenants = []Tenant{{Name: "t", ConnectionQuota: 50}}
+	cfg.CrossZoneCost = float64(seed%3) / 20
 	b, err := New(cfg, int64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -120,15 +120,15 @@
 func worldOf(t interface{ Errorf(string, ...any) }, cfg Config, b *Balancer, seed uint64, seconds, gap int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, b: b, now: time.Hour,
 		requests: map[string]*ledger{}, state: map[string]Server{}, toldAt: map[string]time.Duration{},
-		coldSent: map[string][]coldSend{}, life: 20 * time.Second, reads: map[string]float64{}, truth: map[*Report]float64{}, groups: 5,
-		report: func(x, held float64) *Report { return &Report{Load: x, Busy: -1, InFlight: held, Backlog: -1} }}
+		coldSent: map[string][]coldSend{}, life: 20 * time.Second, reads: map[string]float64{}, truth: map[*LoadReport]float64{}, groups: 5,
+		report: func(x, held float64) *LoadReport { return &LoadReport{Load: x, Utilization: -1, InFlight: held, BacklogSeconds: -1} }}
 	w.after(0, ServerList{Kind: ListCached, Servers: zoned(8)})
 	end := time.Duration(seconds) * time.Second
 	for at := time.Duration(0); at < end; at += w.millis(1, gap) {
 		k := cfg.Classes[w.rng.IntN(len(cfg.Classes))]
 		id := fmt.Sprintf("r%d-%d", seed, w.seq)
 		q := Request{ID: id, Key: fmt.Sprint("key", w.rng.IntN(300)), Class: k.Name, MidFlow: w.rng.IntN(20) == 0,
-			Patience: w.millis(5, 3000)}
+			Timeout: w.millis(5, 3000)}
 		if w.rng.IntN(4) == 0 {
 			q.Group = fmt.Sprint("group", w.rng.IntN(w.groups))
 		}
@@ -162,7 +162,7 @@
 		if w.rng.IntN(4) == 0 {
 			s.State = ServerState(w.rng.IntN(3))
 			if s.State == Live && w.rng.IntN(2) == 0 {
-				s.Started = -1 // now, see step
+				s.StartedAt = -1 // now, see step
 			}
 			l.Servers = append(l.Servers, s)
 		}
@@ -213,21 +213,21 @@
 	}
 	switch w.rng.IntN(3) {
 	case 0:
-		return Candidates{Servers: some()}
+		return CandidateSubset{Servers: some()}
 	case 1:
-		return Heard{Server: ids[w.rng.IntN(len(ids))], X: 3 * w.rng.Float64(), Age: w.millis(0, 6000), Dead: w.rng.IntN(8) == 0}
+		return PeerReading{Server: ids[w.rng.IntN(len(ids))], Load: 3 * w.rng.Float64(), Age: w.millis(0, 6000), Unreachable: w.rng.IntN(8) == 0}
 	}
-	return Fleet{Sharers: []int{-1, 0, w.cfg.Balancers, 3 * w.cfg.Balancers}[w.rng.IntN(4)], Demand: 1e4 * w.rng.Float64(), Clock: w.rng.IntN(1 << 20),
-		Nudge: w.millis(0, 60000) - 30*time.Second, Turn: w.rng.Float64(), Duty: some()}
+	return FleetState{BudgetSharers: []int{-1, 0, w.cfg.Balancers, 3 * w.cfg.Balancers}[w.rng.IntN(4)], Demand: 1e4 * w.rng.Float64(), ExplorationSlots: w.rng.IntN(1 << 20),
+		SlotShift: w.millis(0, 60000) - 30*time.Second, StaggerOffset: w.rng.Float64(), AssignedServers: some()}
 }
 
 // before keeps the world's own account of an event, and drops events that are out of date.
 func (w *world) before(ev Event) (Event, bool) {
 	switch ev := ev.(type) {
-	case Wake:
+	case TimerFired:
 		return ev, w.now < 2*time.Hour && w.pending()
 	case Request:
-		r := &ledger{deadline: w.now + ev.Patience}
+		r := &ledger{deadline: w.now + ev.Timeout}
 		for _, k := range w.cfg.Classes {
 			if k.Name == ev.Class {
 				r.class = k
@@ -247,8 +247,8 @@
 		}
 		for i := range ev.Servers {
 			s := &ev.Servers[i]
-			if s.Started < 0 {
-				s.Started = w.now
+			if s.StartedAt < 0 {
+				s.StartedAt = w.now
 				delete(w.coldSent, s.ID) // a new start, a new budget
 			}
 			if s.State == Live {
@@ -262,9 +262,9 @@
 			}
 		}
 		return ev, w.news == 0
-	case Established:
+	case AttemptEstablished:
 		w.requests[ev.ID].stands = true
-	case Outcome:
+	case AttemptEnded:
 		r := w.requests[ev.ID]
 		r.out = false
 		if r.stands || r.answered {
@@ -272,7 +272,7 @@
 			ev.Final = true
 			return ev, true
 		}
-		if ev.Result.Ran() {
+		if ev.Result.MayHaveRun() {
 			if len(r.ran) == 0 {
 				r.ranAt = r.sentAt
 			}
@@ -290,14 +290,14 @@
 func (w *world) sendAway(server string) {
 	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 		if r := w.requests[id]; r.stands && !r.answered && r.onServer == server {
-			w.after(w.millis(1, 500), Outcome{ID: id, Attempt: r.attempts - 1, Server: server, Result: Canceled})
+			w.after(w.millis(1, 500), AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: server, Result: ResultCanceled})
 		}
 	}
 }
 
 func (w *world) pending() bool {
 	for _, d := range w.q {
-		if _, ok := d.ev.(Wake); !ok {
+		if _, ok := d.ev.(TimerFired); !ok {
 			return true
 		}
 	}
@@ -321,13 +321,13 @@
 func (w *world) act(a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		w.after(a.After, Wake{a.Token})
+		w.after(a.After, TimerFired{a.Token})
 	case Send:
 		w.send(a)
-	case Refuse:
+	case Reject:
 		r := w.requests[a.ID]
 		k := r.class
-		if len(r.ran) > 0 && k.Effect != Safe && (k.Effect != Keyed || k.Scope != ScopeAll) {
+		if len(r.ran) > 0 && k.Idempotency != Idempotent && (k.Idempotency != IdempotentByKey || k.KeyScope != KeyScopeAll) {
 			w.fault("%s (%s) refused though it may have run", a.ID, k.Name)
 		}
 		if a.RetryAfter > w.cfg.MaxRetryAfter {
@@ -336,13 +336,13 @@
 		w.final(a.ID)
 	case Fail:
 		w.final(a.ID)
-	case Move:
+	case Migrate:
 		if r := w.requests[a.ID]; !r.stands || r.answered {
 			w.fault("%s moved though it does not stand", a.ID)
 		}
-		w.after(0, Outcome{ID: a.ID, Attempt: w.requests[a.ID].attempts - 1, Server: w.requests[a.ID].onServer, Result: Canceled})
+		w.after(0, AttemptEnded{ID: a.ID, Attempt: w.requests[a.ID].attempts - 1, Server: w.requests[a.ID].onServer, Result: ResultCanceled})
 	case Probe:
-		if !w.cfg.Probes {
+		if !w.cfg.ProbesEnabled {
 			w.fault("probe where none is allowed")
 		}
 		if w.rng.IntN(6) == 0 {
@@ -392,30 +392,30 @@
 	r.attempts++
 	r.out, r.onServer, r.sentAt = true, a.Server, w.now
 	end := r.deadline
-	if a.Until > 0 {
-		end = min(end, a.Until)
+	if a.TimeoutAt > 0 {
+		end = min(end, a.TimeoutAt)
 	}
 	wait := w.millis(1, 1500)
 	if attempt := r.attempts - 1; w.now+wait >= end {
-		w.after(end-w.now, Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Result: TimedOut})
+		w.after(end-w.now, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultTimedOut})
 	} else if w.rng.IntN(2) == 0 {
-		w.after(wait, Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Result(1 + w.rng.IntN(7))})
+		w.after(wait, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Result(1 + w.rng.IntN(7))})
 	} else {
-		w.after(wait, Established{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: wait})
-		w.after(wait+w.millis(10, int(w.life.Milliseconds())), Outcome{ID: a.ID, Attempt: attempt, Server: a.Server})
+		w.after(wait, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: wait})
+		w.after(wait+w.millis(10, int(w.life.Milliseconds())), AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server})
 	}
 }
 
 func (w *world) mayRepeat(r *ledger, s Server) bool {
 	k := r.class
-	if k.Effect == Keyed && w.now-r.ranAt > k.KeyTTL || k.Effect == Unsafe {
+	if k.Idempotency == IdempotentByKey && w.now-r.ranAt > k.KeyTTL || k.Idempotency == NotIdempotent {
 		return false
 	}
 	first := w.state[r.ran[0]]
 	switch {
-	case k.Effect == Safe || k.Scope == ScopeAll:
+	case k.Idempotency == Idempotent || k.KeyScope == KeyScopeAll:
 		return true
-	case k.Scope == ScopeZone:
+	case k.KeyScope == KeyScopeZone:
 		return s.Zone == first.Zone
 	}
 	return s.Cell == first.Cell
@@ -424,13 +424,13 @@
 // cold checks the budget of a server that just started: a server that no report has told of holds at
 // most 1000 connections here, the figure the balancer falls back to.
 func (w *world) cold(s Server) {
-	if s.Started == 0 || w.now-s.Started > w.cfg.ColdTime {
+	if s.StartedAt == 0 || w.now-s.StartedAt > w.cfg.WarmUpDuration {
 		return
 	}
-	capacity := 1 / max(1e-3, w.b.step(w.b.servers[s.ID])) / w.cfg.ColdTime.Seconds()
+	capacity := 1 / max(1e-3, w.b.step(w.b.servers[s.ID])) / w.cfg.WarmUpDuration.Seconds()
 	recent := []coldSend{{w.now, capacity}}
 	for _, c := range w.coldSent[s.ID] {
-		if c.at > w.now-w.cfg.FallTime {
+		if c.at > w.now-w.cfg.OverloadWindow {
 			recent = append(recent, c)
 			capacity = max(capacity, c.capacity) // random reports let it jump
 		}
@@ -438,10 +438,10 @@
 	w.coldSent[s.ID] = recent
 	// The step is of what the server can do now: no further part for its warmth.
 	// A balancer's part and one more, or what all could send like this one without the server's fall.
-	n, all := w.cfg.FallMultiple*capacity*w.cfg.FallTime.Seconds(), float64(w.cfg.Balancers)
+	n, all := w.cfg.OverloadMultiple*capacity*w.cfg.OverloadWindow.Seconds(), float64(w.cfg.Balancers)
 	bound := max(n/all+1, (n+2*math.Sqrt(n)+2)/all)
 	if float64(len(recent)) > bound {
-		w.fault("%d sends to cold %s within %v, at most %.1f are its part", len(recent), s.ID, w.cfg.FallTime, bound)
+		w.fault("%d sends to cold %s within %v, at most %.1f are its part", len(recent), s.ID, w.cfg.OverloadWindow, bound)
 	}
 }
 
--- a/policy/revised_test.go
+++ b/policy/revised_test.go
@@ -12,19 +12,19 @@
 	at = map[string]int{}
 	for i := range n {
 		now += 10 * time.Second
-		q := Request{ID: fmt.Sprint(class, now, i), Key: fmt.Sprint(now), Class: class, Patience: 2 * time.Second}
+		q := Request{ID: fmt.Sprint(class, now, i), Key: fmt.Sprint(now), Class: class, Timeout: 2 * time.Second}
 		out := b.Step(now, q, nil)
 		for k := 0; k < len(out); k++ {
 			switch a := out[k].(type) {
 			case Probe:
-				out = b.Step(now, ProbeResult{Server: a.Server, Result: OK, Report: &Report{Load: x, Busy: -1, InFlight: 40}}, out)
+				out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: &LoadReport{Load: x, Utilization: -1, InFlight: 40}}, out)
 			case Send:
 				at[a.Server]++
-			case Refuse:
+			case Reject:
 				refused++
 			}
 		}
-		b.Step(now, ClientGone{ID: q.ID}, nil)
+		b.Step(now, ClientDisconnected{ID: q.ID}, nil)
 	}
 	return at, refused
 }
@@ -54,27 +54,27 @@
 // refused at once, and with one again they are placed.
 func TestNothingIsPlacedWithoutAPermit(t *testing.T) {
 	b, now := listed(t, 4, nil)
-	b.Step(now, Between, nil)
-	q := Request{ID: "q", Key: "k", Class: "safe", Patience: 2 * time.Second}
+	b.Step(now, LeaseSuspended, nil)
+	q := Request{ID: "q", Key: "k", Class: "safe", Timeout: 2 * time.Second}
 	out := b.Step(now, q, nil)
-	out = b.Step(now+50*time.Millisecond, Wake{"tick"}, out)
+	out = b.Step(now+50*time.Millisecond, TimerFired{"tick"}, out)
 	for _, a := range out {
 		switch a.(type) {
-		case Send, Refuse, Fail:
+		case Send, Reject, Fail:
 			t.Fatalf("between two revisions: %#v", a)
 		}
 	}
-	out = b.Step(now+60*time.Millisecond, Barred, nil)
+	out = b.Step(now+60*time.Millisecond, LeaseExpired, nil)
 	refused := 0
-	for _, a := range b.Step(now+80*time.Millisecond, Wake{"tick"}, out) {
-		if r, ok := a.(Refuse); ok && r.ID == "q" {
+	for _, a := range b.Step(now+80*time.Millisecond, TimerFired{"tick"}, out) {
+		if r, ok := a.(Reject); ok && r.ID == "q" {
 			refused++
 		}
 	}
 	if refused != 1 {
 		t.Errorf("refused %d times", refused)
 	}
-	b.Step(now+time.Second, May, nil)
+	b.Step(now+time.Second, LeaseActive, nil)
 	if at, _ := asks(b, now+time.Second, 20, "safe", 0.2); len(at) == 0 {
 		t.Error("nobody was placed with a permit")
 	}
@@ -83,14 +83,14 @@
 // Guards: where room is scarce the class of the last order gives way first, and a full link lets only the first orders through.
 func TestOrdersOfClasses(t *testing.T) {
 	b, now := listed(t, 4, func(c *Config) {
-		c.Classes = []Class{{Name: "first", Aim: time.Second, Order: 1}, {Name: "last", Aim: time.Second, Order: 3}}
+		c.Classes = []Class{{Name: "first", LatencyObjective: time.Second, PriorityRank: 1}, {Name: "last", LatencyObjective: time.Second, PriorityRank: 3}}
 	})
 	first, _ := asks(b, now, 100, "first", 0.72)
 	last, _ := asks(b, now+2000*time.Second, 100, "last", 0.72)
 	if len(first) == 0 || len(last) > 0 {
 		t.Errorf("at 0.72 of their load, sent of the first class: %v, of the last: %v", first, last)
 	}
-	b.Step(now+4000*time.Second, FullLinks{Zones: map[string]int{"a": 1}}, nil)
+	b.Step(now+4000*time.Second, SaturatedLinks{Zones: map[string]int{"a": 1}}, nil)
 	first, _ = asks(b, now+4000*time.Second, 50, "first", 0.2)
 	last, _ = asks(b, now+6000*time.Second, 50, "last", 0.2)
 	if len(first) == 0 || len(last) > 0 {
@@ -104,24 +104,24 @@
 		b, now := listed(t, 8, change)
 		for i := range 200 {
 			now += 100 * time.Millisecond
-			q := Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "safe", Patience: 2 * time.Second}
+			q := Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "safe", Timeout: 2 * time.Second}
 			out := b.Step(now, q, nil)
 			for k := 0; k < len(out); k++ {
 				switch a := out[k].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Result: OK, Report: &Report{Load: 0.2, Busy: -1, InFlight: 40}}, out)
+					out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: &LoadReport{Load: 0.2, Utilization: -1, InFlight: 40}}, out)
 				case Send:
 					n++
 					r := b.requests[a.ID]
-					out = b.Step(now, Outcome{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Result: Full}, out)
+					out = b.Step(now, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Result: ResultRejected}, out)
 				}
 			}
 		}
 		return n
 	}
 	free := tries(nil)
-	budget := tries(func(c *Config) { c.Retries = 0.1 })
-	own := tries(func(c *Config) { c.Classes[0].Attempts = 1 })
+	budget := tries(func(c *Config) { c.RetryRatio = 0.1 })
+	own := tries(func(c *Config) { c.Classes[0].MaxAttempts = 1 })
 	if free < 300 || budget > 200+int(retriesAtOnce)+21 || own != 200 {
 		t.Errorf("attempts: %d without a budget, %d with a tenth, %d with one a request", free, budget, own)
 	}
@@ -132,15 +132,15 @@
 	for _, moves := range []float64{0, 5} {
 		b, now := listed(t, 4, nil)
 		for i := range 60 {
-			b.Step(now, Adopted{Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "safe"}, "s1"}, nil)
+			b.Step(now, AdoptedConnection{Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "safe"}, "s1"}, nil)
 		}
 		c := b.cfg
-		c.Weights, c.Moves = map[string]float64{"s1": 0}, moves
-		b.Step(now, Settings{c}, nil)
+		c.Weights, c.MigrationsPerSecond = map[string]float64{"s1": 0}, moves
+		b.Step(now, ConfigUpdate{c}, nil)
 		n := 0
 		for i := range 200 { // 4 s
-			for _, a := range b.Step(now+time.Duration(i+1)*20*time.Millisecond, Wake{"tick"}, nil) {
-				if _, ok := a.(Move); ok {
+			for _, a := range b.Step(now+time.Duration(i+1)*20*time.Millisecond, TimerFired{"tick"}, nil) {
+				if _, ok := a.(Migrate); ok {
 					n++
 				}
 			}
--- a/policy/state.go
+++ b/policy/state.go
@@ -96,7 +96,7 @@
 	subscribed             bool
 	slotAt, askAt, askWait time.Duration
 	exploredAt             time.Duration // begin of the last explore slot
-	fleet                  Fleet         // what is known of the other balancers, all 0 for nothing
+	fleet                  FleetState         // what is known of the other balancers, all 0 for nothing
 	candidates             map[string]bool
 	bare                   bool          // no candidate is live and warm: all servers count
 	age                    time.Duration // a reading older than this has likely been renewed
@@ -109,7 +109,7 @@
 	failing                float64       // running share of requests whose first set-up failed
 	demand                 float64       // running rate of choices, a second ...
 	demandAt               time.Duration // ... at this time
-	permit                 Permit
+	permit                 LeaseState
 	full                   map[string]int // by zone, the last order of classes that a full link lets through
 	retries                float64        // further attempts that all requests' budget allows now
 	lastOrder              int            // of the classes' orders
@@ -117,9 +117,9 @@
 
 func (b *Balancer) accept(q Request, k *Class) *request {
 	r := &request{Request: q, class: k, tenant: b.tenants[q.Tenant], since: b.now,
-		deadline: b.now + q.Patience, ranAt: -1}
+		deadline: b.now + q.Timeout, ranAt: -1}
 	b.requests[q.ID] = r
-	b.retries = min(retriesAtOnce, b.retries+b.cfg.Retries)
+	b.retries = min(retriesAtOnce, b.retries+b.cfg.RetryRatio)
 	return r
 }
 
@@ -212,7 +212,7 @@
 	return (float64((x^x>>31)>>11) + 0.5) / (1 << 53)
 }
 
-func (b *Balancer) adopt(a Adopted) {
+func (b *Balancer) adopt(a AdoptedConnection) {
 	k, s := b.classes[a.Class], b.servers[a.Server]
 	if k == nil || s == nil || b.requests[a.ID] != nil {
 		return
@@ -223,7 +223,7 @@
 }
 
 // expect notes where the connection of a key stands, as the process that held it before has told.
-func (b *Balancer) expect(e Stands) {
+func (b *Balancer) expect(e PredecessorFlow) {
 	if s := b.servers[e.Server]; s != nil {
 		b.plans[e.Key] = plan{target: s, until: b.now + planFor}
 	}
@@ -244,8 +244,8 @@
 			b.back = append(b.back, s)
 		}
 		s.Server = e
-		if e.Started > s.coldSince && b.now-e.Started < b.cfg.ColdTime {
-			b.chill(s, e.Started)
+		if e.StartedAt > s.coldSince && b.now-e.StartedAt < b.cfg.WarmUpDuration {
+			b.chill(s, e.StartedAt)
 		}
 	}
 	for _, s := range b.order {
@@ -265,11 +265,11 @@
 // note takes what is only remembered.
 func (b *Balancer) note(ev Event) {
 	switch ev := ev.(type) {
-	case Adopted:
+	case AdoptedConnection:
 		b.adopt(ev)
-	case Stands:
+	case PredecessorFlow:
 		b.expect(ev)
-	case Candidates:
+	case CandidateSubset:
 		b.candidates = nil
 		if len(ev.Servers) > 0 {
 			b.candidates = map[string]bool{}
@@ -278,23 +278,23 @@
 			b.candidates[id] = true
 		}
 		b.mark()
-	case Fleet:
-		if b.fleet = ev; ev.Clock > b.t {
-			b.t = ev.Clock
+	case FleetState:
+		if b.fleet = ev; ev.ExplorationSlots > b.t {
+			b.t = ev.ExplorationSlots
 		}
 		if left := b.slotAt - b.now; left > 0 { // never into the past, nor further off than a slot is long
-			b.slotAt = b.now + min(max(left+ev.Nudge, b.tick), max(left, b.slotLength()))
+			b.slotAt = b.now + min(max(left+ev.SlotShift, b.tick), max(left, b.slotLength()))
 		}
 		b.mark()
-	case Permit:
+	case LeaseState:
 		b.permit = ev
-	case FullLinks:
+	case SaturatedLinks:
 		b.full = ev.Zones
-	case ClientGone:
+	case ClientDisconnected:
 		if r := b.requests[ev.ID]; r != nil && !ev.HalfClosed {
 			b.forget(r)
 		} else if r != nil && !r.open {
-			r.deadline = min(r.deadline, b.now+LeaveGrace)
+			r.deadline = min(r.deadline, b.now+DisconnectGrace)
 		}
 	}
 }
@@ -315,7 +315,7 @@
 	b.bare = true
 	for _, s := range b.order {
 		s.beyond = b.candidates != nil && !b.candidates[s.ID]
-		s.duty, s.share = slices.Contains(b.fleet.Duty, s.ID), b.shareOf(s)
+		s.duty, s.share = slices.Contains(b.fleet.AssignedServers, s.ID), b.shareOf(s)
 		b.bare = b.bare && (s.beyond || s.State != Live || b.ramp(s) < 1)
 	}
 }
@@ -336,10 +336,10 @@
 
 // sharers is by how many a sum is divided that all balancers' sends must keep to.
 func (b *Balancer) sharers() float64 {
-	if b.fleet.Sharers < 0 {
+	if b.fleet.BudgetSharers < 0 {
 		return math.Inf(1)
 	}
-	return float64(cmp.Or(b.fleet.Sharers, b.cfg.Balancers) * (1 + b.cfg.Beside))
+	return float64(cmp.Or(b.fleet.BudgetSharers, b.cfg.Balancers) * (1 + b.cfg.OverlappingProcesses))
 }
 
 // odds is the part of the time in which this balancer's budget allows a send to s, 1 where it needs none.
@@ -355,7 +355,7 @@
 	if b.fleet.Demand > 0 {
 		return max(b.demand, b.fleet.Demand)
 	}
-	return b.demand * float64(b.cfg.Balancers*(1+b.cfg.Beside))
+	return b.demand * float64(b.cfg.Balancers*(1+b.cfg.OverlappingProcesses))
 }
 
 // toldAfter is when news count as told though they did not arrive, from the moment in which discovery fell silent.
@@ -363,12 +363,12 @@
 
 // firstWait is half of the longest wait before the first call that follows a broken watch: however long the settings let
 // a balancer go without asking, two calls have to be possible before what a silent watch missed counts as told.
-func (b *Balancer) firstWait() time.Duration { return min(b.cfg.AskWithin, toldAfter) / 20 }
+func (b *Balancer) firstWait() time.Duration { return min(b.cfg.PollInterval, toldAfter) / 20 }
 
 // inTurn is this balancer's place in a time in which all do something once: its turn, or drawn where it has none.
 func (b *Balancer) inTurn(d time.Duration) time.Duration {
-	if b.fleet.Turn > 0 {
-		return time.Duration(b.fleet.Turn * float64(d))
+	if b.fleet.StaggerOffset > 0 {
+		return time.Duration(b.fleet.StaggerOffset * float64(d))
 	}
 	return b.jitter(d)
 }
@@ -392,19 +392,19 @@
 	case r.on.known && r.on.x > overX:
 		why = "over"
 	}
-	b.do(Move{r.ID, why})
+	b.do(Migrate{r.ID, why})
 }
 
 // why names what kept r from being placed, for those who count.
 func (b *Balancer) why(r *request) string {
 	switch k := r.class; {
-	case b.permit != May:
+	case b.permit != LeaseActive:
 		return "permit"
-	case r.ranAt >= 0 && k.Effect == Unsafe:
+	case r.ranAt >= 0 && k.Idempotency == NotIdempotent:
 		return "ran"
-	case r.attempts >= k.Attempts:
+	case r.attempts >= k.MaxAttempts:
 		return "attempts"
-	case b.cfg.Retries > 0 && b.retries < 1 && r.attempts > 0:
+	case b.cfg.RetryRatio > 0 && b.retries < 1 && r.attempts > 0:
 		return "retries"
 	case !b.mayStart():
 		return "window"
@@ -417,7 +417,7 @@
 			continue
 		}
 		room := (fullX - b.counts(s, r)) / max(b.step(s)*b.weight(r.Class), 1e-6)
-		for i, is := range []bool{b.outside(s), s == r.avoid, b.now < s.heldOff, b.lagging(s, r.class.MessageAim),
+		for i, is := range []bool{b.outside(s), s == r.avoid, b.now < s.heldOff, b.lagging(s, r.class.MessageLatencyObjective),
 			room < 1, room < 1+s.doubt, b.ramp(s) < 1 && b.budget(s) < 1, true} {
 			if is {
 				if i > most {
@@ -441,12 +441,12 @@
 
 // loadOf is the X of a report, from the best figure that it has. How many connections a server can hold nobody
 // tells: where reports hold nothing else, twice the mean of all counts as full, by registered size.
-func (b *Balancer) loadOf(p Report, weight float64) float64 {
+func (b *Balancer) loadOf(p LoadReport, weight float64) float64 {
 	switch held := max(0, p.InFlight) / max(weight, 1e-6); {
 	case p.Load >= 0:
 		return p.Load
-	case p.Busy >= 0:
-		return p.Busy
+	case p.Utilization >= 0:
+		return p.Utilization
 	default:
 		b.meanHeld += 0.05 * (held - cmp.Or(b.meanHeld, held))
 		b.meanHeld = cmp.Or(b.meanHeld, held)
@@ -463,16 +463,16 @@
 // index finds classes and tenants by name, and the tightest of the message aims. What was placed under
 // earlier settings keeps its class, and counts for its tenant.
 func (b *Balancer) index() {
-	b.cfg.Classes, b.window = slices.Clone(b.cfg.Classes), min(b.window, float64(b.cfg.Setups))
+	b.cfg.Classes, b.window = slices.Clone(b.cfg.Classes), min(b.window, float64(b.cfg.MaxPendingAttempts))
 	b.classes, b.messageAim, b.lastOrder = map[string]*Class{}, 0, 0
 	old := b.tenants
 	b.tenants = map[string]*tenant{}
 	for i := range b.cfg.Classes {
 		k := &b.cfg.Classes[i]
-		k.Attempts = min(cmp.Or(k.Attempts, b.cfg.MaxAttempts), b.cfg.MaxAttempts)
-		b.classes[k.Name], b.lastOrder = k, max(b.lastOrder, k.Order)
-		if b.messageAim == 0 || k.MessageAim > 0 && k.MessageAim < b.messageAim {
-			b.messageAim = k.MessageAim
+		k.MaxAttempts = min(cmp.Or(k.MaxAttempts, b.cfg.MaxAttempts), b.cfg.MaxAttempts)
+		b.classes[k.Name], b.lastOrder = k, max(b.lastOrder, k.PriorityRank)
+		if b.messageAim == 0 || k.MessageLatencyObjective > 0 && k.MessageLatencyObjective < b.messageAim {
+			b.messageAim = k.MessageLatencyObjective
 		}
 	}
 	for _, t := range b.cfg.Tenants {
@@ -484,9 +484,9 @@
 	b.mark()
 }
 
-// Readings tells of each server that this balancer read itself or found silent: X, when it was read, probes without an answer
+// LoadReadings tells of each server that this balancer read itself or found silent: X, when it was read, probes without an answer
 // in a row. What others told is not told on.
-func (b *Balancer) Readings(of func(id string, x float64, at time.Duration, fails int)) {
+func (b *Balancer) LoadReadings(of func(id string, x float64, at time.Duration, fails int)) {
 	for _, s := range b.order {
 		if s.ownAt > 0 || s.fails > 0 {
 			of(s.ID, s.own, s.ownAt, s.fails)
@@ -494,11 +494,11 @@
 	}
 }
 
-// Slots tells how long ago the last explore slot began, how long it is from one to the next, and how many choices a
+// ExplorationSchedule tells how long ago the last explore slot began, how long it is from one to the next, and how many choices a
 // second this balancer makes.
-func (b *Balancer) Slots() (since, period time.Duration, demand float64) {
+func (b *Balancer) ExplorationSchedule() (since, period time.Duration, demand float64) {
 	return b.now - b.exploredAt, 2 * b.slotLength(), b.demand * math.Exp(-(b.now - b.demandAt).Seconds())
 }
 
-// Clock is the number of explore slots so far.
-func (b *Balancer) Clock() int { return b.t }
+// ExplorationSlots is the number of explore slots so far.
+func (b *Balancer) ExplorationSlots() int { return b.t }
