--- a/policy/cold_fleet_test.go
+++ b/policy/cold_fleet_test.go
@@ -140,7 +140,7 @@
 		}
 	case p.reloads && each(time.Second):
 		for i := range p.all {
-			p.feed(i, ConfigUpdate{p.all[i].cfg})
+			p.feed(i, ConfigUpdate{p.all[i].config})
 		}
 	case p.repeats && each(time.Second):
 		p.list(p.listed)
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -74,7 +74,7 @@
 	}
 	run(3 * time.Second)
 	// In three seconds the budget is 0.6 of 4 times what it can do, over its cold time, of which it can do a third to a half.
-	budget := usualColdPart * c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2) * 3 / 8.6
+	budget := defaultWarmUpBudgetShare * c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2) * 3 / 8.6
 	t.Logf("%.0f sent of a budget of %.0f", sent, budget)
 	if sent < 0.4*budget || sent > 1.1*budget {
 		t.Errorf("%.0f sent of a budget of %.0f", sent, budget)
@@ -146,7 +146,7 @@
 	var all []*Balancer
 	for i := range c.Balancers {
 		b, _ := New(c, int64(i))
-		b.meanStep = 1.0 / fill
+		b.meansStep = 1.0 / fill
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		all = append(all, b)
 	}
@@ -177,7 +177,7 @@
 	}
 	rate := c.OverloadMultiple * fill * c.WarmUpInitialCapacity / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds() // when it starts
 	t.Logf("%d sent, at most %d in %v; the rate alone is %.1f at the start", len(sent), most, c.OverloadWindow, rate)
-	if float64(most) > rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity+fallSlack || len(sent) < 26 {
+	if float64(most) > rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity+overloadSlack || len(sent) < 26 {
 		t.Errorf("%d sent, at most %d in %v", len(sent), most, c.OverloadWindow)
 	}
 }
@@ -272,8 +272,8 @@
 		list[0].StartedAt = time.Hour
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		b.Step(time.Hour, fleet, nil)
-		b.meanStep = 1 / fill
-		b.cfg.WarmUpInitialCapacity = 0.999999 // a part of 1 is warm
+		b.meansStep = 1 / fill
+		b.config.WarmUpInitialCapacity = 0.999999 // a part of 1 is warm
 		sent := []time.Duration{}
 		for at := time.Duration(0); at < 20*time.Second; at += 20 * ms {
 			for id := fmt.Sprint(at, " "); ; id += "+" {
@@ -311,7 +311,7 @@
 // part of the budget N that is used and the 2 x root of N + 2 that the bound leaves beside it.
 func keepsToSlack(m int, sum, part float64) bool {
 	rate := float64(m) * math.Floor(1.25*part/float64(m)+1)
-	return sum <= rate || sum+0.75*math.Sqrt(sum)+1 <= part+2*math.Sqrt(part/usualColdPart)+2
+	return sum <= rate || sum+0.75*math.Sqrt(sum)+1 <= part+2*math.Sqrt(part/defaultWarmUpBudgetShare)+2
 }
 
 // Where the slack of the bound is handed out in whole sends, all that may be sent in one window keeps to it.
@@ -321,7 +321,7 @@
 		for _, n := range []float64{0.3, 1, 2, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = m
-			sum, part := float64(m*mostInAWindow(t, c, FleetState{}, n)), usualColdPart*n
+			sum, part := float64(m*mostInAWindow(t, c, FleetState{}, n)), defaultWarmUpBudgetShare*n
 			if !keepsToSlack(m, sum, part) {
 				t.Errorf("%d balancers, budget %.1f: %.0f sends in a window", m, n, sum)
 			}
@@ -341,7 +341,7 @@
 		for _, n := range []float64{0.3, 1, 2, 3.5, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = 4
-			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetSharers: sharers}, n)), usualColdPart*n
+			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetSharers: sharers}, n)), defaultWarmUpBudgetShare*n
 			if !keepsToSlack(sharers, sum, part) {
 				t.Errorf("%d of 4 share, budget %.1f: %.0f sends in a window", sharers, n, sum)
 			}
@@ -364,7 +364,7 @@
 				list := servers(1)
 				list[0].StartedAt = time.Hour + ahead
 				b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
-				b.meanStep = meanStep
+				b.meansStep = meanStep
 				sent := map[bool]int{} // by whether it had started
 				held := 0.0
 				for at := time.Duration(0); at < ahead+9*time.Second; at += 20 * ms {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -77,7 +77,7 @@
 			f.refused++
 			f.again = append(f.again, Request{ID: a.ID + "+", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
 		case Migrate:
-			f.held[b.requests[a.ID].on.ID]--
+			f.held[b.requests[a.ID].server.ID]--
 			f.again = append(f.again, Request{ID: a.ID + "-", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
 		}
 	}
@@ -136,7 +136,7 @@
 			for k := range 3 {
 				f.feed(i, time.Hour, AdoptedConnection{Request: Request{ID: fmt.Sprint(i, "-", k), Key: fmt.Sprint(i, "-", k), Class: "safe"}, Server: "s0"})
 			}
-			f.balancers[i].read(f.balancers[i].servers["s0"], nil)
+			f.balancers[i].ensureReading(f.balancers[i].servers["s0"], nil)
 			f.feed(i, time.Hour, ProbeResult{Server: "s0", Report: &LoadReport{Load: 1.15, Utilization: -1, InFlight: 230, BacklogSeconds: -1}})
 		}
 		f.dead, f.answer = map[string]bool{"s0": true}, answer
--- a/policy/found_test.go
+++ b/policy/found_test.go
@@ -43,8 +43,8 @@
 	if sent > 40 {
 		t.Errorf("%d sends in 200 ms while every set-up fails", sent)
 	}
-	if r.b.window > 4 {
-		t.Errorf("%v set-ups may still be under way", r.b.window)
+	if r.b.setupsLimit > 4 {
+		t.Errorf("%v set-ups may still be under way", r.b.setupsLimit)
 	}
 	if r.b.mayExplore(&request{Request: Request{Key: "k"}, class: r.b.classes["safe"]}) {
 		t.Error("connections would still be broken to explore")
@@ -53,14 +53,14 @@
 
 func TestErrorsAtOneServerLeaveTheOthersAlone(t *testing.T) {
 	r := newRig(t, testConfig(), servers(10)...)
-	window := r.b.window
-	bad := r.b.order[0]
+	window := r.b.setupsLimit
+	bad := r.b.sortedServers[0]
 	for range 20 {
-		r.b.outs++
-		r.b.settled(&request{on: bad}, false, 0)
+		r.b.setupsPending++
+		r.b.setupFinished(&request{server: bad}, false, 0)
 	}
-	if r.b.window < window {
-		t.Errorf("the window fell from %v to %v", window, r.b.window)
+	if r.b.setupsLimit < window {
+		t.Errorf("the window fell from %v to %v", window, r.b.setupsLimit)
 	}
 }
 
@@ -80,12 +80,12 @@
 		for i := range 100 {
 			r.open(fmt.Sprint(i), "s00")
 		}
-		r.b.setup = 5000 // set-ups are slow
+		r.b.setupsMeanMillis = 5000 // set-ups are slow
 		r.loads["s00"] = c.load
 		if c.delay > 0 {
 			r.feed(MessageDelay{ID: "1", Server: "s00", Delay: c.delay})
 		} else {
-			r.b.read(r.b.servers["s00"], nil)
+			r.b.ensureReading(r.b.servers["s00"], nil)
 			r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: c.load, Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
 			if n := len(all[Migrate](r)); n > 0 { // it may be noise, or a wave of set-ups that is over soon
 				t.Errorf("%s: %d left by a single reading", name, n)
@@ -123,14 +123,14 @@
 	}
 	r.run(2 * time.Second)
 	for i := range 4 {
-		s := r.b.order[i]
-		s.fails = 2
+		s := r.b.sortedServers[i]
+		s.probeFailures = 2
 	}
-	for _, s := range r.b.order {
-		r.b.out = nil
-		r.b.escape(s)
-		if len(r.b.out) > 0 {
-			t.Errorf("%d left %s", len(r.b.out), s.ID)
+	for _, s := range r.b.sortedServers {
+		r.b.actions = nil
+		r.b.evacuate(s)
+		if len(r.b.actions) > 0 {
+			t.Errorf("%d left %s", len(r.b.actions), s.ID)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		n := 0
 		for i := range 200 {
 			s := r.b.servers["s00"]
-			s.x, s.step, s.placed, s.known = 0.65, 0.01, 0, true
+			s.readingLoad, s.estimateStep, s.estimatePlaced, s.readingKnown = 0.65, 0.01, 0, true
 			if r.b.admit(s, &request{class: r.b.classes["safe"]}) {
 				n++
 			}
@@ -179,17 +179,17 @@
 func TestOwnPlacementsOutlastAReport(t *testing.T) {
 	r := newRig(t, testConfig(), servers(1)...)
 	s := r.b.servers["s00"]
-	r.b.reading(s, LoadReport{Load: 0.2, InFlight: 10, BacklogSeconds: -1})
-	s.placed = 0.4
+	r.b.takeReport(s, LoadReport{Load: 0.2, InFlight: 10, BacklogSeconds: -1})
+	s.estimatePlaced = 0.4
 	r.b.now += 300 * ms
-	r.b.reading(s, LoadReport{Load: 0.21, InFlight: 10, BacklogSeconds: -1})
-	if s.placed < 0.25 {
-		t.Errorf("%v of 0.4 is left after 300 ms", s.placed)
+	r.b.takeReport(s, LoadReport{Load: 0.21, InFlight: 10, BacklogSeconds: -1})
+	if s.estimatePlaced < 0.25 {
+		t.Errorf("%v of 0.4 is left after 300 ms", s.estimatePlaced)
 	}
 	r.b.now += 20 * time.Second
-	r.b.reading(s, LoadReport{Load: 0.6, InFlight: 10, BacklogSeconds: -1})
-	if s.placed > 0.01 {
-		t.Errorf("%v of 0.4 is left after 20 s", s.placed)
+	r.b.takeReport(s, LoadReport{Load: 0.6, InFlight: 10, BacklogSeconds: -1})
+	if s.estimatePlaced > 0.01 {
+		t.Errorf("%v of 0.4 is left after 20 s", s.estimatePlaced)
 	}
 }
 
@@ -224,7 +224,7 @@
 	list[1].StartedAt = time.Hour
 	r := newRig(t, c, list...)
 	r.loads["s00"], r.rif["s00"] = 0.6, 30 // 50 connections fill a server
-	r.b.reading(r.b.servers["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
+	r.b.takeReport(r.b.servers["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
 	sent := 0
 	for i := range 300 {
 		id := fmt.Sprint(i)
@@ -316,15 +316,15 @@
 		r := newRig(t, testConfig(), servers(4)...)
 		s := r.b.servers["s00"]
 		for range overloads {
-			r.b.reading(s, LoadReport{Load: 3, InFlight: -1, BacklogSeconds: -1})
-			r.b.escape(s)
-			r.b.now += r.b.settle()
+			r.b.takeReport(s, LoadReport{Load: 3, InFlight: -1, BacklogSeconds: -1})
+			r.b.evacuate(s)
+			r.b.now += r.b.settleTime()
 		}
-		r.b.reading(s, LoadReport{Load: 0.2, InFlight: -1, BacklogSeconds: -1})
+		r.b.takeReport(s, LoadReport{Load: 0.2, InFlight: -1, BacklogSeconds: -1})
 		n := 0
 		for range 400 {
 			r.b.now += 5 * ms
-			s.step, s.placed = 0.05, 0
+			s.estimateStep, s.estimatePlaced = 0.05, 0
 			if r.b.admit(s, &request{class: r.b.classes["safe"]}) {
 				n++
 			}
@@ -342,8 +342,8 @@
 	two.b.rng.Uint64() // another balancer has another random source
 	found := 0
 	for i := range 100 {
-		for _, s := range one.b.order {
-			one.loads[s.ID] = 0.3 + float64((i*7+int(s.hash%13))%13)/100 // equal within noise
+		for _, s := range one.b.sortedServers {
+			one.loads[s.ID] = 0.3 + float64((i*7+int(s.idHash%13))%13)/100 // equal within noise
 		}
 		id := fmt.Sprint(i)
 		holder := one.connect(id)
@@ -366,7 +366,7 @@
 	r.open("x", "s00")
 	r.mute["s00"] = ResultTimedOut
 	r.log = nil
-	r.b.read(r.b.servers["s00"], nil)
+	r.b.ensureReading(r.b.servers["s00"], nil)
 	r.feed(ProbeResult{Server: "s00", Result: ResultTimedOut})
 	if n := len(all[Migrate](r)); n != 1 {
 		t.Errorf("%d of 1 left after a probe and a second look", n)
@@ -402,15 +402,15 @@
 	cfg.Tenants, cfg.MaxAttempts = []Tenant{{Name: "a", ConnectionQuota: 20}}, 1
 	cfg.Classes = cfg.Classes[:1]
 	r.feed(ConfigUpdate{cfg})
-	if a := r.b.tenants["a"]; a.open != 1 || a.ConnectionQuota != 20 || r.b.cfg.MaxAttempts != 1 || len(r.b.classes) != 1 {
-		t.Errorf("%+v, %d attempts, %d classes", a, r.b.cfg.MaxAttempts, len(r.b.classes))
+	if a := r.b.tenants["a"]; a.openConnections != 1 || a.ConnectionQuota != 20 || r.b.config.MaxAttempts != 1 || len(r.b.classes) != 1 {
+		t.Errorf("%+v, %d attempts, %d classes", a, r.b.config.MaxAttempts, len(r.b.classes))
 	}
 	r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
-	if a := r.b.tenants["a"]; a.open != 0 {
-		t.Errorf("%d open", a.open)
+	if a := r.b.tenants["a"]; a.openConnections != 0 {
+		t.Errorf("%d open", a.openConnections)
 	}
 	cfg.Balancers = 0
-	if r.feed(ConfigUpdate{cfg}); r.b.cfg.Balancers == 0 {
+	if r.feed(ConfigUpdate{cfg}); r.b.config.Balancers == 0 {
 		t.Error("settings that can't work were taken")
 	}
 }
@@ -429,13 +429,13 @@
 		t.Errorf("%v in place of a send to the region that has room again", r.log)
 	}
 	s := r.b.servers["s00"] // and what was placed before counts twice no longer than it takes to show
-	s.placed = 0.4
+	s.estimatePlaced = 0.4
 	for range 8 {
 		r.run(200 * ms)
 		r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: 0.5, InFlight: -1}})
 	}
-	if s.placed > 0.1 {
-		t.Errorf("%v still counts beside what is reported", s.placed)
+	if s.estimatePlaced > 0.1 {
+		t.Errorf("%v still counts beside what is reported", s.estimatePlaced)
 	}
 }
 
@@ -527,7 +527,7 @@
 	for i := range 40 {
 		id := fmt.Sprint(i)
 		r.request(id, "safe")
-		for try := 0; r.b.requests[id] != nil && !r.b.requests[id].open && try < 9; try++ {
+		for try := 0; r.b.requests[id] != nil && !r.b.requests[id].established && try < 9; try++ {
 			s, ok := last[Send](r)
 			if !ok || s.ID != id {
 				r.run(20 * ms)
@@ -540,8 +540,8 @@
 				r.feed(AttemptEstablished{ID: id, Attempt: attempt, Server: s.Server})
 			}
 		}
-		if r.b.window < 8 || r.b.pauseTill > r.now {
-			t.Fatalf("after %d requests the window is %v", i+1, r.b.window)
+		if r.b.setupsLimit < 8 || r.b.setupsPausedUntil > r.now {
+			t.Fatalf("after %d requests the window is %v", i+1, r.b.setupsLimit)
 		}
 	}
 }
@@ -557,12 +557,12 @@
 		b, _ := New(c, seed)
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		s := b.servers["s00"]
-		s.step = 0.02 // 50 connections fill it
+		s.estimateStep = 0.02 // 50 connections fill it
 		for at := range 30 {
 			b.now = time.Hour + time.Duration(at)*100*ms
-			b.budget(s)
+			b.warmUpBudget(s)
 		}
-		if b.budget(s) >= 1 {
+		if b.warmUpBudget(s) >= 1 {
 			ready++
 		}
 	}
@@ -586,8 +586,8 @@
 		found := 0
 		for i := range 200 {
 			key := fmt.Sprint("key", i)
-			first := r.b.draw(&request{Request: Request{Key: key}, class: r.b.classes["safe"]})
-			mid := r.b.draw(&request{Request: Request{Key: key, MidFlow: true}, class: r.b.classes["safe"]})
+			first := r.b.sample(&request{Request: Request{Key: key}, class: r.b.classes["safe"]})
+			mid := r.b.sample(&request{Request: Request{Key: key, MidFlow: true}, class: r.b.classes["safe"]})
 			if first[0] == mid[0] {
 				found++
 			}
@@ -608,15 +608,15 @@
 	r := newRig(t, c, list...)
 	for _, id := range []string{"s00", "s01"} {
 		for range 20 {
-			r.b.reading(r.b.servers[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
+			r.b.takeReport(r.b.servers[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
 		}
 	}
 	cold := r.b.servers["s02"]
-	if got, want := r.b.step(cold), 0.005/r.b.ramp(cold); math.Abs(got/want-1) > 0.1 {
+	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); math.Abs(got/want-1) > 0.1 {
 		t.Errorf("one connection adds %.4f to a cold server, by the others' reports it is %.4f", got, want)
 	}
-	r.b.reading(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three large ones
-	if got, want := r.b.step(cold), 0.005/r.b.ramp(cold); got > 1.4*want {
+	r.b.takeReport(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three large ones
+	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); got > 1.4*want {
 		t.Errorf("three connections made it %.4f", got)
 	}
 }
@@ -626,22 +626,22 @@
 func TestServersNearFullAreWatched(t *testing.T) {
 	for _, others := range []float64{0.5, 0.85} {
 		r := newRig(t, testConfig(), servers(4)...)
-		for i, s := range r.b.order {
+		for i, s := range r.b.sortedServers {
 			r.loads[s.ID], r.rif[s.ID] = others, 100
 			r.open(fmt.Sprint("c", i), s.ID)
-			r.b.reading(s, LoadReport{Load: others, Utilization: -1, InFlight: 100, BacklogSeconds: -1})
+			r.b.takeReport(s, LoadReport{Load: others, Utilization: -1, InFlight: 100, BacklogSeconds: -1})
 		}
 		for i := range 60 {
 			r.open(fmt.Sprint(i), "s00")
 		}
-		r.b.reading(r.b.servers["s00"], LoadReport{Load: 0.85, Utilization: -1, InFlight: 160, BacklogSeconds: -1})
-		r.b.slotAt = r.now + time.Hour // nothing but the watch reads
+		r.b.takeReport(r.b.servers["s00"], LoadReport{Load: 0.85, Utilization: -1, InFlight: 160, BacklogSeconds: -1})
+		r.b.explorationNextSlotAt = r.now + time.Hour // nothing but the watch reads
 		r.loads["s00"] = 0.97
 		r.run(5 * time.Second)
 		n := len(all[Migrate](r))
-		if others < fullX && (n < 3 || n > 25) {
+		if others < newcomerLoadLimit && (n < 3 || n > 25) {
 			t.Errorf("%d of 61 left where others have room", n)
-		} else if others > fullX && n > 0 {
+		} else if others > newcomerLoadLimit && n > 0 {
 			t.Errorf("%d were sent away where nobody has room", n)
 		}
 	}
@@ -654,7 +654,7 @@
 		c := testConfig()
 		c.Balancers = 80
 		r := newRig(t, c, servers(3)...)
-		for _, s := range r.b.order {
+		for _, s := range r.b.sortedServers {
 			r.loads[s.ID], r.rif[s.ID] = x, 250*x
 		}
 		n := 0
@@ -668,8 +668,8 @@
 			} else {
 				r.feed(ClientDisconnected{ID: id})
 			}
-			for _, s := range r.b.order {
-				s.placed = 0 // the others' placements are no more known than one's own here
+			for _, s := range r.b.sortedServers {
+				s.estimatePlaced = 0 // the others' placements are no more known than one's own here
 			}
 			r.run(50 * ms)
 		}
@@ -719,12 +719,12 @@
 	one, other := newRig(t, testConfig(), servers(12)...), newRig(t, testConfig(), servers(12)...)
 	other.b.rng.Uint64() // another random state, as another balancer has
 	for g := range 20 {
-		r := &request{Request: Request{Group: fmt.Sprint("g", g), Key: "k"}, class: one.b.classes["safe"], ranAt: -1}
+		r := &request{Request: Request{Group: fmt.Sprint("g", g), Key: "k"}, class: one.b.classes["safe"], mayHaveRunAt: -1}
 		q := *r
 		q.Key = "another member's"
 		met := map[string]bool{}
 		for draw := range 4 {
-			here, there := one.b.draw(r), other.b.draw(&q)
+			here, there := one.b.sample(r), other.b.sample(&q)
 			for i, s := range here {
 				if s.ID != there[i].ID {
 					t.Fatalf("group %d draws %s here and %s there, draw %d", g, s.ID, there[i].ID, draw)
@@ -758,7 +758,7 @@
 		for i := range 8 {
 			r.feed(ClientDisconnected{ID: fmt.Sprint(i)})
 		}
-		if n := r.b.servers["s00"].groups["g"]; c.sent != "s00" && n != 0 {
+		if n := r.b.servers["s00"].groupConnections["g"]; c.sent != "s00" && n != 0 {
 			t.Errorf("%d of the group left when all are gone", n)
 		}
 	}
@@ -778,18 +778,18 @@
 		r.feed(ConnectionLoad{ID: fmt.Sprint(i)})
 		r.feed(ConnectionLoad{ID: fmt.Sprint(i), Load: -1})
 	}
-	if w, v := r.b.weight("safe"), r.b.weight("keyed"); math.Abs(w-16.0/9) > 0.1 || math.Abs(v-2.0/9) > 0.05 {
+	if w, v := r.b.classWeight("safe"), r.b.classWeight("keyed"); math.Abs(w-16.0/9) > 0.1 || math.Abs(v-2.0/9) > 0.05 {
 		t.Fatalf("weights %v and %v, told were 16/9 and 2/9 of the mean", w, v)
 	}
-	if w := r.b.weight("unsafe"); w != 1 {
+	if w := r.b.classWeight("unsafe"); w != 1 {
 		t.Errorf("a class that told nothing weighs %v", w)
 	}
-	for _, s := range r.b.order { // room for one mean connection and a half
-		s.x, s.known, s.readAt, s.step, r.loads[s.ID] = 0.74, true, r.now, 0.04, 0.74
+	for _, s := range r.b.sortedServers { // room for one mean connection and a half
+		s.readingLoad, s.readingKnown, s.readingAt, s.estimateStep, r.loads[s.ID] = 0.74, true, r.now, 0.04, 0.74
 	}
 	heavy := &request{Request: Request{Class: "safe"}, class: r.b.classes["safe"]}
 	light := &request{Request: Request{Class: "keyed"}, class: r.b.classes["keyed"]}
-	if s := r.b.order[0]; r.b.admit(s, heavy) || !r.b.admit(s, light) {
+	if s := r.b.sortedServers[0]; r.b.admit(s, heavy) || !r.b.admit(s, light) {
 		t.Error("room for 1.5 mean connections: want none for a heavy one, some for a light one")
 	}
 }
@@ -803,8 +803,8 @@
 	for i := range 60 {
 		for id, n := range held {
 			s := r.b.servers[id]
-			s.probing = false
-			r.b.reading(s, LoadReport{Load: -1, Utilization: -1, InFlight: n, BacklogSeconds: -1})
+			s.probePending = false
+			r.b.takeReport(s, LoadReport{Load: -1, Utilization: -1, InFlight: n, BacklogSeconds: -1})
 		}
 		r.request(fmt.Sprint(i), "safe")
 		for _, a := range r.log {
@@ -867,8 +867,8 @@
 		r.feed(ClientDisconnected{ID: fmt.Sprint("o", i)})
 	}
 	r.feed(Request{ID: "y", Key: "y", Class: "safe", Timeout: 2 * time.Second})
-	if s := r.b.servers["s00"]; len(s.groups) > 1 || r.b.groups[""] != 0 {
-		t.Errorf("kept: %v and %v", s.groups, r.b.groups)
+	if s := r.b.servers["s00"]; len(s.groupConnections) > 1 || r.b.groupConnections[""] != 0 {
+		t.Errorf("kept: %v and %v", s.groupConnections, r.b.groupConnections)
 	}
 }
 
@@ -877,9 +877,9 @@
 // when it was well again.
 func TestAHangTellsNothingOfWeights(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
-	for _, s := range r.b.order {
+	for _, s := range r.b.sortedServers {
 		r.loads[s.ID], r.rif[s.ID] = 0.5, 50
-		r.b.reading(s, LoadReport{Load: 0.5, Utilization: -1, InFlight: 50, BacklogSeconds: -1})
+		r.b.takeReport(s, LoadReport{Load: 0.5, Utilization: -1, InFlight: 50, BacklogSeconds: -1})
 	}
 	for i := range 20 {
 		r.open(fmt.Sprint(i), "s00")
@@ -887,12 +887,12 @@
 	s := r.b.servers["s00"]
 	r.loads["s00"], r.rif["s00"] = 9, 3
 	r.run(10 * time.Second)
-	if got := r.b.meanStep; got > 0.015 {
+	if got := r.b.meansStep; got > 0.015 {
 		t.Errorf("the mean connection adds %.3f, it is 0.010", got)
 	}
 	r.loads["s00"], r.rif["s00"] = 0, 0
-	r.b.reading(s, LoadReport{Load: 0, Utilization: -1, InFlight: 0, BacklogSeconds: -1})
-	if q := (&request{class: r.b.classes["safe"]}); (fullX-r.b.counts(s, q))/r.b.step(s)/(1+s.doubt) < 5 {
-		t.Errorf("well again and empty it has room for %.1f: step %.3f, doubt %.1f", (fullX-s.x)/r.b.step(s)/(1+s.doubt), r.b.step(s), s.doubt)
+	r.b.takeReport(s, LoadReport{Load: 0, Utilization: -1, InFlight: 0, BacklogSeconds: -1})
+	if q := (&request{class: r.b.classes["safe"]}); (newcomerLoadLimit-r.b.effectiveLoad(s, q))/r.b.loadStep(s)/(1+s.estimatePenalty) < 5 {
+		t.Errorf("well again and empty it has room for %.1f: step %.3f, doubt %.1f", (newcomerLoadLimit-s.readingLoad)/r.b.loadStep(s)/(1+s.estimatePenalty), r.b.loadStep(s), s.estimatePenalty)
 	}
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -55,15 +55,15 @@
 	if got := ask(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
 		t.Errorf("drawn: %v", got)
 	}
-	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes["safe"], ranAt: -1}
-	r.on = b.servers["s3"]
+	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes["safe"], mayHaveRunAt: -1}
+	r.server = b.servers["s3"]
 	for range 100 {
-		if s := b.other(r); s.ID != "s5" && s.ID != "s9" {
+		if s := b.explorationServer(r); s.ID != "s5" && s.ID != "s9" {
 			t.Fatalf("explores at %s", s.ID)
 		}
 	}
-	if b.looked() != 3 {
-		t.Errorf("the ratio rule counts %d servers", b.looked())
+	if b.subsetSize() != 3 {
+		t.Errorf("the ratio rule counts %d servers", b.subsetSize())
 	}
 	var change []Server
 	for _, id := range []string{"s3", "s5", "s9"} {
@@ -74,8 +74,8 @@
 		t.Errorf("with all candidates draining, drawn: %v", got)
 	}
 	b.Step(now, CandidateSubset{}, nil)
-	if b.looked() != 10 {
-		t.Errorf("with no candidates named, %d of 10 are looked at", b.looked())
+	if b.subsetSize() != 10 {
+		t.Errorf("with no candidates named, %d of 10 are looked at", b.subsetSize())
 	}
 }
 
@@ -104,14 +104,14 @@
 	}
 	b.Step(now, ProbeResult{Server: "s0", Report: &LoadReport{Load: 0.5, Utilization: -1, InFlight: 5, BacklogSeconds: -1}}, nil)
 	b.Step(now, PeerReading{Server: "s0", Load: 0.1, Age: 50 * time.Millisecond}, nil)
-	if x := b.servers["s0"].x; x != 0.5 {
+	if x := b.servers["s0"].readingLoad; x != 0.5 {
 		t.Errorf("an older reading of others took the place of the own one: %v", x)
 	}
 	now += 10 * time.Second
 	if got := probesOf(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
 		t.Errorf("told that s0 is dead, asked %v", got)
 	}
-	if s := b.servers["s0"]; s.fails != 0 || s.heldOff != 0 {
+	if s := b.servers["s0"]; s.probeFailures != 0 || s.probeEjectedUntil != 0 {
 		t.Error("others' word alone ended a server")
 	}
 }
@@ -143,18 +143,18 @@
 			c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = 0.3, 10*time.Second, 4, time.Second
 		})
 		s := b.servers["s0"]
-		b.chill(s, now)
-		s.step, s.tokens = 0.05, 0
+		b.startWarmUp(s, now)
+		s.estimateStep, s.warmUpTokens = 0.05, 0
 		b.Step(now, f, nil)
 		total := 0.0
 		for range 100 {
 			b.now += 20 * time.Millisecond
-			for b.budget(s) >= 1 {
-				s.tokens--
+			for b.warmUpBudget(s) >= 1 {
+				s.warmUpTokens--
 				total++
 			}
 		}
-		return total + max(0, s.tokens)
+		return total + max(0, s.warmUpTokens)
 	}
 	alone, five := sends(FleetState{}), sends(FleetState{BudgetSharers: 5})
 	if none := sends(FleetState{BudgetSharers: -1}); none != 0 {
@@ -178,10 +178,10 @@
 		t.Errorf("the clock went back to %d", b.ExplorationSlots())
 	}
 	for _, nudge := range []time.Duration{-time.Hour, time.Hour} {
-		was := b.slotAt
+		was := b.explorationNextSlotAt
 		b.Step(now, FleetState{SlotShift: nudge}, nil)
-		if b.slotAt <= now || b.slotAt > max(was, now+b.slotLength()) {
-			t.Errorf("moved by %v the next slot is in %v", nudge, b.slotAt-now)
+		if b.explorationNextSlotAt <= now || b.explorationNextSlotAt > max(was, now+b.slotLength()) {
+			t.Errorf("moved by %v the next slot is in %v", nudge, b.explorationNextSlotAt-now)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -170,8 +170,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.t = c.t
-		if got := b.gamma(); math.Abs(got-c.want) > 1e-9 {
+		b.explorationSlots = c.t
+		if got := b.explorationProbability(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("beta %v, slot %d: %v, want %v", c.beta, c.t, got, c.want)
 		}
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -427,7 +427,7 @@
 	if s.StartedAt == 0 || w.now-s.StartedAt > w.cfg.WarmUpDuration {
 		return
 	}
-	capacity := 1 / max(1e-3, w.b.step(w.b.servers[s.ID])) / w.cfg.WarmUpDuration.Seconds()
+	capacity := 1 / max(1e-3, w.b.loadStep(w.b.servers[s.ID])) / w.cfg.WarmUpDuration.Seconds()
 	recent := []coldSend{{w.now, capacity}}
 	for _, c := range w.coldSent[s.ID] {
 		if c.at > w.now-w.cfg.OverloadWindow {
--- a/policy/revised_test.go
+++ b/policy/revised_test.go
@@ -37,7 +37,7 @@
 	if at["s1"] > 0 || at["s2"] == 0 || at["s2"] > at["s3"]/3 {
 		t.Errorf("sent: %v", at)
 	}
-	r := &request{Request: Request{ID: "x", Class: "safe", MidFlow: true}, class: b.classes["safe"], ranAt: -1}
+	r := &request{Request: Request{ID: "x", Class: "safe", MidFlow: true}, class: b.classes["safe"], mayHaveRunAt: -1}
 	if !b.usable(b.servers["s1"], r) {
 		t.Error("a connection in mid-flow can't stay where it stands")
 	}
@@ -122,7 +122,7 @@
 	free := tries(nil)
 	budget := tries(func(c *Config) { c.RetryRatio = 0.1 })
 	own := tries(func(c *Config) { c.Classes[0].MaxAttempts = 1 })
-	if free < 300 || budget > 200+int(retriesAtOnce)+21 || own != 200 {
+	if free < 300 || budget > 200+int(maxRetryTokens)+21 || own != 200 {
 		t.Errorf("attempts: %d without a budget, %d with a tenth, %d with one a request", free, budget, own)
 	}
 }
@@ -134,7 +134,7 @@
 		for i := range 60 {
 			b.Step(now, AdoptedConnection{Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "safe"}, "s1"}, nil)
 		}
-		c := b.cfg
+		c := b.config
 		c.Weights, c.MigrationsPerSecond = map[string]float64{"s1": 0}, moves
 		b.Step(now, ConfigUpdate{c}, nil)
 		n := 0
--- a/policy/state.go
+++ b/policy/state.go
@@ -13,113 +13,113 @@
 
 type server struct {
 	Server
-	hash            uint64
-	rank            float64 // in the draw under way
-	doubt           float64 // grows with each overload; its room is divided by 1 + doubt
-	x, step, placed float64 // reading of X, what a mean connection adds, what was added here since
-	known, probing  bool
-	readAt, heardAt time.Duration  // last reading, last sign of life
-	askedAt         time.Duration  // last probe
-	waiters         []*request     // they wait for the probe
-	lag             time.Duration  // what a message took there, or the backlog reported ...
-	lagAt           time.Duration  // ... at this time
-	open, fails     int            // own connections; probes without an answer, in a row
-	groups          map[string]int // own connections by group
-	heldOff         time.Duration  // not drawn before this
-	overSince       time.Duration  // it reads overloaded since then; 0 if it doesn't
-	escapeAt        time.Duration  // no escape before this: the last one has to show first
-	coldSince       time.Duration  // 0 if warm
-	heaviest        float64        // weight of a class whose sends the cold budget allows
-	chance          float64        // part of the time in which a budget as small as this one allows a send
-	tokens          float64        // sends that the cold budget allows ...
-	tokensAt        time.Duration  // ... at this time
-	own             float64        // own last reading of X ...
-	ownAt, toldAt   time.Duration  // ... and its time; when others' reading was last taken
-	grace           time.Duration  // others' reading is good for so much longer than an own one
-	share           float64        // weight of its draws, by the revision in force: 0 takes nothing new
-	beyond, duty    bool           // not one of the candidates; this balancer reads it for others as well
-}
-
-type tenant struct {
+	idHash            uint64
+	sampleRank            float64 // in the draw under way
+	estimatePenalty           float64 // grows with each overload; its room is divided by 1 + doubt
+	readingLoad, estimateStep, estimatePlaced float64 // reading of X, what a mean connection adds, what was added here since
+	readingKnown, probePending  bool
+	readingAt, heardAt time.Duration  // last reading, last sign of life
+	probeSentAt         time.Duration  // last probe
+	probeWaiters         []*request     // they wait for the probe
+	delayValue             time.Duration  // what a message took there, or the backlog reported ...
+	delayAt           time.Duration  // ... at this time
+	openConnections, probeFailures     int            // own connections; probes without an answer, in a row
+	groupConnections          map[string]int // own connections by group
+	probeEjectedUntil         time.Duration  // not drawn before this
+	readingOverloadedSince       time.Duration  // it reads overloaded since then; 0 if it doesn't
+	nextEvacuationAt        time.Duration  // no escape before this: the last one has to show first
+	warmUpSince       time.Duration  // 0 if warm
+	warmUpMaxWeight        float64        // weight of a class whose sends the cold budget allows
+	warmUpSendProbability          float64        // part of the time in which a budget as small as this one allows a send
+	warmUpTokens          float64        // sends that the cold budget allows ...
+	warmUpRefilledAt        time.Duration  // ... at this time
+	readingOwn             float64        // own last reading of X ...
+	readingOwnAt, readingPeerAt   time.Duration  // ... and its time; when others' reading was last taken
+	readingGrace           time.Duration  // others' reading is good for so much longer than an own one
+	sampleWeight           float64        // weight of its draws, by the revision in force: 0 takes nothing new
+	excluded, assigned    bool           // not one of the candidates; this balancer reads it for others as well
+}
+
+type tenantState struct {
 	Tenant
-	open int
+	openConnections int
 }
 
-// mean is the running mean of the loads that connections told.
-type mean struct {
-	load float64
-	told int
+// runningMean is the running mean of the loads that connections told.
+type runningMean struct {
+	value float64
+	samples int
 }
 
-// plan says what a move was for: its client goes to target, or anywhere but to avoid. A move that
+// migration says what a move was for: its client goes to target, or anywhere but to avoid. A move that
 // explores has the server it left in from.
-type plan struct {
-	target, from, avoid *server
-	fromX               float64
-	until               time.Duration
+type migration struct {
+	target, origin, avoid *server
+	originLoad               float64
+	expiresAt               time.Duration
 }
 
 type request struct {
 	Request
-	plan              // of the move that brought it here
+	migration              // of the move that brought it here
 	class             *Class
-	tenant            *tenant
-	since, deadline   time.Duration
-	out, open, moving bool // an attempt is out; the connection stands; it was told to move
-	attempts, draws   int
-	sentAt, ranAt     time.Duration // last send; send of the first attempt that may have run, or -1
-	ranOn, on         *server
-	failures          int           // set-ups that failed
-	choice            []*server     // held: drawn, and waiting for readings
-	chooseAt          time.Duration // held: choose or draw again at this time
-	drawn             *server       // open: explore target of this slot
+	tenant            *tenantState
+	receivedAt, deadline   time.Duration
+	attemptPending, established, migrating bool // an attempt is out; the connection stands; it was told to move
+	attempts, samples   int
+	attemptSentAt, mayHaveRunAt     time.Duration // last send; send of the first attempt that may have run, or -1
+	mayHaveRunOn, server         *server
+	failedSetups          int           // set-ups that failed
+	sampled            []*server     // held: drawn, and waiting for readings
+	nextPlacementAt          time.Duration // held: choose or draw again at this time
+	explorationTarget             *server       // open: explore target of this slot
 }
 
 // Balancer decides for one balancer. It is not safe for concurrent use.
 type Balancer struct {
-	cfg                    Config
+	config                    Config
 	classes                map[string]*Class
-	tenants                map[string]*tenant
+	tenants                map[string]*tenantState
 	rng                    *rand.Rand
-	now, tick, messageAim  time.Duration
-	out                    []Action
+	now, tickInterval, messageObjective  time.Duration
+	actions                    []Action
 	servers                map[string]*server
-	order                  []*server // sorted by id
+	sortedServers                  []*server // sorted by id
 	requests               map[string]*request
-	held, conns            []*request // no attempt out, by arrival; open, by set-up
-	plans                  map[string]plan
-	groups                 map[string]int   // own connections by group
-	loads                  map[string]*mean // by class, and of all under ""
-	back                   []*server        // back from a drain, and not sent to since
-	t                      int              // explore slots so far
-	started, exploring     bool
-	subscribed             bool
-	slotAt, askAt, askWait time.Duration
-	exploredAt             time.Duration // begin of the last explore slot
+	waiting, connections            []*request // no attempt out, by arrival; open, by set-up
+	migrations                  map[string]migration
+	groupConnections                 map[string]int   // own connections by group
+	classLoads                  map[string]*runningMean // by class, and of all under ""
+	restoredServers                   []*server        // back from a drain, and not sent to since
+	explorationSlots                      int              // explore slots so far
+	started, explorationActive     bool
+	discoverySubscribed             bool
+	explorationNextSlotAt, discoveryNextPollAt, discoveryBackoff time.Duration
+	explorationStartedAt             time.Duration // begin of the last explore slot
 	fleet                  FleetState         // what is known of the other balancers, all 0 for nothing
-	candidates             map[string]bool
-	bare                   bool          // no candidate is live and warm: all servers count
-	age                    time.Duration // a reading older than this has likely been renewed
-	setup, meanX, meanStep float64       // running means: set-up time in ms, X, step of warm servers ...
-	meanHeld               float64       // ... and connections over registered size, where no load is reported
-	outs                   int           // set-ups under way ...
-	window                 float64       // ... and how many there may be
-	cutAt, pauseTill       time.Duration // no second cut before this; no set-up before this
-	lastBad                *server       // where a set-up failed last
-	failing                float64       // running share of requests whose first set-up failed
-	demand                 float64       // running rate of choices, a second ...
-	demandAt               time.Duration // ... at this time
-	permit                 LeaseState
-	full                   map[string]int // by zone, the last order of classes that a full link lets through
-	retries                float64        // further attempts that all requests' budget allows now
-	lastOrder              int            // of the classes' orders
-}
-
-func (b *Balancer) accept(q Request, k *Class) *request {
-	r := &request{Request: q, class: k, tenant: b.tenants[q.Tenant], since: b.now,
-		deadline: b.now + q.Timeout, ranAt: -1}
+	subsetCandidates             map[string]bool
+	subsetDisabled                   bool          // no candidate is live and warm: all servers count
+	meansRenewalAge                    time.Duration // a reading older than this has likely been renewed
+	setupsMeanMillis, meansLoad, meansStep float64       // running means: set-up time in ms, X, step of warm servers ...
+	meansConnections               float64       // ... and connections over registered size, where no load is reported
+	setupsPending                   int           // set-ups under way ...
+	setupsLimit                 float64       // ... and how many there may be
+	setupsNextCutAt, setupsPausedUntil       time.Duration // no second cut before this; no set-up before this
+	setupsLastFailedOn                *server       // where a set-up failed last
+	setupsFailureRate                float64       // running share of requests whose first set-up failed
+	demandPerSecond                 float64       // running rate of choices, a second ...
+	demandUpdatedAt               time.Duration // ... at this time
+	lease                 LeaseState
+	saturatedLinks                   map[string]int // by zone, the last order of classes that a full link lets through
+	retryTokens                float64        // further attempts that all requests' budget allows now
+	lowestPriority              int            // of the classes' orders
+}
+
+func (b *Balancer) newRequest(q Request, k *Class) *request {
+	r := &request{Request: q, class: k, tenant: b.tenants[q.Tenant], receivedAt: b.now,
+		deadline: b.now + q.Timeout, mayHaveRunAt: -1}
 	b.requests[q.ID] = r
-	b.retries = min(retriesAtOnce, b.retries+b.cfg.RetryRatio)
+	b.retryTokens = min(maxRetryTokens, b.retryTokens+b.config.RetryRatio)
 	return r
 }
 
@@ -127,86 +127,86 @@
 	return slices.DeleteFunc(list, func(o *request) bool { return o == r })
 }
 
-func (b *Balancer) hold(r *request) {
-	if !slices.Contains(b.held, r) {
-		b.held = append(b.held, r)
+func (b *Balancer) enqueue(r *request) {
+	if !slices.Contains(b.waiting, r) {
+		b.waiting = append(b.waiting, r)
 	}
 }
 
-func (b *Balancer) unhold(r *request) { b.held = without(b.held, r) }
+func (b *Balancer) dequeue(r *request) { b.waiting = without(b.waiting, r) }
 
 // forget drops a request that is closed.
 func (b *Balancer) forget(r *request) {
 	delete(b.requests, r.ID)
-	b.unhold(r)
-	if r.out {
-		b.outs--
+	b.dequeue(r)
+	if r.attemptPending {
+		b.setupsPending--
 	}
-	if r.open {
-		r.on.open--
-		for _, groups := range []map[string]int{r.on.groups, b.groups} {
+	if r.established {
+		r.server.openConnections--
+		for _, groups := range []map[string]int{r.server.groupConnections, b.groupConnections} {
 			if groups[r.Group]--; groups[r.Group] <= 0 { // also the connections that belong to none
 				delete(groups, r.Group)
 			}
 		}
-		b.conns = without(b.conns, r)
+		b.connections = without(b.connections, r)
 		if r.tenant != nil {
-			r.tenant.open--
+			r.tenant.openConnections--
 		}
 	}
-	r.out, r.open = false, false
+	r.attemptPending, r.established = false, false
 }
 
-func (b *Balancer) stand(r *request) {
-	r.open = true
-	r.on.open++
+func (b *Balancer) establish(r *request) {
+	r.established = true
+	r.server.openConnections++
 	if r.Group != "" {
-		r.on.groups[r.Group]++
-		b.groups[r.Group]++
+		r.server.groupConnections[r.Group]++
+		b.groupConnections[r.Group]++
 	}
-	b.conns = append(b.conns, r)
+	b.connections = append(b.connections, r)
 	if r.tenant != nil {
-		r.tenant.open++
+		r.tenant.openConnections++
 	}
 }
 
-// weigh takes the load that a connection of a class told.
-func (b *Balancer) weigh(class string, load float64) {
+// recordConnectionLoad takes the load that a connection of a class told.
+func (b *Balancer) recordConnectionLoad(class string, load float64) {
 	if load <= 0 { // an idle one: what it asks when it goes on is not known
 		return
 	}
 	for _, name := range []string{class, ""} {
-		m := b.loads[name]
+		m := b.classLoads[name]
 		if m == nil {
-			m = &mean{}
-			b.loads[name] = m
+			m = &runningMean{}
+			b.classLoads[name] = m
 		}
-		m.told = min(m.told+1, manyTold)
-		m.load += (load - m.load) / float64(m.told)
+		m.samples = min(m.samples+1, maxLoadSamples)
+		m.value += (load - m.value) / float64(m.samples)
 	}
 }
 
-// weight is the load of a class's connections over that of all, 1 until enough have told theirs.
-func (b *Balancer) weight(class string) float64 {
-	if m := b.loads[class]; m != nil && m.told >= fewTold {
-		return m.load / b.loads[""].load
+// classWeight is the load of a class's connections over that of all, 1 until enough have told theirs.
+func (b *Balancer) classWeight(class string) float64 {
+	if m := b.classLoads[class]; m != nil && m.samples >= minLoadSamples {
+		return m.value / b.classLoads[""].value
 	}
 	return 1
 }
 
 const (
-	fewTold  = 8   // loads are uneven: the mean of so many is right within a half
-	manyTold = 200 // a mean follows what changes within so many
+	minLoadSamples  = 8   // loads are uneven: the mean of so many is right within a half
+	maxLoadSamples = 200 // a mean follows what changes within so many
 )
 
-func hashOf(text string) uint64 {
+func hashText(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
 	return h.Sum64()
 }
 
-// mix turns a sum of hashes into a number that is uniform in (0, 1).
-func mix(x uint64) float64 {
+// uniform turns a sum of hashes into a number that is uniform in (0, 1).
+func uniform(x uint64) float64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return (float64((x^x>>31)>>11) + 0.5) / (1 << 53)
@@ -217,38 +217,38 @@
 	if k == nil || s == nil || b.requests[a.ID] != nil {
 		return
 	}
-	r := b.accept(a.Request, k)
-	r.on, r.attempts = s, 1
-	b.stand(r)
+	r := b.newRequest(a.Request, k)
+	r.server, r.attempts = s, 1
+	b.establish(r)
 }
 
-// expect notes where the connection of a key stands, as the process that held it before has told.
-func (b *Balancer) expect(e PredecessorFlow) {
+// expectPredecessorFlow notes where the connection of a key stands, as the process that held it before has told.
+func (b *Balancer) expectPredecessorFlow(e PredecessorFlow) {
 	if s := b.servers[e.Server]; s != nil {
-		b.plans[e.Key] = plan{target: s, until: b.now + planFor}
+		b.migrations[e.Key] = migration{target: s, expiresAt: b.now + migrationExpiry}
 	}
 }
 
-// merge brings the servers up to a list or to the changes of one.
-func (b *Balancer) merge(l ServerList) {
+// mergeServers brings the servers up to a list or to the changes of one.
+func (b *Balancer) mergeServers(l ServerList) {
 	listed := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
 		listed[e.ID] = true
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{hash: hashOf(e.ID), heardAt: b.now, groups: map[string]int{}}
+			s = &server{idHash: hashText(e.ID), heardAt: b.now, groupConnections: map[string]int{}}
 			b.servers[e.ID] = s
-			b.order = append(b.order, s)
+			b.sortedServers = append(b.sortedServers, s)
 		}
 		if s.State == Draining && e.State == Live {
-			b.back = append(b.back, s)
+			b.restoredServers = append(b.restoredServers, s)
 		}
 		s.Server = e
-		if e.StartedAt > s.coldSince && b.now-e.StartedAt < b.cfg.WarmUpDuration {
-			b.chill(s, e.StartedAt)
+		if e.StartedAt > s.warmUpSince && b.now-e.StartedAt < b.config.WarmUpDuration {
+			b.startWarmUp(s, e.StartedAt)
 		}
 	}
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if l.Kind != ListDelta && !listed[s.ID] {
 			s.State = Gone
 		}
@@ -256,77 +256,77 @@
 			delete(b.servers, s.ID)
 		}
 	}
-	b.order = slices.DeleteFunc(b.order, func(s *server) bool { return s.State == Gone })
-	b.back = slices.DeleteFunc(b.back, func(s *server) bool { return s.State != Live })
-	slices.SortFunc(b.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
-	b.mark()
+	b.sortedServers = slices.DeleteFunc(b.sortedServers, func(s *server) bool { return s.State == Gone })
+	b.restoredServers = slices.DeleteFunc(b.restoredServers, func(s *server) bool { return s.State != Live })
+	slices.SortFunc(b.sortedServers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
+	b.markSubset()
 }
 
-// note takes what is only remembered.
-func (b *Balancer) note(ev Event) {
+// record takes what is only remembered.
+func (b *Balancer) record(ev Event) {
 	switch ev := ev.(type) {
 	case AdoptedConnection:
 		b.adopt(ev)
 	case PredecessorFlow:
-		b.expect(ev)
+		b.expectPredecessorFlow(ev)
 	case CandidateSubset:
-		b.candidates = nil
+		b.subsetCandidates = nil
 		if len(ev.Servers) > 0 {
-			b.candidates = map[string]bool{}
+			b.subsetCandidates = map[string]bool{}
 		}
 		for _, id := range ev.Servers {
-			b.candidates[id] = true
+			b.subsetCandidates[id] = true
 		}
-		b.mark()
+		b.markSubset()
 	case FleetState:
-		if b.fleet = ev; ev.ExplorationSlots > b.t {
-			b.t = ev.ExplorationSlots
+		if b.fleet = ev; ev.ExplorationSlots > b.explorationSlots {
+			b.explorationSlots = ev.ExplorationSlots
 		}
-		if left := b.slotAt - b.now; left > 0 { // never into the past, nor further off than a slot is long
-			b.slotAt = b.now + min(max(left+ev.SlotShift, b.tick), max(left, b.slotLength()))
+		if left := b.explorationNextSlotAt - b.now; left > 0 { // never into the past, nor further off than a slot is long
+			b.explorationNextSlotAt = b.now + min(max(left+ev.SlotShift, b.tickInterval), max(left, b.slotLength()))
 		}
-		b.mark()
+		b.markSubset()
 	case LeaseState:
-		b.permit = ev
+		b.lease = ev
 	case SaturatedLinks:
-		b.full = ev.Zones
+		b.saturatedLinks = ev.Zones
 	case ClientDisconnected:
 		if r := b.requests[ev.ID]; r != nil && !ev.HalfClosed {
 			b.forget(r)
-		} else if r != nil && !r.open {
+		} else if r != nil && !r.established {
 			r.deadline = min(r.deadline, b.now+DisconnectGrace)
 		}
 	}
 }
 
-// shareOf is the weight of a server's draws: its own times its zone's.
-func (b *Balancer) shareOf(s *server) float64 {
+// configuredWeight is the weight of a server's draws: its own times its zone's.
+func (b *Balancer) configuredWeight(s *server) float64 {
 	share := 1.0
 	for _, name := range []string{s.ID, "zone/" + s.Zone} {
-		if w, ok := b.cfg.Weights[name]; ok {
+		if w, ok := b.config.Weights[name]; ok {
 			share *= w
 		}
 	}
 	return share
 }
 
-// mark sets which servers are candidates, and which this balancer reads for others.
-func (b *Balancer) mark() {
-	b.bare = true
-	for _, s := range b.order {
-		s.beyond = b.candidates != nil && !b.candidates[s.ID]
-		s.duty, s.share = slices.Contains(b.fleet.AssignedServers, s.ID), b.shareOf(s)
-		b.bare = b.bare && (s.beyond || s.State != Live || b.ramp(s) < 1)
+// markSubset sets which servers are candidates, and which this balancer reads for others.
+func (b *Balancer) markSubset() {
+	b.subsetDisabled = true
+	for _, s := range b.sortedServers {
+		s.excluded = b.subsetCandidates != nil && !b.subsetCandidates[s.ID]
+		s.assigned, s.sampleWeight = slices.Contains(b.fleet.AssignedServers, s.ID), b.configuredWeight(s)
+		b.subsetDisabled = b.subsetDisabled && (s.excluded || s.State != Live || b.warmUpCapacity(s) < 1)
 	}
 }
 
-func (b *Balancer) outside(s *server) bool { return s.beyond && !b.bare }
+func (b *Balancer) beyondSubset(s *server) bool { return s.excluded && !b.subsetDisabled }
 
-// looked is the number of servers that connections are moved between.
-func (b *Balancer) looked() int { return b.count(func(s *server) bool { return !b.outside(s) }) }
+// subsetSize is the number of servers that connections are moved between.
+func (b *Balancer) subsetSize() int { return b.count(func(s *server) bool { return !b.beyondSubset(s) }) }
 
 func (b *Balancer) count(is func(s *server) bool) (n int) {
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if is(s) {
 			n++
 		}
@@ -334,91 +334,91 @@
 	return n
 }
 
-// sharers is by how many a sum is divided that all balancers' sends must keep to.
-func (b *Balancer) sharers() float64 {
+// budgetSharers is by how many a sum is divided that all balancers' sends must keep to.
+func (b *Balancer) budgetSharers() float64 {
 	if b.fleet.BudgetSharers < 0 {
 		return math.Inf(1)
 	}
-	return float64(cmp.Or(b.fleet.BudgetSharers, b.cfg.Balancers) * (1 + b.cfg.OverlappingProcesses))
+	return float64(cmp.Or(b.fleet.BudgetSharers, b.config.Balancers) * (1 + b.config.OverlappingProcesses))
 }
 
-// odds is the part of the time in which this balancer's budget allows a send to s, 1 where it needs none.
-func (b *Balancer) odds(s *server) float64 {
-	if b.ramp(s) >= 1 {
+// sendProbability is the part of the time in which this balancer's budget allows a send to s, 1 where it needs none.
+func (b *Balancer) sendProbability(s *server) float64 {
+	if b.warmUpCapacity(s) >= 1 {
 		return 1
 	}
-	return min(1, max(s.chance, 1e-3))
+	return min(1, max(s.warmUpSendProbability, 1e-3))
 }
 
-// wanted is how many choices a second all balancers make: as they told, or as if all were like this one.
-func (b *Balancer) wanted() float64 {
+// fleetDemand is how many choices a second all balancers make: as they told, or as if all were like this one.
+func (b *Balancer) fleetDemand() float64 {
 	if b.fleet.Demand > 0 {
-		return max(b.demand, b.fleet.Demand)
+		return max(b.demandPerSecond, b.fleet.Demand)
 	}
-	return b.demand * float64(b.cfg.Balancers*(1+b.cfg.OverlappingProcesses))
+	return b.demandPerSecond * float64(b.config.Balancers*(1+b.config.OverlappingProcesses))
 }
 
-// toldAfter is when news count as told though they did not arrive, from the moment in which discovery fell silent.
-const toldAfter = 6 * time.Second
+// updateDeadline is when news count as told though they did not arrive, from the moment in which discovery fell silent.
+const updateDeadline = 6 * time.Second
 
-// firstWait is half of the longest wait before the first call that follows a broken watch: however long the settings let
+// initialPollBackoff is half of the longest wait before the first call that follows a broken watch: however long the settings let
 // a balancer go without asking, two calls have to be possible before what a silent watch missed counts as told.
-func (b *Balancer) firstWait() time.Duration { return min(b.cfg.PollInterval, toldAfter) / 20 }
+func (b *Balancer) initialPollBackoff() time.Duration { return min(b.config.PollInterval, updateDeadline) / 20 }
 
-// inTurn is this balancer's place in a time in which all do something once: its turn, or drawn where it has none.
-func (b *Balancer) inTurn(d time.Duration) time.Duration {
+// staggered is this balancer's place in a time in which all do something once: its turn, or drawn where it has none.
+func (b *Balancer) staggered(d time.Duration) time.Duration {
 	if b.fleet.StaggerOffset > 0 {
 		return time.Duration(b.fleet.StaggerOffset * float64(d))
 	}
 	return b.jitter(d)
 }
 
-func (b *Balancer) move(r *request, p plan) {
-	r.moving = true
-	p.until = b.now + planFor
+func (b *Balancer) migrate(r *request, p migration) {
+	r.migrating = true
+	p.expiresAt = b.now + migrationExpiry
 	if r.Key != "" {
-		b.plans[r.Key] = p
+		b.migrations[r.Key] = p
 	}
 	why := "leave"
 	switch {
-	case p.from != nil:
+	case p.origin != nil:
 		why = "explore"
 	case p.target != nil:
 		why = "back"
-	case r.on.State == Draining:
+	case r.server.State == Draining:
 		why = "drain"
-	case r.on.fails > 1:
+	case r.server.probeFailures > 1:
 		why = "silent"
-	case r.on.known && r.on.x > overX:
+	case r.server.readingKnown && r.server.readingLoad > overloadedLoad:
 		why = "over"
 	}
-	b.do(Migrate{r.ID, why})
+	b.act(Migrate{r.ID, why})
 }
 
-// why names what kept r from being placed, for those who count.
-func (b *Balancer) why(r *request) string {
+// rejectionReason names what kept r from being placed, for those who count.
+func (b *Balancer) rejectionReason(r *request) string {
 	switch k := r.class; {
-	case b.permit != LeaseActive:
+	case b.lease != LeaseActive:
 		return "permit"
-	case r.ranAt >= 0 && k.Idempotency == NotIdempotent:
+	case r.mayHaveRunAt >= 0 && k.Idempotency == NotIdempotent:
 		return "ran"
 	case r.attempts >= k.MaxAttempts:
 		return "attempts"
-	case b.cfg.RetryRatio > 0 && b.retries < 1 && r.attempts > 0:
+	case b.config.RetryRatio > 0 && b.retryTokens < 1 && r.attempts > 0:
 		return "retries"
-	case !b.mayStart():
+	case !b.maySetUp():
 		return "window"
-	case slices.ContainsFunc(r.choice, func(s *server) bool { return s.probing }):
+	case slices.ContainsFunc(r.sampled, func(s *server) bool { return s.probePending }):
 		return "unread"
 	}
 	best, most := "none", -1 // of the servers it had drawn, or else of all, what came nearest to taking it
-	for _, s := range b.order {
-		if s.State != Live || s.share == 0 || len(r.choice) > 0 && !slices.Contains(r.choice, s) {
+	for _, s := range b.sortedServers {
+		if s.State != Live || s.sampleWeight == 0 || len(r.sampled) > 0 && !slices.Contains(r.sampled, s) {
 			continue
 		}
-		room := (fullX - b.counts(s, r)) / max(b.step(s)*b.weight(r.Class), 1e-6)
-		for i, is := range []bool{b.outside(s), s == r.avoid, b.now < s.heldOff, b.lagging(s, r.class.MessageLatencyObjective),
-			room < 1, room < 1+s.doubt, b.ramp(s) < 1 && b.budget(s) < 1, true} {
+		room := (newcomerLoadLimit - b.effectiveLoad(s, r)) / max(b.loadStep(s)*b.classWeight(r.Class), 1e-6)
+		for i, is := range []bool{b.beyondSubset(s), s == r.avoid, b.now < s.probeEjectedUntil, b.delayExceeds(s, r.class.MessageLatencyObjective),
+			room < 1, room < 1+s.estimatePenalty, b.warmUpCapacity(s) < 1 && b.warmUpBudget(s) < 1, true} {
 			if is {
 				if i > most {
 					best, most = []string{"outside", "tried", "held-off", "lags", "full", "doubt", "budget", "lot"}[i], i
@@ -430,66 +430,66 @@
 	return best
 }
 
-// dropOldPlans forgets the clients that went elsewhere.
-func (b *Balancer) dropOldPlans() {
-	for key, p := range b.plans {
-		if b.now >= p.until {
-			delete(b.plans, key)
+// dropExpiredMigrations forgets the clients that went elsewhere.
+func (b *Balancer) dropExpiredMigrations() {
+	for key, p := range b.migrations {
+		if b.now >= p.expiresAt {
+			delete(b.migrations, key)
 		}
 	}
 }
 
-// loadOf is the X of a report, from the best figure that it has. How many connections a server can hold nobody
+// reportedLoad is the X of a report, from the best figure that it has. How many connections a server can hold nobody
 // tells: where reports hold nothing else, twice the mean of all counts as full, by registered size.
-func (b *Balancer) loadOf(p LoadReport, weight float64) float64 {
+func (b *Balancer) reportedLoad(p LoadReport, weight float64) float64 {
 	switch held := max(0, p.InFlight) / max(weight, 1e-6); {
 	case p.Load >= 0:
 		return p.Load
 	case p.Utilization >= 0:
 		return p.Utilization
 	default:
-		b.meanHeld += 0.05 * (held - cmp.Or(b.meanHeld, held))
-		b.meanHeld = cmp.Or(b.meanHeld, held)
-		return fullX / 2 * held / max(b.meanHeld, 1)
+		b.meansConnections += 0.05 * (held - cmp.Or(b.meansConnections, held))
+		b.meansConnections = cmp.Or(b.meansConnections, held)
+		return newcomerLoadLimit / 2 * held / max(b.meansConnections, 1)
 	}
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
 
-// index finds classes and tenants by name, and the tightest of the message aims. What was placed under
+// indexConfig finds classes and tenants by name, and the tightest of the message aims. What was placed under
 // earlier settings keeps its class, and counts for its tenant.
-func (b *Balancer) index() {
-	b.cfg.Classes, b.window = slices.Clone(b.cfg.Classes), min(b.window, float64(b.cfg.MaxPendingAttempts))
-	b.classes, b.messageAim, b.lastOrder = map[string]*Class{}, 0, 0
+func (b *Balancer) indexConfig() {
+	b.config.Classes, b.setupsLimit = slices.Clone(b.config.Classes), min(b.setupsLimit, float64(b.config.MaxPendingAttempts))
+	b.classes, b.messageObjective, b.lowestPriority = map[string]*Class{}, 0, 0
 	old := b.tenants
-	b.tenants = map[string]*tenant{}
-	for i := range b.cfg.Classes {
-		k := &b.cfg.Classes[i]
-		k.MaxAttempts = min(cmp.Or(k.MaxAttempts, b.cfg.MaxAttempts), b.cfg.MaxAttempts)
-		b.classes[k.Name], b.lastOrder = k, max(b.lastOrder, k.PriorityRank)
-		if b.messageAim == 0 || k.MessageLatencyObjective > 0 && k.MessageLatencyObjective < b.messageAim {
-			b.messageAim = k.MessageLatencyObjective
+	b.tenants = map[string]*tenantState{}
+	for i := range b.config.Classes {
+		k := &b.config.Classes[i]
+		k.MaxAttempts = min(cmp.Or(k.MaxAttempts, b.config.MaxAttempts), b.config.MaxAttempts)
+		b.classes[k.Name], b.lowestPriority = k, max(b.lowestPriority, k.PriorityRank)
+		if b.messageObjective == 0 || k.MessageLatencyObjective > 0 && k.MessageLatencyObjective < b.messageObjective {
+			b.messageObjective = k.MessageLatencyObjective
 		}
 	}
-	for _, t := range b.cfg.Tenants {
+	for _, t := range b.config.Tenants {
 		if b.tenants[t.Name] = old[t.Name]; b.tenants[t.Name] == nil {
-			b.tenants[t.Name] = &tenant{}
+			b.tenants[t.Name] = &tenantState{}
 		}
 		b.tenants[t.Name].Tenant = t
 	}
-	b.mark()
+	b.markSubset()
 }
 
 // LoadReadings tells of each server that this balancer read itself or found silent: X, when it was read, probes without an answer
 // in a row. What others told is not told on.
 func (b *Balancer) LoadReadings(of func(id string, x float64, at time.Duration, fails int)) {
-	for _, s := range b.order {
-		if s.ownAt > 0 || s.fails > 0 {
-			of(s.ID, s.own, s.ownAt, s.fails)
+	for _, s := range b.sortedServers {
+		if s.readingOwnAt > 0 || s.probeFailures > 0 {
+			of(s.ID, s.readingOwn, s.readingOwnAt, s.probeFailures)
 		}
 	}
 }
@@ -497,8 +497,8 @@
 // ExplorationSchedule tells how long ago the last explore slot began, how long it is from one to the next, and how many choices a
 // second this balancer makes.
 func (b *Balancer) ExplorationSchedule() (since, period time.Duration, demand float64) {
-	return b.now - b.exploredAt, 2 * b.slotLength(), b.demand * math.Exp(-(b.now - b.demandAt).Seconds())
+	return b.now - b.explorationStartedAt, 2 * b.slotLength(), b.demandPerSecond * math.Exp(-(b.now - b.demandUpdatedAt).Seconds())
 }
 
 // ExplorationSlots is the number of explore slots so far.
-func (b *Balancer) ExplorationSlots() int { return b.t }
+func (b *Balancer) ExplorationSlots() int { return b.explorationSlots }
