--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -172,28 +172,11 @@
 	}
 }
 
-// Reading is what the module last knew of a region: X, when that was read, and probes without an answer in a row.
-type Reading struct {
-	Region string
-	X      float64
-	At     time.Duration
-	Fails  int
-}
-
-// Readings are those of all regions that were read or found silent, by id.
-func (r *Reducer) Readings() (list []Reading) {
-	r.module.LoadReadings(func(id string, x float64, at time.Duration, fails int) {
-		list = append(list, Reading{id, x, at, fails})
-	})
-	return list
-}
-
-// Clock is the module's clock: its explore slots so far.
-func (r *Reducer) Clock() int { return r.module.ExplorationSlots() }
+// Readings are the load readings of all regions that this balancer has read itself or found silent, by id.
+func (r *Reducer) Readings() []policy.ServerReading { return r.module.LoadReadings() }
 
-// Slots tells how long ago the module's last explore slot began, the time from one to the next, and how many choices a second
-// it makes.
-func (r *Reducer) Slots() (since, period time.Duration, demand float64) { return r.module.ExplorationSchedule() }
+// Activity is the module's own pace, which other balancers are told.
+func (r *Reducer) Activity() policy.Activity { return r.module.Activity() }
 
 // ListedRegions are the regions as the module has them now, by id.
 func (r *Reducer) ListedRegions() []policy.Server {
--- a/internal/core/reducer_test.go
+++ b/internal/core/reducer_test.go
@@ -418,7 +418,10 @@
 func TestLeavingAnswersBeforeTheEndByForce(t *testing.T) {
 	for _, through := range []bool{true, false} {
 		for _, wait := range []time.Duration{1200 * time.Millisecond, 4800 * time.Millisecond} {
-			b := newBed(t, func(c *Config) { c.PassThrough, c.LongestWait = through, wait; c.Policy.Classes[0].LatencyObjective = wait })
+			b := newBed(t, func(c *Config) {
+				c.PassThrough, c.LongestWait = through, wait
+				c.Policy.Classes[0].LatencyObjective = wait
+			})
 			d := find[Dial](b, b.open(1, wait))
 			b.do(Connected{1, d.Attempt})
 			b.do(Sent{1, d.Attempt})
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -512,8 +512,9 @@
 }
 
 func (w *World) own(d *balancer) together.Own {
-	own := together.Own{Clock: d.b.ExplorationSlots(), Refused: d.refused}
-	own.SlotAge, own.SlotPeriod, own.Demand = d.b.ExplorationSchedule()
+	activity := d.b.Activity()
+	own := together.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+		Demand: activity.Demand, Refused: d.refused}
 	for _, s := range w.servers {
 		r := d.own[s.ID]
 		own.Regions = append(own.Regions, together.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, X: r.x, At: r.at, Fails: r.fails})
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -68,7 +68,7 @@
 		s.told.regions = map[string]time.Duration{}
 	}
 	life := s.cfg.Peers.Life
-	s.peers.Set(peers.ClockKey, fmt.Append(nil, s.core.Clock()), life)
+	s.peers.Set(peers.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
 	s.peers.Set(peers.LoadKey, fmt.Append(nil, s.core.Open()-s.core.Owed(), " ", s.core.Owed()), life)
 	s.peers.Set(peers.DrainKey, fmt.Append(nil, drain), life)
 	readings, tells := s.core.Readings(), func(string) bool { return true }
@@ -78,18 +78,19 @@
 	left := signalsAtOnce
 	for i := range readings {
 		r := readings[(s.told.next+i)%len(readings)]
-		if !tells(r.Region) {
+		if !tells(r.Server) {
 			continue
 		}
-		if at, told := s.told.regions[r.Region]; told && at == r.At && r.Fails == 0 {
+		if at, told := s.told.regions[r.Server]; told && at == r.At && r.FailedProbes == 0 {
 			continue
 		}
 		if left--; left < 0 {
 			s.told.next = (s.told.next + i) % len(readings)
 			break
 		}
-		s.told.regions[r.Region] = r.At
-		s.peers.Set(peers.RegionKey+r.Region, peers.Reading{X: r.X, Age: s.now() - r.At, Fails: r.Fails}.Value(), life)
+		s.told.regions[r.Server] = r.At
+		reading := peers.Reading{X: r.Load, Age: s.now() - r.At, Fails: r.FailedProbes}
+		s.peers.Set(peers.RegionKey+r.Server, reading.Value(), life)
 	}
 	if len(s.told.regions) > 2*len(readings)+16 {
 		clear(s.told.regions)
@@ -97,18 +98,19 @@
 }
 
 // actTogether brings the module what the others tell, tells this balancer's words, and returns whose readings to tell.
-func (s *Server) actTogether(now time.Time, readings []core.Reading) func(region string) bool {
+func (s *Server) actTogether(now time.Time, readings []policy.ServerReading) func(region string) bool {
 	view, malformed := together.ViewOf(s.peers.View())
 	s.counters.PeersWords += int64(malformed)
-	own := together.Own{Clock: s.core.Clock(), Refused: s.core.Counters.Short}
-	own.SlotAge, own.SlotPeriod, own.Demand = s.core.Slots()
-	read := make(map[string]core.Reading, len(readings))
+	activity := s.core.Activity()
+	own := together.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+		Demand: activity.Demand, Refused: s.core.Counters.Short}
+	read := make(map[string]policy.ServerReading, len(readings))
 	for _, r := range readings {
-		read[r.Region] = r
+		read[r.Server] = r
 	}
 	for _, g := range s.core.ListedRegions() {
 		r := read[g.ID]
-		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.X, At: r.At, Fails: r.Fails})
+		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.Load, At: r.At, Fails: r.FailedProbes})
 	}
 	events, words := s.together.Look(s.now(), view, own)
 	s.step(core.FromOthers{Events: events})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,19 +23,19 @@
 // Config reads the settings that an instance is started with. Keys it does not know are ignored.
 func Config(f *Fields) policy.Config {
 	c := policy.Config{
-		Zone:           f.Text("zone"),
-		Balancers:      f.Integer("balancers"),
-		TimerResolution:           f.Millis("granularity-ms"),
-		MaxAttempts:    f.Integer("limits.max-attempts"),
+		Zone:                  f.Text("zone"),
+		Balancers:             f.Integer("balancers"),
+		TimerResolution:       f.Millis("granularity-ms"),
+		MaxAttempts:           f.Integer("limits.max-attempts"),
 		ProbesEnabled:         f.Flag("limits.probes") && f.Text("reporting.how") != "silent",
-		MaxRetryAfter:  f.Millis("limits.max-retry-after-ms"),
-		PollEndpointList:       f.Text("membership-mode") == "on_request",
-		PollInterval:      f.Millis("rules.ask-every-ms"),
-		CrossZoneCost: f.Number("penalties.cross-zone"),
-		WarmUpInitialCapacity:      f.Number("rules.cold-from"),
-		WarmUpDuration:       f.Millis("rules.cold-ms"),
-		OverloadMultiple:   f.Number("rules.fall-multiple"),
-		OverloadWindow:       f.Millis("rules.tip-after-ms"),
+		MaxRetryAfter:         f.Millis("limits.max-retry-after-ms"),
+		PollEndpointList:      f.Text("membership-mode") == "on_request",
+		PollInterval:          f.Millis("rules.ask-every-ms"),
+		CrossZoneCost:         f.Number("penalties.cross-zone"),
+		WarmUpInitialCapacity: f.Number("rules.cold-from"),
+		WarmUpDuration:        f.Millis("rules.cold-ms"),
+		OverloadMultiple:      f.Number("rules.fall-multiple"),
+		OverloadWindow:        f.Millis("rules.tip-after-ms"),
 	}
 	if defects.On("fit-cold") {
 		c.Balancers = min(c.Balancers, 10)
@@ -53,7 +53,7 @@
 	quotas := numberList(f, "family-info.tenant-quota-connections")
 	for i := range count(f, "tenants") {
 		c.Tenants = append(c.Tenants, policy.Tenant{
-			Name:        f.Required(fmt.Sprintf("tenants.%d.name", i)),
+			Name:            f.Required(fmt.Sprintf("tenants.%d.name", i)),
 			ConnectionQuota: at(quotas, i),
 		})
 	}
@@ -62,11 +62,11 @@
 
 func class(f *Fields, path string, messageAim float64) policy.Class {
 	c := policy.Class{
-		Name:       f.Required(path + "name"),
+		Name:                    f.Required(path + "name"),
 		LatencyObjective:        f.Millis(path + "aim-ms"),
 		MessageLatencyObjective: millis(messageAim),
-		Idempotency:     OneOf(f, path+"semantics", effects),
-		KeyTTL:     f.Millis(path + "key-ttl-ms"),
+		Idempotency:             OneOf(f, path+"semantics", effects),
+		KeyTTL:                  f.Millis(path + "key-ttl-ms"),
 	}
 	if defects.On("fit-class") && c.Name != "chat" {
 		c.Idempotency = policy.Idempotent
--- a/internal/together/together.go
+++ b/internal/together/together.go
@@ -405,8 +405,8 @@
 			slots, clocks, demands = append(slots, m.SlotAge), append(clocks, m.Clock), append(demands, m.Demand)
 		}
 	}
-	if f.BudgetSharers = t.share.Look(now, seen); f.BudgetSharers == 0 {
-		f.BudgetSharers = -1
+	if f.BudgetDivisor = t.share.Look(now, seen); f.BudgetDivisor == 0 {
+		f.BudgetDivisor = -1
 	}
 	if len(present) == 0 {
 		return f
--- a/internal/together/together_test.go
+++ b/internal/together/together_test.go
@@ -139,7 +139,7 @@
 	for range 12 {
 		s.look()
 	}
-	if f := s.got[0]["policy.Fleet"].(policy.FleetState); f.BudgetSharers != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
+	if f := s.got[0]["policy.Fleet"].(policy.FleetState); f.BudgetDivisor != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
 		t.Fatalf("among twelve: %+v", f)
 	}
 	own := Own{Regions: s.regions, SlotPeriod: 16 * time.Second}
@@ -154,7 +154,7 @@
 			case policy.PeerReading:
 				t.Errorf("%+v: heard %+v", v, e)
 			case policy.FleetState:
-				if e.BudgetSharers != 12 || e.Demand != 0 || len(e.AssignedServers) != 0 {
+				if e.BudgetDivisor != 12 || e.Demand != 0 || len(e.AssignedServers) != 0 {
 					t.Errorf("%+v: %+v", v, e)
 				}
 			}
@@ -180,7 +180,7 @@
 		for _, id := range f.AssignedServers {
 			readers[id]++
 		}
-		if f.BudgetSharers != 0 || f.Demand != 0 {
+		if f.BudgetDivisor != 0 || f.Demand != 0 {
 			t.Errorf("turns are off: %+v", f)
 		}
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -119,11 +119,11 @@
 			return nil, r.errorf("%q where %d entries were announced and %d came", word, n, len(servers))
 		}
 		s := policy.Server{
-			ID:      f.Required("server"),
-			Zone:    f.Text("hall"),
-			Cell:    f.Integer("group"),
-			State:   settings.OneOf(f, "stage-state", states),
-			Weight:  f.Number("rating"),
+			ID:        f.Required("server"),
+			Zone:      f.Text("hall"),
+			Cell:      f.Integer("group"),
+			State:     settings.OneOf(f, "stage-state", states),
+			Weight:    f.Number("rating"),
 			StartedAt: f.Millis("since-ms"),
 		}
 		if f.Err != nil {
@@ -230,13 +230,13 @@
 
 func request(f *settings.Fields) policy.Request {
 	return policy.Request{
-		ID:       f.Required("id"),
-		Key:      f.Text("name-key"),
-		Group:    f.Text("room"),
-		Class:    f.Required("category"),
-		Tenant:   f.Text("tenant"),
+		ID:      f.Required("id"),
+		Key:     f.Text("name-key"),
+		Group:   f.Text("room"),
+		Class:   f.Required("category"),
+		Tenant:  f.Text("tenant"),
 		Timeout: f.Millis("patience-left-ms"),
-		MidFlow:  f.Flag("mid-flow"),
+		MidFlow: f.Flag("mid-flow"),
 	}
 }
 
--- /dev/null
+++ b/policy/balancer.go
@@ -0,0 +1,152 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+const (
+	tickToken       = "tick"
+	minTickInterval = 20 * time.Millisecond // waiting requests, servers and slots are looked at so often
+)
+
+// Balancer decides for one balancer. It is not safe for concurrent use.
+type Balancer struct {
+	config       Config
+	classes      classIndex
+	tenants      map[string]*tenantState
+	tickInterval time.Duration
+
+	started bool
+	now     time.Duration
+	rng     *rand.Rand
+	actions []Action // of the step under way
+
+	servers          serverSet
+	requests         requestSet
+	migrations       map[string]migration // under way, by the client's key
+	groupConnections map[string]int       // established here, by group
+	classLoads       classLoads
+
+	means       fleetMeans
+	setups      setupLimiter
+	retries     retryBudget
+	demand      demandRate
+	exploration exploration
+	discovery   discovery
+	subset      subset
+
+	fleet          FleetState
+	lease          LeaseState
+	saturatedLinks map[string]int // by zone, the last PriorityRank that is still sent there
+}
+
+// New returns a balancer, or a *ConfigError. The seed determines its random choices.
+func New(config Config, seed int64) (*Balancer, error) {
+	b := &Balancer{
+		rng:              rand.New(rand.NewPCG(uint64(seed), 1)),
+		servers:          serverSet{byID: map[string]*server{}},
+		requests:         requestSet{byID: map[string]*request{}},
+		migrations:       map[string]migration{},
+		groupConnections: map[string]int{},
+		classLoads:       classLoads{},
+		means:            fleetMeans{renewalAge: 4 * minRenewalAge},
+		setups:           setupLimiter{limit: initialSetupLimit},
+	}
+	return b, b.configure(config)
+}
+
+// Step takes one event and appends the actions it calls for. Events that do not fit (the end of an unknown request,
+// a second request with a known id) change nothing; time that goes back stands still.
+func (b *Balancer) Step(now time.Duration, event Event, actions []Action) []Action {
+	b.now, b.actions = max(b.now, now), actions
+	if !b.started {
+		b.start()
+	}
+	switch event := event.(type) {
+	case ServerList:
+		b.updateEndpoints(event)
+	case Request:
+		b.receive(event)
+	case AdoptedConnection:
+		b.adopt(event)
+	case PredecessorFlow:
+		b.expectPredecessorFlow(event)
+	case AttemptEstablished:
+		b.attemptEstablished(event)
+	case AttemptEnded:
+		b.attemptEnded(event)
+	case ConnectionLoad:
+		b.takeConnectionLoad(event)
+	case MessageDelay:
+		b.takeMessageDelay(event)
+	case ProbeResult:
+		b.probeFinished(event)
+	case PeerReading:
+		b.takePeerReading(event)
+	case ClientDisconnected:
+		b.clientDisconnected(event)
+	case ConfigUpdate:
+		_ = b.configure(event.Config) // the host had New check it, and reported what is wrong
+	case CandidateSubset:
+		b.setCandidates(event)
+	case FleetState:
+		b.updateFleet(event)
+	case LeaseState:
+		b.lease = event
+	case SaturatedLinks:
+		b.saturatedLinks = event.Zones
+	case TimerFired:
+		b.tick()
+	}
+	return b.actions
+}
+
+// start spreads what would coincide if all balancers started together: polls of the endpoint list, and exploration
+// slots.
+func (b *Balancer) start() {
+	b.started = true
+	b.discovery.backoff = b.initialPollBackoff()
+	b.discovery.nextPollAt = b.now + b.staggered(5*b.initialPollBackoff())
+	b.exploration.nextSlotAt = b.now + b.jitter(2*b.slotLength())
+	b.act(SetTimer{tickToken, b.tickInterval})
+}
+
+// tick does what is due with time alone.
+func (b *Balancer) tick() {
+	b.act(SetTimer{tickToken, b.tickInterval})
+	for _, r := range slices.Clone(b.requests.waiting) {
+		stillWaiting := b.requests.byID[r.ID] == r && !r.attemptPending
+		if stillWaiting && (b.now >= r.nextPlacementAt || b.shouldReject(r)) {
+			b.choose(r)
+		}
+	}
+	b.pollIfNeeded()
+	for _, s := range b.servers.sorted {
+		b.tickServer(s)
+	}
+	if b.now >= b.exploration.nextSlotAt {
+		b.runSlot()
+	}
+}
+
+// tickServer lets connections leave a server that takes no new ones, bit by bit so that they are no wave where they
+// go, and probes a server whose load should be known.
+func (b *Balancer) tickServer(s *server) {
+	switch {
+	case s.State == Draining:
+		b.migrateShare(s, b.tickInterval.Seconds()/drainTime.Seconds())
+	case s.sampleWeight == 0 && b.config.MigrationsPerSecond > 0:
+		b.migrateShare(s, b.tickInterval.Seconds()*b.config.MigrationsPerSecond/float64(max(1, s.openConnections)))
+	case s.reading.overloadedSince > 0 || b.needsProbe(s):
+		b.ensureReading(s, nil)
+	}
+}
+
+func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+
+// jitter returns a random time in [0, d).
+func (b *Balancer) jitter(d time.Duration) time.Duration {
+	return time.Duration(b.rng.Float64() * float64(d))
+}
--- a/policy/cold_fleet_test.go
+++ b/policy/cold_fleet_test.go
@@ -85,7 +85,14 @@
 
 // play runs the fleet for the seed from before the cold start until the server is warm, or 12 s.
 func (f coldFleet) play(t testing.TB, seed uint64) coldResult {
-	p := &coldPlay{coldFleet: f, t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, held: map[string]float64{}, count: map[string]int{}}
+	p := &coldPlay{
+		coldFleet: f,
+		t:         t,
+		rng:       rand.New(rand.NewPCG(seed, 11)),
+		now:       time.Hour,
+		held:      map[string]float64{},
+		count:     map[string]int{},
+	}
 	p.meanWork = 1
 	if len(f.classWork) > 0 {
 		p.meanWork = 0
@@ -222,7 +229,13 @@
 }
 
 func (p *coldPlay) stand(by int, id, on string, class int) *standing {
-	s := &standing{by: by, id: id, on: on, work: p.work(class), ends: p.now + time.Duration(p.rng.ExpFloat64()*float64(p.shortLives))}
+	s := &standing{
+		by:   by,
+		id:   id,
+		on:   on,
+		work: p.work(class),
+		ends: p.now + time.Duration(p.rng.ExpFloat64()*float64(p.shortLives)),
+	}
 	p.held[on] += s.work
 	p.count[on]++
 	p.stands = append(p.stands, s)
@@ -254,7 +267,10 @@
 	if p.born == 0 {
 		return 1
 	}
-	return min(1, p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.born)/float64(max(1, p.WarmUpDuration)))
+	return min(
+		1,
+		p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.born)/float64(max(1, p.WarmUpDuration)),
+	)
 }
 
 func (p *coldPlay) can(server string) float64 {
@@ -292,7 +308,7 @@
 		return
 	}
 	x := max(0, p.held[server]/p.can(server)*(1+p.noise*p.rng.NormFloat64()))
-	r := &LoadReport{Load: x, Utilization: -1, InFlight: float64(p.count[server]), BacklogSeconds: -1}
+	r := report(x, float64(p.count[server]))
 	if p.uncounted {
 		r.InFlight = -1
 	}
@@ -301,8 +317,8 @@
 
 func (p *coldPlay) send(by int, a Send) {
 	b := p.all[by]
-	attempt := b.requests[a.ID].attempts - 1
-	class := slices.IndexFunc(p.Classes, func(k Class) bool { return k.Name == b.requests[a.ID].Class })
+	attempt := b.requests.byID[a.ID].attempts - 1
+	class := slices.IndexFunc(p.Classes, func(k Class) bool { return k.Name == b.requests.byID[a.ID].Class })
 	isDown := a.Server == "cold" && p.born == 0 && !(p.returns && p.now < time.Hour+coldStart-time.Second)
 	if isDown {
 		p.feed(by, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
@@ -323,7 +339,10 @@
 
 // judge holds a send to the cold server's bound.
 func (p *coldPlay) judge(by int, work float64) {
-	p.sent = slices.DeleteFunc(p.sent, func(s coldSendMade) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.born })
+	p.sent = slices.DeleteFunc(
+		p.sent,
+		func(s coldSendMade) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.born },
+	)
 	p.sent = append(p.sent, coldSendMade{p.now, work, p.knows[by]})
 	sum, told := 0.0, 0.0
 	for _, s := range p.sent {
@@ -385,10 +404,14 @@
 	return n
 }
 
-// coldSettings are those of a place whose cold servers bear budget connections of mean work in a window when they start.
+// coldSettings are those of a place whose cold servers bear budget connections of mean work in a window when they
+// start.
 func coldSettings(balancers int, fill, share, budget float64, window time.Duration) Config {
 	c := testConfig()
-	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadWindow = balancers, share, 10*time.Second, window
+	c.Balancers = balancers
+	c.WarmUpInitialCapacity = share
+	c.WarmUpDuration = 10 * time.Second
+	c.OverloadWindow = window
 	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() / (fill * max(share, 0.05))
 	return c
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -7,87 +7,115 @@
 	"time"
 )
 
-// Two hundred balancers with one newcomer a second each, and one cold server of twenty: its part of the bound is used,
-// though each balancer may send there for a small part of the time only, and it is kept.
-func TestColdServersAreUsedAtThinTraffic(t *testing.T) {
-	const balancers, servers, fill = 200, 20, 100.0
-	c := testConfig()
-	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = balancers, 0.34, 8600*time.Millisecond, 4, 3*time.Second
-	now := time.Hour
-	var list []Server
-	held := map[string]float64{}
+// thinFleet is many balancers with little traffic each, and servers whose connections stay.
+type thinFleet struct {
+	config    Config
+	fill      float64 // connections that fill a warm server
+	now       time.Duration
+	coldSince time.Duration // start of the server "cold"
+	rounds    int
+	list      []Server
+	held      map[string]float64
+	sentCold  float64
+	balancers []*Balancer
+}
+
+func newThinFleet(t *testing.T, config Config, servers int, fill float64) *thinFleet {
+	f := &thinFleet{config: config, fill: fill, now: time.Hour, coldSince: time.Hour, held: map[string]float64{}}
 	for i := range servers {
 		id := fmt.Sprint("s", i)
-		list = append(list, Server{ID: id, Zone: "a", Weight: 1})
-		held[id] = 0.7 * fill
+		f.list = append(f.list, Server{ID: id, Zone: "a", Weight: 1})
+		f.held[id] = 0.7 * fill
 	}
-	var all []*Balancer
-	for i := range balancers {
-		b, err := New(c, int64(i))
+	for i := range config.Balancers {
+		b, err := New(config, int64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(now, ServerList{Kind: ListFull, Servers: list}, nil)
-		all = append(all, b)
+		b.Step(f.now, ServerList{Kind: ListFull, Servers: f.list}, nil)
+		f.balancers = append(f.balancers, b)
 	}
-	began, sent := now, 0.0
-	ramp := func() float64 {
-		return min(1, c.WarmUpInitialCapacity+(1-c.WarmUpInitialCapacity)*float64(now-began)/float64(c.WarmUpDuration))
+	return f
+}
+
+// capacity is how many connections a server holds now.
+func (f *thinFleet) capacity(server string) float64 {
+	if server != "cold" {
+		return f.fill
 	}
-	var feed func(b *Balancer, ev Event)
-	feed = func(b *Balancer, ev Event) {
-		for _, a := range b.Step(now, ev, nil) {
-			switch a := a.(type) {
-			case Probe:
-				can := fill
-				if a.Server == "cold" {
-					can *= ramp()
-				}
-				feed(b, ProbeResult{Server: a.Server, Report: &LoadReport{Load: held[a.Server] / can, Utilization: -1, InFlight: held[a.Server], BacklogSeconds: -1}})
-			case Send:
-				held[a.Server]++
-				if a.Server == "cold" {
-					sent++
-				}
-				feed(b, AttemptEstablished{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
+	elapsed := float64(f.now-f.coldSince) / float64(f.config.WarmUpDuration)
+	return f.fill * min(1, f.config.WarmUpInitialCapacity+(1-f.config.WarmUpInitialCapacity)*elapsed)
+}
+
+func (f *thinFleet) feed(b *Balancer, ev Event) {
+	for _, a := range b.Step(f.now, ev, nil) {
+		switch a := a.(type) {
+		case Probe:
+			f.feed(b, ProbeResult{Server: a.Server, Report: report(f.held[a.Server]/f.capacity(a.Server), f.held[a.Server])})
+		case Send:
+			f.held[a.Server]++
+			if a.Server == "cold" {
+				f.sentCold++
 			}
+			f.feed(b, AttemptEstablished{ID: a.ID, Server: a.Server, Latency: 20 * time.Millisecond})
 		}
 	}
-	next := 0
-	run := func(d time.Duration) {
-		for end := now + d; now < end; {
-			now += 20 * time.Millisecond
-			for i, b := range all {
-				if (next+i)%50 == 0 {
-					feed(b, Request{ID: fmt.Sprint("r", next, "-", i), Key: fmt.Sprint(next, "-", i), Class: "safe", Timeout: time.Second})
-				}
-				feed(b, TimerFired{"tick"})
+}
+
+// run lets each balancer get one request a second.
+func (f *thinFleet) run(d time.Duration) {
+	for end := f.now + d; f.now < end; f.rounds++ {
+		f.now += 20 * time.Millisecond
+		for i, b := range f.balancers {
+			if (f.rounds+i)%50 == 0 {
+				key := fmt.Sprint(f.rounds, "-", i)
+				f.feed(b, Request{ID: "r" + key, Key: key, Class: "safe", Timeout: time.Second})
 			}
-			next++
+			f.feed(b, TimerFired{"tick"})
 		}
 	}
-	run(2 * time.Second)
-	began = now
-	list = append(list, Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: now})
-	for _, b := range all {
-		feed(b, ServerList{Kind: ListFull, Servers: list})
+}
+
+// Two hundred balancers with one newcomer a second each, and one cold server of twenty: its part of the bound is
+// used, though each balancer may send there for a small part of the time only, and it is kept.
+func TestColdServersAreUsedAtThinTraffic(t *testing.T) {
+	const fill = 100.0
+	c := testConfig()
+	c.Balancers = 200
+	c.WarmUpInitialCapacity = 0.34
+	c.WarmUpDuration = 8600 * time.Millisecond
+	c.OverloadMultiple = 4
+	c.OverloadWindow = 3 * time.Second
+	f := newThinFleet(t, c, 20, fill)
+	f.run(2 * time.Second)
+	f.coldSince = f.now
+	f.list = append(f.list, Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: f.now})
+	for _, b := range f.balancers {
+		f.feed(b, ServerList{Kind: ListFull, Servers: f.list})
 	}
-	run(3 * time.Second)
-	// In three seconds the budget is 0.6 of 4 times what it can do, over its cold time, of which it can do a third to a half.
-	budget := defaultWarmUpBudgetShare * c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2) * 3 / 8.6
-	t.Logf("%.0f sent of a budget of %.0f", sent, budget)
-	if sent < 0.4*budget || sent > 1.1*budget {
-		t.Errorf("%.0f sent of a budget of %.0f", sent, budget)
+	f.run(3 * time.Second)
+	// In three seconds the budget is 0.6 of 4 times what it can do, over its cold time, of which it can do a third to
+	// a half.
+	meanCapacity := c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2
+	budget := defaultWarmUpBudgetShare * c.OverloadMultiple * fill * meanCapacity * 3 / 8.6
+	t.Logf("%.0f sent of a budget of %.0f", f.sentCold, budget)
+	if f.sentCold < 0.4*budget || f.sentCold > 1.1*budget {
+		t.Errorf("%.0f sent of a budget of %.0f", f.sentCold, budget)
 	}
 }
 
-// Where no report tells how many connections a server holds, or nothing may be probed, a cold server's budget rests on a guess from the
-// own connections. That guess is of a warm server, and of one in the middle of its load where no load is known.
+// Where no report tells how many connections a server holds, or nothing may be probed, a cold server's budget rests
+// on a guess from the own connections. That guess is of a warm server, and of one in the middle of its load where
+// no load is known.
 func TestColdServersStandWhereNoReportCounts(t *testing.T) {
 	const fill, each = 50.0, 20
 	for name, probes := range map[string]bool{"no counts": true, "no probes": false} {
 		c := testConfig()
-		c.ProbesEnabled, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = probes, 0.05, 40*time.Second, 4, 5*time.Second
+		c.ProbesEnabled = probes
+		c.WarmUpInitialCapacity = 0.05
+		c.WarmUpDuration = 40 * time.Second
+		c.OverloadMultiple = 4
+		c.OverloadWindow = 5 * time.Second
 		b, err := New(c, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -99,7 +127,7 @@
 			for _, a := range b.Step(now, ev, nil) {
 				switch a := a.(type) {
 				case Probe:
-					feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: each / fill, Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
+					feed(ProbeResult{Server: a.Server, Report: report(each/fill, -1)})
 				case Send:
 					if a.Server == "cold" {
 						sent++
@@ -126,7 +154,8 @@
 		come(500)
 		feed(ServerList{Kind: ListDelta, Servers: []Server{{ID: "cold", Zone: "a", Weight: 1, StartedAt: now}}})
 		come(250)
-		bears := c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + 0.125) / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds()
+		window := c.OverloadWindow.Seconds() / c.WarmUpDuration.Seconds()
+		bears := c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + 0.125) * window
 		if most := bears + 2*math.Sqrt(bears) + 2; float64(sent) > most {
 			t.Errorf("%s: %d sent to a cold server within %v, it falls at %.1f", name, sent, c.OverloadWindow, most)
 		}
@@ -137,7 +166,11 @@
 // more than its rate, which is most of what there is here. They are used, and the bound is kept.
 func TestAFewBalancersUseTheColdBound(t *testing.T) {
 	c := testConfig()
-	c.Balancers, c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = 3, 0.2, 20*time.Second, 4, 2*time.Second
+	c.Balancers = 3
+	c.WarmUpInitialCapacity = 0.2
+	c.WarmUpDuration = 20 * time.Second
+	c.OverloadMultiple = 4
+	c.OverloadWindow = 2 * time.Second
 	list := servers(1)
 	list[0].StartedAt = time.Hour
 	const fill = 70 // connections, when warm
@@ -146,7 +179,7 @@
 	var all []*Balancer
 	for i := range c.Balancers {
 		b, _ := New(c, int64(i))
-		b.meansStep = 1.0 / fill
+		b.means.step = 1.0 / fill
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		all = append(all, b)
 	}
@@ -159,7 +192,7 @@
 			for j := 0; j < len(out); j++ {
 				switch a := out[j].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: held / fill / ramp, Utilization: -1, InFlight: held, BacklogSeconds: -1}}, out)
+					out = b.Step(now, ProbeResult{Server: a.Server, Report: report(held/fill/ramp, held)}, out)
 				case Send:
 					held++
 					sent = append(sent, at)
@@ -175,16 +208,27 @@
 		}
 		most = max(most, n)
 	}
-	rate := c.OverloadMultiple * fill * c.WarmUpInitialCapacity / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds() // when it starts
+	window := c.OverloadWindow.Seconds() / c.WarmUpDuration.Seconds()
+	rate := c.OverloadMultiple * fill * c.WarmUpInitialCapacity * window // when it starts
 	t.Logf("%d sent, at most %d in %v; the rate alone is %.1f at the start", len(sent), most, c.OverloadWindow, rate)
-	if float64(most) > rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity+overloadSlack || len(sent) < 26 {
+	bound := rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity + overloadSlack
+	if float64(most) > bound || len(sent) < 26 {
 		t.Errorf("%d sent, at most %d in %v", len(sent), most, c.OverloadWindow)
 	}
 }
 
-// coldPlaces are fleets of m balancers under a burst, by what is unusual there. A window of the cold server's bound is 2 s.
+// coldPlaces are fleets of m balancers under a burst, by what is unusual there. A window of the cold server's bound
+// is 2 s.
 func coldPlaces(m int, budget float64) map[string]coldFleet {
-	plain := coldFleet{Config: coldSettings(m, 60, 0.34, budget, 2*time.Second), balancers: m, warm: 6, fill: 60, load: 0.65, rate: 20, burst: 2}
+	plain := coldFleet{
+		Config:    coldSettings(m, 60, 0.34, budget, 2*time.Second),
+		balancers: m,
+		warm:      6,
+		fill:      60,
+		load:      0.65,
+		rate:      20,
+		burst:     2,
+	}
 	places := map[string]coldFleet{}
 	for name, change := range map[string]func(f *coldFleet){
 		"a burst":                  func(*coldFleet) {},
@@ -208,8 +252,8 @@
 	return places
 }
 
-// Whatever is unusual at a place, the sum over all balancers keeps to what a cold server bears, where work is even: each
-// balancer alone, with one, few or many of them, from a budget of under one send to one of many.
+// Whatever is unusual at a place, the sum over all balancers keeps to what a cold server bears, where work is even:
+// each balancer alone, with one, few or many of them, from a budget of under one send to one of many.
 func TestColdBoundHoldsForTheWholeFleet(t *testing.T) {
 	for _, m := range []int{1, 4, 25} {
 		for _, budget := range []float64{0.3, 1, 4, 15} {
@@ -230,8 +274,8 @@
 	}
 }
 
-// Classes whose connections tell very different loads: a heavy one costs as much of a cold server's budget as its work,
-// and goes elsewhere while few sends are all that the budget holds. The budget is still used.
+// Classes whose connections tell very different loads: a heavy one costs as much of a cold server's budget as its
+// work, and goes elsewhere while few sends are all that the budget holds. The budget is still used.
 func TestHeavyClassesKeepToTheColdBound(t *testing.T) {
 	for _, m := range []int{1, 2, 3, 5} {
 		for _, budget := range []float64{1, 3, 6} {
@@ -256,11 +300,14 @@
 	}
 }
 
-// mostInAWindow is the most sends that one balancer makes to a cold server within FallTime, with newcomers without end.
+// mostInAWindow is the most sends that one balancer makes to a cold server within FallTime, with newcomers without
+// end.
 func mostInAWindow(t *testing.T, c Config, fleet FleetState, budget float64) int {
 	t.Helper()
 	const fill = 1000.0
-	c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadWindow = 1, time.Minute, 2*time.Second // it stays as it is while it counts as cold
+	c.WarmUpInitialCapacity = 1 // it stays as it is while it counts as cold
+	c.WarmUpDuration = time.Minute
+	c.OverloadWindow = 2 * time.Second
 	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / c.OverloadWindow.Seconds() / fill
 	most := 0
 	for seed := range int64(3) {
@@ -272,7 +319,7 @@
 		list[0].StartedAt = time.Hour
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		b.Step(time.Hour, fleet, nil)
-		b.meansStep = 1 / fill
+		b.means.step = 1 / fill
 		b.config.WarmUpInitialCapacity = 0.999999 // a part of 1 is warm
 		sent := []time.Duration{}
 		for at := time.Duration(0); at < 20*time.Second; at += 20 * ms {
@@ -282,7 +329,7 @@
 				for j := 0; j < len(out); j++ {
 					switch a := out[j].(type) {
 					case Probe:
-						out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: 0.001, Utilization: -1, InFlight: 1, BacklogSeconds: -1}}, out)
+						out = b.Step(now, ProbeResult{Server: a.Server, Report: report(0.001, 1)}, out)
 					case Send:
 						sent = append(sent, at)
 						out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
@@ -306,9 +353,9 @@
 	return most
 }
 
-// keepsToSlack tells whether so many sends of m balancers in a window keep to a cold server's bound: either each sends
-// its part of the rate, at a random phase, or the sum with a reserve for uneven work and one send beside is within the
-// part of the budget N that is used and the 2 x root of N + 2 that the bound leaves beside it.
+// keepsToSlack tells whether so many sends of m balancers in a window keep to a cold server's bound: either each
+// sends its part of the rate, at a random phase, or the sum with a reserve for uneven work and one send beside is
+// within the part of the budget N that is used and the 2 x root of N + 2 that the bound leaves beside it.
 func keepsToSlack(m int, sum, part float64) bool {
 	rate := float64(m) * math.Floor(1.25*part/float64(m)+1)
 	return sum <= rate || sum+0.75*math.Sqrt(sum)+1 <= part+2*math.Sqrt(part/defaultWarmUpBudgetShare)+2
@@ -335,13 +382,14 @@
 	}
 }
 
-// Where fewer balancers share than the settings name, whole sends are dealt to those that share, and to no more than these.
+// Where fewer balancers share than the settings name, whole sends are dealt to those that share, and to no more
+// than these.
 func TestSharersKeepToTheSlack(t *testing.T) {
 	for _, sharers := range []int{1, 2, 3, 5, 9} {
 		for _, n := range []float64{0.3, 1, 2, 3.5, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = 4
-			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetSharers: sharers}, n)), defaultWarmUpBudgetShare*n
+			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetDivisor: sharers}, n)), defaultWarmUpBudgetShare*n
 			if !keepsToSlack(sharers, sum, part) {
 				t.Errorf("%d of 4 share, budget %.1f: %.0f sends in a window", sharers, n, sum)
 			}
@@ -349,14 +397,17 @@
 	}
 }
 
-// A start that is told ahead of the balancer's clock, or a server that can do nothing when it starts: the budget is that
-// of the start, and it is there once the server does something.
+// A start that is told ahead of the balancer's clock, or a server that can do nothing when it starts: the budget is
+// that of the start, and it is there once the server does something.
 func TestColdBudgetAtAndBeforeTheStart(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.34} {
 		for _, ahead := range []time.Duration{0, ms, 500 * ms, 5 * time.Second} {
 			for _, meanStep := range []float64{0, 1.0 / 60} { // nothing is known, or the warm ones are
 				c := testConfig()
-				c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = share, 10*time.Second, 4, 2*time.Second
+				c.WarmUpInitialCapacity = share
+				c.WarmUpDuration = 10 * time.Second
+				c.OverloadMultiple = 4
+				c.OverloadWindow = 2 * time.Second
 				b, err := New(c, 1)
 				if err != nil {
 					t.Fatal(err)
@@ -364,7 +415,7 @@
 				list := servers(1)
 				list[0].StartedAt = time.Hour + ahead
 				b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
-				b.meansStep = meanStep
+				b.means.step = meanStep
 				sent := map[bool]int{} // by whether it had started
 				held := 0.0
 				for at := time.Duration(0); at < ahead+9*time.Second; at += 20 * ms {
@@ -374,7 +425,7 @@
 					for j := 0; j < len(out); j++ {
 						switch a := out[j].(type) {
 						case Probe:
-							out = b.Step(now, ProbeResult{Server: a.Server, Report: &LoadReport{Load: 0.001, Utilization: -1, InFlight: held, BacklogSeconds: -1}}, out)
+							out = b.Step(now, ProbeResult{Server: a.Server, Report: report(0.001, held)}, out)
 						case Send:
 							held++
 							sent[at >= ahead]++
@@ -387,7 +438,14 @@
 				n := c.OverloadMultiple * 60 * share / c.WarmUpDuration.Seconds() * c.OverloadWindow.Seconds()
 				windows := ahead.Seconds()/c.OverloadWindow.Seconds() + 1
 				if most := windows * (n + 2*math.Sqrt(n) + 2); float64(sent[false]) > most {
-					t.Errorf("part %v, told %v ahead, step %v: %d sends before it started, at most %.1f are borne", share, ahead, meanStep, sent[false], most)
+					t.Errorf(
+						"part %v, told %v ahead, step %v: %d sends before it started, at most %.1f are borne",
+						share,
+						ahead,
+						meanStep,
+						sent[false],
+						most,
+					)
 				}
 				if sent[true] < 5 {
 					t.Errorf("part %v, told %v ahead, step %v: %d sends after the start", share, ahead, meanStep, sent[true])
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,10 +10,10 @@
 // A host feeds events in, with the time, and carries out what comes back.
 func Example() {
 	b, err := policy.New(policy.Config{
-		Balancers:   1,
-		MaxAttempts: 3,
-		ProbesEnabled:      true,
-		Classes:     []policy.Class{{Name: "stream", LatencyObjective: 500 * time.Millisecond}},
+		Balancers:     1,
+		MaxAttempts:   3,
+		ProbesEnabled: true,
+		Classes:       []policy.Class{{Name: "stream", LatencyObjective: 500 * time.Millisecond}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -37,7 +37,8 @@
 	f.note()
 	for i := range balancers {
 		c := testConfig()
-		c.Balancers, c.MaxAttempts = balancers, 6
+		c.Balancers = balancers
+		c.MaxAttempts = 6
 		b, err := New(c, int64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -69,7 +70,7 @@
 				continue
 			}
 			n := f.reported[max(0, len(f.reported)-1-f.late)][a.Server]
-			f.feed(i, at, ProbeResult{Server: a.Server, Report: &LoadReport{Load: n / f.fill, Utilization: -1, InFlight: n, BacklogSeconds: -1}})
+			f.feed(i, at, ProbeResult{Server: a.Server, Report: report(n/f.fill, n)})
 		case Send:
 			f.held[a.Server]++
 			f.feed(i, at, AttemptEstablished{ID: a.ID, Attempt: 0, Server: a.Server, Latency: stepTime})
@@ -77,7 +78,7 @@
 			f.refused++
 			f.again = append(f.again, Request{ID: a.ID + "+", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
 		case Migrate:
-			f.held[b.requests[a.ID].server.ID]--
+			f.held[b.requests.byID[a.ID].server.ID]--
 			f.again = append(f.again, Request{ID: a.ID + "-", Key: a.ID, Class: "safe", Timeout: 2 * time.Second})
 		}
 	}
@@ -126,18 +127,29 @@
 	t.Logf("peaks %v, %.0f placed, %d refused, %d probes", f.peak, placed, f.refused, f.probes)
 }
 
-// A server dies, or answers with errors, while it reads over, and discovery is seconds late with that. Eighty balancers may look after it for
-// their connections' sake, but not storm it.
+// A server dies, or answers with errors, while it reads over, and discovery is seconds late with that. Eighty
+// balancers may look after it for their connections' sake, but not storm it.
 func TestADeadServerIsNotStormedByMany(t *testing.T) {
 	for _, answer := range []Result{ResultUnreachable, ResultFailed} {
 		held := map[string]float64{"s0": 230, "s1": 120, "s2": 120, "s3": 120}
 		f := newSideBySide(t, 80, 15, 200, held)
 		for i := range f.balancers {
 			for k := range 3 {
-				f.feed(i, time.Hour, AdoptedConnection{Request: Request{ID: fmt.Sprint(i, "-", k), Key: fmt.Sprint(i, "-", k), Class: "safe"}, Server: "s0"})
+				f.feed(
+					i,
+					time.Hour,
+					AdoptedConnection{
+						Request: Request{ID: fmt.Sprint(i, "-", k), Key: fmt.Sprint(i, "-", k), Class: "safe"},
+						Server:  "s0",
+					},
+				)
 			}
-			f.balancers[i].ensureReading(f.balancers[i].servers["s0"], nil)
-			f.feed(i, time.Hour, ProbeResult{Server: "s0", Report: &LoadReport{Load: 1.15, Utilization: -1, InFlight: 230, BacklogSeconds: -1}})
+			f.balancers[i].ensureReading(f.balancers[i].servers.byID["s0"], nil)
+			f.feed(
+				i,
+				time.Hour,
+				ProbeResult{Server: "s0", Report: report(1.15, 230)},
+			)
 		}
 		f.dead, f.answer = map[string]bool{"s0": true}, answer
 		for s := range 150 { // three seconds
@@ -161,7 +173,9 @@
 // Balancers that start together, as after a release, ask discovery spread over time, and so do those that failed.
 func TestManyThatStartTogetherAskDiscoverySpread(t *testing.T) {
 	c := testConfig()
-	c.Balancers, c.PollEndpointList, c.PollInterval = 80, true, 8*time.Second
+	c.Balancers = 80
+	c.PollEndpointList = true
+	c.PollInterval = 8 * time.Second
 	calls := map[int]int{}
 	for i := range 80 {
 		b, err := New(c, int64(i))
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -34,8 +34,8 @@
 	return ids
 }
 
-// Only candidates are drawn, for newcomers and explorers alike; where none of them is live all servers count, and with an
-// empty list all count again.
+// Only candidates are drawn, for newcomers and explorers alike; where none of them is live all servers count, and
+// with an empty list all count again.
 func TestOnlyCandidatesAreDrawn(t *testing.T) {
 	b, now := listed(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5", "s9"}}, nil)
@@ -55,10 +55,10 @@
 	if got := ask(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
 		t.Errorf("drawn: %v", got)
 	}
-	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes["safe"], mayHaveRunAt: -1}
-	r.server = b.servers["s3"]
+	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes.byName["safe"], mayHaveRunAt: -1}
+	r.server = b.servers.byID["s3"]
 	for range 100 {
-		if s := b.explorationServer(r); s.ID != "s5" && s.ID != "s9" {
+		if s := b.randomOtherServer(r); s.ID != "s5" && s.ID != "s9" {
 			t.Fatalf("explores at %s", s.ID)
 		}
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// What others read stands in for an own probe, the longer the more room it tells of; it is not told on as an own reading,
-// and what is older than the own one changes nothing.
+// What others read stands in for an own probe, the longer the more room it tells of; it is not told on as an own
+// reading, and what is older than the own one changes nothing.
 func TestOthersReadingsSaveProbes(t *testing.T) {
 	b, now := listed(t, 2, nil)
 	come := func(id string) []string {
@@ -93,7 +93,9 @@
 	if got := come("a"); len(got) != 0 {
 		t.Errorf("with room told of 1.3 s ago, asked %v", got)
 	}
-	b.LoadReadings(func(id string, x float64, _ time.Duration, _ int) { t.Errorf("%s at %v told on", id, x) })
+	for _, reading := range b.LoadReadings() {
+		t.Errorf("%s at %v told on", reading.Server, reading.Load)
+	}
 	now += 10 * time.Second
 	for _, id := range []string{"s0", "s1"} {
 		b.Step(now, PeerReading{Server: id, Load: 0.78, Age: 300 * time.Millisecond}, nil)
@@ -102,16 +104,20 @@
 	if got := come("b"); len(got) != 2 {
 		t.Errorf("near full, asked %v", got)
 	}
-	b.Step(now, ProbeResult{Server: "s0", Report: &LoadReport{Load: 0.5, Utilization: -1, InFlight: 5, BacklogSeconds: -1}}, nil)
+	b.Step(
+		now,
+		ProbeResult{Server: "s0", Report: report(0.5, 5)},
+		nil,
+	)
 	b.Step(now, PeerReading{Server: "s0", Load: 0.1, Age: 50 * time.Millisecond}, nil)
-	if x := b.servers["s0"].readingLoad; x != 0.5 {
+	if x := b.servers.byID["s0"].reading.load; x != 0.5 {
 		t.Errorf("an older reading of others took the place of the own one: %v", x)
 	}
 	now += 10 * time.Second
 	if got := probesOf(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
 		t.Errorf("told that s0 is dead, asked %v", got)
 	}
-	if s := b.servers["s0"]; s.probeFailures != 0 || s.probeEjectedUntil != 0 {
+	if s := b.servers.byID["s0"]; s.probe.failures != 0 || s.probe.ejectedUntil != 0 {
 		t.Error("others' word alone ended a server")
 	}
 }
@@ -128,7 +134,11 @@
 				t.Fatalf("asked %s", id)
 			}
 			asked++
-			b.Step(now, ProbeResult{Server: id, Report: &LoadReport{Load: 0.3, Utilization: -1, InFlight: 9, BacklogSeconds: -1}}, nil)
+			b.Step(
+				now,
+				ProbeResult{Server: id, Report: report(0.3, 9)},
+				nil,
+			)
 		}
 	}
 	if asked < 10 || asked > 13 {
@@ -140,24 +150,27 @@
 func TestColdBudgetIsShared(t *testing.T) {
 	sends := func(f FleetState) float64 {
 		b, now := listed(t, 1, func(c *Config) {
-			c.WarmUpInitialCapacity, c.WarmUpDuration, c.OverloadMultiple, c.OverloadWindow = 0.3, 10*time.Second, 4, time.Second
+			c.WarmUpInitialCapacity = 0.3
+			c.WarmUpDuration = 10 * time.Second
+			c.OverloadMultiple = 4
+			c.OverloadWindow = time.Second
 		})
-		s := b.servers["s0"]
+		s := b.servers.byID["s0"]
 		b.startWarmUp(s, now)
-		s.estimateStep, s.warmUpTokens = 0.05, 0
+		s.estimate.step, s.warmUp.tokens = 0.05, 0
 		b.Step(now, f, nil)
 		total := 0.0
 		for range 100 {
 			b.now += 20 * time.Millisecond
-			for b.warmUpBudget(s) >= 1 {
-				s.warmUpTokens--
+			for b.refillWarmUpBudget(s) >= 1 {
+				s.warmUp.tokens--
 				total++
 			}
 		}
-		return total + max(0, s.warmUpTokens)
+		return total + max(0, s.warmUp.tokens)
 	}
-	alone, five := sends(FleetState{}), sends(FleetState{BudgetSharers: 5})
-	if none := sends(FleetState{BudgetSharers: -1}); none != 0 {
+	alone, five := sends(FleetState{}), sends(FleetState{BudgetDivisor: 5})
+	if none := sends(FleetState{BudgetDivisor: -1}); none != 0 {
 		t.Errorf("who is to take none may send %v", none)
 	}
 	if five < 1.9*alone || five > 2.1*alone {
@@ -170,18 +183,18 @@
 	b, now := listed(t, 3, nil)
 	b.Step(now, TimerFired{"tick"}, nil)
 	b.Step(now, FleetState{ExplorationSlots: 40}, nil)
-	if b.ExplorationSlots() != 40 {
-		t.Errorf("clock %d", b.ExplorationSlots())
+	if b.Activity().ExplorationSlots != 40 {
+		t.Errorf("clock %d", b.Activity().ExplorationSlots)
 	}
 	b.Step(now, FleetState{ExplorationSlots: 7}, nil)
-	if b.ExplorationSlots() != 40 {
-		t.Errorf("the clock went back to %d", b.ExplorationSlots())
+	if b.Activity().ExplorationSlots != 40 {
+		t.Errorf("the clock went back to %d", b.Activity().ExplorationSlots)
 	}
 	for _, nudge := range []time.Duration{-time.Hour, time.Hour} {
-		was := b.explorationNextSlotAt
+		was := b.exploration.nextSlotAt
 		b.Step(now, FleetState{SlotShift: nudge}, nil)
-		if b.explorationNextSlotAt <= now || b.explorationNextSlotAt > max(was, now+b.slotLength()) {
-			t.Errorf("moved by %v the next slot is in %v", nudge, b.explorationNextSlotAt-now)
+		if b.exploration.nextSlotAt <= now || b.exploration.nextSlotAt > max(was, now+b.slotLength()) {
+			t.Errorf("moved by %v the next slot is in %v", nudge, b.exploration.nextSlotAt-now)
 		}
 	}
 }
@@ -200,7 +213,7 @@
 				if a.Server == "s3" || a.Server == "s5" {
 					x = 0.99
 				}
-				feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: x, Utilization: -1, InFlight: 100 * x, BacklogSeconds: -1}})
+				feed(ProbeResult{Server: a.Server, Report: report(x, 100*x)})
 			case Send:
 				sent = a.Server
 			case Reject:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,10 +1,12 @@
 package policy
 
 import (
-	"bufio"
 	"fmt"
 	"math"
 	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -17,9 +19,29 @@
 		Zone: "a", Balancers: 1, MaxAttempts: 3, ProbesEnabled: true, TimerResolution: ms,
 		Classes: []Class{
 			{Name: "safe", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms},
-			{Name: "keyed", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyTTL: 800 * ms},
-			{Name: "zone", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyScope: KeyScopeZone, KeyTTL: 10 * time.Second},
-			{Name: "cell", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, KeyTTL: 10 * time.Second},
+			{
+				Name:                    "keyed",
+				LatencyObjective:        500 * ms,
+				MessageLatencyObjective: 100 * ms,
+				Idempotency:             IdempotentByKey,
+				KeyTTL:                  800 * ms,
+			},
+			{
+				Name:                    "zone",
+				LatencyObjective:        500 * ms,
+				MessageLatencyObjective: 100 * ms,
+				Idempotency:             IdempotentByKey,
+				KeyScope:                KeyScopeZone,
+				KeyTTL:                  10 * time.Second,
+			},
+			{
+				Name:                    "cell",
+				LatencyObjective:        500 * ms,
+				MessageLatencyObjective: 100 * ms,
+				Idempotency:             IdempotentByKey,
+				KeyScope:                KeyScopeCell,
+				KeyTTL:                  10 * time.Second,
+			},
 			{Name: "unsafe", LatencyObjective: 500 * ms, MessageLatencyObjective: 100 * ms, Idempotency: NotIdempotent},
 		},
 		WarmUpInitialCapacity: 0.3, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
@@ -73,7 +95,7 @@
 			if rif == 0 {
 				rif = -1
 			}
-			r.feed(ProbeResult{Server: a.Server, Report: &LoadReport{Load: r.loads[a.Server], Utilization: -1, InFlight: rif, BacklogSeconds: -1}})
+			r.feed(ProbeResult{Server: a.Server, Report: report(r.loads[a.Server], rif)})
 		}
 	}
 }
@@ -170,7 +192,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.explorationSlots = c.t
+		b.exploration.slots = c.t
 		if got := b.explorationProbability(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("beta %v, slot %d: %v, want %v", c.beta, c.t, got, c.want)
 		}
@@ -224,9 +246,11 @@
 		result Result
 		want   string
 	}{
-		{"safe", ResultFailed, again}, {"safe", ResultRejected, again}, {"safe", ResultTimedOut, again}, {"safe", ResultUnreachable, again},
-		{"safe", ResultReset, again}, {"safe", ResultCanceled, again}, {"safe", ResultSkipped, again},
-		{"unsafe", ResultFailed, fail}, {"unsafe", ResultTimedOut, fail}, {"unsafe", ResultReset, fail}, {"unsafe", ResultCanceled, fail},
+		{"safe", ResultFailed, again}, {"safe", ResultRejected, again}, {"safe", ResultTimedOut, again},
+		{"safe", ResultUnreachable, again}, {"safe", ResultReset, again}, {"safe", ResultCanceled, again},
+		{"safe", ResultSkipped, again},
+		{"unsafe", ResultFailed, fail}, {"unsafe", ResultTimedOut, fail}, {"unsafe", ResultReset, fail},
+		{"unsafe", ResultCanceled, fail},
 		{"unsafe", ResultRejected, again}, {"unsafe", ResultUnreachable, again}, {"unsafe", ResultSkipped, again},
 		{"keyed", ResultTimedOut, again}, {"keyed", ResultRejected, again},
 		{"zone", ResultTimedOut, again}, {"zone", ResultRejected, again},
@@ -260,7 +284,7 @@
 		}
 		second, _ := last[Send](r)
 		if c.result.MayHaveRun() && c.want == again {
-			x, y := r.b.servers[first.Server], r.b.servers[second.Server]
+			x, y := r.b.servers.byID[first.Server], r.b.servers.byID[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
 				t.Errorf("%s: repeated out of its scope", c.class)
 			}
@@ -328,7 +352,8 @@
 
 func TestListFailuresAreAskedAgainInTime(t *testing.T) {
 	c := testConfig()
-	c.PollEndpointList, c.PollInterval = true, 10*time.Second
+	c.PollEndpointList = true
+	c.PollInterval = 10 * time.Second
 	r := newRig(t, c)
 	r.feed(ServerList{Kind: ListFailed})
 	r.log = nil
@@ -351,26 +376,42 @@
 	}
 }
 
-func TestModuleSize(t *testing.T) {
-	f, err := os.Open("policy.go")
+// Operators read which files decide in the deploy file, and a reader meets no long file or line.
+func TestDeployFileNamesEveryDecision(t *testing.T) {
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	lines, full := bufio.NewScanner(f), 0
-	for n := 1; lines.Scan(); n++ {
-		if strings.TrimSpace(lines.Text()) != "" {
-			full++
+	declarations := []string{"doc.go", "config.go", "events.go", "actions.go"} // types and settings, no decision
+	files, err := filepath.Glob("*.go")
+	if err != nil || len(files) == 0 {
+		t.Fatal("no files:", err)
+	}
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
 		}
-		if len([]rune(strings.ReplaceAll(lines.Text(), "\t", "    "))) > 110 {
-			t.Errorf("line %d is longer than 110 characters", n)
+		named := strings.Contains(string(deploy), strconv.Quote("policy/"+name))
+		if declares := slices.Contains(declarations, name); named == declares {
+			t.Errorf("%s holds decisions: %v, named in the deploy file: %v", name, !declares, named)
 		}
-		if n == 1 && !strings.Contains(lines.Text(), "api.go") {
-			t.Error("the first line does not name api.go")
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := strings.Split(string(text), "\n")
+		if len(lines) > 500 {
+			t.Errorf("%s has %d lines", name, len(lines))
+		}
+		for n, line := range lines {
+			if len([]rune(strings.ReplaceAll(line, "\t", "    "))) > 140 {
+				t.Errorf("%s:%d is too long", name, n+1)
+			}
 		}
 	}
-	if full > 650 {
-		t.Errorf("%d lines that are not blank; the ceiling is 650", full)
-	}
-	t.Logf("%d lines that are not blank", full)
+}
+
+// report is a load report with a load and a number of requests only.
+func report(load, inFlight float64) *LoadReport {
+	return &LoadReport{Load: load, Utilization: -1, InFlight: inFlight, BacklogSeconds: -1}
 }
--- /dev/null
+++ b/policy/rejection.go
@@ -0,0 +1,82 @@
+package policy
+
+import "slices"
+
+// shouldReject tells that a waiting request should be given up now: no worth is left after its latency objective.
+func (b *Balancer) shouldReject(r *request) bool {
+	return b.lease == LeaseExpired || b.now >= r.receivedAt+r.class.LatencyObjective || b.overdue(r)
+}
+
+// answerFinally closes a request that has no attempt pending. It is rejected where another try is harmless, and
+// failed otherwise.
+func (b *Balancer) answerFinally(r *request) {
+	class := r.class
+	harmless := r.mayHaveRunAt < 0 ||
+		class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
+	if harmless {
+		retryAfter := b.config.MaxRetryAfter/2 + b.jitter(b.config.MaxRetryAfter/2)
+		b.act(Reject{r.ID, retryAfter, b.rejectionReason(r)})
+	} else {
+		b.act(Fail{r.ID, b.rejectionReason(r)})
+	}
+	b.forget(r)
+}
+
+// rejectionReason names what kept a request from being placed.
+func (b *Balancer) rejectionReason(r *request) string {
+	switch {
+	case b.lease != LeaseActive:
+		return reasonNoLease
+	case r.mayHaveRunAt >= 0 && r.class.Idempotency == NotIdempotent:
+		return reasonMayHaveRun
+	case r.attempts >= r.class.MaxAttempts:
+		return reasonAttemptsSpent
+	case b.retriesSpent(r):
+		return reasonRetryBudget
+	case !b.maySetUp():
+		return reasonSetupLimit
+	case slices.ContainsFunc(r.sampled, func(s *server) bool { return s.probe.pending }):
+		return reasonNoReading
+	}
+	return b.nearestObstacle(r)
+}
+
+// obstacles are the reasons for which a server did not take a request, in the order in which they are looked at.
+var obstacles = []string{
+	reasonBeyondSubset, reasonAlreadyTried, reasonEjected, reasonMessageDelay,
+	reasonServerFull, reasonOverloadPenalty, reasonWarmUpBudget, reasonRandomChoice,
+}
+
+// nearestObstacle is the reason of the server that came nearest to taking a request, of those it sampled, or else
+// of all.
+func (b *Balancer) nearestObstacle(r *request) string {
+	nearest := -1
+	for _, s := range b.servers.sorted {
+		if s.State != Live || s.sampleWeight == 0 || len(r.sampled) > 0 && !slices.Contains(r.sampled, s) {
+			continue
+		}
+		nearest = max(nearest, b.obstacle(s, r))
+	}
+	if nearest < 0 {
+		return reasonNoServer
+	}
+	return obstacles[nearest]
+}
+
+// obstacle is the index of what kept a server from taking a request. It refills the warm-up budget of every server
+// that it looks at.
+func (b *Balancer) obstacle(s *server, r *request) int {
+	budgetSpent := b.warmUpCapacity(s) < 1 && b.refillWarmUpBudget(s) < 1
+	capacity := b.capacityLeft(s, r, newcomerLoadLimit)
+	return slices.Index([]bool{
+		b.beyondSubset(s),
+		s == r.avoid,
+		b.now < s.probe.ejectedUntil,
+		s.delay.exceeds(r.class.MessageLatencyObjective, b.now),
+		capacity < 1,
+		capacity < 1+s.estimate.penalty,
+		budgetSpent,
+		true,
+	}, true)
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,114 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Incident rules-3: a retry sent 60 ms before the deadline ended after it, and no answer was in time.
+func TestNoAttemptCloseToTheDeadline(t *testing.T) {
+	r := newRig(t, testConfig(), servers(4)...)
+	r.request("x", "safe")
+	first, _ := last[Send](r)
+	r.run(1980 * ms)
+	r.log = nil
+	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultFailed})
+	if len(r.log) != 1 {
+		t.Fatalf("actions %v", r.log)
+	}
+	if _, ok := r.log[0].(Reject); !ok {
+		t.Errorf("%T in place of the final answer", r.log[0])
+	}
+}
+
+// A session store in trouble answered nine set-ups in ten with an error, each of which came again at once.
+func TestErrorsAtManyServersSlowSetUpsDown(t *testing.T) {
+	r := newRig(t, testConfig(), servers(10)...)
+	sent := 0
+	for i := range 40 {
+		r.request(fmt.Sprint(i), "safe")
+		for _, a := range r.log {
+			if s, ok := a.(Send); ok {
+				sent++
+				r.feed(
+					AttemptEnded{ID: s.ID, Attempt: r.b.requests.byID[s.ID].attempts - 1, Server: s.Server, Result: ResultFailed},
+				)
+			}
+		}
+		r.log = nil
+		r.run(5 * ms)
+	}
+	if sent > 40 {
+		t.Errorf("%d sends in 200 ms while every set-up fails", sent)
+	}
+	if r.b.setups.limit > 4 {
+		t.Errorf("%v set-ups may still be under way", r.b.setups.limit)
+	}
+	if r.b.mayExplore(&request{Request: Request{Key: "k"}, class: r.b.classes.byName["safe"]}) {
+		t.Error("connections would still be broken to explore")
+	}
+}
+
+func TestErrorsAtOneServerLeaveTheOthersAlone(t *testing.T) {
+	r := newRig(t, testConfig(), servers(10)...)
+	window := r.b.setups.limit
+	bad := r.b.servers.sorted[0]
+	for range 20 {
+		r.b.setups.pending++
+		r.b.countEndedAttempt(&request{server: bad, class: r.b.classes.byName["safe"]}, ResultFailed)
+	}
+	if r.b.setups.limit < window {
+		t.Errorf("the window fell from %v to %v", window, r.b.setups.limit)
+	}
+}
+
+// Day rude: lines that no region can use are answered with an error by each. Eight of them among sound ones
+// cut the window of set-ups to one and made everybody wait.
+func TestUnusableRequestsDontSlowOthersDown(t *testing.T) {
+	r := newRig(t, testConfig(), servers(5)...)
+	for i := range 40 {
+		id := fmt.Sprint(i)
+		r.request(id, "safe")
+		for try := 0; r.b.requests.byID[id] != nil && !r.b.requests.byID[id].established && try < 9; try++ {
+			s, ok := last[Send](r)
+			if !ok || s.ID != id {
+				r.run(20 * ms)
+				continue
+			}
+			r.log = nil
+			if attempt := r.b.requests.byID[id].attempts - 1; i%5 == 4 {
+				r.feed(AttemptEnded{ID: id, Attempt: attempt, Server: s.Server, Result: ResultFailed})
+			} else {
+				r.feed(AttemptEstablished{ID: id, Attempt: attempt, Server: s.Server})
+			}
+		}
+		if r.b.setups.limit < 8 || r.b.setups.pausedUntil > r.now {
+			t.Fatalf("after %d requests the window is %v", i+1, r.b.setups.limit)
+		}
+	}
+}
+
+// Clients that came again in a wave were refused after 0.75 of the time in which they want to stand, and came
+// again at once, while regions had room or were about to report it.
+func TestHeldUntilTheAim(t *testing.T) {
+	r := newRig(t, testConfig(), servers(2)...)
+	r.loads["s00"], r.loads["s01"] = 0.95, 0.95
+	for i := range 9 {
+		r.request(fmt.Sprint(i), "safe")
+	}
+	r.run(390 * ms)
+	r.loads["s00"] = 0.2
+	r.run(105 * ms)
+	if s, ok := last[Send](r); !ok || s.Server != "s00" {
+		t.Errorf("%v in place of a send where there is room", r.log)
+	}
+	r.loads["s00"] = 0.95
+	r.run(2 * time.Second)
+	r.log = nil
+	r.request("y", "safe")
+	r.run(510 * ms)
+	if _, ok := last[Reject](r); !ok {
+		t.Errorf("%v in place of a refusal at the aim", r.log)
+	}
+}
--- a/policy/revised_test.go
+++ b/policy/revised_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// asks has n newcomers of a class ask, answers all probes with the same load, and counts where they were sent. Each leaves
-// at once; refused tells how many got their final answer.
+// asks has n newcomers of a class ask, answers all probes with the same load, and counts where they were sent. Each
+// leaves at once; refused tells how many got their final answer.
 func asks(b *Balancer, now time.Duration, n int, class string, x float64) (at map[string]int, refused int) {
 	at = map[string]int{}
 	for i := range n {
@@ -17,7 +17,7 @@
 		for k := 0; k < len(out); k++ {
 			switch a := out[k].(type) {
 			case Probe:
-				out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: &LoadReport{Load: x, Utilization: -1, InFlight: 40}}, out)
+				out = b.Step(now, ProbeResult{Server: a.Server, Report: report(x, 40)}, out)
 			case Send:
 				at[a.Server]++
 			case Reject:
@@ -29,19 +29,23 @@
 	return at, refused
 }
 
-// Guards: a region or zone of weight 0 takes nothing new, a weight draws by as much, and a connection in mid-flow still
-// goes where it stands.
+// Guards: a region or zone of weight 0 takes nothing new, a weight draws by as much, and a connection in mid-flow
+// still goes where it stands.
 func TestRevisionsLeaveOutAndWeigh(t *testing.T) {
 	b, now := listed(t, 6, func(c *Config) { c.Weights = map[string]float64{"s1": 0, "s2": 0.05} })
 	at, _ := asks(b, now, 400, "safe", 0.2)
 	if at["s1"] > 0 || at["s2"] == 0 || at["s2"] > at["s3"]/3 {
 		t.Errorf("sent: %v", at)
 	}
-	r := &request{Request: Request{ID: "x", Class: "safe", MidFlow: true}, class: b.classes["safe"], mayHaveRunAt: -1}
-	if !b.usable(b.servers["s1"], r) {
+	r := &request{
+		Request:      Request{ID: "x", Class: "safe", MidFlow: true},
+		class:        b.classes.byName["safe"],
+		mayHaveRunAt: -1,
+	}
+	if !b.usable(b.servers.byID["s1"], r) {
 		t.Error("a connection in mid-flow can't stay where it stands")
 	}
-	if r.MidFlow = false; b.usable(b.servers["s1"], r) {
+	if r.MidFlow = false; b.usable(b.servers.byID["s1"], r) {
 		t.Error("a newcomer may go where nothing new goes")
 	}
 	zone, _ := listed(t, 6, func(c *Config) { c.Weights = map[string]float64{"zone/a": 0} })
@@ -50,8 +54,8 @@
 	}
 }
 
-// Guards: between two revisions nothing is placed and nobody is refused before the aim; without a permit all who wait are
-// refused at once, and with one again they are placed.
+// Guards: between two revisions nothing is placed and nobody is refused before the aim; without a permit all who
+// wait are refused at once, and with one again they are placed.
 func TestNothingIsPlacedWithoutAPermit(t *testing.T) {
 	b, now := listed(t, 4, nil)
 	b.Step(now, LeaseSuspended, nil)
@@ -80,10 +84,14 @@
 	}
 }
 
-// Guards: where room is scarce the class of the last order gives way first, and a full link lets only the first orders through.
+// Guards: where room is scarce the class of the last order gives way first, and a full link lets only the first
+// orders through.
 func TestOrdersOfClasses(t *testing.T) {
 	b, now := listed(t, 4, func(c *Config) {
-		c.Classes = []Class{{Name: "first", LatencyObjective: time.Second, PriorityRank: 1}, {Name: "last", LatencyObjective: time.Second, PriorityRank: 3}}
+		c.Classes = []Class{
+			{Name: "first", LatencyObjective: time.Second, PriorityRank: 1},
+			{Name: "last", LatencyObjective: time.Second, PriorityRank: 3},
+		}
 	})
 	first, _ := asks(b, now, 100, "first", 0.72)
 	last, _ := asks(b, now+2000*time.Second, 100, "last", 0.72)
@@ -109,10 +117,10 @@
 			for k := 0; k < len(out); k++ {
 				switch a := out[k].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: &LoadReport{Load: 0.2, Utilization: -1, InFlight: 40}}, out)
+					out = b.Step(now, ProbeResult{Server: a.Server, Report: report(0.2, 40)}, out)
 				case Send:
 					n++
-					r := b.requests[a.ID]
+					r := b.requests.byID[a.ID]
 					out = b.Step(now, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Result: ResultRejected}, out)
 				}
 			}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,137 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// A cold server reads empty; a fleet's newcomers would push it over.
+func TestColdServerGetsItsBudget(t *testing.T) {
+	c := testConfig()
+	c.Balancers = 20
+	list := servers(2)
+	list[1].StartedAt = time.Hour
+	r := newRig(t, c, list...)
+	r.loads["s00"], r.rif["s00"] = 0.6, 30 // 50 connections fill a server
+	r.b.takeReport(r.b.servers.byID["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
+	sent := 0
+	for i := range 300 {
+		id := fmt.Sprint(i)
+		r.request(id, "safe")
+		r.run(10 * ms)
+		if s, ok := last[Send](r); ok && s.ID == id {
+			if s.Server == "s01" {
+				sent++
+			}
+			r.feed(AttemptEstablished{ID: id, Server: s.Server})
+		}
+		r.feed(ClientDisconnected{ID: id})
+	}
+	// In 3 s all balancers may send at most 3 * 0.51 * 50/10 * 3 = 23, this one a twentieth of it.
+	if sent > 2 {
+		t.Errorf("%d connections within 3 s of the start", sent)
+	}
+}
+
+// Sends to a cold server that nobody wanted lapse: saved up by eighty balancers, they would all come at once.
+func TestUnusedColdSendsLapse(t *testing.T) {
+	c := testConfig()
+	c.Balancers = 80
+	c.OverloadWindow = 3 * time.Second
+	list := servers(1)
+	list[0].StartedAt = time.Hour
+	ready := 0
+	for seed := range int64(400) {
+		b, _ := New(c, seed)
+		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
+		s := b.servers.byID["s00"]
+		s.estimate.step = 0.02 // 50 connections fill it
+		for at := range 30 {
+			b.now = time.Hour + time.Duration(at)*100*ms
+			b.refillWarmUpBudget(s)
+		}
+		if b.refillWarmUpBudget(s) >= 1 {
+			ready++
+		}
+	}
+	// A balancer's part is 0.6*3*0.51*50/10/80 = 0.057 sends a second; a quarter of 3 s of that is 0.043.
+	if ready == 0 || ready > 40 {
+		t.Errorf("%d of 400 balancers could send at once after 3 idle seconds", ready)
+	}
+}
+
+// A balancer that holds nothing yet must not take a cold server for one that few connections fill: it would not
+// send there for want of budget, so never read it, and so never learn better.
+func TestAColdServerIsJudgedByTheOthers(t *testing.T) {
+	c := testConfig()
+	c.Balancers = 80
+	list := servers(3)
+	list[2].StartedAt = time.Hour
+	r := newRig(t, c, list...)
+	for _, id := range []string{"s00", "s01"} {
+		for range 20 {
+			r.b.takeReport(r.b.servers.byID[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
+		}
+	}
+	cold := r.b.servers.byID["s02"]
+	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); math.Abs(got/want-1) > 0.1 {
+		t.Errorf("one connection adds %.4f to a cold server, by the others' reports it is %.4f", got, want)
+	}
+	r.b.takeReport(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three large ones
+	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); got > 1.4*want {
+		t.Errorf("three connections made it %.4f", got)
+	}
+}
+
+// In an upgrade two processes send to a cold server for one balancer: each takes half of its part.
+func TestColdBudgetIsSharedBesides(t *testing.T) {
+	sent := func(beside int) (n int) {
+		b, err := New(
+			Config{
+				Zone:                  "a",
+				Balancers:             2,
+				MaxAttempts:           2,
+				ProbesEnabled:         true,
+				PollEndpointList:      true,
+				OverlappingProcesses:  beside,
+				PollInterval:          10 * time.Second,
+				WarmUpInitialCapacity: 0.4,
+				WarmUpDuration:        8 * time.Second,
+				OverloadMultiple:      4,
+				OverloadWindow:        3 * time.Second,
+				Classes:               []Class{{Name: "chat", LatencyObjective: 800 * time.Millisecond}},
+			},
+			5,
+		)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := time.Hour
+		b.Step(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "s", Zone: "a", Weight: 1, StartedAt: now}}}, nil)
+		for i := range 400 {
+			now += 10 * time.Millisecond
+			out := b.Step(
+				now,
+				Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "chat", Timeout: 700 * time.Millisecond},
+				nil,
+			)
+			out = b.Step(now, TimerFired{Token: "tick"}, out)
+			for j := 0; j < len(out); j++ {
+				switch a := out[j].(type) {
+				case Probe:
+					out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: report(0.2, 20)}, out)
+				case Send:
+					n++
+					out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
+				}
+			}
+		}
+		return n
+	}
+	alone, both := sent(0), sent(1)
+	if alone < 4 || both > alone*2/3 {
+		t.Fatalf("%d alone, %d for each of two", alone, both)
+	}
+}
