--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -23,7 +23,7 @@
 	}
 	g := r.regions[a.Server]
 	if g == nil || t.state != waiting || until < r.now+leastLeft {
-		r.Counters.NotSent++
+		r.Counters.AttemptsNotSent++
 		t.attempt++
 		r.feed(policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: a.Server, Result: policy.ResultUnreachable})
 		return
@@ -34,7 +34,7 @@
 // dial opens an attempt's connection. The attempt is given up at until, and before that where its connection isn't up within
 // the settings' time.
 func (r *Reducer) dial(t *transaction, g *region, until time.Duration) {
-	r.Counters.Tasks++
+	r.Counters.Attempts++
 	t.attempt++
 	t.state, t.region, t.sentAt, t.until = dialing, g.ID, r.now, until
 	timeout := r.cfg.ConnectTimeout
@@ -46,7 +46,7 @@
 	if until < t.deadline {
 		r.wheel.set(until, timer{kind: untilTimer, of: t.from, attempt: t.attempt})
 	}
-	r.do(Dial{Of: t.from, Attempt: t.attempt, Region: g.ID, Addr: g.Dial, Timeout: timeout})
+	r.do(Dial{Client: t.from, Attempt: t.attempt, Server: g.ID, Address: g.Address, Timeout: timeout})
 }
 
 // task finds a transaction by its routed task that is out; news of an earlier one concerns nobody.
@@ -61,34 +61,34 @@
 // connected sends the line, unless the region was listed as draining or gone while the connection came
 // up, or another revision is about to be in force, or leaves the region out, or the attempt's time is over: what is sent later
 // than that breaks a rule, and nothing has run yet.
-func (r *Reducer) connected(ev Connected) {
-	t := r.task(ev.Of, ev.Attempt)
+func (r *Reducer) connected(ev AttemptConnected) {
+	t := r.task(ev.Client, ev.Attempt)
 	if t == nil || t.state != dialing {
 		return
 	}
 	g := r.regions[t.region]
 	if t.at == "" && (g == nil || g.State != policy.Live || r.permit != policy.LeaseActive || !t.MidFlow && r.leftOut(g)) {
-		r.Counters.NotSent++
+		r.Counters.AttemptsNotSent++
 		r.giveUp(t, policy.ResultUnreachable, "unlisted")
 		return
 	}
 	if t.ended > 0 && r.now > t.ended+policy.DisconnectGrace {
-		r.Counters.NotSent++
+		r.Counters.AttemptsNotSent++
 		r.giveUp(t, policy.ResultUnreachable, "client")
 		return
 	}
 	if k := r.classes[t.Class]; k.Idempotency == policy.IdempotentByKey && t.ranAt > 0 && r.now > t.ranAt+k.KeyTTL {
-		r.Counters.NotSent++ // it came up so late that the repeat would be taken for a new one
+		r.Counters.AttemptsNotSent++ // it came up so late that the repeat would be taken for a new one
 		r.giveUp(t, policy.ResultUnreachable, "key")
 		return
 	}
 	if t.until < r.now+leastLeft { // its time passed while it came up, and the timer that tells so is not due yet
-		r.Counters.NotSent++
+		r.Counters.AttemptsNotSent++
 		r.giveUp(t, policy.ResultUnreachable, "late")
 		return
 	}
 	t.state, t.lineAt = sending, r.now
-	r.do(SendLine{Of: t.from, Attempt: t.attempt, Left: t.until - r.now})
+	r.do(SendRequest{Client: t.from, Attempt: t.attempt, TimeLeft: t.until - r.now})
 }
 
 // leftOut tells that the revision in force sends nothing new to a region.
@@ -102,7 +102,7 @@
 // giveUp closes a routed task and tells the module how it ended.
 func (r *Reducer) giveUp(t *transaction, how policy.Result, why string) {
 	if !defects.On("task-kept") {
-		r.do(DropTask{Of: t.from, Attempt: t.attempt, Why: why})
+		r.do(CloseAttempt{Client: t.from, Attempt: t.attempt, Reason: why})
 	}
 	r.outcome(t, how)
 }
@@ -112,15 +112,15 @@
 func (r *Reducer) outcome(t *transaction, how policy.Result) {
 	switch how {
 	case policy.ResultUnreachable:
-		r.Counters.Unreachable++
+		r.Counters.AttemptsUnreachable++
 	case policy.ResultReset:
-		r.Counters.Reset++
+		r.Counters.AttemptsReset++
 	case policy.ResultRejected:
-		r.Counters.TurnedAway++
+		r.Counters.AttemptsRejected++
 	case policy.ResultFailed:
-		r.Counters.Erred++
+		r.Counters.AttemptsFailed++
 	case policy.ResultTimedOut:
-		r.Counters.TimedOut++
+		r.Counters.AttemptsTimedOut++
 	}
 	if t.state = waiting; how.MayHaveRun() && t.ranAt == 0 {
 		t.ranAt = t.lineAt
@@ -134,19 +134,19 @@
 }
 
 // up passes the server's answer on: the attempt stands, and the connection belongs to that server from now on.
-func (r *Reducer) up(ev Up) {
-	t := r.task(ev.Of, ev.Attempt)
+func (r *Reducer) up(ev AttemptAccepted) {
+	t := r.task(ev.Client, ev.Attempt)
 	if t == nil || t.state == open {
 		return
 	}
-	r.Counters.Up++
-	r.Counters.TasksUp++
+	r.Counters.Established++
+	r.Counters.AttemptsAccepted++
 	r.owed--
 	if r.now-t.deadline+t.Timeout > r.classes[t.Class].LatencyObjective && t.at == "" {
-		r.Counters.Late++
+		r.Counters.EstablishedLate++
 	}
 	t.state, t.heardAt = open, r.now
-	r.do(Pass{Of: t.from, Data: ev.Data})
+	r.do(Forward{Client: t.from, Data: ev.Data})
 	if t.at != "" {
 		r.Counters.Adopted++
 		r.feed(policy.AdoptedConnection{Request: t.Request, Server: t.region})
@@ -157,23 +157,23 @@
 		return
 	}
 	if t.ended > 0 {
-		r.do(EndRegion{Of: t.from, How: Closed})
+		r.do(CloseServer{Client: t.from, Reason: CloseEOF})
 	}
-	r.notes(t, ev.Bytes)
+	r.notes(t, ev.Payload)
 	if r.movesClients() {
 		r.sendAway(t, "leaving")
 	}
 }
 
 // passed hands bytes on at once, and learns from them what the region's connections tell.
-func (r *Reducer) passed(ev Passed) {
-	t := r.open[ev.Of]
+func (r *Reducer) passed(ev DataReceived) {
+	t := r.open[ev.Client]
 	if t == nil || t.state != open {
 		return
 	}
-	r.do(Pass{Of: t.from, ToRegion: !ev.FromRegion, Data: ev.Data})
+	r.do(Forward{Client: t.from, ToServer: !ev.FromServer, Data: ev.Data})
 	switch {
-	case ev.FromRegion:
+	case ev.FromServer:
 		if t.ended > 0 {
 			t.ended = r.now // half a connection, but a lively one
 		}
@@ -190,48 +190,48 @@
 				t.askedAt = 0
 			}
 		}
-		r.notes(t, ev.Bytes)
+		r.notes(t, ev.Payload)
 	case ev.Lines > 0 && t.askedAt == 0:
 		t.askedAt = r.now
 	}
 }
 
 // taskEnded follows an attempt that its server ended, or whose connection never came up.
-func (r *Reducer) taskEnded(ev TaskEnded) {
-	t := r.task(ev.Of, ev.Attempt)
+func (r *Reducer) taskEnded(ev AttemptClosed) {
+	t := r.task(ev.Client, ev.Attempt)
 	if t == nil {
 		return
 	}
 	if t.state == open {
-		r.Counters.EndedByRegion++
+		r.Counters.ClosedByServer++
 		result := policy.ResultReset
-		switch ev.How {
-		case Finished:
+		switch ev.Reason {
+		case CloseFinished:
 			result = policy.ResultOK
-		case MovedAway:
+		case CloseMigrated:
 			result = policy.ResultCanceled
 		}
-		if ev.How != Broken {
-			ev.How = Closed
+		if ev.Reason != CloseReset {
+			ev.Reason = CloseEOF
 		}
 		if t.ended > 0 && result == policy.ResultReset {
 			result = policy.ResultCanceled
 		}
-		r.do(EndTerminal{Of: t.from, How: ev.How})
+		r.do(CloseClient{Client: t.from, Reason: ev.Reason})
 		r.closed(t, result)
 		return
 	}
 	how := policy.ResultReset
-	switch ev.How {
-	case Refused:
+	switch ev.Reason {
+	case CloseRefused:
 		how = policy.ResultUnreachable
-	case TurnedAway:
+	case CloseRejected:
 		how = policy.ResultRejected
-	case Erred, Finished:
+	case CloseFailed, CloseFinished:
 		how = policy.ResultFailed
-	case MovedAway:
+	case CloseMigrated:
 		how = policy.ResultCanceled
-	case Closed, Broken:
+	case CloseEOF, CloseReset:
 		if t.state != asked {
 			how = policy.ResultUnreachable // the line's last byte never left
 		}
@@ -258,7 +258,7 @@
 	}
 	if r.open[t.from] == t && t.state != open {
 		r.Counters.Failed++
-		r.do(Answer{To: t.from, Why: "deadline"})
+		r.do(Answer{Client: t.from, Reason: "deadline"})
 		r.abandon(t)
 	}
 }
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -27,14 +27,14 @@
 			f.outs++
 			f.dials++
 			f.latest = e
-		case DropTask:
+		case CloseAttempt:
 			f.outs--
-		case SendLine:
-			if e.Left < time.Millisecond {
-				f.t.Fatalf("a line is sent with %v left", e.Left)
+		case SendRequest:
+			if e.TimeLeft < time.Millisecond {
+				f.t.Fatalf("a line is sent with %v left", e.TimeLeft)
 			}
 			f.lines++
-		case Answer, Pass:
+		case Answer, Forward:
 			f.answers++
 		}
 	}
@@ -81,14 +81,14 @@
 				if tickFirst {
 					f.read(b.do(Tick{}))
 				}
-				out := b.do(Connected{1, first.Attempt})
+				out := b.do(AttemptConnected{1, first.Attempt})
 				f.read(out)
-				if sent := len(all[SendLine](out)) == 1; sent != x.line {
+				if sent := len(all[SendRequest](out)) == 1; sent != x.line {
 					t.Fatalf("line sent: %v, want %v: %+v", sent, x.line, out)
 				}
 				f.read(b.pass(10 * time.Second))
-				if f.answers != 1 || f.outs != 0 || b.r.Owed() != 0 || b.r.Open() != 0 {
-					t.Fatalf("%d answers, %d attempts out, %d owed", f.answers, f.outs, b.r.Owed())
+				if f.answers != 1 || f.outs != 0 || b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
+					t.Fatalf("%d answers, %d attempts out, %d owed", f.answers, f.outs, b.r.Unanswered())
 				}
 			})
 		}
@@ -103,7 +103,7 @@
 	waits := b.r.open[1]
 	b.r.now = waits.deadline - time.Microsecond
 	b.r.send(waits, policy.Send{ID: waits.ID, Server: "r1"})
-	if dials := all[Dial](b.r.out); len(dials) > 0 || b.r.Counters.NotSent != 1 {
+	if dials := all[Dial](b.r.out); len(dials) > 0 || b.r.Counters.AttemptsNotSent != 1 {
 		t.Fatalf("%+v, %+v", dials, b.r.Counters)
 	}
 }
@@ -111,12 +111,12 @@
 // Every way in which an attempt ends, for each kind of class: a request that may have run is repeated only where that does no
 // harm, never above the bound on attempts, never with two out, and its client gets one answer.
 func TestRepeats(t *testing.T) {
-	up := func(b *bed, d Dial) []Effect { return b.do(Connected{1, d.Attempt}) }
-	sent := func(b *bed, d Dial) []Effect { return append(up(b, d), b.do(Sent{1, d.Attempt})...) }
-	ended := func(how Ending) func(b *bed, d Dial) []Effect {
+	up := func(b *bed, d Dial) []Effect { return b.do(AttemptConnected{1, d.Attempt}) }
+	sent := func(b *bed, d Dial) []Effect { return append(up(b, d), b.do(RequestSent{1, d.Attempt})...) }
+	ended := func(how CloseReason) func(b *bed, d Dial) []Effect {
 		return func(b *bed, d Dial) []Effect {
-			out := append(sent(b, d), b.pass(TickEvery)...) // so that the shortest window has ended
-			return append(out, b.do(TaskEnded{1, d.Attempt, how})...)
+			out := append(sent(b, d), b.pass(TickInterval)...) // so that the shortest window has ended
+			return append(out, b.do(AttemptClosed{1, d.Attempt, how})...)
 		}
 	}
 	for _, x := range []struct {
@@ -124,21 +124,21 @@
 		end  func(b *bed, d Dial) []Effect
 		ran  bool
 	}{
-		{"refused", func(b *bed, d Dial) []Effect { return b.do(TaskEnded{1, d.Attempt, Refused}) }, false},
+		{"refused", func(b *bed, d Dial) []Effect { return b.do(AttemptClosed{1, d.Attempt, CloseRefused}) }, false},
 		{"never up", func(b *bed, d Dial) []Effect { return b.pass(250 * time.Millisecond) }, false},
-		{"reset while it came up", func(b *bed, d Dial) []Effect { return b.do(TaskEnded{1, d.Attempt, Broken}) }, false},
+		{"reset while it came up", func(b *bed, d Dial) []Effect { return b.do(AttemptClosed{1, d.Attempt, CloseReset}) }, false},
 		{"reset before the line's last byte", func(b *bed, d Dial) []Effect {
-			return append(up(b, d), b.do(TaskEnded{1, d.Attempt, Broken})...)
+			return append(up(b, d), b.do(AttemptClosed{1, d.Attempt, CloseReset})...)
 		}, false},
 		{"ended before the line's last byte", func(b *bed, d Dial) []Effect {
-			return append(up(b, d), b.do(TaskEnded{1, d.Attempt, Closed})...)
+			return append(up(b, d), b.do(AttemptClosed{1, d.Attempt, CloseEOF})...)
 		}, false},
-		{"turned away", ended(TurnedAway), false},
-		{"reset after the line", ended(Broken), true},
-		{"ended after the line", ended(Closed), true},
-		{"error", ended(Erred), true},
-		{"served to its end before it was up", ended(Finished), true},
-		{"sent away", ended(MovedAway), true},
+		{"turned away", ended(CloseRejected), false},
+		{"reset after the line", ended(CloseReset), true},
+		{"ended after the line", ended(CloseEOF), true},
+		{"error", ended(CloseFailed), true},
+		{"served to its end before it was up", ended(CloseFinished), true},
+		{"sent away", ended(CloseMigrated), true},
 		{"nothing", func(b *bed, d Dial) []Effect { return append(sent(b, d), b.pass(805*time.Millisecond)...) }, true},
 	} {
 		for _, class := range []struct {
@@ -158,7 +158,7 @@
 				f.read(b.open(1, 30*time.Second))
 				for ended := 0; f.answers == 0 && ended < 9; ended++ {
 					for waited := 0; f.outs == 0 && f.answers == 0 && waited < 6000; waited++ {
-						f.read(b.pass(TickEvery))
+						f.read(b.pass(TickInterval))
 					}
 					if f.outs == 0 || f.answers > 0 {
 						break
@@ -170,8 +170,8 @@
 				if x.ran && !class.after {
 					want = 1
 				}
-				if f.dials != want || f.answers != 1 || f.outs != 0 || b.r.Owed() != 0 {
-					t.Fatalf("%d attempts, want %d; %d answers, %d out, %d owed", f.dials, want, f.answers, f.outs, b.r.Owed())
+				if f.dials != want || f.answers != 1 || f.outs != 0 || b.r.Unanswered() != 0 {
+					t.Fatalf("%d attempts, want %d; %d answers, %d out, %d owed", f.dials, want, f.answers, f.outs, b.r.Unanswered())
 				}
 			})
 		}
@@ -189,19 +189,19 @@
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 20*time.Second))
 		first := f.latest
-		f.read(b.do(Connected{1, first.Attempt}))
+		f.read(b.do(AttemptConnected{1, first.Attempt}))
 		left := b.now
-		f.read(b.do(Sent{1, first.Attempt}))
+		f.read(b.do(RequestSent{1, first.Attempt}))
 		f.read(b.pass(200 * time.Millisecond))
-		f.read(b.do(TaskEnded{1, first.Attempt, Broken}))
+		f.read(b.do(AttemptClosed{1, first.Attempt, CloseReset}))
 		for f.dials < 2 && b.now < left+window-10*time.Millisecond {
-			f.read(b.pass(TickEvery))
+			f.read(b.pass(TickInterval))
 		}
 		if f.dials != 2 {
 			t.Fatalf("%d attempts", f.dials)
 		}
 		b.now = left + x.at
-		f.read(b.do(Connected{1, f.latest.Attempt}))
+		f.read(b.do(AttemptConnected{1, f.latest.Attempt}))
 		if sent := f.lines == 2; sent != x.line {
 			t.Errorf("%v after the first line the repeat is sent: %v, want %v", x.at, sent, x.line)
 		}
@@ -218,19 +218,19 @@
 		b := triesBed(t, policy.Idempotent, 0, nil)
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 500*time.Millisecond))
-		f.read(b.do(Connected{1, 0}))
-		f.read(b.do(Sent{1, 0}))
+		f.read(b.do(AttemptConnected{1, 0}))
+		f.read(b.do(RequestSent{1, 0}))
 		b.now += 490 * time.Millisecond
-		answer := Up{Of: 1, Bytes: Bytes{Data: []byte("UP x\r\n")}}
+		answer := AttemptAccepted{Client: 1, Payload: Payload{Data: []byte("UP x\r\n")}}
 		if upFirst {
-			find[Pass](b, b.do(answer))
+			find[Forward](b, b.do(answer))
 			b.none(b.do(Tick{}))
 			b.none(b.pass(time.Second))
 			continue
 		}
 		out := b.do(Tick{})
 		find[Answer](b, out)
-		find[DropTask](b, out)
+		find[CloseAttempt](b, out)
 		b.none(b.do(answer))
 		b.none(b.pass(time.Second))
 	}
@@ -242,20 +242,20 @@
 		b := triesBed(t, policy.Idempotent, 0, nil)
 		f := &triesFollower{t: t}
 		f.read(b.open(1, 20*time.Second))
-		f.read(b.do(Connected{1, 0}))
-		f.read(b.do(Sent{1, 0}))
+		f.read(b.do(AttemptConnected{1, 0}))
+		f.read(b.do(RequestSent{1, 0}))
 		for f.dials < 2 && b.now < time.Hour+5*time.Second {
-			f.read(b.pass(TickEvery))
+			f.read(b.pass(TickInterval))
 		}
 		if f.dials != 2 {
 			t.Fatalf("%d attempts", f.dials)
 		}
 		if asked {
-			f.read(b.do(Connected{1, 1}))
-			f.read(b.do(Sent{1, 1}))
+			f.read(b.do(AttemptConnected{1, 1}))
+			f.read(b.do(RequestSent{1, 1}))
 		}
-		b.none(b.do(Up{Of: 1, Attempt: 0, Bytes: Bytes{Data: []byte("UP old\r\n")}}))
-		b.none(b.do(TaskEnded{1, 0, TurnedAway}))
+		b.none(b.do(AttemptAccepted{Client: 1, Attempt: 0, Payload: Payload{Data: []byte("UP old\r\n")}}))
+		b.none(b.do(AttemptClosed{1, 0, CloseRejected}))
 		if f.answers != 0 || f.outs != 1 {
 			t.Fatalf("%d answers, %d attempts out", f.answers, f.outs)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,7 +20,7 @@
 	Seed           int64
 	ConnectTimeout time.Duration // a routed task whose connection is not up by then never ran
 	ProbeTimeout   time.Duration
-	LongestWait    time.Duration // that a class of terminals has for its answer
+	MaxClientTimeout    time.Duration // that a class of terminals has for its answer
 	PassThrough    bool          // open connections go on elsewhere when this balancer leaves
 }
 
@@ -53,24 +53,24 @@
 	listSlowest = newsTold - waitMost - time.Second
 )
 
-// Region is a server as discovery lists it.
-type Region struct {
+// Endpoint is a server as discovery lists it.
+type Endpoint struct {
 	policy.Server
-	Dial string
+	Address string
 }
 
-// Ending says how one side of a transaction, or a routed task, came to its end.
-type Ending int
+// CloseReason says how one side of a transaction, or a routed task, came to its end.
+type CloseReason int
 
 // The endings. TurnedAway, Erred, MovedAway and Finished are lines that a region sent.
 const (
-	Closed Ending = iota // FIN
-	Broken               // reset
-	Refused
-	TurnedAway
-	Erred
-	MovedAway
-	Finished
+	CloseEOF CloseReason = iota // FIN
+	CloseReset               // reset
+	CloseRefused
+	CloseRejected
+	CloseFailed
+	CloseMigrated
+	CloseFinished
 )
 
 // Event is what the host tells the reducer.
@@ -78,152 +78,152 @@
 
 // The events.
 type (
-	// Arrived is a terminal that has not said yet what it wants.
-	Arrived struct{ From Handle }
-	// Crowded tells that descriptors run short, and how many more should be free.
-	Crowded struct{ By int }
-	// SendOff tells that one terminal has to make room, if it has said nothing so far.
-	SendOff struct {
-		From  Handle
-		After time.Duration // when it should come again; 0 if unknown
+	// ConnectionAccepted is a terminal that has not said yet what it wants.
+	ConnectionAccepted struct{ Client Handle }
+	// DescriptorsShort tells that descriptors run short, and how many more should be free.
+	DescriptorsShort struct{ Missing int }
+	// CloseIdle tells that one terminal has to make room, if it has said nothing so far.
+	CloseIdle struct {
+		Client  Handle
+		RetryAfter time.Duration // when it should come again; 0 if unknown
 	}
-	// Opened is a terminal's first line. At names the region that held it before the run.
-	Opened struct {
-		From Handle
+	// RequestReceived is a terminal's first line. At names the region that held it before the run.
+	RequestReceived struct {
+		Client Handle
 		policy.Request
-		At string
+		EstablishedAt string
 	}
-	// TerminalEnded tells that a terminal closed its sending (Closed) or broke.
-	TerminalEnded struct {
-		From Handle
-		How  Ending
+	// ClientClosed tells that a terminal closed its sending (Closed) or broke.
+	ClientClosed struct {
+		Client Handle
+		Reason  CloseReason
 	}
-	// Invalid tells that a terminal sent what it must not: it gets one failed answer.
-	Invalid struct{ From Handle }
-	// Connected tells that a routed task's connection is up, and nothing was sent on it yet.
-	Connected struct {
-		Of      Handle
+	// InvalidRequest tells that a terminal sent what it must not: it gets one failed answer.
+	InvalidRequest struct{ Client Handle }
+	// AttemptConnected tells that a routed task's connection is up, and nothing was sent on it yet.
+	AttemptConnected struct {
+		Client      Handle
 		Attempt int
 	}
-	// Sent tells that the first line's last byte has left.
-	Sent struct {
-		Of      Handle
+	// RequestSent tells that the first line's last byte has left.
+	RequestSent struct {
+		Client      Handle
 		Attempt int
 	}
-	// Up tells that the region took the routed task; Data is its answer, Lines what else came along.
-	Up struct {
-		Of      Handle
+	// AttemptAccepted tells that the region took the routed task; Data is its answer, Lines what else came along.
+	AttemptAccepted struct {
+		Client      Handle
 		Attempt int
-		Bytes
+		Payload
 	}
-	// TaskEnded tells that a routed task ended.
-	TaskEnded struct {
-		Of      Handle
+	// AttemptClosed tells that a routed task ended.
+	AttemptClosed struct {
+		Client      Handle
 		Attempt int
-		How     Ending
+		Reason     CloseReason
 	}
-	// Passed brings bytes of an open transaction, for the other side.
-	Passed struct {
-		Of         Handle
-		FromRegion bool
-		Bytes
+	// DataReceived brings bytes of an open transaction, for the other side.
+	DataReceived struct {
+		Client         Handle
+		FromServer bool
+		Payload
 	}
-	// Flow tells that the way to one side is full (Full) or has room again.
-	Flow struct {
-		Of       Handle
-		ToRegion bool
+	// BackpressureChanged tells that the way to one side is full (Full) or has room again.
+	BackpressureChanged struct {
+		Client       Handle
+		ToServer bool
 		Full     bool
 	}
-	// HeldBack tells that what a region has sent waits here, for its turn on a link between zones: it isn't the region that is silent.
-	HeldBack struct{ Of Handle }
-	// Listed is a list of regions, or changes to it; Whole and Cached as in policy.ListKind. Former tells
+	// ServerDataQueued tells that what a region has sent waits here, for its turn on a link between zones: it isn't the region that is silent.
+	ServerDataQueued struct{ Client Handle }
+	// EndpointsListed is a list of regions, or changes to it; Whole and Cached as in policy.ListKind. Former tells
 	// that it came by the watch that the latest one is to follow.
-	Listed struct {
+	EndpointsListed struct {
 		Kind    policy.ListKind
-		Seq     int64
-		Regions []Region
-		Unread  []string // regions whose entries can't be read: what is held of them stays
-		Former  bool
+		Version     int64
+		Endpoints []Endpoint
+		Malformed  []string // regions whose entries can't be read: what is held of them stays
+		FromPreviousWatch  bool
 	}
-	// WatchPiece tells that bytes came by the watch which complete no list or line yet.
-	WatchPiece struct{}
-	// WatchAlive tells that discovery said something, if only that nothing changed.
-	WatchAlive struct{}
-	// WatchEnded tells that the watch broke or never came up.
-	WatchEnded struct{}
-	// Probed answers a Probe effect.
-	Probed struct {
-		Region string
+	// WatchDataReceived tells that bytes came by the watch which complete no list or line yet.
+	WatchDataReceived struct{}
+	// WatchHeartbeat tells that discovery said something, if only that nothing changed.
+	WatchHeartbeat struct{}
+	// WatchClosed tells that the watch broke or never came up.
+	WatchClosed struct{}
+	// ProbeFinished answers a Probe effect.
+	ProbeFinished struct {
+		Server string
 		Result policy.Result
 		Report *policy.LoadReport
 	}
-	// Reconfigured brings new settings. Moved tells that discovery is to be asked elsewhere from now on.
-	Reconfigured struct {
+	// ConfigChanged brings new settings. Moved tells that discovery is to be asked elsewhere from now on.
+	ConfigChanged struct {
 		Config
-		Moved bool
+		DiscoveryMoved bool
 	}
-	// Leave tells that the balancer is to go (SIGTERM). Handed tells that another process takes what comes from now on.
-	Leave struct{ Handed bool }
-	// Maintain tells that operators leave a region out (On), or take it back.
-	Maintain struct {
-		Region string
+	// ShutdownRequested tells that the balancer is to go (SIGTERM). Handed tells that another process takes what comes from now on.
+	ShutdownRequested struct{ HandedOver bool }
+	// MaintenanceSet tells that operators leave a region out (On), or take it back.
+	MaintenanceSet struct {
+		Server string
 		On     bool
 	}
-	// Standby tells that operators drain the balancer (On), or have it take terminals again.
-	Standby struct{ On bool }
-	// Left brings what the process before has left: regions that were listed once, and by flow's key where the terminals
+	// DrainSet tells that operators drain the balancer (On), or have it take terminals again.
+	DrainSet struct{ On bool }
+	// PredecessorState brings what the process before has left: regions that were listed once, and by flow's key where the terminals
 	// stand that come here from now on.
-	Left struct {
-		Regions  []string
-		Standing map[string]string
+	PredecessorState struct {
+		Servers  []string
+		Flows map[string]string
 	}
-	// Beside tells how many further processes place terminals for this balancer.
-	Beside struct{ Others int }
-	// FromOthers brings what other balancers tell, as the module's events.
-	FromOthers struct{ Events []policy.Event }
-	// Permitted tells whether anything new may be sent to a region now, where all balancers go by one revision.
-	Permitted struct{ Permit policy.LeaseState }
+	// OverlappingProcesses tells how many further processes place terminals for this balancer.
+	OverlappingProcesses struct{ Count int }
+	// FleetEvents brings what other balancers tell, as the module's events.
+	FleetEvents struct{ Events []policy.Event }
+	// LeaseChanged tells whether anything new may be sent to a region now, where all balancers go by one revision.
+	LeaseChanged struct{ Lease policy.LeaseState }
 	// Tick lets the time pass.
 	Tick struct{}
 )
 
-// Bytes is a piece of a stream. It is valid during the step only. Lines counts the ends of lines other
+// Payload is a piece of a stream. It is valid during the step only. Lines counts the ends of lines other
 // than notes in it, Load tells of a load note, Last what a closing line in it said (Finished or
 // MovedAway, else Closed).
-type Bytes struct {
+type Payload struct {
 	Data  []byte
 	Lines int
-	Load  bool
-	Told  float64 // the load that the last note told, 0 if none
-	Last  Ending
+	HasLoad  bool
+	Load  float64 // the load that the last note told, 0 if none
+	CloseReason  CloseReason
 }
 
-func (Arrived) event()       {}
-func (Crowded) event()       {}
-func (SendOff) event()       {}
-func (Opened) event()        {}
-func (TerminalEnded) event() {}
-func (Invalid) event()       {}
-func (Connected) event()     {}
-func (Sent) event()          {}
-func (Up) event()            {}
-func (TaskEnded) event()     {}
-func (Passed) event()        {}
-func (Flow) event()          {}
-func (HeldBack) event()      {}
-func (Listed) event()        {}
-func (WatchPiece) event()    {}
-func (WatchAlive) event()    {}
-func (WatchEnded) event()    {}
-func (Probed) event()        {}
-func (Reconfigured) event()  {}
-func (Leave) event()         {}
-func (Maintain) event()      {}
-func (Standby) event()       {}
-func (Left) event()          {}
-func (Beside) event()        {}
-func (FromOthers) event()    {}
-func (Permitted) event()     {}
+func (ConnectionAccepted) event()       {}
+func (DescriptorsShort) event()       {}
+func (CloseIdle) event()       {}
+func (RequestReceived) event()        {}
+func (ClientClosed) event() {}
+func (InvalidRequest) event()       {}
+func (AttemptConnected) event()     {}
+func (RequestSent) event()          {}
+func (AttemptAccepted) event()            {}
+func (AttemptClosed) event()     {}
+func (DataReceived) event()        {}
+func (BackpressureChanged) event()          {}
+func (ServerDataQueued) event()      {}
+func (EndpointsListed) event()        {}
+func (WatchDataReceived) event()    {}
+func (WatchHeartbeat) event()    {}
+func (WatchClosed) event()    {}
+func (ProbeFinished) event()        {}
+func (ConfigChanged) event()  {}
+func (ShutdownRequested) event()         {}
+func (MaintenanceSet) event()      {}
+func (DrainSet) event()       {}
+func (PredecessorState) event()          {}
+func (OverlappingProcesses) event()        {}
+func (FleetEvents) event()    {}
+func (LeaseChanged) event()     {}
 func (Tick) event()          {}
 
 // Effect is what the host has to carry out, in order.
@@ -233,84 +233,84 @@
 type (
 	// Dial opens a routed task's connection. The one before it is closed already.
 	Dial struct {
-		Of      Handle
+		Client      Handle
 		Attempt int
-		Region  string
-		Addr    string
+		Server  string
+		Address    string
 		Timeout time.Duration // when the dialing stops by itself, should the reducer not stop it before
 	}
-	// SendLine passes the first line on, telling the time left.
-	SendLine struct {
-		Of      Handle
+	// SendRequest passes the first line on, telling the time left.
+	SendRequest struct {
+		Client      Handle
 		Attempt int
-		Left    time.Duration
+		TimeLeft    time.Duration
 	}
-	// DropTask closes a routed task's connection, or stops its dialing.
-	DropTask struct {
-		Of      Handle
+	// CloseAttempt closes a routed task's connection, or stops its dialing.
+	CloseAttempt struct {
+		Client      Handle
 		Attempt int
-		Why     string // for counting
+		Reason     string // for counting
 	}
 	// Answer is the final answer that is not a region's: short on capacity, or failed.
 	Answer struct {
-		To    Handle
-		Short bool
-		After time.Duration
-		Why   string // for counting
+		Client    Handle
+		Rejected bool
+		RetryAfter time.Duration
+		Reason   string // for counting
 	}
-	// Pass writes bytes to one side of an open transaction.
-	Pass struct {
-		Of       Handle
-		ToRegion bool
+	// Forward writes bytes to one side of an open transaction.
+	Forward struct {
+		Client       Handle
+		ToServer bool
 		Data     []byte
 	}
-	// Hold stops (On) or goes on with the reading of one side.
-	Hold struct {
-		Of       Handle
-		OfRegion bool
+	// PauseReading stops (On) or goes on with the reading of one side.
+	PauseReading struct {
+		Client       Handle
+		OfServer bool
 		On       bool
 	}
-	// EndRegion and EndTerminal pass an ending on, after what is buffered if it was Closed.
-	EndRegion struct {
-		Of  Handle
-		How Ending
+	// CloseServer and EndTerminal pass an ending on, after what is buffered if it was Closed.
+	CloseServer struct {
+		Client  Handle
+		Reason CloseReason
 	}
-	EndTerminal struct {
-		Of  Handle
-		How Ending
+	CloseClient struct {
+		Client  Handle
+		Reason CloseReason
 	}
-	// MoveTerminal sends the terminal away between two lines and closes both sides.
-	MoveTerminal struct {
-		Of  Handle
-		Why string // for counting
+	// MigrateClient sends the terminal away between two lines and closes both sides.
+	MigrateClient struct {
+		Client  Handle
+		Reason string // for counting
 	}
 	// Probe asks a region for its load report.
 	Probe struct {
-		Region  string
-		Addr    string
+		Server  string
+		Address    string
 		Timeout time.Duration
 	}
-	// ForgetRegion lets go of what is kept for a region that is gone.
-	ForgetRegion struct{ Region string }
+	// ForgetServer lets go of what is kept for a region that is gone.
+	ForgetServer struct{ Server string }
 	// Watch asks discovery for all changes after Seq; an earlier watch goes on until this one has answered.
-	Watch struct{ Seq int64 }
-	// Unwatch ends the watch.
-	Unwatch struct{}
+	Watch struct{ Version int64 }
+	// StopWatch ends the watch.
+	StopWatch struct{}
 	// Exit ends the program, once the last answers have left, and at the time By at the latest. Nobody is taken in any more.
-	Exit struct{ By time.Duration }
+	Exit struct{ Deadline time.Duration }
 )
 
 func (Dial) effect()         {}
-func (SendLine) effect()     {}
-func (DropTask) effect()     {}
+func (SendRequest) effect()     {}
+func (CloseAttempt) effect()     {}
 func (Answer) effect()       {}
-func (Pass) effect()         {}
-func (Hold) effect()         {}
-func (EndRegion) effect()    {}
-func (EndTerminal) effect()  {}
-func (MoveTerminal) effect() {}
+func (Forward) effect()         {}
+func (PauseReading) effect()         {}
+func (CloseServer) effect()    {}
+func (CloseClient) effect()  {}
+func (MigrateClient) effect() {}
 func (Probe) effect()        {}
-func (ForgetRegion) effect() {}
+func (ForgetServer) effect() {}
 func (Watch) effect()        {}
-func (Unwatch) effect()      {}
+func (StopWatch) effect()      {}
 func (Exit) effect()         {}
--- a/internal/core/list_clock_test.go
+++ b/internal/core/list_clock_test.go
@@ -12,18 +12,18 @@
 func TestFormerWatchStandsForNoWatch(t *testing.T) {
 	b := newBed(t, nil)
 	b.watch()
-	b.do(WatchAlive{})
+	b.do(WatchHeartbeat{})
 	cfg := b.r.cfg
-	find[Watch](b, b.do(Reconfigured{Config: cfg, Moved: true}))
-	find[Unwatch](b, b.do(WatchEnded{}))
-	l := Listed{Kind: policy.ListDelta, Seq: 8, Former: true, Regions: []Region{
-		{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, State: policy.Draining}}}}
+	find[Watch](b, b.do(ConfigChanged{Config: cfg, DiscoveryMoved: true}))
+	find[StopWatch](b, b.do(WatchClosed{}))
+	l := EndpointsListed{Kind: policy.ListDelta, Version: 8, FromPreviousWatch: true, Endpoints: []Endpoint{
+		{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, State: policy.Draining}}}}
 	b.do(l)
-	if w := b.watch(); w.Seq != 8 {
+	if w := b.watch(); w.Version != 8 {
 		t.Fatal(w)
 	}
-	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Region != "r2" {
-		t.Fatal("sent to", d.Region, "which the old watch told of as draining")
+	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Server != "r2" {
+		t.Fatal("sent to", d.Server, "which the old watch told of as draining")
 	}
 }
 
@@ -34,19 +34,19 @@
 		for seed := range int64(20) {
 			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 8000 {
-				if len(all[Watch](b.pass(TickEvery))) > 0 {
+				if len(all[Watch](b.pass(TickInterval))) > 0 {
 					break
 				}
 			}
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 			if b.none(all2(b.pass(2200 * time.Millisecond))); b.r.Counters.Watches != 1 {
 				t.Fatal("a watch that is a little late was begun anew")
 			}
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 			silent := b.now
 			b.watch()
 			b.pass(time.Second)
-			b.do(WatchEnded{})
+			b.do(WatchClosed{})
 			b.watch()
 			if took := b.now - silent; took > 5700*time.Millisecond {
 				t.Fatalf("asked within %v, seed %d: the second call came %v after the last word", within, seed, took)
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for now := time.Hour; now < time.Hour+3*time.Second; now += TickEvery {
+	for now := time.Hour; now < time.Hour+3*time.Second; now += TickInterval {
 		for _, e := range r.Step(now, Tick{}, nil) {
 			if _, asks := e.(Watch); asks {
 				return
@@ -79,11 +79,11 @@
 			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 8 {
 				b.watch()
-				b.do(WatchEnded{})
+				b.do(WatchClosed{})
 			}
 			back := b.now
 			b.watch()
-			b.pass(watchOpen + 2*TickEvery) // the first call hangs until it is given up
+			b.pass(watchOpen + 2*TickInterval) // the first call hangs until it is given up
 			b.watch()
 			if took := b.now - back; took > 4600*time.Millisecond {
 				t.Fatalf("asked within %v, seed %d: the second call after discovery was back began %v later", within, seed, took)
@@ -108,10 +108,10 @@
 func (b *bed) listTrickle(d time.Duration) (called bool) {
 	b.t.Helper()
 	for end := b.now + d; b.now < end; {
-		out := b.do(WatchPiece{})
+		out := b.do(WatchDataReceived{})
 		for range 100 {
-			out = append(out, b.pass(TickEvery)...)
-			if len(all[Unwatch](out)) > 0 {
+			out = append(out, b.pass(TickInterval)...)
+			if len(all[StopWatch](out)) > 0 {
 				b.t.Fatal("a call by which bytes come was ended")
 			}
 			if len(all[Watch](out)) > 0 {
@@ -134,7 +134,7 @@
 		t.Fatal("called again while a list came")
 	}
 	b.list(policy.ListDelta, 9, policy.Draining, "r1")
-	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Region != "r2" || b.r.Counters.Watches != 1 {
+	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Server != "r2" || b.r.Counters.Watches != 1 {
 		t.Fatal(d, b.r.Counters)
 	}
 }
@@ -147,7 +147,7 @@
 			b := newBed(t, func(c *Config) { c.Policy.PollInterval, c.Seed = within, seed })
 			for range 5 {
 				b.watch()
-				b.do(WatchEnded{})
+				b.do(WatchClosed{})
 			}
 			b.watch()
 			for range 3 {
@@ -156,7 +156,7 @@
 					t.Fatalf("asked within %v, seed %d: the next call came after %v", within, seed, b.now-began)
 				}
 			}
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 			began := b.now
 			if !b.listTrickle(time.Minute) || b.now-began > 5500*time.Millisecond {
 				t.Fatalf("asked within %v, seed %d: the next call came %v after the last whole line", within, seed, b.now-began)
@@ -172,11 +172,11 @@
 		b.watch()
 		quiet := watchOpen
 		if answered {
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 			quiet = watchSilent
 		}
 		b.pass(300 * time.Millisecond)
-		b.do(WatchPiece{})
+		b.do(WatchDataReceived{})
 		silent := b.now
 		b.watch()
 		if took := b.now - silent; took < quiet || took > quiet+sweepEvery+700*time.Millisecond {
@@ -192,11 +192,11 @@
 		b := newBed(t, func(c *Config) { c.Seed = seed })
 		b.watch()
 		for b.r.watching {
-			b.do(WatchPiece{})
+			b.do(WatchDataReceived{})
 			b.pass(sweepEvery)
 		}
 		if seed == 2 {
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 		} else {
 			b.list(policy.ListFull, 8, policy.Live, "r1", "r2")
 		}
@@ -216,41 +216,41 @@
 // is under way.
 func TestAnswerThatWasOvertaken(t *testing.T) {
 	former := func(b *bed, seq int64, state policy.ServerState) {
-		b.do(Listed{Kind: policy.ListDelta, Seq: seq, Former: true, Regions: []Region{
-			{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, State: state}}}})
+		b.do(EndpointsListed{Kind: policy.ListDelta, Version: seq, FromPreviousWatch: true, Endpoints: []Endpoint{
+			{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, State: state}}}})
 	}
 	for name, answer := range map[string]func(*bed){
 		"delta":      func(b *bed) { b.list(policy.ListDelta, 8, policy.Live, "r1") },
 		"whole":      func(b *bed) { b.list(policy.ListFull, 8, policy.Live, "r1", "r2") },
 		"as asked":   func(b *bed) { b.list(policy.ListFull, 7, policy.Live, "r1", "r2") },
-		"empty line": func(b *bed) { b.do(WatchAlive{}) },
+		"empty line": func(b *bed) { b.do(WatchHeartbeat{}) },
 		"as held":    func(b *bed) { b.list(policy.ListDelta, 9, policy.Draining, "r1") },
 		"former": func(b *bed) {
-			b.do(Listed{Kind: policy.ListFull, Seq: 8, Former: true, Regions: []Region{
-				{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1}}, {Dial: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1}}}})
-			b.do(WatchAlive{})
+			b.do(EndpointsListed{Kind: policy.ListFull, Version: 8, FromPreviousWatch: true, Endpoints: []Endpoint{
+				{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1}}, {Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1}}}})
+			b.do(WatchHeartbeat{})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, nil)
 			b.watch()
-			b.do(WatchAlive{})
+			b.do(WatchHeartbeat{})
 			cfg := b.r.cfg
-			find[Watch](b, b.do(Reconfigured{Config: cfg, Moved: true}))
-			b.do(WatchEnded{}) // the module waits for the answer to the next one
-			if w := b.watch(); w.Seq != 7 {
+			find[Watch](b, b.do(ConfigChanged{Config: cfg, DiscoveryMoved: true}))
+			b.do(WatchClosed{}) // the module waits for the answer to the next one
+			if w := b.watch(); w.Version != 7 {
 				t.Fatal(w)
 			}
 			former(b, 8, policy.Live)
 			former(b, 9, policy.Draining)
 			answer(b)
 			for h := range Handle(9) {
-				if d := find[Dial](b, b.open(h+1, 2*time.Second)); d.Region != "r2" {
+				if d := find[Dial](b, b.open(h+1, 2*time.Second)); d.Server != "r2" {
 					t.Fatal("sent to a server that drains since version 9")
 				}
 			}
 			for range 3 { // the call counts as answered
-				if b.do(WatchAlive{}); len(all[Watch](b.pass(2*time.Second))) > 0 {
+				if b.do(WatchHeartbeat{}); len(all[Watch](b.pass(2*time.Second))) > 0 {
 					t.Fatal("called again")
 				}
 			}
@@ -267,8 +267,8 @@
 	for _, kind := range []policy.ListKind{policy.ListDelta, policy.ListFull} {
 		b := newBed(t, nil)
 		b.watch()
-		b.do(WatchEnded{})
-		if w := b.watch(); w.Seq != 7 {
+		b.do(WatchClosed{})
+		if w := b.watch(); w.Version != 7 {
 			t.Fatal(w)
 		}
 		b.list(kind, 2, policy.Draining, "r1", "r2")
@@ -283,8 +283,8 @@
 
 // A list that comes twice changes nothing, and one server named several times in a list is what its last entry says.
 func TestTheSameTwice(t *testing.T) {
-	server := func(id string, state policy.ServerState) Region {
-		return Region{Dial: id + ":1", Server: policy.Server{ID: id, Zone: "a", Weight: 1, State: state}}
+	server := func(id string, state policy.ServerState) Endpoint {
+		return Endpoint{Address: id + ":1", Server: policy.Server{ID: id, Zone: "a", Weight: 1, State: state}}
 	}
 	b := newBed(t, nil)
 	b.watch()
@@ -299,13 +299,13 @@
 	for _, kind := range []policy.ListKind{policy.ListDelta, policy.ListFull} {
 		for _, x := range []struct{ first, last policy.ServerState }{{policy.Live, policy.Draining}, {policy.Draining, policy.Live},
 			{policy.Gone, policy.Live}, {policy.Live, policy.Gone}, {policy.Gone, policy.Draining}} {
-			b.do(Listed{Kind: kind, Seq: 9, Regions: []Region{server("r2", policy.Draining), server("r3", x.first), server("r3", x.last)}})
+			b.do(EndpointsListed{Kind: kind, Version: 9, Endpoints: []Endpoint{server("r2", policy.Draining), server("r3", x.first), server("r3", x.last)}})
 			client++
 			effects := b.open(client, time.Second)
 			if sent := len(all[Dial](effects)) > 0; sent != (x.last == policy.Live) {
 				t.Errorf("first %v, last %v: sent %v", x.first, x.last, sent)
 			}
-			b.do(TerminalEnded{From: client, How: Broken})
+			b.do(ClientClosed{Client: client, Reason: CloseReset})
 		}
 	}
 }
@@ -314,9 +314,9 @@
 func TestUnreadEntryKeepsWhatIsHeld(t *testing.T) {
 	b := newBed(t, nil)
 	b.watch()
-	b.do(Listed{Kind: policy.ListFull, Seq: 8, Unread: []string{"r1", "never listed"},
-		Regions: []Region{{Dial: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1, State: policy.Draining}}}})
-	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Region != "r1" || len(b.r.regions) != 2 {
+	b.do(EndpointsListed{Kind: policy.ListFull, Version: 8, Malformed: []string{"r1", "never listed"},
+		Endpoints: []Endpoint{{Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1, State: policy.Draining}}}})
+	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Server != "r1" || len(b.r.regions) != 2 {
 		t.Fatal(d, b.r.regions)
 	}
 }
@@ -326,8 +326,8 @@
 func TestStartThatLiesAhead(t *testing.T) {
 	b := newBed(t, nil)
 	b.watch()
-	b.do(Listed{Kind: policy.ListDelta, Seq: 8, Regions: []Region{
-		{Dial: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, StartedAt: b.now + 24*time.Hour}}}})
+	b.do(EndpointsListed{Kind: policy.ListDelta, Version: 8, Endpoints: []Endpoint{
+		{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, StartedAt: b.now + 24*time.Hour}}}})
 	if at := b.r.regions["r1"].StartedAt; at != b.now {
 		t.Fatal("started", at-b.now, "from now")
 	}
--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -46,20 +46,20 @@
 	}
 }
 
-// Known tells whether a region was ever listed.
-func (r *Reducer) Known(id string) bool { return r.known.ids[id] || r.maint[id] }
+// IsKnownServer tells whether a region was ever listed.
+func (r *Reducer) IsKnownServer(id string) bool { return r.known.ids[id] || r.maint[id] }
 
-// KnownRegions names all regions that were ever listed.
-func (r *Reducer) KnownRegions() []string { return r.known.order }
+// KnownServers names all regions that were ever listed.
+func (r *Reducer) KnownServers() []string { return r.known.order }
 
-// Maintained names the regions that are left out.
-func (r *Reducer) Maintained() []string { return slices.Sorted(maps.Keys(r.maint)) }
+// ServersInMaintenance names the regions that are left out.
+func (r *Reducer) ServersInMaintenance() []string { return slices.Sorted(maps.Keys(r.maint)) }
 
-// Drained tells that the balancer is in standby.
-func (r *Reducer) Drained() bool { return r.standby }
+// DrainRequested tells that the balancer is in standby.
+func (r *Reducer) DrainRequested() bool { return r.standby }
 
-// Standing is the region of each flow that stands.
-func (r *Reducer) Standing() map[string]string {
+// EstablishedFlows is the region of each flow that stands.
+func (r *Reducer) EstablishedFlows() map[string]string {
 	list := map[string]string{}
 	for _, t := range r.open {
 		if t.state == open && t.Key != "" {
@@ -71,26 +71,26 @@
 
 // maintain has the module see a region drain, or be what discovery says again. It is told by a list of the kind that
 // says nothing of the watch: that one may be broken just now.
-func (r *Reducer) maintain(ev Maintain) {
-	if r.maint[ev.Region] == ev.On {
+func (r *Reducer) maintain(ev MaintenanceSet) {
+	if r.maint[ev.Server] == ev.On {
 		return
 	}
 	if ev.On {
-		r.maint[ev.Region] = true
-		delete(r.returning, ev.Region)
+		r.maint[ev.Server] = true
+		delete(r.returning, ev.Server)
 	} else {
-		delete(r.maint, ev.Region)
+		delete(r.maint, ev.Server)
 	}
-	switch g := r.regions[ev.Region]; {
+	switch g := r.regions[ev.Server]; {
 	case g == nil && !ev.On:
-		r.returning[ev.Region] = true // away just now: once listed, it comes back as the others do, out of a drain
+		r.returning[ev.Server] = true // away just now: once listed, it comes back as the others do, out of a drain
 	case g != nil && g.listed == policy.Live:
 		if g.State = policy.Live; ev.On {
 			g.State = policy.Draining
 		}
 		r.relist()
 	}
-	r.makeWay(ev.Region, ev.On, clearance{r.now, r.now + clearIn})
+	r.makeWay(ev.Server, ev.On, clearance{r.now, r.now + clearIn})
 }
 
 // takeBack ends the drain of regions that were taken back while they were away, once they are listed.
@@ -111,7 +111,7 @@
 
 // relist tells the module all regions as they are now.
 func (r *Reducer) relist() {
-	r.feed(policy.ServerList{Kind: policy.ListCached, Servers: r.ListedRegions()})
+	r.feed(policy.ServerList{Kind: policy.ListCached, Servers: r.ListedServers()})
 }
 
 // drain begins or ends the standby. Where packets pass through, standing terminals go on.
@@ -163,7 +163,7 @@
 		for left := (n + steps - 1) / steps; left > 0 && len(all) > 0; {
 			t := all[0]
 			if all = all[1:]; stands(t) {
-				r.Counters.Cleared++
+				r.Counters.MigratedForDrain++
 				r.sendAway(t, "cleared")
 				left--
 			}
@@ -178,8 +178,8 @@
 // Activity is the module's own pace, which other balancers are told.
 func (r *Reducer) Activity() policy.Activity { return r.module.Activity() }
 
-// ListedRegions are the regions as the module has them now, by id.
-func (r *Reducer) ListedRegions() []policy.Server {
+// ListedServers are the regions as the module has them now, by id.
+func (r *Reducer) ListedServers() []policy.Server {
 	list := make([]policy.Server, 0, len(r.regions))
 	for _, id := range slices.Sorted(maps.Keys(r.regions)) {
 		list = append(list, r.regions[id].Server)
--- a/internal/core/operators_test.go
+++ b/internal/core/operators_test.go
@@ -24,8 +24,8 @@
 		}
 		return false
 	}
-	b.do(Maintain{"r1", true})
-	b.do(Maintain{"r1", true})
+	b.do(MaintenanceSet{"r1", true})
+	b.do(MaintenanceSet{"r1", true})
 	b.watch()
 	for seq, state := range []policy.ServerState{policy.Live, policy.Draining, policy.Live, policy.Gone, policy.Live} {
 		b.list(policy.ListDelta, int64(8+seq), state, "r1")
@@ -37,14 +37,14 @@
 	if used() {
 		t.Fatal("used after a whole list")
 	}
-	b.do(Maintain{"r1", false})
+	b.do(MaintenanceSet{"r1", false})
 	if next++; b.up(next) != "r1" {
 		t.Fatal("not the next newcomer's")
 	}
 	// Taken back while it is away: the same once it is listed.
-	b.do(Maintain{"r1", true})
+	b.do(MaintenanceSet{"r1", true})
 	b.list(policy.ListDelta, 21, policy.Gone, "r1")
-	b.do(Maintain{"r1", false})
+	b.do(MaintenanceSet{"r1", false})
 	if used() {
 		t.Fatal("used while gone")
 	}
@@ -53,9 +53,9 @@
 		t.Fatal("not the next newcomer's after its return")
 	}
 	// Discovery drains it while it is left out: the call back doesn't overrule that.
-	b.do(Maintain{"r1", true})
+	b.do(MaintenanceSet{"r1", true})
 	b.list(policy.ListDelta, 23, policy.Draining, "r1")
-	b.do(Maintain{"r1", false})
+	b.do(MaintenanceSet{"r1", false})
 	if used() {
 		t.Fatal("used while discovery drains it")
 	}
@@ -68,13 +68,13 @@
 	for i := range 60 {
 		at[b.up(Handle(i+1))]++
 	}
-	b.do(Maintain{"r1", true})
-	first := len(all[MoveTerminal](b.pass(4 * clearEvery)))
-	rest := len(all[MoveTerminal](b.pass(clearIn)))
+	b.do(MaintenanceSet{"r1", true})
+	first := len(all[MigrateClient](b.pass(4 * clearEvery)))
+	rest := len(all[MigrateClient](b.pass(clearIn)))
 	if at["r1"] < 10 || first == 0 || first > at["r1"]/2 || first+rest != at["r1"] {
 		t.Fatalf("%v stood, %d then %d moved", at, first, rest)
 	}
-	if n := len(all[MoveTerminal](b.pass(5 * time.Second))); n > 0 {
+	if n := len(all[MigrateClient](b.pass(5 * time.Second))); n > 0 {
 		t.Fatal(n, "moved from elsewhere")
 	}
 }
@@ -82,18 +82,18 @@
 // What the process before has left is where its terminals go, once each, and no longer than it can tell anything.
 func TestLeft(t *testing.T) {
 	b := newBed(t, nil)
-	left := Left{Regions: []string{"old"}, Standing: map[string]string{}}
+	left := PredecessorState{Servers: []string{"old"}, Flows: map[string]string{}}
 	for i := range 40 {
-		left.Standing[fmt.Sprint("k", i)] = "r1"
+		left.Flows[fmt.Sprint("k", i)] = "r1"
 	}
 	b.do(left)
-	if !b.r.Known("old") || b.r.Known("never") {
+	if !b.r.IsKnownServer("old") || b.r.IsKnownServer("never") {
 		t.Fatal("ids that were listed before")
 	}
 	for i := range 10 { // fewer than the module sets up at once
-		d := find[Dial](b, b.do(Opened{From: Handle(i + 1), Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second}}))
-		if d.Region != "r1" {
-			t.Fatalf("k%d went to %s", i, d.Region)
+		d := find[Dial](b, b.do(RequestReceived{Client: Handle(i + 1), Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second}}))
+		if d.Server != "r1" {
+			t.Fatalf("k%d went to %s", i, d.Server)
 		}
 	}
 	b.pass(stoodFor + time.Second)
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -42,7 +42,7 @@
 // region is a listed server, with what this balancer has learnt of its message delay. Its state is what the module is
 // told: draining also where discovery says ready, but operators leave it out.
 type region struct {
-	Region
+	Endpoint
 	listed   policy.ServerState // by discovery
 	toldLong bool
 	toldAt   time.Duration
@@ -56,14 +56,40 @@
 	at   time.Duration
 }
 
-// Counters count what the balancer has done since its start.
+// Counters count what the balancer has done since its start. Operators read them by the keys of their JSON form.
 type Counters struct {
-	Taken, Up, Short, Failed, GoneUnanswered, Moved, Silent    int64
-	Tasks, TasksUp, Unreachable, Reset, TurnedAway, Erred      int64
-	TimedOut, NotSent, Probes, ProbesFailed, Lists, Watches    int64
-	WatchesBroken, Loads, Delays, EndedByRegion, EndedTerminal int64
-	Adopted, MidFlow, Unreadable, SaidNothing, SentOff         int64
-	Handed, Cleared, Late                                      int64
+	Requests          int64 `json:"Taken"`          // requests received
+	Established             int64 `json:"Up"`             // requests whose connection was established
+	Rejected          int64 `json:"Short"`          // requests rejected for lack of capacity
+	Failed         int64 `json:"Failed"`         // requests answered as failed
+	ClientsGone int64 `json:"GoneUnanswered"` // requests whose client left before its answer
+	Migrated          int64 `json:"Moved"`          // connections migrated
+	MigratedOffSilent         int64 `json:"Silent"`         // of these, off servers that returned nothing
+	Attempts          int64 `json:"Tasks"`          // attempts begun
+	AttemptsAccepted        int64 `json:"TasksUp"`        // attempts accepted by their server
+	AttemptsUnreachable    int64 `json:"Unreachable"`    // attempts that never ran
+	AttemptsReset          int64 `json:"Reset"`          // attempts whose connection broke
+	AttemptsRejected     int64 `json:"TurnedAway"`     // attempts rejected by their server
+	AttemptsFailed          int64 `json:"Erred"`          // attempts that failed at their server
+	AttemptsTimedOut       int64 `json:"TimedOut"`       // attempts that timed out
+	AttemptsNotSent        int64 `json:"NotSent"`        // attempts given up before their request was sent
+	Probes         int64 `json:"Probes"`         // probes sent
+	ProbesFailed   int64 `json:"ProbesFailed"`   // probes without a load report
+	Lists          int64 `json:"Lists"`          // endpoint lists received
+	Watches        int64 `json:"Watches"`        // watches begun
+	WatchesBroken  int64 `json:"WatchesBroken"`  // watches that ended or fell silent
+	LoadsReported          int64 `json:"Loads"`          // loads that connections told
+	DelaysReported         int64 `json:"Delays"`         // message delays that were worth telling
+	ClosedByServer  int64 `json:"EndedByRegion"`  // established connections closed by their server
+	ClosedByClient  int64 `json:"EndedTerminal"`  // established connections closed by their client
+	Adopted        int64 `json:"Adopted"`        // connections established before this process started
+	MidFlow        int64 `json:"MidFlow"`        // connections whose packets came here in mid-flow
+	InvalidRequests     int64 `json:"Unreadable"`     // requests of an unknown class, or with an id that is in use
+	IdleTimedOut    int64 `json:"SaidNothing"`    // clients closed since they sent no request in time
+	IdleClosed        int64 `json:"SentOff"`        // clients without a request closed for lack of descriptors
+	FlowsTakenOver         int64 `json:"Handed"`         // flows taken over from the predecessor
+	MigratedForDrain        int64 `json:"Cleared"`        // connections migrated for maintenance or a drain
+	EstablishedLate           int64 `json:"Late"`           // connections established after their latency objective
 }
 
 // Reducer holds the state of one balancer. It is not safe for concurrent use.
@@ -129,20 +155,20 @@
 	}
 }
 
-// Owed is the number of transactions without their final answer, Open that of all.
-func (r *Reducer) Owed() int { return r.owed }
+// Unanswered is the number of transactions without their final answer, Open that of all.
+func (r *Reducer) Unanswered() int { return r.owed }
 
-// Open is the number of transactions that are not over.
-func (r *Reducer) Open() int { return len(r.open) }
+// OpenRequests is the number of transactions that are not over.
+func (r *Reducer) OpenRequests() int { return len(r.open) }
 
-// Listed tells that a list of regions has come, be it an old one.
-func (r *Reducer) Listed() bool { return r.listed }
+// HasEndpoints tells that a list of regions has come, be it an old one.
+func (r *Reducer) HasEndpoints() bool { return r.listed }
 
 // Step takes one event and appends the effects it calls for.
 func (r *Reducer) Step(now time.Duration, ev Event, out []Effect) []Effect {
 	first := r.now == 0
 	if first {
-		r.wheel.at = int64(now / TickEvery)
+		r.wheel.at = int64(now / TickInterval)
 		r.wheel.set(now+sweepEvery, timer{kind: sweepTimer})
 	}
 	r.now, r.out = max(r.now, now), out
@@ -150,98 +176,98 @@
 		r.feed(policy.PredecessorFlow{})
 	}
 	switch ev := ev.(type) {
-	case Arrived:
-		r.quiet[ev.From] = struct{}{}
-		r.arrivals = append(r.arrivals, arrival{ev.From, r.now})
-	case Crowded:
-		r.Counters.SentOff += r.sendOff(ev.By, youngest, true)
-	case SendOff:
-		if _, ok := r.quiet[ev.From]; ok {
-			delete(r.quiet, ev.From)
-			r.Counters.SentOff++
-			r.do(Answer{To: ev.From, Short: true, After: ev.After})
+	case ConnectionAccepted:
+		r.quiet[ev.Client] = struct{}{}
+		r.arrivals = append(r.arrivals, arrival{ev.Client, r.now})
+	case DescriptorsShort:
+		r.Counters.IdleClosed += r.sendOff(ev.Missing, youngest, true)
+	case CloseIdle:
+		if _, ok := r.quiet[ev.Client]; ok {
+			delete(r.quiet, ev.Client)
+			r.Counters.IdleClosed++
+			r.do(Answer{Client: ev.Client, Rejected: true, RetryAfter: ev.RetryAfter})
 		}
-	case Opened:
-		delete(r.quiet, ev.From)
+	case RequestReceived:
+		delete(r.quiet, ev.Client)
 		r.opened(ev)
-	case TerminalEnded:
-		delete(r.quiet, ev.From)
+	case ClientClosed:
+		delete(r.quiet, ev.Client)
 		r.terminalEnded(ev)
-	case Invalid:
-		delete(r.quiet, ev.From)
-		if t := r.open[ev.From]; t != nil {
+	case InvalidRequest:
+		delete(r.quiet, ev.Client)
+		if t := r.open[ev.Client]; t != nil {
 			r.abandon(t)
 		} else {
-			r.Counters.Taken++
+			r.Counters.Requests++
 		}
 		r.Counters.Failed++
-		r.do(Answer{To: ev.From})
-	case Connected:
+		r.do(Answer{Client: ev.Client})
+	case AttemptConnected:
 		r.connected(ev)
-	case Sent:
-		if t := r.task(ev.Of, ev.Attempt); t != nil && t.state == sending {
+	case RequestSent:
+		if t := r.task(ev.Client, ev.Attempt); t != nil && t.state == sending {
 			t.state = asked
 		}
-	case Up:
+	case AttemptAccepted:
 		r.up(ev)
-	case TaskEnded:
+	case AttemptClosed:
 		r.taskEnded(ev)
-	case Passed:
+	case DataReceived:
 		r.passed(ev)
-	case HeldBack:
-		if t := r.open[ev.Of]; t != nil && t.state == open {
+	case ServerDataQueued:
+		if t := r.open[ev.Client]; t != nil && t.state == open {
 			if t.heardAt = r.now; t.askedAt > 0 {
 				t.askedAt = r.now
 			}
 		}
-	case Flow:
-		if t := r.open[ev.Of]; t != nil && t.state == open {
-			r.do(Hold{Of: t.from, OfRegion: !ev.ToRegion, On: ev.Full})
+	case BackpressureChanged:
+		if t := r.open[ev.Client]; t != nil && t.state == open {
+			r.do(PauseReading{Client: t.from, OfServer: !ev.ToServer, On: ev.Full})
 		}
-	case Listed:
+	case EndpointsListed:
 		r.list(ev)
-	case WatchPiece:
+	case WatchDataReceived:
 		r.watchPiece = r.now
-	case WatchAlive:
+	case WatchHeartbeat:
 		r.watchAlive()
-	case WatchEnded:
+	case WatchClosed:
 		r.watchEnded()
-	case Probed:
+	case ProbeFinished:
 		if ev.Result != policy.ResultOK {
 			r.Counters.ProbesFailed++
 		}
-		g := r.regions[ev.Region]
+		g := r.regions[ev.Server]
 		heard := g != nil && g.heardAt > g.probedAt
-		r.feed(policy.ProbeResult{Server: ev.Region, Result: ev.Result, Report: ev.Report, ServerActive: heard})
-	case FromOthers:
+		r.feed(policy.ProbeResult{Server: ev.Server, Result: ev.Result, Report: ev.Report, ServerActive: heard})
+	case FleetEvents:
 		for _, told := range ev.Events {
 			r.feed(told)
 		}
-	case Permitted:
-		r.permit = ev.Permit
-		r.feed(ev.Permit)
-	case Beside:
-		if r.cfg.Policy.OverlappingProcesses != ev.Others { // what is shared with other balancers is shared once more
-			r.cfg.Policy.OverlappingProcesses = ev.Others
+	case LeaseChanged:
+		r.permit = ev.Lease
+		r.feed(ev.Lease)
+	case OverlappingProcesses:
+		if r.cfg.Policy.OverlappingProcesses != ev.Count { // what is shared with other balancers is shared once more
+			r.cfg.Policy.OverlappingProcesses = ev.Count
 			r.feed(policy.ConfigUpdate{Config: r.cfg.Policy})
 		}
-	case Reconfigured:
+	case ConfigChanged:
 		ev.Policy.OverlappingProcesses = r.cfg.Policy.OverlappingProcesses
 		r.configure(ev.Config)
 		r.feed(policy.ConfigUpdate{Config: ev.Policy})
-		if ev.Moved {
+		if ev.DiscoveryMoved {
 			r.watch()
 		}
-	case Leave:
+	case ShutdownRequested:
 		r.leave(ev)
-	case Maintain:
+	case MaintenanceSet:
 		r.maintain(ev)
-	case Standby:
+	case DrainSet:
 		r.drain(ev.On)
-	case Left:
-		r.known.add(ev.Regions...)
-		if len(ev.Standing) > 0 {
-			r.stood, r.stoodTill = ev.Standing, r.now+stoodFor
+	case PredecessorState:
+		r.known.add(ev.Servers...)
+		if len(ev.Flows) > 0 {
+			r.stood, r.stoodTill = ev.Flows, r.now+stoodFor
 		}
 	case Tick:
 		r.wheel.advance(r.now, r.due)
@@ -280,7 +306,7 @@
 		}
 	case policy.Reject:
 		if t := r.byID[a.ID]; t != nil && t.state != open {
-			r.Counters.Short++
+			r.Counters.Rejected++
 			r.answer(t, true, a.RetryAfter, a.Reason)
 		}
 	case policy.Fail:
@@ -296,7 +322,7 @@
 		r.Counters.Probes++
 		if g := r.regions[a.Server]; g != nil {
 			g.probedAt = r.now
-			r.do(Probe{Region: a.Server, Addr: g.Dial, Timeout: r.cfg.ProbeTimeout})
+			r.do(Probe{Server: a.Server, Address: g.Address, Timeout: r.cfg.ProbeTimeout})
 		} else {
 			r.feed(policy.ProbeResult{Server: a.Server, Result: policy.ResultUnreachable})
 		}
@@ -309,15 +335,15 @@
 	}
 }
 
-func (r *Reducer) opened(ev Opened) {
-	r.Counters.Taken++
-	if _, known := r.classes[ev.Class]; !known || r.open[ev.From] != nil || r.byID[ev.ID] != nil {
-		r.Counters.Unreadable++
+func (r *Reducer) opened(ev RequestReceived) {
+	r.Counters.Requests++
+	if _, known := r.classes[ev.Class]; !known || r.open[ev.Client] != nil || r.byID[ev.ID] != nil {
+		r.Counters.InvalidRequests++
 		r.Counters.Failed++
-		r.do(Answer{To: ev.From})
+		r.do(Answer{Client: ev.Client})
 		return
 	}
-	t := &transaction{Request: ev.Request, from: ev.From, at: ev.At, attempt: -1}
+	t := &transaction{Request: ev.Request, from: ev.Client, at: ev.EstablishedAt, attempt: -1}
 	t.Timeout = max(0, t.Timeout-endEarly)
 	t.Timeout = r.patience(t.Timeout)
 	t.deadline = r.now + t.Timeout
@@ -329,7 +355,7 @@
 	}
 	if g, ok := r.stood[t.Key]; ok { // it left the process before, or comes in mid-flow: nothing is added where it stood
 		delete(r.stood, t.Key)
-		r.Counters.Handed++
+		r.Counters.FlowsTakenOver++
 		r.feed(policy.PredecessorFlow{Key: t.Key, Server: g})
 	}
 	if t.at != "" {
@@ -347,10 +373,10 @@
 	}
 }
 
-func (r *Reducer) notes(t *transaction, b Bytes) {
-	if b.Load {
-		r.Counters.Loads++
-		r.feed(policy.ConnectionLoad{ID: t.ID, Load: b.Told})
+func (r *Reducer) notes(t *transaction, b Payload) {
+	if b.HasLoad {
+		r.Counters.LoadsReported++
+		r.feed(policy.ConnectionLoad{ID: t.ID, Load: b.Load})
 	}
 }
 
@@ -366,32 +392,32 @@
 		return
 	}
 	g.toldLong, g.toldAt = long, r.now
-	r.Counters.Delays++
+	r.Counters.DelaysReported++
 	r.feed(policy.MessageDelay{ID: t.ID, Server: g.ID, Delay: took})
 }
 
 // terminalEnded follows a terminal's end. One that only closed its sending still waits for its answer.
-func (r *Reducer) terminalEnded(ev TerminalEnded) {
-	t := r.open[ev.From]
+func (r *Reducer) terminalEnded(ev ClientClosed) {
+	t := r.open[ev.Client]
 	if t == nil {
 		return
 	}
 	switch {
-	case ev.How == Closed && t.state == open:
-		r.Counters.EndedTerminal++
-		r.do(EndRegion{Of: t.from, How: Closed})
+	case ev.Reason == CloseEOF && t.state == open:
+		r.Counters.ClosedByClient++
+		r.do(CloseServer{Client: t.from, Reason: CloseEOF})
 		t.ended = r.now
-	case ev.How == Closed:
+	case ev.Reason == CloseEOF:
 		t.ended = r.now
 		if t.at == "" {
 			r.feed(policy.ClientDisconnected{ID: t.ID, HalfClosed: true})
 		}
 	case t.state == open:
-		r.Counters.EndedTerminal++
-		r.do(EndRegion{Of: t.from, How: Broken})
+		r.Counters.ClosedByClient++
+		r.do(CloseServer{Client: t.from, Reason: CloseReset})
 		r.closed(t, policy.ResultCanceled)
 	default:
-		r.Counters.GoneUnanswered++
+		r.Counters.ClientsGone++
 		r.abandon(t)
 	}
 }
@@ -399,12 +425,12 @@
 // abandon ends a transaction that no longer wants its answer, or gets it from elsewhere.
 func (r *Reducer) abandon(t *transaction) {
 	if t.state == open {
-		r.do(EndRegion{Of: t.from, How: Closed})
+		r.do(CloseServer{Client: t.from, Reason: CloseEOF})
 		r.closed(t, policy.ResultCanceled)
 		return
 	}
 	if t.state != waiting {
-		r.do(DropTask{Of: t.from, Attempt: t.attempt})
+		r.do(CloseAttempt{Client: t.from, Attempt: t.attempt})
 	}
 	r.owed--
 	r.over(t, policy.ClientDisconnected{ID: t.ID})
@@ -413,10 +439,10 @@
 // answer gives the final answer; the module has closed the transaction.
 func (r *Reducer) answer(t *transaction, short bool, after time.Duration, why string) {
 	if t.state != waiting {
-		r.do(DropTask{Of: t.from, Attempt: t.attempt})
+		r.do(CloseAttempt{Client: t.from, Attempt: t.attempt})
 	}
 	r.owed--
-	r.do(Answer{To: t.from, Short: short, After: after, Why: why})
+	r.do(Answer{Client: t.from, Rejected: short, RetryAfter: after, Reason: why})
 	r.over(t, nil)
 }
 
@@ -445,8 +471,8 @@
 }
 
 func (r *Reducer) sendAway(t *transaction, why string) {
-	r.Counters.Moved++
-	r.do(MoveTerminal{Of: t.from, Why: why})
+	r.Counters.Migrated++
+	r.do(MigrateClient{Client: t.from, Reason: why})
 	r.closed(t, policy.ResultCanceled)
 }
 
@@ -487,7 +513,7 @@
 		r.arrivals = r.arrivals[1:]
 		if _, ok := r.quiet[from]; ok {
 			delete(r.quiet, from)
-			r.do(Answer{To: from, Short: short})
+			r.do(Answer{Client: from, Rejected: short})
 			n++
 		}
 	}
@@ -497,10 +523,10 @@
 // sweep ends what has gone silent: a region's machine that vanished keeps its connections open and says
 // nothing, and so does discovery's.
 func (r *Reducer) sweep() {
-	r.Counters.SaidNothing += r.sendOff(len(r.arrivals), firstLineIn, false)
+	r.Counters.IdleTimedOut += r.sendOff(len(r.arrivals), firstLineIn, false)
 	for _, t := range r.inOrder() {
 		if t.state == open && t.ended > 0 && r.now-t.ended > silentAfter {
-			r.do(EndTerminal{Of: t.from, How: Closed})
+			r.do(CloseClient{Client: t.from, Reason: CloseEOF})
 			r.abandon(t)
 			continue
 		}
@@ -508,7 +534,7 @@
 			continue
 		}
 		if waits := r.now - t.askedAt; waits > unanswered && r.now-t.heardAt > silentAfter {
-			r.Counters.Silent++
+			r.Counters.MigratedOffSilent++
 			r.sendAway(t, "unanswered")
 		} else if g := r.regions[t.region]; waits > r.delayAim && g != nil && g.answered <= t.askedAt {
 			r.delay(t, waits) // nobody who asked the region later was answered: it is not this connection alone
--- a/internal/core/reducer_test.go
+++ b/internal/core/reducer_test.go
@@ -36,9 +36,9 @@
 }
 
 func (b *bed) list(kind policy.ListKind, seq int64, state policy.ServerState, ids ...string) []Effect {
-	l := Listed{Kind: kind, Seq: seq}
+	l := EndpointsListed{Kind: kind, Version: seq}
 	for _, id := range ids {
-		l.Regions = append(l.Regions, Region{Dial: id + ":1", Server: policy.Server{ID: id, Zone: "a", Weight: 1, State: state}})
+		l.Endpoints = append(l.Endpoints, Endpoint{Address: id + ":1", Server: policy.Server{ID: id, Zone: "a", Weight: 1, State: state}})
 	}
 	return b.do(l)
 }
@@ -48,29 +48,29 @@
 // pass lets time go by, in the host's ticks.
 func (b *bed) pass(d time.Duration) (out []Effect) {
 	for end := b.now + d; b.now < end; {
-		b.now += TickEvery
+		b.now += TickInterval
 		out = append(out, b.do(Tick{})...)
 	}
 	return out
 }
 
 func (b *bed) open(from Handle, d time.Duration) []Effect {
-	return b.do(Opened{From: from, Request: policy.Request{ID: fmt.Sprint("id", from), Key: "k", Class: "chat", Timeout: d}})
+	return b.do(RequestReceived{Client: from, Request: policy.Request{ID: fmt.Sprint("id", from), Key: "k", Class: "chat", Timeout: d}})
 }
 
 // up opens a transaction and brings it up; it returns its region.
 func (b *bed) up(from Handle) string {
 	d := find[Dial](b, b.open(from, 2*time.Second))
-	b.do(Connected{from, d.Attempt})
-	b.do(Sent{from, d.Attempt})
-	find[Pass](b, b.do(Up{Of: from, Attempt: d.Attempt, Bytes: Bytes{Data: []byte("UP\r\n")}}))
-	return d.Region
+	b.do(AttemptConnected{from, d.Attempt})
+	b.do(RequestSent{from, d.Attempt})
+	find[Forward](b, b.do(AttemptAccepted{Client: from, Attempt: d.Attempt, Payload: Payload{Data: []byte("UP\r\n")}}))
+	return d.Server
 }
 
 // watch lets time pass until the module asks for the list.
 func (b *bed) watch() Watch {
 	for range 1000 {
-		if w := all[Watch](b.pass(TickEvery)); len(w) > 0 {
+		if w := all[Watch](b.pass(TickInterval)); len(w) > 0 {
 			return w[0]
 		}
 	}
@@ -112,33 +112,33 @@
 		end  func(b *bed, d Dial)
 		of   func(c Counters) int64
 	}{
-		{"refused", func(b *bed, d Dial) { b.do(TaskEnded{1, d.Attempt, Refused}) }, func(c Counters) int64 { return c.Unreachable }},
-		{"never up", func(b *bed, d Dial) { b.pass(260 * time.Millisecond) }, func(c Counters) int64 { return c.Unreachable }},
+		{"refused", func(b *bed, d Dial) { b.do(AttemptClosed{1, d.Attempt, CloseRefused}) }, func(c Counters) int64 { return c.AttemptsUnreachable }},
+		{"never up", func(b *bed, d Dial) { b.pass(260 * time.Millisecond) }, func(c Counters) int64 { return c.AttemptsUnreachable }},
 		{"broken before the line left", func(b *bed, d Dial) {
-			b.do(Connected{1, d.Attempt})
-			b.do(TaskEnded{1, d.Attempt, Broken})
-		}, func(c Counters) int64 { return c.Unreachable }},
+			b.do(AttemptConnected{1, d.Attempt})
+			b.do(AttemptClosed{1, d.Attempt, CloseReset})
+		}, func(c Counters) int64 { return c.AttemptsUnreachable }},
 		{"broken after", func(b *bed, d Dial) {
-			b.do(Connected{1, d.Attempt})
-			b.do(Sent{1, d.Attempt})
-			b.do(TaskEnded{1, d.Attempt, Closed})
-		}, func(c Counters) int64 { return c.Reset }},
+			b.do(AttemptConnected{1, d.Attempt})
+			b.do(RequestSent{1, d.Attempt})
+			b.do(AttemptClosed{1, d.Attempt, CloseEOF})
+		}, func(c Counters) int64 { return c.AttemptsReset }},
 		{"turned away", func(b *bed, d Dial) {
-			b.do(Connected{1, d.Attempt})
-			b.do(Sent{1, d.Attempt})
-			b.do(TaskEnded{1, d.Attempt, TurnedAway})
-		}, func(c Counters) int64 { return c.TurnedAway }},
+			b.do(AttemptConnected{1, d.Attempt})
+			b.do(RequestSent{1, d.Attempt})
+			b.do(AttemptClosed{1, d.Attempt, CloseRejected})
+		}, func(c Counters) int64 { return c.AttemptsRejected }},
 		{"no answer", func(b *bed, d Dial) {
-			b.do(Connected{1, d.Attempt})
-			b.do(Sent{1, d.Attempt})
+			b.do(AttemptConnected{1, d.Attempt})
+			b.do(RequestSent{1, d.Attempt})
 			b.pass(850 * time.Millisecond)
-		}, func(c Counters) int64 { return c.TimedOut }},
+		}, func(c Counters) int64 { return c.AttemptsTimedOut }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			b := newBed(t, nil)
 			d := find[Dial](b, b.open(1, 4*time.Second))
 			x.end(b, d)
-			if c := b.r.Counters; x.of(c) < 1 || c.Unreachable+c.Reset+c.TurnedAway+c.TimedOut != x.of(c) {
+			if c := b.r.Counters; x.of(c) < 1 || c.AttemptsUnreachable+c.AttemptsReset+c.AttemptsRejected+c.AttemptsTimedOut != x.of(c) {
 				t.Fatalf("%+v", c)
 			}
 		})
@@ -152,28 +152,28 @@
 	first := find[Dial](b, b.open(1, 4*time.Second))
 	effects := b.pass(300 * time.Millisecond)
 	next := find[Dial](b, effects)
-	if i, j := slices.Index(effects, Effect(DropTask{1, first.Attempt, "connect"})), slices.Index(effects, Effect(next)); i < 0 || i > j {
+	if i, j := slices.Index(effects, Effect(CloseAttempt{1, first.Attempt, "connect"})), slices.Index(effects, Effect(next)); i < 0 || i > j {
 		t.Fatalf("%+v", effects)
 	}
-	b.none(b.do(Connected{1, first.Attempt}))
-	b.none(b.do(TaskEnded{1, first.Attempt, Broken}))
-	b.none(b.do(Up{Of: 1, Attempt: first.Attempt}))
-	find[SendLine](b, b.do(Connected{1, next.Attempt}))
+	b.none(b.do(AttemptConnected{1, first.Attempt}))
+	b.none(b.do(AttemptClosed{1, first.Attempt, CloseReset}))
+	b.none(b.do(AttemptAccepted{Client: 1, Attempt: first.Attempt}))
+	find[SendRequest](b, b.do(AttemptConnected{1, next.Attempt}))
 }
 
 // Whatever happens, one final answer: here nothing does, and then an UP and a reset come too late.
 func TestOneAnswerAtTheDeadline(t *testing.T) {
 	b := newBed(t, nil)
 	d := find[Dial](b, b.open(1, 400*time.Millisecond))
-	b.do(Connected{1, d.Attempt})
-	b.do(Sent{1, d.Attempt})
+	b.do(AttemptConnected{1, d.Attempt})
+	b.do(RequestSent{1, d.Attempt})
 	find[Answer](b, b.pass(400*time.Millisecond))
-	b.none(b.do(Up{Of: 1, Attempt: d.Attempt}))
-	b.none(b.do(TaskEnded{1, d.Attempt, Broken}))
-	b.none(b.do(TerminalEnded{1, Broken}))
+	b.none(b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
+	b.none(b.do(AttemptClosed{1, d.Attempt, CloseReset}))
+	b.none(b.do(ClientClosed{1, CloseReset}))
 	b.none(b.pass(time.Second))
-	if b.r.Owed() != 0 || b.r.Open() != 0 {
-		t.Fatal(b.r.Owed(), b.r.Open())
+	if b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
+		t.Fatal(b.r.Unanswered(), b.r.OpenRequests())
 	}
 }
 
@@ -182,17 +182,17 @@
 	for _, upFirst := range []bool{true, false} {
 		b := newBed(t, nil)
 		d := find[Dial](b, b.open(1, time.Second))
-		b.do(Connected{1, d.Attempt})
-		b.do(Sent{1, d.Attempt})
+		b.do(AttemptConnected{1, d.Attempt})
+		b.do(RequestSent{1, d.Attempt})
 		if upFirst {
-			b.do(Up{Of: 1, Attempt: d.Attempt})
-			find[EndRegion](b, b.do(TerminalEnded{1, Broken}))
+			b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt})
+			find[CloseServer](b, b.do(ClientClosed{1, CloseReset}))
 		} else {
-			find[DropTask](b, b.do(TerminalEnded{1, Broken}))
-			b.none(b.do(Up{Of: 1, Attempt: d.Attempt}))
+			find[CloseAttempt](b, b.do(ClientClosed{1, CloseReset}))
+			b.none(b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
 		}
-		if b.none(b.pass(2 * time.Second)); b.r.Owed() != 0 || b.r.Open() != 0 {
-			t.Fatal(b.r.Owed(), b.r.Open())
+		if b.none(b.pass(2 * time.Second)); b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
+			t.Fatal(b.r.Unanswered(), b.r.OpenRequests())
 		}
 	}
 }
@@ -202,9 +202,9 @@
 	for _, state := range []policy.ServerState{policy.Draining, policy.Gone} {
 		b := newBed(t, nil)
 		d := find[Dial](b, b.open(1, 2*time.Second))
-		b.list(policy.ListDelta, 8, state, d.Region)
-		effects := b.do(Connected{1, d.Attempt})
-		if len(all[SendLine](effects)) > 0 || find[Dial](b, effects).Region == d.Region {
+		b.list(policy.ListDelta, 8, state, d.Server)
+		effects := b.do(AttemptConnected{1, d.Attempt})
+		if len(all[SendRequest](effects)) > 0 || find[Dial](b, effects).Server == d.Server {
 			t.Fatalf("%+v", effects)
 		}
 	}
@@ -218,31 +218,31 @@
 	for h := Handle(1); h <= 3; h++ {
 		b.up(h)
 	}
-	line := Bytes{Data: []byte("x\r\n"), Lines: 1}
-	b.do(Passed{Of: 1, Bytes: line})
-	b.do(Passed{Of: 2, Bytes: line})
-	b.do(Passed{Of: 2, FromRegion: true, Bytes: Bytes{Load: true}}) // a note is no reply
+	line := Payload{Data: []byte("x\r\n"), Lines: 1}
+	b.do(DataReceived{Client: 1, Payload: line})
+	b.do(DataReceived{Client: 2, Payload: line})
+	b.do(DataReceived{Client: 2, FromServer: true, Payload: Payload{HasLoad: true}}) // a note is no reply
 	b.pass(time.Second)
-	b.do(Passed{Of: 2, FromRegion: true, Bytes: line})
-	b.do(Passed{Of: 1, Bytes: line})
-	if e := find[MoveTerminal](b, b.pass(5*time.Second)); e.Of != 1 {
+	b.do(DataReceived{Client: 2, FromServer: true, Payload: line})
+	b.do(DataReceived{Client: 1, Payload: line})
+	if e := find[MigrateClient](b, b.pass(5*time.Second)); e.Client != 1 {
 		t.Fatal(e)
 	}
-	b.do(Passed{Of: 2, Bytes: line})
-	b.do(Passed{Of: 2, FromRegion: true, Bytes: line})
+	b.do(DataReceived{Client: 2, Payload: line})
+	b.do(DataReceived{Client: 2, FromServer: true, Payload: line})
 	b.none(all2(b.pass(2 * time.Second)))
-	b.do(Passed{Of: 2, Bytes: line})
-	if e := find[MoveTerminal](b, b.pass(4*time.Second)); e.Of != 2 {
+	b.do(DataReceived{Client: 2, Payload: line})
+	if e := find[MigrateClient](b, b.pass(4*time.Second)); e.Client != 2 {
 		t.Fatal(e)
 	}
 	b.up(4)
 	b.pass(30 * time.Second)
-	b.do(Passed{Of: 4, Bytes: line}) // one that was idle has its time
-	if moved := all[MoveTerminal](b.pass(2900 * time.Millisecond)); len(moved) > 0 {
+	b.do(DataReceived{Client: 4, Payload: line}) // one that was idle has its time
+	if moved := all[MigrateClient](b.pass(2900 * time.Millisecond)); len(moved) > 0 {
 		t.Fatal(moved)
 	}
-	b.do(Passed{Of: 4, FromRegion: true, Bytes: line})
-	if b.r.Open() != 2 || b.r.Counters.Silent != 2 {
+	b.do(DataReceived{Client: 4, FromServer: true, Payload: line})
+	if b.r.OpenRequests() != 2 || b.r.Counters.MigratedOffSilent != 2 {
 		t.Fatalf("%+v", b.r.Counters)
 	}
 }
@@ -255,11 +255,11 @@
 		took time.Duration
 		told int64
 	}{{5, 0}, {40, 1}, {40, 1}, {999, 2}, {5, 3}, {5, 3}} {
-		b.do(Passed{Of: 1, Bytes: Bytes{Lines: 1}})
+		b.do(DataReceived{Client: 1, Payload: Payload{Lines: 1}})
 		b.now += x.took * time.Millisecond
-		b.do(Passed{Of: 1, FromRegion: true, Bytes: Bytes{Lines: 1}})
-		if b.r.Counters.Delays != x.told {
-			t.Fatalf("after %d ms told %d times, not %d", x.took, b.r.Counters.Delays, x.told)
+		b.do(DataReceived{Client: 1, FromServer: true, Payload: Payload{Lines: 1}})
+		if b.r.Counters.DelaysReported != x.told {
+			t.Fatalf("after %d ms told %d times, not %d", x.took, b.r.Counters.DelaysReported, x.told)
 		}
 	}
 }
@@ -273,19 +273,19 @@
 	for b.up(h) != first {
 		h++
 	}
-	line := Bytes{Lines: 1}
-	b.do(Passed{Of: 1, Bytes: line})
+	line := Payload{Lines: 1}
+	b.do(DataReceived{Client: 1, Payload: line})
 	for range 20 {
 		b.pass(100 * time.Millisecond)
-		b.do(Passed{Of: h, Bytes: line})
-		b.do(Passed{Of: h, FromRegion: true, Bytes: line})
+		b.do(DataReceived{Client: h, Payload: line})
+		b.do(DataReceived{Client: h, FromServer: true, Payload: line})
 	}
-	if n := b.r.Counters.Delays; n > 1 {
+	if n := b.r.Counters.DelaysReported; n > 1 {
 		t.Fatal(n, "delays told of a region that answers")
 	}
-	b.do(Passed{Of: h, Bytes: line}) // now it answers nobody
+	b.do(DataReceived{Client: h, Payload: line}) // now it answers nobody
 	b.pass(500 * time.Millisecond)
-	if n := b.r.Counters.Delays; n < 1 {
+	if n := b.r.Counters.DelaysReported; n < 1 {
 		t.Fatal(n, "delays told of a region that doesn't answer")
 	}
 }
@@ -295,33 +295,33 @@
 func TestHeldBackRegionIsNotLeft(t *testing.T) {
 	b := newBed(t, nil)
 	b.up(1)
-	b.do(Passed{Of: 1, Bytes: Bytes{Data: []byte("line\r\n"), Lines: 1}})
+	b.do(DataReceived{Client: 1, Payload: Payload{Data: []byte("line\r\n"), Lines: 1}})
 	for range 1000 {
-		b.do(HeldBack{1})
-		if moved := all[MoveTerminal](b.pass(2 * TickEvery)); len(moved) > 0 {
+		b.do(ServerDataQueued{1})
+		if moved := all[MigrateClient](b.pass(2 * TickInterval)); len(moved) > 0 {
 			t.Fatal("moved while its region's bytes were held back")
 		}
 	}
-	if b.r.Counters.Delays > 0 {
-		t.Errorf("told for slow %d times", b.r.Counters.Delays)
+	if b.r.Counters.DelaysReported > 0 {
+		t.Errorf("told for slow %d times", b.r.Counters.DelaysReported)
 	}
-	if moved := all[MoveTerminal](b.pass(6 * time.Second)); len(moved) != 1 {
+	if moved := all[MigrateClient](b.pass(6 * time.Second)); len(moved) != 1 {
 		t.Errorf("%d moved once nothing was held back", len(moved))
 	}
 }
 
 func TestSilentWatch(t *testing.T) {
 	b := newBed(t, nil)
-	if w := b.watch(); w.Seq != 7 {
+	if w := b.watch(); w.Version != 7 {
 		t.Fatal(w)
 	}
 	b.list(policy.ListDelta, 12, policy.Live, "r3")
 	for range 5 {
 		b.none(b.pass(2 * time.Second))
-		b.do(WatchAlive{})
+		b.do(WatchHeartbeat{})
 	}
-	find[Unwatch](b, b.pass(4400*time.Millisecond))
-	if w := b.watch(); w.Seq != 12 {
+	find[StopWatch](b, b.pass(4400*time.Millisecond))
+	if w := b.watch(); w.Version != 12 {
 		t.Fatal(w)
 	}
 	// Neither does one that never answers hold up the next; the module's back-off sets the pace.
@@ -335,7 +335,7 @@
 	b := newBed(t, nil)
 	b.watch()
 	for range 10 {
-		b.do(WatchAlive{})
+		b.do(WatchHeartbeat{})
 		b.none(all2(b.pass(2 * time.Second)))
 	}
 	if b.r.Counters.Watches != 1 {
@@ -346,17 +346,17 @@
 // A connection from before the run goes back, and is the module's from then on.
 func TestAdopted(t *testing.T) {
 	b := newBed(t, nil)
-	ev := Opened{From: 1, At: "r2", Request: policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second}}
+	ev := RequestReceived{Client: 1, EstablishedAt: "r2", Request: policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second}}
 	d := find[Dial](b, b.do(ev))
 	b.none(all2(b.pass(2 * time.Second))) // slow at the start of a run, when all come at once
-	if find[SendLine](b, b.do(Connected{1, d.Attempt})); d.Region != "r2" || d.Timeout < 20*time.Second {
+	if find[SendRequest](b, b.do(AttemptConnected{1, d.Attempt})); d.Server != "r2" || d.Timeout < 20*time.Second {
 		t.Fatal(d)
 	}
-	b.do(Up{Of: 1, Attempt: d.Attempt})
-	if b.r.Counters.Adopted != 1 || b.r.Owed() != 0 {
+	b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt})
+	if b.r.Counters.Adopted != 1 || b.r.Unanswered() != 0 {
 		t.Fatalf("%+v", b.r.Counters)
 	}
-	if e := find[EndTerminal](b, b.do(TaskEnded{1, d.Attempt, Broken})); e.How != Broken {
+	if e := find[CloseClient](b, b.do(AttemptClosed{1, d.Attempt, CloseReset})); e.Reason != CloseReset {
 		t.Fatal(e)
 	}
 }
@@ -375,7 +375,7 @@
 		b := newBed(t, func(c *Config) { c.PassThrough = through })
 		b.up(1)
 		b.open(2, 1500*time.Millisecond)
-		if moved := len(all[MoveTerminal](b.do(Leave{}))); moved != map[bool]int{true: 0, false: 1}[through] {
+		if moved := len(all[MigrateClient](b.do(ShutdownRequested{}))); moved != map[bool]int{true: 0, false: 1}[through] {
 			t.Fatal(moved, "moved")
 		}
 		effects := b.pass(map[bool]time.Duration{true: 11 * time.Second, false: 3 * time.Second}[through])
@@ -391,25 +391,25 @@
 // stay: it once left after 0.8 s, while the next one had not taken over, and then 0.2 s before the front led 100 of them
 // elsewhere unbroken. The platform ends it by force when it will; it waits for nothing else, and not for ever.
 func TestLeavingServesWhatStands(t *testing.T) {
-	b := newBed(t, func(c *Config) { c.LongestWait = 2 * time.Second })
+	b := newBed(t, func(c *Config) { c.MaxClientTimeout = 2 * time.Second })
 	b.up(1)
-	b.do(Leave{})
-	if early := b.pass(9900 * time.Millisecond); len(all[Exit](early))+len(all[MoveTerminal](early)) > 0 {
+	b.do(ShutdownRequested{})
+	if early := b.pass(9900 * time.Millisecond); len(all[Exit](early))+len(all[MigrateClient](early)) > 0 {
 		t.Fatalf("%+v", early)
 	}
-	line := Bytes{Data: []byte("x\r\n"), Lines: 1}
-	find[Pass](b, b.do(Passed{Of: 1, Bytes: line}))
+	line := Payload{Data: []byte("x\r\n"), Lines: 1}
+	find[Forward](b, b.do(DataReceived{Client: 1, Payload: line}))
 	find[Exit](b, b.pass(150*time.Millisecond))
-	b = newBed(t, func(c *Config) { c.LongestWait = time.Minute })
+	b = newBed(t, func(c *Config) { c.MaxClientTimeout = time.Minute })
 	b.up(1)
-	b.do(Leave{})
+	b.do(ShutdownRequested{})
 	b.pass(time.Second)
-	b.do(TaskEnded{1, 0, Finished})
-	find[Exit](b, b.pass(2*TickEvery))
+	b.do(AttemptClosed{1, 0, CloseFinished})
+	find[Exit](b, b.pass(2*TickInterval))
 	// Where connections end here, what was not moved by then is given up: killed 3.7 s after SIGTERM at the earliest.
-	b = newBed(t, func(c *Config) { c.LongestWait, c.PassThrough = time.Minute, false })
+	b = newBed(t, func(c *Config) { c.MaxClientTimeout, c.PassThrough = time.Minute, false })
 	b.up(1)
-	b.do(Leave{})
+	b.do(ShutdownRequested{})
 	find[Exit](b, b.pass(3550*time.Millisecond))
 }
 
@@ -419,20 +419,20 @@
 	for _, through := range []bool{true, false} {
 		for _, wait := range []time.Duration{1200 * time.Millisecond, 4800 * time.Millisecond} {
 			b := newBed(t, func(c *Config) {
-				c.PassThrough, c.LongestWait = through, wait
+				c.PassThrough, c.MaxClientTimeout = through, wait
 				c.Policy.Classes[0].LatencyObjective = wait
 			})
 			d := find[Dial](b, b.open(1, wait))
-			b.do(Connected{1, d.Attempt})
-			b.do(Sent{1, d.Attempt})
-			b.do(Leave{})
+			b.do(AttemptConnected{1, d.Attempt})
+			b.do(RequestSent{1, d.Attempt})
+			b.do(ShutdownRequested{})
 			effects := b.pass(300 * time.Millisecond)
 			d = find[Dial](b, b.open(2, wait))
-			b.do(Connected{2, d.Attempt})
-			b.do(Sent{2, d.Attempt})
+			b.do(AttemptConnected{2, d.Attempt})
+			b.do(RequestSent{2, d.Attempt})
 			effects = append(effects, b.pass(min(3*time.Second, wait)+350*time.Millisecond)...)
-			if n := len(all[Answer](effects)); n != 2 || b.r.Owed() != 0 {
-				t.Fatalf("passes through %v, wait %v: %d answered, %d owed", through, wait, n, b.r.Owed())
+			if n := len(all[Answer](effects)); n != 2 || b.r.Unanswered() != 0 {
+				t.Fatalf("passes through %v, wait %v: %d answered, %d owed", through, wait, n, b.r.Unanswered())
 			}
 		}
 	}
@@ -446,13 +446,13 @@
 			c.Policy.Classes[0].Idempotency, c.Policy.Classes[0].KeyTTL = policy.IdempotentByKey, time.Second
 		})
 		d := find[Dial](b, b.open(1, 4*time.Second))
-		find[SendLine](b, b.do(Connected{1, d.Attempt}))
-		b.do(Sent{1, d.Attempt})
+		find[SendRequest](b, b.do(AttemptConnected{1, d.Attempt}))
+		b.do(RequestSent{1, d.Attempt})
 		b.pass(700 * time.Millisecond) // the attempt's own time is 800 ms
 		b.now += 200 * time.Millisecond
-		d = find[Dial](b, b.do(TaskEnded{1, d.Attempt, Broken}))
+		d = find[Dial](b, b.do(AttemptClosed{1, d.Attempt, CloseReset}))
 		b.now += late
-		if n := len(all[SendLine](b.do(Connected{1, d.Attempt}))); n != sent {
+		if n := len(all[SendRequest](b.do(AttemptConnected{1, d.Attempt}))); n != sent {
 			t.Errorf("%v late: %d repeats", late, n)
 		}
 	}
@@ -466,7 +466,7 @@
 	w.set(12*time.Millisecond, timer{token: "b"})
 	w.set(0, timer{token: "a"})
 	w.set(20*time.Second, timer{token: "d"})
-	w.set(TickEvery*wheelSlots+12*time.Millisecond, timer{token: "c"})
+	w.set(TickInterval*wheelSlots+12*time.Millisecond, timer{token: "c"})
 	for _, x := range []struct {
 		now  time.Duration
 		want string
@@ -482,22 +482,22 @@
 func TestTerminalsThatSayNothing(t *testing.T) {
 	b := newBed(t, nil)
 	for h := Handle(1); h <= 5; h++ {
-		b.do(Arrived{h})
+		b.do(ConnectionAccepted{h})
 		b.pass(20 * time.Millisecond)
 	}
 	b.open(2, time.Second)
-	b.do(TerminalEnded{3, Broken})
-	if e := find[Answer](b, b.do(Crowded{By: 1})); e.To != 1 || !e.Short {
+	b.do(ClientClosed{3, CloseReset})
+	if e := find[Answer](b, b.do(DescriptorsShort{Missing: 1})); e.Client != 1 || !e.Rejected {
 		t.Fatal(e)
 	}
-	b.do(Arrived{6})
-	if got := all[Answer](b.do(Crowded{By: 9})); len(got) != 2 || got[0].To != 4 || got[1].To != 5 {
+	b.do(ConnectionAccepted{6})
+	if got := all[Answer](b.do(DescriptorsShort{Missing: 9})); len(got) != 2 || got[0].Client != 4 || got[1].Client != 5 {
 		t.Fatalf("%+v", got)
 	}
-	if got := all[Answer](b.pass(1900 * time.Millisecond)); len(got) != 1 || got[0].To != 2 {
+	if got := all[Answer](b.pass(1900 * time.Millisecond)); len(got) != 1 || got[0].Client != 2 {
 		t.Fatalf("%+v", got)
 	}
-	if e := find[Answer](b, b.pass(400*time.Millisecond)); e.To != 6 || e.Short {
+	if e := find[Answer](b, b.pass(400*time.Millisecond)); e.Client != 6 || e.Rejected {
 		t.Fatal(e)
 	}
 	if len(b.r.quiet)+len(b.r.arrivals) > 0 {
@@ -516,16 +516,16 @@
 			for _, e := range effects {
 				switch e := e.(type) {
 				case Probe:
-					if e.Region == late {
+					if e.Server == late {
 						due = append(due, b.now+e.Timeout)
 						continue
 					}
-					act(b.do(Probed{Region: e.Region, Report: &policy.LoadReport{Load: 0.3, Utilization: -1, InFlight: 9, BacklogSeconds: -1}}))
+					act(b.do(ProbeFinished{Server: e.Server, Report: &policy.LoadReport{Load: 0.3, Utilization: -1, InFlight: 9, BacklogSeconds: -1}}))
 				case Dial:
-					act(b.do(Connected{e.Of, e.Attempt}))
-					act(b.do(Up{Of: e.Of, Attempt: e.Attempt, Bytes: Bytes{Data: []byte("UP\r\n")}}))
-					late = e.Region
-				case MoveTerminal:
+					act(b.do(AttemptConnected{e.Client, e.Attempt}))
+					act(b.do(AttemptAccepted{Client: e.Client, Attempt: e.Attempt, Payload: Payload{Data: []byte("UP\r\n")}}))
+					late = e.Server
+				case MigrateClient:
 					moved++
 				}
 			}
@@ -533,16 +533,16 @@
 		act(b.open(1, 2*time.Second))
 		for i := range 600 {
 			if i%20 == 0 && answers {
-				act(b.do(Passed{Of: 1, FromRegion: true, Bytes: Bytes{Data: []byte("x\r\n"), Lines: 1}}))
+				act(b.do(DataReceived{Client: 1, FromServer: true, Payload: Payload{Data: []byte("x\r\n"), Lines: 1}}))
 			}
-			act(b.pass(TickEvery))
+			act(b.pass(TickInterval))
 			if len(due) > 0 && b.now >= due[0] {
 				due = due[1:]
-				act(b.do(Probed{Region: late, Result: policy.ResultTimedOut}))
+				act(b.do(ProbeFinished{Server: late, Result: policy.ResultTimedOut}))
 			}
 			if i%100 == 0 { // newcomers have it read
-				act(b.do(Opened{From: Handle(10 + i), Request: policy.Request{ID: fmt.Sprint("n", i), Key: fmt.Sprint(i), Class: "chat", Timeout: time.Second}}))
-				act(b.do(TerminalEnded{Handle(10 + i), Broken}))
+				act(b.do(RequestReceived{Client: Handle(10 + i), Request: policy.Request{ID: fmt.Sprint("n", i), Key: fmt.Sprint(i), Class: "chat", Timeout: time.Second}}))
+				act(b.do(ClientClosed{Handle(10 + i), CloseReset}))
 			}
 		}
 		if want := !answers; moved > 0 != want {
--- a/internal/core/server_list.go
+++ b/internal/core/server_list.go
@@ -11,25 +11,25 @@
 	"oatloft/policy"
 )
 
-func (r *Reducer) list(ev Listed) {
+func (r *Reducer) list(ev EndpointsListed) {
 	r.Counters.Lists++
 	r.listed = true
-	if ev.Kind != policy.ListCached && !ev.Former {
+	if ev.Kind != policy.ListCached && !ev.FromPreviousWatch {
 		r.watching, r.watchUp, r.watchHeard = true, true, r.now
 	}
 	if r.overtaken(ev) {
-		if !ev.Former { // no news, but an answer
+		if !ev.FromPreviousWatch { // no news, but an answer
 			r.feed(policy.ServerList{Kind: policy.ListDelta})
 		}
 		return
 	}
-	r.seq = max(r.seq, ev.Seq)
+	r.seq = max(r.seq, ev.Version)
 	if ev.Kind != policy.ListDelta {
-		r.seq = ev.Seq
+		r.seq = ev.Version
 	}
-	servers := make([]policy.Server, 0, len(ev.Regions))
-	named := make(map[string]bool, len(ev.Regions))
-	for _, g := range ev.Regions {
+	servers := make([]policy.Server, 0, len(ev.Endpoints))
+	named := make(map[string]bool, len(ev.Endpoints))
+	for _, g := range ev.Endpoints {
 		if g.State == policy.Draining && defects.On("drain-unheard") {
 			g.State = policy.Live
 		}
@@ -48,15 +48,15 @@
 		case g.State == policy.Gone:
 			r.forget(g.ID)
 		case known == nil:
-			r.regions[g.ID] = &region{Region: g, listed: listed}
+			r.regions[g.ID] = &region{Endpoint: g, listed: listed}
 		default:
-			if known.Dial != g.Dial {
-				r.do(ForgetRegion{g.ID})
+			if known.Address != g.Address {
+				r.do(ForgetServer{g.ID})
 			}
-			known.Region, known.listed = g, listed
+			known.Endpoint, known.listed = g, listed
 		}
 	}
-	for _, id := range ev.Unread {
+	for _, id := range ev.Malformed {
 		if g := r.regions[id]; g != nil && !named[id] {
 			servers = append(servers, g.Server)
 			named[id] = true
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	if ev.Former { // it says nothing of the watch that is to follow: that one may have failed
+	if ev.FromPreviousWatch { // it says nothing of the watch that is to follow: that one may have failed
 		r.relist()
 	} else {
 		r.feed(policy.ServerList{Kind: ev.Kind, Servers: servers})
@@ -86,11 +86,11 @@
 // named an earlier version, and the other one (the watch that this one follows, or the one that follows it) has brought
 // more meanwhile. What it says may be over, and nothing in it is missing here. A version below the one that the
 // call named is another matter: discovery counts anew.
-func (r *Reducer) overtaken(ev Listed) bool {
-	if ev.Kind == policy.ListCached || ev.Seq >= r.seq {
+func (r *Reducer) overtaken(ev EndpointsListed) bool {
+	if ev.Kind == policy.ListCached || ev.Version >= r.seq {
 		return false
 	}
-	return ev.Former || ev.Seq >= r.watchFrom
+	return ev.FromPreviousWatch || ev.Version >= r.watchFrom
 }
 
 // zoneBeyond tells of a zone that comes after as many others: a defect passes it over.
@@ -105,7 +105,7 @@
 func (r *Reducer) forget(id string) {
 	if r.regions[id] != nil {
 		delete(r.regions, id)
-		r.do(ForgetRegion{id})
+		r.do(ForgetServer{id})
 	}
 }
 
@@ -116,7 +116,7 @@
 	r.watchHeard, r.watchPiece, r.watchFrom = r.now, 0, r.seq
 	r.watchCalls++
 	r.wheel.set(r.now+watchOpen, timer{kind: watchTimer, attempt: r.watchCalls})
-	r.do(Watch{Seq: r.seq})
+	r.do(Watch{Version: r.seq})
 }
 
 // watchAlive takes an empty line: nothing has changed. As the first word by a call it is the answer.
@@ -132,7 +132,7 @@
 	if !r.watching {
 		return
 	}
-	r.do(Unwatch{})
+	r.do(StopWatch{})
 	r.callAnew()
 }
 
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -54,16 +54,16 @@
 // Phase is how far the balancer is on its way out.
 func (r *Reducer) Phase() Phase { return r.shutdown.phase }
 
-// Leaving tells that the balancer is on its way out.
-func (r *Reducer) Leaving() bool { return r.shutdown.phase != Serving }
+// ShuttingDown tells that the balancer is on its way out.
+func (r *Reducer) ShuttingDown() bool { return r.shutdown.phase != Serving }
 
 // leave begins the shutdown. A second call changes nothing.
-func (r *Reducer) leave(ev Leave) {
-	if r.Leaving() {
+func (r *Reducer) leave(ev ShutdownRequested) {
+	if r.ShuttingDown() {
 		return
 	}
-	r.shutdown.begin(r.now, r.cfg.LongestWait, ev.Handed, r.cfg.PassThrough)
-	if ev.Handed {
+	r.shutdown.begin(r.now, r.cfg.MaxClientTimeout, ev.HandedOver, r.cfg.PassThrough)
+	if ev.HandedOver {
 		r.makeWay("", true, clearance{r.shutdown.leaveAt, r.shutdown.leaveAt + clearIn})
 	} else {
 		r.sendAllAway()
@@ -73,12 +73,12 @@
 
 // movesClients tells that a client that comes up now would be cut off by the end of this process, and is moved at once.
 func (r *Reducer) movesClients() bool {
-	return r.Leaving() && !r.shutdown.handed && !r.cfg.PassThrough
+	return r.ShuttingDown() && !r.shutdown.handed && !r.cfg.PassThrough
 }
 
 // patience is how long a client that asks now is served at most.
 func (r *Reducer) patience(own time.Duration) time.Duration {
-	if !r.Leaving() {
+	if !r.ShuttingDown() {
 		return own
 	}
 	return min(own, max(0, r.shutdown.answerBy-r.now))
@@ -103,12 +103,12 @@
 		r.answerAll()
 	}
 	if r.owed > 0 || !r.nothingLeft() && r.now < r.shutdown.leaveBy {
-		r.wheel.set(r.now+TickEvery, timer{kind: leaveTimer})
+		r.wheel.set(r.now+TickInterval, timer{kind: leaveTimer})
 		return
 	}
 	r.shutdown.phase = Closing
-	r.do(Exit{By: r.exitBy()})
-	r.Counters.SentOff += r.sendOff(len(r.arrivals), 0, true) // they may ask in this very moment: none is left without an answer
+	r.do(Exit{Deadline: r.exitBy()})
+	r.Counters.IdleClosed += r.sendOff(len(r.arrivals), 0, true) // they may ask in this very moment: none is left without an answer
 }
 
 // exitBy is when the process ends at the latest. The last bytes get some time in any case: where packets pass through, and
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -8,14 +8,14 @@
 // leaving is a reducer whose clients wait for longest at most, and that is told to leave now.
 func leaving(t *testing.T, longest time.Duration, passes bool) *bed {
 	b := newBed(t, func(c *Config) {
-		c.LongestWait, c.PassThrough = longest, passes
+		c.MaxClientTimeout, c.PassThrough = longest, passes
 		c.Policy.Classes[0].LatencyObjective = max(longest, 50*time.Millisecond)
 	})
 	d := find[Dial](b, b.open(9, longest))
-	b.do(Connected{9, d.Attempt})
-	b.do(Sent{9, d.Attempt})
-	b.do(Arrived{From: 8})
-	b.do(Leave{})
+	b.do(AttemptConnected{9, d.Attempt})
+	b.do(RequestSent{9, d.Attempt})
+	b.do(ConnectionAccepted{Client: 8})
+	b.do(ShutdownRequested{})
 	return b
 }
 
@@ -23,26 +23,26 @@
 // closing: who is owed one in the draining, who rests at its end.
 func TestPhasesOfAShutdown(t *testing.T) {
 	b := newBed(t, func(c *Config) {
-		c.LongestWait, c.PassThrough, c.Policy.Classes[0].LatencyObjective = 2*time.Second, false, 2*time.Second
+		c.MaxClientTimeout, c.PassThrough, c.Policy.Classes[0].LatencyObjective = 2*time.Second, false, 2*time.Second
 	})
-	b.do(Arrived{From: 1})
+	b.do(ConnectionAccepted{Client: 1})
 	d := find[Dial](b, b.open(2, 2*time.Second))
-	b.do(Connected{2, d.Attempt})
-	b.do(Sent{2, d.Attempt})
-	if b.r.Phase() != Serving || b.r.Leaving() {
+	b.do(AttemptConnected{2, d.Attempt})
+	b.do(RequestSent{2, d.Attempt})
+	if b.r.Phase() != Serving || b.r.ShuttingDown() {
 		t.Fatal(b.r.Phase())
 	}
-	b.do(Leave{})
+	b.do(ShutdownRequested{})
 	if out := b.pass(900 * time.Millisecond); b.r.Phase() != Draining || len(all[Exit](out)) > 0 {
 		t.Fatal("it closes though an answer is owed:", out)
 	}
-	find[MoveTerminal](b, b.do(Up{Of: 2, Attempt: d.Attempt, Bytes: Bytes{Data: []byte("UP\r\n")}}))
+	find[MigrateClient](b, b.do(AttemptAccepted{Client: 2, Attempt: d.Attempt, Payload: Payload{Data: []byte("UP\r\n")}}))
 	out := b.pass(time.Second)
 	exit, answers := all[Exit](out), all[Answer](out)
-	if b.r.Phase() != Closing || len(exit) != 1 || len(answers) != 1 || answers[0].To != 1 || !answers[0].Short {
+	if b.r.Phase() != Closing || len(exit) != 1 || len(answers) != 1 || answers[0].Client != 1 || !answers[0].Rejected {
 		t.Fatal(b.r.Phase(), out)
 	}
-	b.do(Leave{})
+	b.do(ShutdownRequested{})
 	if out := b.pass(5 * time.Second); b.r.Phase() != Closing || len(all[Exit](out)) > 0 {
 		t.Fatal("it closes again:", b.r.Phase(), out)
 	}
@@ -53,10 +53,10 @@
 	b := leaving(t, 2*time.Second, true)
 	fixed := b.r.shutdown
 	b.pass(300 * time.Millisecond)
-	if out := b.do(Leave{}); len(out) > 0 || b.r.shutdown != fixed {
+	if out := b.do(ShutdownRequested{}); len(out) > 0 || b.r.shutdown != fixed {
 		t.Fatal(out, b.r.shutdown, fixed)
 	}
-	b.do(Leave{Handed: true})
+	b.do(ShutdownRequested{HandedOver: true})
 	if b.r.shutdown != fixed {
 		t.Fatal(b.r.shutdown, fixed)
 	}
@@ -72,16 +72,16 @@
 			answered := map[Handle]bool{}
 			var exit []Exit
 			for b.now < killed {
-				out := b.pass(TickEvery)
+				out := b.pass(TickInterval)
 				for _, a := range all[Answer](out) {
-					if answered[a.To] {
-						t.Errorf("longest %v, passes %v: %d is answered twice", longest, passes, a.To)
+					if answered[a.Client] {
+						t.Errorf("longest %v, passes %v: %d is answered twice", longest, passes, a.Client)
 					}
-					answered[a.To] = true
+					answered[a.Client] = true
 				}
 				exit = append(exit, all[Exit](out)...)
 			}
-			if !answered[9] || !answered[8] || len(exit) != 1 || exit[0].By >= killed {
+			if !answered[9] || !answered[8] || len(exit) != 1 || exit[0].Deadline >= killed {
 				t.Errorf("longest %v, passes %v: answered %v, exits %v, killed at %v", longest, passes, answered, exit, killed)
 			}
 		}
@@ -92,7 +92,7 @@
 func TestTheEndIsNeverInThePast(t *testing.T) {
 	b := leaving(t, time.Second, false)
 	b.now += time.Minute
-	if exit := find[Exit](b, b.do(Tick{})); exit.By < b.now+lastWords {
-		t.Fatal(exit.By - b.now)
+	if exit := find[Exit](b, b.do(Tick{})); exit.Deadline < b.now+lastWords {
+		t.Fatal(exit.Deadline - b.now)
 	}
 }
--- a/internal/core/wheel.go
+++ b/internal/core/wheel.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// TickEvery is how often the host should let the time pass.
-	TickEvery  = 5 * time.Millisecond
+	// TickInterval is how often the host should let the time pass.
+	TickInterval  = 5 * time.Millisecond
 	wheelSlots = 1024
 )
 
@@ -37,7 +37,7 @@
 	at    int64 // the last tick that was fired
 }
 
-func ticks(t time.Duration) int64 { return int64((t + TickEvery - 1) / TickEvery) }
+func ticks(t time.Duration) int64 { return int64((t + TickInterval - 1) / TickInterval) }
 
 // set adds a timer; it fires at the first tick at or after due, and never in the tick being fired.
 func (w *wheel) set(due time.Duration, t timer) {
@@ -48,7 +48,7 @@
 
 // advance hands over all timers that are due.
 func (w *wheel) advance(now time.Duration, fire func(timer)) {
-	to := int64(now / TickEvery)
+	to := int64(now / TickInterval)
 	if to-w.at > wheelSlots { // a long sleep: one round meets every slot
 		w.at = to - wheelSlots
 	}
--- a/internal/crowd/digest_test.go
+++ b/internal/crowd/digest_test.go
@@ -16,33 +16,33 @@
 func describeEffect(e core.Effect) string {
 	switch e := e.(type) {
 	case core.Dial:
-		return fmt.Sprintln("dial", e.Of, e.Attempt, e.Region, e.Addr, int64(e.Timeout))
-	case core.SendLine:
-		return fmt.Sprintln("line", e.Of, e.Attempt, int64(e.Left))
-	case core.DropTask:
-		return fmt.Sprintln("drop", e.Of, e.Attempt, e.Why)
+		return fmt.Sprintln("dial", e.Client, e.Attempt, e.Server, e.Address, int64(e.Timeout))
+	case core.SendRequest:
+		return fmt.Sprintln("line", e.Client, e.Attempt, int64(e.TimeLeft))
+	case core.CloseAttempt:
+		return fmt.Sprintln("drop", e.Client, e.Attempt, e.Reason)
 	case core.Answer:
-		return fmt.Sprintln("answer", e.To, e.Short, int64(e.After), e.Why)
-	case core.Pass:
-		return fmt.Sprintf("pass %v %v %q\n", e.Of, e.ToRegion, e.Data)
-	case core.Hold:
-		return fmt.Sprintln("hold", e.Of, e.OfRegion, e.On)
-	case core.EndRegion:
-		return fmt.Sprintln("end-region", e.Of, int(e.How))
-	case core.EndTerminal:
-		return fmt.Sprintln("end-terminal", e.Of, int(e.How))
-	case core.MoveTerminal:
-		return fmt.Sprintln("move", e.Of, e.Why)
+		return fmt.Sprintln("answer", e.Client, e.Rejected, int64(e.RetryAfter), e.Reason)
+	case core.Forward:
+		return fmt.Sprintf("pass %v %v %q\n", e.Client, e.ToServer, e.Data)
+	case core.PauseReading:
+		return fmt.Sprintln("hold", e.Client, e.OfServer, e.On)
+	case core.CloseServer:
+		return fmt.Sprintln("end-region", e.Client, int(e.Reason))
+	case core.CloseClient:
+		return fmt.Sprintln("end-terminal", e.Client, int(e.Reason))
+	case core.MigrateClient:
+		return fmt.Sprintln("move", e.Client, e.Reason)
 	case core.Probe:
-		return fmt.Sprintln("probe", e.Region, e.Addr, int64(e.Timeout))
-	case core.ForgetRegion:
-		return fmt.Sprintln("forget", e.Region)
+		return fmt.Sprintln("probe", e.Server, e.Address, int64(e.Timeout))
+	case core.ForgetServer:
+		return fmt.Sprintln("forget", e.Server)
 	case core.Watch:
-		return fmt.Sprintln("watch", e.Seq)
-	case core.Unwatch:
+		return fmt.Sprintln("watch", e.Version)
+	case core.StopWatch:
 		return fmt.Sprintln("unwatch")
 	case core.Exit:
-		return fmt.Sprintln("exit", int64(e.By))
+		return fmt.Sprintln("exit", int64(e.Deadline))
 	}
 	return fmt.Sprintf("unknown %T\n", e)
 }
--- a/internal/crowd/judge.go
+++ b/internal/crowd/judge.go
@@ -150,11 +150,11 @@
 	if r.task != nil {
 		j.fault(p, "one task at once", "%s is answered with a task out", r.id)
 	}
-	if k := r.c.class; e.Short && r.ran != nil && (k.Idempotency == policy.NotIdempotent || k.Idempotency == policy.IdempotentByKey && k.KeyScope != policy.KeyScopeAll) {
+	if k := r.c.class; e.Rejected && r.ran != nil && (k.Idempotency == policy.NotIdempotent || k.Idempotency == policy.IdempotentByKey && k.KeyScope != policy.KeyScopeAll) {
 		j.fault(p, "repeats", "%s (%s) is told to try again after it may have run at %s", r.id, k.Name, r.ran.Host.Host)
 	}
-	if e.After > p.D.Advice {
-		j.fault(p, "advice", "%s is to stay away for %v of %v", r.id, e.After, p.D.Advice)
+	if e.RetryAfter > p.D.Advice {
+		j.fault(p, "advice", "%s is to stay away for %v of %v", r.id, e.RetryAfter, p.D.Advice)
 	}
 }
 
--- a/internal/crowd/place.go
+++ b/internal/crowd/place.go
@@ -159,7 +159,7 @@
 }
 
 func (p *Place) after(d time.Duration, f func()) {
-	at := p.step + max(1, int(d/core.TickEvery))
+	at := p.step + max(1, int(d/core.TickInterval))
 	for len(p.todo) <= at {
 		p.todo = append(p.todo, nil)
 	}
@@ -201,9 +201,9 @@
 		p.after(p.between(0, time.Second), func() { p.asks(c, h) })
 	}
 	rate := float64(stand) / d.Life.Seconds()
-	for step := 0; step < int((warmUp+placeFor)/core.TickEvery); step++ {
-		p.after(time.Duration(step)*core.TickEvery, func() {
-			for n := int(rate*p.traffic*core.TickEvery.Seconds() + p.rng.Float64()); n > 0; n-- {
+	for step := 0; step < int((warmUp+placeFor)/core.TickInterval); step++ {
+		p.after(time.Duration(step)*core.TickInterval, func() {
+			for n := int(rate*p.traffic*core.TickInterval.Seconds() + p.rng.Float64()); n > 0; n-- {
 				c := p.client(p.now)
 				p.asks(c, nil)
 			}
@@ -287,7 +287,7 @@
 // publish writes a change to all open watches.
 func (p *Place) publish(c publication, started bool) {
 	if p.down {
-		p.after(max(core.TickEvery, p.backAt-p.now), func() { p.publish(c, started) })
+		p.after(max(core.TickInterval, p.backAt-p.now), func() { p.publish(c, started) })
 		return
 	}
 	c.seq = int64(len(p.told)) + 1
@@ -364,7 +364,7 @@
 	if d.dead || p.seer {
 		return
 	}
-	if l, ok := ev.(core.Listed); ok && p.broken.News > 0 && l.Kind == policy.ListDelta {
+	if l, ok := ev.(core.EndpointsListed); ok && p.broken.News > 0 && l.Kind == policy.ListDelta {
 		p.after(p.broken.News, func() { p.steps(d, l) })
 		return
 	}
@@ -387,7 +387,7 @@
 // Run plays the deployment to its end.
 func (p *Place) Run() {
 	for end := p.now + warmUp + placeFor; p.now < end; {
-		p.now += core.TickEvery
+		p.now += core.TickInterval
 		p.step++
 		if p.step < len(p.todo) {
 			list := p.todo[p.step]
@@ -396,12 +396,12 @@
 				f()
 			}
 		}
-		if p.step%int(lookStep/core.TickEvery) == 0 {
+		if p.step%int(lookStep/core.TickInterval) == 0 {
 			for _, h := range p.hosts {
 				h.past = append(h.past, look{p.x(h), float64(len(h.tasks))})
 			}
 		}
-		if p.step%int(sampleStep/core.TickEvery) == 0 {
+		if p.step%int(sampleStep/core.TickInterval) == 0 {
 			p.Judge.sample(p)
 			if p.seer {
 				p.seen()
@@ -438,13 +438,13 @@
 	c.req, c.why = r, waits
 	d.reqs[r.h] = r
 	d.order = append(d.order, r)
-	ev := core.Opened{From: r.h, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Timeout: wait, MidFlow: c.mid != nil}}
+	ev := core.RequestReceived{Client: r.h, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Timeout: wait, MidFlow: c.mid != nil}}
 	if r.before = at != nil; r.before {
-		ev.At = at.Host.Host
+		ev.EstablishedAt = at.Host.Host
 	}
 	p.Judge.came++
 	p.do(d, ev)
-	p.after(wait+core.TickEvery, func() { p.Judge.inTime(p, r) })
+	p.after(wait+core.TickInterval, func() { p.Judge.inTime(p, r) })
 }
 
 // front is a balancer of a zone, or of any where it has none.
@@ -521,10 +521,10 @@
 		p.probe(d, e)
 	case core.Dial:
 		p.dial(d, e)
-	case core.SendLine:
+	case core.SendRequest:
 		p.line(d, e)
-	case core.DropTask:
-		if r := d.reqs[e.Of]; r != nil {
+	case core.CloseAttempt:
+		if r := d.reqs[e.Client]; r != nil {
 			if t := r.task; t != nil {
 				p.ranMaybe(r, t)
 			}
@@ -532,50 +532,50 @@
 			r.task = nil
 		}
 	case core.Answer:
-		r := d.reqs[e.To]
+		r := d.reqs[e.Client]
 		p.Judge.answered(p, r, &e)
 		if r == nil {
 			return
 		}
-		why := p.Judge.refused(p, r, e.Short)
+		why := p.Judge.refused(p, r, e.Rejected)
 		wait := p.between(p.D.ComeAgain/2, p.D.ComeAgain)
-		if e.After > 0 {
-			wait = e.After
+		if e.RetryAfter > 0 {
+			wait = e.RetryAfter
 		}
 		p.over(r, why, wait)
-	case core.Pass:
-		r := d.reqs[e.Of]
+	case core.Forward:
+		r := d.reqs[e.Client]
 		switch {
 		case r == nil || r.task == nil:
-		case e.ToRegion:
+		case e.ToServer:
 			p.returns(r, r.task)
 		case !r.answered:
 			p.Judge.answered(p, r, nil)
 			r.c.seat = r.task
 		}
-	case core.EndRegion:
-		if r := d.reqs[e.Of]; r != nil {
+	case core.CloseServer:
+		if r := d.reqs[e.Client]; r != nil {
 			p.free(r.task)
 			r.task = nil
-			if e.How == core.Closed && r.c.till > p.now { // the terminal goes on waiting for the region's end
+			if e.Reason == core.CloseEOF && r.c.till > p.now { // the terminal goes on waiting for the region's end
 				p.over(r, broke, p.D.Rejoin)
 			}
 		}
-	case core.EndTerminal:
-		if r := d.reqs[e.Of]; r != nil {
+	case core.CloseClient:
+		if r := d.reqs[e.Client]; r != nil {
 			p.over(r, broke, p.between(p.D.Rejoin/2, p.D.Rejoin))
 		}
-	case core.MoveTerminal:
-		r := d.reqs[e.Of]
+	case core.MigrateClient:
+		r := d.reqs[e.Client]
 		if r == nil || r.c.seat == nil {
-			p.Judge.fault(p, "moved", "%d is moved and doesn't stand", e.Of)
+			p.Judge.fault(p, "moved", "%d is moved and doesn't stand", e.Client)
 			return
 		}
 		p.Judge.moves++
 		p.over(r, moved, p.between(p.D.Rejoin/2, p.D.Rejoin))
 	case core.Watch:
-		p.call(d, e.Seq)
-	case core.Unwatch:
+		p.call(d, e.Version)
+	case core.StopWatch:
 		d.watch = nil
 	case core.Exit:
 		p.exit(d)
@@ -605,9 +605,9 @@
 }
 
 func (p *Place) probe(d *proxy, e core.Probe) {
-	h := p.hostOf(e.Region)
+	h := p.hostOf(e.Server)
 	p.Judge.probed(p, d)
-	wait, ev := p.way(d, h)*2+p.between(time.Millisecond, 10*time.Millisecond), core.Probed{Region: e.Region}
+	wait, ev := p.way(d, h)*2+p.between(time.Millisecond, 10*time.Millisecond), core.ProbeFinished{Server: e.Server}
 	switch {
 	case h.hung, h.down && h.state != policy.Gone:
 		wait, ev.Result = e.Timeout, policy.ResultTimedOut
@@ -624,19 +624,19 @@
 }
 
 func (p *Place) dial(d *proxy, e core.Dial) {
-	r, h := d.reqs[e.Of], p.hostOf(e.Region)
+	r, h := d.reqs[e.Client], p.hostOf(e.Server)
 	if r == nil || h == nil {
-		p.Judge.fault(p, "nobody", "%d dials %s for nobody", e.Of, e.Region)
+		p.Judge.fault(p, "nobody", "%d dials %s for nobody", e.Client, e.Server)
 		return
 	}
 	if r.task != nil {
-		p.Judge.fault(p, "one task at once", "%s dials %s with a task out at %s", r.id, e.Region, r.task.on.Host.Host)
+		p.Judge.fault(p, "one task at once", "%s dials %s with a task out at %s", r.id, e.Server, r.task.on.Host.Host)
 		p.free(r.task)
 	}
 	p.Judge.dialed(p, r)
 	t := &task{of: r, attempt: e.Attempt, on: h, began: p.now}
 	r.task = t
-	wait, how := p.way(d, h)+time.Millisecond, core.Event(core.Connected{Of: e.Of, Attempt: e.Attempt})
+	wait, how := p.way(d, h)+time.Millisecond, core.Event(core.AttemptConnected{Client: e.Client, Attempt: e.Attempt})
 	if p.rng.Float64() < p.late {
 		wait += p.between(0, p.lateMost)
 	}
@@ -644,7 +644,7 @@
 		if h.state != policy.Gone {
 			how = nil // its machine is silent
 		} else {
-			how = core.TaskEnded{Of: e.Of, Attempt: e.Attempt, How: core.Refused}
+			how = core.AttemptClosed{Client: e.Client, Attempt: e.Attempt, Reason: core.CloseRefused}
 		}
 	}
 	if how != nil {
@@ -652,7 +652,7 @@
 			if r.task != t {
 				return
 			}
-			if _, up := how.(core.Connected); !up {
+			if _, up := how.(core.AttemptConnected); !up {
 				r.task = nil
 			} else if h.down {
 				return
@@ -662,37 +662,37 @@
 		})
 	}
 	if !r.before {
-		p.after(p.D.ConnectTimeout+2*core.TickEvery, func() {
+		p.after(p.D.ConnectTimeout+2*core.TickInterval, func() {
 			if r.task == t && !t.connected && !d.dead {
-				p.Judge.fault(p, "connect time-out", "%s has dialed %s for longer than %v", r.id, e.Region, p.D.ConnectTimeout)
+				p.Judge.fault(p, "connect time-out", "%s has dialed %s for longer than %v", r.id, e.Server, p.D.ConnectTimeout)
 			}
 		})
 	}
 }
 
 // line sends a first line: from now on it may run.
-func (p *Place) line(d *proxy, e core.SendLine) {
-	r := d.reqs[e.Of]
+func (p *Place) line(d *proxy, e core.SendRequest) {
+	r := d.reqs[e.Client]
 	if r == nil || r.task == nil {
-		p.Judge.fault(p, "nobody", "%d sends a line with no task", e.Of)
+		p.Judge.fault(p, "nobody", "%d sends a line with no task", e.Client)
 		return
 	}
 	t := r.task
 	p.Judge.sent(p, d, r, t)
 	t.sent, t.mayBe, t.began = true, true, p.now // a key's time counts from here
-	p.after(core.TickEvery, func() {
+	p.after(core.TickInterval, func() {
 		if r.task != t {
 			return
 		}
 		if !p.arrives(d, t) {
 			return
 		}
-		p.do(d, core.Sent{Of: e.Of, Attempt: e.Attempt})
+		p.do(d, core.RequestSent{Client: e.Client, Attempt: e.Attempt})
 	})
 }
 
 // ends tells a balancer how a task ended.
-func (p *Place) ends(t *task, how core.Ending, ran bool) {
+func (p *Place) ends(t *task, how core.CloseReason, ran bool) {
 	r := t.of
 	if r.task != t {
 		return
@@ -708,7 +708,7 @@
 	if r.task = nil; r.c.seat == t {
 		r.c.seat = nil
 	}
-	p.do(r.d, core.TaskEnded{Of: r.h, Attempt: t.attempt, How: how})
+	p.do(r.d, core.AttemptClosed{Client: r.h, Attempt: t.attempt, Reason: how})
 }
 
 // arrives has a region take a line, or not.
@@ -722,21 +722,21 @@
 	r.c.mid = nil
 	switch {
 	case h.down && h.state == policy.Gone:
-		p.after(back, func() { p.ends(t, core.Broken, true) })
+		p.after(back, func() { p.ends(t, core.CloseReset, true) })
 		return true
 	case h.down || h.hung:
 		return true
 	case mid != nil && mid != h: // it is open elsewhere
-		p.after(back, func() { p.ends(t, core.Broken, true) })
+		p.after(back, func() { p.ends(t, core.CloseReset, true) })
 		return true
 	case mid == nil && (h.state != policy.Live || h.load > 1.3*p.can(h)):
 		t.mayBe = false
-		p.after(back, func() { p.ends(t, core.TurnedAway, false) })
+		p.after(back, func() { p.ends(t, core.CloseRejected, false) })
 		return true
 	}
 	p.hold(t)
 	if p.rng.Float64() < h.errs {
-		how := []core.Ending{core.Erred, core.Broken}[p.rng.IntN(2)]
+		how := []core.CloseReason{core.CloseFailed, core.CloseReset}[p.rng.IntN(2)]
 		p.after(back+p.D.Setup, func() { p.ends(t, how, true) })
 		return true
 	}
@@ -756,11 +756,11 @@
 		return
 	}
 	t.heard = p.now
-	b := core.Bytes{Data: []byte("UP 1\r\n"), Lines: 1}
+	b := core.Payload{Data: []byte("UP 1\r\n"), Lines: 1}
 	if p.D.Loads {
-		b.Load, b.Told = true, r.c.class.Work*1000
+		b.HasLoad, b.Load = true, r.c.class.Work*1000
 	}
-	if p.do(r.d, core.Up{Of: r.h, Attempt: t.attempt, Bytes: b}); r.task != t || r.c.seat != t {
+	if p.do(r.d, core.AttemptAccepted{Client: r.h, Attempt: t.attempt, Payload: b}); r.task != t || r.c.seat != t {
 		return
 	}
 	p.after(p.between(0, 2*time.Second), func() { p.talks(t) })
@@ -768,7 +768,7 @@
 		switch {
 		case r.task != t || r.c.seat != t:
 		case p.rng.IntN(2) == 0 && t.on.sound():
-			p.ends(t, core.Finished, true)
+			p.ends(t, core.CloseFinished, true)
 		default:
 			p.leaves(r)
 		}
@@ -777,17 +777,17 @@
 
 // leaves has a terminal go that has had enough.
 func (p *Place) leaves(r *request) {
-	p.do(r.d, core.TerminalEnded{From: r.h, How: core.Broken})
+	p.do(r.d, core.ClientClosed{Client: r.h, Reason: core.CloseReset})
 	p.over(r, gone, 0)
 }
 
-var someLine = core.Bytes{Data: []byte("x\r\n"), Lines: 1}
+var someLine = core.Payload{Data: []byte("x\r\n"), Lines: 1}
 
 // talks has a terminal send its line.
 func (p *Place) talks(t *task) {
 	if r := t.of; r.task == t && r.c.seat == t && !r.d.dead {
 		p.after(2*time.Second, func() { p.talks(t) })
-		p.do(r.d, core.Passed{Of: r.h, Bytes: someLine})
+		p.do(r.d, core.DataReceived{Client: r.h, Payload: someLine})
 	}
 }
 
@@ -804,7 +804,7 @@
 		p.after(250*time.Millisecond, func() { p.replies(r, t) })
 	default:
 		t.heard, t.unheard = p.now, false
-		p.do(r.d, core.Passed{Of: r.h, FromRegion: true, Bytes: someLine})
+		p.do(r.d, core.DataReceived{Client: r.h, FromServer: true, Payload: someLine})
 	}
 }
 
@@ -822,7 +822,7 @@
 		}
 		if p.down {
 			d.watch, d.failed = nil, true
-			p.do(d, core.WatchEnded{})
+			p.do(d, core.WatchClosed{})
 			return
 		}
 		var body []byte
@@ -864,16 +864,16 @@
 	p.hears(d, upto)
 	for len(data) > 0 {
 		n := min(len(data), 1+p.rng.IntN(900))
-		err := w.in.Read(data[:n], func(l *core.Listed) {
+		err := w.in.Read(data[:n], func(l *core.EndpointsListed) {
 			w.answered = true
 			switch {
 			case w == d.former:
 				if l != nil {
-					l.Former = true
+					l.FromPreviousWatch = true
 					p.do(d, *l)
 				}
 			case l == nil:
-				p.do(d, core.WatchAlive{})
+				p.do(d, core.WatchHeartbeat{})
 			default:
 				p.do(d, *l)
 			}
@@ -881,7 +881,7 @@
 		if data = data[n:]; err != nil {
 			if w.up = false; d.watch == w {
 				d.watch = nil
-				p.do(d, core.WatchEnded{})
+				p.do(d, core.WatchClosed{})
 			}
 			return
 		}
@@ -944,7 +944,7 @@
 		for _, t := range slices.Clone(h.tasks) {
 			p.after(p.between(100*time.Millisecond, 3*time.Second), func() {
 				if r := t.of; r.task == t && r.c.seat == t && h.sound() {
-					p.ends(t, core.MovedAway, true)
+					p.ends(t, core.CloseMigrated, true)
 				}
 			})
 		}
@@ -964,7 +964,7 @@
 			p.unseat(t, broke)
 			continue
 		}
-		p.ends(t, core.Broken, true)
+		p.ends(t, core.CloseReset, true)
 	}
 }
 
@@ -978,7 +978,7 @@
 func (p *Place) trouble(t drawn.Trouble) {
 	steps := func(over time.Duration, n int, f func(i int)) {
 		for i := range n {
-			p.after(over*time.Duration(i)/time.Duration(max(1, n))+core.TickEvery, func() { f(i) })
+			p.after(over*time.Duration(i)/time.Duration(max(1, n))+core.TickInterval, func() { f(i) })
 		}
 	}
 	drains := func(in time.Duration) {
@@ -1033,7 +1033,7 @@
 	case drawn.Discovery:
 		p.down, p.backAt = true, max(p.backAt, p.now+t.For)
 		p.breakWatches()
-		p.after(t.For, func() { p.down = p.now+core.TickEvery < p.backAt }) // one outage may go on into the next
+		p.after(t.For, func() { p.down = p.now+core.TickInterval < p.backAt }) // one outage may go on into the next
 		drains(t.For)
 	case drawn.Restart:
 		steps(t.For+8*time.Second, len(p.slots), func(i int) { p.restart(i) })
@@ -1062,7 +1062,7 @@
 	for _, d := range p.slots {
 		if w := d.watch; w != nil && w.up {
 			d.watch = nil
-			p.after(core.TickEvery, func() { p.do(d, core.WatchEnded{}) })
+			p.after(core.TickInterval, func() { p.do(d, core.WatchClosed{}) })
 		}
 	}
 }
@@ -1079,5 +1079,5 @@
 		p.kill(d, true)
 		p.after(300*time.Millisecond, func() { p.startAgain(slot) })
 	})
-	p.do(d, core.Leave{})
+	p.do(d, core.ShutdownRequested{})
 }
--- a/internal/drawn/drawn.go
+++ b/internal/drawn/drawn.go
@@ -247,7 +247,7 @@
 	for _, c := range d.Classes {
 		p.Classes = append(p.Classes, c.Class)
 	}
-	return core.Config{Policy: p, Seed: seed, ConnectTimeout: d.ConnectTimeout, ProbeTimeout: 300 * time.Millisecond, LongestWait: d.Longest(), PassThrough: d.Pass}
+	return core.Config{Policy: p, Seed: seed, ConnectTimeout: d.ConnectTimeout, ProbeTimeout: 300 * time.Millisecond, MaxClientTimeout: d.Longest(), PassThrough: d.Pass}
 }
 
 func millis(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
--- a/internal/drawn/drawn_test.go
+++ b/internal/drawn/drawn_test.go
@@ -35,17 +35,17 @@
 		born := float64(zero.Add(time.Hour).UnixMilli())
 		list := d.List(3, true, []drawn.Host{{Host: "x", Dial: "10.0.0.1:9", Site: d.Zone(zone), Block: 2, Health: "draining", Share: 0.5, Born: born}})
 		w := platform.WatchReader{Zero: zero}
-		var got []core.Listed
+		var got []core.EndpointsListed
 		data := append([]byte("HTTP/1.1 200 OK\r\n\r\n"), bytes.Repeat(list, 2)...)
 		for len(data) > 0 {
 			n := min(len(data), rapid.IntRange(1, 80).Draw(t, "piece"))
-			if err := w.Read(data[:n], func(l *core.Listed) { got = append(got, *l) }); err != nil {
+			if err := w.Read(data[:n], func(l *core.EndpointsListed) { got = append(got, *l) }); err != nil {
 				t.Fatal(err)
 			}
 			data = data[n:]
 		}
 		server := policy.Server{ID: "x", Zone: d.Zone(zone), Cell: 2, State: policy.Draining, Weight: 0.5, StartedAt: time.Hour}
-		if len(got) != 2 || got[1].Kind != policy.ListFull || got[1].Seq != 3 || !cmp.Equal(got[1].Regions, []core.Region{{Server: server, Dial: "10.0.0.1:9"}}) {
+		if len(got) != 2 || got[1].Kind != policy.ListFull || got[1].Version != 3 || !cmp.Equal(got[1].Endpoints, []core.Endpoint{{Server: server, Address: "10.0.0.1:9"}}) {
 			t.Fatalf("%+v", got)
 		}
 		r := platform.ParseStats([]byte(d.Report(0.5, 7)))
--- a/internal/net/answers_test.go
+++ b/internal/net/answers_test.go
@@ -52,8 +52,8 @@
 				h.inPieces(server, answer, size)
 				h.ends("the client", client, "ERR\r\n")
 				h.turning("the server's end", func() bool { server.read(); return server.end != nil })
-				if n := h.s.core.Counters; n.Tasks != 1 || n.Erred+n.Reset != 1 {
-					t.Fatalf("%d attempts, %d in error", n.Tasks, n.Erred)
+				if n := h.s.core.Counters; n.Attempts != 1 || n.AttemptsFailed+n.AttemptsReset != 1 {
+					t.Fatalf("%d attempts, %d in error", n.Attempts, n.AttemptsFailed)
 				}
 			})
 		}
@@ -219,15 +219,15 @@
 		t.Fatal(n, "pieces wait")
 	}
 	h.ends("the client", client, "ERR\r\n")
-	if n := h.s.core.Counters; n.Erred != 1 || n.Tasks != 1 {
-		t.Fatalf("%d attempts, %d in error", n.Tasks, n.Erred)
+	if n := h.s.core.Counters; n.AttemptsFailed != 1 || n.Attempts != 1 {
+		t.Fatalf("%d attempts, %d in error", n.Attempts, n.AttemptsFailed)
 	}
 }
 
 // probeOf has the balancer ask a server for its load, and returns the server's side once the question has come.
 func (h *triesLoop) probeOf(known *triesPeer) *triesPeer {
 	h.t.Helper()
-	h.s.probe(core.Probe{Region: "r1", Addr: h.listeners[0].Addr().String(), Timeout: triesWait})
+	h.s.probe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
 	return h.probeCame(known)
 }
 
@@ -307,7 +307,7 @@
 	if at.busy || at.l != nil || h.s.core.Counters.ProbesFailed != 1 {
 		t.Fatalf("%+v", at)
 	}
-	h.s.probe(core.Probe{Region: "r1", Addr: at.addr, Timeout: triesWait})
+	h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 	h.s.work()
 	if !at.busy {
 		t.Fatal("the late answer was taken for the next probe's")
@@ -339,9 +339,9 @@
 		if met {
 			_ = first.conn.Close()
 			h.reached(l, ended) // that it has ended waits in the queue
-			h.s.probe(core.Probe{Region: "r1", Addr: at.addr, Timeout: triesWait})
+			h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 		} else {
-			h.s.probe(core.Probe{Region: "r1", Addr: at.addr, Timeout: triesWait})
+			h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 			_ = first.conn.Close()
 		}
 		h.until("the probe's end", func() bool { h.s.work(); return !at.busy })
--- a/internal/net/client_leaves_test.go
+++ b/internal/net/client_leaves_test.go
@@ -76,7 +76,7 @@
 		d.tell(list)
 	}
 	idleEventually(t, p.server, "the list", func() bool {
-		list := p.server.core.ListedRegions()
+		list := p.server.core.ListedServers()
 		return len(list) == 1 && list[0].ID == "own" && list[0].State == state
 	})
 	return d
@@ -89,7 +89,7 @@
 	if _, err := io.WriteString(c, "OPEN 1 k c=chat,d=120000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	idleEventually(t, p.server, "the request", func() bool { return x.asked && p.server.core.Owed() == 1 })
+	idleEventually(t, p.server, "the request", func() bool { return x.asked && p.server.core.Unanswered() == 1 })
 	return c, x
 }
 
@@ -99,7 +99,7 @@
 	if reset {
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		idleEventually(t, p.server, "the client's reset", func() bool { return x.over && p.server.core.Open() == 0 })
+		idleEventually(t, p.server, "the client's reset", func() bool { return x.over && p.server.core.OpenRequests() == 0 })
 		return
 	}
 	_ = c.CloseWrite()
@@ -171,9 +171,9 @@
 // follow.
 func leavesNothingSent(t *testing.T, p *play, v *leavesServer, tasks int64) {
 	t.Helper()
-	idleEventually(t, p.server, "the request's end", func() bool { return p.server.core.Open() == 0 })
+	idleEventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
 	onServerLoop(t, p.server, func() {
-		if n := p.server.core.Counters.Tasks; n != tasks {
+		if n := p.server.core.Counters.Attempts; n != tasks {
 			t.Errorf("%d attempts, want %d", n, tasks)
 		}
 	})
--- a/internal/net/config.go
+++ b/internal/net/config.go
@@ -38,7 +38,7 @@
 	Numbered                *together.Numbered // nil: this balancer has no part by its number
 	Peers                   *Peers             // nil: this balancer knows of no other
 	Revisions               *Revisions         // nil: this balancer goes by its settings alone
-	Known                   *core.Listed
+	Known                   *core.EndpointsListed
 	Zero                    time.Time // the balancer's clock counts from here
 }
 
@@ -187,7 +187,7 @@
 		p.PollEndpointList, p.PollInterval = true, max(f.Millis("rules.drain-grace-ms"), leastAsk)
 	}
 	for i := range c.Core.Policy.Classes {
-		c.Core.LongestWait = max(c.Core.LongestWait, f.Millis(fmt.Sprintf("classes.%d.give-up-ms", i)))
+		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, f.Millis(fmt.Sprintf("classes.%d.give-up-ms", i)))
 	}
 	if f.Err != nil {
 		return c, &Unfit{advice.Words{Where: "settings", Cause: f.Err, Do: "mend the setting"}}
--- a/internal/net/effects.go
+++ b/internal/net/effects.go
@@ -34,42 +34,42 @@
 func (s *Server) carryOut(e core.Effect) {
 	switch e := e.(type) {
 	case core.Dial:
-		if t := s.terminals[e.Of]; t != nil {
+		if t := s.terminals[e.Client]; t != nil {
 			t.answer, t.last, t.fromRegion = platform.LineReader{}, platform.Line, platform.Scan{}
-			t.task = &link{s: s, role: taskRole, term: t, attempt: e.Attempt, region: e.Region}
-			s.dial(t.task, e.Addr, e.Timeout+dialLonger)
+			t.task = &link{s: s, role: taskRole, term: t, attempt: e.Attempt, region: e.Server}
+			s.dial(t.task, e.Address, e.Timeout+dialLonger)
 		}
-	case core.SendLine:
-		if t := s.terminals[e.Of]; t != nil && t.task != nil {
-			s.out = t.open.AppendLine(s.out[:0], e.Left)
+	case core.SendRequest:
+		if t := s.terminals[e.Client]; t != nil && t.task != nil {
+			s.out = t.open.AppendLine(s.out[:0], e.TimeLeft)
 			whole := t.task.write(s.out)
 			if s.links != nil {
 				s.links.sentTo(t, t.task.region, len(s.out))
 			}
 			if whole && t.task.flushed() { // else it broke before the line's last byte: it never ran
-				s.step(core.Sent{Of: e.Of, Attempt: e.Attempt})
+				s.step(core.RequestSent{Client: e.Client, Attempt: e.Attempt})
 			}
 		}
-	case core.DropTask:
-		if t := s.terminals[e.Of]; t != nil && t.task != nil && t.task.attempt == e.Attempt {
+	case core.CloseAttempt:
+		if t := s.terminals[e.Client]; t != nil && t.task != nil && t.task.attempt == e.Attempt {
 			t.task.drop()
 			t.task = nil
 		}
 	case core.Answer:
-		if t := s.terminals[e.To]; t != nil {
+		if t := s.terminals[e.Client]; t != nil {
 			line := platform.Failed
-			if e.Short {
-				s.out = platform.AppendShort(s.out[:0], e.After)
+			if e.Rejected {
+				s.out = platform.AppendShort(s.out[:0], e.RetryAfter)
 				line = s.out
 			}
 			s.finalAnswer(t, line)
 		}
-	case core.Pass:
-		t := s.terminals[e.Of]
+	case core.Forward:
+		t := s.terminals[e.Client]
 		if t == nil {
 			return
 		}
-		if e.ToRegion {
+		if e.ToServer {
 			s.counters.BytesToRegions += int64(len(e.Data))
 			if t.task != nil {
 				t.task.write(e.Data)
@@ -79,13 +79,13 @@
 			t.l.write(e.Data)
 		}
 		s.flow(t)
-	case core.Hold:
-		t := s.terminals[e.Of]
+	case core.PauseReading:
+		t := s.terminals[e.Client]
 		if t == nil {
 			return
 		}
 		l := t.l
-		if e.OfRegion {
+		if e.OfServer {
 			l = t.task
 		}
 		if l != nil && e.On {
@@ -93,23 +93,23 @@
 		} else if l != nil {
 			l.resume()
 		}
-	case core.EndRegion:
-		if t := s.terminals[e.Of]; t != nil && t.task != nil {
-			if e.How == core.Broken {
+	case core.CloseServer:
+		if t := s.terminals[e.Client]; t != nil && t.task != nil {
+			if e.Reason == core.CloseReset {
 				t.task.reset()
 			} else {
 				t.task.fin(false)
 			}
 		}
-	case core.EndTerminal:
-		if t := s.terminals[e.Of]; t != nil {
-			s.closeTerminal(t, e.How)
+	case core.CloseClient:
+		if t := s.terminals[e.Client]; t != nil {
+			s.closeTerminal(t, e.Reason)
 			if t.task != nil {
 				t.task.drop()
 			}
 		}
-	case core.MoveTerminal:
-		if t := s.terminals[e.Of]; t != nil {
+	case core.MigrateClient:
+		if t := s.terminals[e.Client]; t != nil {
 			if t.fromRegion.Between() {
 				s.moveNow(t)
 			} else {
@@ -122,22 +122,22 @@
 		}
 	case core.Probe:
 		s.probe(e)
-	case core.ForgetRegion:
-		if p := s.probes[e.Region]; p != nil {
+	case core.ForgetServer:
+		if p := s.probes[e.Server]; p != nil {
 			if p.l != nil {
 				p.l.drop()
 				p.l = nil
 			}
-			delete(s.probes, e.Region)
+			delete(s.probes, e.Server)
 			if p.busy { // nobody will answer it, and the module asks no second time before it has an answer
-				s.step(core.Probed{Region: e.Region, Result: policy.ResultUnreachable})
+				s.step(core.ProbeFinished{Server: e.Server, Result: policy.ResultUnreachable})
 			}
 		}
 	case core.Watch:
-		s.callDiscovery(e.Seq)
-	case core.Unwatch:
+		s.callDiscovery(e.Version)
+	case core.StopWatch:
 		drop(&s.watch)
 	case core.Exit:
-		s.close(e.By)
+		s.close(e.Deadline)
 	}
 }
--- a/internal/net/idle_test.go
+++ b/internal/net/idle_test.go
@@ -116,8 +116,8 @@
 // the connection, and the answer might be lost with it. So for both reasons to send it off, and also in pieces.
 func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
 	for answer, sendOff := range map[string]func(s *Server, x *terminal){
-		"BUSY\r\n": func(s *Server, x *terminal) { s.step(core.Crowded{By: 1}) },
-		"ERR\r\n":  func(s *Server, x *terminal) { s.step(core.Invalid{From: x.handle}) },
+		"BUSY\r\n": func(s *Server, x *terminal) { s.step(core.DescriptorsShort{Missing: 1}) },
+		"ERR\r\n":  func(s *Server, x *terminal) { s.step(core.InvalidRequest{Client: x.handle}) },
 	} {
 		p := start(t, "")
 		c, x := idleClient(t, p)
@@ -151,7 +151,7 @@
 func TestASentOffClientThatNeverEndsIsClosed(t *testing.T) {
 	p := start(t, "")
 	c, x := idleClient(t, p)
-	onServerLoop(t, p.server, func() { p.server.step(core.Invalid{From: x.handle}) })
+	onServerLoop(t, p.server, func() { p.server.step(core.InvalidRequest{Client: x.handle}) })
 	if got, err := io.ReadAll(c); string(got) != "ERR\r\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
@@ -175,7 +175,7 @@
 	idleEventually(t, p.server, "all taken in", func() bool { return p.server.counters.Accepted >= silent })
 	var sentOff, saidNothing int64
 	idleEventually(t, p.server, "an answer to each", func() bool {
-		sentOff, saidNothing = p.server.core.Counters.SentOff, p.server.core.Counters.SaidNothing
+		sentOff, saidNothing = p.server.core.Counters.IdleClosed, p.server.core.Counters.IdleTimedOut
 		return sentOff+saidNothing == silent
 	})
 	answers := map[string]int64{}
@@ -286,7 +286,7 @@
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 	idleEventually(t, p.server, "the end of all others", func() bool {
-		return p.server.core.Open() == 1 && len(p.server.terminals) == 1 && len(p.server.finishing) == 0
+		return p.server.core.OpenRequests() == 1 && len(p.server.terminals) == 1 && len(p.server.finishing) == 0
 	})
 }
 
@@ -314,7 +314,7 @@
 		t.Helper()
 		idleEventually(t, s, "the failure", func() bool { return !s.probes["own"].busy && s.core.Counters.ProbesFailed == times })
 	}
-	ask := core.Probe{Region: "own", Addr: v.Addr().String(), Timeout: time.Minute}
+	ask := core.Probe{Server: "own", Address: v.Addr().String(), Timeout: time.Minute}
 	leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
 	leavesRequest(t, p)
 	idle := nextProbe()
--- a/internal/net/links.go
+++ b/internal/net/links.go
@@ -157,7 +157,7 @@
 		}
 		for _, t := range k.s.terminals {
 			if t.up && t.task != nil && t.task.waits() {
-				k.s.step(core.HeldBack{Of: t.handle})
+				k.s.step(core.ServerDataQueued{Client: t.handle})
 			}
 		}
 		return
--- a/internal/net/links_test.go
+++ b/internal/net/links_test.go
@@ -435,7 +435,7 @@
 		t.Fatal(took, err)
 	}
 	done := make(chan int64)
-	w.server.asks <- func() { done <- w.server.core.Counters.Delays }
+	w.server.asks <- func() { done <- w.server.core.Counters.DelaysReported }
 	if n := <-done; n > 0 {
 		t.Errorf("told for slow %d times", n)
 	}
@@ -450,7 +450,7 @@
 	text := strings.Repeat("e", 7999) + "\n"
 	go func() { _, _ = io.WriteString(c, text+text) }()
 	time.Sleep(300 * time.Millisecond)
-	w.server.asks <- func() { w.server.step(core.Leave{Handed: true}) }
+	w.server.asks <- func() { w.server.step(core.ShutdownRequested{HandedOver: true}) }
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if line, err := in.ReadString('\n'); err != nil || line != text {
 		t.Fatalf("%d bytes of a line, %v", len(line), err)
--- a/internal/net/manage.go
+++ b/internal/net/manage.go
@@ -97,15 +97,15 @@
 			return s.status()
 		}
 		on := c.Word == management.Standby
-		if s.core.Leaving() {
+		if s.core.ShuttingDown() {
 			return refuse("leaving: nothing changed", "call the process that follows")
 		}
-		if s.core.Drained() == on {
+		if s.core.DrainRequested() == on {
 			return management.Yes("%v already", c.Word)
 		}
-		s.step(core.Standby{On: on})
-		s.log.Info("operators' call", "call", c.Word.String(), "standing", s.core.Open()-s.core.Owed())
-		return management.Yes("%v, %d standing", c.Word, s.core.Open()-s.core.Owed())
+		s.step(core.DrainSet{On: on})
+		s.log.Info("operators' call", "call", c.Word.String(), "standing", s.core.OpenRequests()-s.core.Unanswered())
+		return management.Yes("%v, %d standing", c.Word, s.core.OpenRequests()-s.core.Unanswered())
 	})
 }
 
@@ -122,8 +122,8 @@
 	var now handover.Maintenance
 	known := false
 	if a := s.onLoop(over, func() management.Answer {
-		known = s.core.Known(c.ID)
-		now = handover.Maintenance{Out: s.core.Maintained(), Known: slices.Clone(s.core.KnownRegions())}
+		known = s.core.IsKnownServer(c.ID)
+		now = handover.Maintenance{Out: s.core.ServersInMaintenance(), Known: slices.Clone(s.core.KnownServers())}
 		return management.Yes("")
 	}); !a.OK {
 		return a
@@ -136,7 +136,7 @@
 	}
 	// It is on disk: even if this loop takes it up no more, the next process finds the file.
 	s.onLoop(nil, func() management.Answer {
-		s.step(core.Maintain{Region: c.ID, On: on})
+		s.step(core.MaintenanceSet{Server: c.ID, On: on})
 		return management.Answer{}
 	})
 	s.log.Info("operators' call", "call", c.Word.String(), "server", c.ID)
@@ -158,24 +158,24 @@
 		if m, err := s.dir.Maintenance(); err != nil {
 			s.log.Error("not read, what is left out stays", "err", err)
 		} else {
-			s.step(core.Left{Regions: m.Known})
-			for _, id := range s.core.Maintained() {
+			s.step(core.PredecessorState{Servers: m.Known})
+			for _, id := range s.core.ServersInMaintenance() {
 				if !slices.Contains(m.Out, id) {
-					s.step(core.Maintain{Region: id})
+					s.step(core.MaintenanceSet{Server: id})
 				}
 			}
 			for _, id := range m.Out {
-				s.step(core.Maintain{Region: id, On: true})
+				s.step(core.MaintenanceSet{Server: id, On: true})
 			}
 		}
 	}
-	if s.inherit != nil && !s.core.Leaving() && s.dir.LeftChanged() {
+	if s.inherit != nil && !s.core.ShuttingDown() && s.dir.LeftChanged() {
 		l, ok, err := s.dir.Left(leftAge)
 		if err != nil {
 			s.log.Error("not read, who comes back is placed anew", "err", err)
 		} else if ok {
 			s.log.Info("the process before has left", "standing", len(l.Standing))
-			s.step(core.Left{Regions: l.Known, Standing: l.Standing})
+			s.step(core.PredecessorState{Servers: l.Known, Flows: l.Standing})
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		return
 	}
 	mine := handover.Use{Sockets: s.sockets.Load() + ownDescriptors, Memory: used}
-	if s.core.Leaving() {
+	if s.core.ShuttingDown() {
 		mine.Leaving = 1
 	}
 	if err := s.beside.Write(mine); err != nil {
@@ -207,7 +207,7 @@
 	if s.door != nil && before.Sockets != s.others.Sockets {
 		s.door.limit(int(s.limit.Load()), s.cfg.MemoryMB)
 	}
-	s.step(core.Beside{Others: placing})
+	s.step(core.OverlappingProcesses{Count: placing})
 }
 
 // handOver writes what the next process has to know of this one.
@@ -215,7 +215,7 @@
 	if s.inherit == nil {
 		return
 	}
-	if err := s.dir.Leave(handover.Left{Known: s.core.KnownRegions(), Standing: s.core.Standing()}); err != nil {
+	if err := s.dir.Leave(handover.Left{Known: s.core.KnownServers(), Standing: s.core.EstablishedFlows()}); err != nil {
 		s.log.Error("what stands is not handed over", "err", err)
 	}
 }
@@ -223,18 +223,18 @@
 // status is yes while this process takes terminals.
 func (s *Server) status() management.Answer {
 	switch {
-	case s.core.Leaving():
-		return management.No("leaving: takes no more clients, %d still owed an answer, %d standing", s.core.Owed(), s.core.Open()-s.core.Owed())
+	case s.core.ShuttingDown():
+		return management.No("leaving: takes no more clients, %d still owed an answer, %d standing", s.core.Unanswered(), s.core.OpenRequests()-s.core.Unanswered())
 	case !s.accepts:
 		return management.No("starting")
-	case !s.core.Listed():
+	case !s.core.HasEndpoints():
 		return management.No("starting: no list of servers yet")
 	}
 	if !s.mayPlace() {
-		return management.No("without a revision: %s, %d standing", s.revisions.host.Permit().Why, s.core.Open()-s.core.Owed())
+		return management.No("without a revision: %s, %d standing", s.revisions.host.Permit().Why, s.core.OpenRequests()-s.core.Unanswered())
 	}
-	if s.core.Drained() {
-		return management.No("standby: %d standing", s.core.Open()-s.core.Owed())
+	if s.core.DrainRequested() {
+		return management.No("standby: %d standing", s.core.OpenRequests()-s.core.Unanswered())
 	}
-	return management.Yes("taking clients, %d standing", s.core.Open()-s.core.Owed())
+	return management.Yes("taking clients, %d standing", s.core.OpenRequests()-s.core.Unanswered())
 }
--- a/internal/net/moves.go
+++ b/internal/net/moves.go
@@ -32,7 +32,7 @@
 	seen := t.fromRegion.Read(data[:end])
 	t.l.write(data[:end])
 	if seen.Last != platform.Line {
-		s.endMoving(t, core.Closed)
+		s.endMoving(t, core.CloseEOF)
 		return
 	}
 	s.moveNow(t)
@@ -41,14 +41,14 @@
 // regionEndedMoving ends a terminal whose region ended inside the line: in the same way, since no end of a line will come.
 func (s *Server) regionEndedMoving(t *terminal, kind eventKind) {
 	if kind == evBroken {
-		s.endMoving(t, core.Broken)
+		s.endMoving(t, core.CloseReset)
 	} else {
-		s.endMoving(t, core.Closed)
+		s.endMoving(t, core.CloseEOF)
 	}
 }
 
 // endMoving ends the terminal without MOVE, and lets go of its region.
-func (s *Server) endMoving(t *terminal, how core.Ending) {
+func (s *Server) endMoving(t *terminal, how core.CloseReason) {
 	s.closeTerminal(t, how)
 	if t.task != nil {
 		t.task.drop()
--- a/internal/net/moves_test.go
+++ b/internal/net/moves_test.go
@@ -156,7 +156,7 @@
 		p := movesPlay(t)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *")
 		p.leave <- struct{}{}
-		idleEventually(t, p.server, "the shutdown", func() bool { return p.server.core.Leaving() })
+		idleEventually(t, p.server, "the shutdown", func() bool { return p.server.core.ShuttingDown() })
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", "UP 1\r\n"+behind))
 		want := "UP 1\r\n" + behind + "MOVE\r\n"
 		if behind == "half" {
@@ -181,7 +181,7 @@
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 			"b > OPEN 2 k c=chat,d=20000,again=1", "task2 < OPEN 2 *", end)
 		idleEventually(t, p.server, "the old one's end", func() bool {
-			return p.server.core.Counters.EndedTerminal+p.server.core.Counters.EndedByRegion == 1
+			return p.server.core.Counters.ClosedByClient+p.server.core.Counters.ClosedByServer == 1
 		})
 		playSteps(t, p, "task2 > UP 2", "b < UP 2", "b > to the server", "task2 < to the server", "task2 > to the client", "b < to the client")
 	}
@@ -201,7 +201,7 @@
 				`{"host":"r1","dial":"$r1","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0},`+
 				`{"host":"r2","dial":"$r2","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0}]}`))
 			idleEventually(t, p.server, "the drain", func() bool {
-				list := p.server.core.ListedRegions()
+				list := p.server.core.ListedServers()
 				return len(list) == 2 && list[0].State == policy.Draining && list[1].State == policy.Draining
 			})
 		}
@@ -217,7 +217,7 @@
 			up()
 			drain()
 		}
-		idleEventually(t, p.server, "a move", func() bool { return p.server.core.Counters.Moved > 0 })
+		idleEventually(t, p.server, "a move", func() bool { return p.server.core.Counters.Migrated > 0 })
 	}
 }
 
@@ -288,6 +288,6 @@
 	}
 	idleEventually(t, p.server, "nothing left of them", func() bool {
 		s := p.server // the watch, its dial and the regions' probes hold some descriptors
-		return len(s.terminals) == 0 && s.core.Open() == 0 && len(s.finishing) == 0 && s.sockets.Load() < clients/2
+		return len(s.terminals) == 0 && s.core.OpenRequests() == 0 && len(s.finishing) == 0 && s.sockets.Load() < clients/2
 	})
 }
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -52,7 +52,7 @@
 
 // signal gives this balancer's signals: its clock, its load, whether it drains, and readings that are new.
 func (s *Server) signal(now time.Time) {
-	drain := s.core.Leaving() || s.core.Drained()
+	drain := s.core.ShuttingDown() || s.core.DrainRequested()
 	if drain != s.told.drain {
 		s.told.drain = drain
 		s.peers.Leave(drain)
@@ -69,7 +69,7 @@
 	}
 	life := s.cfg.Peers.Life
 	s.peers.Set(peers.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
-	s.peers.Set(peers.LoadKey, fmt.Append(nil, s.core.Open()-s.core.Owed(), " ", s.core.Owed()), life)
+	s.peers.Set(peers.LoadKey, fmt.Append(nil, s.core.OpenRequests()-s.core.Unanswered(), " ", s.core.Unanswered()), life)
 	s.peers.Set(peers.DrainKey, fmt.Append(nil, drain), life)
 	readings, tells := s.core.Readings(), func(string) bool { return true }
 	if s.together != nil && !drain { // who leaves takes nothing on, and this may be said within a step
@@ -103,17 +103,17 @@
 	s.counters.PeersWords += int64(malformed)
 	activity := s.core.Activity()
 	own := together.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
-		Demand: activity.Demand, Refused: s.core.Counters.Short}
+		Demand: activity.Demand, Refused: s.core.Counters.Rejected}
 	read := make(map[string]policy.ServerReading, len(readings))
 	for _, r := range readings {
 		read[r.Server] = r
 	}
-	for _, g := range s.core.ListedRegions() {
+	for _, g := range s.core.ListedServers() {
 		r := read[g.ID]
 		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.Load, At: r.At, Fails: r.FailedProbes})
 	}
 	events, words := s.together.Look(s.now(), view, own)
-	s.step(core.FromOthers{Events: events})
+	s.step(core.FleetEvents{Events: events})
 	life := s.cfg.Peers.Life
 	s.peers.Set(together.WordsKey, words.Value(), life)
 	if holds := string(words.HoldsValue()); holds != s.told.holds || now.Sub(s.told.holdsAt) > life/3 {
@@ -127,9 +127,9 @@
 
 // byNumber takes this balancer's part by its number, once the list of regions is another.
 func (s *Server) byNumber() {
-	if list := s.core.ListedRegions(); s.numbered == nil || !slices.Equal(list, s.numbered) {
+	if list := s.core.ListedServers(); s.numbered == nil || !slices.Equal(list, s.numbered) {
 		s.numbered = list
-		s.step(core.FromOthers{Events: s.cfg.Numbered.Look(list)})
+		s.step(core.FleetEvents{Events: s.cfg.Numbered.Look(list)})
 	}
 }
 
--- a/internal/net/play_test.go
+++ b/internal/net/play_test.go
@@ -328,7 +328,7 @@
 	}
 	s.step(*s.cfg.Known)
 	s.probes["r1"] = &probe{busy: true, l: &link{s: s, role: probeRole, state: ended}}
-	if s.carryOut(core.ForgetRegion{Region: "r1"}); s.core.Counters.ProbesFailed != 1 || len(s.probes) != 0 {
+	if s.carryOut(core.ForgetServer{Server: "r1"}); s.core.Counters.ProbesFailed != 1 || len(s.probes) != 0 {
 		t.Fatalf("%+v", s.core.Counters)
 	}
 }
--- a/internal/net/probes.go
+++ b/internal/net/probes.go
@@ -20,18 +20,18 @@
 
 // probe asks for a load report, over the region's one connection for that.
 func (s *Server) probe(e core.Probe) {
-	p := s.probes[e.Region]
+	p := s.probes[e.Server]
 	if p == nil {
 		p = &probe{}
-		s.probes[e.Region] = p
+		s.probes[e.Server] = p
 	}
-	if p.addr != e.Addr {
+	if p.addr != e.Address {
 		p.drop()
 	}
-	p.busy, p.due, p.addr, p.in = true, time.Now().Add(e.Timeout), e.Addr, platform.LineReader{}
+	p.busy, p.due, p.addr, p.in = true, time.Now().Add(e.Timeout), e.Address, platform.LineReader{}
 	if p.l == nil {
-		p.l = &link{s: s, role: probeRole, region: e.Region}
-		s.dial(p.l, e.Addr, e.Timeout)
+		p.l = &link{s: s, role: probeRole, region: e.Server}
+		s.dial(p.l, e.Address, e.Timeout)
 		return
 	}
 	p.l.write(platform.Stats)
@@ -92,6 +92,6 @@
 	}
 	if p.busy {
 		p.busy = false
-		s.step(core.Probed{Region: region, Result: result, Report: report})
+		s.step(core.ProbeFinished{Server: region, Result: result, Report: report})
 	}
 }
--- a/internal/net/reset_test.go
+++ b/internal/net/reset_test.go
@@ -89,7 +89,7 @@
 	defer s.engine.Stop()
 	l := &link{s: s, role: terminalRole, state: ended}
 	s.accepted(l)
-	s.step(core.Opened{From: l.term.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
+	s.step(core.RequestReceived{Client: l.term.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
 	task := l.term.task
 	if task == nil {
 		t.Fatal("not sent to a region")
@@ -112,7 +112,7 @@
 		}
 	}
 	s.work()
-	if n := s.core.Counters; n.Unreachable != 1 || n.Reset != 0 || n.Failed != 0 || n.Tasks != 2 {
-		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions", n.Unreachable, n.Reset, n.Failed, n.Tasks)
+	if n := s.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
+		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions", n.AttemptsUnreachable, n.AttemptsReset, n.Failed, n.Attempts)
 	}
 }
--- a/internal/net/retry_test.go
+++ b/internal/net/retry_test.go
@@ -118,7 +118,7 @@
 }
 
 // later puts the clock forward, and by a tick more, which timers are rounded up to; nothing is told of it yet.
-func (h *triesLoop) later(d time.Duration) { h.s.cfg.Zero = h.s.cfg.Zero.Add(-d - core.TickEvery) }
+func (h *triesLoop) later(d time.Duration) { h.s.cfg.Zero = h.s.cfg.Zero.Add(-d - core.TickInterval) }
 
 // tick has the timers fire that are due.
 func (h *triesLoop) tick() { h.s.step(core.Tick{}) }
@@ -193,7 +193,7 @@
 // client would be sent off for saying nothing.
 func (h *triesLoop) taken(n int64) {
 	h.t.Helper()
-	h.until("a request", func() bool { h.s.work(); return h.s.core.Counters.Taken == n })
+	h.until("a request", func() bool { h.s.work(); return h.s.core.Counters.Requests == n })
 }
 
 // terminal finds a request at the balancer.
@@ -438,7 +438,7 @@
 				x.reset(h)
 				if x.ran && !class.repeated {
 					h.ends("the client", client, "ERR\r\n")
-					if n := h.s.core.Counters.Tasks; n != 1 {
+					if n := h.s.core.Counters.Attempts; n != 1 {
 						t.Fatal(n, "attempts")
 					}
 					return
@@ -458,8 +458,8 @@
 	client := h.client("OPEN 1 k c=chat,d=3600000\r\n")
 	h.taken(1)
 	h.ends("the client", client, "BUSY*")
-	if n := h.s.core.Counters; n.Tasks != 3 || n.Unreachable != 3 {
-		t.Fatalf("%d attempts, %d unreachable", n.Tasks, n.Unreachable)
+	if n := h.s.core.Counters; n.Attempts != 3 || n.AttemptsUnreachable != 3 {
+		t.Fatalf("%d attempts, %d unreachable", n.Attempts, n.AttemptsUnreachable)
 	}
 }
 
@@ -471,8 +471,8 @@
 		h.attempt().send(t, "BUSY\r\n")
 	}
 	h.ends("the client", client, "BUSY*")
-	if n := h.s.core.Counters; n.Tasks != 3 || n.TurnedAway != 3 {
-		t.Fatalf("%d attempts, %d turned away", n.Tasks, n.TurnedAway)
+	if n := h.s.core.Counters; n.Attempts != 3 || n.AttemptsRejected != 3 {
+		t.Fatalf("%d attempts, %d turned away", n.Attempts, n.AttemptsRejected)
 	}
 }
 
@@ -499,10 +499,10 @@
 	h.later(window + time.Second)
 	h.tick()
 	server.reset()
-	h.turning("the reset", func() bool { return h.s.core.Counters.Reset == 2 })
+	h.turning("the reset", func() bool { return h.s.core.Counters.AttemptsReset == 2 })
 	h.later(triesAim)
 	h.ends("the second client", client, "BUSY*")
-	if n := h.s.core.Counters.Tasks; n != 3 {
+	if n := h.s.core.Counters.Attempts; n != 3 {
 		t.Fatal(n, "attempts")
 	}
 }
@@ -641,8 +641,8 @@
 	acceptTwo(h)
 	server := h.attempt()
 	h.served(client, server, "2")
-	if n := h.s.core.Counters; n.Tasks != 2 || n.Unreachable != 1 {
-		t.Fatalf("%d attempts, %d unreachable", n.Tasks, n.Unreachable)
+	if n := h.s.core.Counters; n.Attempts != 2 || n.AttemptsUnreachable != 1 {
+		t.Fatalf("%d attempts, %d unreachable", n.Attempts, n.AttemptsUnreachable)
 	}
 	for over := false; !over; {
 		select {
--- a/internal/net/revisions.go
+++ b/internal/net/revisions.go
@@ -175,7 +175,7 @@
 	if r.host, err = permit.Start(cfg, s.log); err != nil {
 		return err
 	}
-	s.step(core.Permitted{Permit: policy.LeaseExpired})
+	s.step(core.LeaseChanged{Lease: policy.LeaseExpired})
 	return nil
 }
 
@@ -208,7 +208,7 @@
 	if another {
 		s.underRevision()
 	}
-	s.step(core.Permitted{Permit: says})
+	s.step(core.LeaseChanged{Lease: says})
 	if moved {
 		r.host.Took(p.Seq)
 	}
@@ -218,7 +218,7 @@
 func (s *Server) underRevision() {
 	cfg := s.cfg.Core
 	cfg.Policy = s.overlaid(cfg.Policy)
-	s.step(core.Reconfigured{Config: cfg})
+	s.step(core.ConfigChanged{Config: cfg})
 	s.setLinks(s.revisions.at.Content.Links)
 }
 
@@ -230,7 +230,7 @@
 	}
 	if full := s.links.full(orders); !maps.Equal(full, s.revisions.full) {
 		s.revisions.full = full
-		s.step(core.FromOthers{Events: []policy.Event{policy.SaturatedLinks{Zones: full}}})
+		s.step(core.FleetEvents{Events: []policy.Event{policy.SaturatedLinks{Zones: full}}})
 	}
 }
 
@@ -256,7 +256,7 @@
 // tellHost tells the figures that revisions are watched by, and renews what proposals are checked with.
 func (s *Server) tellHost(now time.Time) {
 	c := &s.core.Counters
-	s.revisions.host.Figures(c.Taken+s.revisions.cut, c.Short+s.revisions.cut, c.Failed, c.Late)
+	s.revisions.host.Figures(c.Requests+s.revisions.cut, c.Rejected+s.revisions.cut, c.Failed, c.EstablishedLate)
 	s.renewToday(now)
 }
 
@@ -269,12 +269,12 @@
 	if s.links != nil {
 		s.tellFull()
 	}
-	list := s.core.ListedRegions()
-	if t := r.today.Load(); t != nil && t.Listed == s.core.Listed() && slices.Equal(list, r.list) && !r.older {
+	list := s.core.ListedServers()
+	if t := r.today.Load(); t != nil && t.Listed == s.core.HasEndpoints() && slices.Equal(list, r.list) && !r.older {
 		return
 	}
 	r.list, r.older = list, false
-	t := revision.On(s.cfg.Core.Policy, s.cfg.Revisions.Zones, list, s.core.Listed())
+	t := revision.On(s.cfg.Core.Policy, s.cfg.Revisions.Zones, list, s.core.HasEndpoints())
 	r.today.Store(&t)
 }
 
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -94,10 +94,7 @@
 	checkAt   time.Time
 	turnAt    time.Time // the loop's latest turn
 	behind    time.Time // until then lines may be read that have waited, since this process stood still or got no processor
-	counters  struct {
-		Accepted, LinesIn, BytesToRegions, BytesToTerminals, Pings, Malformed, NoRoom int64
-		Reloads, PeersWords                                                           int64
-	}
+	counters  counters
 	log     *slog.Logger
 	tracing bool
 	said    *logs.Limited
@@ -241,7 +238,7 @@
 // Run serves until the reducer says that all is done, or ctx ends. leave and report are the operator's
 // signals, reload brings configurations read anew.
 func (s *Server) Run(ctx context.Context, leave, report <-chan struct{}, reload <-chan Config) error {
-	tick := time.NewTicker(core.TickEvery)
+	tick := time.NewTicker(core.TickInterval)
 	defer tick.Stop()
 	if s.door != nil {
 		stop, kept := make(chan struct{}), make(chan struct{})
@@ -333,7 +330,7 @@
 	if s.revisions != nil {
 		s.revisions.older = true
 	}
-	s.step(core.Reconfigured{Config: over, Moved: moved})
+	s.step(core.ConfigChanged{Config: over, DiscoveryMoved: moved})
 	if s.revisions != nil && s.revisions.at != nil {
 		s.setLinks(s.revisions.at.Content.Links) // tenants' shares may be others
 	}
@@ -354,7 +351,7 @@
 // Report logs the counters, as one object of JSON in one line.
 func (s *Server) Report() {
 	all := map[string]any{"name": s.cfg.Name, "sockets": s.sockets.Load(),
-		"open": s.core.Open(), "owed": s.core.Owed(), "core": s.core.Counters, "net": s.counters}
+		"open": s.core.OpenRequests(), "owed": s.core.Unanswered(), "core": s.core.Counters, "net": s.counters}
 	if s.door != nil {
 		all["admission"] = s.door.report()
 	}
@@ -400,7 +397,7 @@
 	s.sendOff = s.door.victims(func(t admission.Ticket) bool { return s.byTicket[t] != nil }, s.sendOff[:0])
 	for _, v := range s.sendOff {
 		if t := s.byTicket[v.Ticket]; t != nil {
-			s.step(core.SendOff{From: t.handle, After: v.After})
+			s.step(core.CloseIdle{Client: t.handle, RetryAfter: v.After})
 		}
 	}
 }
@@ -464,7 +461,7 @@
 	}
 	for t := range s.moving {
 		if now.After(t.moveBy) { // the region has stopped inside a line: MOVE would be taken for its rest
-			s.endMoving(t, core.Broken)
+			s.endMoving(t, core.CloseReset)
 		}
 	}
 	used := int64(0)
@@ -482,7 +479,7 @@
 			grace = endSooner
 		}
 	} else if over := s.basic().Crowded(int(s.sockets.Load()) - len(s.finishing)); over > 0 {
-		s.step(core.Crowded{By: over})
+		s.step(core.DescriptorsShort{Missing: over})
 		grace = endSooner
 	}
 	s.closeFinishing(now, grace)
--- a/internal/net/server_list_test.go
+++ b/internal/net/server_list_test.go
@@ -169,7 +169,7 @@
 	held := make(chan policy.ServerState, 1)
 	p.server.asks <- func() {
 		state := policy.Gone
-		for _, s := range p.server.core.ListedRegions() {
+		for _, s := range p.server.core.ListedServers() {
 			if s.ID == id {
 				state = s.State
 			}
--- a/internal/net/shutdown.go
+++ b/internal/net/shutdown.go
@@ -32,7 +32,7 @@
 	if s.accepts = false; s.inherit != nil {
 		_ = s.listener.Close()
 	}
-	s.step(core.Leave{Handed: s.inherit != nil})
+	s.step(core.ShutdownRequested{HandedOver: s.inherit != nil})
 	s.handOver()
 	s.sayLeaving()
 }
--- a/internal/net/shutdown_test.go
+++ b/internal/net/shutdown_test.go
@@ -181,7 +181,7 @@
 	b.t.Helper()
 	b.onLoop(func(s *Server) {
 		for end := b.clock + d; b.clock < end; {
-			b.clock += core.TickEvery
+			b.clock += core.TickInterval
 			s.cfg.Zero = time.Now().Add(-b.clock)
 			s.step(core.Tick{})
 		}
@@ -224,7 +224,7 @@
 func (b *shutBed) calls() {
 	b.t.Helper()
 	for over := false; !over; {
-		b.pass(core.TickEvery)
+		b.pass(core.TickInterval)
 		b.onLoop(func(s *Server) { over = s.core.Counters.Watches > 0 })
 	}
 	b.steps("watch1 < GET *")
@@ -234,7 +234,7 @@
 func (b *shutBed) closes() {
 	b.t.Helper()
 	for over := false; !over; {
-		b.pass(core.TickEvery)
+		b.pass(core.TickInterval)
 		b.onLoop(func(s *Server) { over = s.exit })
 	}
 }
@@ -372,24 +372,24 @@
 		for name, until := range map[string]func(b *shutBed){
 			"waits for room": func(b *shutBed) {
 				b.onLoop(func(s *Server) {
-					for i := range s.cfg.Known.Regions {
-						s.cfg.Known.Regions[i].State = 1 // draining
+					for i := range s.cfg.Known.Endpoints {
+						s.cfg.Known.Endpoints[i].State = 1 // draining
 					}
 					s.step(*s.cfg.Known)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it is taken", func(s *Server) bool { return s.core.Owed() == 1 })
+				b.until("it is taken", func(s *Server) bool { return s.core.Unanswered() == 1 })
 			},
 			"dialing": func(b *shutBed) {
 				full := shutFull(b.t)
 				b.onLoop(func(s *Server) {
-					for i := range s.cfg.Known.Regions {
-						s.cfg.Known.Regions[i].Dial = full
+					for i := range s.cfg.Known.Endpoints {
+						s.cfg.Known.Endpoints[i].Address = full
 					}
 					s.step(*s.cfg.Known)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it dials", func(s *Server) bool { return s.core.Counters.Tasks > 0 && s.core.Owed() == 1 })
+				b.until("it dials", func(s *Server) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
 			},
 			"sent":          func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
 			"half answered": func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`) },
@@ -404,11 +404,11 @@
 				b.steps("a < *", "a < FIN")
 				b.closes()
 				b.steps("a FIN", "ended")
-				if n := b.server.core.Owed(); n != 0 {
+				if n := b.server.core.Unanswered(); n != 0 {
 					t.Error(n, "are still owed an answer")
 				}
-				if n := b.server.core.Counters; n.Short+n.Failed != 1 {
-					t.Errorf("%d told to come again, %d failed: not one", n.Short, n.Failed)
+				if n := b.server.core.Counters; n.Rejected+n.Failed != 1 {
+					t.Errorf("%d told to come again, %d failed: not one", n.Rejected, n.Failed)
 				}
 			})
 		}
@@ -520,7 +520,7 @@
 		if leaves {
 			b.leaves()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
-			b.until("nobody stands", func(s *Server) bool { return s.core.Open() == 0 })
+			b.until("nobody stands", func(s *Server) bool { return s.core.OpenRequests() == 0 })
 			b.closes()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
--- a/internal/net/tasks.go
+++ b/internal/net/tasks.go
@@ -23,33 +23,33 @@
 	}
 	switch e.kind {
 	case evConnected:
-		s.step(core.Connected{Of: t.handle, Attempt: l.attempt})
+		s.step(core.AttemptConnected{Client: t.handle, Attempt: l.attempt})
 	case evRefused:
 		t.task = nil
-		s.step(core.TaskEnded{Of: t.handle, Attempt: l.attempt, How: core.Refused})
+		s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: core.CloseRefused})
 	case evEnded, evBroken:
 		if s.isMoving(t) {
 			s.regionEndedMoving(t, e.kind)
 			return
 		}
-		how := core.Closed
+		how := core.CloseEOF
 		if e.kind == evBroken {
-			how = core.Broken
+			how = core.CloseReset
 		}
 		switch t.last {
 		case platform.Bye:
-			how = core.Finished
+			how = core.CloseFinished
 		case platform.MoveAway:
-			how = core.MovedAway
+			how = core.CloseMigrated
 		}
-		s.step(core.TaskEnded{Of: t.handle, Attempt: l.attempt, How: how})
+		s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: how})
 	case evData:
 		if !t.up {
 			s.answered(t, l, *e.data)
 			return
 		}
 		if s.links != nil && l.turned.Swap(false) {
-			s.step(core.HeldBack{Of: t.handle})
+			s.step(core.ServerDataQueued{Client: t.handle})
 		}
 		s.pass(t, *e.data)
 	}
@@ -65,19 +65,19 @@
 	if !done {
 		return
 	}
-	how := core.Erred
+	how := core.CloseFailed
 	switch platform.AnswerOf(data[:first]) {
 	case platform.Up:
 		s.stands(t, l, data, data[first:])
 		return
 	case platform.Busy:
-		how = core.TurnedAway
+		how = core.CloseRejected
 	case platform.Bye:
-		how = core.Finished
+		how = core.CloseFinished
 	case platform.MoveAway:
-		how = core.MovedAway
+		how = core.CloseMigrated
 	}
-	s.step(core.TaskEnded{Of: t.handle, Attempt: l.attempt, How: how})
+	s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: how})
 }
 
 // stands lets an attempt's connection belong to its server: data is its answer, with what came right behind it.
@@ -92,8 +92,8 @@
 	}
 	seen := t.fromRegion.Read(behind)
 	t.last = seen.Last
-	s.step(core.Up{Of: t.handle, Attempt: l.attempt,
-		Bytes: core.Bytes{Data: data, Lines: seen.Lines, Load: seen.Load, Told: seen.Told}})
+	s.step(core.AttemptAccepted{Client: t.handle, Attempt: l.attempt,
+		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told}})
 }
 
 // pass hands on a region's bytes. A terminal that is to be moved gets no byte behind the next line's end.
@@ -106,8 +106,8 @@
 	if seen.Lines > 0 {
 		t.last = seen.Last
 	}
-	s.step(core.Passed{Of: t.handle, FromRegion: true,
-		Bytes: core.Bytes{Data: data, Lines: seen.Lines, Load: seen.Load, Told: seen.Told}})
+	s.step(core.DataReceived{Client: t.handle, FromServer: true,
+		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told}})
 }
 
 // hurry has the region end its line soon, behind which the terminal is moved. The reducer knows of neither any more, so nobody else would have
@@ -148,7 +148,7 @@
 		return
 	}
 	if l.role == taskRole && t.task == l && !t.up {
-		s.step(core.Sent{Of: t.handle, Attempt: l.attempt})
+		s.step(core.RequestSent{Client: t.handle, Attempt: l.attempt})
 	}
 	s.flow(t)
 }
@@ -163,10 +163,10 @@
 		case !t.full[i] && b > fullAt:
 			t.full[i] = true
 			l.flushed() // asks to be told when all has left
-			s.step(core.Flow{Of: t.handle, ToRegion: i == 1, Full: true})
+			s.step(core.BackpressureChanged{Client: t.handle, ToServer: i == 1, Full: true})
 		case t.full[i] && b < roomAt:
 			t.full[i] = false
-			s.step(core.Flow{Of: t.handle, ToRegion: i == 1})
+			s.step(core.BackpressureChanged{Client: t.handle, ToServer: i == 1})
 		}
 	}
 }
--- a/internal/net/terminals.go
+++ b/internal/net/terminals.go
@@ -40,11 +40,11 @@
 	t := &terminal{handle: s.next, l: l}
 	l.term = t
 	s.terminals[t.handle] = t
-	s.step(core.Arrived{From: t.handle})
+	s.step(core.ConnectionAccepted{Client: t.handle})
 	if l.ticket != 0 {
 		s.byTicket[l.ticket] = t
 		if v, ok := s.door.isDoomed(l.ticket); ok {
-			s.step(core.SendOff{From: t.handle, After: v.After})
+			s.step(core.CloseIdle{Client: t.handle, RetryAfter: v.After})
 		}
 	}
 	if s.exit && !t.over { // taken in as the listener was closed
@@ -63,7 +63,7 @@
 		case t.up:
 			seen := t.toRegion.Read(*e.data)
 			s.counters.LinesIn += int64(seen.Lines)
-			s.step(core.Passed{Of: t.handle, Bytes: core.Bytes{Data: *e.data, Lines: seen.Lines}})
+			s.step(core.DataReceived{Client: t.handle, Payload: core.Payload{Data: *e.data, Lines: seen.Lines}})
 		default:
 			s.firstLine(t, *e.data)
 		}
@@ -72,21 +72,21 @@
 			s.terminalEndedMoving(t, e.kind)
 			return
 		}
-		how := core.Closed
+		how := core.CloseEOF
 		if e.kind == evBroken {
-			how = core.Broken
+			how = core.CloseReset
 		}
 		switch {
 		case t.over:
 		case t.asked:
-			s.step(core.TerminalEnded{From: t.handle, How: how})
-		case how == core.Closed && len(t.begun) > 0:
+			s.step(core.ClientClosed{Client: t.handle, Reason: how})
+		case how == core.CloseEOF && len(t.begun) > 0:
 			s.invalid(t) // half a line, and no more will come
 		default:
-			s.step(core.TerminalEnded{From: t.handle, How: how})
-			s.closeTerminal(t, core.Closed)
+			s.step(core.ClientClosed{Client: t.handle, Reason: how})
+			s.closeTerminal(t, core.CloseEOF)
 		}
-		if how == core.Broken {
+		if how == core.CloseReset {
 			t.over = true
 			s.forget(t)
 		}
@@ -113,7 +113,7 @@
 			return
 		case platform.IsPing(line):
 			s.counters.Pings++
-			if s.core.Drained() || !s.mayPlace() {
+			if s.core.DrainRequested() || !s.mayPlace() {
 				t.l.write(platform.No)
 			} else {
 				t.l.write(platform.Pong)
@@ -149,7 +149,7 @@
 			s.turnAway(t, v)
 			return
 		}
-		s.step(core.Opened{From: t.handle, Request: open.Request, At: open.At})
+		s.step(core.RequestReceived{Client: t.handle, Request: open.Request, EstablishedAt: open.At})
 		return
 	}
 	t.begun = nil
@@ -177,7 +177,7 @@
 func (s *Server) invalid(t *terminal) {
 	s.counters.Malformed++
 	t.asked = true
-	s.step(core.Invalid{From: t.handle})
+	s.step(core.InvalidRequest{Client: t.handle})
 }
 
 // mayTake asks whether a transaction may be picked up.
@@ -212,7 +212,7 @@
 	if s.door != nil {
 		s.said.Say(time.Now(), slog.LevelInfo, v.Reason.String(), "refused", slog.Any("from", t.l.from), slog.Duration("after", v.After))
 	}
-	s.step(core.TerminalEnded{From: t.handle})
+	s.step(core.ClientClosed{Client: t.handle})
 	s.finalAnswer(t, platform.AppendShort(nil, v.After))
 }
 
@@ -229,7 +229,7 @@
 // until it ends as well: a close over unread bytes would reset the connection, and the answer could be lost with it.
 func (s *Server) finalAnswer(t *terminal, line []byte) {
 	t.l.write(line)
-	s.closeTerminal(t, core.Closed)
+	s.closeTerminal(t, core.CloseEOF)
 	if s.door != nil && !t.asked && !s.exit { // open: admission counts on the descriptor of whoever it sends off at once
 		t.l.force()
 	}
@@ -275,11 +275,11 @@
 	}
 }
 
-func (s *Server) closeTerminal(t *terminal, how core.Ending) {
+func (s *Server) closeTerminal(t *terminal, how core.CloseReason) {
 	t.over = true
 	s.forget(t)
 	delete(s.moving, t)
-	if how == core.Broken {
+	if how == core.CloseReset {
 		t.l.reset()
 	} else {
 		t.l.fin(true)
@@ -288,7 +288,7 @@
 
 func (s *Server) moveNow(t *terminal) {
 	t.l.write(platform.Move)
-	s.closeTerminal(t, core.Closed)
+	s.closeTerminal(t, core.CloseEOF)
 	if t.task != nil {
 		t.task.drop()
 		t.task = nil
--- a/internal/net/trace.go
+++ b/internal/net/trace.go
@@ -26,20 +26,20 @@
 
 func (s *Server) traceEvent(ev core.Event) {
 	switch ev := ev.(type) {
-	case core.Opened:
-		s.say("opened", slog.Uint64("of", uint64(ev.From)), slog.String("id", ev.ID), slog.String("key", ev.Key),
-			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.At != ""))
-	case core.TerminalEnded:
-		s.say("terminal-ended", slog.Uint64("of", uint64(ev.From)), slog.Int("how", int(ev.How)))
-	case core.Connected:
-		s.say("connected", of(ev.Of, ev.Attempt)...)
-	case core.Up:
-		s.say("up", of(ev.Of, ev.Attempt)...)
-	case core.TaskEnded:
-		s.say("task-ended", append(of(ev.Of, ev.Attempt), slog.Int("how", int(ev.How)))...)
-	case core.Listed:
-		n, drained, gone := len(ev.Regions), 0, 0
-		for _, g := range ev.Regions {
+	case core.RequestReceived:
+		s.say("opened", slog.Uint64("of", uint64(ev.Client)), slog.String("id", ev.ID), slog.String("key", ev.Key),
+			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.EstablishedAt != ""))
+	case core.ClientClosed:
+		s.say("terminal-ended", slog.Uint64("of", uint64(ev.Client)), slog.Int("how", int(ev.Reason)))
+	case core.AttemptConnected:
+		s.say("connected", of(ev.Client, ev.Attempt)...)
+	case core.AttemptAccepted:
+		s.say("up", of(ev.Client, ev.Attempt)...)
+	case core.AttemptClosed:
+		s.say("task-ended", append(of(ev.Client, ev.Attempt), slog.Int("how", int(ev.Reason)))...)
+	case core.EndpointsListed:
+		n, drained, gone := len(ev.Endpoints), 0, 0
+		for _, g := range ev.Endpoints {
 			switch g.State {
 			case policy.Draining:
 				drained++
@@ -53,14 +53,14 @@
 			s.say("region", slog.String("region", g.ID), slog.Int("state", int(g.State)), slog.Int64("warm", warm))
 		}
 		s.say("listed", slog.Int("kind", int(ev.Kind)), slog.Int("n", n), slog.Int("draining", drained), slog.Int("gone", gone))
-	case core.WatchEnded:
+	case core.WatchClosed:
 		s.say("watch-ended")
-	case core.Probed:
+	case core.ProbeFinished:
 		x, held := -1.0, -1.0
 		if ev.Report != nil {
 			x, held = ev.Report.Load, ev.Report.InFlight
 		}
-		s.say("probed", slog.String("region", ev.Region), slog.Int("result", int(ev.Result)), slog.Float64("x", x),
+		s.say("probed", slog.String("region", ev.Server), slog.Int("result", int(ev.Result)), slog.Float64("x", x),
 			slog.Float64("held", held))
 	}
 }
@@ -68,20 +68,20 @@
 func (s *Server) traceEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Dial:
-		s.say("dial", append(of(e.Of, e.Attempt), slog.String("region", e.Region))...)
-	case core.DropTask:
-		s.say("drop", append(of(e.Of, e.Attempt), slog.String("why", e.Why))...)
+		s.say("dial", append(of(e.Client, e.Attempt), slog.String("region", e.Server))...)
+	case core.CloseAttempt:
+		s.say("drop", append(of(e.Client, e.Attempt), slog.String("why", e.Reason))...)
 	case core.Answer:
-		s.say("answer", slog.Uint64("of", uint64(e.To)), slog.Bool("short", e.Short), slog.String("why", e.Why))
-	case core.EndTerminal:
-		s.say("end-terminal", slog.Uint64("of", uint64(e.Of)), slog.Int("how", int(e.How)))
-	case core.EndRegion:
-		s.say("end-region", slog.Uint64("of", uint64(e.Of)), slog.Int("how", int(e.How)))
-	case core.MoveTerminal:
-		s.say("move", slog.Uint64("of", uint64(e.Of)), slog.String("why", e.Why))
+		s.say("answer", slog.Uint64("of", uint64(e.Client)), slog.Bool("short", e.Rejected), slog.String("why", e.Reason))
+	case core.CloseClient:
+		s.say("end-terminal", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+	case core.CloseServer:
+		s.say("end-region", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+	case core.MigrateClient:
+		s.say("move", slog.Uint64("of", uint64(e.Client)), slog.String("why", e.Reason))
 	case core.Probe:
-		s.say("probe", slog.String("region", e.Region), slog.Bool("dials", s.probes[e.Region] == nil || s.probes[e.Region].l == nil))
+		s.say("probe", slog.String("region", e.Server), slog.Bool("dials", s.probes[e.Server] == nil || s.probes[e.Server].l == nil))
 	case core.Watch:
-		s.say("watch", slog.Int64("seq", e.Seq))
+		s.say("watch", slog.Int64("seq", e.Version))
 	}
 }
--- a/internal/net/watches.go
+++ b/internal/net/watches.go
@@ -48,15 +48,15 @@
 		w.l.write(platform.AppendWatch(nil, s.cfg.Discovery, w.seq))
 	case evRefused, evEnded, evBroken:
 		s.watch = nil
-		s.step(core.WatchEnded{})
+		s.step(core.WatchClosed{})
 	case evData:
 		w.sent = true
 		whole := false
-		err := w.in.Read(*e.data, func(list *core.Listed) {
+		err := w.in.Read(*e.data, func(list *core.EndpointsListed) {
 			whole = true
 			drop(&s.former)
 			if list == nil {
-				s.step(core.WatchAlive{})
+				s.step(core.WatchHeartbeat{})
 			} else {
 				s.step(*list)
 			}
@@ -66,9 +66,9 @@
 		case err != nil:
 			s.unread(err)
 			drop(&s.watch)
-			s.step(core.WatchEnded{})
+			s.step(core.WatchClosed{})
 		case !whole:
-			s.step(core.WatchPiece{})
+			s.step(core.WatchDataReceived{})
 		}
 	}
 }
@@ -81,9 +81,9 @@
 	case evEnded, evBroken:
 		s.former = nil
 	case evData:
-		err = s.former.in.Read(*e.data, func(list *core.Listed) {
+		err = s.former.in.Read(*e.data, func(list *core.EndpointsListed) {
 			if list != nil {
-				list.Former = true
+				list.FromPreviousWatch = true
 				s.step(*list)
 			}
 		})
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -42,24 +42,24 @@
 
 // ParseList reads one list, in which every entry can be read. Times of start come on the balancer's clock, whose zero
 // stands at zero.
-func ParseList(body []byte, zero time.Time) (core.Listed, error) {
+func ParseList(body []byte, zero time.Time) (core.EndpointsListed, error) {
 	var l list
 	if err := json.Unmarshal(body, &l); err != nil {
-		return core.Listed{}, noList(err)
+		return core.EndpointsListed{}, noList(err)
 	}
 	out := l.listed()
 	for _, h := range l.Hosts {
 		r, err := h.region(zero)
 		if err != nil {
-			return core.Listed{}, err
+			return core.EndpointsListed{}, err
 		}
-		out.Regions = append(out.Regions, r)
+		out.Endpoints = append(out.Endpoints, r)
 	}
 	return out, nil
 }
 
 // parseReadable reads one list of a watch. An entry that can't be read keeps nobody from the others: unread is told of it.
-func parseReadable(body []byte, zero time.Time, unread func(error)) (core.Listed, error) {
+func parseReadable(body []byte, zero time.Time, unread func(error)) (core.EndpointsListed, error) {
 	out, err := ParseList(body, zero)
 	if err == nil {
 		return out, nil
@@ -69,27 +69,27 @@
 		Hosts []json.RawMessage `json:"hosts"`
 	}
 	if json.Unmarshal(body, &l) != nil { // it isn't an entry that is at fault
-		return core.Listed{}, err
+		return core.EndpointsListed{}, err
 	}
 	out = l.listed()
 	for _, text := range l.Hosts {
 		r, name, err := parseEntry(text, zero)
 		if err == nil {
-			out.Regions = append(out.Regions, r)
+			out.Endpoints = append(out.Endpoints, r)
 			continue
 		}
 		if unread != nil {
 			unread(err)
 		}
 		if name != "" {
-			out.Unread = append(out.Unread, name)
+			out.Malformed = append(out.Malformed, name)
 		}
 	}
 	return out, nil
 }
 
 // parseEntry reads one entry. The name is given also where the rest can't be read.
-func parseEntry(text []byte, zero time.Time) (r core.Region, name string, err error) {
+func parseEntry(text []byte, zero time.Time) (r core.Endpoint, name string, err error) {
 	var h host
 	if cause := json.Unmarshal(text, &h); cause != nil { // the fields that can be read are set all the same
 		return r, h.Host, &Unlisted{advice.Words{Where: fmt.Sprintf("list of regions: host %q", h.Host), Cause: cause,
@@ -103,24 +103,24 @@
 	return &Unlisted{advice.Words{Where: "list of regions", Cause: cause, Do: "see what discovery answers to GET /registry/instances"}}
 }
 
-func (l *list) listed() core.Listed {
+func (l *list) listed() core.EndpointsListed {
 	if l.Whole {
-		return core.Listed{Kind: policy.ListFull, Seq: l.Seq}
+		return core.EndpointsListed{Kind: policy.ListFull, Version: l.Seq}
 	}
-	return core.Listed{Kind: policy.ListDelta, Seq: l.Seq}
+	return core.EndpointsListed{Kind: policy.ListDelta, Version: l.Seq}
 }
 
-func (h *host) region(zero time.Time) (core.Region, error) {
+func (h *host) region(zero time.Time) (core.Endpoint, error) {
 	state, ok := states[h.Health]
 	if !ok || h.Host == "" {
-		return core.Region{}, &Unlisted{advice.Words{Where: "list of regions", What: fmt.Sprintf("host %q has health %q", h.Host, h.Health),
+		return core.Endpoint{}, &Unlisted{advice.Words{Where: "list of regions", What: fmt.Sprintf("host %q has health %q", h.Host, h.Health),
 			Do: "mend that entry where discovery has it from: health is ready, draining or gone"}}
 	}
 	started := time.Duration(0)
 	if born := h.Born * 1000; born > 0 && born < math.MaxInt64 {
 		started = max(0, time.UnixMicro(int64(born)).Sub(zero))
 	}
-	return core.Region{Dial: h.Dial, Server: policy.Server{ID: h.Host, Zone: h.Site,
+	return core.Endpoint{Address: h.Dial, Server: policy.Server{ID: h.Host, Zone: h.Site,
 		Cell: h.Block, State: state, Weight: h.Share, StartedAt: started}}, nil
 }
 
@@ -152,7 +152,7 @@
 
 // Read takes the next piece and hands over what it completes: each list, and nil for an empty line.
 // After an error the answer is of no more use.
-func (w *WatchReader) Read(data []byte, got func(*core.Listed)) error {
+func (w *WatchReader) Read(data []byte, got func(*core.EndpointsListed)) error {
 	w.buf = append(w.buf, data...)
 	if !w.head {
 		end := bytes.Index(w.buf, []byte("\r\n\r\n"))
@@ -250,7 +250,7 @@
 
 // body takes a piece of the body: one object after the other, each on one line or indented over many, and empty lines
 // between them. A list is handed over with its last brace: what ends its line may never come.
-func (w *WatchReader) body(data []byte, got func(*core.Listed)) error {
+func (w *WatchReader) body(data []byte, got func(*core.EndpointsListed)) error {
 	for len(data) > 0 {
 		part := data
 		if i := bytes.IndexByte(data, '\n'); i >= 0 {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -28,16 +28,16 @@
 	for rest := []byte(text); len(rest) > 0 && r.err == nil; {
 		piece := buf[:copy(buf, rest)]
 		rest = rest[len(piece):]
-		r.err = w.Read(piece, func(l *core.Listed) {
+		r.err = w.Read(piece, func(l *core.EndpointsListed) {
 			if l == nil {
 				r.text += "-"
 				return
 			}
-			r.text += fmt.Sprintf("(%d", l.Seq)
-			for _, g := range l.Regions {
+			r.text += fmt.Sprintf("(%d", l.Version)
+			for _, g := range l.Endpoints {
 				r.text += fmt.Sprintf(" %s:%d", g.ID, g.State)
 			}
-			for _, id := range l.Unread {
+			for _, id := range l.Malformed {
 				r.text += " ?" + id
 			}
 			r.text += ")"
@@ -100,7 +100,7 @@
 		told = append(told, advice.Line(err))
 	}}
 	list := `{"seq":8,"hosts":[` + entry("x", "odd") + `,{"host":"y","share":"all"}]}`
-	if err := w.Read([]byte("HTTP/1.1 200 OK\r\n\r\n"+list+"\n"), func(*core.Listed) {}); err != nil || len(told) != 2 {
+	if err := w.Read([]byte("HTTP/1.1 200 OK\r\n\r\n"+list+"\n"), func(*core.EndpointsListed) {}); err != nil || len(told) != 2 {
 		t.Fatal(told, err)
 	}
 	for i, words := range [][]string{{"list of regions", `"x"`, `"odd"`, "do: "}, {"list of regions", "share", "do: "}} {
@@ -171,12 +171,12 @@
 		t.Run(name, func(t *testing.T) {
 			var w WatchReader
 			piece := []byte(strings.Repeat(x[1], 4<<10))
-			err := w.Read([]byte(x[0]), func(*core.Listed) {})
+			err := w.Read([]byte(x[0]), func(*core.EndpointsListed) {})
 			for read := 0; err == nil; read += len(piece) {
 				if held := len(w.buf) + len(w.line); held > maxBody+len(piece) || read > 2*maxBody {
 					t.Fatalf("%d bytes held of %d, and no error", held, read)
 				}
-				err = w.Read(piece, func(*core.Listed) {})
+				err = w.Read(piece, func(*core.EndpointsListed) {})
 			}
 		})
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -80,11 +80,11 @@
 		chunk(`{"seq":44,"whole":false,"hosts":[]}`+"\n")
 	for size := 1; size <= len(text); size++ {
 		w := WatchReader{Zero: zero}
-		var lists []core.Listed
+		var lists []core.EndpointsListed
 		empty := 0
 		for rest := []byte(text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
 			piece := append([]byte(nil), rest[:min(size, len(rest))]...)
-			err := w.Read(piece, func(l *core.Listed) {
+			err := w.Read(piece, func(l *core.EndpointsListed) {
 				if l == nil {
 					empty++
 				} else {
@@ -96,10 +96,10 @@
 			}
 			clear(piece) // the buffer is used again
 		}
-		want := core.Region{Dial: "127.1.0.1:9", Server: policy.Server{ID: "s", Zone: "a", Cell: 3, State: policy.Draining,
+		want := core.Endpoint{Address: "127.1.0.1:9", Server: policy.Server{ID: "s", Zone: "a", Cell: 3, State: policy.Draining,
 			Weight: 1.5, StartedAt: 250 * time.Millisecond}}
-		if len(lists) != 2 || empty != 2 || lists[0].Kind != policy.ListFull || lists[0].Seq != 43 ||
-			lists[0].Regions[0] != want || lists[1].Kind != policy.ListDelta {
+		if len(lists) != 2 || empty != 2 || lists[0].Kind != policy.ListFull || lists[0].Version != 43 ||
+			lists[0].Endpoints[0] != want || lists[1].Kind != policy.ListDelta {
 			t.Fatalf("pieces of %d: %d empty, %+v", size, empty, lists)
 		}
 	}
@@ -114,11 +114,11 @@
 		var w WatchReader
 		got := ""
 		for rest := []byte(text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
-			err := w.Read(append([]byte(nil), rest[:min(size, len(rest))]...), func(l *core.Listed) {
+			err := w.Read(append([]byte(nil), rest[:min(size, len(rest))]...), func(l *core.EndpointsListed) {
 				if l == nil {
 					got += "-"
 				} else {
-					got += fmt.Sprint(l.Seq, len(l.Regions), " ")
+					got += fmt.Sprint(l.Version, len(l.Endpoints), " ")
 				}
 			})
 			if err != nil {
@@ -139,7 +139,7 @@
 	for _, text := range []string{"HTTP/1.1 503 No\r\n\r\n", "garbage\r\n\r\n", head + "0\r\n\r\n", head + "zz\r\n", head + "-1\r\n",
 		head + "ffffffff\r\n", head + chunk("{]\n"), head + chunk(`{"hosts":{"host":"s","health":"odd"}}`+"\n"), strings.Repeat("x", 20<<10)} {
 		var w WatchReader
-		if err := w.Read([]byte(text), func(*core.Listed) {}); err == nil {
+		if err := w.Read([]byte(text), func(*core.EndpointsListed) {}); err == nil {
 			t.Errorf("%.60q passed", text)
 		}
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -202,7 +202,7 @@
 	}
 	regions := 0
 	if cfg.Known != nil {
-		regions = len(cfg.Known.Regions)
+		regions = len(cfg.Known.Endpoints)
 	}
 	fmt.Printf("%s: listens on %s, discovery at %s, %d classes, %d tenants, %d regions known\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Core.Policy.Classes), len(cfg.Core.Policy.Tenants), regions)
