--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -1,6 +1,3 @@
-// The attempts of a transaction, which the design calls routed tasks: how one begins, what is sent on it, and how it
-// ends. This file must never let two attempts of one transaction be out, nor send a line whose time is over.
-
 package core
 
 import (
@@ -10,255 +7,283 @@
 	"oatloft/policy"
 )
 
-// leastLeft is the least time that a line may tell the server, which counts whole milliseconds: with less it would say that
-// the client has no time left.
-const leastLeft = time.Millisecond
+// minTimeLeft is the least time that a request may tell the server, which counts whole milliseconds: with less it
+// would say that the client has no time left.
+const minTimeLeft = time.Millisecond
+
+// Reasons of a CloseAttempt or an Answer. Operators' tools count them by these texts.
+const (
+	reasonConnectTimeout = "connect"  // its connection did not come up in time
+	reasonAttemptTimeout = "until"    // it timed out
+	reasonDeadline       = "deadline" // its client's time is over
+	reasonUnlisted       = "unlisted" // its server may not be used any more
+	reasonClientGone     = "client"   // its client has left
+	reasonKeyExpired     = "key"      // servers may have forgotten the idempotency key
+	reasonTooLate        = "late"     // too little time is left for the request
+	reasonServerClosed   = "ended"    // its server closed it
+	reasonNotPlaced      = "platform" // its server was named by the platform, and there is no other one
+)
+
+// attempt is the latest attempt of a request. No two attempts of one request are pending at once.
+type attempt struct {
+	number    int // -1 before the first
+	server    string
+	startedAt time.Duration // when its connection was dialed
+	sentAt    time.Duration // when the request began to leave
+	timeoutAt time.Duration // it is given up then
+}
 
-// send begins an attempt as the module has decided, unless the server is gone, the attempt before is still out, or no time is
-// left for it: then it has never run.
-func (r *Reducer) send(t *transaction, a policy.Send) {
-	until := t.deadline
-	if a.TimeoutAt > 0 {
-		until = min(until, a.TimeoutAt)
+// pendingAttempt finds a request by its pending attempt; news of an earlier one concern nobody.
+func (r *Reducer) pendingAttempt(client Handle, number int) *request {
+	q := r.requests.byClient[client]
+	if q == nil || q.attempt.number != number || q.state == waiting {
+		return nil
+	}
+	return q
+}
+
+// sendAttempt carries out the module's Send, unless the server is gone, the attempt before is still pending, or no
+// time is left for it: then it has never run.
+func (r *Reducer) sendAttempt(action policy.Send) {
+	q := r.requests.byID[action.ID]
+	if q == nil {
+		return
+	}
+	timeoutAt := q.deadline
+	if action.TimeoutAt > 0 {
+		timeoutAt = min(timeoutAt, action.TimeoutAt)
 	}
-	g := r.regions[a.Server]
-	if g == nil || t.state != waiting || until < r.now+leastLeft {
+	e := r.endpoints.byID[action.Server]
+	if e == nil || q.state != waiting || timeoutAt < r.now+minTimeLeft {
 		r.Counters.AttemptsNotSent++
-		t.attempt++
-		r.feed(policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: a.Server, Result: policy.ResultUnreachable})
+		q.attempt.number++
+		r.decide(policy.AttemptEnded{
+			ID:      q.ID,
+			Attempt: q.attempt.number,
+			Server:  action.Server,
+			Result:  policy.ResultUnreachable,
+		})
 		return
 	}
-	r.dial(t, g, until)
+	r.dial(q, e, timeoutAt)
 }
 
-// dial opens an attempt's connection. The attempt is given up at until, and before that where its connection isn't up within
-// the settings' time.
-func (r *Reducer) dial(t *transaction, g *region, until time.Duration) {
+// dial opens an attempt's connection. The attempt is given up at timeoutAt, and before that if its connection is
+// not up within the settings' time. Connections from before the day began all come at once, and may take until
+// their deadline.
+func (r *Reducer) dial(q *request, e *endpoint, timeoutAt time.Duration) {
 	r.Counters.Attempts++
-	t.attempt++
-	t.state, t.region, t.sentAt, t.until = dialing, g.ID, r.now, until
-	timeout := r.cfg.ConnectTimeout
-	if t.at != "" { // all that were open before the run come at once, and may take longer
-		timeout = t.deadline - r.now
+	q.state = dialing
+	q.attempt = attempt{
+		number:    q.attempt.number + 1,
+		server:    e.ID,
+		startedAt: r.now,
+		sentAt:    q.attempt.sentAt,
+		timeoutAt: timeoutAt,
+	}
+	connectTimeout := r.config.ConnectTimeout
+	if q.isNew() {
+		r.timers.set(r.now+connectTimeout, q.attemptTimer(connectTimer))
 	} else {
-		r.wheel.set(r.now+r.cfg.ConnectTimeout, timer{kind: connectTimer, of: t.from, attempt: t.attempt})
+		connectTimeout = q.deadline - r.now
 	}
-	if until < t.deadline {
-		r.wheel.set(until, timer{kind: untilTimer, of: t.from, attempt: t.attempt})
+	if timeoutAt < q.deadline {
+		r.timers.set(timeoutAt, q.attemptTimer(attemptTimer))
 	}
-	r.do(Dial{Client: t.from, Attempt: t.attempt, Server: g.ID, Address: g.Address, Timeout: timeout})
+	r.emit(Dial{
+		Client:  q.client,
+		Attempt: q.attempt.number,
+		Server:  e.ID,
+		Address: e.Address,
+		Timeout: connectTimeout,
+	})
 }
 
-// task finds a transaction by its routed task that is out; news of an earlier one concerns nobody.
-func (r *Reducer) task(of Handle, attempt int) *transaction {
-	t := r.open[of]
-	if t == nil || t.attempt != attempt || t.state == waiting {
-		return nil
-	}
-	return t
+func (q *request) attemptTimer(kind timerKind) timer {
+	return timer{kind: kind, client: q.client, number: q.attempt.number}
 }
 
-// connected sends the line, unless the region was listed as draining or gone while the connection came
-// up, or another revision is about to be in force, or leaves the region out, or the attempt's time is over: what is sent later
-// than that breaks a rule, and nothing has run yet.
-func (r *Reducer) connected(ev AttemptConnected) {
-	t := r.task(ev.Client, ev.Attempt)
-	if t == nil || t.state != dialing {
-		return
-	}
-	g := r.regions[t.region]
-	if t.at == "" && (g == nil || g.State != policy.Live || r.permit != policy.LeaseActive || !t.MidFlow && r.leftOut(g)) {
-		r.Counters.AttemptsNotSent++
-		r.giveUp(t, policy.ResultUnreachable, "unlisted")
+// attemptConnected sends the request, unless something has happened while the connection came up that forbids it:
+// nothing has run yet.
+func (r *Reducer) attemptConnected(event AttemptConnected) {
+	q := r.pendingAttempt(event.Client, event.Attempt)
+	if q == nil || q.state != dialing {
 		return
 	}
-	if t.ended > 0 && r.now > t.ended+policy.DisconnectGrace {
+	if reason := r.sendObstacle(q); reason != "" {
 		r.Counters.AttemptsNotSent++
-		r.giveUp(t, policy.ResultUnreachable, "client")
-		return
-	}
-	if k := r.classes[t.Class]; k.Idempotency == policy.IdempotentByKey && t.ranAt > 0 && r.now > t.ranAt+k.KeyTTL {
-		r.Counters.AttemptsNotSent++ // it came up so late that the repeat would be taken for a new one
-		r.giveUp(t, policy.ResultUnreachable, "key")
+		r.giveUpAttempt(q, policy.ResultUnreachable, reason)
 		return
 	}
-	if t.until < r.now+leastLeft { // its time passed while it came up, and the timer that tells so is not due yet
-		r.Counters.AttemptsNotSent++
-		r.giveUp(t, policy.ResultUnreachable, "late")
-		return
+	q.state = sending
+	q.attempt.sentAt = r.now
+	r.emit(SendRequest{Client: q.client, Attempt: q.attempt.number, TimeLeft: q.attempt.timeoutAt - r.now})
+}
+
+// sendObstacle names what forbids to send a request now, "" if nothing does.
+func (r *Reducer) sendObstacle(q *request) string {
+	class := r.classes.byName[q.Class]
+	switch {
+	case q.isNew() && !r.mayStillUse(q):
+		return reasonUnlisted
+	case q.clientEndedAt > 0 && r.now > q.clientEndedAt+policy.DisconnectGrace:
+		return reasonClientGone
+	case class.Idempotency == policy.IdempotentByKey && q.mayHaveRunAt > 0 && r.now > q.mayHaveRunAt+class.KeyTTL:
+		return reasonKeyExpired // servers would take the repeat for a new request
+	case q.attempt.timeoutAt < r.now+minTimeLeft: // and the timer that tells so is not due yet
+		return reasonTooLate
 	}
-	t.state, t.lineAt = sending, r.now
-	r.do(SendRequest{Client: t.from, Attempt: t.attempt, TimeLeft: t.until - r.now})
+	return ""
 }
 
-// leftOut tells that the revision in force sends nothing new to a region.
-func (r *Reducer) leftOut(g *region) bool {
-	w := r.cfg.Policy.Weights
-	region, named := w[g.ID]
-	zone, zoned := w["zone/"+g.Zone]
-	return named && region == 0 || zoned && zone == 0
+// mayStillUse tells whether the server of a dialed attempt is still listed as live, and by the revision in force
+// still takes new requests.
+func (r *Reducer) mayStillUse(q *request) bool {
+	e := r.endpoints.byID[q.attempt.server]
+	return e != nil && e.State == policy.Live && r.lease == policy.LeaseActive && (q.MidFlow || !r.excludedByRevision(e))
 }
 
-// giveUp closes a routed task and tells the module how it ended.
-func (r *Reducer) giveUp(t *transaction, how policy.Result, why string) {
-	if !defects.On("task-kept") {
-		r.do(CloseAttempt{Client: t.from, Attempt: t.attempt, Reason: why})
+// excludedByRevision tells that the revision in force gives a server, or its zone, the weight 0.
+func (r *Reducer) excludedByRevision(e *endpoint) bool {
+	for _, name := range []string{e.ID, "zone/" + e.Zone} {
+		if weight, named := r.config.Policy.Weights[name]; named && weight == 0 {
+			return true
+		}
 	}
-	r.outcome(t, how)
+	return false
 }
 
-// outcome ends the routed task that was out. One that went where the platform said is none of the
-// module's: its transaction fails.
-func (r *Reducer) outcome(t *transaction, how policy.Result) {
-	switch how {
-	case policy.ResultUnreachable:
-		r.Counters.AttemptsUnreachable++
-	case policy.ResultReset:
-		r.Counters.AttemptsReset++
-	case policy.ResultRejected:
-		r.Counters.AttemptsRejected++
-	case policy.ResultFailed:
-		r.Counters.AttemptsFailed++
-	case policy.ResultTimedOut:
-		r.Counters.AttemptsTimedOut++
+func (r *Reducer) requestSent(event RequestSent) {
+	if q := r.pendingAttempt(event.Client, event.Attempt); q != nil && q.state == sending {
+		q.state = sent
 	}
-	if t.state = waiting; how.MayHaveRun() && t.ranAt == 0 {
-		t.ranAt = t.lineAt
-	}
-	if t.at != "" {
-		r.Counters.Failed++
-		r.answer(t, false, 0, "platform")
-		return
-	}
-	r.feed(policy.AttemptEnded{ID: t.ID, Attempt: t.attempt, Server: t.region, Result: how})
 }
 
-// up passes the server's answer on: the attempt stands, and the connection belongs to that server from now on.
-func (r *Reducer) up(ev AttemptAccepted) {
-	t := r.task(ev.Client, ev.Attempt)
-	if t == nil || t.state == open {
+// attemptAccepted passes the server's answer on: the connection is established.
+func (r *Reducer) attemptAccepted(event AttemptAccepted) {
+	q := r.pendingAttempt(event.Client, event.Attempt)
+	if q == nil || q.state == established {
 		return
 	}
 	r.Counters.Established++
 	r.Counters.AttemptsAccepted++
-	r.owed--
-	if r.now-t.deadline+t.Timeout > r.classes[t.Class].LatencyObjective && t.at == "" {
+	r.requests.unanswered--
+	if r.now-q.deadline+q.Timeout > r.classes.byName[q.Class].LatencyObjective && q.isNew() {
 		r.Counters.EstablishedLate++
 	}
-	t.state, t.heardAt = open, r.now
-	r.do(Forward{Client: t.from, Data: ev.Data})
-	if t.at != "" {
-		r.Counters.Adopted++
-		r.feed(policy.AdoptedConnection{Request: t.Request, Server: t.region})
+	q.state = established
+	q.traffic.lastLineAt = r.now
+	r.emit(Forward{Client: q.client, Data: event.Data})
+	if q.isNew() {
+		r.decide(policy.AttemptEstablished{
+			ID:      q.ID,
+			Attempt: q.attempt.number,
+			Server:  q.attempt.server,
+			Latency: r.now - q.attempt.startedAt,
+		})
 	} else {
-		r.feed(policy.AttemptEstablished{ID: t.ID, Attempt: t.attempt, Server: t.region, Latency: r.now - t.sentAt})
+		r.Counters.Adopted++
+		r.decide(policy.AdoptedConnection{Request: q.Request, Server: q.attempt.server})
 	}
-	if r.open[t.from] != t {
+	if !r.requests.has(q) { // the module has migrated it
 		return
 	}
-	if t.ended > 0 {
-		r.do(CloseServer{Client: t.from, Reason: CloseEOF})
+	if q.clientEndedAt > 0 {
+		r.emit(CloseServer{Client: q.client, Reason: CloseEOF})
 	}
-	r.notes(t, ev.Payload)
-	if r.movesClients() {
-		r.sendAway(t, "leaving")
+	r.reportLoad(q, event.Payload)
+	if r.shutdownBreaksConnections() {
+		r.migrate(q, reasonShutdown)
 	}
 }
 
-// passed hands bytes on at once, and learns from them what the region's connections tell.
-func (r *Reducer) passed(ev DataReceived) {
-	t := r.open[ev.Client]
-	if t == nil || t.state != open {
-		return
-	}
-	r.do(Forward{Client: t.from, ToServer: !ev.FromServer, Data: ev.Data})
+// attemptClosed follows an attempt that its server ended, or whose connection never came up.
+func (r *Reducer) attemptClosed(event AttemptClosed) {
+	q := r.pendingAttempt(event.Client, event.Attempt)
 	switch {
-	case ev.FromServer:
-		if t.ended > 0 {
-			t.ended = r.now // half a connection, but a lively one
-		}
-		if ev.Lines > 0 {
-			t.heardAt = r.now
-			if g := r.regions[t.region]; g != nil {
-				g.heardAt = r.now
-				if t.askedAt > 0 {
-					g.answered = max(g.answered, t.askedAt)
-				}
-			}
-			if t.askedAt > 0 {
-				r.delay(t, r.now-t.askedAt)
-				t.askedAt = 0
-			}
-		}
-		r.notes(t, ev.Payload)
-	case ev.Lines > 0 && t.askedAt == 0:
-		t.askedAt = r.now
+	case q == nil:
+	case q.state == established:
+		r.closedByServer(q, event.Reason)
+	default:
+		r.giveUpAttempt(q, q.closedResult(event.Reason), reasonServerClosed)
 	}
 }
 
-// taskEnded follows an attempt that its server ended, or whose connection never came up.
-func (r *Reducer) taskEnded(ev AttemptClosed) {
-	t := r.task(ev.Client, ev.Attempt)
-	if t == nil {
-		return
-	}
-	if t.state == open {
-		r.Counters.ClosedByServer++
-		result := policy.ResultReset
-		switch ev.Reason {
-		case CloseFinished:
-			result = policy.ResultOK
-		case CloseMigrated:
-			result = policy.ResultCanceled
-		}
-		if ev.Reason != CloseReset {
-			ev.Reason = CloseEOF
-		}
-		if t.ended > 0 && result == policy.ResultReset {
-			result = policy.ResultCanceled
-		}
-		r.do(CloseClient{Client: t.from, Reason: ev.Reason})
-		r.closed(t, result)
-		return
-	}
-	how := policy.ResultReset
-	switch ev.Reason {
+// closedResult is the result of a pending attempt that ended so. An attempt whose request had not left whole has
+// not run.
+func (q *request) closedResult(reason CloseReason) policy.Result {
+	switch reason {
 	case CloseRefused:
-		how = policy.ResultUnreachable
+		return policy.ResultUnreachable
 	case CloseRejected:
-		how = policy.ResultRejected
+		return policy.ResultRejected
 	case CloseFailed, CloseFinished:
-		how = policy.ResultFailed
+		return policy.ResultFailed
 	case CloseMigrated:
-		how = policy.ResultCanceled
-	case CloseEOF, CloseReset:
-		if t.state != asked {
-			how = policy.ResultUnreachable // the line's last byte never left
-		}
+		return policy.ResultCanceled
+	}
+	if q.state != sent {
+		return policy.ResultUnreachable
 	}
-	r.giveUp(t, how, "ended")
+	return policy.ResultReset
 }
 
-// lateResult tells how a routed task ends whose time is up: one that was never sent has not run.
-func (r *Reducer) lateResult(t *transaction) policy.Result {
-	if t.state == dialing {
+// timeoutResult is the result of a pending attempt whose time is over: one whose connection was not up has not run.
+func (q *request) timeoutResult() policy.Result {
+	if q.state == dialing {
 		return policy.ResultUnreachable
 	}
 	return policy.ResultTimedOut
 }
 
-// deadline makes sure of the final answer: the module gets its time-out first, and if it still holds the
-// transaction then, the answer is that it failed.
-func (r *Reducer) deadline(t *transaction) {
-	if t == nil || t.state == open || r.now < t.deadline {
-		return
+func (r *Reducer) connectTimedOut(t timer) {
+	if q := r.pendingAttempt(t.client, t.number); q != nil && q.state == dialing {
+		r.giveUpAttempt(q, policy.ResultUnreachable, reasonConnectTimeout)
 	}
-	if t.state != waiting {
-		r.giveUp(t, r.lateResult(t), "deadline")
+}
+
+func (r *Reducer) attemptTimedOut(t timer) {
+	if q := r.pendingAttempt(t.client, t.number); q != nil && q.state != established {
+		r.giveUpAttempt(q, q.timeoutResult(), reasonAttemptTimeout)
 	}
-	if r.open[t.from] == t && t.state != open {
+}
+
+// closePendingAttempt closes the connection of an attempt that is pending, without a result.
+func (r *Reducer) closePendingAttempt(q *request) {
+	if q.state != waiting {
+		r.emit(CloseAttempt{Client: q.client, Attempt: q.attempt.number})
+	}
+}
+
+// giveUpAttempt closes a pending attempt and tells the module how it ended.
+func (r *Reducer) giveUpAttempt(q *request, result policy.Result, reason string) {
+	if !defects.On("task-kept") {
+		r.emit(CloseAttempt{Client: q.client, Attempt: q.attempt.number, Reason: reason})
+	}
+	r.countResult(result)
+	q.state = waiting
+	if result.MayHaveRun() && q.mayHaveRunAt == 0 {
+		q.mayHaveRunAt = q.attempt.sentAt
+	}
+	if !q.isNew() { // the platform named its server, and the module does not know it
 		r.Counters.Failed++
-		r.do(Answer{Client: t.from, Reason: "deadline"})
-		r.abandon(t)
+		r.answer(q, Answer{Reason: reasonNotPlaced})
+		return
+	}
+	r.decide(policy.AttemptEnded{ID: q.ID, Attempt: q.attempt.number, Server: q.attempt.server, Result: result})
+}
+
+func (r *Reducer) countResult(result policy.Result) {
+	switch result {
+	case policy.ResultUnreachable:
+		r.Counters.AttemptsUnreachable++
+	case policy.ResultReset:
+		r.Counters.AttemptsReset++
+	case policy.ResultRejected:
+		r.Counters.AttemptsRejected++
+	case policy.ResultFailed:
+		r.Counters.AttemptsFailed++
+	case policy.ResultTimedOut:
+		r.Counters.AttemptsTimedOut++
 	}
 }
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -8,8 +8,8 @@
 	"oatloft/policy"
 )
 
-// triesFollower reads the effects of one transaction in order: how many attempts are out, how many lines were sent, and how many
-// final answers were given.
+// triesFollower reads the effects of one transaction in order: how many attempts are out, how many lines were sent,
+// and how many final answers were given.
 type triesFollower struct {
 	t                           *testing.T
 	dials, lines, answers, outs int
@@ -52,8 +52,8 @@
 	return b
 }
 
-// A connection that comes up when the attempt's time is over, but before the timer says so, gets no line: it would tell the
-// server that the client has no time left. Whichever is handled first, the client gets one answer.
+// A connection that comes up when the attempt's time is over, but before the timer says so, gets no line: it would
+// tell the server that the client has no time left. Whichever is handled first, the client gets one answer.
 func TestNoLineIsSentWhoseTimeIsOver(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -100,76 +100,80 @@
 	b := newBed(t, nil)
 	b.list(policy.ListFull, 8, policy.Draining, "r1", "r2")
 	b.open(1, 2*time.Second)
-	waits := b.r.open[1]
+	waits := b.r.requests.byClient[1]
 	b.r.now = waits.deadline - time.Microsecond
-	b.r.send(waits, policy.Send{ID: waits.ID, Server: "r1"})
-	if dials := all[Dial](b.r.out); len(dials) > 0 || b.r.Counters.AttemptsNotSent != 1 {
+	b.r.sendAttempt(policy.Send{ID: waits.ID, Server: "r1"})
+	if dials := all[Dial](b.r.effects); len(dials) > 0 || b.r.Counters.AttemptsNotSent != 1 {
 		t.Fatalf("%+v, %+v", dials, b.r.Counters)
 	}
 }
 
-// Every way in which an attempt ends, for each kind of class: a request that may have run is repeated only where that does no
-// harm, never above the bound on attempts, never with two out, and its client gets one answer.
-func TestRepeats(t *testing.T) {
+// attemptEnd is a way in which an attempt ends.
+type attemptEnd struct {
+	name       string
+	end        func(b *bed, d Dial) []Effect
+	mayHaveRun bool
+}
+
+func attemptEnds() []attemptEnd {
+	closed := func(reason CloseReason) func(b *bed, d Dial) []Effect {
+		return func(b *bed, d Dial) []Effect { return b.do(AttemptClosed{1, d.Attempt, reason}) }
+	}
 	up := func(b *bed, d Dial) []Effect { return b.do(AttemptConnected{1, d.Attempt}) }
 	sent := func(b *bed, d Dial) []Effect { return append(up(b, d), b.do(RequestSent{1, d.Attempt})...) }
-	ended := func(how CloseReason) func(b *bed, d Dial) []Effect {
+	closedUp := func(reason CloseReason) func(b *bed, d Dial) []Effect {
+		return func(b *bed, d Dial) []Effect { return append(up(b, d), closed(reason)(b, d)...) }
+	}
+	closedSent := func(reason CloseReason) func(b *bed, d Dial) []Effect {
 		return func(b *bed, d Dial) []Effect {
 			out := append(sent(b, d), b.pass(TickInterval)...) // so that the shortest window has ended
-			return append(out, b.do(AttemptClosed{1, d.Attempt, how})...)
+			return append(out, closed(reason)(b, d)...)
 		}
 	}
-	for _, x := range []struct {
-		name string
-		end  func(b *bed, d Dial) []Effect
-		ran  bool
+	passed := func(d time.Duration) func(b *bed, _ Dial) []Effect {
+		return func(b *bed, _ Dial) []Effect { return b.pass(d) }
+	}
+	return []attemptEnd{
+		{"refused", closed(CloseRefused), false},
+		{"never up", passed(250 * time.Millisecond), false},
+		{"reset while it came up", closed(CloseReset), false},
+		{"reset before the request's last byte", closedUp(CloseReset), false},
+		{"ended before the request's last byte", closedUp(CloseEOF), false},
+		{"rejected", closedSent(CloseRejected), false},
+		{"reset after the request", closedSent(CloseReset), true},
+		{"ended after the request", closedSent(CloseEOF), true},
+		{"error", closedSent(CloseFailed), true},
+		{"served to its end before it was up", closedSent(CloseFinished), true},
+		{"migrated", closedSent(CloseMigrated), true},
+		{"nothing", func(b *bed, d Dial) []Effect {
+			return append(sent(b, d), passed(805*time.Millisecond)(b, d)...)
+		}, true},
+	}
+}
+
+// Every way in which an attempt ends, for each kind of class: a request that may have run is repeated only where
+// that does no harm, never above the bound on attempts, never with two out, and its client gets one answer.
+func TestRepeats(t *testing.T) {
+	for _, class := range []struct {
+		name   string
+		effect policy.Idempotency
+		window time.Duration
+		after  bool // repeated though it may have run
 	}{
-		{"refused", func(b *bed, d Dial) []Effect { return b.do(AttemptClosed{1, d.Attempt, CloseRefused}) }, false},
-		{"never up", func(b *bed, d Dial) []Effect { return b.pass(250 * time.Millisecond) }, false},
-		{"reset while it came up", func(b *bed, d Dial) []Effect { return b.do(AttemptClosed{1, d.Attempt, CloseReset}) }, false},
-		{"reset before the line's last byte", func(b *bed, d Dial) []Effect {
-			return append(up(b, d), b.do(AttemptClosed{1, d.Attempt, CloseReset})...)
-		}, false},
-		{"ended before the line's last byte", func(b *bed, d Dial) []Effect {
-			return append(up(b, d), b.do(AttemptClosed{1, d.Attempt, CloseEOF})...)
-		}, false},
-		{"turned away", ended(CloseRejected), false},
-		{"reset after the line", ended(CloseReset), true},
-		{"ended after the line", ended(CloseEOF), true},
-		{"error", ended(CloseFailed), true},
-		{"served to its end before it was up", ended(CloseFinished), true},
-		{"sent away", ended(CloseMigrated), true},
-		{"nothing", func(b *bed, d Dial) []Effect { return append(sent(b, d), b.pass(805*time.Millisecond)...) }, true},
+		{"idempotent", policy.Idempotent, 0, true},
+		{"by key", policy.IdempotentByKey, time.Minute, true},
+		{"by key, window over at once", policy.IdempotentByKey, time.Nanosecond, false},
+		{"not idempotent", policy.NotIdempotent, 0, false},
 	} {
-		for _, class := range []struct {
-			name   string
-			effect policy.Idempotency
-			window time.Duration
-			after  bool // repeated though it may have run
-		}{
-			{"safe", policy.Idempotent, 0, true},
-			{"keyed", policy.IdempotentByKey, time.Minute, true},
-			{"keyed, window over at once", policy.IdempotentByKey, time.Nanosecond, false},
-			{"unsafe", policy.NotIdempotent, 0, false},
-		} {
+		for _, x := range attemptEnds() {
 			t.Run(x.name+", "+class.name, func(t *testing.T) {
-				b := triesBed(t, class.effect, class.window, nil)
-				f := &triesFollower{t: t}
-				f.read(b.open(1, 30*time.Second))
-				for ended := 0; f.answers == 0 && ended < 9; ended++ {
-					for waited := 0; f.outs == 0 && f.answers == 0 && waited < 6000; waited++ {
-						f.read(b.pass(TickInterval))
-					}
-					if f.outs == 0 || f.answers > 0 {
-						break
-					}
-					f.read(x.end(b, f.latest))
-				}
-				f.read(b.pass(31 * time.Second))
 				want := 3
-				if x.ran && !class.after {
+				if x.mayHaveRun && !class.after {
 					want = 1
 				}
+				b := triesBed(t, class.effect, class.window, nil)
+				f := &triesFollower{t: t}
+				f.follow(b, x)
 				if f.dials != want || f.answers != 1 || f.outs != 0 || b.r.Unanswered() != 0 {
 					t.Fatalf("%d attempts, want %d; %d answers, %d out, %d owed", f.dials, want, f.answers, f.outs, b.r.Unanswered())
 				}
@@ -178,6 +182,21 @@
 	}
 }
 
+// follow has each attempt of a request end in the same way, until it is answered.
+func (f *triesFollower) follow(b *bed, x attemptEnd) {
+	f.read(b.open(1, 30*time.Second))
+	for ended := 0; f.answers == 0 && ended < 9; ended++ {
+		for waited := 0; f.outs == 0 && f.answers == 0 && waited < 6000; waited++ {
+			f.read(b.pass(TickInterval))
+		}
+		if f.outs == 0 || f.answers > 0 {
+			break
+		}
+		f.read(x.end(b, f.latest))
+	}
+	f.read(b.pass(31 * time.Second))
+}
+
 // The window for repeats ends while the next attempt dials: its line isn't sent. Just before, it is.
 func TestWindowEndsWhileTheNextAttemptDials(t *testing.T) {
 	const window = 300 * time.Millisecond
--- a/internal/core/client_leaves_test.go
+++ b/internal/core/client_leaves_test.go
@@ -7,8 +7,8 @@
 	"oatloft/policy"
 )
 
-// A client that ended its sending while its first connection came up has left: the line isn't sent once the connection
-// is up, and no further attempt begins. It is still answered, once, since it may read on.
+// A client that ended its sending while its first connection came up has left: the line isn't sent once the
+// connection is up, and no further attempt begins. It is still answered, once, since it may read on.
 func TestNoLineIsSentForAClientThatLeft(t *testing.T) {
 	b := newBed(t, nil)
 	d := find[Dial](b, b.open(1, 2*time.Second))
@@ -26,7 +26,9 @@
 
 // A further attempt doesn't begin either, whatever ended the one before.
 func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
-	for name, how := range map[string]CloseReason{"refused": CloseRefused, "turned away": CloseRejected, "erred": CloseFailed, "reset": CloseReset} {
+	for name, how := range map[string]CloseReason{
+		"refused": CloseRefused, "rejected": CloseRejected, "failed": CloseFailed, "reset": CloseReset,
+	} {
 		b := newBed(t, nil)
 		d := find[Dial](b, b.open(1, 2*time.Second))
 		if how != CloseRefused {
@@ -57,7 +59,8 @@
 	}
 }
 
-// A client that closes its sending behind its line and waits is served where an attempt is out: it may have left, or not.
+// A client that closes its sending behind its line and waits is served where an attempt is out: it may have left,
+// or not.
 func TestAHalfClosedClientIsServedByTheAttemptThatIsOut(t *testing.T) {
 	b := newBed(t, nil)
 	d := find[Dial](b, b.open(1, 2*time.Second))
--- a/internal/core/operators_test.go
+++ b/internal/core/maintenance_test.go
@@ -69,8 +69,8 @@
 		at[b.up(Handle(i+1))]++
 	}
 	b.do(MaintenanceSet{"r1", true})
-	first := len(all[MigrateClient](b.pass(4 * clearEvery)))
-	rest := len(all[MigrateClient](b.pass(clearIn)))
+	first := len(all[MigrateClient](b.pass(4 * migrationInterval)))
+	rest := len(all[MigrateClient](b.pass(migrationDuration)))
 	if at["r1"] < 10 || first == 0 || first > at["r1"]/2 || first+rest != at["r1"] {
 		t.Fatalf("%v stood, %d then %d moved", at, first, rest)
 	}
@@ -91,13 +91,21 @@
 		t.Fatal("ids that were listed before")
 	}
 	for i := range 10 { // fewer than the module sets up at once
-		d := find[Dial](b, b.do(RequestReceived{Client: Handle(i + 1), Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second}}))
+		d := find[Dial](
+			b,
+			b.do(
+				RequestReceived{
+					Client:  Handle(i + 1),
+					Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second},
+				},
+			),
+		)
 		if d.Server != "r1" {
 			t.Fatalf("k%d went to %s", i, d.Server)
 		}
 	}
-	b.pass(stoodFor + time.Second)
-	if b.r.stood != nil {
+	b.pass(predecessorFlowTTL + time.Second)
+	if b.r.predecessor.servers != nil {
 		t.Fatal("kept for good")
 	}
 }
--- a/internal/core/list_clock_test.go
+++ b/internal/core/watch_test.go
@@ -7,13 +7,14 @@
 	"oatloft/policy"
 )
 
-// After SIGHUP the call to the new discovery failed, and the old watch, which goes on until the new one has answered,
-// brought a change in the back-off. The module took that for its own watch's and asked no more: deaf once the old one ended.
+// After SIGHUP the call to the new discovery failed, and the old watch, which goes on until the new one has
+// answered, brought a change in the back-off. The module took that for its own watch's and asked no more: deaf once
+// the old one ended.
 func TestFormerWatchStandsForNoWatch(t *testing.T) {
 	b := newBed(t, nil)
 	b.watch()
 	b.do(WatchHeartbeat{})
-	cfg := b.r.cfg
+	cfg := b.r.config
 	find[Watch](b, b.do(ConfigChanged{Config: cfg, DiscoveryMoved: true}))
 	find[StopWatch](b, b.do(WatchClosed{}))
 	l := EndpointsListed{Kind: policy.ListDelta, Version: 8, FromPreviousWatch: true, Endpoints: []Endpoint{
@@ -39,7 +40,7 @@
 				}
 			}
 			b.do(WatchHeartbeat{})
-			if b.none(all2(b.pass(2200 * time.Millisecond))); b.r.Counters.Watches != 1 {
+			if b.none(withoutWatch(b.pass(2200 * time.Millisecond))); b.r.Counters.Watches != 1 {
 				t.Fatal("a watch that is a little late was begun anew")
 			}
 			b.do(WatchHeartbeat{})
@@ -55,9 +56,10 @@
 	}
 }
 
-// A balancer that is given no list of before calls for one though no terminal has come: the first ones would all be refused.
+// A balancer that is given no list of before calls for one though no terminal has come: the first ones would all be
+// refused.
 func TestTheListIsAskedForBeforeTheFirstTerminal(t *testing.T) {
-	r, err := New(newBed(t, func(c *Config) { c.Policy.PollInterval = 10 * time.Second }).r.cfg)
+	r, err := New(newBed(t, func(c *Config) { c.Policy.PollInterval = 10 * time.Second }).r.config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +85,7 @@
 			}
 			back := b.now
 			b.watch()
-			b.pass(watchOpen + 2*TickInterval) // the first call hangs until it is given up
+			b.pass(unansweredLimit + 2*TickInterval) // the first call hangs until it is given up
 			b.watch()
 			if took := b.now - back; took > 4600*time.Millisecond {
 				t.Fatalf("asked within %v, seed %d: the second call after discovery was back began %v later", within, seed, took)
@@ -103,8 +105,8 @@
 	}
 }
 
-// listTrickle brings a piece of an unfinished answer every half second, for as long as given or until a call begins. It
-// fails where the call that brings them is ended.
+// listTrickle brings a piece of an unfinished answer every half second, for as long as given or until a call
+// begins. It fails where the call that brings them is ended.
 func (b *bed) listTrickle(d time.Duration) (called bool) {
 	b.t.Helper()
 	for end := b.now + d; b.now < end; {
@@ -122,7 +124,8 @@
 	return false
 }
 
-// A list may come in pieces over longer than a call may be silent: the answer to a call, and one by a watch that stands.
+// A list may come in pieces over longer than a call may be silent: the answer to a call, and one by a watch that
+// stands.
 func TestListInPiecesIsWaitedFor(t *testing.T) {
 	b := newBed(t, nil)
 	b.watch()
@@ -139,8 +142,9 @@
 	}
 }
 
-// A list without end stands for no life: the next call begins beside it while the rest of six seconds is left for the
-// answer, after any number of failures before, and again for as long as no list is whole. None of them is ended for it.
+// A list without end stands for no life: the next call begins beside it while the rest of six seconds is left for
+// the answer, after any number of failures before, and again for as long as no list is whole. None of them is ended
+// for it.
 func TestListWithoutEndIsNoLife(t *testing.T) {
 	for _, within := range []time.Duration{500 * time.Millisecond, 10 * time.Second, 2 * time.Minute} {
 		for seed := range int64(20) {
@@ -170,30 +174,30 @@
 	for _, answered := range []bool{false, true} {
 		b := newBed(t, nil)
 		b.watch()
-		quiet := watchOpen
+		quiet := unansweredLimit
 		if answered {
 			b.do(WatchHeartbeat{})
-			quiet = watchSilent
+			quiet = watchSilenceLimit
 		}
 		b.pass(300 * time.Millisecond)
 		b.do(WatchDataReceived{})
 		silent := b.now
 		b.watch()
-		if took := b.now - silent; took < quiet || took > quiet+sweepEvery+700*time.Millisecond {
+		if took := b.now - silent; took < quiet || took > quiet+checkInterval+700*time.Millisecond {
 			t.Errorf("answered %v: called again %v after the last byte", answered, took)
 		}
 	}
 }
 
-// Where the slow list is whole before the next call begins, its watch stands like any other: nobody calls beside it, and its
-// silence is minded.
+// Where the slow list is whole before the next call begins, its watch stands like any other: nobody calls beside
+// it, and its silence is minded.
 func TestSlowListInTheBackOffStands(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3} {
 		b := newBed(t, func(c *Config) { c.Seed = seed })
 		b.watch()
-		for b.r.watching {
+		for b.r.watch.open {
 			b.do(WatchDataReceived{})
-			b.pass(sweepEvery)
+			b.pass(checkInterval)
 		}
 		if seed == 2 {
 			b.do(WatchHeartbeat{})
@@ -211,9 +215,9 @@
 	}
 }
 
-// A watch that follows another is asked from the version held when its call began. What the earlier one has brought since
-// is newer than what the answer begins with: a server that drains again must not be used for as long as the answer's rest
-// is under way.
+// A watch that follows another is asked from the version held when its call began. What the earlier one has brought
+// since is newer than what the answer begins with: a server that drains again must not be used for as long as the
+// answer's rest is under way.
 func TestAnswerThatWasOvertaken(t *testing.T) {
 	former := func(b *bed, seq int64, state policy.ServerState) {
 		b.do(EndpointsListed{Kind: policy.ListDelta, Version: seq, FromPreviousWatch: true, Endpoints: []Endpoint{
@@ -227,7 +231,8 @@
 		"as held":    func(b *bed) { b.list(policy.ListDelta, 9, policy.Draining, "r1") },
 		"former": func(b *bed) {
 			b.do(EndpointsListed{Kind: policy.ListFull, Version: 8, FromPreviousWatch: true, Endpoints: []Endpoint{
-				{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1}}, {Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1}}}})
+				{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1}},
+				{Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1}}}})
 			b.do(WatchHeartbeat{})
 		},
 	} {
@@ -235,7 +240,7 @@
 			b := newBed(t, nil)
 			b.watch()
 			b.do(WatchHeartbeat{})
-			cfg := b.r.cfg
+			cfg := b.r.config
 			find[Watch](b, b.do(ConfigChanged{Config: cfg, DiscoveryMoved: true}))
 			b.do(WatchClosed{}) // the module waits for the answer to the next one
 			if w := b.watch(); w.Version != 7 {
@@ -255,14 +260,15 @@
 				}
 			}
 			b.list(policy.ListDelta, 10, policy.Live, "r1")
-			if b.r.regions["r1"].State != policy.Live {
+			if b.r.endpoints.byID["r1"].State != policy.Live {
 				t.Fatal("version 10 isn't believed")
 			}
 		})
 	}
 }
 
-// A discovery that was set up anew counts from the beginning: what it says is believed, though its versions are lower.
+// A discovery that was set up anew counts from the beginning: what it says is believed, though its versions are
+// lower.
 func TestVersionsThatBeginAnew(t *testing.T) {
 	for _, kind := range []policy.ListKind{policy.ListDelta, policy.ListFull} {
 		b := newBed(t, nil)
@@ -272,11 +278,11 @@
 			t.Fatal(w)
 		}
 		b.list(kind, 2, policy.Draining, "r1", "r2")
-		if b.r.regions["r1"].State != policy.Draining {
+		if b.r.endpoints.byID["r1"].State != policy.Draining {
 			t.Fatal("news of a lower version were passed over")
 		}
-		if b.list(policy.ListFull, 3, policy.Draining, "r1"); b.r.seq != 3 || b.r.regions["r2"] != nil {
-			t.Fatal("a whole list of a lower version was passed over", b.r.seq)
+		if b.list(policy.ListFull, 3, policy.Draining, "r1"); b.r.endpoints.version != 3 || b.r.endpoints.byID["r2"] != nil {
+			t.Fatal("a whole list of a lower version was passed over", b.r.endpoints.version)
 		}
 	}
 }
@@ -292,14 +298,21 @@
 		b.list(policy.ListDelta, 8, policy.Draining, "r1")
 		b.list(policy.ListFull, 8, policy.Live, "r2", "r3")
 	}
-	if len(b.r.regions) != 2 || b.r.seq != 8 {
-		t.Fatal(b.r.regions)
+	if len(b.r.endpoints.byID) != 2 || b.r.endpoints.version != 8 {
+		t.Fatal(b.r.endpoints.byID)
 	}
 	client := Handle(0)
 	for _, kind := range []policy.ListKind{policy.ListDelta, policy.ListFull} {
-		for _, x := range []struct{ first, last policy.ServerState }{{policy.Live, policy.Draining}, {policy.Draining, policy.Live},
-			{policy.Gone, policy.Live}, {policy.Live, policy.Gone}, {policy.Gone, policy.Draining}} {
-			b.do(EndpointsListed{Kind: kind, Version: 9, Endpoints: []Endpoint{server("r2", policy.Draining), server("r3", x.first), server("r3", x.last)}})
+		for _, x := range []struct{ first, last policy.ServerState }{
+			{policy.Live, policy.Draining}, {policy.Draining, policy.Live}, {policy.Gone, policy.Live},
+			{policy.Live, policy.Gone}, {policy.Gone, policy.Draining}} {
+			b.do(
+				EndpointsListed{
+					Kind:      kind,
+					Version:   9,
+					Endpoints: []Endpoint{server("r2", policy.Draining), server("r3", x.first), server("r3", x.last)},
+				},
+			)
 			client++
 			effects := b.open(client, time.Second)
 			if sent := len(all[Dial](effects)) > 0; sent != (x.last == policy.Live) {
@@ -315,9 +328,11 @@
 	b := newBed(t, nil)
 	b.watch()
 	b.do(EndpointsListed{Kind: policy.ListFull, Version: 8, Malformed: []string{"r1", "never listed"},
-		Endpoints: []Endpoint{{Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1, State: policy.Draining}}}})
-	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Server != "r1" || len(b.r.regions) != 2 {
-		t.Fatal(d, b.r.regions)
+		Endpoints: []Endpoint{
+			{Address: "r2:1", Server: policy.Server{ID: "r2", Zone: "a", Weight: 1, State: policy.Draining}},
+		}})
+	if d := find[Dial](b, b.open(1, 2*time.Second)); d.Server != "r1" || len(b.r.endpoints.byID) != 2 {
+		t.Fatal(d, b.r.endpoints.byID)
 	}
 }
 
@@ -328,7 +343,7 @@
 	b.watch()
 	b.do(EndpointsListed{Kind: policy.ListDelta, Version: 8, Endpoints: []Endpoint{
 		{Address: "r1:1", Server: policy.Server{ID: "r1", Zone: "a", Weight: 1, StartedAt: b.now + 24*time.Hour}}}})
-	if at := b.r.regions["r1"].StartedAt; at != b.now {
+	if at := b.r.endpoints.byID["r1"].StartedAt; at != b.now {
 		t.Fatal("started", at-b.now, "from now")
 	}
 }
--- a/internal/net/idle_test.go
+++ b/internal/net/idle_test.go
@@ -116,7 +116,7 @@
 // the connection, and the answer might be lost with it. So for both reasons to send it off, and also in pieces.
 func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
 	for answer, sendOff := range map[string]func(s *Server, x *terminal){
-		"BUSY\r\n": func(s *Server, x *terminal) { s.step(core.DescriptorsShort{Missing: 1}) },
+		"BUSY\r\n": func(s *Server, x *terminal) { s.step(core.DescriptorsScarce{Missing: 1}) },
 		"ERR\r\n":  func(s *Server, x *terminal) { s.step(core.InvalidRequest{Client: x.handle}) },
 	} {
 		p := start(t, "")
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -71,7 +71,7 @@
 	s.peers.Set(peers.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
 	s.peers.Set(peers.LoadKey, fmt.Append(nil, s.core.OpenRequests()-s.core.Unanswered(), " ", s.core.Unanswered()), life)
 	s.peers.Set(peers.DrainKey, fmt.Append(nil, drain), life)
-	readings, tells := s.core.Readings(), func(string) bool { return true }
+	readings, tells := s.core.LoadReadings(), func(string) bool { return true }
 	if s.together != nil && !drain { // who leaves takes nothing on, and this may be said within a step
 		tells = s.actTogether(now, readings)
 	}
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -479,7 +479,7 @@
 			grace = endSooner
 		}
 	} else if over := s.basic().Crowded(int(s.sockets.Load()) - len(s.finishing)); over > 0 {
-		s.step(core.DescriptorsShort{Missing: over})
+		s.step(core.DescriptorsScarce{Missing: over})
 		grace = endSooner
 	}
 	s.closeFinishing(now, grace)
