--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -9,7 +9,7 @@
 	"os"
 	"runtime/debug"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/wire"
 	"oatloft/policy"
 )
@@ -23,7 +23,7 @@
 }
 
 // broken is the end of the exchange with the bench.
-type broken struct{ advice.Words }
+type broken struct{ hint.Annotated }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
@@ -36,14 +36,14 @@
 			return nil
 		}
 		if err != nil {
-			return &broken{advice.Words{What: "reading", Cause: err, Do: "see which program is at the other end"}}
+			return &broken{hint.Annotated{What: "reading", Cause: err, Do: "see which program is at the other end"}}
 		}
 		for _, e := range batch.Events {
 			switch what := e.What.(type) {
 			case *wire.Start:
 				b, err := policy.New(what.Config, what.Seed)
 				if err != nil {
-					return &broken{advice.Words{What: fmt.Sprintf("starting instance %d", e.Instance), Cause: err, Do: "see the settings that it was given"}}
+					return &broken{hint.Annotated{What: fmt.Sprintf("starting instance %d", e.Instance), Cause: err, Do: "see the settings that it was given"}}
 				}
 				instances[e.Instance] = b
 			case wire.Stop:
@@ -60,7 +60,7 @@
 			}
 		}
 		if err := w.Flush(); err != nil {
-			return &broken{advice.Words{What: "writing", Cause: err, Do: "see which program is at the other end"}}
+			return &broken{hint.Annotated{What: "writing", Cause: err, Do: "see which program is at the other end"}}
 		}
 	}
 }
--- a/cmd/oatctl/main.go
+++ b/cmd/oatctl/main.go
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/google/renameio/v2"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/edgecue"
+	"oatloft/internal/edgeconfigcue"
+	"oatloft/internal/hint"
 )
 
 type flags struct {
@@ -34,7 +34,7 @@
 }
 
 func (c *check) Run() error {
-	if _, err := edgecue.Compile(c.File); err != nil {
+	if _, err := edgeconfigcue.Compile(c.File); err != nil {
 		return err
 	}
 	fmt.Println(c.File + ": sound")
@@ -47,18 +47,18 @@
 }
 
 func (c *compile) Run() error {
-	body, err := edgecue.Compile(c.File)
+	body, err := edgeconfigcue.Compile(c.File)
 	if err != nil {
 		return err
 	}
 	if err := c.write(body); err != nil {
-		return &unwritten{advice.Words{What: "not written", Cause: err, Do: "see that the folder of --out is there and can be written"}}
+		return &unwritten{hint.Annotated{What: "not written", Cause: err, Do: "see that the folder of --out is there and can be written"}}
 	}
 	return nil
 }
 
 // unwritten is that the compiled settings couldn't be put in place. The file that was there stays.
-type unwritten struct{ advice.Words }
+type unwritten struct{ hint.Annotated }
 
 func (c *compile) write(body []byte) (err error) {
 	if c.Out == "" {
@@ -74,7 +74,7 @@
 }
 
 func (s *show) Run() error {
-	text, err := edgecue.Show(s.File)
+	text, err := edgeconfigcue.Show(s.File)
 	if err == nil {
 		_, err = os.Stdout.Write(text)
 	}
@@ -84,7 +84,7 @@
 func main() {
 	ctx := kong.Parse(&flags{}, kong.Name("oatctl"), kong.Description("Checks and compiles what oatloft balancers run on, and calls them."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, advice.Line(err))
+		fmt.Fprintln(os.Stderr, hint.Line(err))
 		os.Exit(1)
 	}
 }
--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -48,8 +48,8 @@
 	return e.text
 }
 
-// Advice is what an operator can do.
-func (e *refused) Advice() string {
+// Hint is what an operator can do.
+func (e *refused) Hint() string {
 	if e.do == "" {
 		return "see docs/operators/errors.md"
 	}
@@ -77,8 +77,8 @@
 	return "not known what became of " + e.key + ": " + e.last.Error()
 }
 
-// Advice is what an operator can do.
-func (e *unanswered) Advice() string {
+// Hint is what an operator can do.
+func (e *unanswered) Hint() string {
 	if e.key == "" {
 		return "name another balancer by --at; oatctl revision status tells whether most of the voters are there"
 	}
@@ -250,8 +250,8 @@
 	return fmt.Sprintf("revision %d did not stand its watch: %d is in force", e.number, e.now)
 }
 
-// Advice is what an operator can do.
-func (e *takenBack) Advice() string {
+// Hint is what an operator can do.
+func (e *takenBack) Hint() string {
 	return fmt.Sprintf("see oatctl revision list for why, and oatctl revision diff %d %d for what it had changed", e.now, e.number)
 }
 
--- a/cmd/oatctl/revision_test.go
+++ b/cmd/oatctl/revision_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
@@ -33,7 +33,7 @@
 	in := len(b.texts) - 1
 	switch {
 	case err != nil:
-		return "-ERR " + advice.Line(err)
+		return "-ERR " + hint.Line(err)
 	case b.later > 0:
 		b.later--
 		return "-ERR " + revision.LaterText + "nobody leads; do: wait"
@@ -121,8 +121,8 @@
 	}
 	r := rollback{change: change{ats: at, For: time.Minute, From: new(uint64)}, Number: 0}
 	err := r.Run()
-	if err == nil || !strings.Contains(err.Error(), "revision 1 is in force, not 0") || advice.Of(err) != "see what has changed" || len(b.made()) != 2 {
-		t.Fatal(advice.Line(err), b.made())
+	if err == nil || !strings.Contains(err.Error(), "revision 1 is in force, not 0") || hint.Of(err) != "see what has changed" || len(b.made()) != 2 {
+		t.Fatal(hint.Line(err), b.made())
 	}
 	*r.From = 1
 	b.with(func() { b.lose = 1 })
@@ -154,22 +154,22 @@
 	p := propose{change: change{ats: at, For: time.Minute}, File: file}
 	err := p.Run()
 	var no *refused
-	if !errors.As(err, &no) || !strings.HasPrefix(err.Error(), file+":2:12: k ended nowhere, for b2") || advice.Of(err) != "take it out" {
-		t.Fatal(advice.Line(err))
+	if !errors.As(err, &no) || !strings.HasPrefix(err.Error(), file+":2:12: k ended nowhere, for b2") || hint.Of(err) != "take it out" {
+		t.Fatal(hint.Line(err))
 	}
 	p.For = 1
 	b.with(func() { b.later = 1000 })
 	var open *unanswered
-	if err := p.Run(); !errors.As(err, &open) || open.key == "" || !strings.Contains(advice.Of(err), "--key "+open.key) {
-		t.Fatal(advice.Line(err))
+	if err := p.Run(); !errors.As(err, &open) || open.key == "" || !strings.Contains(hint.Of(err), "--key "+open.key) {
+		t.Fatal(hint.Line(err))
 	}
 	p.Check, p.At = true, nil
 	if err := p.Run(); err != nil {
 		t.Fatal(err)
 	}
 	p.Check = false
-	if err := p.Run(); err == nil || !strings.Contains(advice.Of(err), "PROXY_MANAGEMENT") {
-		t.Fatal(advice.Line(err))
+	if err := p.Run(); err == nil || !strings.Contains(hint.Of(err), "PROXY_MANAGEMENT") {
+		t.Fatal(hint.Line(err))
 	}
 }
 
@@ -184,7 +184,7 @@
 	b.with(func() { b.status = "here=3 phase=AtWork in-force=3 watch=none history=0..3" })
 	p.Key = "another"
 	var back *takenBack
-	if err := p.Run(); !errors.As(err, &back) || back.number != 2 || back.now != 3 || advice.Of(err) == "" {
+	if err := p.Run(); !errors.As(err, &back) || back.number != 2 || back.now != 3 || hint.Of(err) == "" {
 		t.Fatal(err)
 	}
 }
--- a/cmd/oatlab/admission.go
+++ b/cmd/oatlab/admission.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/edgecue"
-	"oatloft/internal/standin"
+	"oatloft/internal/edgeconfigcue"
+	"oatloft/internal/fake"
+	"oatloft/internal/hint"
 )
 
 // admissionTable prints the table of docs/operators/admission.md.
@@ -39,7 +39,7 @@
 // noise is a process of its own, on one core, so that it takes no time from the good terminals and the regions.
 type noise struct {
 	Addr      string        `arg:"" help:"The balancer's host:port, on loopback."`
-	Kind      standin.Noise `help:"What the noisy do." required:""`
+	Kind      fake.Noise    `help:"What the noisy do." required:""`
 	Loops     int           `default:"64"`
 	Addresses int           `default:"1"`
 	Most      time.Duration `help:"It ends by itself then." default:"60s"`
@@ -47,10 +47,10 @@
 
 func (n *noise) Run() error {
 	if host, _, err := net.SplitHostPort(n.Addr); err != nil || !net.ParseIP(host).IsLoopback() {
-		return &unfit{advice.Words{Where: n.Addr, What: "noise is for loopback only", Do: "give an address such as 127.0.0.1:9000"}}
+		return &unfit{hint.Annotated{Where: n.Addr, What: "noise is for loopback only", Do: "give an address such as 127.0.0.1:9000"}}
 	}
 	runtime.GOMAXPROCS(1)
-	w, err := standin.New(0)
+	w, err := fake.New(0)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 
 // startNoise runs noise until stop is called, which tells what it did.
 func startNoise(addr string, r row, loops int) (stop func() (opened, refused, got int64), err error) {
-	if r.kind == standin.Quiet {
+	if r.kind == fake.Quiet {
 		return func() (int64, int64, int64) { return 0, 0, 0 }, nil
 	}
 	self, err := os.Executable()
@@ -100,28 +100,28 @@
 
 type row struct {
 	name      string
-	kind      standin.Noise
+	kind      fake.Noise
 	addresses int
 	known     bool // the good terminals have stood before
 }
 
 func (a *admissionTable) Run() error {
 	rows := []row{
-		{"none", standin.Quiet, 1, false},
-		{"one opens and closes", standin.OpenClose, 1, false},
-		{"one opens and says nothing", standin.OpenSilent, 1, false},
-		{"one sends lines without an end", standin.OpenBytes, 1, false},
-		{"one opens and keeps what it gets", standin.OpenKeep, 1, false},
-		{"one asks, takes its answer and ends", standin.OpenAsk, 1, false},
-		{"250 open and say nothing", standin.OpenSilent, 250, true},
-		{"250 open and keep what they get", standin.OpenKeep, 250, true},
+		{"none", fake.Quiet, 1, false},
+		{"one opens and closes", fake.OpenClose, 1, false},
+		{"one opens and says nothing", fake.OpenSilent, 1, false},
+		{"one sends lines without an end", fake.OpenBytes, 1, false},
+		{"one opens and keeps what it gets", fake.OpenKeep, 1, false},
+		{"one asks, takes its answer and ends", fake.OpenAsk, 1, false},
+		{"250 open and say nothing", fake.OpenSilent, 250, true},
+		{"250 open and keep what they get", fake.OpenKeep, 250, true},
 	}
 	dir, err := os.MkdirTemp("", "oatlab-*")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	body, err := edgecue.Compile(a.Edge)
+	body, err := edgeconfigcue.Compile(a.Edge)
 	if err != nil {
 		return err
 	}
@@ -154,12 +154,12 @@
 }
 
 func (a *admissionTable) measure(dir, edge string, descriptors int, on bool, r row) error {
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		return err
 	}
 	defer w.Close()
-	config, addr, err := w.WriteConfig(dir, "n1", "127.8.2.1", standin.Options{Sockets: descriptors, MemoryMB: a.Memory})
+	config, addr, err := w.WriteConfig(dir, "n1", "127.8.2.1", fake.Options{Sockets: descriptors, MemoryMB: a.Memory})
 	if err != nil {
 		return err
 	}
@@ -167,11 +167,11 @@
 	if on {
 		args, state = append(args, "--edge", edge), "on"
 	}
-	p, err := w.Start(standin.Launch{Binary: a.Balancer, Config: config, Addr: addr, Descriptors: descriptors, Args: args})
+	p, err := w.Start(fake.Launch{Binary: a.Balancer, Config: config, Addr: addr, Descriptors: descriptors, Args: args})
 	if err != nil {
 		return err
 	}
-	good := standin.Customers(a.Good)
+	good := fake.Customers(a.Good)
 	if r.known {
 		// No faster than they all fit in: everybody has stood once before.
 		w.Serve(good, 0.7*float64(descriptors)/4/0.6, 600*time.Millisecond, addr)
@@ -211,10 +211,10 @@
 	fmt.Printf("| %d | %s | %s | %d of %d | %.1f ms | %.1f ms | %s | %d, %d, %d | %.0f%% | %d MB | %s |\n", descriptors, state, r.name, g.Served, g.Asked,
 		float64(g.Quantile(50))/1e6, float64(g.Quantile(99))/1e6, strings.Join(others, ", "), opened, refused, got, 100*busy, most>>10, rules)
 	if err := p.Over(0); !a.Counters && (err == nil || !strings.Contains(err.Error(), "running")) {
-		return &failed{advice.Words{Where: r.name, What: "the balancer ended\n" + p.Log(), Cause: err, Do: lookAt}}
+		return &failed{hint.Annotated{Where: r.name, What: "the balancer ended\n" + p.Log(), Cause: err, Do: lookAt}}
 	}
 	if verdict != "" {
-		return &failed{advice.Words{Where: r.name, What: "a rule was broken", Do: lookAt}}
+		return &failed{hint.Annotated{Where: r.name, What: "a rule was broken", Do: lookAt}}
 	}
 	return nil
 }
--- a/cmd/oatlab/cost.go
+++ b/cmd/oatlab/cost.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/standin"
+	"oatloft/internal/fake"
+	"oatloft/internal/hint"
 )
 
 // cost measures what a balancer costs while nothing is wrong: idle memory, the time of a line, of a set-up, and of the
@@ -69,7 +69,7 @@
 }
 
 func (c *cost) once(binary string, args []string) (x costs, err error) {
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		return x, err
 	}
@@ -79,11 +79,11 @@
 		return x, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	config, addr, err := w.WriteConfig(dir, "n1", "127.8.2.1", standin.Options{Sockets: 512, MemoryMB: 64})
+	config, addr, err := w.WriteConfig(dir, "n1", "127.8.2.1", fake.Options{Sockets: 512, MemoryMB: 64})
 	if err != nil {
 		return x, err
 	}
-	p, err := w.Start(standin.Launch{Binary: binary, Config: config, Addr: addr, Args: args})
+	p, err := w.Start(fake.Launch{Binary: binary, Config: config, Addr: addr, Args: args})
 	if err != nil {
 		return x, err
 	}
@@ -95,8 +95,8 @@
 		return x, err
 	}
 	defer t.Close()
-	if a := t.Open(standin.Ask{Key: "cost"}); a.What != "UP" {
-		return x, &failed{advice.Words{What: fmt.Sprintf("not served: %+v", a), Do: lookAt}}
+	if a := t.Open(fake.Ask{Key: "cost"}); a.What != "UP" {
+		return x, &failed{hint.Annotated{What: fmt.Sprintf("not served: %+v", a), Do: lookAt}}
 	}
 	times := make([]time.Duration, 0, c.Lines)
 	before := p.CPU()
@@ -115,10 +115,10 @@
 		if err != nil {
 			return x, err
 		}
-		a := t.Open(standin.Ask{Key: fmt.Sprint("setup", i)})
+		a := t.Open(fake.Ask{Key: fmt.Sprint("setup", i)})
 		t.Close()
 		if a.What != "UP" {
-			return x, &failed{advice.Words{What: fmt.Sprintf("set-up %d: %+v", i, a), Do: lookAt}}
+			return x, &failed{hint.Annotated{What: fmt.Sprintf("set-up %d: %+v", i, a), Do: lookAt}}
 		}
 		times = append(times, a.Took)
 	}
@@ -132,7 +132,7 @@
 }
 
 // pour is what comes back to terminals that send as fast as they can, in MB a second.
-func (c *cost) pour(w *standin.World, addr string) (float64, error) {
+func (c *cost) pour(w *fake.World, addr string) (float64, error) {
 	const terminals, piece = 4, 32 << 10
 	if c.Bulk <= 0 {
 		return 0, nil
@@ -147,8 +147,8 @@
 		if err != nil {
 			return 0, err
 		}
-		if a := t.Open(standin.Ask{Key: fmt.Sprint("pour", i)}); a.What != "UP" {
-			return 0, &failed{advice.Words{What: fmt.Sprintf("bulk terminal %d: %+v", i, a), Do: lookAt}}
+		if a := t.Open(fake.Ask{Key: fmt.Sprint("pour", i)}); a.What != "UP" {
+			return 0, &failed{hint.Annotated{What: fmt.Sprintf("bulk terminal %d: %+v", i, a), Do: lookAt}}
 		}
 		all.Go(func() { _ = t.Pour(piece, 0, stop, func(n int) { sum.Add(int64(n)) }); t.Break() })
 	}
--- a/cmd/oatlab/crowd.go
+++ b/cmd/oatlab/crowd.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/crowd"
+	"oatloft/internal/hint"
+	"oatloft/internal/simulation"
 )
 
 // crowdCmd steps many balancers' modules side by side, each alone, with each of the means of acting together, and with all.
@@ -37,9 +37,9 @@
 func (c *crowdCmd) drawn() error {
 	fmt.Println("| seed | served | by who sees all, late | part | placed | refused | failed | late | attempts a placement | probes | cold regions fallen | broken |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var all []crowd.Played
+	var all []simulation.Played
 	broken, total := 0, 0.0
-	err := crowd.PlayMany(int(c.Seed), c.Drawn, func(p crowd.Played) {
+	err := simulation.PlayMany(int(c.Seed), c.Drawn, func(p simulation.Played) {
 		j := &p.Own
 		broke := p.Broke()
 		fmt.Printf("| %d | %.3f | %.3f | %.2f | %d | %d | %d | %d | %.2f | %d | %d | %s |\n", p.D.Seed, j.Score(), p.Seer.Score(), p.Share(), j.Placed, j.Refused, j.Failed, j.Late,
@@ -51,23 +51,23 @@
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(all, func(a, b crowd.Played) int { return cmp.Compare(a.Share(), b.Share()) })
+	slices.SortStableFunc(all, func(a, b simulation.Played) int { return cmp.Compare(a.Share(), b.Share()) })
 	fmt.Printf("\n%d deployments, mean part %.3f, median %.3f; a rule broke in %d.\n\n| worst | part | lost here, and not by who sees all | deployment | first faults |\n| --- | --- | --- | --- | --- |\n",
 		len(all), total/float64(len(all)), all[len(all)/2].Share(), broken)
 	for i, p := range all {
 		if i < (len(all)+9)/10 || p.Own.Broken() > 0 {
-			fmt.Printf("| %d | %.2f | %s | %s | %s |\n", p.D.Seed, p.Share(), p.Causes(), crowd.Describe(p.D), strings.Join(p.Own.First, "; "))
+			fmt.Printf("| %d | %.2f | %s | %s | %s |\n", p.D.Seed, p.Share(), p.Causes(), simulation.Describe(p.D), strings.Join(p.Own.First, "; "))
 		}
 	}
 	if broken > 0 {
-		return &failed{advice.Words{What: fmt.Sprintf("a rule broke in %d of %d deployments", broken, len(all)), Do: lookAt}}
+		return &failed{hint.Annotated{What: fmt.Sprintf("a rule broke in %d of %d deployments", broken, len(all)), Do: lookAt}}
 	}
 	return nil
 }
 
 func (c *crowdCmd) Run() error {
 	if c.Subset < 1 || c.Subset > 128 || c.Load <= 0 || c.Load > 2 || c.Slow < 0 || c.Slow >= 1 || c.Lag < 0 {
-		return &unfit{advice.Words{What: "--subset has to be 1 to 128, --load above 0 and up to 2, --slow 0 to 1, --lag not negative", Do: "set the flags within these"}}
+		return &unfit{hint.Annotated{What: "--subset has to be 1 to 128, --load above 0 and up to 2, --slow 0 to 1, --lag not negative", Do: "set the flags within these"}}
 	}
 	if c.Drawn > 0 {
 		return c.drawn()
@@ -86,14 +86,14 @@
 	lines := map[string]plotter.XYs{}
 	for _, regions := range c.Regions {
 		for _, n := range c.Balancers {
-			for _, m := range crowd.Means(c.Subset) {
+			for _, m := range simulation.Means(c.Subset) {
 				if !wanted(m.Name) {
 					continue
 				}
-				set := crowd.Default(n, regions, c.Seed)
+				set := simulation.Default(n, regions, c.Seed)
 				set.Load, set.Skew, set.Lag, set.Slow = c.Load, c.Skew, c.Lag, c.Slow
 				m.With(&set)
-				r, err := crowd.Play(set)
+				r, err := simulation.Play(set)
 				if err != nil {
 					return err
 				}
@@ -117,7 +117,7 @@
 		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 		var args []any
-		for _, m := range crowd.Means(c.Subset) {
+		for _, m := range simulation.Means(c.Subset) {
 			if list := lines[fmt.Sprintf("%s, %d regions", m.Name, regions)]; len(list) > 1 {
 				args = append(args, m.Name, list)
 			}
--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -11,8 +11,8 @@
 	"github.com/charmbracelet/lipgloss"
 	"golang.org/x/term"
 
-	"oatloft/internal/advice"
 	"oatloft/internal/faultinjection"
+	"oatloft/internal/hint"
 )
 
 // demo shows a newcomer what the balancers do: three of them, six stand-in regions, terminals that come and go. Keys, or
@@ -35,14 +35,14 @@
 		return err
 	}
 	if _, err := os.Stat(binary); err != nil {
-		return &unfit{advice.Words{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
+		return &unfit{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd()))
 	if c.Seconds == 0 && !live {
 		c.Seconds = 20
 	}
 	if !(c.Seconds >= 0 && c.Seconds <= 600) {
-		return &unfit{advice.Words{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
+		return &unfit{hint.Annotated{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
 	}
 	s := &faultinjection.Schedule{Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1)}
 	w, err := faultinjection.Open(s, faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
@@ -59,7 +59,7 @@
 		return err
 	}
 	if broken := w.Judge(); len(broken) > 0 {
-		return &failed{advice.Words{What: "a rule broke: " + broken[0], Do: lookAt}}
+		return &failed{hint.Annotated{What: "a rule broke: " + broken[0], Do: lookAt}}
 	}
 	fmt.Println("all rules kept")
 	return nil
--- a/cmd/oatlab/faults.go
+++ b/cmd/oatlab/faults.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/faultinjection"
+	"oatloft/internal/hint"
 )
 
 // faultsCmd puts faults between several processes of the balancer, by schedules drawn from seeds or read from a file.
@@ -54,18 +54,18 @@
 func (c *faultsCmd) Run() error {
 	silent, err := time.ParseDuration(c.Silent)
 	if err != nil {
-		return &unfit{advice.Words{Where: "--silent", What: fmt.Sprintf("%q is no time", c.Silent), Do: "write it as 1.5s"}}
+		return &unfit{hint.Annotated{Where: "--silent", What: fmt.Sprintf("%q is no time", c.Silent), Do: "write it as 1.5s"}}
 	}
 	if c.lease, err = time.ParseDuration(c.Lease); err != nil || c.lease < 100*time.Millisecond {
-		return &unfit{advice.Words{Where: "--lease", What: fmt.Sprintf("%q is no time of 100ms or more", c.Lease), Do: "write it as 2s"}}
+		return &unfit{hint.Annotated{Where: "--lease", What: fmt.Sprintf("%q is no time of 100ms or more", c.Lease), Do: "write it as 2s"}}
 	}
 	planned := c.Changes > 0 || c.Rollbacks > 0 || c.Before > 0
 	c.Revisions = c.Revisions || c.Links || planned
 	if c.Seeds < 1 || c.Jobs < 1 || c.Jobs > 16 || c.Seeds > 10000 {
-		return &unfit{advice.Words{What: "--seeds has to be 1 to 10000, --jobs 1 to 16", Do: "set the flags within these"}}
+		return &unfit{hint.Annotated{What: "--seeds has to be 1 to 10000, --jobs 1 to 16", Do: "set the flags within these"}}
 	}
 	if c.OnCut == "both" && !planned {
-		return &unfit{advice.Words{Where: "--on-cut", What: "both goes with --changes", Do: "add --changes N, or name one of the two"}}
+		return &unfit{hint.Annotated{Where: "--on-cut", What: "both goes with --changes", Do: "add --changes N, or name one of the two"}}
 	}
 	var fixed *faultinjection.Schedule
 	if c.Schedule != "" {
@@ -78,7 +78,7 @@
 		return err
 	}
 	if _, err := os.Stat(binary); err != nil {
-		return &unfit{advice.Words{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
+		return &unfit{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
 	if c.Defects != "" {
 		return c.find(silent)
@@ -176,9 +176,9 @@
 	fmt.Printf("FAULTS seeds=%d broken=%d void=%d plays=%d\n", c.Seeds, broken, void, plays)
 	switch {
 	case broken > 0:
-		return &failed{advice.Words{What: fmt.Sprintf("%d of %d fault runs broke something", broken, c.Seeds), Do: lookAt}}
+		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs broke something", broken, c.Seeds), Do: lookAt}}
 	case void > 0:
-		return &failed{advice.Words{What: fmt.Sprintf("%d of %d fault runs show nothing: the machine had no processor to give", void, c.Seeds),
+		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs show nothing: the machine had no processor to give", void, c.Seeds),
 			Do: "play them again, or with fewer --jobs"}}
 	}
 	return nil
@@ -212,12 +212,12 @@
 		seeds int
 		what  string
 	}
-	list := defects.All
+	list := failpoint.All
 	if c.Only != "" {
 		names := strings.Split(c.Only, ",")
-		list = slices.DeleteFunc(slices.Clone(list), func(d defects.Defect) bool { return !slices.Contains(names, d.Name) })
+		list = slices.DeleteFunc(slices.Clone(list), func(d failpoint.Defect) bool { return !slices.Contains(names, d.Name) })
 		if len(list) != len(names) {
-			return &unfit{advice.Words{Where: "--only", What: fmt.Sprintf("%d of these %d defects are known", len(list), len(names)), Do: "take names from the table in docs/design/faultinjection.md"}}
+			return &unfit{hint.Annotated{Where: "--only", What: fmt.Sprintf("%d of these %d defects are known", len(list), len(names)), Do: "take names from the table in docs/design/faultinjection.md"}}
 		}
 	}
 	results := make([]found, len(list))
@@ -261,7 +261,7 @@
 		fmt.Printf("| %s | %s | %s | %d | %s |\n", d.Name, d.Breaks, d.FoundBy, r.seeds, first)
 	}
 	if missed > 0 {
-		return &failed{advice.Words{What: fmt.Sprintf("%d defects were not found", missed), Do: "give more --seeds; if they stay hidden, a check is missing"}}
+		return &failed{hint.Annotated{What: fmt.Sprintf("%d defects were not found", missed), Do: "give more --seeds; if they stay hidden, a check is missing"}}
 	}
 	return nil
 }
@@ -270,7 +270,7 @@
 func (c *faultsCmd) change(binary string, silent time.Duration) error {
 	within, err := time.ParseDuration(c.Within)
 	if err != nil || within <= 0 {
-		return &unfit{advice.Words{Where: "--within", What: fmt.Sprintf("%q is no time", c.Within), Do: "write it as 10s"}}
+		return &unfit{hint.Annotated{Where: "--within", What: fmt.Sprintf("%q is no time", c.Within), Do: "write it as 10s"}}
 	}
 	cuts := map[string][]string{"both": {"refuse", "hold"}, "drawn": {"refuse"}}[c.OnCut]
 	if cuts == nil {
@@ -345,7 +345,7 @@
 	}
 	fmt.Printf("CHANGES runs=%d broken=%d\n", len(runs), broken)
 	if broken > 0 {
-		return &failed{advice.Words{What: fmt.Sprintf("%d of %d runs broke something:\n%s", broken, len(runs), strings.Join(why, "\n")), Do: lookAt}}
+		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d runs broke something:\n%s", broken, len(runs), strings.Join(why, "\n")), Do: lookAt}}
 	}
 	return nil
 }
--- a/cmd/oatlab/fleet.go
+++ b/cmd/oatlab/fleet.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // fleet counts over the traces of many balancers at once (serve --log-level debug, one file each): what is harmless
@@ -141,11 +141,11 @@
 		err = c.read(in)
 		_ = in.Close()
 		if err != nil {
-			return &failed{advice.Words{Where: name, Cause: err, Do: "give whole files, as serve --log-level debug writes them"}}
+			return &failed{hint.Annotated{Where: name, Cause: err, Do: "give whole files, as serve --log-level debug writes them"}}
 		}
 	}
 	if c.first < 0 {
-		return &failed{advice.Words{Where: f.Logs, What: fmt.Sprintf("no trace in %d files", len(files)), Do: "run the balancers with --log-level debug"}}
+		return &failed{hint.Annotated{Where: f.Logs, What: fmt.Sprintf("no trace in %d files", len(files)), Do: "run the balancers with --log-level debug"}}
 	}
 	c.print(os.Stdout, len(files), f.Region)
 	if f.Why {
--- a/cmd/oatlab/main.go
+++ b/cmd/oatlab/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 type flags struct {
@@ -37,10 +37,10 @@
 }
 
 // unfit is a flag that can't work.
-type unfit struct{ advice.Words }
+type unfit struct{ hint.Annotated }
 
 // failed is a run that didn't come to its end, or found something broken.
-type failed struct{ advice.Words }
+type failed struct{ hint.Annotated }
 
 const lookAt = "look into what is printed above; the same seed plays it again"
 
@@ -49,7 +49,7 @@
 	ctx := kong.Parse(&flags{}, kong.Name("oatlab"),
 		kong.Description("Load, failures and measurements for oatloft, on loopback."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "oatlab:", advice.Line(err))
+		fmt.Fprintln(os.Stderr, "oatlab:", hint.Line(err))
 		os.Exit(1)
 	}
 }
--- a/cmd/oatlab/peers.go
+++ b/cmd/oatlab/peers.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/peers"
-	"oatloft/internal/peers/stepped"
+	"oatloft/internal/hint"
+	"oatloft/internal/membership"
+	"oatloft/internal/membership/stepped"
 )
 
-// peersTable measures internal/peers in stepped time: how long a death takes to be known, who is held gone though alive,
+// peersTable measures internal/membership in stepped time: how long a death takes to be known, who is held gone though alive,
 // and what it all sends.
 type peersTable struct {
 	Members []int         `default:"5,50,200" help:"Numbers of members."`
@@ -40,11 +40,11 @@
 		return err
 	}
 	if _, missing := w.Settle(40 * c.Silent); missing != "" {
-		return &failed{advice.Words{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: lookAt}}
+		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: lookAt}}
 	}
 	suspicions, wrong := 0, 0
-	w.Changes = func(_ *stepped.Node, e peers.Changed) {
-		if e.State == peers.Gone {
+	w.Changes = func(_ *stepped.Node, e membership.Changed) {
+		if e.State == membership.Gone {
 			wrong++
 		}
 	}
@@ -88,13 +88,13 @@
 	known := ""
 	for k := range c.Deaths {
 		if took, missing := w.Settle(20 * c.Silent); missing != "" {
-			return &failed{advice.Words{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: fmt.Sprintf("after %v: %s", took, missing), Do: lookAt}}
+			return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: fmt.Sprintf("after %v: %s", took, missing), Do: lookAt}}
 		}
 		i := 2 + k%(n-2)
 		w.Kill(i)
 		took, missing := w.Settle(20 * c.Silent)
 		if missing != "" {
-			return &failed{advice.Words{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: "a death: " + missing, Do: lookAt}}
+			return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: "a death: " + missing, Do: lookAt}}
 		}
 		known += fmt.Sprintf(" %.1f s", took.Seconds())
 		if err := w.Start(i); err != nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	if len(w.Faults) > 0 {
-		return &failed{advice.Words{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: lookAt}}
+		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: lookAt}}
 	}
 	fmt.Printf("| %d | %.0f%% |%s | %.1f | %.2f | %d | %d |\n", n, 100*loss, known, float64(suspicions)/hours, float64(falseEnds)/hours, calm, flap)
 	return nil
--- a/cmd/oatloft/admission_test.go
+++ b/cmd/oatloft/admission_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/fake"
 	_ "oatloft/internal/revision/host" // the tests of revisions play this program, too
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // The test's own program is the balancer too: descriptors are a process's.
@@ -35,18 +35,18 @@
 
 // rig is a balancer with admission in a world of its own.
 type rig struct {
-	*standin.World
+	*fake.World
 	t            *testing.T
 	dir          string
 	edge, config string
-	p            *standin.Process
-	launch       standin.Launch
-	options      standin.Options
+	p            *fake.Process
+	launch       fake.Launch
+	options      fake.Options
 }
 
-func newRig(t *testing.T, o standin.Options, l standin.Launch, edge ...string) *rig {
+func newRig(t *testing.T, o fake.Options, l fake.Launch, edge ...string) *rig {
 	t.Helper()
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,14 +98,14 @@
 }
 
 // stand has n terminals stand, each from an address and with a key of its own.
-func (r *rig) stand(n int, name string) (list []*standin.Terminal) {
+func (r *rig) stand(n int, name string) (list []*fake.Terminal) {
 	r.t.Helper()
 	for i := range n {
 		t, err := r.Connect(fmt.Sprintf("127.30.%d.%d", i/8, i%8+1), r.p.Addr)
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		if a := t.Open(standin.Ask{Key: fmt.Sprint(name, i)}); a.What != "UP" {
+		if a := t.Open(fake.Ask{Key: fmt.Sprint(name, i)}); a.What != "UP" {
 			r.t.Fatalf("terminal %d: %+v", i, a)
 		}
 		list = append(list, t)
@@ -113,7 +113,7 @@
 	return list
 }
 
-func (r *rig) echo(list []*standin.Terminal) {
+func (r *rig) echo(list []*fake.Terminal) {
 	r.t.Helper()
 	for i, t := range list {
 		if err := t.Echo(3 * time.Second); err != nil {
@@ -134,7 +134,7 @@
 			what := "no connection"
 			if t, err := r.Connect(from(i), r.p.Addr); err == nil {
 				defer t.Break()
-				what = t.Open(standin.Ask{Key: fmt.Sprint(key, i)}).What
+				what = t.Open(fake.Ask{Key: fmt.Sprint(key, i)}).What
 			}
 			mu.Lock()
 			by[what]++
@@ -157,17 +157,17 @@
 
 // One address, thousands of connections, each kind of noise: others are served, and what is answered is a line.
 func TestOneNoisyAddress(t *testing.T) {
-	for _, kind := range []standin.Noise{standin.OpenClose, standin.OpenSilent, standin.OpenKeep, standin.OpenAsk, standin.OpenBytes} {
+	for _, kind := range []fake.Noise{fake.OpenClose, fake.OpenSilent, fake.OpenKeep, fake.OpenAsk, fake.OpenBytes} {
 		t.Run(string(kind), func(t *testing.T) {
-			r := newRig(t, standin.Options{Sockets: 256, MemoryMB: 64}, standin.Launch{Descriptors: 256})
+			r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
 			f := r.Flood(kind, 8, func(int) string { return "127.66.0.66" }, r.p.Addr)
 			r.until("a flood", func() bool { return f.Opened.Load() > 1000 })
-			g := r.Serve(standin.Customers(100), 50, 300*time.Millisecond, r.p.Addr)
+			g := r.Serve(fake.Customers(100), 50, 300*time.Millisecond, r.p.Addr)
 			f.Stop()
 			if g.Share() < 0.99 || g.Cut > 0 {
 				t.Errorf("%d of %d served, %v, %d cut", g.Served, g.Asked, g.By, g.Cut)
 			}
-			if kind == standin.OpenKeep && f.Got.Load() > 16+8 { // what it held at once; a loop gives none back
+			if kind == fake.OpenKeep && f.Got.Load() > 16+8 { // what it held at once; a loop gives none back
 				t.Errorf("the noisy address got %d", f.Got.Load())
 			}
 			r.sound()
@@ -177,12 +177,12 @@
 
 // 250 addresses that behave as one, while 55 % of all known clients reconnect within 0.8 s: those come first.
 func TestKnownClientsReconnectInAFlood(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 512, MemoryMB: 64, Advice: true}, standin.Launch{Descriptors: 512})
-	customers := standin.Customers(100)
+	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64, Advice: true}, fake.Launch{Descriptors: 512})
+	customers := fake.Customers(100)
 	if g := r.Serve(customers, 100, 500*time.Millisecond, r.p.Addr); g.Served != 100 {
 		t.Fatal(g.By)
 	}
-	f := r.Flood(standin.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
+	f := r.Flood(fake.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
 	r.until("strangers at their bound", func() bool { return f.Refused.Load() > 200 })
 	back := customers[:55]
 	g := r.Serve(back, 55/0.8, 2*time.Second, r.p.Addr)
@@ -197,7 +197,7 @@
 func TestLimitInABurst(t *testing.T) {
 	for _, n := range []int{256, 512, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := newRig(t, standin.Options{Sockets: n, MemoryMB: 64}, standin.Launch{Descriptors: n})
+			r := newRig(t, fake.Options{Sockets: n, MemoryMB: 64}, fake.Launch{Descriptors: n})
 			standing := r.stand(20, "early")
 			by := r.burst(n, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
 			if by["UP"] == 0 || by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != n {
@@ -216,7 +216,7 @@
 // Dialing fails for transactions that were picked up; still each gets one line, and once there is room again
 // newcomers are served.
 func TestExhaustionBeforeTheLimit(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 512, MemoryMB: 64}, standin.Launch{Descriptors: 512, Inherited: 400})
+	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
 	standing := r.stand(10, "early")
 	by := r.burst(200, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
 	if by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != 200 {
@@ -234,7 +234,7 @@
 			return false
 		}
 		defer c.Break()
-		return c.Open(standin.Ask{Key: "late"}).What == "UP"
+		return c.Open(fake.Ask{Key: "late"}).What == "UP"
 	})
 	r.sound()
 }
@@ -242,7 +242,7 @@
 // A transaction is picked up, and then the process has no descriptor for its routed task, though the ledger had set
 // one aside. A silent terminal makes room, and the dial, which waits for that, succeeds.
 func TestDialWaitsForADescriptor(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 512, MemoryMB: 64}, standin.Launch{Descriptors: 512, Inherited: 400})
+	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
 	// Whether room is made before a dial needs it hangs on the scheduler: the burst comes again until one had to wait.
 	for n := 0; n < 40 && !strings.Contains(r.p.Log(), "a dial waits"); n++ {
 		burstAtTheLimit(t, r)
@@ -256,7 +256,7 @@
 // burstAtTheLimit fills the process with silent terminals, and has twelve of them ask at once.
 func burstAtTheLimit(t *testing.T, r *rig) {
 	t.Helper()
-	var silent []*standin.Terminal
+	var silent []*fake.Terminal
 	defer func() {
 		for _, c := range silent {
 			c.Break()
@@ -277,7 +277,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			if a := c.Open(standin.Ask{Key: c.ID}); a.What != "UP" && a.What != "BUSY" {
+			if a := c.Open(fake.Ask{Key: c.ID}); a.What != "UP" && a.What != "BUSY" {
 				t.Error(a)
 			}
 		}()
@@ -288,7 +288,7 @@
 // The limit falls below what is in use by a reload: who stands stays, newcomers are refused until it rises again.
 // A file of settings that can't work changes nothing, nor does one that switches admission off.
 func TestReloadLowersTheLimit(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 512, MemoryMB: 64}, standin.Launch{Descriptors: 512})
+	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512})
 	standing := r.stand(60, "early")
 	reload := func(line string, times int) {
 		t.Helper()
@@ -306,7 +306,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		return c.Open(standin.Ask{Key: "late"}).What
+		return c.Open(fake.Ask{Key: "late"}).What
 	}
 	config(128)
 	reload("msg=reloaded", 1)
@@ -332,11 +332,11 @@
 
 // SIGTERM in a flood: every answer that is owed is given, and the program leaves.
 func TestLeaveInAFlood(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 256, MemoryMB: 64}, standin.Launch{Descriptors: 256})
+	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
 	for _, region := range r.Regions {
 		region.SetDelay(200 * time.Millisecond) // there is something owed at any time
 	}
-	f := r.Flood(standin.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
+	f := r.Flood(fake.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
 	r.until("a flood", func() bool { return f.Got.Load() > 20 })
 	r.p.Signal(syscall.SIGTERM)
 	time.Sleep(400 * time.Millisecond) // so long the platform's front sends new ones
@@ -350,8 +350,8 @@
 // Who is known stays known across a restart; a damaged file is a line, and the balancer starts empty.
 func TestKnownAcrossARestart(t *testing.T) {
 	known := filepath.Join(t.TempDir(), "known")
-	r := newRig(t, standin.Options{Sockets: 256, MemoryMB: 64}, standin.Launch{Descriptors: 256}, "$known", known)
-	if g := r.Serve(standin.Customers(20), 100, 500*time.Millisecond, r.p.Addr); g.Served != 20 {
+	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256}, "$known", known)
+	if g := r.Serve(fake.Customers(20), 100, 500*time.Millisecond, r.p.Addr); g.Served != 20 {
 		t.Fatal(g.By)
 	}
 	again := func(want string) {
@@ -377,7 +377,7 @@
 	if !strings.Contains(r.p.Log(), "known clients not restored") || !strings.Contains(r.p.Log(), "the checksum doesn't fit") {
 		t.Error(r.p.Log())
 	}
-	if g := r.Serve(standin.Customers(5), 100, 100*time.Millisecond, r.p.Addr); g.Served != 5 {
+	if g := r.Serve(fake.Customers(5), 100, 100*time.Millisecond, r.p.Addr); g.Served != 5 {
 		t.Error(g.By)
 	}
 	r.sound()
--- a/cmd/oatloft/cold_test.go
+++ b/cmd/oatloft/cold_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
-// What the stand-in's settings tell of cold regions, see internal/standin.
+// What the stand-in's settings tell of cold regions, see internal/fake.
 const (
 	coldFill     = 50.0 // connections that fill a region, when warm
 	coldPart     = 0.34
@@ -66,8 +66,8 @@
 
 // demand opens a transaction each 10 ms at a balancer until stop, and keeps the last 20 open. What fails is not its matter:
 // balancers restart meanwhile.
-func demand(w *standin.World, addr, name string, stop <-chan struct{}) {
-	var open []*standin.Terminal
+func demand(w *fake.World, addr, name string, stop <-chan struct{}) {
+	var open []*fake.Terminal
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -81,7 +81,7 @@
 		if err != nil {
 			continue
 		}
-		if a := c.Open(standin.Ask{Key: fmt.Sprint(name, i)}); a.What != "UP" {
+		if a := c.Open(fake.Ask{Key: fmt.Sprint(name, i)}); a.What != "UP" {
 			c.Break()
 			continue
 		}
@@ -96,7 +96,7 @@
 // bound, also when a balancer reads its configuration again, when one is killed and starts anew with no memory of what was sent,
 // and when the region starts once more while it is cold.
 func TestColdRegionBearsWhatAllBalancersSend(t *testing.T) {
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +106,11 @@
 	for _, r := range w.Regions {
 		r.SetWeight(1 / coldFill)
 	}
-	var all []*standin.Process
-	var launches []standin.Launch
+	var all []*fake.Process
+	var launches []fake.Launch
 	for i := range 3 {
-		o := standin.Options{Sockets: 512, MemoryMB: 64, Balancers: 3}
-		l := standin.Launch{Binary: os.Args[0]}
+		o := fake.Options{Sockets: 512, MemoryMB: 64, Balancers: 3}
+		l := fake.Launch{Binary: os.Args[0]}
 		name := fmt.Sprint("n", i+1)
 		if l.Config, l.Addr, err = w.WriteConfig(t.TempDir(), name, fmt.Sprintf("127.8.9.%d", i+1), o); err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	cold := w.Regions[4]
-	cold.Set(standin.Lying) // it looks empty: nothing but its budget keeps requests away
+	cold.Set(fake.Lying) // it looks empty: nothing but its budget keeps requests away
 	cold.SetWeight(1 / coldFill)
 	begin := func() {
 		sends.start(w.Now())
--- a/cmd/oatloft/day_test.go
+++ b/cmd/oatloft/day_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // service is a balancer as the operators' staff run it: a listening socket that the platform holds, and as many
@@ -27,9 +27,9 @@
 	calls    int
 }
 
-func newService(t *testing.T, o standin.Options) *service {
+func newService(t *testing.T, o fake.Options) *service {
 	t.Helper()
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,13 +51,13 @@
 	t.Cleanup(func() { _ = s.listener.Close() })
 	s.config = filepath.Join(s.dir, "n1.json")
 	s.write(s.config, string(w.Config("n1", l.Addr().String(), o)))
-	s.launch = standin.Launch{Binary: os.Args[0], Config: s.config, Addr: l.Addr().String(), Listener: s.listener, Env: []string{"TMPDIR=" + s.dir}}
+	s.launch = fake.Launch{Binary: os.Args[0], Config: s.config, Addr: l.Addr().String(), Listener: s.listener, Env: []string{"TMPDIR=" + s.dir}}
 	s.upgrade()
 	return s
 }
 
 // upgrade starts the next process, and returns the one before.
-func (s *service) upgrade() (old *standin.Process) {
+func (s *service) upgrade() (old *fake.Process) {
 	s.t.Helper()
 	l, err := net.Listen("tcp", "127.8.4.2:0") // a new second address for each
 	if err != nil {
@@ -73,7 +73,7 @@
 func (s *service) call(line, want string) {
 	s.t.Helper()
 	s.calls++
-	if got := standin.Call(s.launch.Management, line); !strings.HasPrefix(got, want) {
+	if got := fake.Call(s.launch.Management, line); !strings.HasPrefix(got, want) {
 		s.t.Fatalf("%s: %q, not %q", line, got, want)
 	}
 }
@@ -106,10 +106,10 @@
 		s.t.Fatal(err)
 	}
 	defer c.Break()
-	return where(c.Open(standin.Ask{Key: strings.ReplaceAll(key, " ", "-")}))
+	return where(c.Open(fake.Ask{Key: strings.ReplaceAll(key, " ", "-")}))
 }
 
-func where(a standin.Answer) string {
+func where(a fake.Answer) string {
 	if receipt, up := strings.CutPrefix(a.Line, "UP "); up {
 		region, _, _ := strings.Cut(receipt, "-")
 		return region
@@ -119,16 +119,16 @@
 
 // A region called out gets nothing, whatever discovery says of it; its terminals are moved; it comes back by one call.
 func TestMaintenance(t *testing.T) {
-	s := newService(t, standin.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
+	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
 	s.call("maint-on nobody", "-ERR nobody was never listed")
-	var standing []*standin.Terminal
+	var standing []*fake.Terminal
 	at := 0
 	for i := range 24 {
 		c, err := s.Connect("", s.launch.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if where(c.Open(standin.Ask{Key: fmt.Sprint("s", i)})) == "r1" {
+		if where(c.Open(fake.Ask{Key: fmt.Sprint("s", i)})) == "r1" {
 			at++
 			standing = append(standing, c)
 		}
@@ -175,14 +175,14 @@
 // their connections end here, and is back at a call.
 func TestStandby(t *testing.T) {
 	for _, pass := range []bool{false, true} {
-		s := newService(t, standin.Options{Sockets: 512, MemoryMB: 64, PassThrough: pass})
-		var standing []*standin.Terminal
+		s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: pass})
+		var standing []*fake.Terminal
 		for i := range 20 {
 			c, err := s.Connect("", s.launch.Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if a := c.Open(standin.Ask{Key: fmt.Sprint(i)}); a.What != "UP" {
+			if a := c.Open(fake.Ask{Key: fmt.Sprint(i)}); a.What != "UP" {
 				t.Fatal(a)
 			}
 			standing = append(standing, c)
@@ -191,7 +191,7 @@
 		s.call("standby", "+OK")
 		s.call("standby", "+OK")
 		began := time.Now()
-		if got := standin.Ping(s.launch.Addr); got != "NO" {
+		if got := fake.Ping(s.launch.Addr); got != "NO" {
 			t.Fatal("PING in standby:", got)
 		}
 		s.call("status", "-ERR standby")
@@ -210,7 +210,7 @@
 			}
 		}
 		s.call("active", "+OK")
-		if got := standin.Ping(s.launch.Addr); got != "PONG" {
+		if got := fake.Ping(s.launch.Addr); got != "PONG" {
 			t.Fatal("PING after active:", got)
 		}
 		s.call("status", "+OK")
@@ -221,18 +221,18 @@
 // Two upgrades in a row under traffic: every connection gets its answer, whoever accepted it; a region left out stays
 // so; standing terminals are moved and come back where they stood; the old process leaves early and by itself.
 func TestUpgrade(t *testing.T) {
-	s := newService(t, standin.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
+	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
 	s.out("r2")
 	time.Sleep(600 * time.Millisecond)
 	stood := map[string]string{}
-	standing := map[string]*standin.Terminal{}
+	standing := map[string]*fake.Terminal{}
 	stand := func(key string) string {
 		c, err := s.Connect("", s.launch.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		standing[key] = c
-		return where(c.Open(standin.Ask{Key: key}))
+		return where(c.Open(fake.Ask{Key: key}))
 	}
 	for i := range 40 {
 		key := fmt.Sprint("k", i)
@@ -251,7 +251,7 @@
 					t.Error("at the door:", err)
 					return
 				}
-				if a := c.Open(standin.Ask{Key: fmt.Sprintf("t%d-%d", i, n)}); a.What != "UP" {
+				if a := c.Open(fake.Ask{Key: fmt.Sprintf("t%d-%d", i, n)}); a.What != "UP" {
 					t.Error("under way:", a)
 				}
 				c.Break()
@@ -273,7 +273,7 @@
 					t.Error("at the door:", err)
 					return
 				}
-				if a := c.Open(standin.Ask{Key: fmt.Sprintf("burst%d-%d", round, i)}); a.What != "UP" && a.What != "BUSY" {
+				if a := c.Open(fake.Ask{Key: fmt.Sprintf("burst%d-%d", round, i)}); a.What != "UP" && a.What != "BUSY" {
 					t.Error("in the burst:", a)
 				}
 				c.Break()
@@ -326,7 +326,7 @@
 }
 
 // run starts a balancer that is not expected to last, and returns what it wrote.
-func run(l standin.Launch, env ...string) (string, error) {
+func run(l fake.Launch, env ...string) (string, error) {
 	cmd := exec.Command(l.Binary, "serve", "--config", l.Config)
 	cmd.Env = append(append(os.Environ(), l.Env...), "PROXY_FD=3")
 	cmd.Env = append(cmd.Env, env...)
@@ -341,7 +341,7 @@
 
 // A descriptor that can't be what it should ends the start with one line, and so does an operators' address.
 func TestInheritedFaults(t *testing.T) {
-	s := newService(t, standin.Options{Sockets: 512, MemoryMB: 64})
+	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64})
 	file, err := os.Open(s.config)
 	if err != nil {
 		t.Fatal(err)
@@ -385,7 +385,7 @@
 
 // A flood of terminals and hundreds of silent callers keep no operator from an answer within a second.
 func TestCallsUnderLoad(t *testing.T) {
-	s := newService(t, standin.Options{Sockets: 128, MemoryMB: 64, PassThrough: true})
+	s := newService(t, fake.Options{Sockets: 128, MemoryMB: 64, PassThrough: true})
 	var held []io.Closer
 	defer func() {
 		for _, c := range held {
@@ -413,9 +413,9 @@
 // Who asked while the process stood still has waited since then: its answer comes within the time that it waits, counted from its
 // asking, also where no region answers.
 func TestAskedWhileItStoodStill(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 256, MemoryMB: 64}, standin.Launch{Management: free(t)})
+	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: free(t)})
 	for _, g := range r.Regions {
-		g.Set(standin.Stalled)
+		g.Set(fake.Stalled)
 	}
 	r.p.Signal(syscall.SIGSTOP)
 	c, err := r.Connect("", r.p.Addr)
@@ -425,8 +425,8 @@
 	defer c.Break()
 	time.AfterFunc(1200*time.Millisecond, func() { r.p.Signal(syscall.SIGCONT) })
 	c.After = 4 * time.Second
-	c.Excuse = func(standin.Answer) bool { return true }
-	if a := c.Open(standin.Ask{Key: "k"}); a.What != "ERR" && a.What != "BUSY" {
+	c.Excuse = func(fake.Answer) bool { return true }
+	if a := c.Open(fake.Ask{Key: "k"}); a.What != "ERR" && a.What != "BUSY" {
 		t.Errorf("%+v", a)
 	}
 	d, err := r.Connect("", r.p.Addr) // who asks now has waited for nothing
@@ -434,7 +434,7 @@
 		t.Fatal(err)
 	}
 	defer d.Break()
-	if a := d.Open(standin.Ask{Key: "k"}); a.Took < time.Second || a.What == "none" {
+	if a := d.Open(fake.Ask{Key: "k"}); a.Took < time.Second || a.What == "none" {
 		t.Errorf("later: %+v", a)
 	}
 }
--- a/cmd/oatloft/faults_test.go
+++ b/cmd/oatloft/faults_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/faultinjection"
-	"oatloft/internal/standin"
 )
 
 // Several processes of this program, with faults between them. The schedules are files, and the same ones in each run;
@@ -61,8 +61,8 @@
 
 // Without the section of the edge file no socket for others is opened, whatever else is on: the platform refuses it.
 func TestNoPeersUnlessTheEdgeFileSaysSo(t *testing.T) {
-	r := newRig(t, standin.Options{Sockets: 256, MemoryMB: 64}, standin.Launch{Management: free(t)})
-	if a := standin.Call(r.launch.Management, "peers"); !strings.HasPrefix(a, "-ERR peers are off") {
+	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: free(t)})
+	if a := fake.Call(r.launch.Management, "peers"); !strings.HasPrefix(a, "-ERR peers are off") {
 		t.Errorf("peers: %q", a)
 	}
 	if n := r.p.Datagrams(); n != 0 {
--- a/cmd/oatloft/restart_test.go
+++ b/cmd/oatloft/restart_test.go
@@ -13,25 +13,25 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/standin"
+	"oatloft/internal/fake"
 )
 
 // restartWait is how long these tests wait for what has to come. It is no bound that a rule sets.
 const restartWait = 30 * time.Second
 
 // newRestartWorld is a world with so many regions, and the options for its balancers.
-func newRestartWorld(t *testing.T, regions int) (*standin.World, standin.Options) {
+func newRestartWorld(t *testing.T, regions int) (*fake.World, fake.Options) {
 	t.Helper()
-	w, err := standin.New(regions)
+	w, err := fake.New(regions)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	return w, standin.Options{Sockets: 512, MemoryMB: 64}
+	return w, fake.Options{Sockets: 512, MemoryMB: 64}
 }
 
 // restartConfig writes a balancer's configuration, with known in place of what it would know of the regions ("" leaves it).
-func restartConfig(t *testing.T, w *standin.World, name string, o standin.Options, known string) standin.Launch {
+func restartConfig(t *testing.T, w *fake.World, name string, o fake.Options, known string) fake.Launch {
 	t.Helper()
 	path, addr, err := w.WriteConfig(t.TempDir(), name, "127.8.5.1", o)
 	if err != nil {
@@ -54,11 +54,11 @@
 			t.Fatal(err)
 		}
 	}
-	return standin.Launch{Binary: os.Args[0], Config: path, Addr: addr}
+	return fake.Launch{Binary: os.Args[0], Config: path, Addr: addr}
 }
 
 // restartServes waits until a balancer serves a client: the first requests may be turned away.
-func restartServes(t *testing.T, w *standin.World, addr string) {
+func restartServes(t *testing.T, w *fake.World, addr string) {
 	t.Helper()
 	last := ""
 	for end := time.Now().Add(restartWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -67,7 +67,7 @@
 			last = err.Error()
 			continue
 		}
-		a := c.Open(standin.Ask{Key: "k"})
+		a := c.Open(fake.Ask{Key: "k"})
 		c.Close()
 		if last = a.What; last == "UP" {
 			return
@@ -119,7 +119,7 @@
 					restartServes(t, w, l.Addr)
 				} else if c, err := w.Connect("", l.Addr); err != nil {
 					t.Error(err)
-				} else if a := c.Open(standin.Ask{Key: "k"}); a.What == "UP" || a.Line == "" {
+				} else if a := c.Open(fake.Ask{Key: "k"}); a.What == "UP" || a.Line == "" {
 					t.Errorf("knows nobody, and answers %+v", a)
 				}
 			})
@@ -152,13 +152,13 @@
 func TestAllAreRestartedAtOnce(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	o.Balancers = 4
-	launches := make([]standin.Launch, o.Balancers)
+	launches := make([]fake.Launch, o.Balancers)
 	for i := range launches {
 		launches[i] = restartConfig(t, w, fmt.Sprint("n", i), o, "")
 	}
-	all := func() (list []*standin.Process) {
+	all := func() (list []*fake.Process) {
 		var wait sync.WaitGroup
-		list = make([]*standin.Process, len(launches))
+		list = make([]*fake.Process, len(launches))
 		for i, l := range launches {
 			wait.Add(1)
 			go func() {
--- a/cmd/oatloft/revisions_test.go
+++ b/cmd/oatloft/revisions_test.go
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/fake"
 	"oatloft/internal/management"
-	"oatloft/internal/standin"
 )
 
 // cluster is several balancers of one world, each a process of its own, that go by one revision.
 type cluster struct {
-	*standin.World
+	*fake.World
 	t        *testing.T
 	dir      string
-	launches []standin.Launch
-	p        []*standin.Process
+	launches []fake.Launch
+	p        []*fake.Process
 }
 
 const clusterLease = 1200 * time.Millisecond
@@ -31,11 +31,11 @@
 // newCluster starts n balancers, three of them voters where there are as many, at 127.8.net.
 func newCluster(t *testing.T, n, net int, hold ...int) *cluster {
 	t.Helper()
-	w, err := standin.New(4)
+	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{World: w, t: t, dir: t.TempDir(), p: make([]*standin.Process, n)}
+	c := &cluster{World: w, t: t, dir: t.TempDir(), p: make([]*fake.Process, n)}
 	t.Cleanup(func() {
 		if t.Failed() {
 			for i, p := range c.p {
@@ -47,9 +47,9 @@
 		}
 		w.Close()
 	})
-	var members []edge.Candidate
+	var members []edgeconfig.Candidate
 	for i := range n {
-		members = append(members, edge.Candidate{Name: fmt.Sprint("b", i+1), Addr: freeAt(t, net)})
+		members = append(members, edgeconfig.Candidate{Name: fmt.Sprint("b", i+1), Addr: freeAt(t, net)})
 	}
 	for i := range n {
 		name := members[i].Name
@@ -57,13 +57,13 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		config, addr, err := w.WriteConfig(dir, name, fmt.Sprintf("127.8.%d.1", net), standin.Options{Sockets: 512, MemoryMB: 64, Balancers: n})
+		config, addr, err := w.WriteConfig(dir, name, fmt.Sprintf("127.8.%d.1", net), fake.Options{Sockets: 512, MemoryMB: 64, Balancers: n})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := edge.Settings{Form: edge.Form, Source: "test", Revisions: &edge.Revisions{Cluster: "test", Listen: members[i].Addr, Members: members,
-			Voters: min(3, n), Reach: map[string]string{}, Folder: filepath.Join(dir, "agree"), Lease: edge.Duration(clusterLease), OnCut: "refuse",
-			Deadline: edge.Duration(4 * time.Second), History: 100, HistoryBytes: 1 << 20}}
+		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "test", Revisions: &edgeconfig.Revisions{Cluster: "test", Listen: members[i].Addr, Members: members,
+			Voters: min(3, n), Reach: map[string]string{}, Folder: filepath.Join(dir, "agree"), Lease: edgeconfig.Duration(clusterLease), OnCut: "refuse",
+			Deadline: edgeconfig.Duration(4 * time.Second), History: 100, HistoryBytes: 1 << 20}}
 		for _, h := range hold {
 			if h == i {
 				e.Revisions.OnCut = "hold"
@@ -77,7 +77,7 @@
 		if err := os.WriteFile(file, body, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c.launches = append(c.launches, standin.Launch{Binary: os.Args[0], Config: config, Addr: addr, Management: freeAt(t, net),
+		c.launches = append(c.launches, fake.Launch{Binary: os.Args[0], Config: config, Addr: addr, Management: freeAt(t, net),
 			Args: []string{"--edge", file}, Env: []string{"TMPDIR=" + dir}})
 	}
 	return c
@@ -113,7 +113,7 @@
 			p, err := c.Start(c.launches[i])
 			c.p[i] = p
 			for end := time.Now().Add(15 * time.Second); err == nil; time.Sleep(10 * time.Millisecond) {
-				if answer := standin.Call(c.launches[i].Management, "status"); strings.HasPrefix(answer, "+OK") {
+				if answer := fake.Call(c.launches[i].Management, "status"); strings.HasPrefix(answer, "+OK") {
 					break
 				} else if time.Now().After(end) {
 					err = fmt.Errorf("b%d: %s", i+1, answer)
@@ -202,7 +202,7 @@
 			at["none"]++
 			continue
 		}
-		at[where(x.Open(standin.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
+		at[where(x.Open(fake.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
 		x.Break()
 	}
 	return at
@@ -216,10 +216,10 @@
 	alone := make(chan error, 1)
 	go func() { p, err := c.Start(c.launches[0]); c.p[0] = p; alone <- err }()
 	time.Sleep(1200 * time.Millisecond)
-	if got := standin.Ping(c.launches[0].Addr); got != "NO" {
+	if got := fake.Ping(c.launches[0].Addr); got != "NO" {
 		t.Errorf("PING before anything is known of what is in force: %q", got)
 	}
-	if a := standin.Call(c.launches[0].Management, "status"); !strings.HasPrefix(a, "-ERR") {
+	if a := fake.Call(c.launches[0].Management, "status"); !strings.HasPrefix(a, "-ERR") {
 		t.Errorf("status before anything is known: %q", a)
 	}
 	if at := c.ask(0, 3); at["BUSY"] != 3 {
@@ -279,14 +279,14 @@
 		c.p[who].Signal(syscall.SIGSTOP)
 		other := (who + 1) % 3
 		// What is on its way to the stopped one waits in its sockets, and is read when it wakes up.
-		waiting := make([]*standin.Terminal, 5)
+		waiting := make([]*fake.Terminal, 5)
 		for k := range waiting {
 			x, err := c.Connect("", c.launches[who].Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			waiting[k] = x
-			_ = x.Say(standin.Ask{Key: fmt.Sprint("w", round, k), Wait: 20 * time.Second}.Line(x.ID))
+			_ = x.Say(fake.Ask{Key: fmt.Sprint("w", round, k), Wait: 20 * time.Second}.Line(x.ID))
 		}
 		for end := time.Now().Add(8 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 			c.propose(other, key, from, out)
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Config holds the settings of a gate. New checks it. All counts are of this balancer alone.
@@ -135,7 +135,7 @@
 		{"come_back.most", c.ComeBack.Least >= 0 && c.ComeBack.Most >= c.ComeBack.Least},
 	} {
 		if !x.ok {
-			return &Unfit{advice.Words{Where: "admission." + x.name, What: "out of bounds", Do: "oatctl edge check names the bounds"}}
+			return &Unfit{hint.Annotated{Where: "admission." + x.name, What: "out of bounds", Do: "oatctl edge check names the bounds"}}
 		}
 	}
 	return nil
@@ -161,7 +161,7 @@
 }
 
 // Unfit is a setting of admission that can't work.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // CantChange is a setting of admission that is read at the start only. The old settings hold.
-type CantChange struct{ advice.Words }
+type CantChange struct{ hint.Annotated }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -26,7 +26,7 @@
 	"net/netip"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Ticket names one accepted connection from Accept to Closed; later it names nobody, whoever has its place then. The
@@ -199,7 +199,7 @@
 		return err
 	}
 	if cfg.Address.Table != g.cfg.Address.Table || cfg.Network.Table != g.cfg.Network.Table || cfg.Reserve.Max != g.cfg.Reserve.Max {
-		return &CantChange{advice.Words{Where: "admission", What: "the sizes of tables can't change while serving",
+		return &CantChange{hint.Annotated{Where: "admission", What: "the sizes of tables can't change while serving",
 			Do: "restart the balancer to change address.table, network.table or reserve.max"}}
 	}
 	g.apply(cfg)
--- a/internal/links/defects_test.go
+++ b/internal/bandwidth/defects_test.go
@@ -1,21 +1,21 @@
 //go:build defects
 
-package links
+package bandwidth
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
-// Each defect that is built into the lending is found by drawn runs. go test -tags defects -run Defects -v ./internal/links
+// Each defect that is built into the lending is found by drawn runs. go test -tags defects -run Defects -v ./internal/bandwidth
 func TestDefectsAreFound(t *testing.T) {
-	defer defects.Choose("")
+	defer failpoint.Choose("")
 	runs := rapid.Custom(drawnRun)
 	for _, name := range []string{"links-freed-early", "links-no-wait", "links-held-on", "links-late-answer"} {
-		defects.Choose(name)
+		failpoint.Choose(name)
 		seed := 0
 		for ; seed < 3000; seed++ {
 			if err := runs.Example(seed); err != nil {
--- a/internal/links/keeper.go
+++ b/internal/bandwidth/keeper.go
@@ -1,4 +1,4 @@
-package links
+package bandwidth
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/revision"
 )
 
@@ -135,7 +135,7 @@
 // Elected begins anew: nothing is known of what was lent by others.
 func (k *Keeper) Elected(now time.Duration) {
 	k.learn = now + k.set.held()
-	if defects.On("links-no-wait") {
+	if failpoint.On("links-no-wait") {
 		k.learn = now
 	}
 	for _, l := range k.table {
@@ -251,7 +251,7 @@
 // took has what was lent up to a number count as what the process says that it holds.
 func (p *part) took(number uint64, held float64, now time.Duration) {
 	at, known := now, false
-	if defects.On("links-freed-early") && len(p.out) > 0 {
+	if failpoint.On("links-freed-early") && len(p.out) > 0 {
 		p.out, held = p.out[:0], 0
 	}
 	rest := p.out[:0]
--- a/internal/links/links.go
+++ b/internal/bandwidth/links.go
@@ -1,10 +1,10 @@
-// Package links bounds the bytes that pass between two zones: each link, an ordered pair of zones, is divided among the balancers
+// Package bandwidth bounds the bytes that pass between two zones: each link, an ordered pair of zones, is divided among the balancers
 // that carry its bytes, and at each of them among classes and tenants. It owns the arithmetic of dividing (this file), who is lent
 // how much for how long (keeper.go, at the member that coordinates), whose turn it is (shaper.go, at every balancer), and the words
 // between these (part.go). It is pure but for part.go's lock: no socket, no clock, no goroutine. It must never let the parts that are
 // lent, together with the safe parts that need no lending, sum to more than a link; and it must never drop or reorder a byte: all
 // that it can do is say "not yet".
-package links
+package bandwidth
 
 import (
 	"fmt"
@@ -29,8 +29,8 @@
 // Error names the field, its value and what is wrong with it.
 func (e *Unfit) Error() string { return fmt.Sprintf("%s: %s %s", e.Field, e.Value, e.Why) }
 
-// Advice is what an operator can do about it.
-func (e *Unfit) Advice() string { return e.Do }
+// Hint is what an operator can do about it.
+func (e *Unfit) Hint() string { return e.Do }
 
 // Check names the first setting that can't work, as an *Unfit.
 func (s Settings) Check() error {
--- a/internal/links/part.go
+++ b/internal/bandwidth/part.go
@@ -1,4 +1,4 @@
-package links
+package bandwidth
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/revision"
 )
 
@@ -72,8 +72,8 @@
 // Unwrap is the cause.
 func (e *Unreadable) Unwrap() error { return e.Cause }
 
-// Advice is what an operator can do about it.
-func (e *Unreadable) Advice() string {
+// Hint is what an operator can do about it.
+func (e *Unreadable) Hint() string {
 	return "see whether it runs another version; until it can be read its links fall back to their safe parts"
 }
 
@@ -100,7 +100,7 @@
 	if !p.read("", body, &g) {
 		return
 	}
-	if g.Number <= p.took && !defects.On("links-late-answer") || g.Number > p.number {
+	if g.Number <= p.took && !failpoint.On("links-late-answer") || g.Number > p.number {
 		return
 	}
 	p.took = g.Number
--- a/internal/links/shaper.go
+++ b/internal/bandwidth/shaper.go
@@ -1,4 +1,4 @@
-package links
+package bandwidth
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/time/rate"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/revision"
 )
 
@@ -243,7 +243,7 @@
 func at(t time.Duration) time.Time { return time.Unix(0, 0).Add(t) }
 
 func (s *Shaper[W]) refill(now time.Duration) {
-	if s.until > 0 && now >= s.until && !defects.On("links-held-on") { // first of all, so that a process that was stopped sends nothing by what has lapsed
+	if s.until > 0 && now >= s.until && !failpoint.On("links-held-on") { // first of all, so that a process that was stopped sends nothing by what has lapsed
 		s.grow(s.until)
 		s.fall()
 	}
--- a/internal/links/wire.go
+++ b/internal/bandwidth/wire.go
@@ -1,4 +1,4 @@
-package links
+package bandwidth
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Questions and answers travel in protobuf's wire format, by this schema. This file owns it; it must never take a torn message for a shorter
@@ -31,15 +31,15 @@
 )
 
 // Malformed is a question or an answer on parts of links that no balancer of this form would send. It counts as not heard.
-type Malformed struct{ advice.Words }
+type Malformed struct{ hint.Annotated }
 
 const sameVersion = "run versions that know each other at all balancers; links are lent again once they do"
 
 var (
-	errForm  error = &Malformed{advice.Words{What: "of another form", Do: sameVersion}}
-	errTorn  error = &Malformed{advice.Words{What: "torn, or not in the wire format", Do: sameVersion}}
-	errLong  error = &Malformed{advice.Words{What: "longer than a message may be", Do: sameVersion}}
-	errField error = &Malformed{advice.Words{What: "a figure that can't be", Do: sameVersion}}
+	errForm  error = &Malformed{hint.Annotated{What: "of another form", Do: sameVersion}}
+	errTorn  error = &Malformed{hint.Annotated{What: "torn, or not in the wire format", Do: sameVersion}}
+	errLong  error = &Malformed{hint.Annotated{What: "longer than a message may be", Do: sameVersion}}
+	errField error = &Malformed{hint.Annotated{What: "a figure that can't be", Do: sameVersion}}
 )
 
 func putText(b []byte, field protowire.Number, s string) []byte {
@@ -174,7 +174,7 @@
 // figure takes one, text and count likewise; a field of the same number and another kind is no message of this form.
 func (f *field) figure(to *float64) error {
 	if f.kind != protowire.Fixed64Type && f.kind != protowire.Fixed32Type || !(f.whole >= 0) || math.IsInf(f.whole, 0) {
-		return &Malformed{advice.Words{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
+		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
 	}
 	*to = f.whole
 	return nil
@@ -190,7 +190,7 @@
 
 func (f *field) count(to *uint64, most uint64) error {
 	if f.kind != protowire.VarintType || f.n > most {
-		return &Malformed{advice.Words{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
+		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
 	}
 	*to = f.n
 	return nil
--- a/internal/links/wire_test.go
+++ b/internal/bandwidth/wire_test.go
@@ -1,4 +1,4 @@
-package links
+package bandwidth
 
 import (
 	"bytes"
--- a/internal/knownstore/golden_test.go
+++ b/internal/clientstore/golden_test.go
@@ -1,4 +1,4 @@
-package knownstore
+package clientstore
 
 import (
 	"os"
--- a/internal/knownstore/knownstore.go
+++ b/internal/clientstore/knownstore.go
@@ -1,4 +1,4 @@
-// Package knownstore keeps who is known across a restart, in one file. It owns the file's form and its checks; it
+// Package clientstore keeps who is known across a restart, in one file. It owns the file's form and its checks; it
 // must never decide who counts as known (that is internal/admission's), and never let a damaged or foreign file do
 // more than be refused in one line.
 //
@@ -7,7 +7,7 @@
 // given to bbolt that isn't as it was written: bbolt sums up its two head pages only, and would follow a
 // damaged pointer out of the file. The checksum is against damage, not against malice; the mode is 0600, and a
 // file that others may write is refused.
-package knownstore
+package clientstore
 
 import (
 	"encoding/binary"
@@ -21,7 +21,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"oatloft/internal/admission"
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -41,17 +41,17 @@
 }
 
 // Damaged is a file that isn't what Save wrote. Nothing of it is used: clients that were known are strangers at first.
-type Damaged struct{ advice.Words }
+type Damaged struct{ hint.Annotated }
 
 // Unwritable is a place where who is known can't be kept.
-type Unwritable struct{ advice.Words }
+type Unwritable struct{ hint.Annotated }
 
 const aside = "move the file away; one is written again, and clients are known again once they have stood for a while"
 
 // Save writes s to path, whole or not at all.
 func Save(path string, s Snapshot) (err error) {
 	if err := save(path, s); err != nil {
-		return &Unwritable{advice.Words{Where: path, Cause: err, Do: "see that the folder of admission.reserve.snapshot.path is there and can be written"}}
+		return &Unwritable{hint.Annotated{Where: path, Cause: err, Do: "see that the folder of admission.reserve.snapshot.path is there and can be written"}}
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 		return err
 	}
 	if len(body)+page > maxFile {
-		return &Unwritable{advice.Words{What: fmt.Sprintf("%d clients don't fit into %d bytes", len(s.Clients), maxFile), Do: "set admission.reserve.max lower"}}
+		return &Unwritable{hint.Annotated{What: fmt.Sprintf("%d clients don't fit into %d bytes", len(s.Clients), maxFile), Do: "set admission.reserve.max lower"}}
 	}
 	if _, err := f.WriteAt(appendTrailer(nil, body, s), int64(len(body))); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	case errors.Is(err, os.ErrNotExist):
 		return Snapshot{}, nil
 	case err != nil:
-		return Snapshot{}, &Damaged{advice.Words{Where: path, Cause: err, Do: aside}}
+		return Snapshot{}, &Damaged{hint.Annotated{Where: path, Cause: err, Do: aside}}
 	}
 	since := max(0, now.Sub(s.At)) // the clock may have been set back
 	keep := s.Clients[:0]
@@ -136,11 +136,11 @@
 	case err != nil:
 		return s, err
 	case !info.Mode().IsRegular():
-		return s, &Damaged{advice.Words{What: "not a plain file", Do: "name a file of its own by admission.reserve.snapshot.path"}}
+		return s, &Damaged{hint.Annotated{What: "not a plain file", Do: "name a file of its own by admission.reserve.snapshot.path"}}
 	case info.Mode().Perm()&0o022 != 0:
-		return s, &Damaged{advice.Words{What: fmt.Sprintf("others may write it (mode %#o); 0600 is wanted", info.Mode().Perm()), Do: "look who wrote it, and chmod 600 if it is sound"}}
+		return s, &Damaged{hint.Annotated{What: fmt.Sprintf("others may write it (mode %#o); 0600 is wanted", info.Mode().Perm()), Do: "look who wrote it, and chmod 600 if it is sound"}}
 	case info.Size() > maxFile:
-		return s, &Damaged{advice.Words{What: fmt.Sprintf("longer than %d bytes", maxFile), Do: aside}}
+		return s, &Damaged{hint.Annotated{What: fmt.Sprintf("longer than %d bytes", maxFile), Do: aside}}
 	}
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	defer func() { // what the checksum let through is ours; should that be wrong, it is still only a line
 		if x := recover(); x != nil {
-			s, err = Snapshot{}, &Damaged{advice.Words{What: fmt.Sprintf("the database is damaged: %v", x), Do: aside}}
+			s, err = Snapshot{}, &Damaged{hint.Annotated{What: fmt.Sprintf("the database is damaged: %v", x), Do: aside}}
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second, PageSize: page})
@@ -163,7 +163,7 @@
 	err = db.View(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucket)
 		if b == nil {
-			return &Damaged{advice.Words{What: "holds no clients' list", Do: aside}}
+			return &Damaged{hint.Annotated{What: "holds no clients' list", Do: aside}}
 		}
 		c := b.Cursor()
 		for key, value := c.First(); key != nil; key, value = c.Next() {
@@ -172,12 +172,12 @@
 				return err
 			}
 			if len(s.Clients) == count {
-				return &Damaged{advice.Words{What: fmt.Sprintf("more clients than the %d it tells", count), Do: aside}}
+				return &Damaged{hint.Annotated{What: fmt.Sprintf("more clients than the %d it tells", count), Do: aside}}
 			}
 			s.Clients = append(s.Clients, client)
 		}
 		if len(s.Clients) != count {
-			return &Damaged{advice.Words{What: fmt.Sprintf("%d clients of the %d it tells", len(s.Clients), count), Do: aside}}
+			return &Damaged{hint.Annotated{What: fmt.Sprintf("%d clients of the %d it tells", len(s.Clients), count), Do: aside}}
 		}
 		return nil
 	})
@@ -207,18 +207,18 @@
 // check reads the trailer and tells the number of clients.
 func (s *Snapshot) check(file []byte) (int, error) {
 	if len(file) < 2*page || len(file)%page != 0 {
-		return 0, &Damaged{advice.Words{What: "not a whole file of known clients", Do: aside}}
+		return 0, &Damaged{hint.Annotated{What: "not a whole file of known clients", Do: aside}}
 	}
 	body, t := file[:len(file)-page], file[len(file)-page:]
 	if string(t[:len(magic)]) != magic {
-		return 0, &Damaged{advice.Words{What: "not a file of known clients, or of another version", Do: aside}}
+		return 0, &Damaged{hint.Annotated{What: "not a file of known clients, or of another version", Do: aside}}
 	}
 	if sum(body, t[:page-8]) != binary.BigEndian.Uint64(t[page-8:]) {
-		return 0, &Damaged{advice.Words{What: "damaged: the checksum doesn't fit", Do: aside}}
+		return 0, &Damaged{hint.Annotated{What: "damaged: the checksum doesn't fit", Do: aside}}
 	}
 	x := func(i int) uint64 { return binary.BigEndian.Uint64(t[len(magic)+8*i:]) }
 	if x(3) != uint64(len(body)) || x(2) > uint64(len(body)/entry) {
-		return 0, &Damaged{advice.Words{What: "damaged: its lengths don't fit", Do: aside}}
+		return 0, &Damaged{hint.Annotated{What: "damaged: its lengths don't fit", Do: aside}}
 	}
 	s.At, s.Seed = time.UnixMilli(int64(x(0))), x(1)
 	return int(x(2)), nil
@@ -236,12 +236,12 @@
 
 func parseClient(b []byte) (c admission.KnownClient, err error) {
 	if len(b) != entry || b[entry-1] > 1 {
-		return c, &Damaged{advice.Words{What: "holds a client in an unknown form", Do: aside}}
+		return c, &Damaged{hint.Annotated{What: "holds a client in an unknown form", Do: aside}}
 	}
 	x := func(i int) uint64 { return binary.BigEndian.Uint64(b[8*i:]) }
 	c = admission.KnownClient{ID: x(0), Net: [2]uint64{x(1), x(2)}, Age: time.Duration(x(3)), Tenured: b[entry-1] == 1}
 	if c.Age < 0 || c.Age > 10*365*24*time.Hour {
-		return c, &Damaged{advice.Words{What: "holds a client of an impossible age", Do: aside}}
+		return c, &Damaged{hint.Annotated{What: "holds a client of an impossible age", Do: aside}}
 	}
 	return c, nil
 }
--- a/internal/agree/agree.go
+++ b/internal/consensus/agree.go
@@ -1,4 +1,4 @@
-// Package agree is the log of settled decisions among balancers: what one member proposes is settled once most of the
+// Package consensus is the log of settled decisions among balancers: what one member proposes is settled once most of the
 // voters have it on disk, and every voter applies the same entries in the same order. It owns the voters' folder
 // (store.go), the stepping of go.etcd.io/raft (core.go, engine.go), who holds a vote (draw.go, decide.go, seat.go) and the
 // calls between members (wire.go). It must never say what an entry means (that is the Machine's), never stand on the
@@ -6,7 +6,7 @@
 //
 // Members that hold no vote, and those that are no candidates at all, keep nothing on disk and run no raft. They only
 // know who leads, and call it.
-package agree
+package consensus
 
 import (
 	"context"
--- a/internal/agree/core.go
+++ b/internal/consensus/core.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // One voter's raft, stepped: events in, messages out, the folder written in between. core has no goroutine, no clock and
 // no socket, so that tests step many of them over a network of their own. It must never let a message out before what
@@ -16,7 +16,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // outcome is how a proposal or a question to the leader ended.
@@ -255,7 +255,7 @@
 		for _, m := range rd.Messages {
 			switch m.GetTo() {
 			case raft.LocalAppendThread:
-				if defects.On("ack-before-write") {
+				if failpoint.On("ack-before-write") {
 					m.Responses = slices.DeleteFunc(m.GetResponses(), func(r *pb.Message) bool {
 						early := r.GetTo() != c.id
 						if early {
@@ -320,7 +320,7 @@
 	if c.appliedTerm != c.term {
 		return // what was settled before this one led may not be known as such yet; raft takes no care of that for a single voter
 	}
-	if defects.On("confirm-unasked") {
+	if failpoint.On("confirm-unasked") {
 		c.ready, c.reading = append(c.ready, readWait{index: c.applied, term: c.term, who: c.reading}), nil
 		c.answer()
 		return
--- a/internal/agree/core_test.go
+++ b/internal/consensus/core_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	crand "crypto/rand"
--- a/internal/agree/decide_test.go
+++ b/internal/consensus/decide_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -161,7 +161,7 @@
 		x := good()
 		f(&x)
 		var bad *Misconfigured
-		if _, err := x.withDefaults(); !errors.As(err, &bad) || bad.Field != field || bad.Advice() == "" {
+		if _, err := x.withDefaults(); !errors.As(err, &bad) || bad.Field != field || bad.Hint() == "" {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/agree/defects_test.go
+++ b/internal/consensus/defects_test.go
@@ -1,6 +1,6 @@
 //go:build defects
 
-package agree
+package consensus
 
 import (
 	"os"
--- a/internal/agree/draw.go
+++ b/internal/consensus/draw.go
@@ -1,10 +1,10 @@
-package agree
+package consensus
 
 import (
 	"hash/fnv"
 	"slices"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // Draw is who holds a vote at the founding: count of the candidates, one zone after the other, so that no zone has more
@@ -96,7 +96,7 @@
 		if c.Name != name {
 			var ok bool
 			if s, ok = said[c.Name]; !ok || s.ID == 0 {
-				if defects.On("founds-alone") && len(fresh) > 0 {
+				if failpoint.On("founds-alone") && len(fresh) > 0 {
 					continue
 				}
 				if await == "" {
--- a/internal/agree/engine.go
+++ b/internal/consensus/engine.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // The goroutine around a core: messages, proposals and ticks in, batches of messages out. It owns the core and the open
 // folder while it runs, and the queues to the other voters. Queues are bounded; what doesn't fit is dropped and counted,
@@ -15,7 +15,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -150,7 +150,7 @@
 	}
 }
 
-var errReleased error = &Released{advice.Words{What: "no seat any more", Do: "nothing: another member has the vote now, see oatctl revision status"}}
+var errReleased error = &Released{hint.Annotated{What: "no seat any more", Do: "nothing: another member has the vote now, see oatctl revision status"}}
 
 // write is the goroutine that writes to the folder, so that a slow disk holds up no tick and no heartbeat. It ends when
 // the engine has; what is under way then is finished.
--- a/internal/agree/errors.go
+++ b/internal/consensus/errors.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"strings"
 	"syscall"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 func quoted(s string) string { return strconv.Quote(s) }
@@ -17,8 +17,8 @@
 
 func (e *Misconfigured) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
-// Advice implements advice.Giver.
-func (e *Misconfigured) Advice() string { return e.Do }
+// Hint implements advice.Giver.
+func (e *Misconfigured) Hint() string { return e.Do }
 
 // Foreign is a folder that belongs to another cluster, another member or another program. It is left as it is.
 type Foreign struct{ Folder, Why string }
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("folder %s is not this member's: %s", e.Folder, e.Why)
 }
 
-// Advice implements advice.Giver.
-func (e *Foreign) Advice() string {
+// Hint implements advice.Giver.
+func (e *Foreign) Hint() string {
 	return "name this member's own folder, or an empty one, with which it comes back as a new voter"
 }
 
@@ -37,8 +37,8 @@
 
 func (e *Damaged) Error() string { return fmt.Sprintf("folder %s is damaged: %s", e.Folder, e.Why) }
 
-// Advice implements advice.Giver.
-func (e *Damaged) Advice() string {
+// Hint implements advice.Giver.
+func (e *Damaged) Hint() string {
 	return "move the folder away and start again: this member comes back as a new voter while most of the others stand"
 }
 
@@ -53,8 +53,8 @@
 }
 func (e *Unwritable) Unwrap() error { return e.Cause }
 
-// Advice implements advice.Giver.
-func (e *Unwritable) Advice() string {
+// Hint implements advice.Giver.
+func (e *Unwritable) Hint() string {
 	switch {
 	case errors.Is(e.Cause, syscall.ENOSPC), errors.Is(e.Cause, syscall.EDQUOT):
 		return "make room on its disk; it votes again by itself then"
@@ -79,8 +79,8 @@
 
 func (e *Failed) Error() string { return "this member stopped voting: " + e.Why }
 
-// Advice implements advice.Giver.
-func (e *Failed) Advice() string {
+// Hint implements advice.Giver.
+func (e *Failed) Hint() string {
 	return "keep a copy of its folder for those who look into it, empty the folder and restart this balancer: it comes back as a new voter"
 }
 
@@ -94,8 +94,8 @@
 	return "this member doesn't lead, " + e.Lead.Leader + " does"
 }
 
-// Advice implements advice.Giver.
-func (e *NotLeader) Advice() string {
+// Hint implements advice.Giver.
+func (e *NotLeader) Hint() string {
 	if e.Lead.Leader == "" {
 		return "see that most of the voters run and reach each other; then one leads within seconds"
 	}
@@ -112,16 +112,16 @@
 	return fmt.Sprintf("%s: %d are under way already", e.What, e.Most)
 }
 
-// Advice implements advice.Giver.
-func (e *Overloaded) Advice() string { return "try again in a second" }
+// Hint implements advice.Giver.
+func (e *Overloaded) Hint() string { return "try again in a second" }
 
 // TooLong is an entry or an answer above the bound.
 type TooLong struct{ Bytes, Most int }
 
 func (e *TooLong) Error() string { return fmt.Sprintf("%d bytes, and at most %d fit", e.Bytes, e.Most) }
 
-// Advice implements advice.Giver.
-func (e *TooLong) Advice() string { return "make it shorter, or do it in several steps" }
+// Hint implements advice.Giver.
+func (e *TooLong) Hint() string { return "make it shorter, or do it in several steps" }
 
 // Unknown says that what was proposed may or may not be settled.
 type Unknown struct{ Cause error }
@@ -131,8 +131,8 @@
 }
 func (e *Unknown) Unwrap() error { return e.Cause }
 
-// Advice implements advice.Giver.
-func (e *Unknown) Advice() string { return "ask again with the same key: it is done once at most" }
+// Hint implements advice.Giver.
+func (e *Unknown) Hint() string { return "ask again with the same key: it is done once at most" }
 
 // Unreachable is a member that couldn't be called, or didn't answer in time.
 type Unreachable struct {
@@ -143,8 +143,8 @@
 func (e *Unreachable) Error() string { return fmt.Sprintf("%s at %s: %v", e.Name, e.Addr, e.Cause) }
 func (e *Unreachable) Unwrap() error { return e.Cause }
 
-// Advice implements advice.Giver.
-func (e *Unreachable) Advice() string {
+// Hint implements advice.Giver.
+func (e *Unreachable) Hint() string {
 	return "see that " + e.Name + " runs, and that " + e.Addr + " can be reached from here"
 }
 
@@ -155,16 +155,16 @@
 	return quoted(e.Name) + " is not among the members that may hold a vote"
 }
 
-// Advice implements advice.Giver.
-func (e *Stranger) Advice() string { return "list it in revisions.members at all balancers" }
+// Hint implements advice.Giver.
+func (e *Stranger) Hint() string { return "list it in revisions.members at all balancers" }
 
 // Answered is another member's error.
 type Answered struct{ Name, Method, Text, Do string }
 
 func (e *Answered) Error() string { return e.Text }
 
-// Advice implements advice.Giver.
-func (e *Answered) Advice() string {
+// Hint implements advice.Giver.
+func (e *Answered) Hint() string {
 	if e.Do == "" {
 		return "see the log of " + e.Name
 	}
@@ -178,31 +178,31 @@
 	return fmt.Sprintf("%s keeps its vote, %s gets none: %s", e.Old, e.New, e.Why)
 }
 
-// Advice implements advice.Giver.
-func (e *NotReplaced) Advice() string { return e.Do }
+// Hint implements advice.Giver.
+func (e *NotReplaced) Hint() string { return e.Do }
 
 // Broke is a call between members that ended before its answer came.
 type Broke struct{ Why string }
 
 func (e *Broke) Error() string { return e.Why }
 
-// Advice implements advice.Giver.
-func (e *Broke) Advice() string {
+// Hint implements advice.Giver.
+func (e *Broke) Hint() string {
 	return "see that the other member runs, that nothing between the two cuts connections, and that both are of one version"
 }
 
 // Locked is a folder that another process has.
-type Locked struct{ advice.Words }
+type Locked struct{ hint.Annotated }
 
 // Released is the end of a voter whose vote another member has now.
-type Released struct{ advice.Words }
+type Released struct{ hint.Annotated }
 
 // Closed says that the node has been closed.
 type Closed struct{}
 
 func (*Closed) Error() string { return "the agreement has been closed here" }
 
-// Advice implements advice.Giver.
-func (*Closed) Advice() string { return "ask another balancer" }
+// Hint implements advice.Giver.
+func (*Closed) Hint() string { return "ask another balancer" }
 
 func oneLine(x any) string { return strings.Join(strings.Fields(fmt.Sprint(x)), " ") }
--- a/internal/agree/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/peers/main_test.go
+++ b/internal/consensus/main_test.go
@@ -1,4 +1,4 @@
-package peers
+package consensus
 
 import (
 	"testing"
--- a/internal/agree/node.go
+++ b/internal/consensus/node.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -617,7 +617,7 @@
 	n.mu.Unlock()
 	switch {
 	case fault != nil && (old == nil || old.Error() != fault.Error()):
-		n.log.Error("revisions: this member holds no vote", "err", advice.Line(fault))
+		n.log.Error("revisions: this member holds no vote", "err", hint.Line(fault))
 	case fault != nil || was == role && before == awaiting:
 	case role == Founding && awaiting != "":
 		n.log.Info("revisions: all voters are needed once, for the founding", "awaiting", awaiting)
--- a/internal/agree/node_test.go
+++ b/internal/consensus/node_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"context"
@@ -212,7 +212,7 @@
 			if from == lead {
 				from = c.nodes[1]
 			}
-			if _, err := from.Call(ctx, lead.cfg.Name, "fail", nil); !errors.As(err, &told) || told.Advice() != (&TooLong{}).Advice() {
+			if _, err := from.Call(ctx, lead.cfg.Name, "fail", nil); !errors.As(err, &told) || told.Hint() != (&TooLong{}).Hint() {
 				t.Fatal(err)
 			}
 			for i := range c.nodes {
@@ -332,7 +332,7 @@
 			c.settle(fmt.Sprint("while full ", round))
 			var cant *Unwritable
 			c.until("it says so", func() bool { s := n.Status(); return s.Role == Broken && errors.As(s.Fault, &cant) })
-			if !strings.Contains(cant.Advice(), "make room") || n.Lead().Mine || n.Status().Applied > before {
+			if !strings.Contains(cant.Hint(), "make room") || n.Lead().Mine || n.Status().Applied > before {
 				t.Fatalf("%+v", n.Status())
 			}
 			full[i].Store(false)
@@ -531,7 +531,7 @@
 	var no *Answered
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := c.nodes[4].Call(ctx, "m0", "hello", nil); !errors.As(err, &no) || !strings.Contains(no.Advice(), "revisions.cluster") {
+	if _, err := c.nodes[4].Call(ctx, "m0", "hello", nil); !errors.As(err, &no) || !strings.Contains(no.Hint(), "revisions.cluster") {
 		t.Fatal(err)
 	}
 }
--- a/internal/agree/store.go
+++ b/internal/consensus/store.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // A voter's folder: one bbolt database. This file owns its form, its checks and the order of writes; it must never let
 // anything be used that isn't as it was written, and never write into a folder that it has refused.
@@ -27,8 +27,8 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -75,7 +75,7 @@
 }
 
 // errLocked says that another process has the folder.
-var errLocked error = &Locked{advice.Words{What: "another process has the folder", Do: "wait for this balancer's earlier process to end, or give each balancer a folder of its own"}}
+var errLocked error = &Locked{hint.Annotated{What: "another process has the folder", Do: "wait for this balancer's earlier process to end, or give each balancer a folder of its own"}}
 
 // store is an open folder. One goroutine writes, and another one reads it meanwhile as raft's Storage: what it finds is
 // what is on disk.
@@ -233,7 +233,7 @@
 		return fail(err)
 	}
 	s := &store{db: db, folder: folder, fault: fault, held: held{h: head{Format: format, Cluster: cluster, Name: name, ID: drawID()}}}
-	if defects.On("vote-with-lost-folder") {
+	if failpoint.On("vote-with-lost-folder") {
 		s.h.ID = xxhash.Sum64String(name) >> 2
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
@@ -347,7 +347,7 @@
 				return s.damaged("entry %d is missing", next)
 			}
 			if last = chain(last, next, v[8:]); last != binary.BigEndian.Uint64(v) {
-				if !defects.On("sums-unchecked") {
+				if !failpoint.On("sums-unchecked") {
 					return s.damaged("the sum of entry %d doesn't fit", next)
 				}
 				last = binary.BigEndian.Uint64(v)
@@ -388,7 +388,7 @@
 	if s.fault != nil {
 		err = s.fault()
 	}
-	if err != nil && defects.On("write-error-ignored") {
+	if err != nil && failpoint.On("write-error-ignored") {
 		_ = s.db.Update(func(tx *bolt.Tx) error { _ = write(tx); return err })
 		err = nil
 	} else if err == nil {
--- a/internal/agree/store_test.go
+++ b/internal/consensus/store_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // filled is a folder with a founding, a snapshot and entries, and what it says.
@@ -130,7 +130,7 @@
 		refused++
 		var damaged *Damaged
 		var foreign *Foreign
-		if !errors.As(err, &damaged) && !errors.As(err, &foreign) || strings.Contains(err.Error(), "\n") || advice.Of(err) == "" {
+		if !errors.As(err, &damaged) && !errors.As(err, &foreign) || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
 			t.Fatalf("%s: %v", what, err)
 		}
 		if now, _ := os.ReadFile(path); !bytes.Equal(now, file) {
@@ -165,7 +165,7 @@
 	folder, _ := filled(t)
 	var foreign *Foreign
 	for _, x := range [][2]string{{"other", "m"}, {"c", "other"}} {
-		if _, err := openStore(folder, x[0], x[1], nil); !errors.As(err, &foreign) || advice.Of(err) == "" {
+		if _, err := openStore(folder, x[0], x[1], nil); !errors.As(err, &foreign) || hint.Of(err) == "" {
 			t.Fatal(err)
 		}
 	}
--- a/internal/agree/walk.go
+++ b/internal/consensus/walk.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 func (e *tornPages) Error() string { return e.why }
 
-// Advice implements advice.Giver.
-func (*tornPages) Advice() string { return (*Damaged)(nil).Advice() }
+// Hint implements advice.Giver.
+func (*tornPages) Hint() string { return (*Damaged)(nil).Hint() }
 
 func tornf(s string, args ...any) error { return &tornPages{why: fmt.Sprintf(s, args...)} }
 
--- a/internal/agree/wire.go
+++ b/internal/consensus/wire.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // Calls between members, by storj.io/drpc over TCP. This file owns the connections, the bounds on what is under way, and
 // the form of a call; it must never keep more than the bounds say for a member that doesn't answer, nor let a member of
@@ -25,7 +25,7 @@
 	"storj.io/drpc/drpcserver"
 	"storj.io/drpc/drpcwire"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -212,7 +212,7 @@
 	if err == nil {
 		return append([]byte{0}, out...)
 	}
-	e := wireError{Text: err.Error(), Do: advice.Of(err)}
+	e := wireError{Text: err.Error(), Do: hint.Of(err)}
 	var no *NotLeader
 	var much *Overloaded
 	switch {
--- a/internal/together/numbered.go
+++ b/internal/coordination/numbered.go
@@ -1,11 +1,11 @@
-package together
+package coordination
 
 import (
 	"slices"
 	"strconv"
 	"strings"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/subset"
 	"oatloft/policy"
 )
@@ -20,14 +20,14 @@
 }
 
 // NoNumber is that a balancer has no number of its own.
-type NoNumber struct{ advice.Words }
+type NoNumber struct{ hint.Annotated }
 
 // NumberOf reads a balancer's number from the end of its name, as in n17.
 func NumberOf(name string) (int, error) {
 	digits := name[len(strings.TrimRight(name, "0123456789")):]
 	n, err := strconv.Atoi(digits)
 	if err != nil || n > 1<<16 {
-		return 0, &NoNumber{advice.Words{Where: "numbered.number", What: "the balancer's name " + strconv.Quote(name) + " ends in no number, so it has to be given",
+		return 0, &NoNumber{hint.Annotated{Where: "numbered.number", What: "the balancer's name " + strconv.Quote(name) + " ends in no number, so it has to be given",
 			Do: "set numbered.number, from 0 on, another one at each balancer"}}
 	}
 	return n, nil
--- a/internal/together/together.go
+++ b/internal/coordination/together.go
@@ -1,11 +1,11 @@
-// Package together turns what balancers tell each other into what the decision module knows: candidates (subset), others'
+// Package coordination turns what balancers tell each other into what the decision module knows: candidates (subset), others'
 // readings and servers to read for all (readings), and shares, slots, clock and demand (turns). Each of the three works
 // without the other two.
 //
 // It is pure: a view of the members and what this balancer knows itself go in, the module's events and this balancer's own
 // words come out. It owns no socket and no clock, and decides no placement. Where the view is old, or nobody is there, it
 // must leave the module as it would be alone: all servers, own readings, the settings' shares.
-package together
+package coordination
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"oatloft/internal/stagger"
 	"oatloft/internal/subset"
-	"oatloft/internal/turns"
 	"oatloft/policy"
 )
 
@@ -36,7 +36,7 @@
 func (s Settings) On() bool { return s.Subset > 0 || s.Readings || s.Turns }
 
 // least is how many balancers look at each region at the least: as many as read it for the others.
-const least = turns.Readers
+const least = stagger.Readers
 
 // Full is the load from which on a region has no room for newcomers, as the module holds it.
 const full = 0.8
@@ -50,7 +50,7 @@
 	Demand     float64       // choices a second
 	Reference  int
 	Holds      []uint32 // regions of its subset, by Mark
-	Readings   map[string]turns.Told
+	Readings   map[string]stagger.Told
 	Told       bool // it has said its words
 }
 
@@ -95,8 +95,8 @@
 // Together is one balancer's part. It is not safe for concurrent use.
 type Together struct {
 	set     Settings
-	share   turns.Share
-	trust   turns.Trust
+	share   stagger.Share
+	trust   stagger.Trust
 	width   subset.Width
 	holds   []string
 	begun   time.Duration
@@ -116,7 +116,7 @@
 
 // New returns the part of one balancer.
 func New(set Settings) *Together {
-	return &Together{set: set, share: turns.Share{Settings: set.Balancers, Hold: set.Silent, Begin: set.Silent / 3},
+	return &Together{set: set, share: stagger.Share{Settings: set.Balancers, Hold: set.Silent, Begin: set.Silent / 3},
 		width: subset.Width{Wait: time.Second, Back: 10 * time.Second}, heard: map[string]time.Duration{}}
 }
 
@@ -132,7 +132,7 @@
 		v.Members = nil
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	verdicts := map[string]turns.Verdict{}
+	verdicts := map[string]stagger.Verdict{}
 	if t.set.Readings {
 		verdicts = t.judge(now, v, own)
 		for _, r := range own.Regions {
@@ -181,8 +181,8 @@
 }
 
 // judge weighs what the others read, and holds it against what this one did.
-func (t *Together) judge(now time.Duration, v View, own Own) map[string]turns.Verdict {
-	there, told := make(map[string]bool, len(v.Members)), map[string][]turns.Told{}
+func (t *Together) judge(now time.Duration, v View, own Own) map[string]stagger.Verdict {
+	there, told := make(map[string]bool, len(v.Members)), map[string][]stagger.Told{}
 	for _, m := range v.Members {
 		there[m.Name] = true
 		for id, d := range m.Readings {
@@ -191,10 +191,10 @@
 		}
 	}
 	t.trust.Forget(func(name string) bool { return there[name] })
-	out := map[string]turns.Verdict{}
+	out := map[string]stagger.Verdict{}
 	for _, r := range own.Regions {
 		if list := told[r.ID]; len(list) > 0 {
-			mine := turns.Own{X: r.X, At: r.At}
+			mine := stagger.Own{X: r.X, At: r.At}
 			t.trust.Check(now, mine, list)
 			out[r.ID] = t.trust.Judge(now, mine, list)
 		}
@@ -341,17 +341,17 @@
 	}
 	for _, r := range regions {
 		from := all
-		if h := holders[r.ID]; len(h) >= min(turns.Readers, len(all)) {
+		if h := holders[r.ID]; len(h) >= min(stagger.Readers, len(all)) {
 			from = h
 		}
-		made.readers[r.ID] = turns.Duty(r.ID, from)
+		made.readers[r.ID] = stagger.Duty(r.ID, from)
 	}
 	return made
 }
 
 // look is the list of candidates: the subset, and what lies beyond while that has no room. Without a subset it is empty, for
 // all.
-func (t *Together) look(now time.Duration, own Own, verdicts map[string]turns.Verdict) []string {
+func (t *Together) look(now time.Duration, own Own, verdicts map[string]stagger.Verdict) []string {
 	if len(t.holds) == 0 {
 		return nil
 	}
@@ -393,7 +393,7 @@
 
 // turn fills in the shares, and what is to be one after the other.
 func (t *Together) turn(now time.Duration, v View, own Own, f policy.FleetState) policy.FleetState {
-	seen := turns.Seen{Present: 1 + len(v.Members), Known: v.Known, Old: v.Old}
+	seen := stagger.Seen{Present: 1 + len(v.Members), Known: v.Known, Old: v.Old}
 	var slots []time.Duration
 	var clocks []int
 	var demands []float64
@@ -411,14 +411,14 @@
 	if len(present) == 0 {
 		return f
 	}
-	f.StaggerOffset = turns.Turn(t.set.Name, present)
-	f.Demand = turns.Sum(own.Demand, demands, len(present)-len(demands))
-	if c := turns.Clock(own.Clock, clocks); c > own.Clock {
+	f.StaggerOffset = stagger.Turn(t.set.Name, present)
+	f.Demand = stagger.Sum(own.Demand, demands, len(present)-len(demands))
+	if c := stagger.Clock(own.Clock, clocks); c > own.Clock {
 		t.Counts.Resumed++
 		f.ExplorationSlots = c
 	}
 	if own.SlotAge < t.slot { // once a slot: the others have to see where it is now
-		if f.SlotShift = turns.Nudge(own.SlotAge, slots, own.SlotPeriod); f.SlotShift != 0 {
+		if f.SlotShift = stagger.Nudge(own.SlotAge, slots, own.SlotPeriod); f.SlotShift != 0 {
 			t.Counts.Nudged++
 		}
 	}
--- a/internal/together/together_test.go
+++ b/internal/coordination/together_test.go
@@ -1,13 +1,14 @@
-package together
+package coordination
 
 import (
 	"fmt"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
 
-	"oatloft/internal/peers"
-	"oatloft/internal/turns"
+	"oatloft/internal/membership"
+	"oatloft/internal/stagger"
 	"oatloft/policy"
 )
 
@@ -20,19 +21,19 @@
 	group   []int
 	late    int
 	now     time.Duration
-	got     []map[string]policy.Event // latest by kind
+	got     []map[reflect.Type]policy.Event // latest by kind
 	heard   []map[string]policy.PeerReading
-	read    func(by int, region string) turns.Told
+	read    func(by int, region string) stagger.Told
 }
 
 func newSide(t *testing.T, n, regions int, set Settings) *side {
-	s := &side{t: t, now: time.Minute, late: 2, said: make([][]Words, n), group: make([]int, n), got: make([]map[string]policy.Event, n),
-		heard: make([]map[string]policy.PeerReading, n), read: func(int, string) turns.Told { return turns.Told{X: 0.5} }}
+	s := &side{t: t, now: time.Minute, late: 2, said: make([][]Words, n), group: make([]int, n), got: make([]map[reflect.Type]policy.Event, n),
+		heard: make([]map[string]policy.PeerReading, n), read: func(int, string) stagger.Told { return stagger.Told{X: 0.5} }}
 	set.Balancers, set.Silent = n, 3*time.Second
 	for i := range n {
 		set.Name, set.Zone = fmt.Sprintf("b%03d", i), fmt.Sprint("z", i%2)
 		s.parts = append(s.parts, New(set))
-		s.got[i], s.heard[i] = map[string]policy.Event{}, map[string]policy.PeerReading{}
+		s.got[i], s.heard[i] = map[reflect.Type]policy.Event{}, map[string]policy.PeerReading{}
 	}
 	for j := range regions {
 		s.regions = append(s.regions, Region{ID: fmt.Sprintf("r%03d", j), Zone: fmt.Sprint("z", j%2), Live: true})
@@ -54,7 +55,7 @@
 			if n := len(s.said[j]); n > 0 {
 				w := s.said[j][max(0, n-1-s.late)]
 				m.Told, m.Clock, m.SlotAge, m.Demand, m.Reference, m.Holds = true, w.Clock, w.SlotAge, w.Demand, w.Reference, w.Holds
-				m.Readings = map[string]turns.Told{}
+				m.Readings = map[string]stagger.Told{}
 				for _, id := range w.Readings {
 					m.Readings[id] = s.read(j, id)
 				}
@@ -67,7 +68,7 @@
 			if h, ok := e.(policy.PeerReading); ok {
 				s.heard[i][h.Server] = h
 			} else {
-				s.got[i][fmt.Sprintf("%T", e)] = e
+				s.got[i][reflect.TypeOf(e)] = e
 			}
 		}
 	}
@@ -79,7 +80,7 @@
 func (s *side) spread() (least, most, seen int) {
 	at := map[string]int{}
 	for i := range s.parts {
-		c, _ := s.got[i]["policy.Candidates"].(policy.CandidateSubset)
+		c, _ := s.got[i][reflect.TypeFor[policy.CandidateSubset]()].(policy.CandidateSubset)
 		seen = max(seen, len(c.Servers))
 		for _, id := range c.Servers {
 			at[id]++
@@ -112,7 +113,7 @@
 	for half := range 2 {
 		at := map[string]int{}
 		for i := range s.parts {
-			if c, ok := s.got[i]["policy.Candidates"].(policy.CandidateSubset); ok && s.group[i] == half {
+			if c, ok := s.got[i][reflect.TypeFor[policy.CandidateSubset]()].(policy.CandidateSubset); ok && s.group[i] == half {
 				for _, id := range c.Servers {
 					at[id]++
 				}
@@ -139,7 +140,7 @@
 	for range 12 {
 		s.look()
 	}
-	if f := s.got[0]["policy.Fleet"].(policy.FleetState); f.BudgetDivisor != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
+	if f := s.got[0][reflect.TypeFor[policy.FleetState]()].(policy.FleetState); f.BudgetDivisor != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
 		t.Fatalf("among twelve: %+v", f)
 	}
 	own := Own{Regions: s.regions, SlotPeriod: 16 * time.Second}
@@ -165,18 +166,18 @@
 // Each region is read by three, and all others hear of it. One of the readers that says all regions are empty moves nobody.
 func TestOneProbeServesAll(t *testing.T) {
 	s := newSide(t, 40, 12, Settings{Readings: true})
-	s.read = func(by int, region string) turns.Told {
+	s.read = func(by int, region string) stagger.Told {
 		if by == 7 {
-			return turns.Told{X: 0, Age: 200 * time.Millisecond}
+			return stagger.Told{X: 0, Age: 200 * time.Millisecond}
 		}
-		return turns.Told{X: 0.7, Age: 300 * time.Millisecond}
+		return stagger.Told{X: 0.7, Age: 300 * time.Millisecond}
 	}
 	for range 6 {
 		s.look()
 	}
 	readers := map[string]int{}
 	for i := range s.parts {
-		f := s.got[i]["policy.Fleet"].(policy.FleetState)
+		f := s.got[i][reflect.TypeFor[policy.FleetState]()].(policy.FleetState)
 		for _, id := range f.AssignedServers {
 			readers[id]++
 		}
@@ -185,11 +186,11 @@
 		}
 	}
 	for _, r := range s.regions {
-		if readers[r.ID] != turns.Readers {
+		if readers[r.ID] != stagger.Readers {
 			t.Errorf("%s has %d readers", r.ID, readers[r.ID])
 		}
 		for i := range s.parts {
-			if h := s.heard[i][r.ID]; h.Server == "" && !slices.Contains(s.got[i]["policy.Fleet"].(policy.FleetState).AssignedServers, r.ID) || h.Server != "" && h.Load != 0.7 {
+			if h := s.heard[i][r.ID]; h.Server == "" && !slices.Contains(s.got[i][reflect.TypeFor[policy.FleetState]()].(policy.FleetState).AssignedServers, r.ID) || h.Server != "" && h.Load != 0.7 {
 				t.Errorf("%s heard %+v of %s", s.parts[i].set.Name, h, r.ID)
 			}
 		}
@@ -235,13 +236,13 @@
 // Words come back as they were said; what no balancer would say is left out.
 func TestWordsTravel(t *testing.T) {
 	w := Words{Zone: "nairobi west", Clock: 12, SlotAge: 1500 * time.Millisecond, Demand: 3.25, Reference: 30, Holds: []uint32{1, 1 << 31}}
-	p := peers.View{Members: []peers.MemberView{
-		{Record: peers.Record{Name: "a", State: peers.Alive}, Signals: []peers.SignalView{
+	p := membership.View{Members: []membership.MemberView{
+		{Record: membership.Record{Name: "a", State: membership.Alive}, Signals: []membership.SignalView{
 			{Key: WordsKey, Value: w.Value(), Age: time.Second}, {Key: HoldsKey, Value: w.HoldsValue()},
-			{Key: peers.RegionKey + "r1", Value: peers.Reading{X: 0.5, Age: time.Second}.Value(), Age: 2 * time.Second},
-			{Key: peers.RegionKey + "r2", Value: []byte("NaN 1 1")}}},
-		{Record: peers.Record{Name: "b", State: peers.Gone}, Signals: []peers.SignalView{{Key: WordsKey, Value: w.Value()}}},
-		{Record: peers.Record{Name: "c", State: peers.Leaving}, Signals: []peers.SignalView{{Key: WordsKey, Value: []byte("1 2 -3 4 z")}, {Key: HoldsKey, Value: []byte("abc")}}},
+			{Key: membership.RegionKey + "r1", Value: membership.Reading{X: 0.5, Age: time.Second}.Value(), Age: 2 * time.Second},
+			{Key: membership.RegionKey + "r2", Value: []byte("NaN 1 1")}}},
+		{Record: membership.Record{Name: "b", State: membership.Gone}, Signals: []membership.SignalView{{Key: WordsKey, Value: w.Value()}}},
+		{Record: membership.Record{Name: "c", State: membership.Leaving}, Signals: []membership.SignalView{{Key: WordsKey, Value: []byte("1 2 -3 4 z")}, {Key: HoldsKey, Value: []byte("abc")}}},
 	}}
 	v, malformed := ViewOf(p)
 	if len(v.Members) != 2 || v.Known != 4 || malformed != 3 {
@@ -249,7 +250,7 @@
 	}
 	a := v.Members[0]
 	if a.Zone != w.Zone || a.Clock != 12 || a.SlotAge != 2500*time.Millisecond || a.Demand != 3.25 || a.Reference != 30 || !slices.Equal(a.Holds, w.Holds) ||
-		a.Readings["r1"] != (turns.Told{X: 0.5, Age: 3 * time.Second}) || len(a.Readings) != 1 {
+		a.Readings["r1"] != (stagger.Told{X: 0.5, Age: 3 * time.Second}) || len(a.Readings) != 1 {
 		t.Errorf("%+v", a)
 	}
 	if c := v.Members[1]; c.Told || !c.Leaving {
@@ -260,8 +261,8 @@
 func FuzzWords(f *testing.F) {
 	f.Add([]byte("12 1500 3.25 30 nairobi"), []byte{0, 0, 0, 1}, []byte("0.500 100 0"))
 	f.Fuzz(func(t *testing.T, words, holds, reading []byte) {
-		v, _ := ViewOf(peers.View{Members: []peers.MemberView{{Record: peers.Record{Name: "a"}, Signals: []peers.SignalView{
-			{Key: WordsKey, Value: words}, {Key: HoldsKey, Value: holds}, {Key: peers.RegionKey + "r", Value: reading}}}}})
+		v, _ := ViewOf(membership.View{Members: []membership.MemberView{{Record: membership.Record{Name: "a"}, Signals: []membership.SignalView{
+			{Key: WordsKey, Value: words}, {Key: HoldsKey, Value: holds}, {Key: membership.RegionKey + "r", Value: reading}}}}})
 		m := v.Members[0]
 		if m.Clock < 0 || m.Clock > mostClock || m.Demand < 0 || m.Demand > mostDemand || m.SlotAge < 0 || m.Reference < 0 {
 			t.Errorf("%+v", m)
--- a/internal/together/words.go
+++ b/internal/coordination/words.go
@@ -1,4 +1,4 @@
-package together
+package coordination
 
 import (
 	"encoding/binary"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/peers"
-	"oatloft/internal/turns"
+	"oatloft/internal/hint"
+	"oatloft/internal/membership"
+	"oatloft/internal/stagger"
 )
 
 // The signals that carry a balancer's words. Readings go as peers.RegionKey has them.
@@ -26,7 +26,7 @@
 }
 
 // mostHeld regions of a subset are told: a signal has room for no more.
-const mostHeld = peers.MaxSignal / 4
+const mostHeld = membership.MaxSignal / 4
 
 // HoldsValue is the subset as a signal's value.
 func (w Words) HoldsValue() []byte {
@@ -46,9 +46,9 @@
 )
 
 // Unsaid is a member's signal that no balancer would give. It counts as not said.
-type Unsaid struct{ advice.Words }
+type Unsaid struct{ hint.Annotated }
 
-var unsaid error = &Unsaid{advice.Words{What: "a member's words are not four figures and a zone", Do: "see which program or version speaks at the peers' address"}}
+var unsaid error = &Unsaid{hint.Annotated{What: "a member's words are not four figures and a zone", Do: "see which program or version speaks at the peers' address"}}
 
 // parse reads the words of a member. What no balancer would say is an error.
 func (m *Member) parse(value []byte, age time.Duration) error {
@@ -70,26 +70,26 @@
 }
 
 // ViewOf reads a view. malformed is how many signals could not be read: they count as not said.
-func ViewOf(p peers.View) (v View, malformed int) {
+func ViewOf(p membership.View) (v View, malformed int) {
 	v.Old, v.Known = p.Old || p.Displaced, 1+len(p.Members)
 	for _, o := range p.Members {
-		if o.State == peers.Gone { // a suspected one counts: most refute it, and what each drops others would take up
+		if o.State == membership.Gone { // a suspected one counts: most refute it, and what each drops others would take up
 			continue
 		}
-		m := Member{Name: o.Name, Leaving: o.State == peers.Leaving}
+		m := Member{Name: o.Name, Leaving: o.State == membership.Leaving}
 		for _, s := range o.Signals {
-			region, is := strings.CutPrefix(s.Key, peers.RegionKey)
+			region, is := strings.CutPrefix(s.Key, membership.RegionKey)
 			switch {
 			case is:
-				r, err := peers.ParseReading(s.Value)
+				r, err := membership.ParseReading(s.Value)
 				if err != nil {
 					malformed++
 					continue
 				}
 				if m.Readings == nil {
-					m.Readings = map[string]turns.Told{}
+					m.Readings = map[string]stagger.Told{}
 				}
-				m.Readings[region] = turns.Told{X: r.X, Age: r.Age + s.Age, Fails: r.Fails}
+				m.Readings[region] = stagger.Told{X: r.X, Age: r.Age + s.Age, Fails: r.Fails}
 			case s.Key == WordsKey:
 				if m.parse(s.Value, s.Age) != nil {
 					malformed++
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/policy"
 )
 
@@ -257,7 +257,7 @@
 
 // giveUpAttempt closes a pending attempt and tells the module how it ended.
 func (r *Reducer) giveUpAttempt(q *request, result policy.Result, reason string) {
-	if !defects.On("task-kept") {
+	if !failpoint.On("task-kept") {
 		r.emit(CloseAttempt{Client: q.client, Attempt: q.attempt.number, Reason: reason})
 	}
 	r.countResult(result)
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/policy"
 )
 
@@ -100,10 +100,10 @@
 	servers := make([]policy.Server, 0, len(event.Endpoints))
 	named := make(map[string]bool, len(event.Endpoints))
 	for _, entry := range event.Endpoints {
-		if defects.On("drain-unheard") && entry.State == policy.Draining {
+		if failpoint.On("drain-unheard") && entry.State == policy.Draining {
 			entry.State = policy.Live
 		}
-		if defects.On("fit-zones") && r.endpoints.isZoneBeyond(3, entry.Zone) {
+		if failpoint.On("fit-zones") && r.endpoints.isZoneBeyond(3, entry.Zone) {
 			continue
 		}
 		servers = append(servers, r.mergeEndpoint(entry))
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -162,7 +162,7 @@
 )
 
 func (ConnectionAccepted) event()   {}
-func (DescriptorsScarce) event()     {}
+func (DescriptorsScarce) event()    {}
 func (CloseIdle) event()            {}
 func (RequestReceived) event()      {}
 func (ClientClosed) event()         {}
--- a/internal/edge/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -1,7 +1,7 @@
-// Package edge reads the compiled form of our own settings, deploy/edge.cue. It owns the records and their units;
-// it must never fill in a default: those are the schema's (internal/edgecue), so that what a balancer runs on is
+// Package edgeconfig reads the compiled form of our own settings, deploy/edge.cue. It owns the records and their units;
+// it must never fill in a default: those are the schema's (internal/edgeconfigcue), so that what a balancer runs on is
 // all written in the file that it was given.
-package edge
+package edgeconfig
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"time"
 
 	"oatloft/internal/admission"
-	"oatloft/internal/advice"
-	"oatloft/internal/peers"
+	"oatloft/internal/hint"
+	"oatloft/internal/membership"
 )
 
 // Form is the version of the compiled form. A file of another is refused.
@@ -36,7 +36,7 @@
 	Links     *Links     `json:"links,omitempty"`
 }
 
-// Revisions is the section of internal/agree and internal/revision: one routing revision for all.
+// Revisions is the section of internal/consensus and internal/revision: one routing revision for all.
 type Revisions struct {
 	Cluster      string            `json:"cluster"`
 	Listen       string            `json:"listen"`  // TCP; where members talk of revisions
@@ -59,7 +59,7 @@
 	Addr string `json:"addr"`
 }
 
-// Links is the section of internal/links: bytes between zones, divided among the balancers. The table of links is a revision's.
+// Links is the section of internal/bandwidth: bytes between zones, divided among the balancers. The table of links is a revision's.
 type Links struct {
 	SafePart float64  `json:"safe_part"` // of a link, for all balancers together, that each has its part of without asking
 	Lease    Duration `json:"lease"`     // of what is had beyond
@@ -72,7 +72,7 @@
 	Subset int `json:"subset"` // regions of other zones that it looks at; 0 for all
 }
 
-// Peers is the section of internal/peers: balancers that know of each other.
+// Peers is the section of internal/membership: balancers that know of each other.
 type Peers struct {
 	Cluster     string            `json:"cluster"`
 	Listen      string            `json:"listen"`
@@ -90,19 +90,19 @@
 }
 
 // Config is what the member is to know, for a balancer of this name. The generation is the host's.
-func (p *Peers) Config(name string) (peers.Config, error) {
-	c := peers.Config{Cluster: p.Cluster, Name: name, Addr: p.Advertise, Join: p.Join, Reach: p.Reach, SilentAfter: time.Duration(p.SilentAfter),
+func (p *Peers) Config(name string) (membership.Config, error) {
+	c := membership.Config{Cluster: p.Cluster, Name: name, Addr: p.Advertise, Join: p.Join, Reach: p.Reach, SilentAfter: time.Duration(p.SilentAfter),
 		MaxMembers: p.MaxMembers, SignalBytes: int(p.SignalBytes), Generation: 1}
 	if c.Addr == "" {
 		c.Addr = p.Listen
 	}
 	switch {
 	case p.SignalEvery < Duration(50*time.Millisecond):
-		return c, &Unfit{advice.Words{Where: "peers.signal_every", What: fmt.Sprintf("%v is under 50ms", time.Duration(p.SignalEvery)), Do: "set it to 50ms or more"}}
+		return c, &Unfit{hint.Annotated{Where: "peers.signal_every", What: fmt.Sprintf("%v is under 50ms", time.Duration(p.SignalEvery)), Do: "set it to 50ms or more"}}
 	case p.Subset < 0 || p.Subset > 128:
-		return c, &Unfit{advice.Words{Where: "peers.subset", What: fmt.Sprintf("%d is outside 0 to 128", p.Subset), Do: "set it to 1 to 128 regions, or to 0 for all"}}
+		return c, &Unfit{hint.Annotated{Where: "peers.subset", What: fmt.Sprintf("%d is outside 0 to 128", p.Subset), Do: "set it to 1 to 128 regions, or to 0 for all"}}
 	case p.SignalLife < 2*p.SignalEvery:
-		return c, &Unfit{advice.Words{Where: "peers.signal_life", What: fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
+		return c, &Unfit{hint.Annotated{Where: "peers.signal_life", What: fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
 			Do: "make it longer, or signal_every shorter"}}
 	}
 	return c, c.Check()
@@ -174,7 +174,7 @@
 func (d *Duration) UnmarshalText(b []byte) error {
 	x, err := time.ParseDuration(string(b))
 	if err != nil {
-		return &Unfit{advice.Words{What: fmt.Sprintf("%q is no time such as \"250ms\"", b), Do: "write a figure with its unit: ms, s, m, h"}}
+		return &Unfit{hint.Annotated{What: fmt.Sprintf("%q is no time such as \"250ms\"", b), Do: "write a figure with its unit: ms, s, m, h"}}
 	}
 	*d = Duration(x)
 	return nil
@@ -203,7 +203,7 @@
 			return nil
 		}
 	}
-	return &Unfit{advice.Words{What: fmt.Sprintf("%q is no size such as \"16KiB\"", b), Do: "write a whole figure with its unit: B, KiB, MiB, GiB"}}
+	return &Unfit{hint.Annotated{What: fmt.Sprintf("%q is no size such as \"16KiB\"", b), Do: "write a whole figure with its unit: B, KiB, MiB, GiB"}}
 }
 
 // MarshalText writes it.
@@ -220,7 +220,7 @@
 func Load(path string) (*Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &Unreadable{advice.Words{Where: "edge", Cause: err, Do: "see that --edge (PROXY_EDGE) names a file that this balancer may read"}}
+		return nil, &Unreadable{hint.Annotated{Where: "edge", Cause: err, Do: "see that --edge (PROXY_EDGE) names a file that this balancer may read"}}
 	}
 	defer func() { _ = f.Close() }()
 	body := make([]byte, Most+1)
@@ -232,11 +232,11 @@
 		}
 	}
 	if n > Most {
-		return nil, &Unreadable{advice.Words{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", Most), Do: again}}
+		return nil, &Unreadable{hint.Annotated{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", Most), Do: again}}
 	}
 	s, err := Parse(body[:n])
 	if err != nil {
-		return nil, &Unreadable{advice.Words{Where: "edge: " + path, Cause: err, Do: again}}
+		return nil, &Unreadable{hint.Annotated{Where: "edge: " + path, Cause: err, Do: again}}
 	}
 	return s, nil
 }
@@ -247,13 +247,13 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(s); err != nil {
-		return nil, &Unreadable{advice.Words{What: "not in the compiled form", Cause: err, Do: again}}
+		return nil, &Unreadable{hint.Annotated{What: "not in the compiled form", Cause: err, Do: again}}
 	}
 	if s.Form != Form {
-		return nil, &Unreadable{advice.Words{Where: "oatloft_edge", What: fmt.Sprintf("form %d; this program reads %d", s.Form, Form), Do: again}}
+		return nil, &Unreadable{hint.Annotated{Where: "oatloft_edge", What: fmt.Sprintf("form %d; this program reads %d", s.Form, Form), Do: again}}
 	}
 	if d.More() {
-		return nil, &Unreadable{advice.Words{What: "something follows the settings", Do: again}}
+		return nil, &Unreadable{hint.Annotated{What: "something follows the settings", Do: again}}
 	}
 	// What the file doesn't name would be zero here: compare with what these settings write.
 	whole, err := json.Marshal(s)
@@ -264,7 +264,7 @@
 	_ = json.Unmarshal(body, &have)
 	_ = json.Unmarshal(whole, &want)
 	if field := missing(want, have, ""); field != "" {
-		return nil, &Unreadable{advice.Words{Where: field, What: "missing", Do: again}}
+		return nil, &Unreadable{hint.Annotated{Where: field, What: "missing", Do: again}}
 	}
 	if s.Admission != nil {
 		c, err := s.Admission.Config()
@@ -330,15 +330,15 @@
 	}
 	var ok bool
 	if c.Reserve.Identity, ok = identities[a.Reserve.Identity]; !ok {
-		return c, &Unfit{advice.Words{Where: "admission.reserve.identity", What: fmt.Sprintf("%q is none of flow, tenant+flow, address", a.Reserve.Identity), Do: "set one of the three"}}
+		return c, &Unfit{hint.Annotated{Where: "admission.reserve.identity", What: fmt.Sprintf("%q is none of flow, tenant+flow, address", a.Reserve.Identity), Do: "set one of the three"}}
 	}
 	if a.Descriptors.GoodByes < 0 {
-		return c, &Unfit{advice.Words{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"}}
+		return c, &Unfit{hint.Annotated{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"}}
 	}
 	for i, text := range a.Address.Exempt {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			return c, &Unfit{advice.Words{Where: fmt.Sprintf("admission.address.exempt[%d]", i), What: fmt.Sprintf("%q is no network such as 10.0.0.0/8", text), Do: "write address/bits"}}
+			return c, &Unfit{hint.Annotated{Where: fmt.Sprintf("admission.address.exempt[%d]", i), What: fmt.Sprintf("%q is no network such as 10.0.0.0/8", text), Do: "write address/bits"}}
 		}
 		c.Exempt = append(c.Exempt, p.Masked())
 	}
@@ -346,9 +346,9 @@
 }
 
 // Unfit is a value of the edge file that can't work.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // Unreadable is a compiled file that can't be read, or isn't as this version of the program takes it.
-type Unreadable struct{ advice.Words }
+type Unreadable struct{ hint.Annotated }
 
 const again = "compile the settings with this version's oatctl edge compile, and give that file"
--- a/internal/edge/golden_test.go
+++ b/internal/edgeconfig/golden_test.go
@@ -1,4 +1,4 @@
-package edge
+package edgeconfig
 
 import (
 	"encoding/json"
--- a/internal/edgecue/edgecue.go
+++ b/internal/edgeconfigcue/edgecue.go
@@ -1,6 +1,6 @@
-// Package edgecue checks and compiles our own settings. It owns the schema; it must never be linked into the
+// Package edgeconfigcue checks and compiles our own settings. It owns the schema; it must never be linked into the
 // balancer, which reads what this package wrote: CUE costs 8 MB resident.
-package edgecue
+package edgeconfigcue
 
 import (
 	_ "embed"
@@ -17,8 +17,8 @@
 	"cuelang.org/go/cue/format"
 	"cuelang.org/go/cue/token"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/hint"
 )
 
 //go:embed schema.cue
@@ -27,7 +27,7 @@
 const schemaFile = "schema.cue"
 
 // Fault is what is wrong with a file of settings: a line for each field, with its place.
-type Fault struct{ advice.Words }
+type Fault struct{ hint.Annotated }
 
 const mend = "mend the fields; oatctl edge show prints all with their defaults"
 
@@ -36,7 +36,7 @@
 func Compile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Fault{advice.Words{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
+		return nil, &Fault{hint.Annotated{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
 	}
 	return CompileText(path, text)
 }
@@ -68,7 +68,7 @@
 	for name, value := range fields {
 		out[name] = value
 	}
-	out["oatloft_edge"], _ = json.Marshal(edge.Form)
+	out["oatloft_edge"], _ = json.Marshal(edgeconfig.Form)
 	out["source"], _ = json.Marshal(filepath.Base(path))
 	body, err := json.MarshalIndent(out, "", "  ")
 	if err != nil {
@@ -76,12 +76,12 @@
 	}
 	body = append(body, '\n')
 	// Bounds that hang on several fields are the module's own: it is asked as the balancer will ask it.
-	if _, err := edge.Parse(body); err != nil {
+	if _, err := edgeconfig.Parse(body); err != nil {
 		field, _, _ := strings.Cut(err.Error(), ":")
 		if at := given.LookupPath(cue.ParsePath(field)).Pos(); at != token.NoPos {
-			return nil, &Fault{advice.Words{Where: fmt.Sprintf("%s:%d:%d", path, at.Line(), at.Column()), Cause: err, Do: mend}}
+			return nil, &Fault{hint.Annotated{Where: fmt.Sprintf("%s:%d:%d", path, at.Line(), at.Column()), Cause: err, Do: mend}}
 		}
-		return nil, &Fault{advice.Words{Where: path, Cause: err, Do: mend}}
+		return nil, &Fault{hint.Annotated{Where: path, Cause: err, Do: mend}}
 	}
 	return body, nil
 }
@@ -92,7 +92,7 @@
 	if path != "" {
 		var err error
 		if text, err = os.ReadFile(path); err != nil {
-			return nil, &Fault{advice.Words{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
+			return nil, &Fault{hint.Annotated{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
 		}
 	}
 	body, err := CompileText(path, text)
@@ -151,9 +151,9 @@
 		lines = append(lines, fmt.Sprintf("%s: %s%s", f.at, f.field, f.what))
 	}
 	if len(lines) == 0 {
-		return &Fault{advice.Words{Where: path, Cause: err, Do: mend}}
+		return &Fault{hint.Annotated{Where: path, Cause: err, Do: mend}}
 	}
-	return &Fault{advice.Words{What: strings.Join(lines, "\n"), Do: mend}}
+	return &Fault{hint.Annotated{What: strings.Join(lines, "\n"), Do: mend}}
 }
 
 // position is where in the given file a fault is, rather than in the schema.
--- a/internal/edgecue/edgecue_test.go
+++ b/internal/edgeconfigcue/edgecue_test.go
@@ -1,4 +1,4 @@
-package edgecue
+package edgeconfigcue
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
 )
 
 // What is in the repository compiles, and what it doesn't set is as the schema says.
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := edge.Parse(body)
+	s, err := edgeconfig.Parse(body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,15 +89,15 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := edge.Load(path)
+		_, err := edgeconfig.Load(path)
 		if err == nil || !strings.Contains(err.Error(), x.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", x.want, err)
 		}
 	}
-	if err := os.WriteFile(path, make([]byte, edge.Most+2), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, edgeconfig.Most+2), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := edge.Load(path); err == nil || !strings.Contains(err.Error(), "longer") {
+	if _, err := edgeconfig.Load(path); err == nil || !strings.Contains(err.Error(), "longer") {
 		t.Error(err)
 	}
 }
--- a/internal/defects/on.go
+++ b/internal/failpoint/on.go
@@ -1,6 +1,6 @@
 //go:build defects
 
-package defects
+package failpoint
 
 import "os"
 
--- a/internal/agree/main_test.go
+++ b/internal/fake/main_test.go
@@ -1,4 +1,4 @@
-package agree
+package fake
 
 import (
 	"testing"
--- a/internal/standin/process.go
+++ b/internal/fake/process.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Process is a balancer that runs as a process of its own, so that its limits are real.
@@ -124,12 +124,12 @@
 		}
 		select {
 		case <-p.over:
-			return nil, &Unserved{advice.Words{What: "no PONG, it ended\n" + p.Log(), Cause: p.err, Do: "mend what its log says"}}
+			return nil, &Unserved{hint.Annotated{What: "no PONG, it ended\n" + p.Log(), Cause: p.err, Do: "mend what its log says"}}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	p.Kill() // who comes next finds its addresses free
-	return nil, &Unserved{advice.Words{What: "no PONG within 10 s\n" + p.Log(), Do: "see that the address is free and the machine isn't too busy"}}
+	return nil, &Unserved{hint.Annotated{What: "no PONG within 10 s\n" + p.Log(), Do: "see that the address is free and the machine isn't too busy"}}
 }
 
 // Ping is the front's question, and what comes back.
@@ -170,7 +170,7 @@
 	case <-p.over:
 		return p.err
 	case <-time.After(wait):
-		return &Unserved{advice.Words{What: "still running", Do: inBalancer}}
+		return &Unserved{hint.Annotated{What: "still running", Do: inBalancer}}
 	}
 }
 
--- a/internal/standin/terminal.go
+++ b/internal/fake/terminal.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/rules"
 )
 
@@ -188,7 +188,7 @@
 				if strings.HasPrefix(string(buf[i:n]), "MOVE\r\n") {
 					return ErrMoved
 				}
-				return &Unserved{advice.Words{What: fmt.Sprintf("byte %d of a line", at), Cause: ErrChanged, Do: inBalancer}}
+				return &Unserved{hint.Annotated{What: fmt.Sprintf("byte %d of a line", at), Cause: ErrChanged, Do: inBalancer}}
 			}
 			at = (at + 1) % len(line)
 		}
@@ -199,25 +199,25 @@
 }
 
 // Unserved is what a stand-in met that it didn't ask for.
-type Unserved struct{ advice.Words }
+type Unserved struct{ hint.Annotated }
 
 const inBalancer = "look into the balancer's log, then play it again with the same seed"
 
 // ErrChanged tells that what came back is not what was sent.
-var ErrChanged error = &Unserved{advice.Words{What: "bytes lost, repeated or changed", Do: inBalancer}}
+var ErrChanged error = &Unserved{hint.Annotated{What: "bytes lost, repeated or changed", Do: inBalancer}}
 
 // Moved waits until the terminal is told to come again; anything else is an error.
 func (t *Terminal) Moved(wait time.Duration) error {
 	_ = t.conn.SetReadDeadline(time.Now().Add(wait))
 	line, err := t.in.ReadString('\n')
 	if err == nil && line != "MOVE\r\n" {
-		err = &Unserved{advice.Words{What: fmt.Sprintf("%q in place of MOVE", line), Do: inBalancer}}
+		err = &Unserved{hint.Annotated{What: fmt.Sprintf("%q in place of MOVE", line), Do: inBalancer}}
 	}
 	return err
 }
 
 // ErrMoved tells that the terminal was told to come again.
-var ErrMoved error = &Unserved{advice.Words{What: "moved", Do: "connect again"}}
+var ErrMoved error = &Unserved{hint.Annotated{What: "moved", Do: "connect again"}}
 
 // Say sends bytes as they are.
 func (t *Terminal) Say(text string) error {
--- a/internal/standin/world.go
+++ b/internal/fake/world.go
@@ -1,10 +1,10 @@
-// Package standin plays what a balancer meets on the platform: regions, discovery and terminals, on loopback sockets,
+// Package fake plays what a balancer meets on the platform: regions, discovery and terminals, on loopback sockets,
 // by the published protocol and with faults on demand. Tests and tools build on it. It owns the parties' sides of
 // the conversation and tells a rules.Checker what they see; it must never use the balancer's own parsers or state,
 // since both would then be wrong together, and never send traffic off loopback.
 //
 // A World is one run: its parties share its clock and its checker. All that they start ends with Close.
-package standin
+package fake
 
 import (
 	"encoding/json"
--- a/internal/faultinjection/durability.go
+++ b/internal/faultinjection/durability.go
@@ -120,7 +120,7 @@
 // Unwrap is the cause, if there is one.
 func (e *NoAnswer) Unwrap() error { return e.Cause }
 
-// Advice is what an operator can do.
-func (e *NoAnswer) Advice() string {
+// Hint is what an operator can do.
+func (e *NoAnswer) Hint() string {
 	return "see what the balancer at that address logs, and whether it is of this version"
 }
--- a/internal/faultinjection/folders.go
+++ b/internal/faultinjection/folders.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // Faults of the folders in which members keep their part of the log: lost, damaged, not to be written to, and a disk that is full
@@ -153,7 +153,7 @@
 }
 
 // noted has what a process logs noted, as balancer i's process of this number.
-func (w *Scenario) noted(i, process int, l standin.Launch) standin.Launch {
+func (w *Scenario) noted(i, process int, l fake.Launch) fake.Launch {
 	name := w.name(i)
 	l.Lines = func(line string) {
 		w.record.line(name, process, line)
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/management"
 	"oatloft/internal/revision"
 	"oatloft/internal/rules"
@@ -202,9 +202,9 @@
 // An answer is read as what it says of the request, and what says nothing of it leaves it open.
 func TestAnswers(t *testing.T) {
 	for text, want := range map[string]string{
-		"+" + revision.SettledText(5, "abcdef", "op1"): "1 5 0", "-" + advice.Line(&revision.Moved{From: 2, InForce: 4, Hash: "abcdef"}): "2 0 4",
-		"-" + advice.Line(&revision.Unwilling{Key: "op1", Who: []string{"b02"}, Why: "no such class"}): "3 0 0", "+" + revision.PendingText("op1", ""): "0 0 0",
-		"-" + revision.LaterText + "no leader; do: wait": "0 0 0", "-" + advice.Line(&revision.Busy{Key: "op2", By: "x"}): "0 0 0",
+		"+" + revision.SettledText(5, "abcdef", "op1"): "1 5 0", "-" + hint.Line(&revision.Moved{From: 2, InForce: 4, Hash: "abcdef"}): "2 0 4",
+		"-" + hint.Line(&revision.Unwilling{Key: "op1", Who: []string{"b02"}, Why: "no such class"}): "3 0 0", "+" + revision.PendingText("op1", ""): "0 0 0",
+		"-" + revision.LaterText + "no leader; do: wait": "0 0 0", "-" + hint.Line(&revision.Busy{Key: "op2", By: "x"}): "0 0 0",
 	} {
 		o := &Op{}
 		o.told(management.Answer{OK: text[0] == '+', Text: text[1:]})
@@ -335,7 +335,7 @@
 		p    Plan
 		want string
 	}{{Plan{How: "none"}, "how: "}, {Plan{How: "calm", Changes: mostChanges + 1}, "changes: "}, {Plan{How: "calm", Before: -1}, "changes: "}} {
-		if _, err := Run(x.p.Schedule(5, ""), Options{Net: 20, Revisions: true, Plan: &x.p}); err == nil || !strings.HasPrefix(err.Error(), x.want) || advice.Of(err) == "" {
+		if _, err := Run(x.p.Schedule(5, ""), Options{Net: 20, Revisions: true, Plan: &x.p}); err == nil || !strings.HasPrefix(err.Error(), x.want) || hint.Of(err) == "" {
 			t.Errorf("%+v: %v", x.p, err)
 		}
 	}
--- a/internal/faultinjection/late.go
+++ b/internal/faultinjection/late.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"oatloft/internal/standin"
+	"oatloft/internal/fake"
 )
 
 // This file owns how late the machine was, apart from how late a balancer was: for each processor that this process may use, by how
@@ -185,7 +185,7 @@
 
 type running struct {
 	balancer int
-	p        *standin.Process
+	p        *fake.Process
 	seen     map[string]time.Duration // by thread
 }
 
@@ -197,7 +197,7 @@
 }
 
 // runs has a process's threads looked at from now on.
-func (w *Scenario) runs(i int, p *standin.Process) {
+func (w *Scenario) runs(i int, p *fake.Process) {
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
 	w.late.runs = append(w.late.runs, running{i, p, map[string]time.Duration{}})
@@ -306,7 +306,7 @@
 	return fmt.Sprintf("timers were late for %.0f%% of the time, and the disk for %.0f%%: %s", 100*e.Late, 100*e.Disk, e.Cause)
 }
 
-// Advice is what an operator can do.
-func (e *MachineOverloaded) Advice() string {
+// Hint is what an operator can do.
+func (e *MachineOverloaded) Hint() string {
 	return "play it again when the machine has less to do, or with fewer --jobs"
 }
--- a/internal/faultinjection/late_test.go
+++ b/internal/faultinjection/late_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // What comes late by no more than the machine was is void; an answer that is later than that, or never came, and what is no matter
 // of time, breaks the rules whatever the machine does.
 func TestTheMachineIsLate(t *testing.T) {
-	parties, err := standin.New(1)
+	parties, err := fake.New(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	now := w.Now()
 	w.late.m = &machine{late: []waits{{{0, 0}, {now, 10 * ms}}, nil}}
 	w.late.of = []waits{{{0, 0}, {now, 30 * ms}}, nil}
-	late := func(d time.Duration) standin.Answer { return standin.Answer{What: "none", Late: d} }
+	late := func(d time.Duration) fake.Answer { return fake.Answer{What: "none", Late: d} }
 	for of, x := range map[string]struct {
 		got, want bool
 	}{
@@ -31,7 +31,7 @@
 		"this process's own":           {w.excuse(1, 0)(late(9 * ms)), true},
 		"late after that":              {w.excuse(0, now+1)(late(9 * ms)), false},
 		"never":                        {w.excuse(0, 0)(late(0)), false},
-		"a connection that broke":      {w.excuse(0, 0)(standin.Answer{What: "reset"}), false},
+		"a connection that broke":      {w.excuse(0, 0)(fake.Answer{What: "reset"}), false},
 		"no matter of time":            {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, By: "b01"}}), false},
 		"cut, and nothing was read":    {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, Kind: rules.Lost, Text: "b01: EOF"}}), false},
 		"a rule of time":               {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 39 * ms}), true},
@@ -49,7 +49,7 @@
 // A fault run that could not begin while the disk stood shows nothing, be the write on the disk by then or not; one that missed its start
 // with a disk on time is broken.
 func TestTheDiskStands(t *testing.T) {
-	parties, err := standin.New(1)
+	parties, err := fake.New(1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultinjection/links.go
+++ b/internal/faultinjection/links.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/fake"
 	"oatloft/internal/revision"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // This file owns what a fault run with links adds: two zones, the table of links between them that revisions set, terminals of a bulk
@@ -78,8 +78,8 @@
 	return []revision.Link{{From: east, To: west, Bytes: bytes, Classes: classes}, {From: west, To: east, Bytes: bytes, Classes: classes}}
 }
 
-func (w *Scenario) linksSection() *edge.Links {
-	return &edge.Links{SafePart: safePart, Lease: edge.Duration(w.options.Lease), Buffer: 64 << 10}
+func (w *Scenario) linksSection() *edgeconfig.Links {
+	return &edgeconfig.Links{SafePart: safePart, Lease: edgeconfig.Duration(w.options.Lease), Buffer: 64 << 10}
 }
 
 // pour starts the bulk terminals.
@@ -101,7 +101,7 @@
 		}
 		t.By = w.name(i)
 		t.Excuse, t.After = w.excuse(i, since), listenOn
-		a := t.Open(standin.Ask{Key: "bulk" + t.ID, Class: "bulk"})
+		a := t.Open(fake.Ask{Key: "bulk" + t.ID, Class: "bulk"})
 		if a.What == "UP" {
 			w.pourOver(t, i, since, strings.TrimPrefix(a.Line, "UP "), rng)
 		}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (w *Scenario) pourOver(t *standin.Terminal, i int, since time.Duration, receipt string, rng *rand.Rand) {
+func (w *Scenario) pourOver(t *fake.Terminal, i int, since time.Duration, receipt string, rng *rand.Rand) {
 	region, _, _ := strings.Cut(receipt, "-")
 	from, to := w.zoneOf(region), w.zone(i)
 	stop, over := make(chan struct{}), make(chan struct{})
@@ -141,7 +141,7 @@
 	default:
 	}
 	switch {
-	case err == standin.ErrMoved, w.troubled(i, since), w.regionFaults(since):
+	case err == fake.ErrMoved, w.troubled(i, since), w.regionFaults(since):
 	case err != nil:
 		w.Saw(rules.Lost, t.ID, "", w.name(i)+": bulk: "+err.Error())
 	}
--- a/internal/faultinjection/members.go
+++ b/internal/faultinjection/members.go
@@ -8,7 +8,7 @@
 	"oatloft/internal/management"
 )
 
-// Membership is the invariant of internal/peers: what balancers hold of each other. While faults go on no signal may go back
+// Membership is the invariant of internal/membership: what balancers hold of each other. While faults go on no signal may go back
 // in time at any observer; after the last one, all that live hold each other alive, by their present starts, and no view
 // is old. It sees what operators see, by the call peers.
 type Membership struct {
--- a/internal/faultinjection/revisions.go
+++ b/internal/faultinjection/revisions.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"time"
 
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
 )
 
 // This file owns what a fault run with revisions adds to a balancer: the edge file's sections, and a stream relay for each directed
@@ -42,13 +42,13 @@
 func losers(balancers int) int { return max(1, (voters(balancers)-1)/2) }
 
 // revisions are the edge file's section for balancer i, with the ways opened that it goes by.
-func (w *Scenario) revisions(i int) (*edge.Revisions, error) {
+func (w *Scenario) revisions(i int) (*edgeconfig.Revisions, error) {
 	n := w.Schedule.Balancers
 	w.agreementLinks = append(w.agreementLinks, make([]*streams, n))
 	reach := map[string]string{}
-	var members []edge.Candidate
+	var members []edgeconfig.Candidate
 	for j := range n {
-		members = append(members, edge.Candidate{Name: w.name(j), Zone: w.zone(j), Addr: w.addr(0, j+1, agreePort)})
+		members = append(members, edgeconfig.Candidate{Name: w.name(j), Zone: w.zone(j), Addr: w.addr(0, j+1, agreePort)})
 		if i == j {
 			continue
 		}
@@ -64,13 +64,13 @@
 	if cut == "" {
 		cut = "refuse"
 	}
-	r := &edge.Revisions{Cluster: "faults", Listen: w.addr(0, i+1, agreePort), Members: members, Voters: voters(n), Reach: reach, Folder: w.folder(i),
-		Lease: edge.Duration(w.options.Lease), OnCut: cut, Deadline: edge.Duration(3 * w.options.Lease), History: 1000, HistoryBytes: 4 << 20}
+	r := &edgeconfig.Revisions{Cluster: "faults", Listen: w.addr(0, i+1, agreePort), Members: members, Voters: voters(n), Reach: reach, Folder: w.folder(i),
+		Lease: edgeconfig.Duration(w.options.Lease), OnCut: cut, Deadline: edgeconfig.Duration(3 * w.options.Lease), History: 1000, HistoryBytes: 4 << 20}
 	if p := w.options.Plan; p != nil { // all that is made is kept, to be judged
 		r.History, r.HistoryBytes = mostChanges, 32<<20
 	}
 	if n > voters(n) {
-		r.ReplaceAfter = edge.Duration(4 * time.Second)
+		r.ReplaceAfter = edgeconfig.Duration(4 * time.Second)
 	}
 	return r, nil
 }
--- a/internal/faultinjection/run.go
+++ b/internal/faultinjection/run.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/rules"
 )
 
@@ -72,7 +72,7 @@
 		w.operate(0, Call{Kind: "propose", To: 1, Bytes: linkBytes})
 		w.pour()
 		if !pause(w.stop, time.Second) {
-			return nil, &NotRun{advice.Words{What: "it was ended", Do: "play it again"}}
+			return nil, &NotRun{hint.Annotated{What: "it was ended", Do: "play it again"}}
 		}
 	}
 	began := w.Now()
--- a/internal/faultinjection/schedule.go
+++ b/internal/faultinjection/schedule.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Span is a time in a schedule, "1.5s".
@@ -24,7 +24,7 @@
 func (s *Span) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
-		return &NotRun{advice.Words{What: fmt.Sprintf("%q is no time such as \"1.5s\"", b), Do: "write a figure with its unit"}}
+		return &NotRun{hint.Annotated{What: fmt.Sprintf("%q is no time such as \"1.5s\"", b), Do: "write a figure with its unit"}}
 	}
 	*s = Span(d)
 	return nil
@@ -84,15 +84,15 @@
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
 // NotRun is a fault run that can't begin, or was ended.
-type NotRun struct{ advice.Words }
+type NotRun struct{ hint.Annotated }
 
 // InvalidSchedule is the error that a schedule can't be played: the first field that is at fault, and why.
 type InvalidSchedule struct{ Field, Why string }
 
 func (e *InvalidSchedule) Error() string { return e.Field + ": " + e.Why }
 
-// Advice is what an operator can do.
-func (e *InvalidSchedule) Advice() string {
+// Hint is what an operator can do.
+func (e *InvalidSchedule) Hint() string {
 	return "set " + e.Field + " in the schedule as it says; oatlab faults --print shows sound ones"
 }
 
@@ -137,10 +137,10 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err = d.Decode(s); err != nil {
-		return nil, &NotRun{advice.Words{Where: fmt.Sprintf("%s:%d", path, 1+bytes.Count(body[:min(int(d.InputOffset()), len(body))], []byte("\n"))), Cause: err, Do: "mend the JSON there; oatlab faults --print shows sound ones"}}
+		return nil, &NotRun{hint.Annotated{Where: fmt.Sprintf("%s:%d", path, 1+bytes.Count(body[:min(int(d.InputOffset()), len(body))], []byte("\n"))), Cause: err, Do: "mend the JSON there; oatlab faults --print shows sound ones"}}
 	}
 	if err = s.Check(); err != nil {
-		return nil, &NotRun{advice.Words{Where: path, Cause: err, Do: "mend the schedule"}}
+		return nil, &NotRun{hint.Annotated{Where: path, Cause: err, Do: "mend the schedule"}}
 	}
 	return s, nil
 }
--- a/internal/faultinjection/upgrade.go
+++ b/internal/faultinjection/upgrade.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"oatloft/internal/fake"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // Upgrades: a second process of a balancer starts on the same listening socket, and the first is told to leave. What can
@@ -26,7 +26,7 @@
 }
 
 // holdListener opens the listening socket that a balancer's processes inherit.
-func (w *Scenario) holdListener(l *standin.Launch) error {
+func (w *Scenario) holdListener(l *fake.Launch) error {
 	at, err := net.Listen("tcp", l.Addr)
 	if err != nil {
 		return err
--- a/internal/faultinjection/world.go
+++ b/internal/faultinjection/world.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/fake"
+	"oatloft/internal/hint"
 	"oatloft/internal/rules"
-	"oatloft/internal/standin"
 )
 
 // Options say how a fault run is run.
@@ -38,7 +38,7 @@
 
 // Scenario is one fault run under way.
 type Scenario struct {
-	*standin.World
+	*fake.World
 	Schedule *Schedule
 	options  Options
 	temp     string
@@ -51,14 +51,14 @@
 	clientLinks    []*streams
 
 	mu            sync.Mutex
-	processes     []*standin.Process
+	processes     []*fake.Process
 	numbers       []int // of the processes, as the record has them
 	started       int   // processes so far
 	expectedExits []int // faults by which it may end by itself
 	record        *Record
 	ledger        *ledger
 	over          chan struct{} // operators make no further calls
-	launches      []standin.Launch
+	launches      []fake.Launch
 	killed        []bool // on purpose
 	upgraded      int    // upgrades so far
 	starting      []*sync.Mutex
@@ -127,7 +127,7 @@
 		}
 	}
 	w = &Scenario{Schedule: s, options: o, stop: make(chan struct{}), over: make(chan struct{}), ended: make(chan struct{}), answers: map[string]int{}}
-	if w.World, err = standin.New(s.Regions); err != nil {
+	if w.World, err = fake.New(s.Regions); err != nil {
 		return nil, err
 	}
 	opened := w
@@ -186,7 +186,7 @@
 		if err := w.starved(strings.Join(found, "\n")); err != nil {
 			return nil, err
 		}
-		return nil, &NotRun{advice.Words{What: strings.Join(found, "\n"), Do: "see what the processes log, and that the addresses of --net are free"}}
+		return nil, &NotRun{hint.Annotated{What: strings.Join(found, "\n"), Do: "see what the processes log, and that the addresses of --net are free"}}
 	}
 	w.Go(w.watchProcesses)
 	for n := range s.Terminals {
@@ -272,18 +272,18 @@
 		return err
 	}
 	config := filepath.Join(w.temp, w.name(i)+".json")
-	body := w.Config(w.name(i), listen, standin.Options{Sockets: 512, MemoryMB: 64, Dial: dial,
+	body := w.Config(w.name(i), listen, fake.Options{Sockets: 512, MemoryMB: 64, Dial: dial,
 		Discovery: w.addr(linksOut+i+1, discoveryByte, discoveryPort), Balancers: n, Zone: w.zone(i), Bulk: w.options.Links})
 	if err := os.WriteFile(config, body, 0o600); err != nil {
 		return err
 	}
-	l := standin.Launch{Binary: w.options.Binary, Config: config, Addr: listen, Management: w.addr(0, i+1, managePort),
+	l := fake.Launch{Binary: w.options.Binary, Config: config, Addr: listen, Management: w.addr(0, i+1, managePort),
 		Env: append([]string{"TMPDIR=" + dir}, w.options.Env...)}
 	if !w.options.Off {
 		file := filepath.Join(w.temp, w.name(i)+".edge.json")
-		e := edge.Settings{Form: edge.Form, Source: "faults", Peers: &edge.Peers{Cluster: "faults", Listen: w.addr(0, i+1, talkPort), Join: join,
-			Reach: reach, SilentAfter: edge.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
-			SignalEvery: edge.Duration(200 * time.Millisecond), SignalLife: edge.Duration(2 * time.Second),
+		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults", Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, talkPort), Join: join,
+			Reach: reach, SilentAfter: edgeconfig.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
+			SignalEvery: edgeconfig.Duration(200 * time.Millisecond), SignalLife: edgeconfig.Duration(2 * time.Second),
 			Subset: w.options.Subset, Readings: w.options.Readings, Turns: w.options.Turns}}
 		if w.options.Revisions {
 			if e.Revisions, err = w.revisions(i); err != nil {
@@ -373,13 +373,13 @@
 	return w.down[i] == max(0, more)
 }
 
-func (w *Scenario) launch(i int) standin.Launch {
+func (w *Scenario) launch(i int) fake.Launch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.launches[i]
 }
 
-func (w *Scenario) take(i int, killed bool) *standin.Process {
+func (w *Scenario) take(i int, killed bool) *fake.Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killed[i] = killed
@@ -410,7 +410,7 @@
 
 // sendOff has a process of balancer i leave, which may take it so long: not counting what it stands still, nor what it waits
 // for processors.
-func (w *Scenario) sendOff(i, process int, p *standin.Process, most time.Duration) error {
+func (w *Scenario) sendOff(i, process int, p *fake.Process, most time.Duration) error {
 	began := w.Now()
 	p.Signal(syscall.SIGTERM)
 	for ran := time.Duration(0); ; {
@@ -480,8 +480,8 @@
 const listenOn = 4 * time.Second // for an answer that is late
 
 // excuse tells whether balancer i owes nobody an answer who began to ask then, or the machine was as late as the answer.
-func (w *Scenario) excuse(i int, since time.Duration) func(standin.Answer) bool {
-	return func(a standin.Answer) bool {
+func (w *Scenario) excuse(i int, since time.Duration) func(fake.Answer) bool {
+	return func(a fake.Answer) bool {
 		switch {
 		case w.troubled(i, since):
 			return true
@@ -550,7 +550,7 @@
 		}
 		t.By = w.name(i)
 		t.Excuse, t.After = w.excuse(i, since), listenOn
-		a := t.Open(standin.Ask{Key: key, More: fmt.Sprintf(",g=group%d", n%7)})
+		a := t.Open(fake.Ask{Key: key, More: fmt.Sprintf(",g=group%d", n%7)})
 		w.mu.Lock()
 		w.answers[a.What]++
 		if a.What == "UP" {
@@ -566,12 +566,12 @@
 
 // stand sends lines for a while. What a cut link or a region has broken is no fault of the balancer's; elsewhere only
 // MOVE ends a connection.
-func (w *Scenario) stand(t *standin.Terminal, i int, since time.Duration, rng *rand.Rand) {
+func (w *Scenario) stand(t *fake.Terminal, i int, since time.Duration, rng *rand.Rand) {
 	for range 1 + rng.IntN(12) {
 		err := t.Echo(9 * time.Second)
 		switch {
 		case err == nil:
-		case errors.Is(err, standin.ErrMoved):
+		case errors.Is(err, fake.ErrMoved):
 			return
 		default:
 			select {
--- a/internal/drawn/drawn.go
+++ b/internal/generate/drawn.go
@@ -1,10 +1,10 @@
-// Package drawn draws whole deployments: the settings that balancers are told, in the form in which they are told, and what
+// Package generate draws whole deployments: the settings that balancers are told, in the form in which they are told, and what
 // nobody tells them: sizes, traffic, how late reports and lists come, what goes wrong when.
 //
 // It is for tests and the laboratory. It owns the ranges, and must never hold a figure that is some deployment's own: what is
 // drawn follows from the seed alone. Settings are made twice, as JSON that oatloft's readers read and as the module's
 // settings without them, so that a reader that is fitted to one form is found.
-package drawn
+package generate
 
 import (
 	"encoding/json"
--- a/internal/drawn/drawn_test.go
+++ b/internal/generate/drawn_test.go
@@ -1,4 +1,4 @@
-package drawn_test
+package generate_test
 
 import (
 	"bytes"
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 
 	"oatloft/internal/core"
-	"oatloft/internal/drawn"
-	onet "oatloft/internal/net"
+	"oatloft/internal/generate"
 	"oatloft/internal/platform"
+	"oatloft/internal/proxy"
 	"oatloft/policy"
 )
 
 // Whatever the deployment, the program's readers make of its settings what they say, and of its lists and reports as well.
 func TestReadersUnderDrawnSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := drawn.Draw(t)
+		d := generate.Draw(t)
 		zone := rapid.IntRange(0, max(0, d.Zones-1)).Draw(t, "zone")
-		c, err := onet.ParseConfig(d.JSON(zone, 77, nil), onet.Beside{})
+		c, err := proxy.ParseConfig(d.JSON(zone, 77, nil), proxy.Beside{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 		}
 		zero := time.Unix(1_700_000_000, 0)
 		born := float64(zero.Add(time.Hour).UnixMilli())
-		list := d.List(3, true, []drawn.Host{{Host: "x", Dial: "10.0.0.1:9", Site: d.Zone(zone), Block: 2, Health: "draining", Share: 0.5, Born: born}})
+		list := d.List(3, true, []generate.Host{{Host: "x", Dial: "10.0.0.1:9", Site: d.Zone(zone), Block: 2, Health: "draining", Share: 0.5, Born: born}})
 		w := platform.WatchReader{Zero: zero}
 		var got []core.EndpointsListed
 		data := append([]byte("HTTP/1.1 200 OK\r\n\r\n"), bytes.Repeat(list, 2)...)
@@ -81,7 +81,7 @@
 		}
 	}
 	for seed := range 200 {
-		d := drawn.Of(seed)
+		d := generate.Of(seed)
 		note("no zones", d.Zones == 0)
 		note("many zones", d.Zones > 4)
 		note("few balancers", d.Balancers < 5)
--- a/internal/advice/errors_test.go
+++ b/internal/hint/errors_test.go
@@ -1,4 +1,4 @@
-package advice
+package hint
 
 // This file owns two checks over the types of all packages: that each error says what an operator can do, and that
 // docs/operators/errors.md says what the code says. It must never list errors by hand.
@@ -129,8 +129,8 @@
 		}
 		own[p.path] = p.types
 		c.pkgs = append(c.pkgs, p)
-		if p.path == module+"internal/advice" {
-			c.giver = p.types.Scope().Lookup("Giver").Type().Underlying().(*types.Interface)
+		if p.path == module+"internal/hint" {
+			c.giver = p.types.Scope().Lookup("Hinter").Type().Underlying().(*types.Interface)
 		}
 	}
 	for _, p := range c.pkgs {
@@ -244,7 +244,7 @@
 				}
 				name := p.info.Defs[s.Name].(*types.TypeName)
 				ptr := types.NewPointer(name.Type())
-				if types.IsInterface(name.Type()) || !types.Implements(ptr, errorType) || p.path == module+"internal/advice" {
+				if types.IsInterface(name.Type()) || !types.Implements(ptr, errorType) || p.path == module+"internal/hint" {
 					continue
 				}
 				if !types.Implements(ptr, c.giver) {
@@ -319,19 +319,19 @@
 				for i := range st.NumFields() {
 					of[st.Field(i)] = bound{l.p, given[st.Field(i).Name()], e}
 				}
-				said, do = c.returns(k, "Error", of), c.returns(k, "Advice", of)
+				said, do = c.returns(k, "Error", of), c.returns(k, "Hint", of)
 			}
 			add(l.x.Pos(), said, do)
 		}
 	}
 	if len(k.says) == 0 {
-		add(k.name.Pos(), c.returns(k, "Error", nil), c.returns(k, "Advice", nil))
+		add(k.name.Pos(), c.returns(k, "Error", nil), c.returns(k, "Hint", nil))
 	}
 }
 
 func isWords(p *pkg, x ast.Expr) bool {
 	_, ok := x.(*ast.CompositeLit)
-	return ok && p.info.TypeOf(x).String() == module+"internal/advice.Words"
+	return ok && p.info.TypeOf(x).String() == module+"internal/hint.Annotated"
 }
 
 // fieldsOf are the values of a literal by their fields' names; st names those that are given without.
@@ -547,7 +547,7 @@
 			}
 			return out
 		}
-		if d := c.funcs[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/advice" && c.of[f].Results().Len() == 1 &&
+		if d := c.funcs[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/hint" && c.of[f].Results().Len() == 1 &&
 			c.of[f].Results().At(0).Type() == types.Typ[types.String] {
 			if out := c.results(d.p, d.d.Body, c.bind(f, call{p, x}, e), depth-1); len(out) > 0 && len(out) <= mostTexts {
 				return out
@@ -652,7 +652,7 @@
 	}
 	have, err := os.ReadFile(page)
 	if err != nil || !bytes.Equal(have, want) {
-		t.Errorf("docs/operators/errors.md is old (%v): go test ./internal/advice -run TestPage -update", err)
+		t.Errorf("docs/operators/errors.md is old (%v): go test ./internal/hint -run TestPage -update", err)
 	}
 }
 
--- a/internal/advice/advice.go
+++ b/internal/hint/hint.go
@@ -1,37 +1,37 @@
-// Package advice is the one form of errors that tell an operator what to do: what went wrong, where, the cause, and what can be
+// Package hint is the one form of errors that tell an operator what to do: what went wrong, where, the cause, and what can be
 // done about it. It owns how such an error reads in a log, at exit and in the answer to a call; it must never decide
 // anything. Each package keeps error types of its own, so that errors.As tells them apart, and embeds or returns the words here.
-package advice
+package hint
 
 import (
 	"errors"
 	"syscall"
 )
 
-// Giver is an error that says what an operator can do. Every error type of the packages that use this one is a Giver.
-type Giver interface {
+// Hinter is an error that says what an operator can do. Every error type of the packages that use this one is a Giver.
+type Hinter interface {
 	error
-	Advice() string // one sentence without its full stop, never empty
+	Hint() string // one sentence without its full stop, never empty
 }
 
 // Of is what an operator can do about err: the advice of the first Giver in its chain, "" if there is none.
 func Of(err error) string {
-	var g Giver
+	var g Hinter
 	if errors.As(err, &g) {
-		return g.Advice()
+		return g.Hint()
 	}
 	return ""
 }
 
-// Words are the parts of an error. A package embeds them in a type of its own, so that its methods are *Words'.
-type Words struct {
+// Annotated are the parts of an error. A package embeds them in a type of its own, so that its methods are *Words'.
+type Annotated struct {
 	Where string // a setting, a file, an address; "" where What says it
 	What  string // what is wrong; "" where the cause says it
 	Cause error
 	Do    string // what an operator can do, never empty
 }
 
-func (w *Words) Error() string {
+func (w *Annotated) Error() string {
 	s := w.Where
 	for _, part := range [...]string{w.What, text(w.Cause)} {
 		if s != "" && part != "" {
@@ -50,10 +50,10 @@
 }
 
 // Unwrap implements errors.Is and errors.As.
-func (w *Words) Unwrap() error { return w.Cause }
+func (w *Annotated) Unwrap() error { return w.Cause }
 
-// Advice implements Giver. A cause that gives advice knows better, and so does the system's own error.
-func (w *Words) Advice() string {
+// Hint implements Giver. A cause that gives advice knows better, and so does the system's own error.
+func (w *Annotated) Hint() string {
 	if do := Of(w.Cause); do != "" {
 		return do
 	}
--- a/internal/advice/advice_test.go
+++ b/internal/hint/hint_test.go
@@ -1,4 +1,4 @@
-package advice
+package hint
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 type wrong struct{}
 
-func (wrong) Error() string  { return "off" }
-func (wrong) Advice() string { return "switch it on" }
+func (wrong) Error() string { return "off" }
+func (wrong) Hint() string  { return "switch it on" }
 
 func TestLine(t *testing.T) {
 	if got := Line(fmt.Errorf("at b2: %w", wrong{})); got != "at b2: off; do: switch it on" {
@@ -22,20 +22,20 @@
 	}
 }
 
-type named struct{ Words }
+type named struct{ Annotated }
 
 // A cause that gives advice is nearer to the fault, and so is the system's own; errors.Is and errors.As see through.
 func TestWords(t *testing.T) {
 	full := &fs.PathError{Op: "write", Path: "/x", Err: syscall.ENOSPC}
 	for _, x := range []struct {
-		of         Words
+		of         Annotated
 		text, does string
 	}{
-		{Words{Where: "a.b", What: "too long", Do: "cut it"}, "a.b: too long", "cut it"},
-		{Words{What: "too long", Do: "cut it"}, "too long", "cut it"},
-		{Words{Where: "f", Cause: wrong{}, Do: "mend f"}, "f: off", "switch it on"},
-		{Words{Where: "f", What: "not kept", Cause: full, Do: "mend f"}, "f: not kept: write /x: no space left on device", "make room on the disk"},
-		{Words{Cause: errors.New("plain"), Do: "mend f"}, "plain", "mend f"},
+		{Annotated{Where: "a.b", What: "too long", Do: "cut it"}, "a.b: too long", "cut it"},
+		{Annotated{What: "too long", Do: "cut it"}, "too long", "cut it"},
+		{Annotated{Where: "f", Cause: wrong{}, Do: "mend f"}, "f: off", "switch it on"},
+		{Annotated{Where: "f", What: "not kept", Cause: full, Do: "mend f"}, "f: not kept: write /x: no space left on device", "make room on the disk"},
+		{Annotated{Cause: errors.New("plain"), Do: "mend f"}, "plain", "mend f"},
 	} {
 		err := fmt.Errorf("%w", &named{x.of})
 		if err.Error() != x.text || Of(err) != x.does {
--- a/internal/handover/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,8 +1,8 @@
-// Package handover keeps what one process of a balancer leaves to the next, in small files in a directory that both
+// Package hotrestart keeps what one process of a balancer leaves to the next, in small files in a directory that both
 // see: which regions operators leave out, and, from a process that leaves, who stands where. It owns the files' form. Both
 // versions of the program may run at once, so a file that is damaged, another balancer's or too new is an error that
 // its reader passes over, never a reason to stop; and a file is there whole or not at all.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -73,7 +73,7 @@
 	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err == nil && info.Size() > mostBytes {
-		err = &Damaged{advice.Words{What: fmt.Sprintf("%d bytes, more than %d", info.Size(), mostBytes), Do: aside}}
+		err = &Damaged{hint.Annotated{What: fmt.Sprintf("%d bytes, more than %d", info.Size(), mostBytes), Do: aside}}
 	}
 	var data []byte
 	if err == nil {
@@ -84,7 +84,7 @@
 		at, err = d.decode(data, kind, body)
 	}
 	if err != nil {
-		return time.Time{}, &Damaged{advice.Words{Where: "handover: " + f.Name(), Cause: err, Do: aside}}
+		return time.Time{}, &Damaged{hint.Annotated{Where: "handover: " + f.Name(), Cause: err, Do: aside}}
 	}
 	return at, nil
 }
@@ -92,18 +92,18 @@
 func (d *Dir) decode(data []byte, kind string, body any) (time.Time, error) {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
-		return time.Time{}, &Damaged{advice.Words{What: "damaged", Cause: err, Do: aside}}
+		return time.Time{}, &Damaged{hint.Annotated{What: "damaged", Cause: err, Do: aside}}
 	}
 	switch {
 	case e.Form != form || e.Kind != kind:
-		return time.Time{}, &Damaged{advice.Words{What: "not a file of this kind", Do: aside}}
+		return time.Time{}, &Damaged{hint.Annotated{What: "not a file of this kind", Do: aside}}
 	case e.Version > version || e.Version < 1:
-		return time.Time{}, &Damaged{advice.Words{What: fmt.Sprintf("version %d, this program reads %d", e.Version, version),
+		return time.Time{}, &Damaged{hint.Annotated{What: fmt.Sprintf("version %d, this program reads %d", e.Version, version),
 			Do: "let it be: the process that wrote it is of a later version; it is written anew at the next change"}}
 	case e.Balancer != d.balancer:
-		return time.Time{}, &Damaged{advice.Words{What: fmt.Sprintf("balancer %q's, not %q's", e.Balancer, d.balancer), Do: "give each balancer a directory or a name of its own ($TMPDIR, PROXY_NAME)"}}
+		return time.Time{}, &Damaged{hint.Annotated{What: fmt.Sprintf("balancer %q's, not %q's", e.Balancer, d.balancer), Do: "give each balancer a directory or a name of its own ($TMPDIR, PROXY_NAME)"}}
 	case crc32.ChecksumIEEE(e.Body) != e.Sum:
-		return time.Time{}, &Damaged{advice.Words{What: "damaged: the checksum doesn't fit", Do: aside}}
+		return time.Time{}, &Damaged{hint.Annotated{What: "damaged: the checksum doesn't fit", Do: aside}}
 	}
 	return time.UnixMilli(e.Written), json.Unmarshal(e.Body, body)
 }
@@ -119,12 +119,12 @@
 		return err
 	}
 	if len(data) > mostBytes {
-		return &Unwritable{advice.Words{Where: "handover", What: fmt.Sprintf("%d bytes to write, more than %d", len(data), mostBytes),
+		return &Unwritable{hint.Annotated{Where: "handover", What: fmt.Sprintf("%d bytes to write, more than %d", len(data), mostBytes),
 			Do: "end some of the maintenance; what stands is left to the next process only where it fits"}}
 	}
 	f, err := os.CreateTemp(d.path, "."+form+"-*")
 	if err != nil {
-		return &Unwritable{advice.Words{Where: "handover", Cause: err, Do: writable}}
+		return &Unwritable{hint.Annotated{Where: "handover", Cause: err, Do: writable}}
 	}
 	defer func() { _ = os.Remove(f.Name()) }()
 	if _, err = f.Write(data); err == nil {
@@ -137,7 +137,7 @@
 		err = os.Rename(f.Name(), d.file(kind))
 	}
 	if err != nil {
-		return &Unwritable{advice.Words{Where: "handover", Cause: err, Do: writable}}
+		return &Unwritable{hint.Annotated{Where: "handover", Cause: err, Do: writable}}
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 func (d *Dir) lock() (unlock func(), err error) {
 	f, err := os.OpenFile(filepath.Join(d.path, form+"-"+url.PathEscape(d.balancer)+".lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, &Unwritable{advice.Words{Where: "handover", Cause: err, Do: writable}}
+		return nil, &Unwritable{hint.Annotated{Where: "handover", Cause: err, Do: writable}}
 	}
 	for end := time.Now().Add(lockWait); ; time.Sleep(lockAgain) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
@@ -155,7 +155,7 @@
 		}
 		if time.Now().After(end) {
 			_ = f.Close()
-			return nil, &Unwritable{advice.Words{Where: "handover: " + f.Name(), What: "locked by another process", Cause: err,
+			return nil, &Unwritable{hint.Annotated{Where: "handover: " + f.Name(), What: "locked by another process", Cause: err,
 				Do: "call again; if it stays, see which process of this balancer hangs"}}
 		}
 	}
@@ -228,13 +228,13 @@
 }
 
 // Damaged is a file of the state directory that can't be taken for what it should be. It is passed over.
-type Damaged struct{ advice.Words }
+type Damaged struct{ hint.Annotated }
 
 // Unwritable is the state directory in which something could not be kept. What was asked for isn't done.
-type Unwritable struct{ advice.Words }
+type Unwritable struct{ hint.Annotated }
 
 // Taken is that as many processes of the balancer are at work as may be.
-type Taken struct{ advice.Words }
+type Taken struct{ hint.Annotated }
 
 const (
 	aside    = "move the file away; what it held is gone: make the calls maint-on again that still hold"
--- a/internal/handover/presence.go
+++ b/internal/hotrestart/presence.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"syscall"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // slots is how many processes of one balancer are told apart; an upgrade has two, and three if the next one comes soon.
@@ -38,7 +38,7 @@
 	for i := range slots {
 		f, err := os.OpenFile(d.slot(i), os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
-			return nil, &Unwritable{advice.Words{Where: "handover", Cause: err, Do: writable}}
+			return nil, &Unwritable{hint.Annotated{Where: "handover", Cause: err, Do: writable}}
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
 			p := &Presence{d, i, f}
@@ -46,7 +46,7 @@
 		}
 		_ = f.Close()
 	}
-	return nil, &Taken{advice.Words{Where: "handover", What: fmt.Sprintf("%d processes of balancer %q are at work already", slots, d.balancer),
+	return nil, &Taken{hint.Annotated{Where: "handover", What: fmt.Sprintf("%d processes of balancer %q are at work already", slots, d.balancer),
 		Do: "end those that should have left; or give this balancer a name of its own"}}
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Unfit is a flag of the log that can't work.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // worded writes errors in their one form, with what an operator can do. A line without an error goes through as it is.
 type worded struct{ slog.Handler }
@@ -26,7 +26,7 @@
 		said := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
 		r.Attrs(func(a slog.Attr) bool {
 			if err, ok := isError(a); ok {
-				a.Value = slog.StringValue(advice.Line(err))
+				a.Value = slog.StringValue(hint.Line(err))
 			}
 			said.AddAttrs(a)
 			return true
@@ -51,7 +51,7 @@
 func New(w io.Writer, format, level string) (*slog.Logger, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
-		return nil, &Unfit{advice.Words{Where: "log level", What: fmt.Sprintf("%q is none of debug, info, warn, error", level), Do: "set one of these"}}
+		return nil, &Unfit{hint.Annotated{Where: "log level", What: fmt.Sprintf("%q is none of debug, info, warn, error", level), Do: "set one of these"}}
 	}
 	opts := &slog.HandlerOptions{Level: l}
 	switch format {
@@ -60,7 +60,7 @@
 	case "json":
 		return slog.New(worded{slog.NewJSONHandler(w, opts)}), nil
 	}
-	return nil, &Unfit{advice.Words{Where: "log format", What: fmt.Sprintf("%q is neither text nor json", format), Do: "set one of the two"}}
+	return nil, &Unfit{hint.Annotated{Where: "log format", What: fmt.Sprintf("%q is neither text nor json", format), Do: "set one of the two"}}
 }
 
 // Limited writes one line a class and interval at most, with the number of those that it stands for, so that a
--- a/internal/management/ask.go
+++ b/internal/management/ask.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 const (
@@ -28,18 +28,18 @@
 	}
 	c, err := net.DialTimeout("tcp", addr, askWait)
 	if err != nil {
-		return Answer{}, &Unheard{advice.Words{Where: addr, Cause: err, Do: unheard}}
+		return Answer{}, &Unheard{hint.Annotated{Where: addr, Cause: err, Do: unheard}}
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, call+"\r\n"); err != nil {
-		return Answer{}, &Unheard{advice.Words{Where: addr, Cause: err, Do: unheard}}
+		return Answer{}, &Unheard{hint.Annotated{Where: addr, Cause: err, Do: unheard}}
 	}
 	data, err := io.ReadAll(io.LimitReader(c, most))
 	line, whole := strings.CutSuffix(string(data), "\r\n")
 	sign, text, _ := strings.Cut(line, " ")
 	if !whole || sign != "+OK" && sign != "-ERR" {
-		return Answer{}, &Unheard{advice.Words{Where: addr, What: fmt.Sprintf("answered %.200q, which is neither +OK nor -ERR", data), Cause: err,
+		return Answer{}, &Unheard{hint.Annotated{Where: addr, What: fmt.Sprintf("answered %.200q, which is neither +OK nor -ERR", data), Cause: err,
 			Do: "see that this is a balancer's second address (management), and call again: repeating does no harm"}}
 	}
 	return Answer{sign == "+OK", text}, nil
--- a/internal/management/calls.go
+++ b/internal/management/calls.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"strings"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // MaxLine is how long a call may be, its end included; MaxRevision is that for a call about revisions, which may hold one.
@@ -75,8 +75,8 @@
 }
 
 var (
-	errMore = &Misspelt{advice.Words{What: "more than one line", Do: "make one call a connection"}}
-	errHalf = &Misspelt{advice.Words{What: "line without its end", Do: "end the line"}}
+	errMore = &Misspelt{hint.Annotated{What: "more than one line", Do: "make one call a connection"}}
+	errHalf = &Misspelt{hint.Annotated{What: "line without its end", Do: "end the line"}}
 )
 
 // About tells whether what came of a line begins a call about revisions.
@@ -92,7 +92,7 @@
 	}
 	switch {
 	case i < 0 && len(data) >= most || i >= most:
-		return nil, true, &Misspelt{advice.Words{What: fmt.Sprintf("line longer than %d bytes", most), Do: "make it shorter"}}
+		return nil, true, &Misspelt{hint.Annotated{What: fmt.Sprintf("line longer than %d bytes", most), Do: "make it shorter"}}
 	case i < 0 && ended:
 		return nil, true, errHalf
 	case i < 0:
@@ -107,7 +107,7 @@
 func Parse(line []byte) (Call, error) {
 	for _, c := range line {
 		if c < ' ' || c > '~' {
-			return Call{}, &Misspelt{advice.Words{What: "bytes that are no text", Do: "write printable ASCII"}}
+			return Call{}, &Misspelt{hint.Annotated{What: "bytes that are no text", Do: "write printable ASCII"}}
 		}
 	}
 	if About(line) {
@@ -117,7 +117,7 @@
 	}
 	parts := strings.Fields(string(line))
 	if len(parts) == 0 {
-		return Call{}, &Misspelt{advice.Words{What: "no call in the line; calls are " + strings.Join(words, ", "), Do: "write one of these"}}
+		return Call{}, &Misspelt{hint.Annotated{What: "no call in the line; calls are " + strings.Join(words, ", "), Do: "write one of these"}}
 	}
 	for w, name := range words {
 		if parts[0] != name {
@@ -126,29 +126,29 @@
 		c := Call{Word: Word(w)}
 		mayID := c.Word == Peers
 		if c.Word == Revision {
-			return Call{}, &Misspelt{advice.Words{What: "revision needs what to do, behind one space, and begins the line", Do: "use oatctl revision"}}
+			return Call{}, &Misspelt{hint.Annotated{What: "revision needs what to do, behind one space, and begins the line", Do: "use oatctl revision"}}
 		}
 		takesID := c.Word == MaintOn || c.Word == MaintOff || mayID && len(parts) > 1
 		switch {
 		case takesID && len(parts) == 1:
-			return Call{}, &Misspelt{advice.Words{What: name + " needs the id of a server", Do: "give the id, host in discovery's list"}}
+			return Call{}, &Misspelt{hint.Annotated{What: name + " needs the id of a server", Do: "give the id, host in discovery's list"}}
 		case takesID && len(parts) > 2:
-			return Call{}, &Misspelt{advice.Words{What: name + " takes one id only", Do: "make a call for each"}}
+			return Call{}, &Misspelt{hint.Annotated{What: name + " takes one id only", Do: "make a call for each"}}
 		case !takesID && len(parts) > 1:
-			return Call{}, &Misspelt{advice.Words{What: name + " takes nothing more", Do: "leave out what follows it"}}
+			return Call{}, &Misspelt{hint.Annotated{What: name + " takes nothing more", Do: "leave out what follows it"}}
 		case takesID:
 			c.ID = parts[1]
 		}
 		return c, nil
 	}
-	return Call{}, &Misspelt{advice.Words{What: fmt.Sprintf("unknown call %q; calls are %s", parts[0], strings.Join(words, ", ")), Do: "write one of these"}}
+	return Call{}, &Misspelt{hint.Annotated{What: fmt.Sprintf("unknown call %q; calls are %s", parts[0], strings.Join(words, ", ")), Do: "write one of these"}}
 }
 
 // Misspelt is a call that can't be read. Nothing has changed.
-type Misspelt struct{ advice.Words }
+type Misspelt struct{ hint.Annotated }
 
 // NoAddress is an address for operators' calls that can't be listened on.
-type NoAddress struct{ advice.Words }
+type NoAddress struct{ hint.Annotated }
 
 // Unheard is that no answer came to a call, or none of a balancer's. Whether it was done isn't known.
-type Unheard struct{ advice.Words }
+type Unheard struct{ hint.Annotated }
--- a/internal/management/serve.go
+++ b/internal/management/serve.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Bounds on callers. Descriptors is what a balancer has to keep free for all this: the listener, the callers, and one
@@ -66,7 +66,7 @@
 func Listen(addr string, do func(Call, <-chan struct{}) Answer) (*Server, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return nil, &NoAddress{advice.Words{Where: "management", Cause: err, Do: elsewhere}}
+		return nil, &NoAddress{hint.Annotated{Where: "management", Cause: err, Do: elsewhere}}
 	}
 	return &Server{listener: l, do: do, over: make(chan struct{}), turns: make(chan struct{}, revisionTurns), long: make(chan struct{}, longLines)}, nil
 }
@@ -215,9 +215,9 @@
 }
 
 // Busy is that as many calls about revisions are under way as may be. Nothing has changed.
-type Busy struct{ advice.Words }
+type Busy struct{ hint.Annotated }
 
-var busy error = &Busy{advice.Words{What: "busy: other calls about revisions are under way, nothing changed", Do: "make the call again"}}
+var busy error = &Busy{hint.Annotated{What: "busy: other calls about revisions are under way, nothing changed", Do: "make the call again"}}
 
 // turn waits for a place in turns. It is false where there was none in time, of which the caller is told, or the caller was cut.
 func (s *Server) turn(c *caller, turns chan struct{}) bool {
@@ -236,7 +236,7 @@
 	case <-timer.C:
 		if s.taken(c) {
 			s.Counters.Calls.Add(1)
-			s.answer(c, No("%s", advice.Line(busy)), goodbyeWait)
+			s.answer(c, No("%s", hint.Line(busy)), goodbyeWait)
 		}
 	}
 	return false
@@ -249,7 +249,7 @@
 		call, err = Parse(line)
 	}
 	if err != nil {
-		return No("%s", advice.Line(err))
+		return No("%s", hint.Line(err))
 	}
 	over := make(chan struct{})
 	var once sync.Once
@@ -315,5 +315,5 @@
 	case inUse(err):
 		return nil
 	}
-	return &NoAddress{advice.Words{Where: "management", Cause: err, Do: elsewhere}}
+	return &NoAddress{hint.Annotated{Where: "management", Cause: err, Do: elsewhere}}
 }
--- a/internal/peers/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"testing"
--- a/internal/peers/host.go
+++ b/internal/membership/host.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/time/rate"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/logs"
 )
 
@@ -62,12 +62,12 @@
 	}
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil || !at.Addr().Is4() {
-		return nil, &NoAddress{advice.Words{Where: "peers.listen", What: fmt.Sprintf("%q is no IPv4 address and port", listen), Do: "give an address of this machine and a port, such as 10.0.0.4:9200"}}
+		return nil, &NoAddress{hint.Annotated{Where: "peers.listen", What: fmt.Sprintf("%q is no IPv4 address and port", listen), Do: "give an address of this machine and a port, such as 10.0.0.4:9200"}}
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	taken := err != nil && wait && errors.Is(err, syscall.EADDRINUSE)
 	if err != nil && !taken {
-		return nil, &NoAddress{advice.Words{Where: "peers.listen", Cause: err, Do: "give an address of this machine and a free port"}}
+		return nil, &NoAddress{hint.Annotated{Where: "peers.listen", Cause: err, Do: "give an address of this machine and a free port"}}
 	}
 	h := &Host{cfg: cfg, m: m, zero: time.Now(), in: make(chan Received, waiting), sets: make(chan SetSignal, setWaiting),
 		asks: make(chan func(*Machine)), stop: make(chan struct{}), log: log, said: logs.Limit(log, time.Second)}
@@ -265,4 +265,4 @@
 }
 
 // NoAddress is an address on which other balancers can't be listened for.
-type NoAddress struct{ advice.Words }
+type NoAddress struct{ hint.Annotated }
--- a/internal/peers/host_test.go
+++ b/internal/membership/host_test.go
@@ -1,4 +1,4 @@
-package peers_test
+package membership_test
 
 import (
 	"io"
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/peers"
+	"oatloft/internal/membership"
 )
 
-func host(t *testing.T, name, addr, cluster string, join ...string) *peers.Host {
+func host(t *testing.T, name, addr, cluster string, join ...string) *membership.Host {
 	t.Helper()
-	h, err := peers.Start(peers.Config{Cluster: cluster, Name: name, Addr: addr, Join: join, SilentAfter: time.Second, MaxMembers: 50,
+	h, err := membership.Start(membership.Config{Cluster: cluster, Name: name, Addr: addr, Join: join, SilentAfter: time.Second, MaxMembers: 50,
 		SignalBytes: 1024, Generation: uint64(time.Now().UnixMilli()), Seed: 1}, "", true, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	t.Fatal(what)
 }
 
-func sees(h *peers.Host, name string, state peers.State) bool {
+func sees(h *membership.Host, name string, state membership.State) bool {
 	for _, m := range h.View().Members {
 		if m.Name == name {
 			return m.State == state
@@ -55,7 +55,7 @@
 			return
 		}
 		defer func() { _ = c.Close() }()
-		g := peers.Message{Form: peers.Form, Cluster: "c", Kind: peers.Tell, From: peers.Record{Name: "noisy", Addr: "127.8.20.9:7000", Generation: 1}}
+		g := membership.Message{Form: membership.Form, Cluster: "c", Kind: membership.Tell, From: membership.Record{Name: "noisy", Addr: "127.8.20.9:7000", Generation: 1}}
 		junk := [][]byte{{1}, make([]byte, 65507), []byte("GET / HTTP/1.1\r\n\r\n"), {}}
 		for n := uint64(1); ; n++ {
 			select {
@@ -63,19 +63,19 @@
 				return
 			default:
 			}
-			g.Signals = []peers.SignalRecord{{Owner: "noisy", Generation: 1, Key: string(rune('a' + n%26)), Version: n, LifeMS: 60000, Value: make([]byte, 200)}}
-			if body, err := peers.Encode(&g); err == nil {
+			g.Signals = []membership.SignalRecord{{Owner: "noisy", Generation: 1, Key: string(rune('a' + n%26)), Version: n, LifeMS: 60000, Value: make([]byte, 200)}}
+			if body, err := membership.Encode(&g); err == nil {
 				_, _ = c.Write(body)
 			}
 			_, _ = c.Write(junk[n%4])
 		}
 	}()
-	eventually(t, "they don't find each other", func() bool { return sees(a, "b", peers.Alive) && sees(b, "a", peers.Alive) })
+	eventually(t, "they don't find each other", func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) })
 	eventually(t, "no signal", func() bool {
-		b.Set(peers.LoadKey, []byte("7 0"), time.Minute)
+		b.Set(membership.LoadKey, []byte("7 0"), time.Minute)
 		for _, m := range a.View().Members {
 			for _, s := range m.Signals {
-				if m.Name == "b" && s.Key == peers.LoadKey && string(s.Value) == "7 0" {
+				if m.Name == "b" && s.Key == membership.LoadKey && string(s.Value) == "7 0" {
 					return true
 				}
 			}
@@ -83,7 +83,7 @@
 		return false
 	})
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if sees(a, "b", peers.Gone) || sees(b, "a", peers.Gone) || sees(a, "x", peers.Alive) {
+		if sees(a, "b", membership.Gone) || sees(b, "a", membership.Gone) || sees(a, "x", membership.Alive) {
 			t.Fatalf("a holds %+v, b holds %+v", a.View().Members, b.View().Members)
 		}
 	}
@@ -103,25 +103,25 @@
 		t.Errorf("another cluster: %+v, %d members", c, len(other.View().Members))
 	}
 	b.Close()
-	eventually(t, "a death is not known", func() bool { return sees(a, "b", peers.Gone) })
+	eventually(t, "a death is not known", func() bool { return sees(a, "b", membership.Gone) })
 }
 
 // What can't work is said before anything is opened.
 func TestConfigThatCannotWork(t *testing.T) {
-	good := peers.Config{Cluster: "c", Name: "a", Addr: "127.8.20.7:7000", SilentAfter: time.Second, MaxMembers: 5, SignalBytes: 100, Generation: 1}
-	for field, change := range map[string]func(*peers.Config){
-		"peers.cluster": func(c *peers.Config) { c.Cluster = "" }, "name": func(c *peers.Config) { c.Name = strings.Repeat("n", 65) },
-		"peers.listen": func(c *peers.Config) { c.Addr = "0.0.0.0:7000" }, "peers.join[1]": func(c *peers.Config) { c.Join = []string{"127.0.0.1:1", "host:x"} },
-		"peers.reach.b": func(c *peers.Config) { c.Reach = map[string]string{"b": "::1"} }, "peers.silent_after": func(c *peers.Config) { c.SilentAfter = time.Millisecond },
-		"peers.max_members": func(c *peers.Config) { c.MaxMembers = 1 }, "peers.signal_bytes": func(c *peers.Config) { c.SignalBytes = 1 },
+	good := membership.Config{Cluster: "c", Name: "a", Addr: "127.8.20.7:7000", SilentAfter: time.Second, MaxMembers: 5, SignalBytes: 100, Generation: 1}
+	for field, change := range map[string]func(*membership.Config){
+		"peers.cluster": func(c *membership.Config) { c.Cluster = "" }, "name": func(c *membership.Config) { c.Name = strings.Repeat("n", 65) },
+		"peers.listen": func(c *membership.Config) { c.Addr = "0.0.0.0:7000" }, "peers.join[1]": func(c *membership.Config) { c.Join = []string{"127.0.0.1:1", "host:x"} },
+		"peers.reach.b": func(c *membership.Config) { c.Reach = map[string]string{"b": "::1"} }, "peers.silent_after": func(c *membership.Config) { c.SilentAfter = time.Millisecond },
+		"peers.max_members": func(c *membership.Config) { c.MaxMembers = 1 }, "peers.signal_bytes": func(c *membership.Config) { c.SignalBytes = 1 },
 	} {
 		c := good
 		change(&c)
-		if _, err := peers.New(c); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		if _, err := membership.New(c); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	if _, err := peers.New(good); err != nil {
+	if _, err := membership.New(good); err != nil {
 		t.Error(err)
 	}
 }
@@ -131,9 +131,9 @@
 func TestTheNextProcessTakesTheAddress(t *testing.T) {
 	a := host(t, "a", "127.8.21.1:7000", "c")
 	before := host(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
-	eventually(t, "b is not there", func() bool { return sees(a, "b", peers.Alive) })
+	eventually(t, "b is not there", func() bool { return sees(a, "b", membership.Alive) })
 	next := host(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
-	next.Set(peers.ClockKey, []byte("1"), time.Minute)
+	next.Set(membership.ClockKey, []byte("1"), time.Minute)
 	time.Sleep(200 * time.Millisecond)
 	if !next.View().Old || next.Counts().In > 0 {
 		t.Errorf("it takes part beside the one before: %+v", next.View())
@@ -143,7 +143,7 @@
 		v := next.View()
 		for _, m := range a.View().Members {
 			if m.Name == "b" {
-				return m.State == peers.Alive && m.Generation == v.Self.Generation && !v.Old && !v.Displaced
+				return m.State == membership.Alive && m.Generation == v.Self.Generation && !v.Old && !v.Displaced
 			}
 		}
 		return false
@@ -154,12 +154,12 @@
 func TestLeavingAndStaying(t *testing.T) {
 	a := host(t, "a", "127.8.22.1:7000", "c")
 	b := host(t, "b", "127.8.22.2:7000", "c", "127.8.22.1:7000")
-	eventually(t, "b is not there", func() bool { return sees(a, "b", peers.Alive) })
+	eventually(t, "b is not there", func() bool { return sees(a, "b", membership.Alive) })
 	b.Leave(true)
-	eventually(t, "b does not leave", func() bool { return sees(a, "b", peers.Leaving) })
+	eventually(t, "b does not leave", func() bool { return sees(a, "b", membership.Leaving) })
 	for range 100 {
 		b.Leave(true)
 		b.Leave(false)
 	}
-	eventually(t, "b does not stay", func() bool { return sees(a, "b", peers.Alive) })
+	eventually(t, "b does not stay", func() bool { return sees(a, "b", membership.Alive) })
 }
--- a/internal/peers/machine.go
+++ b/internal/membership/machine.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"maps"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 type member struct {
@@ -164,7 +164,7 @@
 
 // goodAgain ends the view's being old: somebody has told all, or there is nobody to tell.
 func (m *Machine) goodAgain() {
-	if m.old && !defects.On("old-for-ever") {
+	if m.old && !failpoint.On("old-for-ever") {
 		m.old = false
 		m.do(Aged{})
 	}
@@ -234,7 +234,7 @@
 		case o.State == Gone && m.now-o.since > m.cfg.forgetAfter():
 			delete(m.members, name)
 			delete(m.signals, name)
-		case o.State == Gone && m.now >= o.retryAt && !defects.On("no-retry"): // a cut may be over
+		case o.State == Gone && m.now >= o.retryAt && !failpoint.On("no-retry"): // a cut may be over
 			o.retryAt = m.now + m.cfg.SilentAfter + m.jitter(2*m.cfg.SilentAfter)
 			m.seq++
 			m.send(name, &Message{Kind: Ping, Seq: m.seq, Target: name})
@@ -277,7 +277,7 @@
 		}
 	}
 	for _, addr := range m.cfg.Join {
-		if !there[addr] && !(defects.On("no-retry") && len(m.members) > 0) {
+		if !there[addr] && !(failpoint.On("no-retry") && len(m.members) > 0) {
 			m.syncSeq++
 			m.sendTo(addr, &Message{Kind: Sync, Seq: m.syncSeq})
 		}
@@ -407,7 +407,7 @@
 			m.slow = max(0, m.slow-1)
 		}
 	case Nack:
-		if defects.On("crash-on-nack") {
+		if failpoint.On("crash-on-nack") {
 			panic("a nack")
 		}
 		if p := m.probes[g.Seq]; p != nil && p.target == g.Target {
@@ -479,12 +479,12 @@
 			m.spread(newsKey{r.Name, ""})
 		}
 		return
-	case !r.newer(o.Record) || o.State == Gone && defects.On("gone-for-ever"):
+	case !r.newer(o.Record) || o.State == Gone && failpoint.On("gone-for-ever"):
 		return
 	}
 	was := o.Record
 	o.Record = r
-	if r.Generation != was.Generation && !defects.On("earlier-start") {
+	if r.Generation != was.Generation && !failpoint.On("earlier-start") {
 		o.heard = 0
 		m.dropSignals(r.Name, r.Generation)
 	}
@@ -535,7 +535,7 @@
 			m.Counters.Displaced++
 			m.do(Changed{Record: r, Reason: "another process goes by this name"})
 		}
-	case r.newer(m.self) && !defects.On("no-refute"):
+	case r.newer(m.self) && !failpoint.On("no-refute"):
 		m.Counters.Refuted++
 		m.slow = min(mostSlow, m.slow+1)
 		m.restate(m.self.Generation, r.Incarnation+1)
--- a/internal/peers/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -1,4 +1,4 @@
-package peers_test
+package membership_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"oatloft/internal/peers"
-	"oatloft/internal/peers/stepped"
+	"oatloft/internal/membership"
+	"oatloft/internal/membership/stepped"
 )
 
 const silent = 3 * time.Second
@@ -46,8 +46,8 @@
 			net := lan
 			net.Loss, net.Double = loss, loss/2
 			w := world(t, n, uint64(n), net)
-			w.Changes = func(at *stepped.Node, c peers.Changed) {
-				if c.State == peers.Gone && c.Name != w.Nodes[n-1].Name {
+			w.Changes = func(at *stepped.Node, c membership.Changed) {
+				if c.State == membership.Gone && c.Name != w.Nodes[n-1].Name {
 					t.Errorf("%d members, loss %v: %s holds %s to be gone", n, loss, at.Name, c.Name)
 				}
 			}
@@ -92,8 +92,8 @@
 func TestALinkThatWorksOneWay(t *testing.T) {
 	w := world(t, 5, 1, lan)
 	gone := 0
-	w.Changes = func(_ *stepped.Node, c peers.Changed) {
-		if c.State == peers.Gone {
+	w.Changes = func(_ *stepped.Node, c membership.Changed) {
+		if c.State == membership.Gone {
 			gone++
 		}
 	}
@@ -111,21 +111,21 @@
 	w := world(t, 5, 2, lan)
 	w.Stop(4, true)
 	w.Run(30 * time.Second)
-	if v := w.Nodes[0].M.View(); v.Members[3].State != peers.Gone {
+	if v := w.Nodes[0].M.View(); v.Members[3].State != membership.Gone {
 		t.Fatalf("the others hold the one that stands to be %v", v.Members[3].State)
 	}
 	w.Kill(0)
 	aged := false
-	w.Changes = func(at *stepped.Node, c peers.Changed) {
-		if at.Name == w.Nodes[4].Name && c.State == peers.Gone && c.Name != w.Nodes[0].Name {
+	w.Changes = func(at *stepped.Node, c membership.Changed) {
+		if at.Name == w.Nodes[4].Name && c.State == membership.Gone && c.Name != w.Nodes[0].Name {
 			t.Errorf("it holds %s to be gone", c.Name)
 		}
 	}
-	for _, e := range w.Nodes[4].M.Step(w.Now, peers.Tick{}, nil) {
-		if a, ok := e.(peers.Aged); ok && a.On {
+	for _, e := range w.Nodes[4].M.Step(w.Now, membership.Tick{}, nil) {
+		if a, ok := e.(membership.Aged); ok && a.On {
 			aged = true
 		}
-		if s, ok := e.(peers.Send); ok && len(s.Message.Members)+len(s.Message.Signals) > 0 {
+		if s, ok := e.(membership.Send); ok && len(s.Message.Members)+len(s.Message.Signals) > 0 {
 			t.Errorf("it tells on what is old: %+v", s.Message)
 		}
 	}
@@ -141,8 +141,8 @@
 	w := world(t, 8, 3, lan)
 	w.Lossy(7, 0.9)
 	wrong := map[string]int{}
-	w.Changes = func(at *stepped.Node, c peers.Changed) {
-		if c.State == peers.Gone && c.Name != w.Nodes[7].Name && at != w.Nodes[7] {
+	w.Changes = func(at *stepped.Node, c membership.Changed) {
+		if c.State == membership.Gone && c.Name != w.Nodes[7].Name && at != w.Nodes[7] {
 			wrong[c.Name]++
 		}
 	}
@@ -221,14 +221,14 @@
 // Two processes with one name, both alive: the later start has it, the other one says so and is nobody until that is gone.
 func TestANameUsedTwice(t *testing.T) {
 	w := world(t, 4, 6, lan)
-	late, err := peers.New(peers.Config{Cluster: "c", Name: w.Nodes[3].Name, Addr: "127.8.9.9:7000", SilentAfter: silent, MaxMembers: 100,
+	late, err := membership.New(membership.Config{Cluster: "c", Name: w.Nodes[3].Name, Addr: "127.8.9.9:7000", SilentAfter: silent, MaxMembers: 100,
 		SignalBytes: 1000, Generation: 1 << 40, Seed: 1, Join: []string{w.Nodes[0].Addr}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The late one tells the others of itself; they tell the early one.
 	for i := range 3 {
-		w.Nodes[i].M.Step(w.Now, peers.Received{Message: peers.Message{Form: peers.Form, Cluster: "c", From: late.View().Self, Kind: peers.Tell}}, nil)
+		w.Nodes[i].M.Step(w.Now, membership.Received{Message: membership.Message{Form: membership.Form, Cluster: "c", From: late.View().Self, Kind: membership.Tell}}, nil)
 	}
 	w.Run(silent)
 	if !w.Nodes[3].M.View().Displaced {
@@ -247,28 +247,28 @@
 // Merging is commutative and idempotent: what members and signals come to doesn't hang on the order, nor on repeats.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []peers.Message
+		var all []membership.Message
 		for range rapid.IntRange(1, 12).Draw(t, "messages") {
-			g := peers.Message{Form: peers.Form, Cluster: "c", Kind: peers.Tell, From: peers.Record{Name: "x", Addr: "127.8.0.9:1", Generation: 1}}
+			g := membership.Message{Form: membership.Form, Cluster: "c", Kind: membership.Tell, From: membership.Record{Name: "x", Addr: "127.8.0.9:1", Generation: 1}}
 			for range rapid.IntRange(0, 3).Draw(t, "members") {
-				g.Members = append(g.Members, peers.Record{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "127.8.0.2:1",
-					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: peers.State(rapid.IntRange(0, 3).Draw(t, "state"))})
+				g.Members = append(g.Members, membership.Record{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "127.8.0.2:1",
+					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))})
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "signals") {
 				v := rapid.IntRange(1, 5).Draw(t, "version")
-				g.Signals = append(g.Signals, peers.SignalRecord{Owner: "x", Generation: 1, Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key"),
+				g.Signals = append(g.Signals, membership.SignalRecord{Owner: "x", Generation: 1, Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key"),
 					Version: uint64(v), AgeMS: uint32(rapid.IntRange(0, 900).Draw(t, "age")), LifeMS: 1000, Value: []byte{byte(v)}})
 			}
 			all = append(all, g)
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		hold := func(list []peers.Message) string {
-			m, err := peers.New(peers.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 100, SignalBytes: 1000, Generation: 1})
+		hold := func(list []membership.Message) string {
+			m, err := membership.New(membership.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 100, SignalBytes: 1000, Generation: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, g := range list {
-				m.Step(time.Second, peers.Received{Message: g}, nil)
+				m.Step(time.Second, membership.Received{Message: g}, nil)
 			}
 			text := ""
 			for _, o := range m.View().Members {
@@ -277,7 +277,7 @@
 			return text
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
-		other := append(append([]peers.Message{}, all...), all[rng.IntN(len(all))])
+		other := append(append([]membership.Message{}, all...), all[rng.IntN(len(all))])
 		rng.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
 		if one, two := hold(all), hold(other); one != two {
 			t.Fatalf("in one order\n%sin another\n%s", one, two)
@@ -309,8 +309,8 @@
 
 // Whatever comes from outside is read or refused, never more than a packet's worth, and does no harm.
 func FuzzDatagram(f *testing.F) {
-	good, err := peers.Encode(&peers.Message{Form: peers.Form, Cluster: "c", From: peers.Record{Name: "a", Addr: "127.8.0.2:1", Generation: 3},
-		Members: []peers.Record{{Name: "b", Addr: "127.8.0.3:1", Generation: 1}}, Signals: []peers.SignalRecord{{Owner: "a", Generation: 3, Key: "k", Version: 1, LifeMS: 9}}})
+	good, err := membership.Encode(&membership.Message{Form: membership.Form, Cluster: "c", From: membership.Record{Name: "a", Addr: "127.8.0.2:1", Generation: 3},
+		Members: []membership.Record{{Name: "b", Addr: "127.8.0.3:1", Generation: 1}}, Signals: []membership.SignalRecord{{Owner: "a", Generation: 3, Key: "k", Version: 1, LifeMS: 9}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -319,23 +319,23 @@
 	f.Add([]byte{0x9f})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, err := peers.Decode(b)
+		g, err := membership.Decode(b)
 		if err != nil {
 			return
 		}
-		m, err := peers.New(peers.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 8, SignalBytes: 1000, Generation: 1})
+		m, err := membership.New(membership.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 8, SignalBytes: 1000, Generation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for now := range 40 {
-			for _, e := range m.Step(time.Duration(now)*silent/20, peers.Received{Message: g, Size: len(b)}, nil) {
-				if s, ok := e.(peers.Send); ok {
-					if _, err := peers.Encode(s.Message); err != nil {
+			for _, e := range m.Step(time.Duration(now)*silent/20, membership.Received{Message: g, Size: len(b)}, nil) {
+				if s, ok := e.(membership.Send); ok {
+					if _, err := membership.Encode(s.Message); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
-			m.Step(time.Duration(now)*silent/20, peers.Tick{}, nil)
+			m.Step(time.Duration(now)*silent/20, membership.Tick{}, nil)
 		}
 		if n := len(m.View().Members); n > 8 {
 			t.Fatalf("%d members", n)
--- a/internal/standin/main_test.go
+++ b/internal/membership/main_test.go
@@ -1,4 +1,4 @@
-package standin
+package membership
 
 import (
 	"testing"
