--- a/internal/peers/news.go
+++ b/internal/membership/news.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // What travels: news of members and signals ride on every message, those that were sent on least first, and a Sync is
@@ -232,7 +232,7 @@
 	case r.Key == "" || len(r.Key) > MaxName || len(r.Value) > MaxSignal || r.Version == 0 || r.AgeMS >= r.LifeMS:
 		m.Counters.SignalsDropped++
 		return
-	case o == nil || r.Generation != o.Generation && !defects.On("earlier-start"): // of a start that is over, or one not heard of yet: it comes again
+	case o == nil || r.Generation != o.Generation && !failpoint.On("earlier-start"): // of a start that is over, or one not heard of yet: it comes again
 		m.Counters.SignalsDropped++
 		return
 	}
@@ -246,7 +246,7 @@
 		if r.Version == s.Version && born < s.born {
 			s.born = born // it was older all along
 		}
-		if r.Version <= s.Version && !defects.On("back-in-time") {
+		if r.Version <= s.Version && !failpoint.On("back-in-time") {
 			return
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/membership/peers.go
@@ -1,4 +1,4 @@
-// Package peers tells balancers of each other: who is there, and the signals that each spreads. It is a SWIM membership
+// Package membership tells balancers of each other: who is there, and the signals that each spreads. It is a SWIM membership
 // with Lifeguard's care for a slow self: probes in turn, probes by way of others, suspicions that the suspect can
 // refute, and news that ride on every packet.
 //
@@ -7,7 +7,7 @@
 // regions, and never stand in the way of the goroutine that does: that one reads a View and leaves signals, both at once.
 //
 // Clocks of members are never compared: only ages travel, and a generation is only compared with others of its name.
-package peers
+package membership
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 	"net/netip"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // State is what is held of a member, the order that of what wins at one generation and incarnation.
@@ -105,38 +105,38 @@
 }
 
 // Unfit is a setting of the members' part that can't work.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // Check names the first field that can't work.
 func (c Config) Check() error {
 	if c.Cluster == "" || len(c.Cluster) > MaxName {
-		return &Unfit{advice.Words{Where: "peers.cluster", What: fmt.Sprintf("needs 1 to %d bytes", MaxName), Do: "give the same short name at all balancers"}}
+		return &Unfit{hint.Annotated{Where: "peers.cluster", What: fmt.Sprintf("needs 1 to %d bytes", MaxName), Do: "give the same short name at all balancers"}}
 	}
 	if c.Name == "" || len(c.Name) > MaxName {
-		return &Unfit{advice.Words{Where: "peers", What: fmt.Sprintf("the balancer's name needs 1 to %d bytes", MaxName), Do: "give a name by the configuration or PROXY_NAME"}}
+		return &Unfit{hint.Annotated{Where: "peers", What: fmt.Sprintf("the balancer's name needs 1 to %d bytes", MaxName), Do: "give a name by the configuration or PROXY_NAME"}}
 	}
 	if a, err := netip.ParseAddrPort(c.Addr); err != nil || !a.Addr().Is4() || a.Port() == 0 || a.Addr().IsUnspecified() {
-		return &Unfit{advice.Words{Where: "peers.listen", What: fmt.Sprintf("%q is no IPv4 address and port that others could reach", c.Addr), Do: "give one, or name it by peers.advertise"}}
+		return &Unfit{hint.Annotated{Where: "peers.listen", What: fmt.Sprintf("%q is no IPv4 address and port that others could reach", c.Addr), Do: "give one, or name it by peers.advertise"}}
 	}
 	for i, j := range c.Join {
 		if a, err := netip.ParseAddrPort(j); err != nil || !a.Addr().Is4() || a.Port() == 0 {
-			return &Unfit{advice.Words{Where: fmt.Sprintf("peers.join[%d]", i), What: fmt.Sprintf("%q is no IPv4 address and port", j), Do: "give some other balancers' addresses, such as 10.0.0.5:9200"}}
+			return &Unfit{hint.Annotated{Where: fmt.Sprintf("peers.join[%d]", i), What: fmt.Sprintf("%q is no IPv4 address and port", j), Do: "give some other balancers' addresses, such as 10.0.0.5:9200"}}
 		}
 	}
 	for name, to := range c.Reach {
 		if a, err := netip.ParseAddrPort(to); err != nil || !a.Addr().Is4() || a.Port() == 0 {
-			return &Unfit{advice.Words{Where: "peers.reach." + name, What: fmt.Sprintf("%q is no IPv4 address and port", to), Do: "give the one under which that balancer is reached from here"}}
+			return &Unfit{hint.Annotated{Where: "peers.reach." + name, What: fmt.Sprintf("%q is no IPv4 address and port", to), Do: "give the one under which that balancer is reached from here"}}
 		}
 	}
 	switch {
 	case c.SilentAfter < 300*time.Millisecond || c.SilentAfter > time.Hour:
-		return &Unfit{advice.Words{Where: "peers.silent_after", What: fmt.Sprintf("%v is outside 300ms to 1h", c.SilentAfter), Do: "set a time within"}}
+		return &Unfit{hint.Annotated{Where: "peers.silent_after", What: fmt.Sprintf("%v is outside 300ms to 1h", c.SilentAfter), Do: "set a time within"}}
 	case c.MaxMembers < 2 || c.MaxMembers > 1<<16:
-		return &Unfit{advice.Words{Where: "peers.max_members", What: fmt.Sprintf("%d is outside 2 to 65536", c.MaxMembers), Do: "set more than there will be balancers"}}
+		return &Unfit{hint.Annotated{Where: "peers.max_members", What: fmt.Sprintf("%d is outside 2 to 65536", c.MaxMembers), Do: "set more than there will be balancers"}}
 	case c.SignalBytes < 64 || c.SignalBytes > 1<<16:
-		return &Unfit{advice.Words{Where: "peers.signal_bytes", What: fmt.Sprintf("%d is outside 64 to 65536", c.SignalBytes), Do: "set a size within"}}
+		return &Unfit{hint.Annotated{Where: "peers.signal_bytes", What: fmt.Sprintf("%d is outside 64 to 65536", c.SignalBytes), Do: "set a size within"}}
 	case c.Generation == 0:
-		return &Unfit{advice.Words{Where: "peers", What: "no generation", Do: "set the machine's clock: it stands before 1970"}}
+		return &Unfit{hint.Annotated{Where: "peers", What: "no generation", Do: "set the machine's clock: it stands before 1970"}}
 	}
 	return nil
 }
--- a/internal/peers/signals.go
+++ b/internal/membership/signals.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // The signals that a balancer gives. A region's key is RegionKey and its id; the others have keys of their own.
@@ -31,7 +31,7 @@
 	return fmt.Appendf(nil, "%.3f %d %d", r.X, r.Age.Milliseconds(), r.Fails)
 }
 
-var errReading error = &Malformed{advice.Words{What: "a reading is not three figures", Do: strangers}}
+var errReading error = &Malformed{hint.Annotated{What: "a reading is not three figures", Do: strangers}}
 
 // ParseReading reads it back. What no balancer would write is an error.
 func ParseReading(value []byte) (r Reading, err error) {
--- a/internal/peers/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -1,4 +1,4 @@
-// Package stepped lets many members of internal/peers live side by side in stepped time, without sockets: messages take
+// Package stepped lets many members of internal/membership live side by side in stepped time, without sockets: messages take
 // a while, get lost, come twice; links are cut, one way or both; members stop, go on, die and start again. The same seed
 // gives the same run. It owns the network between them and the judgement of what they hold; tests and oatlab build on it.
 package stepped
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"oatloft/internal/peers"
+	"oatloft/internal/membership"
 )
 
 // Net is how messages fare.
@@ -21,12 +21,12 @@
 // Node is one member's place. M is nil while it is dead.
 type Node struct {
 	Name, Addr string
-	M          *peers.Machine
+	M          *membership.Machine
 	Stopped    bool
 	index      int
 	starts     uint64
-	waiting    []peers.Received // for a stopped one, as its socket would keep
-	clock      uint64           // that generations are taken from
+	waiting    []membership.Received // for a stopped one, as its socket would keep
+	clock      uint64                // that generations are taken from
 	sent       int64
 	loss       float64
 }
@@ -41,7 +41,7 @@
 	SilentAfter time.Duration
 	Bytes       int64
 	Faults      []string // what no rule allows
-	Changes     func(at *Node, c peers.Changed)
+	Changes     func(at *Node, c membership.Changed)
 
 	rng    *rand.Rand
 	q      queue
@@ -67,7 +67,7 @@
 	seq  int
 	to   *Node
 	from int
-	r    peers.Received
+	r    membership.Received
 }
 
 type queue []packet
@@ -106,9 +106,9 @@
 	d := w.Nodes[i]
 	d.starts++
 	d.clock += 1000
-	cfg := peers.Config{Cluster: "c", Name: d.Name, Addr: d.Addr, SilentAfter: w.SilentAfter, MaxMembers: 4096, SignalBytes: 4096,
+	cfg := membership.Config{Cluster: "c", Name: d.Name, Addr: d.Addr, SilentAfter: w.SilentAfter, MaxMembers: 4096, SignalBytes: 4096,
 		Generation: d.clock, Seed: w.rng.Uint64(), Join: []string{w.Nodes[0].Addr, w.Nodes[min(1, len(w.Nodes)-1)].Addr}}
-	d.M, err = peers.New(cfg)
+	d.M, err = membership.New(cfg)
 	d.Stopped, d.waiting = false, nil
 	return err
 }
@@ -137,12 +137,12 @@
 // Set gives a signal.
 func (w *World) Set(i int, key string, value []byte, life time.Duration) {
 	if w.Nodes[i].M != nil && !w.Nodes[i].Stopped {
-		w.step(i, peers.SetSignal{Key: key, Value: value, Life: life})
+		w.step(i, membership.SetSignal{Key: key, Value: value, Life: life})
 	}
 }
 
 // Leave has a member say that it leaves.
-func (w *World) Leave(i int, on bool) { w.step(i, peers.Leave{On: on}) }
+func (w *World) Leave(i int, on bool) { w.step(i, membership.Leave{On: on}) }
 
 // Run lets time pass.
 func (w *World) Run(d time.Duration) {
@@ -162,22 +162,22 @@
 		}
 		for i, d := range w.Nodes {
 			if d.M != nil && !d.Stopped {
-				w.step(i, peers.Tick{})
+				w.step(i, membership.Tick{})
 			}
 		}
 	}
 }
 
-func (w *World) step(i int, ev peers.Event) {
+func (w *World) step(i int, ev membership.Event) {
 	d := w.Nodes[i]
 	if d.M == nil {
 		return
 	}
 	for _, e := range d.M.Step(w.Now, ev, nil) {
 		switch e := e.(type) {
-		case peers.Send:
+		case membership.Send:
 			w.send(i, e)
-		case peers.Changed:
+		case membership.Changed:
 			if w.Changes != nil {
 				w.Changes(d, e)
 			}
@@ -185,8 +185,8 @@
 	}
 }
 
-func (w *World) send(from int, e peers.Send) {
-	b, err := peers.Encode(e.Message)
+func (w *World) send(from int, e membership.Send) {
+	b, err := membership.Encode(e.Message)
 	if err != nil {
 		w.fault("%s sends what can't be sent: %v", w.Nodes[from].Name, err)
 		return
@@ -202,14 +202,14 @@
 		return
 	}
 	for range 1 + w.chance(w.Net.Double) {
-		g, err := peers.Decode(b)
+		g, err := membership.Decode(b)
 		if err != nil {
 			w.fault("%s sends what can't be read: %v", w.Nodes[from].Name, err)
 			return
 		}
 		w.seq++
 		heap.Push(&w.q, packet{at: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)), seq: w.seq, to: d, from: from,
-			r: peers.Received{Message: g, Size: len(b)}})
+			r: membership.Received{Message: g, Size: len(b)}})
 	}
 }
 
@@ -238,8 +238,8 @@
 		if d.M == nil || d.Stopped {
 			continue
 		}
-		held := make(map[string]peers.Record, len(w.Nodes))
-		if d.M.Held(func(r peers.Record) { held[r.Name] = r }) {
+		held := make(map[string]membership.Record, len(w.Nodes))
+		if d.M.Held(func(r membership.Record) { held[r.Name] = r }) {
 			return d.Name + "'s view is old"
 		}
 		for j, o := range w.Nodes {
@@ -248,11 +248,11 @@
 			case i == j:
 			case lives && !known:
 				return fmt.Sprintf("%s does not know %s", d.Name, o.Name)
-			case lives && r.State >= peers.Suspect:
+			case lives && r.State >= membership.Suspect:
 				return fmt.Sprintf("%s holds %s, who lives, to be %v", d.Name, o.Name, r.State)
 			case lives && r.Generation != o.M.Self().Generation:
 				return fmt.Sprintf("%s knows %s by an earlier start", d.Name, o.Name)
-			case !lives && known && r.State != peers.Gone:
+			case !lives && known && r.State != membership.Gone:
 				return fmt.Sprintf("%s holds %s, who is dead, to be %v", d.Name, o.Name, r.State)
 			}
 		}
--- a/internal/peers/wire.go
+++ b/internal/membership/wire.go
@@ -1,9 +1,9 @@
-package peers
+package membership
 
 import (
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // A message travels in protobuf's wire format, by this schema:
@@ -18,14 +18,14 @@
 // Nothing that comes from outside may ask for much: a datagram is bounded, and all in it is a part of it.
 
 // Malformed is a datagram or signal that no balancer of this form would send. It is dropped and counted.
-type Malformed struct{ advice.Words }
+type Malformed struct{ hint.Annotated }
 
 const strangers = "see what else sends to the peers' address, and that all balancers run versions that know each other"
 
 var (
-	errTooLong   error = &Malformed{advice.Words{What: "longer than a packet may be", Do: strangers}}
-	errMalformed error = &Malformed{advice.Words{What: "not in the wire format", Do: strangers}}
-	errLongName  error = &Malformed{advice.Words{What: "a name longer than names are", Do: strangers}}
+	errTooLong   error = &Malformed{hint.Annotated{What: "longer than a packet may be", Do: strangers}}
+	errMalformed error = &Malformed{hint.Annotated{What: "not in the wire format", Do: strangers}}
+	errLongName  error = &Malformed{hint.Annotated{What: "a name longer than names are", Do: strangers}}
 )
 
 func number(b []byte, field protowire.Number, v uint64) []byte {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"oatloft/internal/advice"
 	"oatloft/internal/core"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 	"oatloft/policy"
 )
 
@@ -92,7 +92,7 @@
 func parseEntry(text []byte, zero time.Time) (r core.Endpoint, name string, err error) {
 	var h host
 	if cause := json.Unmarshal(text, &h); cause != nil { // the fields that can be read are set all the same
-		return r, h.Host, &Unlisted{advice.Words{Where: fmt.Sprintf("list of regions: host %q", h.Host), Cause: cause,
+		return r, h.Host, &Unlisted{hint.Annotated{Where: fmt.Sprintf("list of regions: host %q", h.Host), Cause: cause,
 			Do: "mend that entry where discovery has it from"}}
 	}
 	r, err = h.region(zero)
@@ -100,7 +100,7 @@
 }
 
 func noList(cause error) error {
-	return &Unlisted{advice.Words{Where: "list of regions", Cause: cause, Do: "see what discovery answers to GET /registry/instances"}}
+	return &Unlisted{hint.Annotated{Where: "list of regions", Cause: cause, Do: "see what discovery answers to GET /registry/instances"}}
 }
 
 func (l *list) listed() core.EndpointsListed {
@@ -113,7 +113,7 @@
 func (h *host) region(zero time.Time) (core.Endpoint, error) {
 	state, ok := states[h.Health]
 	if !ok || h.Host == "" {
-		return core.Endpoint{}, &Unlisted{advice.Words{Where: "list of regions", What: fmt.Sprintf("host %q has health %q", h.Host, h.Health),
+		return core.Endpoint{}, &Unlisted{hint.Annotated{Where: "list of regions", What: fmt.Sprintf("host %q has health %q", h.Host, h.Health),
 			Do: "mend that entry where discovery has it from: health is ready, draining or gone"}}
 	}
 	started := time.Duration(0)
@@ -141,14 +141,14 @@
 const maxBody = 4 << 20 // no list is longer
 
 // Unlisted is a list of regions that can't be read. The one held stays.
-type Unlisted struct{ advice.Words }
+type Unlisted struct{ hint.Annotated }
 
 // NoWatch is an answer of discovery's that is no watch. Discovery is asked again by itself.
-type NoWatch struct{ advice.Words }
+type NoWatch struct{ hint.Annotated }
 
-var errWatch error = &NoWatch{advice.Words{What: "discovery answered in a form that is no watch", Do: "see that discovery's address is right, and what stands before it"}}
+var errWatch error = &NoWatch{hint.Annotated{What: "discovery answered in a form that is no watch", Do: "see that discovery's address is right, and what stands before it"}}
 
-var errEnded error = &NoWatch{advice.Words{What: "discovery ended the watch", Do: "see whether discovery restarts, or ends long calls"}}
+var errEnded error = &NoWatch{hint.Annotated{What: "discovery ended the watch", Do: "see whether discovery restarts, or ends long calls"}}
 
 // Read takes the next piece and hands over what it completes: each list, and nil for an empty line.
 // After an error the answer is of no more use.
@@ -218,7 +218,7 @@
 	lines := bytes.Split(head, []byte("\r\n"))
 	parts := bytes.SplitN(lines[0], []byte(" "), 3)
 	if len(parts) < 2 || !bytes.HasPrefix(parts[0], []byte("HTTP/1.")) || string(parts[1]) != "200" {
-		return &NoWatch{advice.Words{What: fmt.Sprintf("discovery answered %q", lines[0]), Do: "look at discovery: it is down, or has too many callers"}}
+		return &NoWatch{hint.Annotated{What: fmt.Sprintf("discovery answered %q", lines[0]), Do: "look at discovery: it is down, or has too many callers"}}
 	}
 	for _, line := range lines[1:] {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -242,7 +242,7 @@
 			w.chunked = true
 		case "identity", "":
 		default:
-			return &NoWatch{advice.Words{What: fmt.Sprintf("discovery answered in the coding %q", coding), Do: "have what stands before discovery pass its answers on as they are"}}
+			return &NoWatch{hint.Annotated{What: fmt.Sprintf("discovery answered in the coding %q", coding), Do: "have what stands before discovery pass its answers on as they are"}}
 		}
 	}
 	return nil
@@ -259,7 +259,7 @@
 		n, listEnds := w.nest.read(part)
 		part, data = part[:n], data[n:]
 		lineEnds := part[n-1] == '\n'
-		inside := w.nest.depth > 0 && !w.nest.quoted && !defects.On("fit-list") // no string goes over a line's end
+		inside := w.nest.depth > 0 && !w.nest.quoted && !failpoint.On("fit-list") // no string goes over a line's end
 		if !listEnds && (!lineEnds || inside) {
 			if w.line = append(w.line, part...); len(w.line) > maxBody {
 				return errWatch
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/advice"
 	"oatloft/internal/core"
+	"oatloft/internal/hint"
 	"oatloft/policy"
 )
 
@@ -97,7 +97,7 @@
 		if !errors.As(err, &unread) {
 			t.Errorf("%T", err)
 		}
-		told = append(told, advice.Line(err))
+		told = append(told, hint.Line(err))
 	}}
 	list := `{"seq":8,"hosts":[` + entry("x", "odd") + `,{"host":"y","share":"all"}]}`
 	if err := w.Read([]byte("HTTP/1.1 200 OK\r\n\r\n"+list+"\n"), func(*core.EndpointsListed) {}); err != nil || len(told) != 2 {
@@ -204,7 +204,7 @@
 		if whole.text != inPieces.text || (whole.err == nil) != (inPieces.err == nil) {
 			t.Fatalf("%q, %v in one piece; %q, %v in pieces of %d", whole.text, whole.err, inPieces.text, inPieces.err, size)
 		}
-		if whole.err != nil && advice.Of(whole.err) == "" {
+		if whole.err != nil && hint.Of(whole.err) == "" {
 			t.Fatalf("%T says nothing to do", whole.err)
 		}
 		if i := bytes.IndexByte([]byte(whole.text), '('); i >= 0 && !bytes.HasPrefix(text, []byte("HTTP/1.")) {
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 	"oatloft/policy"
 )
 
@@ -32,10 +32,10 @@
 )
 
 // Malformed is a line in a form that nobody of the platform sends. It is answered ERR.
-type Malformed struct{ advice.Words }
+type Malformed struct{ hint.Annotated }
 
 // ErrMalformed tells of a first line in a form that no terminal sends.
-var ErrMalformed error = &Malformed{advice.Words{What: "malformed first line", Do: "see which program connects: clients begin with OPEN"}}
+var ErrMalformed error = &Malformed{hint.Annotated{What: "malformed first line", Do: "see which program connects: clients begin with OPEN"}}
 
 // Open is a terminal's first line.
 type Open struct {
@@ -233,7 +233,7 @@
 			r.InFlight = x
 		}
 	}
-	if defects.On("fit-field") {
+	if failpoint.On("fit-field") {
 		r.Load = max(0, r.Load)
 	}
 	return r
--- a/internal/program/elsewhere_test.go
+++ b/internal/program/elsewhere_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
 )
 
 func TestMain(m *testing.M) {
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := func(name string, e edge.Settings) string {
-		e.Form, e.Source = edge.Form, "test"
+	file := func(name string, e edgeconfig.Settings) string {
+		e.Form, e.Source = edgeconfig.Form, "test"
 		body, err := json.Marshal(e)
 		path := filepath.Join(dir, name)
 		if err == nil {
@@ -48,9 +48,9 @@
 		}
 		return path
 	}
-	with := file("with.json", edge.Settings{Revisions: &edge.Revisions{Cluster: "c", Listen: "127.0.0.1:7100", Voters: 1, Folder: "/x", OnCut: "refuse",
-		Lease: 3e9, Deadline: 10e9, History: 10, HistoryBytes: 1 << 20, Members: []edge.Candidate{{Name: "b1", Addr: "127.0.0.1:7100"}}}})
-	without := file("without.json", edge.Settings{})
+	with := file("with.json", edgeconfig.Settings{Revisions: &edgeconfig.Revisions{Cluster: "c", Listen: "127.0.0.1:7100", Voters: 1, Folder: "/x", OnCut: "refuse",
+		Lease: 3e9, Deadline: 10e9, History: 10, HistoryBytes: 1 << 20, Members: []edgeconfig.Candidate{{Name: "b1", Addr: "127.0.0.1:7100"}}}})
+	without := file("without.json", edgeconfig.Settings{})
 	inherited, err := os.Create(filepath.Join(dir, "inherited"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -15,11 +15,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/hint"
 	"oatloft/internal/logs"
-	"oatloft/internal/net"
-	"oatloft/internal/revision/permit"
+	"oatloft/internal/proxy"
+	"oatloft/internal/revision/lease"
 )
 
 type flags struct {
@@ -39,12 +39,12 @@
 	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given." env:"PROXY_EDGE" type:"path"`
 }
 
-func (s source) beside() net.Beside {
-	return net.Beside{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, Management: s.Management, Inherited: s.Inherited, State: s.State}
+func (s source) beside() proxy.Beside {
+	return proxy.Beside{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, Management: s.Management, Inherited: s.Inherited, State: s.State}
 }
 
-func (s source) load() (net.Config, error) {
-	cfg, err := net.LoadConfig(s.Config, s.beside())
+func (s source) load() (proxy.Config, error) {
+	cfg, err := proxy.LoadConfig(s.Config, s.beside())
 	if err == nil {
 		err = s.edge(&cfg)
 	}
@@ -52,11 +52,11 @@
 }
 
 // edge adds our own settings.
-func (s source) edge(cfg *net.Config) error {
+func (s source) edge(cfg *proxy.Config) error {
 	if s.Edge == "" {
 		return nil
 	}
-	e, err := edge.Load(s.Edge)
+	e, err := edgeconfig.Load(s.Edge)
 	if err != nil {
 		return err
 	}
@@ -76,10 +76,10 @@
 // the same descriptors: nothing has been opened yet, and no signal is caught. Who has no such section pays nothing for it: the agreement
 // is a third of the larger program, and a program's size is what most of its idle memory is.
 func (s *serve) elsewhere() error {
-	if s.Edge == "" || permit.Start != nil {
+	if s.Edge == "" || lease.Start != nil {
 		return nil
 	}
-	e, err := edge.Load(s.Edge)
+	e, err := edgeconfig.Load(s.Edge)
 	if err != nil || e.Revisions == nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 	return "revisions: the program that holds the agreement was built from other sources: it is " + e.Own + ", what started it is " + e.Starter
 }
 
-// Advice is what an operator can do.
-func (e *Apart) Advice() string {
+// Hint is what an operator can do.
+func (e *Apart) Hint() string {
 	return "install both of one version (go build -o bin/ ./cmd/... makes both), and start again"
 }
 
@@ -127,8 +127,8 @@
 // Unwrap is the cause.
 func (e *NotBeside) Unwrap() error { return e.Cause }
 
-// Advice is what an operator can do.
-func (e *NotBeside) Advice() string {
+// Hint is what an operator can do.
+func (e *NotBeside) Hint() string {
 	return "install it there, of the same version (go build -o bin/ ./cmd/... makes both), or leave the section revisions out"
 }
 
@@ -148,7 +148,7 @@
 		return err
 	}
 	cfg.SetLimits()
-	server, err := net.New(cfg, log)
+	server, err := proxy.New(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -160,11 +160,11 @@
 
 // reloads reads the configuration again at each signal. A file that can't work is one line in the log, and
 // what was read before stays.
-func (s *serve) reloads(again <-chan struct{}, log *slog.Logger) <-chan net.Config {
-	out := make(chan net.Config)
+func (s *serve) reloads(again <-chan struct{}, log *slog.Logger) <-chan proxy.Config {
+	out := make(chan proxy.Config)
 	go func() {
 		for range again {
-			cfg, err := net.ReloadConfig(s.Config, s.beside())
+			cfg, err := proxy.ReloadConfig(s.Config, s.beside())
 			if err == nil {
 				err = s.edge(&cfg)
 			}
@@ -210,14 +210,14 @@
 }
 
 // unknown is that the program can't tell what it is.
-type unknown struct{ advice.Words }
+type unknown struct{ hint.Annotated }
 
 type version struct{}
 
 func (version) Run() error {
 	line := built()
 	if line == "" {
-		return &unknown{advice.Words{Where: "version", What: "this program was built without its build information", Do: "build it in its repository by go build"}}
+		return &unknown{hint.Annotated{Where: "version", What: "this program was built without its build information", Do: "build it in its repository by go build"}}
 	}
 	fmt.Println("oatloft", line)
 	return nil
@@ -242,7 +242,7 @@
 func Main() {
 	ctx := kong.Parse(&flags{}, kong.Name("oatloft"), kong.Description("A balancer for long-lived connections."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "oatloft:", advice.Line(err))
+		fmt.Fprintln(os.Stderr, "oatloft:", hint.Line(err))
 		os.Exit(1)
 	}
 }
--- a/internal/net/client_leaves_test.go
+++ b/internal/proxy/client_leaves_test.go
@@ -1,9 +1,9 @@
-package net
+package proxy
 
 import (
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"strings"
 	"sync"
@@ -26,7 +26,7 @@
 type patientDiscovery struct {
 	mu      sync.Mutex
 	list    string
-	watches []stdnet.Conn
+	watches []net.Conn
 }
 
 func newPatientDiscovery(p *play, list string) *patientDiscovery {
@@ -83,7 +83,7 @@
 }
 
 // leavesRequest sends a request, and waits until the balancer has it.
-func leavesRequest(t *testing.T, p *play) (*stdnet.TCPConn, *terminal) {
+func leavesRequest(t *testing.T, p *play) (*net.TCPConn, *terminal) {
 	t.Helper()
 	c, x := idleClient(t, p)
 	if _, err := io.WriteString(c, "OPEN 1 k c=chat,d=120000\r\n"); err != nil {
@@ -94,7 +94,7 @@
 }
 
 // leavesBy has the client leave, and returns once the balancer has known it for longer than an attempt may still begin.
-func leavesBy(t *testing.T, p *play, c *stdnet.TCPConn, x *terminal, reset bool) {
+func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *terminal, reset bool) {
 	t.Helper()
 	if reset {
 		_ = c.SetLinger(0)
@@ -115,7 +115,7 @@
 }
 
 // leavesAnswered takes the one answer that is owed to a client that left.
-func leavesAnswered(t *testing.T, c *stdnet.TCPConn, reset bool) {
+func leavesAnswered(t *testing.T, c *net.TCPConn, reset bool) {
 	t.Helper()
 	if reset {
 		return
@@ -127,19 +127,19 @@
 
 // leavesServer is a server on cue: it counts the requests that it gets, and keeps probes waiting until it is told.
 type leavesServer struct {
-	stdnet.Listener
-	probes   chan stdnet.Conn
+	net.Listener
+	probes   chan net.Conn
 	requests atomic.Int64
 }
 
 func newLeavesServer(t *testing.T) *leavesServer {
 	t.Helper()
-	l, err := stdnet.Listen("tcp", "127.8.1.1:0")
+	l, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	v := &leavesServer{Listener: l, probes: make(chan stdnet.Conn, 99)}
+	v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -152,7 +152,7 @@
 	return v
 }
 
-func (v *leavesServer) serve(c stdnet.Conn) {
+func (v *leavesServer) serve(c net.Conn) {
 	in := newPeer(c).in
 	for {
 		line, err := in.ReadString('\n')
@@ -201,7 +201,7 @@
 		p, v := leavesPlay(t, true), newLeavesServer(t)
 		leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
 		c, x := leavesRequest(t, p)
-		var probe stdnet.Conn
+		var probe net.Conn
 		select {
 		case probe = <-v.probes:
 		case <-time.After(idleLimit):
@@ -216,7 +216,7 @@
 
 // leavesFullListener listens without accepting, and its queue is full: a connection to it comes up when the queue is
 // taken, and no sooner.
-func leavesFullListener(t *testing.T) *stdnet.TCPListener {
+func leavesFullListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -230,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := stdnet.FileListener(file)
+	l, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,9 +239,9 @@
 		t.Fatal(err)
 	}
 	for range 9 {
-		c, err := stdnet.DialTimeout("tcp", l.Addr().String(), 300*time.Millisecond)
+		c, err := net.DialTimeout("tcp", l.Addr().String(), 300*time.Millisecond)
 		if err != nil {
-			return l.(*stdnet.TCPListener)
+			return l.(*net.TCPListener)
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
@@ -258,7 +258,7 @@
 		c, x := leavesRequest(t, p)
 		idleEventually(t, p.server, "the dial", func() bool { return x.task != nil })
 		leavesBy(t, p, c, x, reset)
-		v := &leavesServer{Listener: l, probes: make(chan stdnet.Conn, 99)}
+		v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
 		go func() { // the queue is taken now
 			for {
 				c, err := l.Accept()
--- a/internal/net/config.go
+++ b/internal/proxy/config.go
@@ -1,25 +1,25 @@
 // What a balancer is told at its start. This file owns the form of PROXY_CONFIG and of the variables
 // beside it, and names the field that is wrong; it must never fill in a figure that a rule hangs on.
 
-package net
+package proxy
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
-	stdnet "net"
+	"net"
 	"os"
 	"strconv"
 	"time"
 
 	"oatloft/internal/admission"
-	"oatloft/internal/advice"
+	"oatloft/internal/coordination"
 	"oatloft/internal/core"
-	"oatloft/internal/defects"
-	"oatloft/internal/edge"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 	"oatloft/internal/platform"
 	"oatloft/internal/settings"
-	"oatloft/internal/together"
 	"oatloft/policy"
 )
 
@@ -34,10 +34,10 @@
 	MemoryMB, Sockets       int
 	Cores                   float64
 	Core                    core.Config
-	Admission               *Admission         // nil: only counts of descriptors and memory hold
-	Numbered                *together.Numbered // nil: this balancer has no part by its number
-	Peers                   *Peers             // nil: this balancer knows of no other
-	Revisions               *Revisions         // nil: this balancer goes by its settings alone
+	Admission               *Admission             // nil: only counts of descriptors and memory hold
+	Numbered                *coordination.Numbered // nil: this balancer has no part by its number
+	Peers                   *Peers                 // nil: this balancer knows of no other
+	Revisions               *Revisions             // nil: this balancer goes by its settings alone
 	Known                   *core.EndpointsListed
 	Zero                    time.Time // the balancer's clock counts from here
 }
@@ -64,7 +64,7 @@
 func LoadConfig(path string, b Beside) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, &Unreadable{advice.Words{Where: "config", Cause: err, Do: "see that --config (PROXY_CONFIG) names a file that this balancer may read"}}
+		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "see that --config (PROXY_CONFIG) names a file that this balancer may read"}}
 	}
 	return ParseConfig(body, b)
 }
@@ -74,7 +74,7 @@
 func ReloadConfig(path string, b Beside) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, &Unreadable{advice.Words{Where: "config", Cause: err, Do: "put the file back; the old configuration holds until the next SIGHUP"}}
+		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "put the file back; the old configuration holds until the next SIGHUP"}}
 	}
 	var file struct {
 		Discovery string `json:"discovery"`
@@ -86,7 +86,7 @@
 
 // SetEdge adds our own settings to those of the platform, and what they need of those: the tenants, and whether
 // terminals heed a time to come back.
-func (c *Config) SetEdge(e *edge.Settings) error {
+func (c *Config) SetEdge(e *edgeconfig.Settings) error {
 	c.Admission, c.Peers, c.Numbered, c.Revisions = nil, nil, nil, nil
 	if e == nil {
 		return nil
@@ -102,19 +102,19 @@
 		p.Generation = uint64(time.Now().UnixMilli())
 		p.Seed = uint64(c.Core.Seed) ^ p.Generation
 		c.Peers = &Peers{Config: p, Listen: e.Peers.Listen, Every: time.Duration(e.Peers.SignalEvery), Life: time.Duration(e.Peers.SignalLife),
-			Together: together.Settings{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, Silent: p.SilentAfter,
+			Together: coordination.Settings{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, Silent: p.SilentAfter,
 				Subset: e.Peers.Subset, Readings: e.Peers.Readings, Turns: e.Peers.Turns}}
 	}
 	if e.Numbered != nil {
-		n := together.Numbered{Number: e.Numbered.Number, Count: c.Core.Policy.Balancers, Zone: c.Core.Policy.Zone, Subset: e.Numbered.Subset}
+		n := coordination.Numbered{Number: e.Numbered.Number, Count: c.Core.Policy.Balancers, Zone: c.Core.Policy.Zone, Subset: e.Numbered.Subset}
 		if n.Number < 0 {
 			var err error
-			if n.Number, err = together.NumberOf(c.Name); err != nil {
+			if n.Number, err = coordination.NumberOf(c.Name); err != nil {
 				return err
 			}
 		}
 		if c.Peers != nil && c.Peers.Together.On() {
-			return &Unfit{advice.Words{Where: "numbered", What: "peers.subset, readings or turns are on, which know more than a number does", Do: "leave the section numbered out"}}
+			return &Unfit{hint.Annotated{Where: "numbered", What: "peers.subset, readings or turns are on, which know more than a number does", Do: "leave the section numbered out"}}
 		}
 		c.Numbered = &n
 	}
@@ -145,7 +145,7 @@
 func ParseConfig(body []byte, b Beside) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(body, &file); err != nil {
-		return Config{}, &Unreadable{advice.Words{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"}}
+		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"}}
 	}
 	c := Config{Name: either(b.Name, file.Name), Listen: either(b.Listen, file.Listen),
 		Discovery:  either(b.Discovery, file.Discovery),
@@ -154,22 +154,22 @@
 		// An hour of slack: whatever started within it has a time of start after the clock's zero.
 		Zero: time.Now().Add(-time.Hour)}
 	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, err := stdnet.ResolveTCPAddr("tcp", a.value); err != nil || a.value == "" {
-			return c, &Unfit{advice.Words{Where: a.field, What: fmt.Sprintf("%q is not host:port", a.value), Do: "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY"}}
+		if _, err := net.ResolveTCPAddr("tcp", a.value); err != nil || a.value == "" {
+			return c, &Unfit{hint.Annotated{Where: a.field, What: fmt.Sprintf("%q is not host:port", a.value), Do: "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY"}}
 		}
 	}
-	if _, err := stdnet.ResolveTCPAddr("tcp4", c.Management); c.Management != "" && (err != nil || c.Management == c.Listen) {
-		return c, &Unfit{advice.Words{Where: "management", What: fmt.Sprintf("%q is not host:port of its own", c.Management), Do: "give it another port than listen, or leave it out"}}
+	if _, err := net.ResolveTCPAddr("tcp4", c.Management); c.Management != "" && (err != nil || c.Management == c.Listen) {
+		return c, &Unfit{hint.Annotated{Where: "management", What: fmt.Sprintf("%q is not host:port of its own", c.Management), Do: "give it another port than listen, or leave it out"}}
 	}
 	if c.MemoryMB < 0 || c.Sockets < 0 || c.Cores < 0 {
-		return c, &Unfit{advice.Words{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
+		return c, &Unfit{hint.Annotated{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return c, &Unfit{advice.Words{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"}}
+		return c, &Unfit{hint.Annotated{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"}}
 	}
 	if len(file.Settings) == 0 || bytes.Equal(file.Settings, []byte("null")) {
-		return c, &Unfit{advice.Words{Where: "settings", What: "missing", Do: "add the platform's settings"}}
+		return c, &Unfit{hint.Annotated{Where: "settings", What: "missing", Do: "add the platform's settings"}}
 	}
 	f, err := settings.Flatten(file.Settings)
 	if err != nil {
@@ -178,10 +178,10 @@
 	c.Core = core.Config{Policy: settings.Config(f), Seed: int64(seed),
 		ConnectTimeout: f.Millis("limits.connect-timeout-ms"), PassThrough: f.Text("family-info.mode") == "pass",
 		ProbeTimeout: 300 * time.Millisecond}
-	if defects.On("fit-timeout") {
+	if failpoint.On("fit-timeout") {
 		c.Core.ConnectTimeout = 250 * time.Millisecond
 	}
-	if p := &c.Core.Policy; !p.PollEndpointList && defects.On("fit-push") {
+	if p := &c.Core.Policy; !p.PollEndpointList && failpoint.On("fit-push") {
 		p.PollEndpointList = true
 	} else if !p.PollEndpointList { // what the agent has counts at once: it is asked as often as news may be late
 		p.PollEndpointList, p.PollInterval = true, max(f.Millis("rules.drain-grace-ms"), leastAsk)
@@ -190,10 +190,10 @@
 		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, f.Millis(fmt.Sprintf("classes.%d.give-up-ms", i)))
 	}
 	if f.Err != nil {
-		return c, &Unfit{advice.Words{Where: "settings", Cause: f.Err, Do: "mend the setting"}}
+		return c, &Unfit{hint.Annotated{Where: "settings", Cause: f.Err, Do: "mend the setting"}}
 	}
 	if c.Core.ConnectTimeout <= 0 {
-		return c, &Unfit{advice.Words{Where: "settings: limits.connect-timeout-ms", What: "missing", Do: "set a time above 0"}}
+		return c, &Unfit{hint.Annotated{Where: "settings: limits.connect-timeout-ms", What: "missing", Do: "set a time above 0"}}
 	}
 	if _, err := core.New(c.Core); err != nil {
 		return c, err
@@ -201,7 +201,7 @@
 	if len(file.Known) > 0 && !bytes.Equal(file.Known, []byte("null")) {
 		known, err := platform.ParseList(file.Known, c.Zero)
 		if err != nil {
-			return c, &Unfit{advice.Words{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"}}
+			return c, &Unfit{hint.Annotated{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"}}
 		}
 		known.Kind = policy.ListCached
 		c.Known = &known
@@ -217,10 +217,10 @@
 }
 
 // Unreadable is a configuration file that can't be read.
-type Unreadable struct{ advice.Words }
+type Unreadable struct{ hint.Annotated }
 
 // Unfit is a field of the configuration that can't work.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // NoAddress is an address, or a descriptor given in its place, on which terminals can't be listened for.
-type NoAddress struct{ advice.Words }
+type NoAddress struct{ hint.Annotated }
--- a/internal/net/config_test.go
+++ b/internal/proxy/config_test.go
@@ -1,4 +1,4 @@
-package net
+package proxy
 
 import (
 	"bytes"
--- a/internal/net/counters.go
+++ b/internal/proxy/counters.go
@@ -1,4 +1,4 @@
-package net
+package proxy
 
 // counters count what the sockets have seen since the start. Operators read them by the keys of their JSON form.
 type counters struct {
--- a/internal/net/door.go
+++ b/internal/proxy/door.go
@@ -2,13 +2,13 @@
 // lock around the gate, the spare descriptors and the good-byes to those who were refused before nbio saw them; it
 // must never decide who is let in, and must never drop a connection without a line.
 
-package net
+package proxy
 
 import (
 	"errors"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"runtime"
@@ -19,7 +19,7 @@
 	"github.com/lesismal/nbio"
 
 	"oatloft/internal/admission"
-	"oatloft/internal/knownstore"
+	"oatloft/internal/clientstore"
 	"oatloft/internal/logs"
 	"oatloft/internal/platform"
 )
@@ -55,7 +55,7 @@
 	mu     sync.Mutex
 	gate   *admission.Gate
 	spare  []*os.File
-	byes   []stdnet.Conn // oldest first
+	byes   []net.Conn // oldest first
 	taken  admission.Ticket
 	doomed map[admission.Ticket]admission.Victim // to be sent off before the reducer has heard of them
 }
@@ -70,7 +70,7 @@
 	g.Fixed(admission.Discovery, 2)
 	d.restock()
 	if cfg.Snapshot != "" {
-		s, err := knownstore.Load(cfg.Snapshot, time.Now(), cfg.SnapshotLives)
+		s, err := clientstore.Load(cfg.Snapshot, time.Now(), cfg.SnapshotLives)
 		if err != nil {
 			log.Warn("known clients not restored, starting with none", "err", err)
 		} else if len(s.Clients) > 0 {
@@ -114,7 +114,7 @@
 // at a time. That is not enough: as long as anybody can run, the runtime asks what came in from the network (the
 // ends of dials, for one) each 10 ms only. So this goroutine rests after some refusals, and a flood is taken in
 // turns: what has queued up meanwhile waits for the rest and no longer.
-func (d *door) accept(raw syscall.RawConn) (stdnet.Conn, error) {
+func (d *door) accept(raw syscall.RawConn) (net.Conn, error) {
 	for {
 		if d.refusedInTurn >= refusals {
 			d.refusedInTurn = 0
@@ -122,7 +122,7 @@
 		}
 		fd, from, err := acceptRaw(raw, true, d.shared)
 		switch {
-		case errors.Is(err, stdnet.ErrClosed):
+		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case noDescriptor(err):
 			d.turnAway(raw)
@@ -186,20 +186,20 @@
 		return !wait || !errors.Is(err, syscall.EAGAIN)
 	})
 	if closed != nil {
-		return 0, from, stdnet.ErrClosed
+		return 0, from, net.ErrClosed
 	}
 	return fd, from, err
 }
 
 // asConn makes the standard library's connection of a copy of fd, and closes fd if that worked.
-func asConn(fd int) (stdnet.Conn, error) {
+func asConn(fd int) (net.Conn, error) {
 	twin, err := syscall.Dup(fd)
 	if err != nil {
 		return nil, err
 	}
 	syscall.CloseOnExec(twin)
 	f := os.NewFile(uintptr(twin), "terminal")
-	c, err := stdnet.FileConn(f)
+	c, err := net.FileConn(f)
 	_ = f.Close()
 	if err == nil {
 		_ = syscall.Close(fd)
@@ -420,7 +420,7 @@
 		d.mu.Lock()
 		seed, clients := d.gate.KnownClients()
 		d.mu.Unlock()
-		if err := knownstore.Save(d.cfg.Snapshot, knownstore.Snapshot{At: time.Now(), Seed: seed, Clients: clients}); err != nil {
+		if err := clientstore.Save(d.cfg.Snapshot, clientstore.Snapshot{At: time.Now(), Seed: seed, Clients: clients}); err != nil {
 			d.said.Say(time.Now(), slog.LevelWarn, "snapshot", "known clients not kept", slog.Any("err", err))
 		}
 	}
--- a/internal/net/effects.go
+++ b/internal/proxy/effects.go
@@ -1,6 +1,6 @@
 // The reducer's effects, carried out in order. This file must never add one of its own.
 
-package net
+package proxy
 
 import (
 	"time"
--- a/internal/net/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -1,9 +1,9 @@
-package net
+package proxy
 
 import (
 	"bytes"
 	"io"
-	stdnet "net"
+	"net"
 	"strings"
 	"syscall"
 	"testing"
@@ -70,9 +70,9 @@
 }
 
 // idleClient connects and returns the connection together with its terminal, which has said nothing.
-func idleClient(t *testing.T, p *play) (*stdnet.TCPConn, *terminal) {
+func idleClient(t *testing.T, p *play) (*net.TCPConn, *terminal) {
 	t.Helper()
-	c, err := stdnet.Dial("tcp", p.addr)
+	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,12 +89,12 @@
 		}
 		return came != nil
 	})
-	return c.(*stdnet.TCPConn), came
+	return c.(*net.TCPConn), came
 }
 
 // idleState is the state of a connection as its own system has it: closeWait once the other side has ended in good
 // order, closed after a reset.
-func idleState(t *testing.T, c *stdnet.TCPConn) int {
+func idleState(t *testing.T, c *net.TCPConn) int {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -163,9 +163,9 @@
 func TestACrowdIsSentOffOnce(t *testing.T) {
 	p := start(t, "sockets 200") // crowded from 128 on; requests are refused from 153 on
 	const silent = 145
-	var clients []stdnet.Conn
+	var clients []net.Conn
 	for range silent {
-		c, err := stdnet.Dial("tcp", p.addr)
+		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -245,7 +245,7 @@
 	var before int64
 	idleEventually(t, p.server, "the watch", func() bool { before = p.server.sockets.Load(); return before > 0 })
 	for i := range 60 {
-		c, err := stdnet.Dial("tcp", p.addr)
+		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 			_, _ = c.Write(bytes.Repeat([]byte("x"), 100<<10))
 		}
 		if i%3 == 0 {
-			_ = c.(*stdnet.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 		}
 		_ = c.Close()
 	}
@@ -269,12 +269,12 @@
 	p := patientPlay(t, "sockets 200", nil) // crowded from 128 on; nobody more is taken in from 177 on
 	go func() {                             // each call is reset; the port stays, since a server under test elsewhere could get its number
 		for call := range p.watches {
-			_ = call.conn.(*stdnet.TCPConn).SetLinger(0)
+			_ = call.conn.(*net.TCPConn).SetLinger(0)
 			_ = call.conn.Close()
 		}
 	}()
 	for range 250 {
-		c, err := stdnet.Dial("tcp", p.addr)
+		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -295,7 +295,7 @@
 func TestAnIdleProbeConnectionClosedAsStatsLeaves(t *testing.T) {
 	p, v := leavesPlay(t, true), newLeavesServer(t)
 	s := p.server
-	nextProbe := func() stdnet.Conn {
+	nextProbe := func() net.Conn {
 		t.Helper()
 		select {
 		case c := <-v.probes:
@@ -305,7 +305,7 @@
 			return nil
 		}
 	}
-	answered := func(c stdnet.Conn) {
+	answered := func(c net.Conn) {
 		t.Helper()
 		_, _ = io.WriteString(c, "PONG latency_ms=3.5,inflight=1,x0=0.1\r\n")
 		idleEventually(t, s, "the answer", func() bool { return !s.probes["own"].busy && s.probes["own"].l != nil })
--- a/internal/net/link.go
+++ b/internal/proxy/link.go
@@ -1,12 +1,12 @@
-// Package net owns the sockets: nbio's engine, its callbacks, and the links that they serve (this file);
+// Package proxy owns the sockets: nbio's engine, its callbacks, and the links that they serve (this file);
 // the loop that feeds the reducer (server.go) and carries its effects out (effects.go), with a file each for
 // terminals, routed tasks, probes, watches and the listener; and what a balancer is told at its start (config.go). It must never decide anything, and must never let a callback touch what belongs
 // to the reducer's goroutine: callbacks only post events.
-package net
+package proxy
 
 import (
 	"errors"
-	stdnet "net"
+	"net"
 	"oatloft/internal/admission"
 	"os"
 	"reflect"
@@ -44,7 +44,7 @@
 	attempt    int
 	region     string
 	ticket     admission.Ticket // of a terminal, where admission is configured
-	from       stdnet.Addr      // likewise
+	from       net.Addr         // likewise
 	endBy      time.Time        // finishing: closed by force then
 	finishedAt time.Time        // finishing: since when
 	seen       int64            // finishing: of what was written, at the last look
@@ -514,7 +514,7 @@
 // lives on under a second descriptor, served by the standard library, nbio's own fallback.
 type tail struct {
 	l      *link
-	conn   stdnet.Conn
+	conn   net.Conn
 	mu     sync.Mutex
 	cond   *sync.Cond
 	todo   []byte
@@ -547,7 +547,7 @@
 }
 
 // twin is the same socket under a second descriptor, nil if there is none to be had.
-func (l *link) twin() (conn stdnet.Conn) {
+func (l *link) twin() (conn net.Conn) {
 	control(l.c, func(fd int) {
 		twin, err := syscall.Dup(fd)
 		if err != nil {
@@ -556,7 +556,7 @@
 		syscall.CloseOnExec(twin)
 		f := os.NewFile(uintptr(twin), "terminal")
 		defer func() { _ = f.Close() }()
-		if c, err := stdnet.FileConn(f); err == nil {
+		if c, err := net.FileConn(f); err == nil {
 			conn = c
 		}
 	})
@@ -592,7 +592,7 @@
 }
 
 func (t *tail) reset() {
-	if c, ok := t.conn.(*stdnet.TCPConn); ok {
+	if c, ok := t.conn.(*net.TCPConn); ok {
 		_ = c.SetLinger(0)
 	}
 	_ = t.conn.SetWriteDeadline(time.Now())
@@ -631,7 +631,7 @@
 			continue
 		}
 		if done {
-			if c, ok := t.conn.(*stdnet.TCPConn); ok && !broken {
+			if c, ok := t.conn.(*net.TCPConn); ok && !broken {
 				_ = c.CloseWrite()
 			}
 			_ = t.conn.Close() // nothing is unread: the other side had ended before the tail began
--- a/internal/net/links.go
+++ b/internal/proxy/links.go
@@ -1,9 +1,9 @@
 // The bytes that cross a bounded link between two zones, on their way through this balancer. This file owns when they are read: a side
 // whose link has no room is left unread until its turn, so that its sender is held back by its own connection. It must never drop, reorder
-// or copy a byte that it could leave in the socket, nor let one side's waiting hold up another's. Whose turn it is says internal/links.
+// or copy a byte that it could leave in the socket, nor let one side's waiting hold up another's. Whose turn it is says internal/bandwidth.
 // Off, each read costs one comparison with nil.
 
-package net
+package proxy
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
+	"oatloft/internal/bandwidth"
 	"oatloft/internal/core"
-	"oatloft/internal/links"
 	"oatloft/internal/revision"
 )
 
@@ -26,7 +26,7 @@
 	buffer  int                 // bytes that the system may keep of a region's that isn't read
 	zones   map[string][2]*pipe // by the other zone: from here to there, and back
 	shares  map[string]float64
-	part    *links.Part
+	part    *bandwidth.Part
 	pipes   atomic.Pointer[[]*pipe]
 	bell    chan struct{}
 	stop    chan struct{}
@@ -40,19 +40,19 @@
 	k     *linkage
 	link  revision.Link
 	mu    sync.Mutex
-	sh    *links.Shaper[*link]
+	sh    *bandwidth.Shaper[*link]
 	lanes map[[2]string]*lane
 }
 
 // lane is where bytes of one class and tenant wait for a pipe.
 type lane struct {
 	p    *pipe
-	flow *links.Flow[*link]
+	flow *bandwidth.Flow[*link]
 }
 
 // newLinkage has s ready for bounded links; there is none before setLinks. What comes back in part is what the others are to be asked by.
-func newLinkage(s *Server, set links.Settings, buffer int) (*linkage, error) {
-	part, err := links.NewPart(set)
+func newLinkage(s *Server, set bandwidth.Settings, buffer int) (*linkage, error) {
+	part, err := bandwidth.NewPart(set)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 		if (l.From == k.zone) == (l.To == k.zone) {
 			continue
 		}
-		p := &pipe{k: k, sh: links.NewShaper[*link](now), lanes: map[[2]string]*lane{}}
+		p := &pipe{k: k, sh: bandwidth.NewShaper[*link](now), lanes: map[[2]string]*lane{}}
 		if i := slices.IndexFunc(before, func(p *pipe) bool { return p.link.From == l.From && p.link.To == l.To }); i >= 0 {
 			p = before[i]
 		}
@@ -492,7 +492,7 @@
 }
 
 // measure is what the links' demand was since the last time; lent takes what came of it.
-func (k *linkage) measure() (list []links.Ask) {
+func (k *linkage) measure() (list []bandwidth.Ask) {
 	now := k.s.now()
 	for _, p := range *k.pipes.Load() {
 		p.mu.Lock()
@@ -502,12 +502,12 @@
 	return list
 }
 
-func (k *linkage) lent(grants []links.Grant, until time.Time) {
+func (k *linkage) lent(grants []bandwidth.Grant, until time.Time) {
 	now := k.s.now()
 	for _, p := range *k.pipes.Load() {
 		p.mu.Lock()
 		for _, g := range grants {
-			if g.Link == links.Name(p.link.From, p.link.To) {
+			if g.Link == bandwidth.Name(p.link.From, p.link.To) {
 				p.sh.Lend(now, g, until.Sub(k.s.cfg.Zero))
 			}
 		}
@@ -551,10 +551,10 @@
 func (k *linkage) report() any {
 	now := k.s.now()
 	all := struct {
-		Turns  int64           `json:"turns"`
-		Unread int64           `json:"unread"`
-		Links  []links.Figures `json:"links"`
-	}{k.turns.Load(), k.part.Unread(), []links.Figures{}}
+		Turns  int64               `json:"turns"`
+		Unread int64               `json:"unread"`
+		Links  []bandwidth.Figures `json:"links"`
+	}{k.turns.Load(), k.part.Unread(), []bandwidth.Figures{}}
 	for _, p := range *k.pipes.Load() {
 		p.mu.Lock()
 		all.Links = append(all.Links, p.sh.Figures(now))
--- a/internal/net/links_test.go
+++ b/internal/proxy/links_test.go
@@ -1,4 +1,4 @@
-package net
+package proxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"io"
 	"log/slog"
 	"maps"
-	stdnet "net"
+	"net"
 	"os"
 	"slices"
 	"strings"
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
+	"oatloft/internal/bandwidth"
 	"oatloft/internal/core"
-	"oatloft/internal/links"
 	"oatloft/internal/revision"
 )
 
@@ -35,7 +35,7 @@
 	wrong  atomic.Int64     // lines that weren't the next
 	ends   atomic.Int64     // connections that ended in order
 	wire   *wire            // what bytes to the far region pass, nil for nothing
-	open   []stdnet.Conn
+	open   []net.Conn
 }
 
 // wire passes bytes at its rate, in the order of their coming, and takes a while for its length. What a connection has on it at one time is
@@ -55,7 +55,7 @@
 }
 
 // reader is what comes out of the wire of what a connection sends.
-func (w *wire) reader(c stdnet.Conn) io.Reader {
+func (w *wire) reader(c net.Conn) io.Reader {
 	out, in := io.Pipe()
 	way := make(chan piece, onWire/1024)
 	go func() {
@@ -94,7 +94,7 @@
 	w := &sites{t: t, bytes: map[string]int64{}, byKey: map[string]int64{}}
 	var vars []string
 	for i, name := range []string{"$r1", "$r2", "$discovery"} {
-		l, err := stdnet.Listen("tcp", fmt.Sprintf("127.124.1.%d:0", i+1))
+		l, err := net.Listen("tcp", fmt.Sprintf("127.124.1.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if on {
-		if w.server.links, err = newLinkage(w.server, links.Settings{Lease: time.Second, SafePart: 0.04, Holders: 2}, 16<<10); err != nil {
+		if w.server.links, err = newLinkage(w.server, bandwidth.Settings{Lease: time.Second, SafePart: 0.04, Holders: 2}, 16<<10); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -172,7 +172,7 @@
 
 func numbered(n int) string { return fmt.Sprintf("%08d %s\n", n, strings.Repeat("x", 490)) }
 
-func (w *sites) region(c stdnet.Conn, far bool) {
+func (w *sites) region(c net.Conn, far bool) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	if w.wire != nil && far {
@@ -242,28 +242,28 @@
 var asked atomic.Int64
 
 // terminal opens a connection that stands at the far region, or the near one.
-func (w *sites) terminal(key, class string, far bool) (*stdnet.TCPConn, *bufio.Reader) {
+func (w *sites) terminal(key, class string, far bool) (*net.TCPConn, *bufio.Reader) {
 	w.t.Helper()
 	at := "r1"
 	if far {
 		at = "r2"
 	}
-	c, err := stdnet.Dial("tcp", w.server.Addr())
+	c, err := net.Dial("tcp", w.server.Addr())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.open = append(w.open, c)
-	_ = c.(*stdnet.TCPConn).SetReadBuffer(16 << 10)
-	_ = c.(*stdnet.TCPConn).SetWriteBuffer(16 << 10)
+	_ = c.(*net.TCPConn).SetReadBuffer(16 << 10)
+	_ = c.(*net.TCPConn).SetWriteBuffer(16 << 10)
 	fmt.Fprintf(c, "OPEN %d %s-%d c=%s,t=acme,d=2000,at=%s\r\n", asked.Add(1), key, asked.Load(), class, at)
 	in := bufio.NewReader(c)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "UP") {
 		w.t.Fatalf("%q, %v", line, err)
 	}
-	return c.(*stdnet.TCPConn), in
+	return c.(*net.TCPConn), in
 }
 
-func pump(c stdnet.Conn) {
+func pump(c net.Conn) {
 	for i := 0; ; i++ {
 		if _, err := io.WriteString(c, numbered(i)); err != nil {
 			return
@@ -289,7 +289,7 @@
 }
 
 // echo sends a line and waits for it.
-func echo(c stdnet.Conn, in *bufio.Reader, bytes int) (time.Duration, error) {
+func echo(c net.Conn, in *bufio.Reader, bytes int) (time.Duration, error) {
 	began := time.Now()
 	if _, err := io.WriteString(c, strings.Repeat("e", bytes-1)+"\n"); err != nil {
 		return 0, err
@@ -321,7 +321,7 @@
 	go func() {
 		for range 60 {
 			for i, x := range []struct {
-				c  stdnet.Conn
+				c  net.Conn
 				in *bufio.Reader
 			}{{chat, chatIn}, {near, nearIn}} {
 				took, err := echo(x.c, x.in, 400)
@@ -477,7 +477,7 @@
 					w.set(linkOf("a", "b", rate))
 				}
 				c, in := w.terminal("echo", "chat", true)
-				var bulk []stdnet.Conn
+				var bulk []net.Conn
 				for range x.bulk {
 					c, _ := w.terminal("sink", "bulk", true)
 					bulk = append(bulk, c)
@@ -577,7 +577,7 @@
 	const rate, seconds = 20e3, 20
 	w := newSites(b)
 	w.set(linkOf("a", "b", rate))
-	var all []stdnet.Conn
+	var all []net.Conn
 	for range 200 {
 		c, in := w.terminal("echo", "bulk", true)
 		all = append(all, c)
--- a/internal/net/listener.go
+++ b/internal/proxy/listener.go
@@ -1,14 +1,14 @@
 // Taking connections in. This file owns the listener that nbio accepts from and the process's limit on
 // descriptors; it must never let the accept loop spin, nor drop a connection without a word.
 
-package net
+package proxy
 
 import (
 	"errors"
 	"fmt"
-	stdnet "net"
+	"net"
 	"oatloft/internal/admission"
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"os"
 	"strconv"
 	"sync"
@@ -20,16 +20,16 @@
 // gate lets terminals in while there are descriptors for them. Without it nbio's accept loop would turn
 // at full speed where they run out, and close what it can't take in.
 type gate struct {
-	stdnet.Listener
+	net.Listener
 	s    *Server
 	file *os.File // the same socket, where we accept by ourselves: a listener of the standard library lets nobody else
 }
 
 // listen opens the listener that nbio accepts from.
-func (s *Server) listen(network, addr string) (stdnet.Listener, error) {
+func (s *Server) listen(network, addr string) (net.Listener, error) {
 	l, err := s.inherit, error(nil)
 	if l == nil {
-		l, err = stdnet.Listen(network, addr)
+		l, err = net.Listen(network, addr)
 	}
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 		s.listener = gate{Listener: l, s: s}
 		return s.listener, nil
 	}
-	f, err := l.(*stdnet.TCPListener).File()
+	f, err := l.(*net.TCPListener).File()
 	if err != nil {
 		_ = l.Close()
 		return nil, err
@@ -51,33 +51,33 @@
 
 // inherited takes over the listening socket that the platform holds for all processes of this balancer. It is closed by
 // each of them, and shut down by none: what waits in its queue is another one's then.
-func inherited(fd, addr string) (stdnet.Listener, error) {
+func inherited(fd, addr string) (net.Listener, error) {
 	n, err := strconv.Atoi(fd)
 	if err != nil || n < 3 {
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: handOver}}
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: handOver}}
 	}
-	want, err := stdnet.ResolveTCPAddr("tcp", addr)
+	want, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
-		return nil, &NoAddress{advice.Words{Where: "listen", Cause: err, Do: "give host:port"}}
+		return nil, &NoAddress{hint.Annotated{Where: "listen", Cause: err, Do: "give host:port"}}
 	}
 	switch on, err := syscall.GetsockoptInt(n, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); {
 	case errors.Is(err, syscall.EBADF):
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is not open", n), Do: handOver}}
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is not open", n), Do: handOver}}
 	case err != nil:
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is no socket", n), Do: handOver}}
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is no socket", n), Do: handOver}}
 	case on == 0:
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d does not listen", n), Do: handOver}}
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d does not listen", n), Do: handOver}}
 	}
 	f := os.NewFile(uintptr(n), "PROXY_FD")
 	defer func() { _ = f.Close() }() // the listener has a descriptor of its own
-	l, err := stdnet.FileListener(f)
+	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d", n), Cause: err, Do: handOver}}
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d", n), Cause: err, Do: handOver}}
 	}
-	has, ok := l.Addr().(*stdnet.TCPAddr)
+	has, ok := l.Addr().(*net.TCPAddr)
 	if !ok || has.Port != want.Port || !has.IP.Equal(want.IP) && !(has.IP.IsUnspecified() && want.IP == nil) {
 		_ = l.Close()
-		return nil, &NoAddress{advice.Words{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", n, l.Addr(), addr),
+		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", n, l.Addr(), addr),
 			Do: "set listen to the address of the socket that is handed over"}}
 	}
 	return l, nil
@@ -113,43 +113,43 @@
 
 // Accept returns the next terminal. nbio's accept loop doesn't end with its listener, but asks on without a pause: while
 // the last answers leave, it would take the processor from them.
-func (g gate) Accept() (stdnet.Conn, error) {
+func (g gate) Accept() (net.Conn, error) {
 	c, err := g.next()
-	if errors.Is(err, stdnet.ErrClosed) {
+	if errors.Is(err, net.ErrClosed) {
 		g.s.accepting.ended()
 		time.Sleep(closedWait)
 	}
 	return c, err
 }
 
-func (g gate) next() (stdnet.Conn, error) {
+func (g gate) next() (net.Conn, error) {
 	if g.s.door != nil {
 		raw, err := g.file.SyscallConn()
 		if err != nil {
-			return nil, stdnet.ErrClosed
+			return nil, net.ErrClosed
 		}
 		return g.s.door.accept(raw)
 	}
 	for !g.s.accepting.closed.Load() {
 		if g.s.basic().MayOpen(int(g.s.sockets.Load())) {
 			c, err := g.take()
-			if err == nil || errors.Is(err, stdnet.ErrClosed) {
+			if err == nil || errors.Is(err, net.ErrClosed) {
 				return c, err
 			}
 		}
 		time.Sleep(gateWait)
 	}
-	return nil, stdnet.ErrClosed
+	return nil, net.ErrClosed
 }
 
 // take accepts one connection.
-func (g gate) take() (stdnet.Conn, error) {
+func (g gate) take() (net.Conn, error) {
 	if g.file == nil {
 		return g.Listener.Accept()
 	}
 	raw, err := g.file.SyscallConn()
 	if err != nil {
-		return nil, stdnet.ErrClosed
+		return nil, net.ErrClosed
 	}
 	fd, _, err := acceptRaw(raw, true, true)
 	if err != nil {
--- a/internal/net/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -1,9 +1,9 @@
-package net
+package proxy
 
 import (
 	"errors"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"oatloft/internal/core"
 	"testing"
 	"time"
@@ -14,14 +14,14 @@
 	s := start(t, "").server
 	l := gate{Listener: closedListener{}, s: s}
 	began := time.Now()
-	if _, err := l.Accept(); !errors.Is(err, stdnet.ErrClosed) || time.Since(began) < closedWait {
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) || time.Since(began) < closedWait {
 		t.Fatal(err, time.Since(began))
 	}
 }
 
-type closedListener struct{ stdnet.Listener }
+type closedListener struct{ net.Listener }
 
-func (closedListener) Accept() (stdnet.Conn, error) { return nil, stdnet.ErrClosed }
+func (closedListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
 
 // Once the reducer has closed its books, nobody more is taken in: a transaction that came then was lost with the process.
 func TestNobodyComesInAfterTheEnd(t *testing.T) {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	s.carryOut(core.Exit{})
-	if c, err := stdnet.DialTimeout("tcp", s.Addr(), time.Second); err == nil {
+	if c, err := net.DialTimeout("tcp", s.Addr(), time.Second); err == nil {
 		_ = c.Close()
 		t.Fatal("taken in")
 	}
--- a/internal/net/manage.go
+++ b/internal/proxy/manage.go
@@ -1,7 +1,7 @@
 // The operators' calls, as the balancer answers them. This file owns the way from a caller's goroutine to the loop and
 // back; it must never let a call wait for the data's queue, nor change anything for a caller who was told no.
 
-package net
+package proxy
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"oatloft/internal/advice"
 	"oatloft/internal/core"
-	"oatloft/internal/handover"
+	"oatloft/internal/hint"
+	"oatloft/internal/hotrestart"
 	"oatloft/internal/management"
 )
 
@@ -26,7 +26,7 @@
 // open opens the operators' address and takes over the platform's listener, where there are such.
 func (s *Server) open() (err error) {
 	if s.cfg.Management != "" || s.cfg.Inherited != "" {
-		s.dir = handover.Open(either(s.cfg.State, os.TempDir()), s.cfg.Name)
+		s.dir = hotrestart.Open(either(s.cfg.State, os.TempDir()), s.cfg.Name)
 	}
 	if s.cfg.Inherited != "" { // first: a wrong number could be that of what is opened next
 		if s.inherit, err = inherited(s.cfg.Inherited, s.cfg.Listen); err != nil {
@@ -63,10 +63,10 @@
 }
 
 // Refusal is a call that wasn't done. Nothing has changed.
-type Refusal struct{ advice.Words }
+type Refusal struct{ hint.Annotated }
 
 func refuse(what, do string) management.Answer {
-	return management.No("%s", advice.Line(&Refusal{advice.Words{What: what, Do: do}}))
+	return management.No("%s", hint.Line(&Refusal{hint.Annotated{What: what, Do: do}}))
 }
 
 // onLoop runs f on the loop, between two events. Once the caller's time is over it is not run any more.
@@ -119,11 +119,11 @@
 	case <-over:
 		return refuse("busy: another call is being written, nothing changed", "call again")
 	}
-	var now handover.Maintenance
+	var now hotrestart.Maintenance
 	known := false
 	if a := s.onLoop(over, func() management.Answer {
 		known = s.core.IsKnownServer(c.ID)
-		now = handover.Maintenance{Out: s.core.ServersInMaintenance(), Known: slices.Clone(s.core.KnownServers())}
+		now = hotrestart.Maintenance{Out: s.core.ServersInMaintenance(), Known: slices.Clone(s.core.KnownServers())}
 		return management.Yes("")
 	}); !a.OK {
 		return a
@@ -132,7 +132,7 @@
 		return refuse(c.ID+" was never listed, nothing changed", "check the id: it is host in discovery's list")
 	}
 	if err := s.dir.Maintain(c.ID, on, now); err != nil {
-		return management.No("%s", advice.Line(&Refusal{advice.Words{What: "nothing changed", Cause: err, Do: "call again"}}))
+		return management.No("%s", hint.Line(&Refusal{hint.Annotated{What: "nothing changed", Cause: err, Do: "call again"}}))
 	}
 	// It is on disk: even if this loop takes it up no more, the next process finds the file.
 	s.onLoop(nil, func() management.Answer {
@@ -186,7 +186,7 @@
 	if s.beside == nil {
 		return
 	}
-	mine := handover.Use{Sockets: s.sockets.Load() + ownDescriptors, Memory: used}
+	mine := hotrestart.Use{Sockets: s.sockets.Load() + ownDescriptors, Memory: used}
 	if s.core.ShuttingDown() {
 		mine.Leaving = 1
 	}
@@ -194,7 +194,7 @@
 		s.said.Say(time.Now(), slog.LevelError, "use", "other processes don't see what this one takes", slog.Any("err", err))
 	}
 	before := s.others
-	s.others = handover.Use{}
+	s.others = hotrestart.Use{}
 	placing := 0
 	for _, u := range s.beside.Others() {
 		s.others.Sockets += u.Sockets
@@ -215,7 +215,7 @@
 	if s.inherit == nil {
 		return
 	}
-	if err := s.dir.Leave(handover.Left{Known: s.core.KnownServers(), Standing: s.core.EstablishedFlows()}); err != nil {
+	if err := s.dir.Leave(hotrestart.Left{Known: s.core.KnownServers(), Standing: s.core.EstablishedFlows()}); err != nil {
 		s.log.Error("what stands is not handed over", "err", err)
 	}
 }
--- a/internal/net/moves.go
+++ b/internal/proxy/moves.go
@@ -2,7 +2,7 @@
 // line. The reducer has closed the transaction by then, so what ends either side meanwhile is followed here. This file
 // must never choose who is moved.
 
-package net
+package proxy
 
 import (
 	"bytes"
--- a/internal/net/pause.go
+++ b/internal/proxy/pause.go
@@ -1,7 +1,7 @@
 // A pause shorter than the runtime's. This file owns one timer of the system's; it must never be used by two
 // goroutines at once.
 
-package net
+package proxy
 
 import (
 	"os"
--- a/internal/net/peers.go
+++ b/internal/proxy/peers.go
@@ -1,8 +1,8 @@
 // What this balancer tells the others of its cluster, and what operators are told of them. This file owns the way between
-// the loop and internal/peers: signals are left there without waiting, and what comes back is a view. Off unless the
+// the loop and internal/membership: signals are left there without waiting, and what comes back is a view. Off unless the
 // edge file has a section for it.
 
-package net
+package proxy
 
 import (
 	"fmt"
@@ -11,20 +11,20 @@
 	"strings"
 	"time"
 
+	"oatloft/internal/coordination"
 	"oatloft/internal/core"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/management"
-	"oatloft/internal/peers"
-	"oatloft/internal/together"
+	"oatloft/internal/membership"
 	"oatloft/policy"
 )
 
-// Peers is what internal/peers is told.
+// Peers is what internal/membership is told.
 type Peers struct {
-	Config      peers.Config
+	Config      membership.Config
 	Listen      string
 	Every, Life time.Duration
-	Together    together.Settings
+	Together    coordination.Settings
 }
 
 // same tells that two say the same but for the generation, which is of the process.
@@ -61,16 +61,16 @@
 		return
 	}
 	s.told.at = now.Add(s.cfg.Peers.Every)
-	if defects.On("loop-waits") && s.peers.Counts().Gone > 0 {
+	if failpoint.On("loop-waits") && s.peers.Counts().Gone > 0 {
 		time.Sleep(2500 * time.Millisecond)
 	}
 	if s.told.regions == nil {
 		s.told.regions = map[string]time.Duration{}
 	}
 	life := s.cfg.Peers.Life
-	s.peers.Set(peers.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
-	s.peers.Set(peers.LoadKey, fmt.Append(nil, s.core.OpenRequests()-s.core.Unanswered(), " ", s.core.Unanswered()), life)
-	s.peers.Set(peers.DrainKey, fmt.Append(nil, drain), life)
+	s.peers.Set(membership.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
+	s.peers.Set(membership.LoadKey, fmt.Append(nil, s.core.OpenRequests()-s.core.Unanswered(), " ", s.core.Unanswered()), life)
+	s.peers.Set(membership.DrainKey, fmt.Append(nil, drain), life)
 	readings, tells := s.core.LoadReadings(), func(string) bool { return true }
 	if s.together != nil && !drain { // who leaves takes nothing on, and this may be said within a step
 		tells = s.actTogether(now, readings)
@@ -89,8 +89,8 @@
 			break
 		}
 		s.told.regions[r.Server] = r.At
-		reading := peers.Reading{X: r.Load, Age: s.now() - r.At, Fails: r.FailedProbes}
-		s.peers.Set(peers.RegionKey+r.Server, reading.Value(), life)
+		reading := membership.Reading{X: r.Load, Age: s.now() - r.At, Fails: r.FailedProbes}
+		s.peers.Set(membership.RegionKey+r.Server, reading.Value(), life)
 	}
 	if len(s.told.regions) > 2*len(readings)+16 {
 		clear(s.told.regions)
@@ -99,10 +99,10 @@
 
 // actTogether brings the module what the others tell, tells this balancer's words, and returns whose readings to tell.
 func (s *Server) actTogether(now time.Time, readings []policy.ServerReading) func(region string) bool {
-	view, malformed := together.ViewOf(s.peers.View())
+	view, malformed := coordination.ViewOf(s.peers.View())
 	s.counters.PeersWords += int64(malformed)
 	activity := s.core.Activity()
-	own := together.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+	own := coordination.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
 		Demand: activity.Demand, Refused: s.core.Counters.Rejected}
 	read := make(map[string]policy.ServerReading, len(readings))
 	for _, r := range readings {
@@ -110,16 +110,16 @@
 	}
 	for _, g := range s.core.ListedServers() {
 		r := read[g.ID]
-		own.Regions = append(own.Regions, together.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.Load, At: r.At, Fails: r.FailedProbes})
+		own.Regions = append(own.Regions, coordination.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.Load, At: r.At, Fails: r.FailedProbes})
 	}
 	events, words := s.together.Look(s.now(), view, own)
 	s.step(core.FleetEvents{Events: events})
 	life := s.cfg.Peers.Life
-	s.peers.Set(together.WordsKey, words.Value(), life)
+	s.peers.Set(coordination.WordsKey, words.Value(), life)
 	if holds := string(words.HoldsValue()); holds != s.told.holds || now.Sub(s.told.holdsAt) > life/3 {
 		s.told.holds, s.told.holdsAt = holds, now
 		if len(holds) > 0 {
-			s.peers.Set(together.HoldsKey, []byte(holds), life)
+			s.peers.Set(coordination.HoldsKey, []byte(holds), life)
 		}
 	}
 	return func(region string) bool { return slices.Contains(words.Readings, region) }
@@ -157,12 +157,12 @@
 		}
 	}
 	if name == "" {
-		by := map[peers.State]int{}
+		by := map[membership.State]int{}
 		for _, m := range v.Members {
 			by[m.State]++
 		}
 		return management.Yes("%s generation=%d members=%d alive=%d leaving=%d suspect=%d gone=%d slow=%d%s", v.Self.Name, v.Self.Generation,
-			len(v.Members)+1, by[peers.Alive]+1, by[peers.Leaving], by[peers.Suspect], by[peers.Gone], v.Slow, flags)
+			len(v.Members)+1, by[membership.Alive]+1, by[membership.Leaving], by[membership.Suspect], by[membership.Gone], v.Slow, flags)
 	}
 	after, next := strings.CutPrefix(name, ">")
 	for _, m := range v.Members {
@@ -178,7 +178,7 @@
 
 const answerRoom = 3000 // bytes of an answer
 
-func wordsOf(v peers.View, m peers.MemberView) string {
+func wordsOf(v membership.View, m membership.MemberView) string {
 	heard := "never"
 	if m.Heard > 0 {
 		heard = (v.At - m.Heard).Round(time.Millisecond).String() + "-ago"
@@ -191,7 +191,7 @@
 			break
 		}
 		value := strings.ReplaceAll(string(s.Value), " ", ",")
-		if s.Key == together.HoldsKey {
+		if s.Key == coordination.HoldsKey {
 			value = fmt.Sprintf("%x", s.Value)
 		}
 		fmt.Fprintf(&b, " %s=%s/%v#%d", s.Key, value, s.Age.Round(time.Millisecond), s.Version)
--- a/internal/net/play_test.go
+++ b/internal/proxy/play_test.go
@@ -1,4 +1,4 @@
-package net
+package proxy
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -42,7 +42,7 @@
 	server  *Server
 	addr    string
 	vars    *strings.Replacer
-	regions map[string]stdnet.Listener
+	regions map[string]net.Listener
 	peers   map[string]*peer
 	tasks   chan *peer
 	watches chan *peer
@@ -57,11 +57,11 @@
 var limits = regexp.MustCompile(`(?m)^(sockets|memory) (\d+)$`)
 
 type peer struct {
-	conn stdnet.Conn
+	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newPeer(c stdnet.Conn) *peer { return &peer{c, bufio.NewReader(c)} }
+func newPeer(c net.Conn) *peer { return &peer{c, bufio.NewReader(c)} }
 
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
@@ -88,13 +88,13 @@
 }
 
 func start(t *testing.T, text string) *play {
-	p := &play{t: t, regions: map[string]stdnet.Listener{}, peers: map[string]*peer{},
+	p := &play{t: t, regions: map[string]net.Listener{}, peers: map[string]*peer{},
 		tasks: make(chan *peer, 99), watches: make(chan *peer, 99), leave: make(chan struct{}), reload: make(chan Config),
 		ended: make(chan error, 1), limit: 3 * time.Second}
 	var vars []string
 	for _, name := range []string{"r1", "r2", "discovery", "moved"} {
 		// Not 127.0.0.1: nbio's own dialing would reach that by mistake, as 0.0.0.0, and nothing else.
-		l, err := stdnet.Listen("tcp", "127.8.1.1:0")
+		l, err := net.Listen("tcp", "127.8.1.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 }
 
 // accept plays the regions, whose probes are answered at once, and discovery.
-func (p *play) accept(l stdnet.Listener, discovery bool) {
+func (p *play) accept(l net.Listener, discovery bool) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -181,7 +181,7 @@
 		if strings.HasPrefix(name, "op") {
 			addr = p.server.manage.Addr()
 		}
-		c, err := stdnet.Dial("tcp", addr)
+		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, err
 		}
@@ -261,7 +261,7 @@
 			}
 		}()
 	case "narrow":
-		err = who.conn.(*stdnet.TCPConn).SetReadBuffer(number)
+		err = who.conn.(*net.TCPConn).SetReadBuffer(number)
 	case "drain":
 		for i := 0; i < number && err == nil; i++ {
 			err = p.expect(who, fmt.Sprintf("%0998d", i))
@@ -276,9 +276,9 @@
 		}
 		err = nil
 	case "FIN":
-		err = who.conn.(*stdnet.TCPConn).CloseWrite()
+		err = who.conn.(*net.TCPConn).CloseWrite()
 	case "RST":
-		_ = who.conn.(*stdnet.TCPConn).SetLinger(0)
+		_ = who.conn.(*net.TCPConn).SetLinger(0)
 		err = who.conn.Close()
 	case "nothing":
 		_ = who.conn.SetReadDeadline(time.Now().Add(time.Duration(number) * time.Millisecond))
@@ -343,7 +343,7 @@
 	if err := s.Start(); err != nil { // and no Run: the reducer never gets its turn
 		t.Fatal(err)
 	}
-	c, err := stdnet.Dial("tcp", s.Addr())
+	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/probes.go
+++ b/internal/proxy/probes.go
@@ -1,6 +1,6 @@
 // Probes. This file owns one connection a region, kept for as long as its answers are in order.
 
-package net
+package proxy
 
 import (
 	"time"
--- a/internal/net/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -1,9 +1,9 @@
-package net
+package proxy
 
 import (
 	"errors"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -20,12 +20,12 @@
 // A socket that can't be unconnected (connecting to no address fails, as it did on the fleet's bench with
 // EAFNOSUPPORT) must be reset all the same: its other side learns of the end at once.
 func TestResetNeedsNoUnconnecting(t *testing.T) {
-	l, err := stdnet.Listen("unix", filepath.Join(t.TempDir(), "s"))
+	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := stdnet.Dial("unix", l.Addr().String())
+	far, err := net.Dial("unix", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	k.reset()
 	_ = far.SetReadDeadline(time.Now().Add(2 * time.Second))
 	var b [1]byte
-	var timeout stdnet.Error
+	var timeout net.Error
 	if _, err := far.Read(b[:]); err == nil || errors.As(err, &timeout) && timeout.Timeout() {
 		t.Fatalf("the other side was not told of the reset: %v", err)
 	}
@@ -64,7 +64,7 @@
 // A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run twice goes on
 // to another region. It was taken for one that may have run where the poller met the reset before the line was written.
 func TestResetBeforeTheLineNeverRan(t *testing.T) {
-	region, err := stdnet.Listen("tcp", "127.8.1.1:0")
+	region, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.(*stdnet.TCPConn).SetLinger(0)
+	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
 		task.mu.Lock()
--- a/internal/net/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -1,10 +1,10 @@
-package net
+package proxy
 
 import (
 	"bytes"
 	"fmt"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"strings"
 	"sync"
@@ -23,8 +23,8 @@
 type triesLoop struct {
 	t         *testing.T
 	s         *Server
-	listeners []stdnet.Listener // two servers'
-	came      chan *triesPeer   // attempts, as the servers accept them
+	listeners []net.Listener  // two servers'
+	came      chan *triesPeer // attempts, as the servers accept them
 }
 
 const (
@@ -39,7 +39,7 @@
 	h := &triesLoop{t: t, came: make(chan *triesPeer, 99)}
 	var vars []string
 	for i, name := range []string{"$r1", "$r2", "$discovery"} {
-		l, err := stdnet.Listen("tcp", fmt.Sprintf("127.8.2.%d:0", i+1))
+		l, err := net.Listen("tcp", fmt.Sprintf("127.8.2.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 				}
 				t.Cleanup(func() { _ = c.Close() })
 				if name != "$discovery" {
-					h.came <- &triesPeer{conn: c.(*stdnet.TCPConn)}
+					h.came <- &triesPeer{conn: c.(*net.TCPConn)}
 				}
 			}
 		}()
@@ -125,7 +125,7 @@
 
 // triesPeer is the far side of one of the balancer's connections. It is read by the test alone.
 type triesPeer struct {
-	conn *stdnet.TCPConn
+	conn *net.TCPConn
 	got  []byte
 	end  error
 }
@@ -179,12 +179,12 @@
 
 func (h *triesLoop) client(text string) *triesPeer {
 	h.t.Helper()
-	c, err := stdnet.Dial("tcp", h.s.Addr())
+	c, err := net.Dial("tcp", h.s.Addr())
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { _ = c.Close() })
-	client := &triesPeer{conn: c.(*stdnet.TCPConn)}
+	client := &triesPeer{conn: c.(*net.TCPConn)}
 	client.send(h.t, text)
 	return client
 }
@@ -586,7 +586,7 @@
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "late")
-	l, err := stdnet.FileListener(f)
+	l, err := net.FileListener(f)
 	_ = f.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -595,7 +595,7 @@
 	addr = l.Addr().String()
 	fillers := map[string]bool{}
 	for full := false; !full; {
-		c, err := stdnet.DialTimeout("tcp", addr, 300*time.Millisecond)
+		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
 		if full = err != nil; !full {
 			fillers[c.LocalAddr().String()] = true
 			t.Cleanup(func() { _ = c.Close() })
@@ -611,7 +611,7 @@
 						return
 					}
 					if !fillers[c.RemoteAddr().String()] {
-						h.came <- &triesPeer{conn: c.(*stdnet.TCPConn)}
+						h.came <- &triesPeer{conn: c.(*net.TCPConn)}
 					}
 				}
 			}()
@@ -625,7 +625,7 @@
 	one, acceptOne := triesLate(t, 11)
 	two, acceptTwo := triesLate(t, 12)
 	h := &triesLoop{t: t, came: make(chan *triesPeer, 99)}
-	discovery, err := stdnet.Listen("tcp", "127.8.2.3:0")
+	discovery, err := net.Listen("tcp", "127.8.2.3:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/revisions.go
+++ b/internal/proxy/revisions.go
@@ -3,7 +3,7 @@
 // module's events, before anything else happens. It must never wait for the others, and never let a newcomer in without a
 // permit. Off unless the edge file has the section revisions.
 
-package net
+package proxy
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/bandwidth"
 	"oatloft/internal/core"
-	"oatloft/internal/edge"
-	"oatloft/internal/links"
+	"oatloft/internal/edgeconfig"
+	"oatloft/internal/hint"
 	"oatloft/internal/management"
 	"oatloft/internal/revision"
-	"oatloft/internal/revision/permit"
+	"oatloft/internal/revision/lease"
 	"oatloft/policy"
 )
 
@@ -35,13 +35,13 @@
 
 // Revisions is what the host is told, but for what the loop knows.
 type Revisions struct {
-	Host  permit.Config
+	Host  lease.Config
 	Zones []string // of the members, beside those of the list
-	Links *edge.Links
+	Links *edgeconfig.Links
 }
 
 // SetRevisions adds the sections revisions and links of the edge file.
-func (c *Config) setRevisions(e *edge.Settings) error {
+func (c *Config) setRevisions(e *edgeconfig.Settings) error {
 	if e.Revisions == nil {
 		if e.Links != nil {
 			return &NoTable{}
@@ -55,13 +55,13 @@
 	if l := e.Links; l != nil && 4*l.Lease < x.Lease {
 		return &ShortLease{time.Duration(l.Lease), time.Duration(x.Lease)}
 	}
-	r := &Revisions{Links: e.Links, Host: permit.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), Succeeds: c.Inherited == "",
+	r := &Revisions{Links: e.Links, Host: lease.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), Succeeds: c.Inherited == "",
 		Hold: x.OnCut == "hold", Lease: time.Duration(x.Lease), Deadline: time.Duration(x.Deadline), History: x.History, HistoryBytes: int64(x.HistoryBytes),
-		Agree: permit.Log{Cluster: x.Cluster, Name: c.Name, Listen: x.Listen, Voters: x.Voters, Reach: x.Reach, Folder: x.Folder,
+		Agree: lease.Log{Cluster: x.Cluster, Name: c.Name, Listen: x.Listen, Voters: x.Voters, Reach: x.Reach, Folder: x.Folder,
 			ReplaceAfter: time.Duration(x.ReplaceAfter), Seed: uint64(c.Core.Seed)}}}
 	candidate := false
 	for _, m := range x.Members {
-		r.Host.Agree.Candidates = append(r.Host.Agree.Candidates, permit.Candidate{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
+		r.Host.Agree.Candidates = append(r.Host.Agree.Candidates, lease.Candidate{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
 		candidate = candidate || m.Name == c.Name
 		if m.Zone != "" && !slices.Contains(r.Zones, m.Zone) {
 			r.Zones = append(r.Zones, m.Zone)
@@ -81,16 +81,16 @@
 	return "links: there is no section revisions, whose table says which links there are"
 }
 
-// Advice is what an operator can do.
-func (*NoTable) Advice() string { return "add the section revisions, or leave links out" }
+// Hint is what an operator can do.
+func (*NoTable) Hint() string { return "add the section revisions, or leave links out" }
 
 // NotHeld is the error that this program was built without the agreement.
 type NotHeld struct{}
 
 func (*NotHeld) Error() string { return "revisions: this program holds no agreement" }
 
-// Advice is what an operator can do.
-func (*NotHeld) Advice() string { return "start oatloft-revisions, or leave the section revisions out" }
+// Hint is what an operator can do.
+func (*NotHeld) Hint() string { return "start oatloft-revisions, or leave the section revisions out" }
 
 // ShortLease is the error that parts of links would lapse between two renewals.
 type ShortLease struct{ Links, Revisions time.Duration }
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("links.lease: %v is under a quarter of revisions.lease, %v: parts would lapse between two renewals", e.Links, e.Revisions)
 }
 
-// Advice is what an operator can do.
-func (e *ShortLease) Advice() string {
+// Hint is what an operator can do.
+func (e *ShortLease) Hint() string {
 	return fmt.Sprintf("set links.lease to %v or more, or make revisions.lease shorter", e.Revisions/4)
 }
 
@@ -111,8 +111,8 @@
 	return fmt.Sprintf("revisions.history_bytes: %d is above %d: a voter that lags gets all of it in one message", e.Bytes, mostHistory)
 }
 
-// Advice is what an operator can do.
-func (e *LongHistory) Advice() string {
+// Hint is what an operator can do.
+func (e *LongHistory) Hint() string {
 	return "set it to 32MiB or less; what is forgotten is said to be"
 }
 
@@ -121,8 +121,8 @@
 
 func (e *CantChange) Error() string { return e.Section + ": can't change while serving" }
 
-// Advice is what an operator can do.
-func (e *CantChange) Advice() string {
+// Hint is what an operator can do.
+func (e *CantChange) Hint() string {
 	return "restart the balancer, one after the other, to change this section"
 }
 
@@ -141,11 +141,11 @@
 
 // ruled is the loop's side of it.
 type ruled struct {
-	host  permit.Host
+	host  lease.Host
 	seq   uint64 // of the permit that the loop goes by ...
-	phase permit.Phase
-	at    *permit.Permit // ... which is this one
-	plain policy.Config  // of the settings, nothing laid over it
+	phase lease.Phase
+	at    *lease.Permit // ... which is this one
+	plain policy.Config // of the settings, nothing laid over it
 	today atomic.Pointer[revision.Today]
 	next  time.Time // when today is looked at again
 	list  []policy.Server
@@ -156,23 +156,23 @@
 
 // startRevisions joins the others. Until they have told what is in force nobody is taken.
 func (s *Server) startRevisions() (err error) {
-	r := &ruled{plain: s.cfg.Core.Policy, phase: permit.Learning}
+	r := &ruled{plain: s.cfg.Core.Policy, phase: lease.Learning}
 	s.revisions = r
 	s.renewToday(time.Now())
 	cfg := s.cfg.Revisions.Host
 	cfg.Check = func(c *revision.Content) error { return revision.Check(c, *r.today.Load()) }
 	cfg.Changed = s.queue.ring
 	if e := s.cfg.Revisions.Links; e != nil { // two processes of a balancer, in an upgrade, are two that carry bytes
-		set := links.Settings{Lease: time.Duration(e.Lease), SafePart: e.SafePart, Holders: 2 * max(1, s.cfg.Core.Policy.Balancers)}
+		set := bandwidth.Settings{Lease: time.Duration(e.Lease), SafePart: e.SafePart, Holders: 2 * max(1, s.cfg.Core.Policy.Balancers)}
 		if s.links, err = newLinkage(s, set, int(e.Buffer)); err != nil {
 			return err
 		}
 		cfg.Links = s.links.part
 	}
-	if permit.Start == nil {
+	if lease.Start == nil {
 		return &NotHeld{}
 	}
-	if r.host, err = permit.Start(cfg, s.log); err != nil {
+	if r.host, err = lease.Start(cfg, s.log); err != nil {
 		return err
 	}
 	s.step(core.LeaseChanged{Lease: policy.LeaseExpired})
@@ -186,23 +186,23 @@
 	r := s.revisions
 	p := r.host.Permit()
 	phase := p.Phase
-	if phase == permit.AtWork && !p.May(now) {
-		phase = permit.Lapsed
+	if phase == lease.AtWork && !p.May(now) {
+		phase = lease.Lapsed
 	}
 	if p.Seq == r.seq && phase == r.phase {
 		return
 	}
-	another := phase == permit.AtWork && (r.at == nil || r.at.Hash != p.Hash)
+	another := phase == lease.AtWork && (r.at == nil || r.at.Hash != p.Hash)
 	moved := p.Seq != r.seq
-	if phase == permit.AtWork {
+	if phase == lease.AtWork {
 		r.at = p
 	}
 	r.seq, r.phase = p.Seq, phase // before the steps below, which come here again
 	says := policy.LeaseExpired
 	switch phase {
-	case permit.AtWork:
+	case lease.AtWork:
 		says = policy.LeaseActive
-	case permit.Between:
+	case lease.Between:
 		says = policy.LeaseSuspended
 	}
 	if another {
@@ -244,7 +244,7 @@
 
 // mayPlace tells whether newcomers are taken; those who come between two revisions wait.
 func (s *Server) mayPlace() bool {
-	return s.revisions == nil || s.revisions.phase == permit.AtWork || s.revisions.phase == permit.Between
+	return s.revisions == nil || s.revisions.phase == lease.AtWork || s.revisions.phase == lease.Between
 }
 
 // comeBack is when a terminal should come again that was turned away for want of a permit; 0 where none heeds it.
@@ -300,7 +300,7 @@
 	defer cancel()
 	text, err := s.revisions.host.Operate(ctx, words)
 	if err != nil {
-		return management.No("%s", advice.Line(err))
+		return management.No("%s", hint.Line(err))
 	}
 	if word, _, _ := strings.Cut(words, " "); word != "status" && word != "list" && word != "get" && word != "outcome" {
 		s.log.Info("operators' call", "call", slog.StringValue("revision "+word), "answer", text)
--- a/internal/net/server.go
+++ b/internal/proxy/server.go
@@ -2,14 +2,14 @@
 // parsers, all on one goroutine. This file owns the server's state, its start and its end; it must never keep
 // anything back or send anything unasked.
 
-package net
+package proxy
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"runtime"
 	"runtime/debug"
 	"runtime/metrics"
@@ -20,13 +20,13 @@
 	"github.com/lesismal/nbio/logging"
 
 	"oatloft/internal/admission"
-	"oatloft/internal/advice"
+	"oatloft/internal/coordination"
 	"oatloft/internal/core"
-	"oatloft/internal/handover"
+	"oatloft/internal/hint"
+	"oatloft/internal/hotrestart"
 	"oatloft/internal/logs"
 	"oatloft/internal/management"
-	"oatloft/internal/peers"
-	"oatloft/internal/together"
+	"oatloft/internal/membership"
 	"oatloft/policy"
 )
 
@@ -50,16 +50,16 @@
 type Server struct {
 	cfg       Config
 	engine    *nbio.Engine
-	listener  stdnet.Listener
-	inherit   stdnet.Listener    // the platform's, shared with other processes; nil where this one listens by itself
-	manage    *management.Server // nil where operators have no address to call
-	asks      chan func()        // operators' calls, run between two events
-	over      chan struct{}      // closed once the loop has ended
-	accepts   bool               // terminals are taken in
-	beside    *handover.Presence // nil where no other process can be there
-	others    handover.Use       // what those take
-	dir       *handover.Dir      // nil where neither operators nor another process share anything with this one
-	keeping   chan struct{}      // calls that change the file go one by one
+	listener  net.Listener
+	inherit   net.Listener         // the platform's, shared with other processes; nil where this one listens by itself
+	manage    *management.Server   // nil where operators have no address to call
+	asks      chan func()          // operators' calls, run between two events
+	over      chan struct{}        // closed once the loop has ended
+	accepts   bool                 // terminals are taken in
+	beside    *hotrestart.Presence // nil where no other process can be there
+	others    hotrestart.Use       // what those take
+	dir       *hotrestart.Dir      // nil where neither operators nor another process share anything with this one
+	keeping   chan struct{}        // calls that change the file go one by one
 	followAt  time.Time
 	queue     queue
 	core      *core.Reducer
@@ -80,14 +80,14 @@
 	closing   closing
 	slack     time.Duration // more time for what ends this server: tests mustn't depend on the machine's speed
 	accepting acceptLoop
-	limit     atomic.Int64 // of descriptors
-	door      *door        // nil where no admission is configured
-	peers     *peers.Host  // nil where this balancer knows of no other
+	limit     atomic.Int64     // of descriptors
+	door      *door            // nil where no admission is configured
+	peers     *membership.Host // nil where this balancer knows of no other
 	told      toldPeers
-	together  *together.Together // nil where it acts alone
-	revisions *ruled             // nil where it goes by its settings alone
-	links     *linkage           // nil where no link between zones is bounded
-	numbered  []policy.Server    // regions when its part by number was taken last
+	together  *coordination.Together // nil where it acts alone
+	revisions *ruled                 // nil where it goes by its settings alone
+	links     *linkage               // nil where no link between zones is bounded
+	numbered  []policy.Server        // regions when its part by number was taken last
 	byTicket  map[admission.Ticket]*terminal
 	sendOff   []admission.Victim
 	short     bool // of memory
@@ -95,9 +95,9 @@
 	turnAt    time.Time // the loop's latest turn
 	behind    time.Time // until then lines may be read that have waited, since this process stood still or got no processor
 	counters  counters
-	log     *slog.Logger
-	tracing bool
-	said    *logs.Limited
+	log       *slog.Logger
+	tracing   bool
+	said      *logs.Limited
 }
 
 // New prepares a balancer and listens on its address.
@@ -126,11 +126,11 @@
 		s.door.shared = s.inherit != nil
 	}
 	if cfg.Peers != nil {
-		if s.peers, err = peers.Start(cfg.Peers.Config, cfg.Peers.Listen, s.inherit != nil, log); err != nil {
+		if s.peers, err = membership.Start(cfg.Peers.Config, cfg.Peers.Listen, s.inherit != nil, log); err != nil {
 			return nil, err
 		}
 		if cfg.Peers.Together.On() {
-			s.together = together.New(cfg.Peers.Together)
+			s.together = coordination.New(cfg.Peers.Together)
 		}
 	}
 	if cfg.Revisions != nil {
@@ -223,7 +223,7 @@
 		s.step(*s.cfg.Known)
 	}
 	if err := s.engine.Start(); err != nil {
-		return &NoAddress{advice.Words{Where: "listen", Cause: err, Do: "give an address of this machine and a free port (listen, PROXY_LISTEN)"}}
+		return &NoAddress{hint.Annotated{Where: "listen", Cause: err, Do: "give an address of this machine and a free port (listen, PROXY_LISTEN)"}}
 	}
 	s.accepts = true
 	if s.manage != nil {
@@ -313,7 +313,7 @@
 		return
 	}
 	if !cfg.Revisions.same(s.cfg.Revisions) {
-		s.log.Error("not reloaded, the old configuration stays", "err", advice.Line(&CantChange{"revisions"}))
+		s.log.Error("not reloaded, the old configuration stays", "err", hint.Line(&CantChange{"revisions"}))
 		return
 	}
 	moved := cfg.Discovery != s.cfg.Discovery
@@ -341,7 +341,7 @@
 func (s *Server) reloadDoor(a *Admission) error {
 	switch {
 	case (a == nil) != (s.door == nil):
-		return &Unfit{advice.Words{Where: "admission", What: "can't be switched on or off while serving", Do: "restart the balancers, one after the other"}}
+		return &Unfit{hint.Annotated{Where: "admission", What: "can't be switched on or off while serving", Do: "restart the balancers, one after the other"}}
 	case a == nil:
 		return nil
 	}
--- a/internal/net/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -1,10 +1,10 @@
-package net
+package proxy
 
 import (
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -229,7 +229,7 @@
 func TestCallsFollowWithinTheRuleAfterFailures(t *testing.T) {
 	fails := map[string]func(t *testing.T, c *listCall){
 		"refused with 503": func(t *testing.T, c *listCall) { c.says(t, listBusy) },
-		"reset":            func(_ *testing.T, c *listCall) { _ = c.conn.(*stdnet.TCPConn).SetLinger(0); _ = c.conn.Close() },
+		"reset":            func(_ *testing.T, c *listCall) { _ = c.conn.(*net.TCPConn).SetLinger(0); _ = c.conn.Close() },
 		"ended unanswered": func(_ *testing.T, c *listCall) { _ = c.conn.Close() },
 		"last chunk":       func(t *testing.T, c *listCall) { c.says(t, listHead+"0\r\n\r\n") },
 		"spoilt":           func(t *testing.T, c *listCall) { c.says(t, listHead+listChunk("{]\n")) },
@@ -334,7 +334,7 @@
 func TestWatchEndsRightBeforeADrain(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, p *play, c *listCall){
 		"reset": func(t *testing.T, p *play, c *listCall) {
-			_ = c.conn.(*stdnet.TCPConn).SetLinger(0)
+			_ = c.conn.(*net.TCPConn).SetLinger(0)
 			_ = c.conn.Close()
 		},
 		"between two chunks": func(t *testing.T, p *play, c *listCall) { _ = c.conn.Close() },
@@ -421,7 +421,7 @@
 	first := p.listNext(t) // silent
 	clients := make([]*peer, 0, 80)
 	for range cap(clients) {
-		c, err := stdnet.Dial("tcp", p.addr)
+		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -1,11 +1,11 @@
 // The end of a server: what is left to do at the sockets once the reducer has said that all is done, and when the loop may
 // end. This file must never let the loop end while somebody who was taken in has no answer and there is time to give it.
 
-package net
+package proxy
 
 import (
 	"errors"
-	stdnet "net"
+	"net"
 	"syscall"
 	"time"
 
@@ -92,7 +92,7 @@
 		}
 	})
 	if closed != nil {
-		return 0, stdnet.ErrClosed
+		return 0, net.ErrClosed
 	}
 	return fd, err
 }
--- a/internal/net/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -1,11 +1,11 @@
-package net
+package proxy
 
 import (
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"strings"
 	"sync"
@@ -26,13 +26,13 @@
 
 // shutHold is a listener whose accept loop can be stopped between accept and what follows.
 type shutHold struct {
-	stdnet.Listener
+	net.Listener
 	mu    sync.Mutex
 	taken chan struct{} // a connection has been accepted, and is held
 	free  chan struct{} // closed: it goes on
 }
 
-func (h *shutHold) Accept() (stdnet.Conn, error) {
+func (h *shutHold) Accept() (net.Conn, error) {
 	c, err := h.Listener.Accept()
 	if err == nil {
 		h.mu.Lock()
@@ -60,12 +60,12 @@
 	hold  *shutHold
 	clock time.Duration // the reducer's, which stands still unless a test has time pass
 	mu    sync.Mutex
-	conns []stdnet.Conn // that regions and discovery have taken
+	conns []net.Conn // that regions and discovery have taken
 	group sync.WaitGroup
 }
 
 // takes plays a region, whose probes are answered at once, or discovery.
-func (b *shutBed) takes(l stdnet.Listener, discovery bool) {
+func (b *shutBed) takes(l net.Listener, discovery bool) {
 	defer b.group.Done()
 	for {
 		c, err := l.Accept()
@@ -117,14 +117,14 @@
 
 func newShutBed(t *testing.T, change func(*Config)) *shutBed {
 	t.Helper()
-	p := &play{t: t, regions: map[string]stdnet.Listener{}, peers: map[string]*peer{},
+	p := &play{t: t, regions: map[string]net.Listener{}, peers: map[string]*peer{},
 		tasks: make(chan *peer, 99), watches: make(chan *peer, 99), leave: make(chan struct{}), reload: make(chan Config),
 		ended: make(chan error, 1), limit: shutPatience}
 	b := &shutBed{play: p, hold: &shutHold{}}
 	t.Cleanup(b.end)
 	var vars []string
 	for _, name := range []string{"r1", "r2", "discovery", "moved"} {
-		l, err := stdnet.Listen("tcp", "127.8.1.2:0")
+		l, err := net.Listen("tcp", "127.8.1.2:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	p.server.slack = shutPatience
-	p.server.engine.Listen = func(network, addr string) (stdnet.Listener, error) {
+	p.server.engine.Listen = func(network, addr string) (net.Listener, error) {
 		b.hold.Listener, err = p.server.listen(network, addr)
 		return b.hold, err
 	}
@@ -356,7 +356,7 @@
 	}
 	addr := fmt.Sprintf("127.8.1.3:%d", name.(*syscall.SockaddrInet4).Port)
 	for range 9 {
-		c, err := stdnet.DialTimeout("tcp", addr, 200*time.Millisecond)
+		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			return addr
 		}
@@ -574,7 +574,7 @@
 			return time.Second
 		},
 		"a refused client": func(s *Server) time.Duration {
-			s.door = &door{byes: make([]stdnet.Conn, 1)}
+			s.door = &door{byes: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
 	} {
--- a/internal/net/tasks.go
+++ b/internal/proxy/tasks.go
@@ -1,13 +1,13 @@
 // Routed tasks and the bytes that pass. This file owns the links to the regions; it must never choose one, and
 // must never hold a line back but to move its terminal behind it.
 
-package net
+package proxy
 
 import (
 	"bytes"
 	"context"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"time"
 
 	"github.com/lesismal/nbio"
@@ -203,7 +203,7 @@
 	go func() {
 		defer s.sockets.Add(-1)
 		defer cancel()
-		d := stdnet.Dialer{Control: l.narrowed()}
+		d := net.Dialer{Control: l.narrowed()}
 		conn, err := d.DialContext(ctx, "tcp", addr)
 		for err != nil && noDescriptor(err) && s.door != nil && s.wait(ctx) {
 			// Nothing has left for the region: this is the same attempt still.
--- a/internal/net/terminals.go
+++ b/internal/proxy/terminals.go
@@ -1,7 +1,7 @@
 // Terminals, from the connection to the final answer. This file owns what a terminal has said and what it is
 // still owed; it must never decide what it gets.
 
-package net
+package proxy
 
 import (
 	"log/slog"
--- a/internal/net/trace.go
+++ b/internal/proxy/trace.go
@@ -1,7 +1,7 @@
 // The trace: one line an event of the reducer and an effect of it, at log level debug, for counting over a whole
 // fleet afterwards (oatlab fleet reads it). It must never hold a terminal's bytes, and costs nothing while it is off.
 
-package net
+package proxy
 
 import (
 	"context"
--- a/internal/net/watches.go
+++ b/internal/proxy/watches.go
@@ -1,13 +1,13 @@
 // The watch on discovery. This file owns the calls that stay open, the latest and the one it follows.
 
-package net
+package proxy
 
 import (
 	"log/slog"
 	"time"
 
-	"oatloft/internal/advice"
 	"oatloft/internal/core"
+	"oatloft/internal/hint"
 	"oatloft/internal/platform"
 )
 
@@ -97,5 +97,5 @@
 // unread logs what can't be read of discovery's answer.
 func (s *Server) unread(err error) {
 	s.said.Say(time.Now(), slog.LevelWarn, "discovery", "discovery's answer can't be used",
-		slog.String("discovery", s.cfg.Discovery), slog.String("err", advice.Line(err)))
+		slog.String("discovery", s.cfg.Discovery), slog.String("err", hint.Line(err)))
 }
--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -98,8 +98,8 @@
 	return what
 }
 
-// Advice is what an operator can do.
-func (e *Unfit) Advice() string { return e.Do }
+// Hint is what an operator can do.
+func (e *Unfit) Hint() string { return e.Do }
 
 // finder keeps the first fault.
 type finder struct{ found *Unfit }
--- a/internal/revision/defects_test.go
+++ b/internal/revision/defects_test.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"testing"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 var firstDefect = flag.String("explore.from", "", "the first defect to look for, of the list")
 
 // Each of these is built in on purpose and has to be found by drawn paths.
 func TestDefects(t *testing.T) {
-	defer defects.Choose("")
+	defer failpoint.Choose("")
 	from := *firstDefect
 	for _, name := range []string{"lease-from-answer", "renews-itself", "stopped-untaken", "leaves-untaken", "old-epoch", "stop-same-epoch", "no-margin", "new-leader-knows",
 		"lapse-uncondemned", "grant-while-stopped", "unconfirmed", "old-reign", "roster-unseen", "one-stopped", "majority", "key-unseen", "from-unseen", "unchecked"} {
@@ -24,7 +24,7 @@
 			continue
 		}
 		from = ""
-		defects.Choose(name)
+		failpoint.Choose(name)
 		found, w := search(100_000)
 		if w == nil {
 			t.Errorf("%s: not found", name)
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("another proposal is under way: %s (%s) by %s", e.Key, e.Kind, e.By)
 }
 
-// Advice is what an operator can do.
-func (e *Busy) Advice() string {
+// Hint is what an operator can do.
+func (e *Busy) Hint() string {
 	return "wait for it with oatctl revision wait " + e.Key + ", look at what it made, and propose anew"
 }
 
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("revision %d is in force (%s), not %d", e.InForce, Short(e.Hash), e.From)
 }
 
-// Advice is what an operator can do.
-func (e *Moved) Advice() string {
+// Hint is what an operator can do.
+func (e *Moved) Hint() string {
 	return fmt.Sprintf("see what has changed with oatctl revision diff %d %d, and propose anew with --from %d", e.From, e.InForce, e.InForce)
 }
 
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("revision %d is watched for %v and not kept yet", e.Number, time.Duration(e.For))
 }
 
-// Advice is what an operator can do.
-func (e *Watched) Advice() string {
+// Hint is what an operator can do.
+func (e *Watched) Hint() string {
 	return "wait until oatctl revision status shows watch=kept, or roll back, which is not held up"
 }
 
@@ -61,8 +61,8 @@
 	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.First)
 }
 
-// Advice is what an operator can do.
-func (e *Forgotten) Advice() string {
+// Hint is what an operator can do.
+func (e *Forgotten) Hint() string {
 	return "take one from oatctl revision list, or propose the text anew; revisions.history and history_bytes say how many are kept"
 }
 
@@ -73,16 +73,16 @@
 	return fmt.Sprintf("there has been no revision %d; %d is in force", e.Number, e.InForce)
 }
 
-// Advice is what an operator can do.
-func (e *Missing) Advice() string { return "take one from oatctl revision list" }
+// Hint is what an operator can do.
+func (e *Missing) Hint() string { return "take one from oatctl revision list" }
 
 // NoMember is the error that nobody of that name is in the roster.
 type NoMember struct{ Name string }
 
 func (e *NoMember) Error() string { return "no member " + e.Name + " may route newcomers" }
 
-// Advice is what an operator can do.
-func (e *NoMember) Advice() string {
+// Hint is what an operator can do.
+func (e *NoMember) Hint() string {
 	return "see the names in oatctl revision status; one that isn't there holds nothing up"
 }
 
@@ -96,8 +96,8 @@
 	return fmt.Sprintf("a later process of %s (%d) has taken its place", e.Name, e.Floor)
 }
 
-// Advice is what an operator can do.
-func (e *Superseded) Advice() string {
+// Hint is what an operator can do.
+func (e *Superseded) Hint() string {
 	return "run one balancer under a name, but in an upgrade; see that the machine's clock doesn't go back"
 }
 
@@ -106,16 +106,16 @@
 
 func (e *Stale) Error() string { return e.Step + " came too late: " + e.Cause }
 
-// Advice is what an operator can do.
-func (e *Stale) Advice() string { return "do it again" }
+// Hint is what an operator can do.
+func (e *Stale) Hint() string { return "do it again" }
 
 // Torn is the error that a snapshot or entry can't be read.
 type Torn struct{ Cause string }
 
 func (e *Torn) Error() string { return "what is settled can't be read: " + e.Cause }
 
-// Advice is what an operator can do.
-func (e *Torn) Advice() string {
+// Hint is what an operator can do.
+func (e *Torn) Hint() string {
 	return "move the revisions' folder aside and start again: the balancer comes back as a new voter"
 }
 
@@ -133,8 +133,8 @@
 	return e.Key + " ended nowhere, for " + strings.Join(e.Who, ", ") + ": " + e.Why
 }
 
-// Advice is what an operator can do.
-func (e *Unwilling) Advice() string {
+// Hint is what an operator can do.
+func (e *Unwilling) Hint() string {
 	if len(e.Who) == 0 {
 		return "propose anew, under a new key"
 	}
--- a/internal/revision/host/agree_test.go
+++ b/internal/revision/host/agree_test.go
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
-	"oatloft/internal/revision/permit"
+	"oatloft/internal/revision/lease"
 )
 
 // overSockets starts n members, of which voters hold a vote, over the real log on loopback.
 func overSockets(t *testing.T, n, voters int, hold bool) (all []*balancer, restart func(i int)) {
-	var candidates []permit.Candidate
+	var candidates []lease.Candidate
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.123.1.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		candidates = append(candidates, permit.Candidate{Name: string(rune('a' + i)), Zone: "z", Addr: l.Addr().String()})
+		candidates = append(candidates, lease.Candidate{Name: string(rune('a' + i)), Zone: "z", Addr: l.Addr().String()})
 		l.Close()
 	}
 	folder := t.TempDir()
@@ -31,7 +31,7 @@
 		b := newBalancer(candidates[i].Name)
 		cfg := b.config(hold)
 		cfg.Generation, cfg.Succeeds = gen, true
-		cfg.Agree = permit.Log{Cluster: "t", Name: b.name, Listen: candidates[i].Addr, Candidates: candidates, Voters: voters, Folder: folder + "/" + b.name, Tick: 10 * time.Millisecond}
+		cfg.Agree = lease.Log{Cluster: "t", Name: b.name, Listen: candidates[i].Addr, Candidates: candidates, Voters: voters, Folder: folder + "/" + b.name, Tick: 10 * time.Millisecond}
 		cfg.Lease = 600 * time.Millisecond
 		h, err := Start(cfg, quiet())
 		if err != nil {
@@ -144,7 +144,7 @@
 		b = newBalancer("a")
 		cfg := b.config(false)
 		cfg.Generation, cfg.Succeeds, cfg.Lease, cfg.History, cfg.HistoryBytes = uint64(gen), true, 200*time.Millisecond, keep, bytes
-		cfg.Agree = permit.Log{Cluster: "t", Name: "a", Listen: addr, Candidates: []permit.Candidate{{Name: "a", Addr: addr}}, Voters: 1, Folder: folder, Tick: 5 * time.Millisecond}
+		cfg.Agree = lease.Log{Cluster: "t", Name: "a", Listen: addr, Candidates: []lease.Candidate{{Name: "a", Addr: addr}}, Voters: 1, Folder: folder, Tick: 5 * time.Millisecond}
 		h, err := Start(cfg, quiet())
 		if err != nil {
 			t.Fatal(err)
@@ -178,7 +178,7 @@
 		if got := call("list 0"); err != nil || !strings.HasPrefix(got, fmt.Sprint(first, " hash=")) || !strings.Contains(got, fmt.Sprintf(" forgotten=..%d ", first-1)) {
 			t.Error(got, err)
 		}
-		if call(fmt.Sprintf("get %d", first-1)); !errors.As(err, new(*revision.Forgotten)) || advice.Of(err) == "" {
+		if call(fmt.Sprintf("get %d", first-1)); !errors.As(err, new(*revision.Forgotten)) || hint.Of(err) == "" {
 			t.Errorf("%d: %v", first-1, err)
 		}
 		for i := first; i <= last; i++ {
--- a/internal/revision/host/alive.go
+++ b/internal/revision/host/alive.go
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"oatloft/internal/agree"
-	"oatloft/internal/defects"
+	"oatloft/internal/consensus"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/revision"
 )
 
@@ -38,7 +38,7 @@
 func newAlive(folder string) *alive {
 	a := &alive{held: map[uint64]*os.File{}}
 	if folder != "" {
-		a.folder = filepath.Join(folder, agree.Processes)
+		a.folder = filepath.Join(folder, consensus.Processes)
 	}
 	return a
 }
@@ -123,7 +123,7 @@
 		return false
 	}
 	defer func() { _ = f.Close() }()
-	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil && !defects.On("ended-unlocked") {
+	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil && !failpoint.On("ended-unlocked") {
 		return false
 	}
 	said, _ := io.ReadAll(io.LimitReader(f, 64))
--- a/internal/revision/host/alive_test.go
+++ b/internal/revision/host/alive_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/agree"
-	"oatloft/internal/revision/permit"
+	"oatloft/internal/consensus"
+	"oatloft/internal/hint"
+	"oatloft/internal/revision/lease"
 )
 
 // process starts one of balancer name's processes, as a supervisor does that holds its listening socket: nothing is known of earlier
@@ -19,7 +19,7 @@
 	t.Helper()
 	b := newBalancer(name)
 	cfg := b.config(true)
-	cfg.Generation, cfg.Agree = gen, permit.Log{Folder: folder}
+	cfg.Generation, cfg.Agree = gen, lease.Log{Folder: folder}
 	h, err := start(cfg, quiet(), l.node(name))
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 				t.Fatal(got, err)
 			}
 			waitFor(t, "those that have ended are cleared away", func() bool { // after the leader was told, not before
-				files, _ := os.ReadDir(filepath.Join(folder, agree.Processes))
+				files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes))
 				return len(files) == strings.Count(want, "c/")
 			})
 		})
@@ -162,11 +162,11 @@
 	if err := os.WriteFile(folder+"/no-folder", nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := newAlive(folder + "/no-folder").hold(1); !errors.As(err, new(*Unseen)) || advice.Of(err) == "" {
+	if err := newAlive(folder + "/no-folder").hold(1); !errors.As(err, new(*Unseen)) || hint.Of(err) == "" {
 		t.Error(err)
 	}
 	other := newAlive(folder)
-	if err := other.hold(10); !errors.As(err, new(*Taken)) || advice.Of(err) == "" {
+	if err := other.hold(10); !errors.As(err, new(*Taken)) || hint.Of(err) == "" {
 		t.Error(err)
 	}
 	if got := other.ended(); len(got) != 0 {
@@ -187,7 +187,7 @@
 		}
 	})
 	b.close()
-	if files, _ := os.ReadDir(filepath.Join(folder, agree.Processes)); len(files) != 1 { // other's half one
+	if files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes)); len(files) != 1 { // other's half one
 		t.Errorf("%d files are left: %v", len(files), files)
 	}
 	waitFor(t, "the roster is without it", func() bool { return roster(all) == "a/1 b/1" })
--- a/internal/revision/host/coordinate.go
+++ b/internal/revision/host/coordinate.go
@@ -11,8 +11,8 @@
 	"math/rand/v2"
 	"time"
 
-	"oatloft/internal/agree"
-	"oatloft/internal/defects"
+	"oatloft/internal/consensus"
+	"oatloft/internal/failpoint"
 	"oatloft/internal/revision"
 )
 
@@ -178,7 +178,7 @@
 	within, cancel := context.WithTimeout(ctx, max(h.cfg.Lease/2, 200*time.Millisecond))
 	defer cancel()
 	term, err := h.node.Confirm(within)
-	if defects.On("unconfirmed") {
+	if failpoint.On("unconfirmed") {
 		term, err = h.node.Lead().Term, nil
 	}
 	if err != nil {
@@ -260,4 +260,4 @@
 	return json.Marshal(reply)
 }
 
-var _ agree.Machine = (*settled)(nil)
+var _ consensus.Machine = (*settled)(nil)
--- a/internal/revision/host/errors.go
+++ b/internal/revision/host/errors.go
@@ -13,8 +13,8 @@
 	return revision.LaterText + "no member leads that can be reached from here: " + e.Cause
 }
 
-// Advice is what an operator can do.
-func (e *NoLeader) Advice() string {
+// Hint is what an operator can do.
+func (e *NoLeader) Hint() string {
 	return "ask again in some seconds, with the same key; if it stays so, see that most of the voters run and reach each other"
 }
 
@@ -23,16 +23,16 @@
 
 func (e *Elsewhere) Error() string { return revision.LaterText + e.Name + " does not lead" }
 
-// Advice is what an operator can do.
-func (e *Elsewhere) Advice() string { return "ask again in a second" }
+// Hint is what an operator can do.
+func (e *Elsewhere) Hint() string { return "ask again in a second" }
 
 // NoKey is the error that nothing is known under a key.
 type NoKey struct{ Key string }
 
 func (e *NoKey) Error() string { return "no proposal is known under the key " + e.Key }
 
-// Advice is what an operator can do.
-func (e *NoKey) Advice() string {
+// Hint is what an operator can do.
+func (e *NoKey) Hint() string {
 	return "hand it in again with the same key; outcomes of the last 1000 proposals are known, see also oatctl revision list"
 }
 
@@ -41,16 +41,16 @@
 
 func (e *Settings) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
-// Advice is what an operator can do.
-func (e *Settings) Advice() string { return "mend the field in the edge file" }
+// Hint is what an operator can do.
+func (e *Settings) Hint() string { return "mend the field in the edge file" }
 
 // Taken is the error that another process of this balancer has the same generation.
 type Taken struct{ Path string }
 
 func (e *Taken) Error() string { return e.Path + ": another process of this balancer has this file" }
 
-// Advice is what an operator can do.
-func (e *Taken) Advice() string {
+// Hint is what an operator can do.
+func (e *Taken) Hint() string {
 	return "start processes of one balancer at least a millisecond apart, and set the machine's clock right"
 }
 
@@ -67,8 +67,8 @@
 // Unwrap is the cause.
 func (e *Unseen) Unwrap() error { return e.Cause }
 
-// Advice is what an operator can do.
-func (e *Unseen) Advice() string {
+// Hint is what an operator can do.
+func (e *Unseen) Hint() string {
 	return "see that " + e.Folder + " can be written to; until then, should it be killed where on_cut is hold, oatctl revision forget"
 }
 
@@ -77,5 +77,5 @@
 
 func (e *Unsettled) Error() string { return revision.LaterText + "not known to be settled: " + e.Cause }
 
-// Advice is what an operator can do.
-func (e *Unsettled) Advice() string { return "ask again with the same key: it is done once at most" }
+// Hint is what an operator can do.
+func (e *Unsettled) Hint() string { return "ask again with the same key: it is done once at most" }
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"sync"
 
-	"oatloft/internal/agree"
+	"oatloft/internal/consensus"
 )
 
-// fakeLog is a log that settles at once, and whose leader the test names. It stands in for internal/agree where a test is about the
+// fakeLog is a log that settles at once, and whose leader the test names. It stands in for internal/consensus where a test is about the
 // host alone.
 type fakeLog struct {
 	mu      sync.Mutex
@@ -22,8 +22,8 @@
 type fakeNode struct {
 	log     *fakeLog
 	name    string
-	m       agree.Machine
-	h       agree.Handler
+	m       consensus.Machine
+	h       consensus.Handler
 	applied int
 	changed chan struct{}
 	cut     bool
@@ -31,8 +31,8 @@
 
 func newFakeLog() *fakeLog { return &fakeLog{nodes: map[string]*fakeNode{}} }
 
-func (l *fakeLog) node(name string) func(agree.Machine, agree.Handler) (Node, error) {
-	return func(m agree.Machine, h agree.Handler) (Node, error) {
+func (l *fakeLog) node(name string) func(consensus.Machine, consensus.Handler) (Node, error) {
+	return func(m consensus.Machine, h consensus.Handler) (Node, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		n := &fakeNode{log: l, name: name, m: m, h: h, changed: make(chan struct{}, 1)}
@@ -87,10 +87,10 @@
 	return n.log.term, nil
 }
 
-func (n *fakeNode) Lead() agree.Lead {
+func (n *fakeNode) Lead() consensus.Lead {
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
-	return agree.Lead{Leader: n.log.leader, Term: n.log.term, Mine: n.log.leader == n.name}
+	return consensus.Lead{Leader: n.log.leader, Term: n.log.term, Mine: n.log.leader == n.name}
 }
 
 func (n *fakeNode) Changed() <-chan struct{} {
@@ -111,5 +111,5 @@
 func (n *fakeNode) Replace(context.Context, string, string) error {
 	return errors.New("no voters here")
 }
-func (n *fakeNode) Status() agree.Status { return agree.Status{Role: "reader"} }
-func (n *fakeNode) Close()               {}
+func (n *fakeNode) Status() consensus.Status { return consensus.Status{Role: "reader"} }
+func (n *fakeNode) Close()                   {}
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -9,9 +9,9 @@
 	"log/slog"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/agree"
-	"oatloft/internal/defects"
+	"oatloft/internal/consensus"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
@@ -23,9 +23,9 @@
 
 	calls     int // under way
 	last      time.Duration
-	next      time.Duration // when to ask
-	lead      agree.Lead    // whom the calls under way were sent to
-	known     agree.Lead    // as last seen
+	next      time.Duration  // when to ask
+	lead      consensus.Lead // whom the calls under way were sent to
+	known     consensus.Lead // as last seen
 	answers   chan answer
 	joined    chan error
 	joining   bool
@@ -104,7 +104,7 @@
 }
 
 // ask renews. The time from which a grant counts is read before anything is sent.
-func (h *holder) ask(lead agree.Lead, now time.Duration) {
+func (h *holder) ask(lead consensus.Lead, now time.Duration) {
 	r := h.m.Ask()
 	t := &h.totals
 	r.Figures = revision.Figures{Asked: t[0].Load(), Refused: t[1].Load(), Failed: t[2].Load(), Late: t[3].Load()}
@@ -127,7 +127,7 @@
 	}()
 }
 
-func (h *Host) callLeader(lead agree.Lead, method string, body []byte, within time.Duration) ([]byte, error) {
+func (h *Host) callLeader(lead consensus.Lead, method string, body []byte, within time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, within)
 	defer cancel()
 	if lead.Mine {
@@ -137,7 +137,7 @@
 }
 
 // call is a call whose answer is yes or an error: join and leave.
-func (h *holder) call(lead agree.Lead, method string, what any) {
+func (h *holder) call(lead consensus.Lead, method string, what any) {
 	body, _ := json.Marshal(what)
 	h.calls++
 	h.last, h.lead = h.now(), lead
@@ -190,7 +190,7 @@
 	body, _ := json.Marshal(revision.Command{Op: revision.OpJoin, Holder: h.m.Holder, Hold: h.cfg.Hold, Ended: h.cfg.Succeeds})
 	go func() {
 		if err := h.alive.hold(gen); err != nil { // it serves all the same: once it ends, the next one or an operator tells
-			h.log.Warn("revisions: nobody will see this process end", "err", advice.Line(err))
+			h.log.Warn("revisions: nobody will see this process end", "err", hint.Line(err))
 		}
 		_, err := h.callLeader(lead, "join", body, 2*time.Second)
 		select {
@@ -256,7 +256,7 @@
 		h.letGo(time.Now().Add(-time.Since(at)).UnixMicro(), "lapsed")
 	}
 	h.permit.Store(q)
-	if h.cfg.Changed != nil && (old.Seq != p.Seq || !defects.On("changed-unrung")) {
+	if h.cfg.Changed != nil && (old.Seq != p.Seq || !failpoint.On("changed-unrung")) {
 		h.cfg.Changed()
 	}
 }
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -12,29 +12,29 @@
 	"sync/atomic"
 	"time"
 
-	"oatloft/internal/agree"
+	"oatloft/internal/consensus"
 	"oatloft/internal/revision"
-	"oatloft/internal/revision/permit"
+	"oatloft/internal/revision/lease"
 )
 
 // What the data's loop sees is named in a package of its own, which knows nothing of the log: a program that doesn't hold it can be built.
 type (
-	Phase     = permit.Phase
-	Permit    = permit.Permit
-	LinksPart = permit.LinksPart
-	Config    = permit.Config
+	Phase     = lease.Phase
+	Permit    = lease.Permit
+	LinksPart = lease.LinksPart
+	Config    = lease.Config
 )
 
 // The phases.
 const (
-	Learning = permit.Learning
-	AtWork   = permit.AtWork
-	Between  = permit.Between
-	Lapsed   = permit.Lapsed
+	Learning = lease.Learning
+	AtWork   = lease.AtWork
+	Between  = lease.Between
+	Lapsed   = lease.Lapsed
 )
 
 func init() {
-	permit.Start = func(cfg Config, log *slog.Logger) (permit.Host, error) {
+	lease.Start = func(cfg Config, log *slog.Logger) (lease.Host, error) {
 		h, err := Start(cfg, log)
 		if err != nil { // and not a Host that is nil
 			return nil, err
@@ -43,15 +43,15 @@
 	}
 }
 
-// Node is internal/agree as the host uses it.
+// Node is internal/consensus as the host uses it.
 type Node interface {
 	Propose(ctx context.Context, entry []byte) error
 	Confirm(ctx context.Context) (term uint64, err error)
-	Lead() agree.Lead
+	Lead() consensus.Lead
 	Changed() <-chan struct{}
 	Call(ctx context.Context, name, method string, body []byte) ([]byte, error)
 	Replace(ctx context.Context, old, new string) error
-	Status() agree.Status
+	Status() consensus.Status
 	Close()
 }
 
@@ -99,8 +99,8 @@
 
 // Start joins the others in the background. The error is of settings or the folder; that nobody answers is none.
 func Start(cfg Config, log *slog.Logger) (*Host, error) {
-	return start(cfg, log, func(m agree.Machine, h agree.Handler) (Node, error) {
-		n, err := agree.Start(logConfig(cfg.Agree), m, h, log)
+	return start(cfg, log, func(m consensus.Machine, h consensus.Handler) (Node, error) {
+		n, err := consensus.Start(logConfig(cfg.Agree), m, h, log)
 		if err != nil {
 			return nil, err
 		}
@@ -109,16 +109,16 @@
 }
 
 // logConfig is what the log is started with.
-func logConfig(l permit.Log) agree.Config {
-	c := agree.Config{Cluster: l.Cluster, Name: l.Name, Listen: l.Listen, Voters: l.Voters, Reach: l.Reach, Folder: l.Folder, Tick: l.Tick,
+func logConfig(l lease.Log) consensus.Config {
+	c := consensus.Config{Cluster: l.Cluster, Name: l.Name, Listen: l.Listen, Voters: l.Voters, Reach: l.Reach, Folder: l.Folder, Tick: l.Tick,
 		ReplaceAfter: l.ReplaceAfter, Seed: l.Seed}
 	for _, m := range l.Candidates {
-		c.Candidates = append(c.Candidates, agree.Candidate(m))
+		c.Candidates = append(c.Candidates, consensus.Candidate(m))
 	}
 	return c
 }
 
-func start(cfg Config, log *slog.Logger, node func(agree.Machine, agree.Handler) (Node, error)) (*Host, error) {
+func start(cfg Config, log *slog.Logger, node func(consensus.Machine, consensus.Handler) (Node, error)) (*Host, error) {
 	switch {
 	case cfg.Name == "":
 		return nil, &Settings{"name", "is empty"}
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -26,8 +26,8 @@
 
 type unfit struct{ note string }
 
-func (e *unfit) Error() string  { return "class " + e.note + " is unknown here" }
-func (e *unfit) Advice() string { return "load the settings that have it" }
+func (e *unfit) Error() string { return "class " + e.note + " is unknown here" }
+func (e *unfit) Hint() string  { return "load the settings that have it" }
 
 func (b *balancer) config(hold bool) Config {
 	return Config{Name: b.name, Generation: 1, Hold: hold, Lease: 300 * time.Millisecond, Deadline: 2 * time.Second, History: 10, HistoryBytes: 1 << 20,
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/agree"
+	"oatloft/internal/consensus"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
@@ -56,7 +56,7 @@
 			if err == nil {
 				return string(back), nil
 			}
-			if g := advice.Giver(nil); errors.As(err, &g) && !again(err) {
+			if g := hint.Hinter(nil); errors.As(err, &g) && !again(err) {
 				return "", err
 			}
 			cause = strings.TrimPrefix(err.Error(), revision.LaterText)
@@ -73,8 +73,8 @@
 
 // again tells of an error by which nothing is known to be done, so that another member may be asked.
 func again(err error) bool {
-	return strings.HasPrefix(err.Error(), revision.LaterText) || errors.As(err, new(*agree.Unreachable)) || errors.As(err, new(*agree.Overloaded)) ||
-		errors.As(err, new(*agree.NotLeader))
+	return strings.HasPrefix(err.Error(), revision.LaterText) || errors.As(err, new(*consensus.Unreachable)) || errors.As(err, new(*consensus.Overloaded)) ||
+		errors.As(err, new(*consensus.NotLeader))
 }
 
 // order is done at the leader.
@@ -286,7 +286,7 @@
 	n := h.node.Status()
 	own += fmt.Sprintf(" role=%s", n.Role)
 	if n.Fault != nil {
-		own += fmt.Sprintf(" fault=%q", advice.Line(n.Fault))
+		own += fmt.Sprintf(" fault=%q", hint.Line(n.Fault))
 	}
 	text, err := h.atLeader(ctx, string(revision.VerbStatus))
 	if err != nil {
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // Pace are the times of a leader.
@@ -24,7 +24,7 @@
 // Margin is how long a leader waits after the last grant that it may have given before it holds a lease lapsed: rates of clocks
 // differ by less than a tenth.
 func Margin(lease time.Duration) time.Duration {
-	if defects.On("no-margin") {
+	if failpoint.On("no-margin") {
 		return lease / 2
 	}
 	return lease + lease/5 + 100*time.Millisecond
@@ -82,7 +82,7 @@
 	x := l.holders[h]
 	if x == nil {
 		x = &heard{since: now, granted: now, seen: now}
-		if defects.On("new-leader-knows") {
+		if failpoint.On("new-leader-knows") {
 			x.granted, x.seen = -1<<40, -1<<40
 		}
 		l.holders[h] = x
@@ -124,7 +124,7 @@
 		}
 		reply.Stopped = p.Stopped
 	}
-	if defects.On("grant-while-stopped") && r.Stopped == s.Epoch {
+	if failpoint.On("grant-while-stopped") && r.Stopped == s.Epoch {
 		reply.Stopped = false
 	}
 	if !reply.Stopped {
@@ -170,7 +170,7 @@
 	for _, r := range s.Holders {
 		x := l.at(r.Holder, now)
 		if silent := now-x.seen >= Margin(l.Pace.Lease); l.lapsed(r, x, now) && silent || x.condemned {
-			x.condemned = !defects.On("lapse-uncondemned")
+			x.condemned = !failpoint.On("lapse-uncondemned")
 			out = append(out, Command{Op: OpLapse, Reign: l.reign, Holder: r.Holder})
 		}
 	}
@@ -213,7 +213,7 @@
 		}
 	}
 	waits := append(silent, going...)
-	if defects.On("one-stopped") && p.Stopped && len(waits) < len(s.Holders) || defects.On("majority") && 2*len(waits) < len(s.Holders) {
+	if failpoint.On("one-stopped") && p.Stopped && len(waits) < len(s.Holders) || failpoint.On("majority") && 2*len(waits) < len(s.Holders) {
 		waits = nil
 	}
 	switch {
--- a/internal/revision/permit/permit.go
+++ b/internal/revision/lease/permit.go
@@ -1,7 +1,7 @@
-// Package permit is what a balancer's loop sees of the revision in force: a permit that says by which one newcomers may be placed, and
+// Package lease is what a balancer's loop sees of the revision in force: a permit that says by which one newcomers may be placed, and
 // the host that publishes it. It owns these types alone. It must never know how the permit comes about, nor import what does: a
 // program is built without it, and started in its place where the edge file says so (cmd/oatloft).
-package permit
+package lease
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	Addr string // IP and port that other members call
 }
 
-// Log is what the log of settled decisions is started with: internal/agree's settings of the same names.
+// Log is what the log of settled decisions is started with: internal/consensus's settings of the same names.
 type Log struct {
 	Cluster, Name, Listen string
 	Candidates            []Candidate
@@ -71,7 +71,7 @@
 	return p.Phase == AtWork && (p.Until.IsZero() || now.Before(p.Until))
 }
 
-// LinksPart is internal/links: what this balancer asks of links and is lent, and the leader's keeping of all parts. All methods are
+// LinksPart is internal/bandwidth: what this balancer asks of links and is lent, and the leader's keeping of all parts. All methods are
 // safe for concurrent use and don't block.
 type LinksPart interface {
 	Demand() []byte                                                                         // to be told with the next renewal; nil for none
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -9,7 +9,7 @@
 	"errors"
 	"time"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // Phase is what a process may do.
@@ -137,7 +137,7 @@
 	if m.has {
 		r.Has = m.number + 1
 	}
-	if m.stopAt != 0 && (m.took >= m.stopSeq || defects.On("stopped-untaken")) {
+	if m.stopAt != 0 && (m.took >= m.stopSeq || failpoint.On("stopped-untaken")) {
 		r.Stopped = m.stopAt
 	}
 	return r
@@ -152,13 +152,13 @@
 
 // Left tells that the loop has taken up that this process has left.
 func (m *Member) Left() bool {
-	return m.permission.Phase == Gone && (m.took >= m.permission.Seq || defects.On("leaves-untaken"))
+	return m.permission.Phase == Gone && (m.took >= m.permission.Seq || failpoint.On("leaves-untaken"))
 }
 
 // Tick ends what has run out.
 func (m *Member) Tick(now time.Duration) {
 	if m.permission.Phase == AtWork && now >= m.permission.Until {
-		if defects.On("renews-itself") && now < m.permission.Until+time.Second*3600 {
+		if failpoint.On("renews-itself") && now < m.permission.Until+time.Second*3600 {
 			m.permission.Until += time.Second
 			return
 		}
@@ -177,7 +177,7 @@
 		return
 	}
 	m.known = true
-	if r.Epoch < m.epoch && !defects.On("old-epoch") {
+	if r.Epoch < m.epoch && !failpoint.On("old-epoch") {
 		return
 	}
 	m.epoch = max(m.epoch, r.Epoch)
@@ -247,7 +247,7 @@
 		return
 	}
 	m.staged, m.stagedHash, m.stagedText, m.no = r.Proposal, r.PropHash, r.Proposed, ""
-	if err != nil && !defects.On("unchecked") {
+	if err != nil && !failpoint.On("unchecked") {
 		m.no = err.Error()
 	}
 }
@@ -268,7 +268,7 @@
 	until := Forever
 	if !m.Hold {
 		until = asked + r.Lease
-		if defects.On("lease-from-answer") {
+		if failpoint.On("lease-from-answer") {
 			until = now + r.Lease
 		}
 		if m.permission.Phase == AtWork && before == m.number {
--- a/internal/revision/record_test.go
+++ b/internal/revision/record_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/policy"
 )
 
@@ -116,7 +116,7 @@
 	} {
 		_, err := Decode([]byte(text))
 		var e *Malformed
-		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || advice.Of(err) == "" {
+		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
 			t.Errorf("%.60s: %v", text, err)
 		}
 	}
@@ -195,8 +195,8 @@
 		d := today
 		x.spoil(c, &d)
 		var e *Unfit
-		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.why) || !strings.Contains(advice.Of(err), x.do) || strings.Contains(advice.Line(err), "%!") {
-			t.Errorf("%s: %v; want %s, %s", x.field, advice.Line(err), x.why, x.do)
+		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.why) || !strings.Contains(hint.Of(err), x.do) || strings.Contains(hint.Line(err), "%!") {
+			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.why, x.do)
 		}
 	}
 	many := Content{Form: Form}
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strconv"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 // Holder is a process that may hold the permission to route newcomers: a member by name, and which of its processes.
@@ -245,7 +245,7 @@
 func (s *State) Apply(c Command) Result {
 	switch c.Op {
 	case OpLapse, OpForget, OpEnd, OpStop, OpResume, OpSettle, OpKeep:
-		if c.Reign != s.Reign && !defects.On("old-reign") {
+		if c.Reign != s.Reign && !failpoint.On("old-reign") {
 			return Result{Refused: &Stale{string(c.Op), "the reign it was decided in is over"}}
 		}
 	}
@@ -290,10 +290,10 @@
 	if c.Epoch != s.Epoch || c.Op != OpEnd && p.Stopped == (c.Op == OpStop) {
 		return Result{Refused: &Stale{string(c.Op), "it was decided before another step was settled"}}
 	}
-	if (c.Op == OpStop || c.Op == OpSettle) && c.Roster != s.Roster && !defects.On("roster-unseen") {
+	if (c.Op == OpStop || c.Op == OpSettle) && c.Roster != s.Roster && !failpoint.On("roster-unseen") {
 		return Result{Refused: &Stale{string(c.Op), "somebody has come or gone since it was decided"}}
 	}
-	if c.Op != OpStop || !defects.On("stop-same-epoch") {
+	if c.Op != OpStop || !failpoint.On("stop-same-epoch") {
 		s.Epoch++
 	}
 	switch c.Op {
@@ -336,7 +336,7 @@
 }
 
 func (s *State) propose(c Command) Result {
-	if o := s.Outcome(c.Key); o != nil && !defects.On("key-unseen") {
+	if o := s.Outcome(c.Key); o != nil && !failpoint.On("key-unseen") {
 		return Result{Number: o.Number}
 	}
 	now := s.InForce().Number
@@ -346,7 +346,7 @@
 		}
 		return Result{Refused: &Busy{p.Key, p.Kind, p.By}}
 	}
-	if c.From != now && !defects.On("from-unseen") {
+	if c.From != now && !failpoint.On("from-unseen") {
 		return Result{Refused: &Moved{c.From, now, s.InForce().Hash}}
 	}
 	if w := s.Watch; w != nil && !w.Kept && w.Tries < MostTries && c.Kind == Proposed {
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -36,8 +36,8 @@
 	return "no revision's text: " + where + e.Cause
 }
 
-// Advice is what an operator can do.
-func (e *Malformed) Advice() string {
+// Hint is what an operator can do.
+func (e *Malformed) Hint() string {
 	return "hand revisions in by oatctl revision propose of the same version as the balancers, which writes this text"
 }
 
--- a/internal/revision/words.go
+++ b/internal/revision/words.go
@@ -69,8 +69,8 @@
 	return at + ": " + e.Cause
 }
 
-// Advice is what an operator can do.
-func (e *Misread) Advice() string {
+// Hint is what an operator can do.
+func (e *Misread) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
 			return "use oatctl revision " + string(e.Verb) + ", which writes revision " + strings.TrimSpace(string(v.verb)+" "+v.form)
--- a/internal/revision/words_test.go
+++ b/internal/revision/words_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // A call that was written is read back the same.
@@ -51,7 +51,7 @@
 	} {
 		_, err := ParseOrder(line)
 		var e *Misread
-		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || advice.Of(err) == "" {
+		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || hint.Of(err) == "" {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
 )
 
 const (
@@ -274,7 +274,7 @@
 			do("renew, not answered yet "+name, true, func(c *world) { c.exchange(i, 'q') })
 			do("renew, answer late "+name, true, func(c *world) { c.exchange(i, 'a') })
 		}
-		if defects.On("unconfirmed") && w.runs(i) && !p.left {
+		if failpoint.On("unconfirmed") && w.runs(i) && !p.left {
 			for j := range w.procs {
 				if w.procs[j].leader != nil && w.runs(j) && j != w.lead {
 					do("renew at who led before "+name, false, func(c *world) {
--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -21,7 +21,7 @@
 	"cuelang.org/go/cue/format"
 	"cuelang.org/go/cue/token"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
@@ -53,8 +53,8 @@
 	return at + ": " + f.What
 }
 
-// Advice is what an operator can do.
-func (f Fault) Advice() string { return f.Do }
+// Hint is what an operator can do.
+func (f Fault) Hint() string { return f.Do }
 
 // Faults is the error that a text is no revision: all that is wrong with it, at least one thing.
 type Faults []Fault
@@ -67,8 +67,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Advice is what to do about the first of them.
-func (l Faults) Advice() string { return l[0].Do }
+// Hint is what to do about the first of them.
+func (l Faults) Hint() string { return l[0].Do }
 
 // Unwrap gives errors.As the first of them.
 func (l Faults) Unwrap() error { return l[0] }
@@ -105,7 +105,7 @@
 			err = revision.Sound(c)
 		}
 		if err != nil {
-			return nil, Faults{{path, 0, 0, "", err.Error(), advice.Of(err)}}
+			return nil, Faults{{path, 0, 0, "", err.Error(), hint.Of(err)}}
 		}
 		return c, nil
 	}
--- a/internal/revisioncue/revisioncue_test.go
+++ b/internal/revisioncue/revisioncue_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
@@ -100,8 +100,8 @@
 		_, err := Parse("x.cue", []byte(text))
 		var all Faults
 		var one Fault
-		if !errors.As(err, &all) || !errors.As(err, &one) || !strings.Contains(advice.Line(err), want) || one.Do == "" || strings.Contains(advice.Line(err), "%!") {
-			t.Errorf("%.80q: %s\nwant %s", text, advice.Line(err), want)
+		if !errors.As(err, &all) || !errors.As(err, &one) || !strings.Contains(hint.Line(err), want) || one.Do == "" || strings.Contains(hint.Line(err), "%!") {
+			t.Errorf("%.80q: %s\nwant %s", text, hint.Line(err), want)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := "k-1 ended nowhere, for b2: " + advice.Line(revision.Check(c, revision.Today{Classes: []string{"gold"}, MaxAttempts: 3}))
+	answer := "k-1 ended nowhere, for b2: " + hint.Line(revision.Check(c, revision.Today{Classes: []string{"gold"}, MaxAttempts: 3}))
 	for text, want := range map[string]string{answer: "x.cue:4:3", "classes[7].name: lost": "x.cue:2:1", "budgets.setups: 100 is": "x.cue:9:25", "later: nobody leads": "x.cue"} {
 		if got := Where("x.cue", []byte(sample), text); got != want {
 			t.Errorf("%s: %s, not %s", text, got, want)
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // Fields are the name=value parts of one line. The first bad or missing value stays in err, so that a
@@ -46,12 +46,12 @@
 }
 
 // Unfit is a setting of the platform, or a part of a line, that is missing or can't be read.
-type Unfit struct{ advice.Words }
+type Unfit struct{ hint.Annotated }
 
 // Fail keeps the first fault.
 func (f *Fields) Fail(format string, args ...any) {
 	if f.Err == nil {
-		f.Err = &Unfit{advice.Words{What: fmt.Sprintf(format, args...), Do: "mend it where the settings come from"}}
+		f.Err = &Unfit{hint.Annotated{What: fmt.Sprintf(format, args...), Do: "mend it where the settings come from"}}
 	}
 }
 
@@ -90,7 +90,7 @@
 func ParseNumber(v string) (float64, error) {
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, &Unfit{advice.Words{What: fmt.Sprintf("%q is not a number", v), Do: "write a finite figure"}}
+		return 0, &Unfit{hint.Annotated{What: fmt.Sprintf("%q is not a number", v), Do: "write a finite figure"}}
 	}
 	return x, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/defects"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
 	"oatloft/policy"
 )
 
@@ -37,10 +37,10 @@
 		OverloadMultiple:      f.Number("rules.fall-multiple"),
 		OverloadWindow:        f.Millis("rules.tip-after-ms"),
 	}
-	if defects.On("fit-cold") {
+	if failpoint.On("fit-cold") {
 		c.Balancers = min(c.Balancers, 10)
 	}
-	if defects.On("fit-attempts") {
+	if failpoint.On("fit-attempts") {
 		c.MaxAttempts = 6
 	}
 	if !f.Flag("limits.retry-after") {
@@ -68,7 +68,7 @@
 		Idempotency:             OneOf(f, path+"semantics", effects),
 		KeyTTL:                  f.Millis(path + "key-ttl-ms"),
 	}
-	if defects.On("fit-class") && c.Name != "chat" {
+	if failpoint.On("fit-class") && c.Name != "chat" {
 		c.Idempotency = policy.Idempotent
 	}
 	if c.Idempotency == policy.IdempotentByKey {
@@ -130,7 +130,7 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
 	if err := d.Decode(&tree); err != nil {
-		return nil, &Unfit{advice.Words{Where: "settings", Cause: err, Do: "mend the JSON"}}
+		return nil, &Unfit{hint.Annotated{Where: "settings", Cause: err, Do: "mend the JSON"}}
 	}
 	f := &Fields{values: map[string]string{}}
 	f.flatten("", tree)
--- a/internal/crowd/crowd.go
+++ b/internal/simulation/crowd.go
@@ -1,10 +1,10 @@
-// Package crowd steps hundreds to thousands of balancers' modules side by side against stepped regions, without sockets: how
+// Package simulation steps hundreds to thousands of balancers' modules side by side against stepped regions, without sockets: how
 // their choices add up. Reports are late and noisy, words of other balancers come late, regions are cold at first and fall
 // over when pushed; balancers are killed and come back, grow, shrink, lose sight of each other, lie.
 //
 // It owns the stepped world and counts what happens there. All decisions are policy's and together's; the same seed gives
 // the same run on any machine, however many cores step it.
-package crowd
+package simulation
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 	"sync"
 	"time"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/together"
-	"oatloft/internal/turns"
+	"oatloft/internal/coordination"
+	"oatloft/internal/hint"
+	"oatloft/internal/stagger"
 	"oatloft/policy"
 )
 
@@ -80,7 +80,7 @@
 type balancer struct {
 	name, zone string
 	b          *policy.Balancer
-	t          *together.Together
+	t          *coordination.Together
 	conns      map[string]*conn // those that stand, and those that have no answer yet (on is nil)
 	own        map[string]reading
 	words      []said // latest last
@@ -104,7 +104,7 @@
 
 type said struct {
 	at time.Duration
-	together.Member
+	coordination.Member
 }
 
 // want is an effect on the world, carried out in order once all have been stepped: with a region a probe, or a connection
@@ -126,7 +126,7 @@
 	regions map[string]*region
 	order   []*region
 	rng     *rand.Rand
-	layouts together.Layouts
+	layouts coordination.Layouts
 	next    int
 	ids     int
 	version int // of the list of regions
@@ -136,7 +136,7 @@
 	comes   map[time.Duration][]string // keys
 	second  Second
 	traffic float64 // over what was at the start
-	told    [][]together.Member
+	told    [][]coordination.Member
 }
 
 type leaves struct {
@@ -163,12 +163,12 @@
 }
 
 // NoFleet is a fleet that can't be stepped.
-type NoFleet struct{ advice.Words }
+type NoFleet struct{ hint.Annotated }
 
 // New starts a fleet that has been at work for a while: connections stand where the load is even.
 func New(set Settings) (*World, error) {
 	if set.Balancers < 1 || set.Regions < 2 || set.Zones < 1 || !(set.Fill > 1) || !(set.Load > 0) || set.Life < time.Second {
-		return nil, &NoFleet{advice.Words{What: fmt.Sprintf("%d balancers, %d regions, %d zones, fill %v, load %v, life %v: no such fleet", set.Balancers, set.Regions, set.Zones, set.Fill, set.Load, set.Life),
+		return nil, &NoFleet{hint.Annotated{What: fmt.Sprintf("%d balancers, %d regions, %d zones, fill %v, load %v, life %v: no such fleet", set.Balancers, set.Regions, set.Zones, set.Fill, set.Load, set.Life),
 			Do: "give at least 1 balancer, 2 regions, 1 zone, a fill above 1, a load above 0, a life of 1s"}}
 	}
 	w := &World{Set: set, Now: time.Hour, regions: map[string]*region{}, rng: rand.New(rand.NewPCG(set.Seed, 11)), ends: map[time.Duration][]leaves{},
@@ -250,9 +250,9 @@
 		return err
 	}
 	d.conns, d.own, d.words, d.dead, d.listed, d.t, d.candidates = map[string]*conn{}, map[string]reading{}, nil, false, -1, nil, nil
-	s := together.Settings{Name: d.name, Zone: d.zone, Balancers: w.Set.Balancers, Silent: 3 * time.Second, Subset: w.Set.Subset, Readings: w.Set.Readings, Turns: w.Set.Turns}
+	s := coordination.Settings{Name: d.name, Zone: d.zone, Balancers: w.Set.Balancers, Silent: 3 * time.Second, Subset: w.Set.Subset, Readings: w.Set.Readings, Turns: w.Set.Turns}
 	if s.On() {
-		d.t = together.New(s)
+		d.t = coordination.New(s)
 		d.t.Layouts = &w.layouts
 	}
 	w.refresh()
@@ -484,7 +484,7 @@
 		for len(w.told) <= d.group {
 			w.told = append(w.told, nil)
 		}
-		m := together.Member{Name: d.name, Zone: d.zone}
+		m := coordination.Member{Name: d.name, Zone: d.zone}
 		for i := len(d.words) - 1; i >= 0; i-- {
 			if age := w.Now - d.words[i].at; age >= w.Set.Lag && age < 5*time.Second {
 				m = d.words[i].Member
@@ -497,11 +497,11 @@
 }
 
 // view is what a balancer sees of the others, own what it knows itself.
-func (w *World) view(d *balancer) together.View {
-	v := together.View{Known: 1}
+func (w *World) view(d *balancer) coordination.View {
+	v := coordination.View{Known: 1}
 	if d.group >= 0 && d.group < len(w.told) {
 		v.Known = len(w.told[d.group])
-		v.Members = make([]together.Member, 0, v.Known)
+		v.Members = make([]coordination.Member, 0, v.Known)
 		for _, m := range w.told[d.group] {
 			if m.Name != d.name {
 				v.Members = append(v.Members, m)
@@ -511,13 +511,13 @@
 	return v
 }
 
-func (w *World) own(d *balancer) together.Own {
+func (w *World) own(d *balancer) coordination.Own {
 	activity := d.b.Activity()
-	own := together.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+	own := coordination.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
 		Demand: activity.Demand, Refused: d.refused}
 	for _, s := range w.servers {
 		r := d.own[s.ID]
-		own.Regions = append(own.Regions, together.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, X: r.x, At: r.at, Fails: r.fails})
+		own.Regions = append(own.Regions, coordination.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, X: r.x, At: r.at, Fails: r.fails})
 	}
 	return own
 }
@@ -530,16 +530,16 @@
 		}
 		w.event(d, ev)
 	}
-	m := together.Member{Name: d.name, Zone: d.zone, Told: true, Clock: words.Clock, SlotAge: words.SlotAge, Demand: words.Demand,
+	m := coordination.Member{Name: d.name, Zone: d.zone, Told: true, Clock: words.Clock, SlotAge: words.SlotAge, Demand: words.Demand,
 		Reference: words.Reference, Holds: words.Holds}
 	if w.Set.Readings {
-		m.Readings = map[string]turns.Told{}
+		m.Readings = map[string]stagger.Told{}
 		for _, id := range words.Readings {
 			switch r, ok := d.own[id]; {
 			case d.lying:
-				m.Readings[id] = turns.Told{X: d.lies, Age: w.Set.Lag}
+				m.Readings[id] = stagger.Told{X: d.lies, Age: w.Set.Lag}
 			case ok && w.Now-r.at < 5*time.Second:
-				m.Readings[id] = turns.Told{X: r.x, Age: w.Now - r.at + w.Set.Lag, Fails: r.fails}
+				m.Readings[id] = stagger.Told{X: r.x, Age: w.Now - r.at + w.Set.Lag, Fails: r.fails}
 			}
 		}
 	}
--- a/internal/crowd/crowd_test.go
+++ b/internal/simulation/crowd_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simulation
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"reflect"
 
-	"oatloft/internal/together"
+	"oatloft/internal/coordination"
 )
 
 func fleet(balancers, regions int, with func(*Settings)) Settings {
@@ -168,7 +168,7 @@
 		_, words := d.t.Look(w.Now, w.view(d), w.own(d))
 		for _, mark := range words.Holds {
 			for _, r := range w.order {
-				if together.Mark(r.ID) == mark {
+				if coordination.Mark(r.ID) == mark {
 					at[r.ID]++
 				}
 			}
--- a/internal/crowd/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -1,6 +1,6 @@
 //go:build defects
 
-package crowd
+package simulation
 
 import (
 	"fmt"
@@ -9,40 +9,44 @@
 	"testing"
 	"time"
 
-	"oatloft/internal/defects"
-	"oatloft/internal/drawn"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/generate"
 )
 
 // TestDefectsAreFound plays drawn deployments with each fit to one deployment built in, until a rule breaks that holds without it, or
 // much less is served. Tried are those in which the literal figure isn't the deployment's own, of a size that is soon played.
 func TestDefectsAreFound(t *testing.T) {
-	defer defects.Choose("")
+	defer failpoint.Choose("")
 	const tries, much = 12, 0.15
 	for _, fit := range []struct {
 		name  string
-		where func(*drawn.Deployment) bool
+		where func(*generate.Deployment) bool
 	}{
-		{"fit-timeout", func(d *drawn.Deployment) bool { return d.ConnectTimeout < 200*time.Millisecond && d.Has(drawn.Lost) }},
-		{"fit-zones", func(d *drawn.Deployment) bool { return d.Zones > 4 && d.Load > 0.4 }},
-		{"fit-class", func(d *drawn.Deployment) bool { return d.Attempts > 1 && d.Has(drawn.Errors) }},
-		{"fit-cold", func(d *drawn.Deployment) bool { return d.Balancers > 60 && d.Has(drawn.Roll) }},
-		{"fit-field", func(d *drawn.Deployment) bool { return d.Probes && !slices.Contains(d.Fields, "x0") && d.Load > 0.5 }},
-		{"fit-attempts", func(d *drawn.Deployment) bool { return d.Attempts < 4 }},
-		{"fit-list", func(d *drawn.Deployment) bool { return d.Indented }},
-		{"fit-push", func(d *drawn.Deployment) bool { return d.Pushed && d.Has(drawn.Discovery) && d.Grace < d.AskEvery/8 }},
+		{"fit-timeout", func(d *generate.Deployment) bool {
+			return d.ConnectTimeout < 200*time.Millisecond && d.Has(generate.Lost)
+		}},
+		{"fit-zones", func(d *generate.Deployment) bool { return d.Zones > 4 && d.Load > 0.4 }},
+		{"fit-class", func(d *generate.Deployment) bool { return d.Attempts > 1 && d.Has(generate.Errors) }},
+		{"fit-cold", func(d *generate.Deployment) bool { return d.Balancers > 60 && d.Has(generate.Roll) }},
+		{"fit-field", func(d *generate.Deployment) bool { return d.Probes && !slices.Contains(d.Fields, "x0") && d.Load > 0.5 }},
+		{"fit-attempts", func(d *generate.Deployment) bool { return d.Attempts < 4 }},
+		{"fit-list", func(d *generate.Deployment) bool { return d.Indented }},
+		{"fit-push", func(d *generate.Deployment) bool {
+			return d.Pushed && d.Has(generate.Discovery) && d.Grace < d.AskEvery/8
+		}},
 		{"task-kept", whatever},
-		{"drain-unheard", func(d *drawn.Deployment) bool { return d.Has(drawn.Roll) }},
+		{"drain-unheard", func(d *generate.Deployment) bool { return d.Has(generate.Roll) }},
 	} {
 		found, tried := "", 0
 		for seed := 0; found == "" && tried < tries; seed++ {
-			d := drawn.Of(seed)
+			d := generate.Of(seed)
 			if stand := d.Fill * d.Load * float64(d.Regions); d.Balancers > 150 || stand > 2500 || stand/d.Life.Seconds() > 150 || !fit.where(&d) {
 				continue
 			}
 			tried++
 			var played [2]Played
 			for i, chosen := range []string{"", fit.name} {
-				defects.Choose(chosen)
+				failpoint.Choose(chosen)
 				var err error
 				if played[i], err = PlayDeployment(d); err != nil {
 					t.Fatal(err)
--- a/internal/crowd/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simulation
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"time"
 
 	"oatloft/internal/core"
-	"oatloft/internal/drawn"
+	"oatloft/internal/generate"
 	"oatloft/internal/golden"
 )
 
@@ -50,7 +50,7 @@
 // Every effect of every balancer in fifty generated deployments is the one that was recorded: no refactoring may change one.
 func TestEffectsAreAsRecorded(t *testing.T) {
 	var out bytes.Buffer
-	for _, d := range small(50, func(d *drawn.Deployment) bool { return d.Balancers <= 12 && d.Regions <= 60 }) {
+	for _, d := range small(50, func(d *generate.Deployment) bool { return d.Balancers <= 12 && d.Regions <= 60 }) {
 		sum, n := sha256.New(), 0
 		p, err := Open(d, false, Break{})
 		if err != nil {
--- a/internal/crowd/judge.go
+++ b/internal/simulation/judge.go
@@ -2,7 +2,7 @@
 // the balancers one policy plays in place of all that sees the true state late. This file must never change what happens, the seer
 // apart, which is all of its play.
 
-package crowd
+package simulation
 
 import (
 	"fmt"
@@ -77,14 +77,14 @@
 	}
 }
 
-func (j *Judge) probed(p *Place, d *proxy) {
+func (j *Judge) probed(p *Place, d *balancerProcess) {
 	if j.ProbesSent++; !p.D.Probes {
 		j.fault(p, "probes", "balancer %d probes where none are allowed", d.slot)
 	}
 }
 
 // told tells whether a balancer counts as told of a region's being bad, and since when.
-func (p *Place) toldOf(d *proxy, h *host) (time.Duration, bool) {
+func (p *Place) toldOf(d *balancerProcess, h *host) (time.Duration, bool) {
 	if h.badAt == 0 {
 		return 0, false
 	}
@@ -114,7 +114,7 @@
 }
 
 // sent judges a line that leaves for a region.
-func (j *Judge) sent(p *Place, d *proxy, r *request, t *task) {
+func (j *Judge) sent(p *Place, d *balancerProcess, r *request, t *task) {
 	h := t.on
 	if at, told := p.toldOf(d, h); told && p.now > at+p.D.Grace+slackTime && r.c.mid == nil {
 		j.fault(p, "drains", "balancer %d sends %s to %s, told %v ago of its being %s (grace %v)", d.slot, r.id, h.Host.Host, p.now-at, h.Health, p.D.Grace)
@@ -205,7 +205,7 @@
 }
 
 // chilled counts what a cold region is sent, and has it fall over.
-func (j *Judge) chilled(p *Place, d *proxy, h *host, t *task) {
+func (j *Judge) chilled(p *Place, d *balancerProcess, h *host, t *task) {
 	h.window = slices.DeleteFunc(h.window, func(c cold) bool { return c.at <= p.now-p.D.FallTime })
 	h.window = append(h.window, cold{p.now, t.of.c.class.Work, d != nil && d.heardSeq >= h.bornAt})
 	sum, known := 0.0, 0.0
@@ -251,7 +251,7 @@
 }
 
 // killed judges what a planned restart cut off.
-func (j *Judge) killed(p *Place, d *proxy) {
+func (j *Judge) killed(p *Place, d *balancerProcess) {
 	for _, r := range d.order {
 		switch {
 		case r.over:
--- a/internal/crowd/place.go
+++ b/internal/simulation/place.go
@@ -3,7 +3,7 @@
 // This file owns what happens; judge.go, beside it, owns the rules and the counts. It must never tell a balancer what a socket
 // would not tell it.
 
-package crowd
+package simulation
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	"time"
 
 	"oatloft/internal/core"
-	"oatloft/internal/drawn"
-	onet "oatloft/internal/net"
+	"oatloft/internal/generate"
 	"oatloft/internal/platform"
+	"oatloft/internal/proxy"
 	"oatloft/policy"
 )
 
@@ -30,7 +30,7 @@
 
 // host is a stepped region.
 type host struct {
-	drawn.Host
+	generate.Host
 	i, zone          int
 	size             float64 // connections of mean work that fill it
 	speed            float64 // of what it can do
@@ -74,7 +74,7 @@
 // client is a terminal that wants to be connected for a while.
 type client struct {
 	key, group, tenant string
-	class              *drawn.Class
+	class              *generate.Class
 	k, t               int
 	zone               int
 	from, till         time.Duration
@@ -89,7 +89,7 @@
 type request struct {
 	id       string
 	c        *client
-	d        *proxy
+	d        *balancerProcess
 	h        core.Handle
 	due      time.Duration
 	came     time.Duration
@@ -102,8 +102,8 @@
 	ranAt    time.Duration
 }
 
-// proxy is one process of a balancer.
-type proxy struct {
+// balancerProcess is one process of a balancer.
+type balancerProcess struct {
 	slot, zone    int
 	r             *core.Reducer
 	dead, closed  bool // closed: nobody new is sent here
@@ -128,7 +128,7 @@
 
 // Place is a deployment at work.
 type Place struct {
-	D             drawn.Deployment
+	D             generate.Deployment
 	Trace         func(slot int, now time.Duration, effects []core.Effect) // called before a balancer's effects are carried out; may be nil
 	Judge         Judge
 	seer          bool
@@ -143,7 +143,7 @@
 	told          []publication
 	down          bool // discovery
 	backAt        time.Duration
-	slots         []*proxy
+	slots         []*balancerProcess
 	skew          []float64
 	active        []*client
 	ids           int
@@ -155,7 +155,7 @@
 type publication struct {
 	seq  int64
 	host *host
-	Host drawn.Host
+	Host generate.Host
 }
 
 func (p *Place) after(d time.Duration, f func()) {
@@ -178,7 +178,7 @@
 }
 
 // Open starts a deployment: with its balancers, or with one policy in place of all that sees the true state late.
-func Open(d drawn.Deployment, seer bool, broken Break) (*Place, error) {
+func Open(d generate.Deployment, seer bool, broken Break) (*Place, error) {
 	p := &Place{D: d, seer: seer, broken: broken, now: time.Hour, zero: time.Unix(1_700_000_000, 0), rng: rand.New(rand.NewPCG(uint64(d.Seed), 77)), traffic: 1}
 	p.Judge.init(p)
 	for i := range d.Regions {
@@ -242,7 +242,7 @@
 func (p *Place) addHost(zone int, born time.Duration) *host {
 	n := len(p.hosts)
 	size := []float64{1, 1, 1.5, 0.6}[n%4]
-	h := &host{Host: drawn.Host{Host: fmt.Sprintf("s-%04x%02d", (n*40503+p.D.Seed*977)%65536, n%100), Site: p.D.Zone(zone), Class: "m", Block: n % p.D.Cells, Health: "ready", Share: size},
+	h := &host{Host: generate.Host{Host: fmt.Sprintf("s-%04x%02d", (n*40503+p.D.Seed*977)%65536, n%100), Site: p.D.Zone(zone), Class: "m", Block: n % p.D.Cells, Health: "ready", Share: size},
 		i: n, zone: zone, size: size * p.D.Fill, speed: 1, born: born, past: []look{{}}}
 	h.Dial = fmt.Sprintf("10.0.%d.%d:9000", n/250, n%250)
 	if born > 0 {
@@ -301,7 +301,7 @@
 	} else if c.host.badAt == 0 {
 		c.host.badSeq, c.host.badAt = c.seq, p.now
 	}
-	body := p.D.List(c.seq, false, []drawn.Host{c.Host})
+	body := p.D.List(c.seq, false, []generate.Host{c.Host})
 	for _, d := range p.slots {
 		if w := d.watch; w != nil && w.up && !w.silent && !d.dead {
 			p.deliver(d, w, chunk(body), c.seq)
@@ -313,7 +313,7 @@
 
 // whole is the list as discovery has told it.
 func (p *Place) whole() []byte {
-	at, hosts := map[*host]int{}, []drawn.Host{}
+	at, hosts := map[*host]int{}, []generate.Host{}
 	for _, c := range p.told {
 		if i, ok := at[c.host]; ok {
 			hosts[i] = c.Host
@@ -322,7 +322,7 @@
 			hosts = append(hosts, c.Host)
 		}
 	}
-	hosts = slices.DeleteFunc(hosts, func(h drawn.Host) bool { return h.Health == "gone" })
+	hosts = slices.DeleteFunc(hosts, func(h generate.Host) bool { return h.Health == "gone" })
 	return p.D.List(int64(len(p.told)), true, hosts)
 }
 
@@ -333,7 +333,7 @@
 	if first || p.D.Known {
 		known = p.whole()
 	}
-	cfg, err := onet.ParseConfig(p.D.JSON(zone, p.rng.Uint64()>>2, known), onet.Beside{})
+	cfg, err := proxy.ParseConfig(p.D.JSON(zone, p.rng.Uint64()>>2, known), proxy.Beside{})
 	if err != nil {
 		return err
 	}
@@ -344,7 +344,7 @@
 	if err != nil {
 		return err
 	}
-	d := &proxy{slot: slot, zone: zone, r: r, born: p.now, lastCall: p.now, reqs: map[core.Handle]*request{}, heard: map[*host]time.Duration{}}
+	d := &balancerProcess{slot: slot, zone: zone, r: r, born: p.now, lastCall: p.now, reqs: map[core.Handle]*request{}, heard: map[*host]time.Duration{}}
 	p.slots[slot] = d
 	if known != nil {
 		list, err := platform.ParseList(known, p.zero)
@@ -360,7 +360,7 @@
 }
 
 // do steps a balancer.
-func (p *Place) do(d *proxy, ev core.Event) {
+func (p *Place) do(d *balancerProcess, ev core.Event) {
 	if d.dead || p.seer {
 		return
 	}
@@ -371,7 +371,7 @@
 	p.steps(d, ev)
 }
 
-func (p *Place) steps(d *proxy, ev core.Event) {
+func (p *Place) steps(d *balancerProcess, ev core.Event) {
 	if d.dead {
 		return
 	}
@@ -448,7 +448,7 @@
 }
 
 // front is a balancer of a zone, or of any where it has none.
-func (p *Place) front(zone int) *proxy {
+func (p *Place) front(zone int) *balancerProcess {
 	for _, any := range []bool{false, true} {
 		total := 0.0
 		for i, d := range p.slots {
@@ -515,7 +515,7 @@
 }
 
 // effect carries out what a balancer wants.
-func (p *Place) effect(d *proxy, e core.Effect) {
+func (p *Place) effect(d *balancerProcess, e core.Effect) {
 	switch e := e.(type) {
 	case core.Probe:
 		p.probe(d, e)
@@ -597,14 +597,14 @@
 	return nil
 }
 
-func (p *Place) way(d *proxy, h *host) time.Duration {
+func (p *Place) way(d *balancerProcess, h *host) time.Duration {
 	if d.zone != h.zone {
 		return p.between(p.D.Way/2, p.D.Way)
 	}
 	return p.D.Way / 8
 }
 
-func (p *Place) probe(d *proxy, e core.Probe) {
+func (p *Place) probe(d *balancerProcess, e core.Probe) {
 	h := p.hostOf(e.Server)
 	p.Judge.probed(p, d)
 	wait, ev := p.way(d, h)*2+p.between(time.Millisecond, 10*time.Millisecond), core.ProbeFinished{Server: e.Server}
@@ -623,7 +623,7 @@
 	p.after(wait, func() { p.do(d, ev) })
 }
 
-func (p *Place) dial(d *proxy, e core.Dial) {
+func (p *Place) dial(d *balancerProcess, e core.Dial) {
 	r, h := d.reqs[e.Client], p.hostOf(e.Server)
 	if r == nil || h == nil {
 		p.Judge.fault(p, "nobody", "%d dials %s for nobody", e.Client, e.Server)
@@ -671,7 +671,7 @@
 }
 
 // line sends a first line: from now on it may run.
-func (p *Place) line(d *proxy, e core.SendRequest) {
+func (p *Place) line(d *balancerProcess, e core.SendRequest) {
 	r := d.reqs[e.Client]
 	if r == nil || r.task == nil {
 		p.Judge.fault(p, "nobody", "%d sends a line with no task", e.Client)
@@ -712,7 +712,7 @@
 }
 
 // arrives has a region take a line, or not.
-func (p *Place) arrives(d *proxy, t *task) bool {
+func (p *Place) arrives(d *balancerProcess, t *task) bool {
 	h, r := t.on, t.of
 	back := p.way(d, h)
 	if p.ramp(h) < 1 && !h.down {
@@ -809,7 +809,7 @@
 }
 
 // call is a call to discovery.
-func (p *Place) call(d *proxy, seq int64) {
+func (p *Place) call(d *balancerProcess, seq int64) {
 	if d.watch != nil && d.watch.answered {
 		d.former = d.watch
 	}
@@ -829,7 +829,7 @@
 		if seq == 0 || p.rng.IntN(4) == 0 {
 			body = chunk(p.whole())
 		} else {
-			hosts := []drawn.Host{}
+			hosts := []generate.Host{}
 			for _, c := range p.told[min(len(p.told), int(seq)):] {
 				hosts = append(hosts, c.Host)
 			}
@@ -842,7 +842,7 @@
 }
 
 // beats is the empty line of a watch on which nothing changes.
-func (p *Place) beats(d *proxy, w *watch) {
+func (p *Place) beats(d *balancerProcess, w *watch) {
 	if d.dead || !w.up || w.silent || d.watch != w && d.former != w {
 		return
 	}
@@ -850,7 +850,7 @@
 	p.after(2*time.Second, func() { p.beats(d, w) })
 }
 
-func (p *Place) hears(d *proxy, upto int64) {
+func (p *Place) hears(d *balancerProcess, upto int64) {
 	for _, h := range p.hosts {
 		if h.badAt > 0 && h.badSeq <= upto && h.badSeq > d.heardSeq {
 			d.heard[h] = p.now
@@ -860,7 +860,7 @@
 }
 
 // deliver brings bytes of a watch, in pieces.
-func (p *Place) deliver(d *proxy, w *watch, data []byte, upto int64) {
+func (p *Place) deliver(d *balancerProcess, w *watch, data []byte, upto int64) {
 	p.hears(d, upto)
 	for len(data) > 0 {
 		n := min(len(data), 1+p.rng.IntN(900))
@@ -889,10 +889,10 @@
 }
 
 // exit is a balancer's own end.
-func (p *Place) exit(d *proxy) { p.kill(d, true) }
+func (p *Place) exit(d *balancerProcess) { p.kill(d, true) }
 
 // kill ends a process. Its terminals come again, or go on through another balancer where packets pass through.
-func (p *Place) kill(d *proxy, planned bool) {
+func (p *Place) kill(d *balancerProcess, planned bool) {
 	if d.dead {
 		return
 	}
@@ -975,7 +975,7 @@
 	p.change(h, policy.Live, true)
 }
 
-func (p *Place) trouble(t drawn.Trouble) {
+func (p *Place) trouble(t generate.Trouble) {
 	steps := func(over time.Duration, n int, f func(i int)) {
 		for i := range n {
 			p.after(over*time.Duration(i)/time.Duration(max(1, n))+core.TickInterval, func() { f(i) })
@@ -989,10 +989,10 @@
 		})
 	}
 	switch t.Kind {
-	case drawn.Roll:
+	case generate.Roll:
 		list := p.some(t.Part, ready)
 		steps(t.For, len(list), func(i int) { p.drain(list[i]) })
-	case drawn.Lost:
+	case generate.Lost:
 		for _, h := range p.some(t.Part, ready) {
 			h.down = true // silent: the machine is gone
 			p.after(t.For, func() {
@@ -1000,25 +1000,25 @@
 				p.returnsCold(h)
 			})
 		}
-	case drawn.Hang:
+	case generate.Hang:
 		for _, h := range p.some(t.Part, ready) {
 			h.hung = true
 			p.after(2*t.For, func() { h.hung = false })
 		}
-	case drawn.Slow:
+	case generate.Slow:
 		for _, h := range p.some(t.Part, ready) {
 			h.speed = 0.5
 			p.after(2*t.For, func() { h.speed = 1 })
 		}
-	case drawn.Late:
+	case generate.Late:
 		p.late, p.lateMost = t.Part, time.Duration(t.Times*float64(600*time.Millisecond))
 		p.after(2*t.For, func() { p.late = 0 })
-	case drawn.Errors:
+	case generate.Errors:
 		for _, h := range p.some(t.Part/2, ready) {
 			h.errs = 0.5
 			p.after(t.For, func() { h.errs = 0 })
 		}
-	case drawn.Silent:
+	case generate.Silent:
 		for _, d := range p.slots {
 			if d.watch != nil && d.watch.up {
 				if d.watch.silent = true; d.silentAt == 0 {
@@ -1027,24 +1027,24 @@
 			}
 		}
 		drains(time.Duration(p.rng.IntN(3000)) * time.Millisecond)
-	case drawn.Unwatched:
+	case generate.Unwatched:
 		p.breakWatches()
 		drains(time.Duration(p.rng.IntN(2000)) * time.Millisecond)
-	case drawn.Discovery:
+	case generate.Discovery:
 		p.down, p.backAt = true, max(p.backAt, p.now+t.For)
 		p.breakWatches()
 		p.after(t.For, func() { p.down = p.now+core.TickInterval < p.backAt }) // one outage may go on into the next
 		drains(t.For)
-	case drawn.Restart:
+	case generate.Restart:
 		steps(t.For+8*time.Second, len(p.slots), func(i int) { p.restart(i) })
-	case drawn.Kill:
+	case generate.Kill:
 		for i, d := range p.slots {
 			if p.rng.Float64() < t.Part+0.1 {
 				p.kill(d, false)
 				p.after(p.between(500*time.Millisecond, 3*time.Second), func() { p.startAgain(i) })
 			}
 		}
-	case drawn.Burst:
+	case generate.Burst:
 		p.traffic *= t.Times
 		p.after(t.For, func() { p.traffic /= t.Times })
 	}
--- a/internal/crowd/place_test.go
+++ b/internal/simulation/place_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simulation
 
 import (
 	"reflect"
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 
 	"oatloft/internal/core"
-	"oatloft/internal/drawn"
+	"oatloft/internal/generate"
 )
 
 // small are the first deployments that a busy machine plays in a moment, picked by size and by what a test is about.
-func small(n int, is func(*drawn.Deployment) bool) (list []drawn.Deployment) {
+func small(n int, is func(*generate.Deployment) bool) (list []generate.Deployment) {
 	for seed := 0; len(list) < n; seed++ {
-		d := drawn.Of(seed)
+		d := generate.Of(seed)
 		if stand := d.Fill * d.Load * float64(d.Regions); d.Balancers <= 25 && stand < 800 && stand/d.Life.Seconds() < 60 && is(&d) {
 			list = append(list, d)
 		}
@@ -23,7 +23,7 @@
 	return list
 }
 
-func whatever(*drawn.Deployment) bool { return true }
+func whatever(*generate.Deployment) bool { return true }
 
 // No rule breaks in drawn deployments, and as much is served as a day's gate asks. oatlab crowd --drawn plays more.
 func TestDrawnDeployments(t *testing.T) {
@@ -64,22 +64,24 @@
 	for _, c := range []struct {
 		name, rule string
 		broken     Break
-		where      func(*drawn.Deployment) bool // the figure that is put in isn't the deployment's
+		where      func(*generate.Deployment) bool // the figure that is put in isn't the deployment's
 	}{
 		{"news of a drain count only after 1.5 s", "drains", Break{News: 1500 * time.Millisecond}, whatever},
 		{"a literal cold bound", "cold", Break{Told: func(c *core.Config) {
 			c.Policy.Balancers, c.Policy.OverloadMultiple, c.Policy.OverloadWindow, c.Policy.WarmUpDuration = 1, 8, 5*time.Second, time.Second
 		}}, whatever},
-		{"a literal number of attempts", "attempts", Break{Told: func(c *core.Config) { c.Policy.MaxAttempts = 6 }}, func(d *drawn.Deployment) bool { return d.Attempts < 4 }},
-		{"a literal advice", "advice", Break{Told: func(c *core.Config) { c.Policy.MaxRetryAfter = 2 * time.Second }}, func(d *drawn.Deployment) bool { return d.Advice < time.Second }},
-		{"probes whatever the settings say", "probes", Break{Told: func(c *core.Config) { c.Policy.ProbesEnabled = true }}, func(d *drawn.Deployment) bool { return !d.Probes }},
+		{"a literal number of attempts", "attempts", Break{Told: func(c *core.Config) { c.Policy.MaxAttempts = 6 }}, func(d *generate.Deployment) bool { return d.Attempts < 4 }},
+		{"a literal advice", "advice", Break{Told: func(c *core.Config) { c.Policy.MaxRetryAfter = 2 * time.Second }}, func(d *generate.Deployment) bool { return d.Advice < time.Second }},
+		{"probes whatever the settings say", "probes", Break{Told: func(c *core.Config) { c.Policy.ProbesEnabled = true }}, func(d *generate.Deployment) bool { return !d.Probes }},
 		{"a literal effect", "repeats", Break{Told: func(c *core.Config) {
 			for i := range c.Policy.Classes {
 				c.Policy.Classes[i].Idempotency = 0
 			}
 		}}, whatever},
-		{"a literal connect time-out", "connect time-out", Break{Told: func(c *core.Config) { c.ConnectTimeout = 2 * time.Second }}, func(d *drawn.Deployment) bool { return d.ConnectTimeout < 600*time.Millisecond && d.Has(drawn.Lost) }},
-		{"standing connections go on elsewhere, they don't", "moved at the end", Break{Told: func(c *core.Config) { c.PassThrough = true }}, func(d *drawn.Deployment) bool { return !d.Pass && d.Has(drawn.Restart) }},
+		{"a literal connect time-out", "connect time-out", Break{Told: func(c *core.Config) { c.ConnectTimeout = 2 * time.Second }}, func(d *generate.Deployment) bool {
+			return d.ConnectTimeout < 600*time.Millisecond && d.Has(generate.Lost)
+		}},
+		{"standing connections go on elsewhere, they don't", "moved at the end", Break{Told: func(c *core.Config) { c.PassThrough = true }}, func(d *generate.Deployment) bool { return !d.Pass && d.Has(generate.Restart) }},
 	} {
 		found, tried := 0, 0
 		for _, d := range small(12, c.where) {
@@ -103,7 +105,7 @@
 // FuzzDrawnDeployments looks for deployments that break a rule.
 func FuzzDrawnDeployments(f *testing.F) {
 	f.Fuzz(rapid.MakeFuzz(func(t *rapid.T) {
-		p, err := Open(drawn.Draw(t), false, Break{})
+		p, err := Open(generate.Draw(t), false, Break{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/crowd/play.go
+++ b/internal/simulation/play.go
@@ -1,6 +1,6 @@
 // Plays of drawn deployments, and what is asked of one as a whole.
 
-package crowd
+package simulation
 
 import (
 	"cmp"
@@ -12,26 +12,26 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"oatloft/internal/advice"
-	"oatloft/internal/drawn"
+	"oatloft/internal/generate"
+	"oatloft/internal/hint"
 )
 
 // Played is a deployment's play, and the same one with the policy that sees the true state late.
 type Played struct {
-	D         drawn.Deployment
+	D         generate.Deployment
 	Own, Seer Judge
 }
 
 // PlayDrawn plays the deployment of a seed.
-func PlayDrawn(seed int) (Played, error) { return PlayDeployment(drawn.Of(seed)) }
+func PlayDrawn(seed int) (Played, error) { return PlayDeployment(generate.Of(seed)) }
 
 // PlayDeployment plays a deployment.
-func PlayDeployment(d drawn.Deployment) (Played, error) {
+func PlayDeployment(d generate.Deployment) (Played, error) {
 	out := Played{D: d}
 	for _, seer := range []bool{false, true} {
 		p, err := Open(d, seer, Break{})
 		if err != nil {
-			return out, &NoFleet{advice.Words{Where: fmt.Sprintf("deployment %d", d.Seed), Cause: err, Do: "look into what the generator drew: its settings have to be sound"}}
+			return out, &NoFleet{hint.Annotated{Where: fmt.Sprintf("deployment %d", d.Seed), Cause: err, Do: "look into what the generator drew: its settings have to be sound"}}
 		}
 		p.Run()
 		if seer {
@@ -97,7 +97,7 @@
 }
 
 // Describe says in a few words what a deployment is like.
-func Describe(d drawn.Deployment) string {
+func Describe(d generate.Deployment) string {
 	how, fields, advice := "asked for", strings.Join(d.Fields, " "), "no advice"
 	if d.Pushed {
 		how = "pushed"
--- a/internal/crowd/row.go
+++ b/internal/simulation/row.go
@@ -1,4 +1,4 @@
-package crowd
+package simulation
 
 import (
 	"cmp"
--- a/internal/turns/turns.go
+++ b/internal/stagger/turns.go
@@ -1,11 +1,11 @@
-// Package turns keeps what must not happen at once in all balancers from happening at once, and makes one probe serve
+// Package stagger keeps what must not happen at once in all balancers from happening at once, and makes one probe serve
 // many: shares of what is bounded in sum, explore slots one after the other, the fleet's clock for who starts anew, and
 // who reads which region for the others (readings.go).
 //
 // It is pure: what members said goes in, figures for the decision module come out. It owns no clock, socket or member
 // list. It must never let what one member says move a figure further than its bounds, and never let a balancer take a
 // larger part of a bounded sum because it sees fewer others than there are.
-package turns
+package stagger
 
 import (
 	"cmp"
--- a/internal/turns/turns_test.go
+++ b/internal/stagger/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package stagger
 
 import (
 	"fmt"
--- a/internal/testrun/knownred.go
+++ b/internal/testrun/knownred.go
@@ -10,7 +10,7 @@
 	"regexp"
 	"strings"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // maxKnownRed is how many tests may be known to fail at a time.
@@ -24,10 +24,10 @@
 }
 
 // badList is a list of known failures that can't be taken as it stands.
-type badList struct{ advice.Words }
+type badList struct{ hint.Annotated }
 
 func badLine(where, what, do string) error {
-	return &badList{advice.Words{Where: where, What: what, Do: do}}
+	return &badList{hint.Annotated{Where: where, What: what, Do: do}}
 }
 
 var (
@@ -42,7 +42,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, &badList{advice.Words{Where: file, Cause: err, Do: "make the file readable, or remove it"}}
+		return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "make the file readable, or remove it"}}
 	}
 	return parseKnownRed(filepath.Base(file), string(text))
 }
@@ -121,7 +121,7 @@
 	for _, file := range files {
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return nil, &badList{advice.Words{Where: file, Cause: err, Do: "mend the test file"}}
+			return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "mend the test file"}}
 		}
 		for _, declaration := range parsed.Decls {
 			if function, ok := declaration.(*ast.FuncDecl); ok && function.Recv == nil {
--- a/internal/testrun/main.go
+++ b/internal/testrun/main.go
@@ -10,11 +10,11 @@
 	"os/exec"
 	"strings"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 )
 
 // notRun is a command that could not be run, or was no test command.
-type notRun struct{ advice.Words }
+type notRun struct{ hint.Annotated }
 
 func main() {
 	err := run(os.Stdout, os.Args[1:])
@@ -23,7 +23,7 @@
 		os.Exit(max(failed.ExitCode(), 1)) // go test has said what failed
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "testrun:", advice.Line(err))
+		fmt.Fprintln(os.Stderr, "testrun:", hint.Line(err))
 		os.Exit(1)
 	}
 }
@@ -31,7 +31,7 @@
 // run runs a command such as go test -race ./... in the working directory, which has to be the module's root.
 func run(out io.Writer, command []string) error {
 	if len(command) < 3 || command[0] != "go" || command[1] != "test" {
-		return &notRun{advice.Words{What: fmt.Sprintf("%q is no test command", strings.Join(command, " ")),
+		return &notRun{hint.Annotated{What: fmt.Sprintf("%q is no test command", strings.Join(command, " ")),
 			Do: "name go test, its flags and the packages"}}
 	}
 	list, err := readKnownRed("KNOWN-RED.txt")
@@ -64,7 +64,7 @@
 	command.Stderr = os.Stderr
 	out, err := command.Output()
 	if err != nil {
-		return nil, &notRun{advice.Words{Where: "go list " + packages, Cause: err, Do: "mend what it says"}}
+		return nil, &notRun{hint.Annotated{Where: "go list " + packages, Cause: err, Do: "mend what it says"}}
 	}
 	return strings.Fields(string(out)), nil
 }
@@ -79,11 +79,11 @@
 		err = tests.Start()
 	}
 	if err != nil {
-		return &notRun{advice.Words{Where: "go test", Cause: err, Do: "see that go is on the path"}}
+		return &notRun{hint.Annotated{Where: "go test", Cause: err, Do: "see that go is on the path"}}
 	}
 	lines := report{out: out}
 	if err := lines.read(events); err != nil {
-		return errors.Join(&notRun{advice.Words{Where: "go test", Cause: err, Do: "run it again"}}, tests.Wait())
+		return errors.Join(&notRun{hint.Annotated{Where: "go test", Cause: err, Do: "run it again"}}, tests.Wait())
 	}
 	lines.printSlowest()
 	return tests.Wait()
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"oatloft/internal/advice"
+	"oatloft/internal/hint"
 	"oatloft/internal/settings"
 	"oatloft/policy"
 )
@@ -158,10 +158,10 @@
 }
 
 // Malformed is a line of the bench that can't be read.
-type Malformed struct{ advice.Words }
+type Malformed struct{ hint.Annotated }
 
 func (r *Reader) errorf(format string, args ...any) error {
-	return &Malformed{advice.Words{Where: fmt.Sprintf("line %d", r.line), What: fmt.Sprintf(format, args...), Do: "see that the bench and this program are of the same protocol"}}
+	return &Malformed{hint.Annotated{Where: fmt.Sprintf("line %d", r.line), What: fmt.Sprintf(format, args...), Do: "see that the bench and this program are of the same protocol"}}
 }
 
 func split(text string) (string, *settings.Fields) {
--- a/policy/config.go
+++ b/policy/config.go
@@ -90,8 +90,8 @@
 // Error names the setting.
 func (e *ConfigError) Error() string { return "policy settings: " + e.Reason }
 
-// Advice is what an operator can do about it.
-func (e *ConfigError) Advice() string {
+// Hint is what an operator can do about it.
+func (e *ConfigError) Hint() string {
 	return "mend the platform's settings, or the revision in force, and start or reload"
 }
 
