--- a/internal/consensus/bench_test.go
+++ b/internal/consensus/bench_test.go
@@ -61,7 +61,7 @@
 			}
 			list := []*Node{lead, other, c.nodes[voters]}
 			var sum [3]int64
-			bytes := func(n *Node) int64 { s := n.Status(); return s.In + s.Out }
+			bytes := func(n *Node) int64 { s := n.Status(); return s.BytesIn + s.BytesOut }
 			for i, n := range list {
 				sum[i] -= bytes(n)
 			}
@@ -80,12 +80,12 @@
 // BenchmarkCalls has readers call the leader as they do for a lease, and each call confirmed.
 func BenchmarkCalls(b *testing.B) {
 	lead, c := standingCrew(b, 3, 1)
-	lead.h = func(ctx context.Context, _, _ string, body []byte) ([]byte, error) {
+	lead.handler = func(ctx context.Context, _, _ string, body []byte) ([]byte, error) {
 		_, err := lead.Confirm(ctx)
 		return body, err
 	}
 	reader := c.nodes[3]
-	for reader.Lead().Leader == "" {
+	for reader.Leader().Name == "" {
 		time.Sleep(time.Millisecond)
 	}
 	before := reader.Status()
@@ -103,7 +103,7 @@
 		}
 	})
 	after := reader.Status()
-	b.ReportMetric(float64(after.In+after.Out-before.In-before.Out)/float64(calls.Load()), "B/call")
+	b.ReportMetric(float64(after.BytesIn+after.BytesOut-before.BytesIn-before.BytesOut)/float64(calls.Load()), "B/call")
 }
 
 func standingCrew(b *testing.B, voters, readers int) (*Node, *crew) {
--- a/internal/consensus/decide_test.go
+++ b/internal/consensus/changes_test.go
@@ -19,7 +19,7 @@
 	}
 	for count, want := range []string{"", "a1", "a1 b1", "a1 b1 c1", "a1 b1 c1 a2", "a1 b1 c1 a2 b2", "a1 b1 c1 a2 b2 a3", "a1 b1 c1 a2 b2 a3"} {
 		var got []string
-		for _, c := range Draw(list, count) {
+		for _, c := range SelectVoters(list, count) {
 			got = append(got, c.Name)
 		}
 		if strings.Join(got, " ") != want {
@@ -34,35 +34,35 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "voters")
 		var list []Candidate
-		at := make([]standing, count)
+		at := make([]memberStatus, count)
 		next := uint64(1)
 		for i := range count {
 			list = append(list, Candidate{Name: fmt.Sprint("m", i)})
-			at[i] = standing{Name: list[i].Name, ID: next}
+			at[i] = memberStatus{Name: list[i].Name, ID: next}
 			next++
 		}
-		all := map[uint64]founding{}
+		all := map[uint64]bootstrap{}
 		lost := 0
 		look := func(i int, deaf []bool) {
-			if at[i].Founded.Number != 0 {
+			if at[i].Bootstrap.ID != 0 {
 				return
 			}
-			said := map[string]standing{}
+			said := map[string]memberStatus{}
 			for j := range at {
 				if j != i && !deaf[j] {
 					said[at[j].Name] = at[j]
 				}
 			}
-			if s := foundDecision("c", list, at[i].Name, at[i].ID, said); s.Found != nil {
-				at[i].Founded = *s.Found
-				all[s.Found.Number] = *s.Found
+			if s := decideBootstrap("c", list, at[i].Name, at[i].ID, said); s.Begin != nil {
+				at[i].Bootstrap = *s.Begin
+				all[s.Begin.ID] = *s.Begin
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, count-1).Draw(t, "who")
 			if rapid.IntRange(0, 9).Draw(t, "lose") == 0 && lost < count/2 {
 				lost++
-				at[i], next = standing{Name: at[i].Name, ID: next}, next+1
+				at[i], next = memberStatus{Name: at[i].Name, ID: next}, next+1
 			}
 			look(i, rapid.SliceOfN(rapid.Bool(), count, count).Draw(t, "deaf"))
 		}
@@ -70,7 +70,7 @@
 		for _, f := range all {
 			has := 0
 			for _, s := range at {
-				if s.Founded.Number == f.Number {
+				if s.Bootstrap.ID == f.ID {
 					has++
 				}
 			}
@@ -90,7 +90,7 @@
 					look(i, make([]bool, count))
 				}
 			}
-			if len(all) != 1 || slices.ContainsFunc(at, func(s standing) bool { return s.Founded.Number == 0 }) {
+			if len(all) != 1 || slices.ContainsFunc(at, func(s memberStatus) bool { return s.Bootstrap.ID == 0 }) {
 				t.Fatalf("%d foundings, %+v", len(all), at)
 			}
 		}
@@ -98,48 +98,50 @@
 }
 
 func TestDecide(t *testing.T) {
-	v := func(want int, seats ...seen) seatView {
+	v := func(want int, seats ...memberView) membershipView {
 		for i := range seats {
 			if seats[i].ID == 0 {
 				seats[i].ID = uint64(i + 1)
 			}
 		}
-		return seatView{Self: 1, Want: want, ReplaceAfter: 100, Seats: seats}
+		return membershipView{Self: 1, WantedVoters: want, ReplaceAfter: 100, Members: seats}
 	}
-	voter := func(quiet int) seen { return seen{Voter: true, Even: true, Quiet: quiet} }
-	learner := func(of uint64, even bool, quiet int) seen { return seen{seat: seat{For: of}, Even: even, Quiet: quiet} }
-	order := func(x seatView, of uint64, force bool) seatView {
-		x.Orders = []seatOrder{{Seat: seat{ID: 9, For: of}, Force: force}}
+	voter := func(quiet int) memberView { return memberView{Voter: true, CaughtUp: true, SilentTicks: quiet} }
+	learner := func(of uint64, even bool, quiet int) memberView {
+		return memberView{member: member{Replaces: of}, CaughtUp: even, SilentTicks: quiet}
+	}
+	order := func(x membershipView, of uint64, force bool) membershipView {
+		x.Requests = []memberRequest{{Member: member{ID: 9, Replaces: of}, ByOperator: force}}
 		return x
 	}
 	again := order(v(3, voter(0), voter(0), voter(500), learner(3, false, 5)), 3, false)
-	again.Seats[3].Name, again.Orders[0].Seat.Name = "c", "c"
+	again.Members[3].Name, again.Requests[0].Member.Name = "c", "c"
 	joint := order(v(3, voter(0), voter(0), voter(500)), 3, true)
-	joint.Joint = true
+	joint.ChangePending = true
 	for what, c := range map[string]struct {
-		view seatView
-		want seatStep
+		view membershipView
+		want membershipChange
 	}{
-		"all well":                           {v(3, voter(0), voter(2), voter(3)), seatStep{}},
-		"silent for long":                    {v(3, voter(0), voter(99), voter(100)), seatStep{Do: look, Seat: seat{For: 3}}},
-		"one at a time":                      {v(3, voter(0), voter(500), voter(500), learner(3, false, 0)), seatStep{}},
-		"a change is under way":              {joint, seatStep{}},
-		"even learner":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 0)), seatStep{Do: promote, Seat: seat{ID: 4, For: 3}}},
-		"learner not heard of":               {v(3, voter(0), voter(0), voter(500), learner(3, true, 50)), seatStep{}},
-		"learner gone":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 401)), seatStep{Do: drop, Seat: seat{ID: 4, For: 3}}},
-		"learner that lost its folder":       {again, seatStep{Do: drop, Seat: seat{ID: 4, Name: "c", For: 3}}},
-		"learner for nobody":                 {v(3, voter(0), voter(0), voter(0), learner(0, true, 0)), seatStep{Do: drop, Seat: seat{ID: 4}}},
-		"too few":                            {v(3, voter(0), voter(0)), seatStep{Do: look}},
-		"learner for too few":                {v(3, voter(0), voter(0), learner(0, true, 0)), seatStep{Do: promote, Seat: seat{ID: 3}}},
-		"too many":                           {v(1, voter(0), voter(3), voter(0)), seatStep{Do: drop, Seat: seat{ID: 2}}},
-		"too many, and one silent":           {v(3, voter(0), voter(0), voter(0), voter(50)), seatStep{Do: drop, Seat: seat{ID: 4}}},
-		"two, and one wanted":                {v(1, voter(0), voter(0)), seatStep{Do: drop, Seat: seat{ID: 2}}},
-		"comes back":                         {order(v(3, voter(0), voter(0), voter(20)), 3, false), seatStep{Do: takeIn, Seat: seat{ID: 9, For: 3}}},
-		"comes back while the old one lives": {order(v(3, voter(0), voter(0), voter(19)), 3, false), seatStep{}},
-		"ordered":                            {order(v(3, voter(0), voter(0), voter(0)), 2, true), seatStep{Do: takeIn, Seat: seat{ID: 9, For: 2}}},
-		"ordered for one that is gone":       {order(v(3, voter(0), voter(0), voter(0)), 8, true), seatStep{}},
+		"all well":                           {v(3, voter(0), voter(2), voter(3)), membershipChange{}},
+		"silent for long":                    {v(3, voter(0), voter(99), voter(100)), membershipChange{Kind: findCandidate, Member: member{Replaces: 3}}},
+		"one at a time":                      {v(3, voter(0), voter(500), voter(500), learner(3, false, 0)), membershipChange{}},
+		"a change is under way":              {joint, membershipChange{}},
+		"even learner":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 0)), membershipChange{Kind: promoteLearner, Member: member{ID: 4, Replaces: 3}}},
+		"learner not heard of":               {v(3, voter(0), voter(0), voter(500), learner(3, true, 50)), membershipChange{}},
+		"learner gone":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 401)), membershipChange{Kind: removeMember, Member: member{ID: 4, Replaces: 3}}},
+		"learner that lost its folder":       {again, membershipChange{Kind: removeMember, Member: member{ID: 4, Name: "c", Replaces: 3}}},
+		"learner for nobody":                 {v(3, voter(0), voter(0), voter(0), learner(0, true, 0)), membershipChange{Kind: removeMember, Member: member{ID: 4}}},
+		"too few":                            {v(3, voter(0), voter(0)), membershipChange{Kind: findCandidate}},
+		"learner for too few":                {v(3, voter(0), voter(0), learner(0, true, 0)), membershipChange{Kind: promoteLearner, Member: member{ID: 3}}},
+		"too many":                           {v(1, voter(0), voter(3), voter(0)), membershipChange{Kind: removeMember, Member: member{ID: 2}}},
+		"too many, and one silent":           {v(3, voter(0), voter(0), voter(0), voter(50)), membershipChange{Kind: removeMember, Member: member{ID: 4}}},
+		"two, and one wanted":                {v(1, voter(0), voter(0)), membershipChange{Kind: removeMember, Member: member{ID: 2}}},
+		"comes back":                         {order(v(3, voter(0), voter(0), voter(20)), 3, false), membershipChange{Kind: addLearner, Member: member{ID: 9, Replaces: 3}}},
+		"comes back while the old one lives": {order(v(3, voter(0), voter(0), voter(19)), 3, false), membershipChange{}},
+		"ordered":                            {order(v(3, voter(0), voter(0), voter(0)), 2, true), membershipChange{Kind: addLearner, Member: member{ID: 9, Replaces: 2}}},
+		"ordered for one that is gone":       {order(v(3, voter(0), voter(0), voter(0)), 8, true), membershipChange{}},
 	} {
-		if got := decide(c.view); got != c.want {
+		if got := nextMembershipChange(c.view); got != c.want {
 			t.Errorf("%s: %+v, want %+v", what, got, c.want)
 		}
 	}
@@ -160,7 +162,7 @@
 	} {
 		x := good()
 		f(&x)
-		var bad *Misconfigured
+		var bad *ConfigError
 		if _, err := x.withDefaults(); !errors.As(err, &bad) || bad.Field != field || bad.Hint() == "" {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -12,49 +12,51 @@
 
 func quoted(s string) string { return strconv.Quote(s) }
 
-// Misconfigured is a setting that doesn't fit.
-type Misconfigured struct{ Field, Why, Do string }
+// ConfigError is a setting that doesn't fit.
+type ConfigError struct{ Field, Why, Do string }
 
-func (e *Misconfigured) Error() string { return "revisions." + e.Field + ": " + e.Why }
+func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
 // Hint implements advice.Giver.
-func (e *Misconfigured) Hint() string { return e.Do }
+func (e *ConfigError) Hint() string { return e.Do }
 
-// Foreign is a folder that belongs to another cluster, another member or another program. It is left as it is.
-type Foreign struct{ Folder, Why string }
+// ForeignFolder is a folder that belongs to another cluster, another member or another program. It is left as it is.
+type ForeignFolder struct{ Folder, Why string }
 
-func (e *Foreign) Error() string {
+func (e *ForeignFolder) Error() string {
 	return fmt.Sprintf("folder %s is not this member's: %s", e.Folder, e.Why)
 }
 
 // Hint implements advice.Giver.
-func (e *Foreign) Hint() string {
+func (e *ForeignFolder) Hint() string {
 	return "name this member's own folder, or an empty one, with which it comes back as a new voter"
 }
 
-// Damaged is a folder whose content isn't as it was written. It is left as it is.
-type Damaged struct{ Folder, Why string }
+// CorruptFolder is a folder whose content isn't as it was written. It is left as it is.
+type CorruptFolder struct{ Folder, Why string }
 
-func (e *Damaged) Error() string { return fmt.Sprintf("folder %s is damaged: %s", e.Folder, e.Why) }
+func (e *CorruptFolder) Error() string {
+	return fmt.Sprintf("folder %s is damaged: %s", e.Folder, e.Why)
+}
 
 // Hint implements advice.Giver.
-func (e *Damaged) Hint() string {
+func (e *CorruptFolder) Hint() string {
 	return "move the folder away and start again: this member comes back as a new voter while most of the others stand"
 }
 
-// Unwritable is a write to the folder that failed. The member doesn't act as a voter until it could write again.
-type Unwritable struct {
+// UnwritableFolder is a write to the folder that failed. The member doesn't act as a voter until it could write again.
+type UnwritableFolder struct {
 	Folder string
 	Cause  error
 }
 
-func (e *Unwritable) Error() string {
+func (e *UnwritableFolder) Error() string {
 	return fmt.Sprintf("folder %s can't be written, this member doesn't vote: %v", e.Folder, e.Cause)
 }
-func (e *Unwritable) Unwrap() error { return e.Cause }
+func (e *UnwritableFolder) Unwrap() error { return e.Cause }
 
 // Hint implements advice.Giver.
-func (e *Unwritable) Hint() string {
+func (e *UnwritableFolder) Hint() string {
 	switch {
 	case errors.Is(e.Cause, syscall.ENOSPC), errors.Is(e.Cause, syscall.EDQUOT):
 		return "make room on its disk; it votes again by itself then"
@@ -64,8 +66,8 @@
 	return "look at the disk; if it failed, put the folder on another one, empty, and restart this balancer"
 }
 
-// later tells whether it may pass by itself. What failed at a sync does not: nobody knows what is on the disk then.
-func (e *Unwritable) later() bool {
+// mayRecover tells whether it may pass by itself. What failed at a sync does not: nobody knows what is on the disk then.
+func (e *UnwritableFolder) mayRecover() bool {
 	for _, x := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EACCES, syscall.EPERM, syscall.EROFS} {
 		if errors.Is(e.Cause, x) {
 			return true
@@ -74,65 +76,67 @@
 	return false
 }
 
-// Failed is a voter that stopped since what it was told can't be, such as an entry before the last one settled.
-type Failed struct{ Why string }
+// ReplicaFailed is a voter that stopped since what it was told can't be, such as an entry before the last one settled.
+type ReplicaFailed struct{ Why string }
 
-func (e *Failed) Error() string { return "this member stopped voting: " + e.Why }
+func (e *ReplicaFailed) Error() string { return "this member stopped voting: " + e.Why }
 
 // Hint implements advice.Giver.
-func (e *Failed) Hint() string {
+func (e *ReplicaFailed) Hint() string {
 	return "keep a copy of its folder for those who look into it, empty the folder and restart this balancer: it comes back as a new voter"
 }
 
 // NotLeader says that only the leader can do that.
-type NotLeader struct{ Lead Lead }
+type NotLeader struct{ Leader LeaderInfo }
 
 func (e *NotLeader) Error() string {
-	if e.Lead.Leader == "" {
+	if e.Leader.Name == "" {
 		return "nobody leads at present"
 	}
-	return "this member doesn't lead, " + e.Lead.Leader + " does"
+	return "this member doesn't lead, " + e.Leader.Name + " does"
 }
 
 // Hint implements advice.Giver.
 func (e *NotLeader) Hint() string {
-	if e.Lead.Leader == "" {
+	if e.Leader.Name == "" {
 		return "see that most of the voters run and reach each other; then one leads within seconds"
 	}
-	return "ask " + e.Lead.Leader
+	return "ask " + e.Leader.Name
 }
 
 // Overloaded says that as much is under way as may be.
 type Overloaded struct {
-	What string
-	Most int
+	What  string
+	Limit int
 }
 
 func (e *Overloaded) Error() string {
-	return fmt.Sprintf("%s: %d are under way already", e.What, e.Most)
+	return fmt.Sprintf("%s: %d are under way already", e.What, e.Limit)
 }
 
 // Hint implements advice.Giver.
 func (e *Overloaded) Hint() string { return "try again in a second" }
 
 // TooLong is an entry or an answer above the bound.
-type TooLong struct{ Bytes, Most int }
+type TooLong struct{ Bytes, Limit int }
 
-func (e *TooLong) Error() string { return fmt.Sprintf("%d bytes, and at most %d fit", e.Bytes, e.Most) }
+func (e *TooLong) Error() string {
+	return fmt.Sprintf("%d bytes, and at most %d fit", e.Bytes, e.Limit)
+}
 
 // Hint implements advice.Giver.
 func (e *TooLong) Hint() string { return "make it shorter, or do it in several steps" }
 
-// Unknown says that what was proposed may or may not be settled.
-type Unknown struct{ Cause error }
+// UnknownOutcome says that what was proposed may or may not be settled.
+type UnknownOutcome struct{ Cause error }
 
-func (e *Unknown) Error() string {
+func (e *UnknownOutcome) Error() string {
 	return fmt.Sprintf("it may or may not have been settled: %v", e.Cause)
 }
-func (e *Unknown) Unwrap() error { return e.Cause }
+func (e *UnknownOutcome) Unwrap() error { return e.Cause }
 
 // Hint implements advice.Giver.
-func (e *Unknown) Hint() string { return "ask again with the same key: it is done once at most" }
+func (e *UnknownOutcome) Hint() string { return "ask again with the same key: it is done once at most" }
 
 // Unreachable is a member that couldn't be called, or didn't answer in time.
 type Unreachable struct {
@@ -148,23 +152,23 @@
 	return "see that " + e.Name + " runs, and that " + e.Addr + " can be reached from here"
 }
 
-// Stranger is a name that is not among the candidates.
-type Stranger struct{ Name string }
+// UnknownMember is a name that is not among the candidates.
+type UnknownMember struct{ Name string }
 
-func (e *Stranger) Error() string {
+func (e *UnknownMember) Error() string {
 	return quoted(e.Name) + " is not among the members that may hold a vote"
 }
 
 // Hint implements advice.Giver.
-func (e *Stranger) Hint() string { return "list it in revisions.members at all balancers" }
+func (e *UnknownMember) Hint() string { return "list it in revisions.members at all balancers" }
 
-// Answered is another member's error.
-type Answered struct{ Name, Method, Text, Do string }
+// RemoteError is another member's error.
+type RemoteError struct{ Name, Method, Text, Do string }
 
-func (e *Answered) Error() string { return e.Text }
+func (e *RemoteError) Error() string { return e.Text }
 
 // Hint implements advice.Giver.
-func (e *Answered) Hint() string {
+func (e *RemoteError) Hint() string {
 	if e.Do == "" {
 		return "see the log of " + e.Name
 	}
@@ -181,21 +185,21 @@
 // Hint implements advice.Giver.
 func (e *NotReplaced) Hint() string { return e.Do }
 
-// Broke is a call between members that ended before its answer came.
-type Broke struct{ Why string }
+// CallFailed is a call between members that ended before its answer came.
+type CallFailed struct{ Why string }
 
-func (e *Broke) Error() string { return e.Why }
+func (e *CallFailed) Error() string { return e.Why }
 
 // Hint implements advice.Giver.
-func (e *Broke) Hint() string {
+func (e *CallFailed) Hint() string {
 	return "see that the other member runs, that nothing between the two cuts connections, and that both are of one version"
 }
 
-// Locked is a folder that another process has.
-type Locked struct{ hint.Annotated }
+// FolderLocked is a folder that another process has.
+type FolderLocked struct{ hint.Annotated }
 
-// Released is the end of a voter whose vote another member has now.
-type Released struct{ hint.Annotated }
+// VoteReleased is the end of a voter whose vote another member has now.
+type VoteReleased struct{ hint.Annotated }
 
 // Closed says that the node has been closed.
 type Closed struct{}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -52,11 +52,11 @@
 	}
 	golden.Check(t, "folder.txt", []byte(text))
 	err = s.db.View(func(tx *bolt.Tx) error {
-		stored, ok := unsealed(keyHead, tx.Bucket(bucketMeta).Get(keyHead))
+		stored, ok := checkChecksum(keyHeader, tx.Bucket(bucketMeta).Get(keyHeader))
 		if !ok {
 			return fmt.Errorf("the head's sum doesn't fit")
 		}
-		again, err := json.Marshal(s.h)
+		again, err := json.Marshal(s.header)
 		if string(stored) != string(again) {
 			t.Errorf("head is written as %s, was %s", again, stored)
 		}
@@ -69,33 +69,33 @@
 
 // Calls between members of two versions keep their bytes.
 func TestFormOfCalls(t *testing.T) {
-	w := newWire(&Config{Cluster: "c", Name: "m"}, nil)
-	golden.Check(t, "call.bin", w.pack([]byte("body")))
-	if from, body, err := w.unpack(golden.Read(t, "call.bin")); err != nil || from != "m" || string(body) != "body" {
+	w := newTransport(&Config{Cluster: "c", Name: "m"}, nil)
+	golden.Check(t, "call.bin", w.packCall([]byte("body")))
+	if from, body, err := w.unpackCall(golden.Read(t, "call.bin")); err != nil || from != "m" || string(body) != "body" {
 		t.Error(from, string(body), err)
 	}
-	for name, err := range map[string]error{"answer.bin": nil, "answer-leader.bin": &NotLeader{Lead: Lead{Leader: "n"}},
-		"answer-load.bin": &Overloaded{What: "calls", Most: 3}, "answer-error.bin": &Answered{Name: "m", Text: "no", Do: "wait"}} {
+	for name, err := range map[string]error{"answer.bin": nil, "answer-leader.bin": &NotLeader{Leader: LeaderInfo{Name: "n"}},
+		"answer-load.bin": &Overloaded{What: "calls", Limit: 3}, "answer-error.bin": &RemoteError{Name: "m", Text: "no", Do: "wait"}} {
 		golden.Check(t, name, packAnswer([]byte("out"), err))
 		_, back := w.unpackAnswer("n", "x", golden.Read(t, name))
 		if (back == nil) != (err == nil) {
 			t.Error(name, back)
 		}
 	}
-	golden.JSON[wireError](t, "error.json")
-	golden.JSON[head](t, "head.json")
-	golden.JSON[founding](t, "founding.json")
-	golden.JSON[standing](t, "standing.json")
+	golden.JSON[remoteErrorMessage](t, "error.json")
+	golden.JSON[header](t, "head.json")
+	golden.JSON[bootstrap](t, "founding.json")
+	golden.JSON[memberStatus](t, "standing.json")
 	golden.JSON[memberAnswer](t, "member.json")
-	golden.JSON[seat](t, "seat.json")
-	var told toldStanding
-	golden.Fill(&told.standing)
-	told.Lead, told.Term = "leader", 9
+	golden.JSON[member](t, "seat.json")
+	var told reportedStatus
+	golden.Fill(&told.memberStatus)
+	told.Leader, told.Term = "leader", 9
 	body, err := json.Marshal(told)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "standing-told.json", body)
-	golden.Check(t, "snapshot.bin", packSnapshot([]seat{{ID: 1, Name: "m", Zone: "z", Addr: "10.0.0.1:1", For: 2}}, []byte("machine")))
-	golden.Check(t, "chain.txt", fmt.Appendln(nil, chain(1, 2, []byte("x")), found("c", []seat{{ID: 1}, {ID: 2}}).Number))
+	golden.Check(t, "snapshot.bin", packSnapshot([]member{{ID: 1, Name: "m", Zone: "z", Addr: "10.0.0.1:1", Replaces: 2}}, []byte("machine")))
+	golden.Check(t, "chain.txt", fmt.Appendln(nil, chain(1, 2, []byte("x")), newBootstrap("c", []member{{ID: 1}, {ID: 2}}).ID))
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -79,7 +79,7 @@
 }
 
 func newCrew(t testing.TB, candidates, voters int, change func(*Config)) *crew {
-	cluster := fmt.Sprintf("test %x", drawID()) // runs side by side have nothing to do with each other
+	cluster := fmt.Sprintf("test %x", randomID()) // runs side by side have nothing to do with each other
 	c := &crew{t: t, nodes: make([]*Node, candidates), m: make([]*sheet, candidates)}
 	var list []Candidate
 	for i := range candidates {
@@ -108,7 +108,7 @@
 	n, err := Start(c.cfg[i], c.m[i], func(_ context.Context, from, method string, body []byte) ([]byte, error) {
 		switch method {
 		case "fail":
-			return nil, &TooLong{Bytes: 2, Most: 1}
+			return nil, &TooLong{Bytes: 2, Limit: 1}
 		case "run":
 			return fmt.Append(nil, run), nil
 		}
@@ -144,7 +144,7 @@
 
 func (c *crew) leader() *Node {
 	for _, n := range c.nodes {
-		if n != nil && n.Lead().Mine {
+		if n != nil && n.Leader().IsSelf {
 			return n
 		}
 	}
@@ -168,7 +168,7 @@
 func (c *crew) same(want ...string) {
 	c.t.Helper()
 	for i, n := range c.nodes {
-		if n != nil && n.eng.Load() != nil {
+		if n != nil && n.runner.Load() != nil {
 			c.until(fmt.Sprintf("%s has %q", n.cfg.Name, want), func() bool { return slices.Equal(slices.Compact(c.m[i].read()), want) })
 		}
 	}
@@ -188,14 +188,14 @@
 			lead := c.leader()
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			if term, err := lead.Confirm(ctx); err != nil || term != lead.Lead().Term {
+			if term, err := lead.Confirm(ctx); err != nil || term != lead.Leader().Term {
 				t.Fatal(term, err)
 			}
 			for _, n := range c.nodes {
-				c.until("all know who leads", func() bool { return n.Lead().Leader == lead.cfg.Name })
+				c.until("all know who leads", func() bool { return n.Leader().Name == lead.cfg.Name })
 				if n != lead {
 					var no *NotLeader
-					if err := n.Propose(ctx, []byte("x")); !errors.As(err, &no) || no.Lead.Leader != lead.cfg.Name {
+					if err := n.Propose(ctx, []byte("x")); !errors.As(err, &no) || no.Leader.Name != lead.cfg.Name {
 						t.Fatal(err)
 					}
 					if _, err := n.Confirm(ctx); !errors.As(err, &no) {
@@ -207,7 +207,7 @@
 					t.Fatal(string(out), err)
 				}
 			}
-			var told *Answered
+			var told *RemoteError
 			from := c.nodes[0]
 			if from == lead {
 				from = c.nodes[1]
@@ -265,7 +265,7 @@
 	}
 	for _, n := range c.nodes {
 		if n != nil {
-			c.until("nobody leads", func() bool { return n.Lead().Leader == "" })
+			c.until("nobody leads", func() bool { return n.Leader().Name == "" })
 		}
 	}
 	c.start(4) // which lags, and is the third
@@ -311,7 +311,7 @@
 	var full [3]atomic.Bool
 	c := newCrew(t, 3, 3, func(cfg *Config) {
 		i := cfg.Name[1] - '0'
-		cfg.fault = func() error {
+		cfg.writeFault = func() error {
 			if full[i].Load() {
 				return syscall.ENOSPC
 			}
@@ -330,9 +330,9 @@
 			full[i].Store(true)
 			before := n.Status().Applied
 			c.settle(fmt.Sprint("while full ", round))
-			var cant *Unwritable
-			c.until("it says so", func() bool { s := n.Status(); return s.Role == Broken && errors.As(s.Fault, &cant) })
-			if !strings.Contains(cant.Hint(), "make room") || n.Lead().Mine || n.Status().Applied > before {
+			var cant *UnwritableFolder
+			c.until("it says so", func() bool { s := n.Status(); return s.Role == Faulty && errors.As(s.Fault, &cant) })
+			if !strings.Contains(cant.Hint(), "make room") || n.Leader().IsSelf || n.Status().Applied > before {
 				t.Fatalf("%+v", n.Status())
 			}
 			full[i].Store(false)
@@ -373,7 +373,7 @@
 	if err := c.leader().Replace(ctx, old, "m4"); err != nil { // asked for twice
 		t.Fatal(err)
 	}
-	var stranger *Stranger
+	var stranger *UnknownMember
 	if err := c.leader().Replace(ctx, "m4", "m9"); !errors.As(err, &stranger) {
 		t.Fatal(err)
 	}
@@ -384,7 +384,7 @@
 			c.until("another votes in its place", func() bool { v := c.voters(); return len(v) == 3 && !slices.Contains(v, c.cfg[i].Name) })
 			c.settle("late")
 			c.start(i)
-			c.until("it doesn't vote any more", func() bool { s := c.nodes[i].Status(); return s.Role == Reader && s.Lead.Leader != "" })
+			c.until("it doesn't vote any more", func() bool { s := c.nodes[i].Status(); return s.Role == Reader && s.Leader.Name != "" })
 			break
 		}
 	}
@@ -396,7 +396,7 @@
 			spare = k.Name
 		}
 	}
-	var unknown *Unknown
+	var unknown *UnknownOutcome
 	if err := lead.Replace(ctx, lead.cfg.Name, spare); err != nil && !errors.As(err, &unknown) {
 		t.Fatal(err)
 	}
@@ -416,7 +416,7 @@
 // TestLongEntries settles more bytes than are kept; a member that was away meanwhile gets them by a snapshot.
 func TestLongEntries(t *testing.T) {
 	t.Parallel()
-	c := newCrew(t, 3, 3, func(cfg *Config) { cfg.kept = 400 << 10 })
+	c := newCrew(t, 3, 3, func(cfg *Config) { cfg.maxEntryBytes = 400 << 10 })
 	for i := range c.nodes {
 		c.start(i)
 	}
@@ -428,7 +428,7 @@
 	c.stop(away)
 	for i := range 16 {
 		c.settle(fmt.Sprint(i) + strings.Repeat("long", 10_000))
-		if kept := c.leader().Status().Bytes; kept > 600<<10 {
+		if kept := c.leader().Status().EntryBytes; kept > 600<<10 {
 			t.Fatalf("%d bytes are kept", kept)
 		}
 	}
@@ -476,7 +476,7 @@
 	c.start(at)
 	c.until("it waits and knows who leads", func() bool {
 		s := c.nodes[at].Status()
-		return s.Role == Waiting && s.Lead.Leader == old.cfg.Name && !s.Lead.Mine
+		return s.Role == Waiting && s.Leader.Name == old.cfg.Name && !s.Leader.IsSelf
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -501,9 +501,9 @@
 	c.settle("one")
 	r := c.nodes[3]
 	for range 2 {
-		c.until("it knows who leads", func() bool { l := c.leader(); return l != nil && r.Lead().Leader == l.cfg.Name })
+		c.until("it knows who leads", func() bool { l := c.leader(); return l != nil && r.Leader().Name == l.cfg.Name })
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if out, err := r.Call(ctx, r.Lead().Leader, "hello", nil); err != nil || !strings.HasPrefix(string(out), "reader>") {
+		if out, err := r.Call(ctx, r.Leader().Name, "hello", nil); err != nil || !strings.HasPrefix(string(out), "reader>") {
 			t.Fatal(string(out), err)
 		}
 		cancel()
@@ -519,7 +519,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
 				_, _ = r.Call(ctx, lead.cfg.Name, "hello", nil)
-				return r.Lead().Leader == c.leader().cfg.Name
+				return r.Leader().Name == c.leader().cfg.Name
 			})
 		}
 		for i := range 3 {
@@ -528,7 +528,7 @@
 			}
 		}
 	}
-	var no *Answered
+	var no *RemoteError
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if _, err := c.nodes[4].Call(ctx, "m0", "hello", nil); !errors.As(err, &no) || !strings.Contains(no.Hint(), "revisions.cluster") {
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/replica_test.go
@@ -75,13 +75,13 @@
 	i       int
 	cfg     Config
 	st      *store
-	c       *core
+	c       *replica
 	m       *notes
 	reached uint64
 	full    bool // its disk
 	stopped bool // the process stands still
 	names   map[uint64]int
-	jobs    []job // not written yet
+	jobs    []storeJob // not written yet
 }
 
 // notes is a machine that looks for what must not be.
@@ -165,7 +165,7 @@
 		}
 		return nil
 	})
-	var cant *Unwritable
+	var cant *UnwritableFolder
 	if errors.As(err, &cant) && b.full {
 		return
 	}
@@ -178,18 +178,18 @@
 }
 
 func (r *rig) run(b *box) {
-	if b.st.h.Founded.Number == 0 {
+	if b.st.header.Bootstrap.ID == 0 {
 		return
 	}
 	var err error
-	if b.c, err = newCore(&b.cfg, b.st, b.m, &b.reached, slog.New(slog.DiscardHandler)); err != nil {
+	if b.c, err = newReplica(&b.cfg, b.st, b.m, &b.reached, slog.New(slog.DiscardHandler)); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 func (r *rig) kill(b *box) {
 	if b.c != nil {
-		b.c.stop(&Unknown{Cause: &Closed{}}, &NotLeader{})
+		b.c.stop(&UnknownOutcome{Cause: &Closed{}}, &NotLeader{})
 	}
 	if b.st != nil {
 		b.st.close()
@@ -205,41 +205,41 @@
 
 // seek is what a member with a fresh folder does.
 func (r *rig) seek(b *box) {
-	drawn := Draw(b.cfg.Candidates, b.cfg.Voters)
+	drawn := SelectVoters(b.cfg.Candidates, b.cfg.Voters)
 	if !slices.ContainsFunc(drawn, func(c Candidate) bool { return c.Name == b.cfg.Name }) {
 		return
 	}
-	said := map[string]standing{}
+	said := map[string]memberStatus{}
 	for _, o := range r.boxes {
 		if o != b && r.hears(b.i, o.i) {
-			said[o.cfg.Name] = standing{Name: o.cfg.Name, ID: o.st.h.ID, Founded: o.st.h.Founded}
+			said[o.cfg.Name] = memberStatus{Name: o.cfg.Name, ID: o.st.header.ID, Bootstrap: o.st.header.Bootstrap}
 		}
 	}
-	switch step := foundDecision(b.cfg.Cluster, drawn, b.cfg.Name, b.st.h.ID, said); {
-	case step.Found != nil:
-		r.begin(b, *step.Found)
-	case step.Return:
+	switch step := decideBootstrap(b.cfg.Cluster, drawn, b.cfg.Name, b.st.header.ID, said); {
+	case step.Begin != nil:
+		r.begin(b, *step.Begin)
+	case step.Rejoin:
 		for _, o := range r.boxes {
-			if !r.hears(b.i, o.i) || o.c == nil || !o.c.leads() {
+			if !r.hears(b.i, o.i) || o.c == nil || !o.c.isLeader() {
 				continue
 			}
-			s := seat{ID: b.st.h.ID, Name: b.cfg.Name, Addr: b.cfg.Listen}
-			for id, x := range o.c.seats {
+			s := member{ID: b.st.header.ID, Name: b.cfg.Name, Addr: b.cfg.Listen}
+			for id, x := range o.c.members {
 				if x.Name == s.Name && id != s.ID {
-					s.For = id
+					s.Replaces = id
 				}
 			}
-			if s.For != 0 {
-				o.c.order(seatOrder{Seat: s})
-				r.begin(b, founding{Number: o.st.h.Founded.Number})
+			if s.Replaces != 0 {
+				o.c.request(memberRequest{Member: s})
+				r.begin(b, bootstrap{ID: o.st.header.Bootstrap.ID})
 				return
 			}
 		}
 	}
 }
 
-func (r *rig) begin(b *box, f founding) {
-	if err := b.st.begin(f); err != nil {
+func (r *rig) begin(b *box, f bootstrap) {
+	if err := b.st.recordBootstrap(f); err != nil {
 		r.kill(b)
 		return
 	}
@@ -261,15 +261,15 @@
 	}
 	b.c.tick()
 	if b.c.ticks%5 == 0 {
-		switch step := b.c.due(); step.Do {
-		case nothing:
-		case look:
-			r.look(b, step.Seat.For)
+		switch step := b.c.nextChange(); step.Kind {
+		case noChange:
+		case findCandidate:
+			r.look(b, step.Member.Replaces)
 		default:
-			if step.Do == promote {
+			if step.Kind == promoteLearner {
 				r.moved++
 			}
-			b.c.change(step)
+			b.c.proposeChange(step)
 		}
 		if r.release(b); b.c == nil {
 			return
@@ -280,14 +280,14 @@
 
 // release begins anew where the leader doesn't know this one's seat, as askSeat does.
 func (r *rig) release(b *box) {
-	if b.c.soft.Lead != 0 || b.c.ticks%(8*electionTicks) != 0 {
+	if b.c.softState.Lead != 0 || b.c.ticks%(8*electionTicks) != 0 {
 		return
 	}
 	for _, o := range r.boxes {
-		if o.c != nil && o.c.leads() && r.hears(b.i, o.i) && r.majority(o) {
-			_, has := o.c.seats[b.st.h.ID]
-			if !has && !slices.ContainsFunc(o.c.orders, func(x timedOrder) bool { return x.Seat.ID == b.st.h.ID }) && o.st.h.Founded.Number == b.st.h.Founded.Number {
-				b.c.stop(&Unknown{}, &NotLeader{})
+		if o.c != nil && o.c.isLeader() && r.hears(b.i, o.i) && r.majority(o) {
+			_, has := o.c.members[b.st.header.ID]
+			if !has && !slices.ContainsFunc(o.c.requests, func(x timedRequest) bool { return x.Member.ID == b.st.header.ID }) && o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
+				b.c.stop(&UnknownOutcome{}, &NotLeader{})
 				b.c, b.jobs = nil, nil
 				if b.st.reset() != nil {
 					r.kill(b)
@@ -300,26 +300,26 @@
 
 // majority tells whether o leads beyond doubt: nobody has a later term.
 func (r *rig) majority(o *box) bool {
-	return !slices.ContainsFunc(r.boxes, func(b *box) bool { return b.st != nil && b.st.h.Term > o.st.h.Term })
+	return !slices.ContainsFunc(r.boxes, func(b *box) bool { return b.st != nil && b.st.header.Term > o.st.header.Term })
 }
 
 func (r *rig) look(b *box, instead uint64) {
 	for _, o := range r.boxes {
-		if _, has := bySeat(b.c.seats, o.cfg.Name); has || o == b || !r.hears(b.i, o.i) {
+		if _, has := memberByName(b.c.members, o.cfg.Name); has || o == b || !r.hears(b.i, o.i) {
 			continue
 		}
-		if o.c == nil && o.st.h.Founded.Number == 0 {
-			r.begin(o, founding{Number: b.st.h.Founded.Number})
+		if o.c == nil && o.st.header.Bootstrap.ID == 0 {
+			r.begin(o, bootstrap{ID: b.st.header.Bootstrap.ID})
 		}
-		if o.st != nil && o.st.h.Founded.Number == b.st.h.Founded.Number {
-			b.c.order(seatOrder{Seat: seat{ID: o.st.h.ID, Name: o.cfg.Name, Addr: o.cfg.Listen, For: instead}})
+		if o.st != nil && o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
+			b.c.request(memberRequest{Member: member{ID: o.st.header.ID, Name: o.cfg.Name, Addr: o.cfg.Listen, Replaces: instead}})
 			return
 		}
 	}
 }
 
 func (r *rig) work(b *box) {
-	msgs, jobs, err := b.c.work()
+	msgs, jobs, err := b.c.advance()
 	if err != nil {
 		r.t.Fatalf("%s: %v", b.cfg.Name, err)
 	}
@@ -330,11 +330,11 @@
 	if b.c == nil {
 		return
 	}
-	if b.c.leads() {
-		if who, ok := r.terms[b.c.term]; ok && who != b.st.h.ID {
+	if b.c.isLeader() {
+		if who, ok := r.terms[b.c.term]; ok && who != b.st.header.ID {
 			r.t.Fatalf("two leaders in term %d", b.c.term)
 		}
-		r.terms[b.c.term] = b.st.h.ID
+		r.terms[b.c.term] = b.st.header.ID
 	}
 	r.waits = slices.DeleteFunc(r.waits, func(w wait) bool {
 		select {
@@ -365,11 +365,11 @@
 		if e != nil {
 			r.t.Fatal(e)
 		}
-		s, known := b.c.seats[m.GetTo()]
+		s, known := b.c.members[m.GetTo()]
 		to, heard := b.names[m.GetTo()]
 		for _, o := range r.boxes {
 			if known && o.cfg.Name == s.Name || !known && heard && o.i == to {
-				r.bag = append(r.bag, packet{from: b.i, to: o.i, founding: b.st.h.Founded.Number, body: body})
+				r.bag = append(r.bag, packet{from: b.i, to: o.i, founding: b.st.header.Bootstrap.ID, body: body})
 			}
 		}
 	}
@@ -380,15 +380,15 @@
 	for n := r.r.IntN(len(b.jobs) + 1); n > 0; n-- {
 		j := b.jobs[0]
 		b.jobs = b.jobs[1:]
-		if err := j.do(b.st); err != nil {
-			var cant *Unwritable
+		if err := j.run(b.st); err != nil {
+			var cant *UnwritableFolder
 			if !errors.As(err, &cant) || !b.full {
 				r.t.Fatalf("%s: %v", b.cfg.Name, err)
 			}
 			r.kill(b) // the process goes on, with its machine; the folder is opened anew once there is room
 			return
 		}
-		msgs, err := b.c.done(j)
+		msgs, err := b.c.written(j)
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -408,7 +408,7 @@
 	if err := proto.Unmarshal(p.body, m); err != nil {
 		r.t.Fatal(err)
 	}
-	gone := r.cut[[2]int{p.from, p.to}] || r.r.IntN(100) < r.loss || b.c == nil || p.founding != b.st.h.Founded.Number
+	gone := r.cut[[2]int{p.from, p.to}] || r.r.IntN(100) < r.loss || b.c == nil || p.founding != b.st.header.Bootstrap.ID
 	if from := r.boxes[p.from]; m.GetType() == pb.MsgSnap && from.c != nil && !b.stopped {
 		how := raft.SnapshotFinish
 		if gone {
@@ -476,7 +476,7 @@
 	whole := 0
 	for _, id := range top.c.conf.GetVoters() {
 		for _, b := range r.boxes {
-			if b.c != nil && b.st.h.ID == id && b.c.applied+2 >= top.c.applied {
+			if b.c != nil && b.st.header.ID == id && b.c.applied+2 >= top.c.applied {
 				whole++
 			}
 		}
@@ -552,7 +552,7 @@
 		r.pass()
 		if !r.settled[last] && round%20 == 0 {
 			for _, b := range r.boxes {
-				if b.c != nil && b.c.leads() {
+				if b.c != nil && b.c.isLeader() {
 					w := wait{w: make(waiter, 1), box: b, machine: b.m, line: last}
 					b.c.propose([]byte(last), w.w)
 					r.waits = append(r.waits, w)
@@ -562,7 +562,7 @@
 		}
 		voters, even := 0, 0
 		for _, b := range r.boxes {
-			if b.c != nil && slices.Contains(b.c.conf.GetVoters(), b.st.h.ID) {
+			if b.c != nil && slices.Contains(b.c.conf.GetVoters(), b.st.header.ID) {
 				if voters++; b.m.has[last] {
 					even++
 				}
@@ -574,7 +574,7 @@
 		if round > 2500 {
 			for _, b := range r.boxes {
 				if b.c != nil {
-					r.t.Logf("%s id %x of %x: applied %d, term %d, conf %v, orders %v, lead %x, seats %v", b.cfg.Name, b.st.h.ID, b.st.h.Founded.Number, b.c.applied, b.c.term, b.c.conf, b.c.orders, b.c.soft.Lead, b.c.seats)
+					r.t.Logf("%s id %x of %x: applied %d, term %d, conf %v, orders %v, lead %x, seats %v", b.cfg.Name, b.st.header.ID, b.st.header.Bootstrap.ID, b.c.applied, b.c.term, b.c.conf, b.c.requests, b.c.softState.Lead, b.c.members)
 				} else {
 					r.t.Logf("%s doesn't run: %+v", b.cfg.Name, b.st)
 				}
@@ -583,7 +583,7 @@
 		}
 	}
 	for _, b := range r.boxes {
-		if b.c == nil || !slices.Contains(b.c.conf.GetVoters(), b.st.h.ID) {
+		if b.c == nil || !slices.Contains(b.c.conf.GetVoters(), b.st.header.ID) {
 			continue
 		}
 		for line := range r.settled {
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -28,17 +28,17 @@
 			t.Fatal(err)
 		}
 	}
-	check(s.begin(found("c", []seat{{ID: s.h.ID, Name: "m"}, {ID: 7, Name: "n"}})))
+	check(s.recordBootstrap(newBootstrap("c", []member{{ID: s.header.ID, Name: "m"}, {ID: 7, Name: "n"}})))
 	put := func(from, to, term uint64) {
 		var list []*pb.Entry
 		for i := from; i <= to; i++ {
 			list = append(list, &pb.Entry{Index: new(i), Term: new(term), Data: []byte(strings.Repeat(fmt.Sprint(i, " "), 40))})
 		}
-		check(s.write(&pb.Message{Term: new(term), Vote: new(uint64(7)), Commit: new(from), Entries: list}))
+		check(s.writeMessage(&pb.Message{Term: new(term), Vote: new(uint64(7)), Commit: new(from), Entries: list}))
 	}
 	put(2, 60, 2)
 	put(50, 90, 3) // entries 50 to 60 are replaced
-	check(s.shorten(shorten{index: 40, term: 2, conf: s.h.Conf.pb(), data: packSnapshot(s.h.Founded.Voters, []byte(strings.Repeat("state", 3000))), keep: 10}))
+	check(s.compact(compaction{index: 40, term: 2, conf: s.header.Conf.pb(), data: packSnapshot(s.header.Bootstrap.Voters, []byte(strings.Repeat("state", 3000))), keepEntries: 10}))
 	want = told(t, s)
 	s.close()
 	return folder, want
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	fmt.Fprint(&b, s.h, first, last, hard, conf, string(snap.GetData()), s.bytes)
+	fmt.Fprint(&b, s.header, first, last, hard, conf, string(snap.GetData()), s.entryBytes)
 	list, err := s.Entries(first, last+1, 1<<30)
 	if err != nil {
 		t.Fatal(err)
@@ -76,8 +76,8 @@
 	if got := told(t, s); got != want {
 		t.Fatalf("got %.300s\nwant %.300s", got, want)
 	}
-	if s.h.Base != 30 || s.h.Last != 90 || s.h.SnapIndex != 40 || s.entries[len(s.entries)-1].GetTerm() != 3 {
-		t.Fatalf("%+v", s.h)
+	if s.header.Base != 30 || s.header.Last != 90 || s.header.SnapIndex != 40 || s.entries[len(s.entries)-1].GetTerm() != 3 {
+		t.Fatalf("%+v", s.header)
 	}
 	if _, err := openStore(folder, "c", "m", nil); !errors.Is(err, errLocked) {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	for i := uint64(91); i < 120; i++ {
 		list = append(list, &pb.Entry{Index: new(i), Term: new(uint64(3)), Data: []byte("later")})
 	}
-	if err := s.write(&pb.Message{Entries: list}); err != nil {
+	if err := s.writeMessage(&pb.Message{Entries: list}); err != nil {
 		t.Fatal(err)
 	}
 	later := told(t, s)
@@ -128,8 +128,8 @@
 			t.Fatalf("%s: taken as %.200s", what, got)
 		}
 		refused++
-		var damaged *Damaged
-		var foreign *Foreign
+		var damaged *CorruptFolder
+		var foreign *ForeignFolder
 		if !errors.As(err, &damaged) && !errors.As(err, &foreign) || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -163,7 +163,7 @@
 
 func TestForeignFolders(t *testing.T) {
 	folder, _ := filled(t)
-	var foreign *Foreign
+	var foreign *ForeignFolder
 	for _, x := range [][2]string{{"other", "m"}, {"c", "other"}} {
 		if _, err := openStore(folder, x[0], x[1], nil); !errors.As(err, &foreign) || hint.Of(err) == "" {
 			t.Fatal(err)
--- a/internal/consensus/walk.go
+++ b/internal/consensus/verify.go
@@ -8,27 +8,27 @@
 	"io"
 )
 
-// tornPages is a file that bbolt would go astray in.
-type tornPages struct{ why string }
+// corruptPages is a file that bbolt would go astray in.
+type corruptPages struct{ why string }
 
-func (e *tornPages) Error() string { return e.why }
+func (e *corruptPages) Error() string { return e.why }
 
 // Hint implements advice.Giver.
-func (*tornPages) Hint() string { return (*Damaged)(nil).Hint() }
+func (*corruptPages) Hint() string { return (*CorruptFolder)(nil).Hint() }
 
-func tornf(s string, args ...any) error { return &tornPages{why: fmt.Sprintf(s, args...)} }
+func corruptf(s string, args ...any) error { return &corruptPages{why: fmt.Sprintf(s, args...)} }
 
-// walk looks at how the pages of a bbolt file hang together: both heads whole, every page that is pointed to within the
+// verifyPages looks at how the pages of a bbolt file hang together: both heads whole, every page that is pointed to within the
 // file, of the number and kind it should be, reached once, its elements inside it and their keys in order, and no page in
 // use told as free. bbolt itself takes all that for granted, and with one damaged head it would go back to the state
 // before, which a voter must not.
-func walk(f io.ReaderAt, size int64) error {
-	w := &walker{f: f, seen: map[uint64]bool{0: true, 1: true}}
+func verifyPages(f io.ReaderAt, size int64) error {
+	w := &pageVerifier{f: f, seen: map[uint64]bool{0: true, 1: true}}
 	var root, free, newest uint64
 	for i := range uint64(2) {
 		b := make([]byte, pageSize)
 		if _, err := f.ReadAt(b, int64(i)*pageSize); err != nil {
-			return tornf("page %d is missing", i)
+			return corruptf("page %d is missing", i)
 		}
 		m := b[16:]
 		sum := fnv.New64a()
@@ -36,16 +36,16 @@
 		le := binary.LittleEndian
 		switch {
 		case le.Uint32(m) != 0xED0CDAED || le.Uint32(m[4:]) != 2 || le.Uint32(m[8:]) != pageSize:
-			return tornf("head page %d is none, or of another version", i)
+			return corruptf("head page %d is none, or of another version", i)
 		case le.Uint64(m[56:]) != sum.Sum64():
-			return tornf("the sum of head page %d doesn't fit", i)
+			return corruptf("the sum of head page %d doesn't fit", i)
 		}
 		if tx := le.Uint64(m[48:]); tx >= newest {
 			newest, root, free, w.end = tx, le.Uint64(m[16:]), le.Uint64(m[32:]), le.Uint64(m[40:])
 		}
 	}
 	if w.end > uint64(size)/pageSize {
-		return tornf("it has %d bytes in place of %d", size, w.end*pageSize)
+		return corruptf("it has %d bytes in place of %d", size, w.end*pageSize)
 	}
 	if err := w.tree(root, 0, nil, nil); err != nil {
 		return err
@@ -53,41 +53,41 @@
 	return w.free(free)
 }
 
-type walker struct {
+type pageVerifier struct {
 	f    io.ReaderAt
 	end  uint64 // pages
 	seen map[uint64]bool
 }
 
 // read reads page id, with those that belong to it, and notes that they are in use.
-func (w *walker) read(id uint64) ([]byte, error) {
+func (w *pageVerifier) read(id uint64) ([]byte, error) {
 	if id < 2 || id >= w.end {
-		return nil, tornf("a pointer to page %d, of %d", id, w.end)
+		return nil, corruptf("a pointer to page %d, of %d", id, w.end)
 	}
 	head := make([]byte, 16)
 	if _, err := w.f.ReadAt(head, int64(id)*pageSize); err != nil {
-		return nil, tornf("page %d can't be read", id)
+		return nil, corruptf("page %d can't be read", id)
 	}
 	le := binary.LittleEndian
 	more := uint64(le.Uint32(head[12:]))
 	if le.Uint64(head) != id || more >= w.end-id {
-		return nil, tornf("page %d is another one", id)
+		return nil, corruptf("page %d is another one", id)
 	}
 	for i := id; i <= id+more; i++ {
 		if w.seen[i] {
-			return nil, tornf("page %d is used twice", i)
+			return nil, corruptf("page %d is used twice", i)
 		}
 		w.seen[i] = true
 	}
 	page := make([]byte, (1+more)*pageSize)
 	if _, err := w.f.ReadAt(page, int64(id)*pageSize); err != nil {
-		return nil, tornf("page %d can't be read", id)
+		return nil, corruptf("page %d can't be read", id)
 	}
 	return page, nil
 }
 
 // free looks at the list of free pages.
-func (w *walker) free(id uint64) error {
+func (w *pageVerifier) free(id uint64) error {
 	page, err := w.read(id)
 	if err != nil {
 		return err
@@ -98,13 +98,13 @@
 		count, list = le.Uint64(list), list[8:]
 	}
 	if le.Uint16(page[8:]) != 0x10 || count > uint64(len(list)/8) {
-		return tornf("page %d is no list of free pages", id)
+		return corruptf("page %d is no list of free pages", id)
 	}
 	last := uint64(1)
 	for i := range count {
 		x := le.Uint64(list[8*i:])
 		if x <= last || x >= w.end || w.seen[x] {
-			return tornf("page %d is told as free", x)
+			return corruptf("page %d is told as free", x)
 		}
 		last = x
 	}
@@ -112,9 +112,9 @@
 }
 
 // tree looks at a page and those below it, whose keys lie from least to below most (nil: anywhere).
-func (w *walker) tree(id uint64, depth int, least, most []byte) error {
+func (w *pageVerifier) tree(id uint64, depth int, least, most []byte) error {
 	if depth > 32 {
-		return tornf("its pages lie too deep")
+		return corruptf("its pages lie too deep")
 	}
 	page, err := w.read(id)
 	if err != nil {
@@ -124,11 +124,11 @@
 }
 
 // page looks at the elements of one page, also of one that lies inside another's element.
-func (w *walker) page(id uint64, page []byte, depth int, least, most []byte) error {
+func (w *pageVerifier) page(id uint64, page []byte, depth int, least, most []byte) error {
 	le := binary.LittleEndian
 	flags, count := le.Uint16(page[8:]), int(le.Uint16(page[10:]))
 	if flags != 1 && flags != 2 || 16+16*count > len(page) || flags == 1 && count == 0 {
-		return tornf("page %d is of an unknown kind", id)
+		return corruptf("page %d is of an unknown kind", id)
 	}
 	type element struct {
 		key, value []byte
@@ -144,11 +144,11 @@
 		}
 		from := uint64(at) + uint64(pos)
 		if klen == 0 || from+uint64(klen)+uint64(vlen) > uint64(len(page)) {
-			return tornf("an element of page %d reaches out of it", id)
+			return corruptf("an element of page %d reaches out of it", id)
 		}
 		x := element{key: page[from:][:klen], value: page[from+uint64(klen):][:vlen], flags: le.Uint32(e), child: le.Uint64(e[8:])}
 		if bytes.Compare(x.key, least) < 0 || i > 0 && bytes.Equal(x.key, least) || most != nil && bytes.Compare(x.key, most) >= 0 {
-			return tornf("the keys of page %d are out of order", id)
+			return corruptf("the keys of page %d are out of order", id)
 		}
 		list[i], least = x, x.key
 	}
@@ -163,16 +163,16 @@
 				return err
 			}
 		case x.flags > 1:
-			return tornf("an element of page %d is of an unknown kind", id)
+			return corruptf("an element of page %d is of an unknown kind", id)
 		case x.flags == 0:
 		case len(x.value) < 16:
-			return tornf("a bucket in page %d is cut off", id)
+			return corruptf("a bucket in page %d is cut off", id)
 		case le.Uint64(x.value) != 0:
 			if err := w.tree(le.Uint64(x.value), depth+1, nil, nil); err != nil {
 				return err
 			}
 		case len(x.value) < 32:
-			return tornf("a bucket in page %d is cut off", id)
+			return corruptf("a bucket in page %d is cut off", id)
 		default:
 			if err := w.page(id, x.value[16:], depth+1, nil, nil); err != nil {
 				return err
--- a/internal/revision/host/agree_test.go
+++ b/internal/revision/host/agree_test.go
@@ -51,7 +51,7 @@
 
 func leader(all []*balancer) int {
 	for i, b := range all {
-		if b.node.Lead().Mine {
+		if b.node.Leader().IsSelf {
 			return i
 		}
 	}
@@ -172,7 +172,7 @@
 			t.Fatal(i, got, err)
 		}
 	}
-	t.Logf("%d revisions in %v; the folder has entries from %d to %d", n, time.Since(began).Round(time.Millisecond), b.node.Status().First, b.node.Status().Applied)
+	t.Logf("%d revisions in %v; the folder has entries from %d to %d", n, time.Since(began).Round(time.Millisecond), b.node.Status().FirstEntry, b.node.Status().Applied)
 	check := func(first, last int) {
 		t.Helper()
 		if got := call("list 0"); err != nil || !strings.HasPrefix(got, fmt.Sprint(first, " hash=")) || !strings.Contains(got, fmt.Sprintf(" forgotten=..%d ", first-1)) {
--- a/internal/revision/host/alive.go
+++ b/internal/revision/host/alive.go
@@ -151,7 +151,7 @@
 func (h *Host) watchEnded() {
 	every := min(max(h.cfg.Lease/4, 100*time.Millisecond), 2*time.Second)
 	for {
-		if lead := h.node.Lead(); lead.Leader != "" {
+		if lead := h.node.Leader(); lead.Name != "" {
 			for _, gen := range h.alive.ended() {
 				body, _ := json.Marshal(revision.Holder{Name: h.cfg.Name, Gen: gen})
 				if _, err := h.callLeader(lead, "ended", body, 2*time.Second); err != nil {
--- a/internal/revision/host/alive_test.go
+++ b/internal/revision/host/alive_test.go
@@ -172,7 +172,7 @@
 	if got := other.ended(); len(got) != 0 {
 		t.Errorf("%v have ended", got)
 	}
-	if _, err := b.callLeader(l.nodes["a"].Lead(), "ended", []byte(`{"n":"b","g":1}`), 1e9); err == nil || !strings.Contains(fmt.Sprint(err), "c tells that a process of b has ended") {
+	if _, err := b.callLeader(l.nodes["a"].Leader(), "ended", []byte(`{"n":"b","g":1}`), 1e9); err == nil || !strings.Contains(fmt.Sprint(err), "c tells that a process of b has ended") {
 		t.Error(err)
 	}
 	b.Took(b.Permit().Seq)
--- a/internal/revision/host/coordinate.go
+++ b/internal/revision/host/coordinate.go
@@ -103,7 +103,7 @@
 		select {
 		case <-h.ctx.Done():
 			return
-		case <-h.node.Changed():
+		case <-h.node.LeaderChanged():
 			ring(h.poke)
 		case <-h.nudge:
 		case <-time.After(wait):
@@ -113,13 +113,13 @@
 
 // lead does what is to be done now, and tells when to look again.
 func (h *Host) lead() time.Duration {
-	lead := h.node.Lead()
+	lead := h.node.Leader()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !lead.Mine || lead.Term != h.term {
+	if !lead.IsSelf || lead.Term != h.term {
 		h.leader, h.term = nil, 0
 	}
-	if !lead.Mine {
+	if !lead.IsSelf {
 		return max(h.cfg.Lease/4, 50*time.Millisecond)
 	}
 	if h.leader == nil {
@@ -179,7 +179,7 @@
 	defer cancel()
 	term, err := h.node.Confirm(within)
 	if failpoint.On("unconfirmed") {
-		term, err = h.node.Lead().Term, nil
+		term, err = h.node.Leader().Term, nil
 	}
 	if err != nil {
 		return &Elsewhere{h.cfg.Name}
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -87,13 +87,13 @@
 	return n.log.term, nil
 }
 
-func (n *fakeNode) Lead() consensus.Lead {
+func (n *fakeNode) Leader() consensus.LeaderInfo {
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
-	return consensus.Lead{Leader: n.log.leader, Term: n.log.term, Mine: n.log.leader == n.name}
+	return consensus.LeaderInfo{Name: n.log.leader, Term: n.log.term, IsSelf: n.log.leader == n.name}
 }
 
-func (n *fakeNode) Changed() <-chan struct{} {
+func (n *fakeNode) LeaderChanged() <-chan struct{} {
 	return n.changed
 }
 
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -24,8 +24,8 @@
 	calls     int // under way
 	last      time.Duration
 	next      time.Duration  // when to ask
-	lead      consensus.Lead // whom the calls under way were sent to
-	known     consensus.Lead // as last seen
+	lead      consensus.LeaderInfo // whom the calls under way were sent to
+	known     consensus.LeaderInfo // as last seen
 	answers   chan answer
 	joined    chan error
 	joining   bool
@@ -81,19 +81,19 @@
 	h.taken()
 	h.m.Tick(h.now())
 	h.publish()
-	lead := h.node.Lead()
+	lead := h.node.Leader()
 	now := h.now()
-	if lead.Term != h.known.Term || lead.Leader != h.known.Leader {
+	if lead.Term != h.known.Term || lead.Name != h.known.Name {
 		h.known, h.next = lead, now
 	}
 	switch {
-	case h.left || lead.Leader == "" || h.calls > 3: // nobody answers
+	case h.left || lead.Name == "" || h.calls > 3: // nobody answers
 	case h.m.Left():
 		if h.calls == 0 {
 			h.call(lead, "leave", h.m.Holder)
 		}
 	case h.m.Permission().Phase == revision.Gone: // until the loop has taken it up
-	case h.calls > 0 && lead.Term == h.lead.Term && lead.Leader == h.lead.Leader && now < h.last+h.cfg.Lease/2:
+	case h.calls > 0 && lead.Term == h.lead.Term && lead.Name == h.lead.Name && now < h.last+h.cfg.Lease/2:
 	case now >= h.next:
 		h.next = now + h.cfg.Lease/8
 		h.ask(lead, now)
@@ -104,7 +104,7 @@
 }
 
 // ask renews. The time from which a grant counts is read before anything is sent.
-func (h *holder) ask(lead consensus.Lead, now time.Duration) {
+func (h *holder) ask(lead consensus.LeaderInfo, now time.Duration) {
 	r := h.m.Ask()
 	t := &h.totals
 	r.Figures = revision.Figures{Asked: t[0].Load(), Refused: t[1].Load(), Failed: t[2].Load(), Late: t[3].Load()}
@@ -127,17 +127,17 @@
 	}()
 }
 
-func (h *Host) callLeader(lead consensus.Lead, method string, body []byte, within time.Duration) ([]byte, error) {
+func (h *Host) callLeader(lead consensus.LeaderInfo, method string, body []byte, within time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, within)
 	defer cancel()
-	if lead.Mine {
+	if lead.IsSelf {
 		return h.serve(ctx, h.cfg.Name, method, body)
 	}
-	return h.node.Call(ctx, lead.Leader, method, body)
+	return h.node.Call(ctx, lead.Name, method, body)
 }
 
 // call is a call whose answer is yes or an error: join and leave.
-func (h *holder) call(lead consensus.Lead, method string, what any) {
+func (h *holder) call(lead consensus.LeaderInfo, method string, what any) {
 	body, _ := json.Marshal(what)
 	h.calls++
 	h.last, h.lead = h.now(), lead
@@ -186,7 +186,7 @@
 
 func (h *holder) join() {
 	h.joining = true
-	lead, gen := h.node.Lead(), h.m.Holder.Gen
+	lead, gen := h.node.Leader(), h.m.Holder.Gen
 	body, _ := json.Marshal(revision.Command{Op: revision.OpJoin, Holder: h.m.Holder, Hold: h.cfg.Hold, Ended: h.cfg.Succeeds})
 	go func() {
 		if err := h.alive.hold(gen); err != nil { // it serves all the same: once it ends, the next one or an operator tells
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -47,8 +47,8 @@
 type Node interface {
 	Propose(ctx context.Context, entry []byte) error
 	Confirm(ctx context.Context) (term uint64, err error)
-	Lead() consensus.Lead
-	Changed() <-chan struct{}
+	Leader() consensus.LeaderInfo
+	LeaderChanged() <-chan struct{}
 	Call(ctx context.Context, name, method string, body []byte) ([]byte, error)
 	Replace(ctx context.Context, old, new string) error
 	Status() consensus.Status
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -51,7 +51,7 @@
 		within = min(within, time.Until(end))
 	}
 	for {
-		if lead := h.node.Lead(); lead.Leader != "" {
+		if lead := h.node.Leader(); lead.Name != "" {
 			back, err := h.callLeader(lead, "operate", []byte(words), within)
 			if err == nil {
 				return string(back), nil
