--- a/internal/consensus/folder.go
+++ b/internal/consensus/folder.go
@@ -10,54 +10,49 @@
 	"runtime/debug"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
-
-	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
 	"oatloft/internal/failpoint"
 	"oatloft/internal/hint"
 )
 
+// newSuffix ends the name of a file that is not complete yet.
+const newSuffix = ".new"
+
 // errLocked says that another process has the folder.
-var errLocked error = &FolderLocked{hint.Annotated{What: "another process has the folder", Do: "wait for this balancer's earlier process to end, or give each balancer a folder of its own"}}
+var errLocked error = &FolderLocked{hint.Annotated{
+	What: "another process has the folder",
+	Do:   "wait for this balancer's earlier process to end, or give each balancer a folder of its own",
+}}
 
-// openStore opens folder or makes it. It waits for nobody: errLocked where another process has it. Errors are *Foreign,
-// *Damaged, *Unwritable.
-func openStore(folder, cluster, name string, fault func() error) (s *store, err error) {
+// openStore opens a folder or makes it. It waits for nobody. Errors: errLocked where another process has it, *ForeignFolder,
+// *CorruptFolder, *UnwritableFolder.
+func openStore(folder, cluster, name string, writeFault func() error) (s *store, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &UnwritableFolder{Folder: folder, Cause: err}
 	}
 	path := filepath.Join(folder, fileName)
-	info, err := os.Lstat(path)
-	fresh := errors.Is(err, os.ErrNotExist)
-	switch {
-	case err != nil && !fresh:
-		return nil, &UnwritableFolder{Folder: folder, Cause: err}
-	case fresh:
-		if err := checkForeignFiles(folder); err != nil {
-			return nil, err
-		}
-	case !info.Mode().IsRegular():
-		return nil, &ForeignFolder{Folder: folder, Why: fileName + " is no plain file"}
-	case info.Mode().Perm()&0o022 != 0:
-		return nil, &ForeignFolder{Folder: folder, Why: fmt.Sprintf("others may write %s (mode %#o); 0600 is wanted", fileName, info.Mode().Perm())}
+	fresh, err := checkFile(folder, path)
+	if err != nil {
+		return nil, err
 	}
 	defer func() {
 		if x := recover(); x != nil {
 			s, err = nil, &CorruptFolder{Folder: folder, Why: oneLine(x)}
 		}
 	}()
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // bbolt maps the file into memory
 	if fresh {
-		return createStore(folder, path, cluster, name, fault)
+		return createStore(folder, path, cluster, name, writeFault)
 	}
 	db, err := openDB(folder, path)
 	if err != nil {
 		return nil, err
 	}
-	s = &store{db: db, folder: folder, writeFault: fault}
+	s = &store{db: db, folder: folder, writeFault: writeFault}
 	defer func() {
 		if err != nil || s.header.ID == 0 {
 			_ = db.Close()
@@ -67,54 +62,103 @@
 		return nil, err
 	}
 	if s.header.Cluster != cluster || s.header.Name != name {
-		return nil, &ForeignFolder{Folder: folder, Why: fmt.Sprintf("it belongs to %q of cluster %q", s.header.Name, s.header.Cluster)}
+		why := fmt.Sprintf("it belongs to %q of cluster %q", s.header.Name, s.header.Cluster)
+		return nil, &ForeignFolder{Folder: folder, Why: why}
 	}
 	return s, nil
 }
 
+// checkFile tells whether the folder has no file yet, and refuses what is not this package's.
+func checkFile(folder, path string) (fresh bool, err error) {
+	info, err := os.Lstat(path)
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		return true, checkForeignFiles(folder)
+	case err != nil:
+		return false, &UnwritableFolder{Folder: folder, Cause: err}
+	case !info.Mode().IsRegular():
+		return false, &ForeignFolder{Folder: folder, Why: fileName + " is no plain file"}
+	case info.Mode().Perm()&0o022 != 0:
+		why := fmt.Sprintf("others may write %s (mode %#o); 0600 is wanted", fileName, info.Mode().Perm())
+		return false, &ForeignFolder{Folder: folder, Why: why}
+	}
+	return false, nil
+}
+
+// checkForeignFiles refuses to begin in a folder that holds other things.
+func checkForeignFiles(folder string) error {
+	list, err := os.ReadDir(folder)
+	if err != nil {
+		return &UnwritableFolder{Folder: folder, Cause: err}
+	}
+	for _, entry := range list {
+		switch entry.Name() {
+		case fileName + newSuffix, "lost+found", Processes:
+		default:
+			return &ForeignFolder{Folder: folder, Why: "it holds " + quoted(entry.Name()) + " and no " + fileName}
+		}
+	}
+	return nil
+}
+
+type openFile = func(path string, flag int, mode os.FileMode) (*os.File, error)
+
+func dbOptions(open openFile) *bolt.Options {
+	return &bolt.Options{
+		Timeout:      time.Millisecond,
+		PageSize:     pageSize,
+		FreelistType: bolt.FreelistMapType,
+		OpenFile:     open,
+	}
+}
+
+// openDB opens a database whose pages have been verified.
 func openDB(folder, path string) (*bolt.DB, error) {
 	var file *os.File
-	whole := false
+	opened := false
 	defer func() {
-		if !whole && file != nil {
-			_ = file.Close() // bbolt keeps it where it panics
+		if !opened && file != nil { // bbolt leaves it open where it panics
+			_ = file.Close()
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Millisecond, PageSize: pageSize, FreelistType: bolt.FreelistMapType,
-		OpenFile: func(path string, flag int, mode os.FileMode) (*os.File, error) {
-			f, err := lockedFile(path, flag&^os.O_CREATE, mode)
-			if err != nil {
-				return nil, err
-			}
-			if info, e := f.Stat(); e != nil {
-				err = e
-			} else {
-				err = verifyPages(f, info.Size())
-			}
-			if err != nil {
-				_ = f.Close()
-				return nil, err
-			}
-			file = f
-			return f, nil
-		}})
-	whole = err == nil
-	var torn *corruptPages
+	open := func(path string, flag int, mode os.FileMode) (f *os.File, err error) {
+		file, err = openVerified(path, flag&^os.O_CREATE, mode)
+		return file, err
+	}
+	db, err := bolt.Open(path, 0o600, dbOptions(open))
+	opened = err == nil
+	var corrupt *corruptPages
 	switch {
 	case err == nil:
 		return db, nil
 	case errors.Is(err, errLocked), errors.Is(err, berrors.ErrTimeout):
 		return nil, errLocked
-	case errors.As(err, &torn):
-		return nil, &CorruptFolder{Folder: folder, Why: torn.Error()}
+	case errors.As(err, &corrupt):
+		return nil, &CorruptFolder{Folder: folder, Why: corrupt.Error()}
 	case errors.Is(err, os.ErrPermission), os.IsNotExist(err):
 		return nil, &UnwritableFolder{Folder: folder, Cause: err}
 	}
 	return nil, &CorruptFolder{Folder: folder, Why: oneLine(err)}
 }
 
-// lockedFile opens a file and locks it for this process before anything is read, as bbolt does only afterwards.
-func lockedFile(path string, flag int, mode os.FileMode) (*os.File, error) {
+func openVerified(path string, flag int, mode os.FileMode) (*os.File, error) {
+	f, err := openLocked(path, flag, mode)
+	if err != nil {
+		return nil, err
+	}
+	info, err := f.Stat()
+	if err == nil {
+		err = verifyPages(f, info.Size())
+	}
+	if err != nil {
+		_ = f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// openLocked opens a file and locks it for this process before anything is read, as bbolt does only afterwards.
+func openLocked(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := os.OpenFile(path, flag, mode)
 	if err != nil {
 		return nil, err
@@ -129,66 +173,61 @@
 	return f, nil
 }
 
-// checkForeignFiles refuses to begin in a folder that holds others' things.
-func checkForeignFiles(folder string) error {
-	list, err := os.ReadDir(folder)
-	if err != nil {
-		return &UnwritableFolder{Folder: folder, Cause: err}
-	}
-	for _, e := range list {
-		if e.Name() != fileName+".new" && e.Name() != "lost+found" && e.Name() != Processes {
-			return &ForeignFolder{Folder: folder, Why: "it holds " + quoted(e.Name()) + " and no " + fileName}
-		}
+// openEmpty opens a file and empties it: what it holds is half of one that was never in use.
+func openEmpty(path string, flag int, mode os.FileMode) (*os.File, error) {
+	f, err := openLocked(path, flag, mode)
+	if err == nil {
+		err = f.Truncate(0)
 	}
-	return nil
+	return f, err
 }
 
-// createStore writes a fresh folder beside its place and renames it, so that a half-made one is never met.
-func createStore(folder, path, cluster, name string, fault func() error) (*store, error) {
-	fail := func(err error) (*store, error) { return nil, &UnwritableFolder{Folder: folder, Cause: err} }
-	db, err := bolt.Open(path+".new", 0o600, &bolt.Options{Timeout: time.Millisecond, PageSize: pageSize, FreelistType: bolt.FreelistMapType,
-		OpenFile: func(path string, flag int, mode os.FileMode) (*os.File, error) {
-			f, err := lockedFile(path, flag, mode)
-			if err == nil {
-				err = f.Truncate(0) // half of one that was never in use
-			}
-			return f, err
-		}})
-	if errors.Is(err, errLocked) {
+// createStore writes a fresh file beside its place and renames it, so that a half-made one is never met.
+func createStore(folder, path, cluster, name string, writeFault func() error) (*store, error) {
+	db, err := bolt.Open(path+newSuffix, 0o600, dbOptions(openEmpty))
+	switch {
+	case errors.Is(err, errLocked):
 		return nil, errLocked
-	} else if err != nil {
-		return fail(err)
+	case err != nil:
+		return nil, &UnwritableFolder{Folder: folder, Cause: err}
 	}
-	s := &store{db: db, folder: folder, writeFault: fault, logState: logState{header: header{Format: format, Cluster: cluster, Name: name, ID: randomID()}}}
+	s := &store{db: db, folder: folder, writeFault: writeFault, logState: logState{header: newHeader(cluster, name)}}
 	if failpoint.On("vote-with-lost-folder") {
 		s.header.ID = xxhash.Sum64String(name) >> 2
 	}
-	err = db.Update(func(tx *bolt.Tx) error {
-		for _, b := range [][]byte{bucketMeta, bucketLog} {
-			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-				return err
-			}
-		}
-		return putHeader(tx, s.header)
-	})
+	err = db.Update(s.initialize)
 	if err == nil {
-		if _, e := os.Lstat(path); e == nil {
-			err = errLocked // another process was faster
-		} else {
-			err = os.Rename(path+".new", path)
-		}
+		err = publishFile(path)
 	}
 	if err == nil {
 		err = syncFolder(folder)
 	}
-	if err != nil {
+	switch {
+	case err == nil:
+		return s, nil
+	case errors.Is(err, errLocked):
 		_ = db.Close()
-		if errors.Is(err, errLocked) {
-			return nil, err
+		return nil, err
+	}
+	_ = db.Close()
+	return nil, &UnwritableFolder{Folder: folder, Cause: err}
+}
+
+func (s *store) initialize(tx *bolt.Tx) error {
+	for _, bucket := range [][]byte{bucketMeta, bucketLog} {
+		if _, err := tx.CreateBucketIfNotExists(bucket); err != nil {
+			return err
 		}
-		return fail(err)
 	}
-	return s, nil
+	return putHeader(tx, s.header)
+}
+
+// publishFile puts a complete file in its place, unless another process was faster (errLocked).
+func publishFile(path string) error {
+	if _, err := os.Lstat(path); err == nil {
+		return errLocked
+	}
+	return os.Rename(path+newSuffix, path)
 }
 
 func syncFolder(folder string) error {
@@ -200,12 +239,12 @@
 	return d.Sync()
 }
 
-// randomID is a number that no folder has had.
+// randomID is a number that no folder has had. Raft reserves the uppermost ones.
 func randomID() uint64 {
 	var b [8]byte
 	for {
-		_, _ = rand.Read(b[:])
-		if id := binary.BigEndian.Uint64(b[:]) >> 2; id != 0 { // raft keeps the uppermost for itself
+		_, _ = rand.Read(b[:]) // never fails
+		if id := binary.BigEndian.Uint64(b[:]) >> 2; id != 0 {
 			return id
 		}
 	}
--- a/internal/consensus/outbox.go
+++ b/internal/consensus/outbox.go
@@ -178,7 +178,7 @@
 func unpackBatch(b []byte) (bootstrapID uint64, messages []*pb.Message, err error) {
 	malformed := &RemoteError{
 		Text: "messages between voters have an unknown form",
-		Do:   "run the same version at all balancers",
+		Do:   sameVersion,
 	}
 	if len(b) < 8 {
 		return 0, nil, malformed
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -61,44 +61,49 @@
 	if s.state().header.SnapIndex == 0 {
 		return &pb.Snapshot{}, nil
 	}
-	snap, err := s.readSnapshot()
+	snapshot, err := s.readSnapshot()
 	if err != nil {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
-	return snap, nil
+	return snapshot, nil
 }
 
 // readSnapshot reads the snapshot from disk.
-func (s *store) readSnapshot() (snap *pb.Snapshot, err error) {
+func (s *store) readSnapshot() (snapshot *pb.Snapshot, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		b, ok := checkChecksum(keySnapshot, tx.Bucket(bucketMeta).Get(keySnapshot))
-		snap = &pb.Snapshot{Metadata: new(pb.SnapshotMetadata)}
+		snapshot = &pb.Snapshot{Metadata: new(pb.SnapshotMetadata)}
 		if !ok || len(b) < 4 || uint64(len(b)-4) < uint64(binary.BigEndian.Uint32(b)) {
 			return s.corrupt("the sum of its snapshot doesn't fit")
 		}
 		n := 4 + binary.BigEndian.Uint32(b)
-		if err := proto.Unmarshal(b[4:n], snap.Metadata); err != nil {
+		if err := proto.Unmarshal(b[4:n], snapshot.Metadata); err != nil {
 			return s.corrupt("its snapshot can't be read")
 		}
-		snap.Data = append(snap.Data, b[n:]...)
+		snapshot.Data = append(snapshot.Data, b[n:]...)
 		return nil
 	})
-	return snap, err
+	return snapshot, err
 }
 
-// packSnapshot puts the members beside the machine's own snapshot.
-func packSnapshot(seats []member, machine []byte) []byte {
-	b, _ := json.Marshal(seats)
-	return append(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...), machine...)
+// packSnapshot puts the members in front of the machine's own snapshot.
+func packSnapshot(members []member, machine []byte) []byte {
+	packed, err := json.Marshal(members)
+	if err != nil { // numbers and texts
+		panic(err)
+	}
+	b := binary.BigEndian.AppendUint32(nil, uint32(len(packed)))
+	b = append(b, packed...)
+	return append(b, machine...)
 }
 
-func unpackSnapshot(data []byte) (seats []member, machine []byte, err error) {
+func unpackSnapshot(data []byte) (members []member, machine []byte, err error) {
 	if len(data) < 4 || uint64(len(data)-4) < uint64(binary.BigEndian.Uint32(data)) {
 		return nil, nil, &ReplicaFailed{Why: "a snapshot has an unknown form"}
 	}
 	n := 4 + binary.BigEndian.Uint32(data)
-	if err := json.Unmarshal(data[4:n], &seats); err != nil {
+	if err := json.Unmarshal(data[4:n], &members); err != nil {
 		return nil, nil, &ReplicaFailed{Why: "a snapshot has an unknown form"}
 	}
-	return seats, data[n:], nil
+	return members, data[n:], nil
 }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -1,12 +1,5 @@
 package consensus
 
-// A voter's folder: one bbolt database. This file owns its form, its checks and the order of writes; it must never let
-// anything be used that isn't as it was written, and never write into a folder that it has refused.
-//
-// bbolt sums up its two head pages only. So before it gets a file, walk.go looks at how the pages hang together, and
-// each value here carries a sum of its own; entries are chained, so that a page which is whole but of an earlier time is
-// found as well. What is read is kept in memory; entries are few and short, since snapshots cut them off.
-
 import (
 	"encoding/binary"
 	"encoding/json"
@@ -26,11 +19,12 @@
 const (
 	fileName = "agree.db"
 
-	// Processes is a folder beside it that others may make; nothing of it is read here.
+	// Processes is a folder beside the file that others may make; nothing of it is read here.
 	Processes = "processes"
 
-	format   = "oatloft agreement 1"
-	pageSize = 4096
+	format         = "oatloft agreement 1"
+	pageSize       = 4096
+	logFillPercent = 0.9 // entries come in order
 )
 
 var (
@@ -40,7 +34,7 @@
 	keySnapshot = []byte("snapshot")
 )
 
-// header is what each write leaves up to date besides the entries themselves.
+// header is what each write updates beside the entries themselves.
 type header struct {
 	Format    string    `json:"Format"`
 	Cluster   string    `json:"Cluster"`
@@ -70,35 +64,58 @@
 }
 
 func confOf(c *pb.ConfState) confState {
-	return confState{Voters: c.GetVoters(), Learners: c.GetLearners(), Outgoing: c.GetVotersOutgoing(), Next: c.GetLearnersNext(), Leave: c.GetAutoLeave()}
+	return confState{
+		Voters:   c.GetVoters(),
+		Learners: c.GetLearners(),
+		Outgoing: c.GetVotersOutgoing(),
+		Next:     c.GetLearnersNext(),
+		Leave:    c.GetAutoLeave(),
+	}
 }
 
 func (c confState) pb() *pb.ConfState {
-	return &pb.ConfState{Voters: c.Voters, Learners: c.Learners, VotersOutgoing: c.Outgoing, LearnersNext: c.Next, AutoLeave: &c.Leave}
+	return &pb.ConfState{
+		Voters:         c.Voters,
+		Learners:       c.Learners,
+		VotersOutgoing: c.Outgoing,
+		LearnersNext:   c.Next,
+		AutoLeave:      &c.Leave,
+	}
 }
 
-// store is an open folder. One goroutine writes, and another one reads it meanwhile as raft's Storage: what it finds is
-// what is on disk.
+// store is a voter's open folder: one bbolt database. One goroutine writes, and another one reads meanwhile what is on disk, as raft's
+// Storage.
+//
+// Nothing is used that is not as it was written. bbolt has checksums of its two head pages only, so verifyPages looks at the pages
+// before bbolt gets the file, and each value has a checksum here; entries are chained, so that a page which is whole but of an earlier
+// time is found as well. What is read is kept in memory; entries are few and short, since snapshots replace them.
 type store struct {
 	db         *bolt.DB
 	folder     string
-	writeFault func() error // a test's, before each write
+	writeFault func() error // of tests, before each write
 
-	mu sync.RWMutex // held by the writer while it takes up what has been written
-	logState
+	mu       sync.RWMutex // held by the writer while it takes over what has been written
+	logState              // written by one goroutine, which reads it without the lock
 }
 
 // logState is what is kept in memory of a folder.
 type logState struct {
 	header     header
-	entries    []*pb.Entry // Base+1..Last
-	chains     []uint64    // of each of them
-	entryBytes int64       // of entries
+	entries    []*pb.Entry // header.Base + 1 to header.Last
+	chains     []uint64    // the checksum of each of them and all before
+	entryBytes int64       // of all entries
+}
+
+// state is what is in memory, for other goroutines than the writer's.
+func (s *store) state() logState {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.logState
 }
 
 func (s *store) close() {
 	if s.db != nil {
-		_ = s.db.Close()
+		_ = s.db.Close() // what was written is on disk
 	}
 }
 
@@ -113,44 +130,78 @@
 		if meta == nil || log == nil {
 			return &ForeignFolder{Folder: s.folder, Why: fileName + " holds no agreement"}
 		}
-		raw, ok := checkChecksum(keyHeader, meta.Get(keyHeader))
-		if !ok {
-			return s.corrupt("the sum of its head doesn't fit")
-		}
-		if err := json.Unmarshal(raw, &s.header); err != nil || s.header.Format != format {
-			return &ForeignFolder{Folder: s.folder, Why: "it is of another version"}
-		}
-		if s.header.SnapIndex > 0 {
-			if _, ok := checkChecksum(keySnapshot, meta.Get(keySnapshot)); !ok {
-				return s.corrupt("the sum of its snapshot doesn't fit")
-			}
+		if err := s.loadHeader(meta); err != nil {
+			return err
 		}
-		next, last := s.header.Base+1, s.header.BaseChain
-		c := log.Cursor()
-		for k, v := c.First(); k != nil; k, v = c.Next() {
-			if len(k) != 8 || len(v) < 8 || binary.BigEndian.Uint64(k) != next {
-				return s.corrupt("entry %d is missing", next)
-			}
-			if last = chain(last, next, v[8:]); last != binary.BigEndian.Uint64(v) {
-				if !failpoint.On("sums-unchecked") {
-					return s.corrupt("the sum of entry %d doesn't fit", next)
-				}
-				last = binary.BigEndian.Uint64(v)
-			}
-			e := new(pb.Entry)
-			if err := proto.Unmarshal(v[8:], e); err != nil || e.GetIndex() != next {
-				return s.corrupt("entry %d can't be read", next)
-			}
-			s.entries, s.chains, s.entryBytes = append(s.entries, e), append(s.chains, last), s.entryBytes+int64(len(v))
-			next++
+		if err := s.loadEntries(log); err != nil {
+			return err
 		}
-		if s.header.Last != next-1 || s.header.LastChain != last || s.header.Commit > s.header.Last || s.header.SnapIndex > s.header.Last || s.header.Base > s.header.SnapIndex {
-			return s.corrupt("its entries end at %d, not at %d", next-1, s.header.Last)
+		last, chain := s.lastLoaded()
+		h := s.header
+		if h.Last != last || h.LastChain != chain || h.Commit > h.Last || h.SnapIndex > h.Last || h.Base > h.SnapIndex {
+			return s.corrupt("its entries end at %d, not at %d", last, h.Last)
 		}
 		return nil
 	})
 }
 
+func (s *store) loadHeader(meta *bolt.Bucket) error {
+	raw, ok := checkChecksum(keyHeader, meta.Get(keyHeader))
+	if !ok {
+		return s.corrupt("the sum of its head doesn't fit")
+	}
+	if err := json.Unmarshal(raw, &s.header); err != nil || s.header.Format != format {
+		return &ForeignFolder{Folder: s.folder, Why: "it is of another version"}
+	}
+	if s.header.SnapIndex == 0 {
+		return nil
+	}
+	if _, ok := checkChecksum(keySnapshot, meta.Get(keySnapshot)); !ok {
+		return s.corrupt("the sum of its snapshot doesn't fit")
+	}
+	return nil
+}
+
+func (s *store) loadEntries(log *bolt.Bucket) error {
+	cursor := log.Cursor()
+	for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
+		if err := s.loadEntry(k, v); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// loadEntry reads the next entry: its chained checksum, then itself.
+func (s *store) loadEntry(k, v []byte) error {
+	last, chained := s.lastLoaded()
+	index := last + 1
+	if len(k) != 8 || len(v) < 8 || binary.BigEndian.Uint64(k) != index {
+		return s.corrupt("entry %d is missing", index)
+	}
+	stored, body := binary.BigEndian.Uint64(v), v[8:]
+	if chain(chained, index, body) != stored && !failpoint.On("sums-unchecked") {
+		return s.corrupt("the sum of entry %d doesn't fit", index)
+	}
+	entry := new(pb.Entry)
+	if err := proto.Unmarshal(body, entry); err != nil || entry.GetIndex() != index {
+		return s.corrupt("entry %d can't be read", index)
+	}
+	s.entries = append(s.entries, entry)
+	s.chains = append(s.chains, stored)
+	s.entryBytes += int64(len(v))
+	return nil
+}
+
+// lastLoaded is the last entry read so far, with its chained checksum.
+func (s *store) lastLoaded() (index, chained uint64) {
+	n := len(s.chains)
+	if n == 0 {
+		return s.header.Base, s.header.BaseChain
+	}
+	return s.header.Base + uint64(n), s.chains[n-1]
+}
+
 func putHeader(tx *bolt.Tx, h header) error {
 	b, err := json.Marshal(h)
 	if err != nil {
@@ -159,66 +210,68 @@
 	return tx.Bucket(bucketMeta).Put(keyHeader, withChecksum(keyHeader, b))
 }
 
-// update writes in one go: on disk, all of it, when it returns nil. f changes a draft of what is in memory along, and
-// that is taken up then.
-func (s *store) update(f func(d *logState, tx *bolt.Tx) error) error {
-	d := s.logState
+// update writes in one transaction: all of it is on disk when it returns nil. f changes a draft of what is in memory along with it,
+// which is taken over then. The error is an *UnwritableFolder.
+func (s *store) update(f func(draft *logState, tx *bolt.Tx) error) error {
+	draft := s.logState
 	write := func(tx *bolt.Tx) error {
-		if err := f(&d, tx); err != nil {
+		if err := f(&draft, tx); err != nil {
 			return err
 		}
-		return putHeader(tx, d.header)
+		return putHeader(tx, draft.header)
 	}
-	var err error
-	if s.writeFault != nil {
-		err = s.writeFault()
-	}
-	if err != nil && failpoint.On("write-error-ignored") {
-		_ = s.db.Update(func(tx *bolt.Tx) error { _ = write(tx); return err })
-		err = nil
-	} else if err == nil {
-		err = s.db.Update(write)
-	}
-	if err != nil {
-		if path := (*os.PathError)(nil); errors.As(err, &path) {
-			err = path.Err // the name is the one that the file was made under
+	if err := s.transact(write); err != nil {
+		var path *os.PathError
+		if errors.As(err, &path) {
+			err = path.Err // the path is the one under which the file was made
 		}
 		return &UnwritableFolder{Folder: s.folder, Cause: err}
 	}
 	s.mu.Lock()
-	s.logState = d
+	s.logState = draft
 	s.mu.Unlock()
 	return nil
 }
 
-// snapshotState is what is in memory, for readers.
-func (s *store) state() logState {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	return s.logState
+// transact runs a transaction, unless a test has it fail.
+func (s *store) transact(write func(*bolt.Tx) error) error {
+	if s.writeFault != nil {
+		if err := s.writeFault(); err != nil {
+			if !failpoint.On("write-error-ignored") {
+				return err
+			}
+			_ = s.db.Update(func(tx *bolt.Tx) error {
+				_ = write(tx) // for what it does in memory
+				return err
+			})
+			return nil
+		}
+	}
+	return s.db.Update(write)
 }
 
-// recordBootstrap writes down which founding the folder belongs to, before anything is said to others that rests on it. A founding
-// with voters is also the first snapshot; a member that is taken in later gets its first one from the leader.
-func (s *store) recordBootstrap(f bootstrap) error {
-	return s.update(func(d *logState, tx *bolt.Tx) error {
-		d.header.Bootstrap = f
-		if len(f.Voters) == 0 {
+// recordBootstrap writes down which bootstrap the folder belongs to, before anything is sent that rests on it. A bootstrap with voters
+// is also the first snapshot; a member that is added later gets its first one from the leader.
+func (s *store) recordBootstrap(b bootstrap) error {
+	return s.update(func(draft *logState, tx *bolt.Tx) error {
+		draft.header.Bootstrap = b
+		if len(b.Voters) == 0 {
 			return nil
 		}
 		var conf confState
-		for _, v := range f.Voters {
+		for _, v := range b.Voters {
 			conf.Voters = append(conf.Voters, v.ID)
 		}
-		d.header.Term, d.header.Commit, d.header.Last, d.header.Base, d.header.BaseTerm = 1, 1, 1, 1, 1
-		return d.putSnapshot(tx, 1, 1, conf, packSnapshot(f.Voters, nil))
+		h := &draft.header
+		h.Term, h.Commit, h.Last, h.Base, h.BaseTerm = 1, 1, 1, 1, 1
+		return draft.putSnapshot(tx, 1, 1, conf, packSnapshot(b.Voters, nil))
 	})
 }
 
 // reset makes the folder one of a new voter that knows nothing, with a number of its own.
 func (s *store) reset() error {
-	return s.update(func(d *logState, tx *bolt.Tx) error {
-		*d = logState{header: header{Format: format, Cluster: d.header.Cluster, Name: d.header.Name, ID: randomID()}}
+	return s.update(func(draft *logState, tx *bolt.Tx) error {
+		*draft = logState{header: newHeader(draft.header.Cluster, draft.header.Name)}
 		if err := emptyLog(tx); err != nil {
 			return err
 		}
@@ -226,6 +279,10 @@
 	})
 }
 
+func newHeader(cluster, name string) header {
+	return header{Format: format, Cluster: cluster, Name: name, ID: randomID()}
+}
+
 // checkWritable writes without changing anything.
 func (s *store) checkWritable() error {
 	return s.update(func(*logState, *bolt.Tx) error { return nil })
@@ -239,60 +296,78 @@
 	return err
 }
 
-// writeMessage does what a message of raft to its storage asks for. What rests on it may be said once it has returned nil.
+// writeMessage does what a message of raft to its storage asks for. What rests on it may be sent once it has returned nil.
 func (s *store) writeMessage(m *pb.Message) error {
-	snap, entries := m.GetSnapshot(), m.GetEntries()
-	if raft.IsEmptySnap(snap) && len(entries) == 0 && (m.Term == nil || m.GetTerm() == s.header.Term && m.GetVote() == s.header.Vote) {
-		if m.Term != nil { // no more than how far is settled: that is written along with what comes next
+	snapshot, entries := m.GetSnapshot(), m.GetEntries()
+	sameVote := m.Term == nil || m.GetTerm() == s.header.Term && m.GetVote() == s.header.Vote
+	if raft.IsEmptySnap(snapshot) && len(entries) == 0 && sameVote {
+		if m.Term != nil { // at most the commit index is new: it is written along with what comes next
 			s.mu.Lock()
 			s.header.Commit = m.GetCommit()
 			s.mu.Unlock()
 		}
 		return nil
 	}
-	return s.update(func(d *logState, tx *bolt.Tx) error {
+	return s.update(func(draft *logState, tx *bolt.Tx) error {
 		if m.Term != nil {
-			d.header.Term, d.header.Vote, d.header.Commit = m.GetTerm(), m.GetVote(), m.GetCommit()
-		}
-		if !raft.IsEmptySnap(snap) {
-			if err := emptyLog(tx); err != nil {
-				return err
-			}
-			meta := snap.GetMetadata()
-			index, term := meta.GetIndex(), meta.GetTerm()
-			d.entries, d.chains, d.entryBytes = nil, nil, 0
-			d.header.Base, d.header.BaseTerm, d.header.BaseChain = index, term, 0
-			d.header.Last, d.header.LastChain, d.header.Commit = index, 0, max(d.header.Commit, index)
-			if err := d.putSnapshot(tx, index, term, confOf(meta.GetConfState()), snap.GetData()); err != nil {
-				return err
-			}
+			draft.header.Term, draft.header.Vote, draft.header.Commit = m.GetTerm(), m.GetVote(), m.GetCommit()
 		}
-		log := tx.Bucket(bucketLog)
-		log.FillPercent = 0.9
-		for i, e := range entries {
-			index := e.GetIndex()
-			if i == 0 {
-				if index <= d.header.Base || index > d.header.Last+1 {
-					return &ReplicaFailed{Why: fmt.Sprintf("entry %d doesn't follow %d", index, d.header.Last)}
-				}
-				if err := d.truncate(log, index); err != nil {
-					return err
-				}
-			}
-			body, err := proto.Marshal(e)
-			if err != nil {
-				return err
-			}
-			d.header.LastChain, d.header.Last = chain(d.header.LastChain, index, body), index
-			if err := log.Put(key(index), append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), d.header.LastChain), body...)); err != nil {
+		if !raft.IsEmptySnap(snapshot) {
+			if err := draft.replaceLog(tx, snapshot); err != nil {
 				return err
 			}
-			d.entries, d.chains, d.entryBytes = append(d.entries, e), append(d.chains, d.header.LastChain), d.entryBytes+int64(8+len(body))
 		}
-		return nil
+		return draft.appendEntries(tx, entries)
 	})
 }
 
+// replaceLog takes a leader's snapshot in place of all entries.
+func (d *logState) replaceLog(tx *bolt.Tx, snapshot *pb.Snapshot) error {
+	if err := emptyLog(tx); err != nil {
+		return err
+	}
+	metadata := snapshot.GetMetadata()
+	index, term := metadata.GetIndex(), metadata.GetTerm()
+	d.entries, d.chains, d.entryBytes = nil, nil, 0
+	h := &d.header
+	h.Base, h.BaseTerm, h.BaseChain = index, term, 0
+	h.Last, h.LastChain, h.Commit = index, 0, max(h.Commit, index)
+	return d.putSnapshot(tx, index, term, confOf(metadata.GetConfState()), snapshot.GetData())
+}
+
+// appendEntries writes entries in place of those from the first one's index on.
+func (d *logState) appendEntries(tx *bolt.Tx, entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	log := tx.Bucket(bucketLog)
+	log.FillPercent = logFillPercent
+	first := entries[0].GetIndex()
+	if first <= d.header.Base || first > d.header.Last+1 {
+		return &ReplicaFailed{Why: fmt.Sprintf("entry %d doesn't follow %d", first, d.header.Last)}
+	}
+	if err := d.truncate(log, first); err != nil {
+		return err
+	}
+	for _, entry := range entries {
+		body, err := proto.Marshal(entry)
+		if err != nil {
+			return err
+		}
+		d.header.Last = entry.GetIndex()
+		d.header.LastChain = chain(d.header.LastChain, d.header.Last, body)
+		value := binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), d.header.LastChain)
+		value = append(value, body...)
+		if err := log.Put(key(d.header.Last), value); err != nil {
+			return err
+		}
+		d.entries = append(d.entries, entry)
+		d.chains = append(d.chains, d.header.LastChain)
+		d.entryBytes += int64(len(value))
+	}
+	return nil
+}
+
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // truncate drops the entries from index on.
@@ -304,7 +379,7 @@
 		}
 	}
 	n := index - 1 - d.header.Base
-	if index <= d.header.Last { // else what follows may go behind what readers have
+	if index <= d.header.Last { // what is appended must not overwrite what readers have
 		d.entries, d.chains = d.entries[:n:n], d.chains[:n:n]
 	}
 	d.header.Last, d.header.LastChain = index-1, d.header.BaseChain
@@ -316,48 +391,55 @@
 
 func entryBytes(e *pb.Entry) int64 { return int64(8 + proto.Size(e)) }
 
-// putSnapshot replaces the snapshot, and what belongs to it, so that a reader never meets one with the other's.
+// putSnapshot replaces the snapshot together with what the header says of it.
 func (d *logState) putSnapshot(tx *bolt.Tx, index, term uint64, conf confState, data []byte) error {
 	d.header.SnapIndex, d.header.SnapTerm, d.header.Conf = index, term, conf
-	meta, err := proto.Marshal(&pb.SnapshotMetadata{ConfState: conf.pb(), Index: &index, Term: &term})
+	metadata, err := proto.Marshal(&pb.SnapshotMetadata{ConfState: conf.pb(), Index: &index, Term: &term})
 	if err != nil {
 		return err
 	}
-	b := append(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(meta)+len(data)), uint32(len(meta))), meta...), data...)
+	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(metadata)+len(data)), uint32(len(metadata)))
+	b = append(b, metadata...)
+	b = append(b, data...)
 	return tx.Bucket(bucketMeta).Put(keySnapshot, withChecksum(keySnapshot, b))
 }
 
-// compaction is a snapshot to write in place of the one before.
+// compaction is a snapshot to write in place of the one before, after which entries are dropped.
 type compaction struct {
-	index, term uint64
+	index       uint64
+	term        uint64
 	conf        *pb.ConfState
 	data        []byte
-	keepEntries uint64 // entries before it
+	keepEntries uint64 // before the snapshot
 }
 
-func (s *store) compact(x compaction) error {
-	if x.index <= s.header.SnapIndex {
-		return nil // the leader has sent a later one meanwhile
+// compact does nothing if the leader has sent a later snapshot meanwhile.
+func (s *store) compact(c compaction) error {
+	if c.index <= s.header.SnapIndex {
+		return nil
 	}
-	return s.update(func(d *logState, tx *bolt.Tx) error {
-		if err := d.putSnapshot(tx, x.index, x.term, confOf(x.conf), x.data); err != nil {
+	return s.update(func(draft *logState, tx *bolt.Tx) error {
+		if err := draft.putSnapshot(tx, c.index, c.term, confOf(c.conf), c.data); err != nil {
 			return err
 		}
-		if x.index < x.keepEntries || x.index-x.keepEntries <= d.header.Base {
+		if c.index < c.keepEntries || c.index-c.keepEntries <= draft.header.Base {
 			return nil
 		}
-		log, drop := tx.Bucket(bucketLog), x.index-x.keepEntries-d.header.Base
-		for i := uint64(0); i < drop; i++ {
-			d.entryBytes -= entryBytes(d.entries[i])
-			if err := log.Delete(key(d.header.Base + 1 + i)); err != nil {
-				return err
-			}
-		}
-		d.header.BaseTerm, d.header.BaseChain = d.entries[drop-1].GetTerm(), d.chains[drop-1]
-		d.header.Base += drop
-		d.entries, d.chains = append([]*pb.Entry(nil), d.entries[drop:]...), append([]uint64(nil), d.chains[drop:]...)
-		return nil
+		return draft.dropFirst(tx.Bucket(bucketLog), c.index-c.keepEntries-draft.header.Base)
 	})
 }
 
-// What follows is raft.Storage.
+// dropFirst drops the first n entries.
+func (d *logState) dropFirst(log *bolt.Bucket, n uint64) error {
+	for i := range n {
+		d.entryBytes -= entryBytes(d.entries[i])
+		if err := log.Delete(key(d.header.Base + 1 + i)); err != nil {
+			return err
+		}
+	}
+	d.header.BaseTerm, d.header.BaseChain = d.entries[n-1].GetTerm(), d.chains[n-1]
+	d.header.Base += n
+	d.entries = append([]*pb.Entry(nil), d.entries[n:]...)
+	d.chains = append([]uint64(nil), d.chains[n:]...)
+	return nil
+}
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -1,9 +1,5 @@
 package consensus
 
-// Calls between members, by storj.io/drpc over TCP. This file owns the connections, the bounds on what is under way, and
-// the form of a call; it must never keep more than the bounds say for a member that doesn't answer, nor let a member of
-// another cluster, or another founding, be heard.
-
 import (
 	"context"
 	"encoding/binary"
@@ -28,29 +24,47 @@
 )
 
 const (
-	maxInFlight       = 16       // calls to one member; more wait, up to
-	maxWaiting        = 256      // callers of one member
 	maxConns          = 1024     // of other members to here
 	maxServed         = 256      // calls that are being answered
 	maxBody           = 64 << 20 // bytes of a call or an answer: a snapshot is the longest
-	maxCallBody       = 4 << 20  // bytes of a call that isn't raft's
+	maxAnswer         = 4 << 20  // bytes of an answer
+	bufferBytes       = 4096
 	servedIdleTimeout = 2 * time.Minute
-	clientIdleTimeout = 45 * time.Second // a connection that has not been used so long isn't tried again
-	writeTimeout      = 5 * time.Second
-	dialTimeout       = 2 * time.Second
-	maxIdleConns      = 4 // idle, to one member
+	writeTimeout      = 5 * time.Second // and a second for each
+	writeByteRate     = 100_000         // bytes
+	acceptRetry       = 100 * time.Millisecond
+	callHeaderBytes   = 9 // the cluster's hash and the length of the caller's name
+)
+
+// sameVersion is the hint for messages that cannot be understood.
+const sameVersion = "run the same version at all balancers"
+
+// Kinds of a remoteErrorMessage. Other versions know them by these texts.
+const (
+	kindNotLeader  = "leader"
+	kindOverloaded = "load"
+)
+
+// First byte of an answer.
+const (
+	answerOK    = 0
+	answerError = 1
 )
 
 // byteEncoding is drpc's encoding of byte strings.
 type byteEncoding struct{}
 
+// Marshal implements drpc.Encoding.
 func (byteEncoding) Marshal(m drpc.Message) ([]byte, error) { return *m.(*[]byte), nil }
+
+// Unmarshal implements drpc.Encoding.
 func (byteEncoding) Unmarshal(b []byte, m drpc.Message) error {
 	*m.(*[]byte) = append([]byte(nil), b...)
 	return nil
 }
 
-// transport is one member's transport.
+// transport makes and answers calls between members, by storj.io/drpc over TCP. It keeps no more than its limits for a member that
+// does not answer, and refuses calls of another cluster. Its methods may be called from any goroutine.
 type transport struct {
 	cfg     *Config
 	cluster uint64
@@ -58,10 +72,13 @@
 	log     *slog.Logger
 
 	mu    sync.Mutex
-	peers map[string]*peer
+	peers map[string]*peer // by name; nil once closed
 
-	bytesIn, bytesOut, refused atomic.Int64
-	conns, served              atomic.Int64
+	bytesIn  atomic.Int64
+	bytesOut atomic.Int64
+	conns    atomic.Int64 // of other members, open
+	served   atomic.Int64 // calls that are being answered
+	refused  atomic.Int64 // connections and calls beyond a limit
 }
 
 func newTransport(cfg *Config, log *slog.Logger) *transport {
@@ -69,16 +86,20 @@
 }
 
 func managerOptions() drpcmanager.Options {
-	return drpcmanager.Options{WriterBufferSize: 4096, Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxBody + 4096}}
+	return drpcmanager.Options{
+		WriterBufferSize: bufferBytes,
+		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxBody + bufferBytes},
+	}
 }
 
-// meteredConn is a connection that counts its bytes, and ends when nobody takes what is written, or says anything.
+// meteredConn counts the bytes of a connection, and ends it when the other side reads or says nothing for too long.
 type meteredConn struct {
 	net.Conn
 	transport *transport
-	idle      time.Duration // 0: reads wait for ever
+	idle      time.Duration // a read waits so long; 0: without limit
 }
 
+// Read implements net.Conn.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	if c.idle > 0 {
 		_ = c.SetReadDeadline(time.Now().Add(c.idle))
@@ -88,143 +109,173 @@
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *meteredConn) Write(b []byte) (int, error) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout + time.Duration(len(b)/100_000)*time.Second))
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout + time.Duration(len(b)/writeByteRate)*time.Second))
 	n, err := c.Conn.Write(b)
 	c.transport.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// setUserTimeout has a connection end when the other end hasn't taken what was sent for a few seconds.
+// setUserTimeout ends a connection whose other side has not acknowledged what was sent for a few seconds.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, 5000) })
+	return c.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(writeTimeout.Milliseconds()))
+	})
 }
 
-// listen opens the listener and answers until ctx ends. It returns once the listener is open.
-func (w *transport) listen(ctx context.Context, at string) (done <-chan struct{}, err error) {
-	lc := net.ListenConfig{Control: setUserTimeout}
-	l, err := lc.Listen(ctx, "tcp", at)
+// listen opens the listener and answers calls until ctx ends; done is closed once the last one is answered. It returns once the listener
+// is open.
+func (w *transport) listen(ctx context.Context, address string) (done <-chan struct{}, err error) {
+	config := net.ListenConfig{Control: setUserTimeout}
+	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	server := drpcserver.NewWithOptions(w, drpcserver.Options{Manager: managerOptions()})
-	end := make(chan struct{})
-	var all sync.WaitGroup
-	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
+	ended := make(chan struct{})
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	go func() {
-		defer close(end)
+		defer close(ended)
 		defer stop()
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-					break
-				}
-				w.log.Warn("a member's connection couldn't be taken", "err", err)
-				select {
-				case <-ctx.Done():
-				case <-time.After(100 * time.Millisecond):
-				}
-				continue
-			}
-			if w.conns.Add(1) > maxConns {
-				w.conns.Add(-1)
-				w.refused.Add(1)
-				_ = conn.Close()
-				continue
+		w.acceptAll(ctx, listener)
+	}()
+	return ended, nil
+}
+
+// acceptAll serves connections until the listener is closed, and returns once the last one has ended.
+func (w *transport) acceptAll(ctx context.Context, listener net.Listener) {
+	server := drpcserver.NewWithOptions(w, drpcserver.Options{Manager: managerOptions()})
+	var connections sync.WaitGroup
+	defer connections.Wait()
+	for {
+		conn, err := listener.Accept()
+		switch {
+		case err == nil:
+		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
+			return
+		default:
+			w.log.Warn("a member's connection couldn't be taken", "err", err)
+			select {
+			case <-ctx.Done():
+			case <-time.After(acceptRetry):
 			}
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				defer w.conns.Add(-1)
-				_ = server.ServeOne(ctx, &meteredConn{Conn: conn, transport: w, idle: servedIdleTimeout})
-			}()
+			continue
 		}
-		all.Wait()
-	}()
-	return end, nil
+		if w.conns.Add(1) > maxConns {
+			w.conns.Add(-1)
+			w.refused.Add(1)
+			_ = conn.Close()
+			continue
+		}
+		connections.Go(func() {
+			defer w.conns.Add(-1)
+			_ = server.ServeOne(ctx, &meteredConn{Conn: conn, transport: w, idle: servedIdleTimeout}) // it ended
+		})
+	}
 }
 
 // HandleRPC implements drpc.Handler.
 func (w *transport) HandleRPC(stream drpc.Stream, method string) error {
-	var in []byte
-	if err := stream.MsgRecv(&in, byteEncoding{}); err != nil {
+	var call []byte
+	if err := stream.MsgRecv(&call, byteEncoding{}); err != nil {
 		return err
 	}
-	var out []byte
-	from, body, err := w.unpackCall(in)
-	switch {
-	case err != nil:
-	case w.served.Add(1) > maxServed && method != methodRaft:
+	answer := packAnswer(w.answer(stream.Context(), method, call))
+	return stream.MsgSend(&answer, byteEncoding{})
+}
+
+// answer answers a call. Messages of raft are answered whatever is under way.
+func (w *transport) answer(ctx context.Context, method string, call []byte) ([]byte, error) {
+	from, body, err := w.unpackCall(call)
+	if err != nil {
+		return nil, err
+	}
+	defer w.served.Add(-1)
+	if w.served.Add(1) > maxServed && method != methodRaft {
 		w.refused.Add(1)
-		err = &Overloaded{What: "calls of other members", Limit: maxServed}
-		w.served.Add(-1)
-	default:
-		out, err = w.serve(stream.Context(), from, method, body)
-		w.served.Add(-1)
-		if err == nil && len(out) > maxCallBody {
-			err = &TooLong{Bytes: len(out), Limit: maxCallBody}
-		}
+		return nil, &Overloaded{What: "calls of other members", Limit: maxServed}
 	}
-	out = packAnswer(out, err)
-	return stream.MsgSend(&out, byteEncoding{})
+	answer, err := w.serve(ctx, from, method, body)
+	if err == nil && len(answer) > maxAnswer {
+		return nil, &TooLong{Bytes: len(answer), Limit: maxAnswer}
+	}
+	return answer, err
 }
 
+// packCall puts the cluster and the caller's name in front of a call.
 func (w *transport) packCall(body []byte) []byte {
-	b := make([]byte, 0, 9+len(w.cfg.Name)+len(body))
+	name := w.cfg.Name
+	b := make([]byte, 0, callHeaderBytes+len(name)+len(body))
 	b = binary.BigEndian.AppendUint64(b, w.cluster)
-	b = append(append(b, byte(len(w.cfg.Name))), w.cfg.Name...)
+	b = append(b, byte(len(name)))
+	b = append(b, name...)
 	return append(b, body...)
 }
 
+// unpackCall refuses calls of another cluster.
 func (w *transport) unpackCall(b []byte) (from string, body []byte, err error) {
-	if len(b) < 9 || len(b) < 9+int(b[8]) {
-		return "", nil, &RemoteError{Name: w.cfg.Name, Text: "a call has an unknown form", Do: "run the same version at all balancers"}
+	malformed := &RemoteError{Name: w.cfg.Name, Text: "a call has an unknown form", Do: sameVersion}
+	if len(b) < callHeaderBytes {
+		return "", nil, malformed
+	}
+	nameEnd := callHeaderBytes + int(b[callHeaderBytes-1])
+	if len(b) < nameEnd {
+		return "", nil, malformed
 	}
 	if binary.BigEndian.Uint64(b) != w.cluster {
-		return "", nil, &RemoteError{Name: w.cfg.Name, Text: fmt.Sprintf("%s belongs to cluster %q, the caller to another one", w.cfg.Name, w.cfg.Cluster), Do: "compare revisions.cluster at both"}
+		return "", nil, &RemoteError{
+			Name: w.cfg.Name,
+			Text: fmt.Sprintf("%s belongs to cluster %q, the caller to another one", w.cfg.Name, w.cfg.Cluster),
+			Do:   "compare revisions.cluster at both",
+		}
 	}
-	return string(b[9 : 9+b[8]]), b[9+int(b[8]):], nil
+	return string(b[callHeaderBytes:nameEnd]), b[nameEnd:], nil
 }
 
-// remoteErrorMessage is an error on its way.
+// remoteErrorMessage is an error on its way to the caller.
 type remoteErrorMessage struct {
-	Kind   string `json:"Kind"`
+	Kind   string `json:"Kind"` // "" for an error that has only its text
 	Text   string `json:"Text"`
 	Hint   string `json:"Do"`
-	Leader string `json:"Lead"`
+	Leader string `json:"Lead"` // of kindNotLeader
 }
 
-func packAnswer(out []byte, err error) []byte {
+func packAnswer(answer []byte, err error) []byte {
 	if err == nil {
-		return append([]byte{0}, out...)
+		return append([]byte{answerOK}, answer...)
 	}
-	e := remoteErrorMessage{Text: err.Error(), Hint: hint.Of(err)}
-	var no *NotLeader
-	var much *Overloaded
+	message := remoteErrorMessage{Text: err.Error(), Hint: hint.Of(err)}
+	var notLeader *NotLeader
+	var overloaded *Overloaded
 	switch {
-	case errors.As(err, &no):
-		e.Kind, e.Leader = "leader", no.Leader.Name
-	case errors.As(err, &much):
-		e.Kind, e.Text = "load", much.What
+	case errors.As(err, &notLeader):
+		message.Kind, message.Leader = kindNotLeader, notLeader.Leader.Name
+	case errors.As(err, &overloaded):
+		message.Kind, message.Text = kindOverloaded, overloaded.What
+	}
+	body, err := json.Marshal(message)
+	if err != nil { // texts only
+		return []byte{answerError}
 	}
-	b, _ := json.Marshal(e)
-	return append([]byte{1}, b...)
+	return append([]byte{answerError}, body...)
 }
 
 func (w *transport) unpackAnswer(name, method string, b []byte) ([]byte, error) {
-	if len(b) > 0 && b[0] == 0 {
+	if len(b) > 0 && b[0] == answerOK {
 		return b[1:], nil
 	}
-	var e remoteErrorMessage
-	if len(b) == 0 || json.Unmarshal(b[1:], &e) != nil {
-		return nil, &RemoteError{Name: name, Method: method, Text: name + " answered in an unknown form", Do: "run the same version at all balancers"}
+	var message remoteErrorMessage
+	if len(b) == 0 || json.Unmarshal(b[1:], &message) != nil {
+		return nil, &RemoteError{
+			Name: name, Method: method, Text: name + " answered in an unknown form", Do: sameVersion,
+		}
 	}
-	switch e.Kind {
-	case "leader":
-		return nil, &NotLeader{Leader: LeaderInfo{Name: e.Leader, Address: w.cfg.addressOf(e.Leader)}}
-	case "load":
-		return nil, &Overloaded{What: name + ": " + e.Text, Limit: maxServed}
+	switch message.Kind {
+	case kindNotLeader:
+		leader := LeaderInfo{Name: message.Leader, Address: w.cfg.addressOf(message.Leader)}
+		return nil, &NotLeader{Leader: leader}
+	case kindOverloaded:
+		return nil, &Overloaded{What: name + ": " + message.Text, Limit: maxServed}
 	}
-	return nil, &RemoteError{Name: name, Method: method, Text: e.Text, Do: e.Hint}
+	return nil, &RemoteError{Name: name, Method: method, Text: message.Text, Do: message.Hint}
 }
