--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -8,8 +8,9 @@
 	"oatloft/internal/failpoint"
 )
 
-// SelectVoters returns who holds a vote at the bootstrap: count of the candidates, one zone after the other, so that no zone has more
-// than another needs to. The same list gives the same selection. The first one selected begins the log.
+// SelectVoters returns who holds a vote at the bootstrap: count of the candidates, one zone after the other, so
+// that no zone has more than another needs to. The same list gives the same selection. The first one selected
+// begins the log.
 func SelectVoters(candidates []Candidate, count int) []Candidate {
 	var zones []string
 	byZone := map[string][]Candidate{}
@@ -30,8 +31,8 @@
 	return selected
 }
 
-// bootstrap says who votes from the first entry on. All first voters begin with the same one, and messages carry its number, so that
-// two logs never mix.
+// bootstrap says who votes from the first entry on. All first voters begin with the same one, and messages carry
+// its number, so that two logs never mix.
 type bootstrap struct {
 	ID     uint64   `json:"Number"` // hash of the cluster's name and Voters; 0 for none
 	Voters []member `json:"Voters"` // empty at a member that was added later
@@ -77,10 +78,11 @@
 	Await  string     // the first one that has not answered
 }
 
-// decideBootstrap is what a first voter, with a fresh folder of number id, does by what the other first voters report. Only the first
-// one selected begins a log, and only when all others have reported that their folders are fresh too. The others take its bootstrap
-// over where it names their number. So two bootstraps that name the same numbers cannot both get a majority: the first one alone could
-// write a second bootstrap, and only with a new folder, hence with another number of its own.
+// decideBootstrap is what a first voter, with a fresh folder of number id, does by what the other first voters
+// report. Only the first one selected begins a log, and only when all others have reported that their folders are
+// fresh too. The others take its bootstrap over where it names their number. So two bootstraps that name the same
+// numbers cannot both get a majority: the first one alone could write a second bootstrap, and only with a new
+// folder, hence with another number of its own.
 func decideBootstrap(
 	cluster string, first []Candidate, name string, id uint64, reported map[string]memberStatus,
 ) bootstrapStep {
--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -118,17 +118,17 @@
 	if err := json.Unmarshal(body, &id); err != nil {
 		return nil, n.malformedCall()
 	}
-	return askReplica(ctx, n, func(r *replica) memberAnswer {
+	return queryReplica(ctx, n, func(r *replica) memberAnswer {
 		_, isMember := r.members[id]
 		requested := slices.ContainsFunc(r.requests, func(o timedRequest) bool { return o.Member.ID == id })
 		return memberAnswer{Has: isMember || requested, Founding: r.bootstrapID}
 	})
 }
 
-// acceptRejoin notes, as the leader, that a member has come back with a new folder. The answer is the number of the bootstrap that
-// it belongs to, or 0 if no voter has its name.
+// acceptRejoin notes, as the leader, that a member has come back with a new folder. The answer is the number of the
+// bootstrap that it belongs to, or 0 if no voter has its name.
 func (n *Node) acceptRejoin(ctx context.Context, m member) ([]byte, error) {
-	return askReplica(ctx, n, func(r *replica) uint64 {
+	return queryReplica(ctx, n, func(r *replica) uint64 {
 		for id, other := range r.members {
 			switch {
 			case other.Name != m.Name || id == m.ID:
@@ -146,8 +146,8 @@
 	})
 }
 
-// askReplica has the leader's replica answer a question on its goroutine, and returns the answer as JSON.
-func askReplica[T any](ctx context.Context, n *Node, answer func(*replica) T) ([]byte, error) {
+// queryReplica has the leader's replica answer a question on its goroutine, and returns the answer as JSON.
+func queryReplica[T any](ctx context.Context, n *Node, answer func(*replica) T) ([]byte, error) {
 	if _, err := n.Confirm(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/consensus/changes.go
+++ b/internal/consensus/changes.go
@@ -16,13 +16,13 @@
 	Self          uint64
 	Members       []memberView // by number
 	ChangePending bool
-	WantedVoters  int
+	TargetVoters  int
 	ReplaceAfter  int // ticks of silence; 0 for never
 	Requests      []memberRequest
 }
 
-// memberRequest asks for a vote: an operator's replacement, or a member that comes back with a new folder. The member is ready and
-// waits.
+// memberRequest asks for a vote: an operator's replacement, or a member that comes back with a new folder. The
+// member is ready and waits.
 type memberRequest struct {
 	Member     member // Replaces is the vote that it is to get
 	ByOperator bool   // also while the old one is heard from
@@ -55,8 +55,8 @@
 	silentVoterTicks   = 2 * electionTicks  // a voter must be silent for so long before one of its name replaces it
 )
 
-// nextMembershipChange decides on the next change of members: a pure function of what the leader has heard. One change is pending at
-// a time, and a new voter first follows as a learner until it has caught up.
+// nextMembershipChange decides on the next change of members: a pure function of what the leader has heard. One
+// change is pending at a time, and a new voter first follows as a learner until it has caught up.
 func nextMembershipChange(v membershipView) membershipChange {
 	if v.ChangePending {
 		return membershipChange{}
@@ -70,12 +70,12 @@
 	}
 	quietest, found := v.quietestVoter()
 	switch {
-	case voters > v.WantedVoters && found:
+	case voters > v.TargetVoters && found:
 		// A silent voter is removed first; one that is heard from only where the rest stays a majority without it.
 		if quietest.SilentTicks >= silentVoterTicks || alive-1 > (voters-1)/2 {
 			return membershipChange{Kind: removeMember, Member: quietest.member}
 		}
-	case voters < v.WantedVoters:
+	case voters < v.TargetVoters:
 		return membershipChange{Kind: findCandidate}
 	case v.ReplaceAfter > 0 && found && quietest.SilentTicks >= v.ReplaceAfter:
 		return membershipChange{Kind: findCandidate, Member: member{Replaces: quietest.ID}}
@@ -114,7 +114,8 @@
 	return quietest, found
 }
 
-// changeOfLearner removes a learner that is silent, or whose vote is not needed any more, and promotes one that has caught up.
+// changeOfLearner removes a learner that is silent, or whose vote is not needed any more, and promotes one that has
+// caught up.
 func (v membershipView) changeOfLearner(learner memberView, voters int) membershipChange {
 	_, replacedIsVoter := v.voter(learner.Replaces)
 	lostAgain := slices.ContainsFunc(v.Requests, func(r memberRequest) bool { // its folder
@@ -124,7 +125,7 @@
 	case lostAgain,
 		learner.SilentTicks > silentLearnerTicks,
 		learner.Replaces != 0 && !replacedIsVoter,
-		learner.Replaces == 0 && voters >= v.WantedVoters:
+		learner.Replaces == 0 && voters >= v.TargetVoters:
 		return membershipChange{Kind: removeMember, Member: learner.member}
 	case learner.CaughtUp && learner.SilentTicks < electionTicks:
 		return membershipChange{Kind: promoteLearner, Member: learner.member}
@@ -139,7 +140,7 @@
 			continue
 		}
 		replaced, found := v.voter(r.Member.Replaces)
-		additional := r.Member.Replaces == 0 && voters < v.WantedVoters
+		additional := r.Member.Replaces == 0 && voters < v.TargetVoters
 		if additional || found && (r.ByOperator || replaced.SilentTicks >= silentVoterTicks) {
 			return membershipChange{Kind: addLearner, Member: r.Member}
 		}
--- a/internal/consensus/changes_test.go
+++ b/internal/consensus/changes_test.go
@@ -17,7 +17,9 @@
 		name, zone, _ := strings.Cut(x, " ")
 		list = append(list, Candidate{Name: name, Zone: zone})
 	}
-	for count, want := range []string{"", "a1", "a1 b1", "a1 b1 c1", "a1 b1 c1 a2", "a1 b1 c1 a2 b2", "a1 b1 c1 a2 b2 a3", "a1 b1 c1 a2 b2 a3"} {
+	for count, want := range []string{
+		"", "a1", "a1 b1", "a1 b1 c1", "a1 b1 c1 a2", "a1 b1 c1 a2 b2", "a1 b1 c1 a2 b2 a3", "a1 b1 c1 a2 b2 a3",
+	} {
 		var got []string
 		for _, c := range SelectVoters(list, count) {
 			got = append(got, c.Name)
@@ -28,8 +30,8 @@
 	}
 }
 
-// TestFounding has members look at each other in any order, lose their folders, and miss answers: one founding only ever
-// gets most of the numbers that it names.
+// TestFounding has members look at each other in any order, lose their folders, and miss answers: one founding only
+// ever gets most of the numbers that it names.
 func TestFounding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "voters")
@@ -66,24 +68,7 @@
 			}
 			look(i, rapid.SliceOfN(rapid.Bool(), count, count).Draw(t, "deaf"))
 		}
-		alive := 0
-		for _, f := range all {
-			has := 0
-			for _, s := range at {
-				if s.Bootstrap.ID == f.ID {
-					has++
-				}
-			}
-			if has > count/2 {
-				alive++
-			}
-			if len(f.Voters) != count {
-				t.Fatalf("founded with %d of %d", len(f.Voters), count)
-			}
-		}
-		if alive > 1 {
-			t.Fatalf("%d foundings have most of their voters", alive)
-		}
+		checkBootstraps(t, all, at)
 		if lost == 0 {
 			for range 2 {
 				for i := range at {
@@ -97,6 +82,28 @@
 	})
 }
 
+// checkBootstraps fails if two bootstraps have most of the voters that they name.
+func checkBootstraps(t *rapid.T, all map[uint64]bootstrap, members []memberStatus) {
+	alive := 0
+	for _, b := range all {
+		has := 0
+		for _, s := range members {
+			if s.Bootstrap.ID == b.ID {
+				has++
+			}
+		}
+		if has > len(members)/2 {
+			alive++
+		}
+		if len(b.Voters) != len(members) {
+			t.Fatalf("founded with %d of %d", len(b.Voters), len(members))
+		}
+	}
+	if alive > 1 {
+		t.Fatalf("%d foundings have most of their voters", alive)
+	}
+}
+
 func TestDecide(t *testing.T) {
 	v := func(want int, seats ...memberView) membershipView {
 		for i := range seats {
@@ -104,7 +111,7 @@
 				seats[i].ID = uint64(i + 1)
 			}
 		}
-		return membershipView{Self: 1, WantedVoters: want, ReplaceAfter: 100, Members: seats}
+		return membershipView{Self: 1, TargetVoters: want, ReplaceAfter: 100, Members: seats}
 	}
 	voter := func(quiet int) memberView { return memberView{Voter: true, CaughtUp: true, SilentTicks: quiet} }
 	learner := func(of uint64, even bool, quiet int) memberView {
@@ -118,47 +125,64 @@
 	again.Members[3].Name, again.Requests[0].Member.Name = "c", "c"
 	joint := order(v(3, voter(0), voter(0), voter(500)), 3, true)
 	joint.ChangePending = true
-	for what, c := range map[string]struct {
+	change := func(kind changeKind, id, replaces uint64) membershipChange {
+		return membershipChange{Kind: kind, Member: member{ID: id, Replaces: replaces}}
+	}
+	named := change(removeMember, 4, 3)
+	named.Member.Name = "c"
+	none := membershipChange{}
+	for _, c := range []struct {
+		what string
 		view membershipView
 		want membershipChange
 	}{
-		"all well":                           {v(3, voter(0), voter(2), voter(3)), membershipChange{}},
-		"silent for long":                    {v(3, voter(0), voter(99), voter(100)), membershipChange{Kind: findCandidate, Member: member{Replaces: 3}}},
-		"one at a time":                      {v(3, voter(0), voter(500), voter(500), learner(3, false, 0)), membershipChange{}},
-		"a change is under way":              {joint, membershipChange{}},
-		"even learner":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 0)), membershipChange{Kind: promoteLearner, Member: member{ID: 4, Replaces: 3}}},
-		"learner not heard of":               {v(3, voter(0), voter(0), voter(500), learner(3, true, 50)), membershipChange{}},
-		"learner gone":                       {v(3, voter(0), voter(0), voter(500), learner(3, true, 401)), membershipChange{Kind: removeMember, Member: member{ID: 4, Replaces: 3}}},
-		"learner that lost its folder":       {again, membershipChange{Kind: removeMember, Member: member{ID: 4, Name: "c", Replaces: 3}}},
-		"learner for nobody":                 {v(3, voter(0), voter(0), voter(0), learner(0, true, 0)), membershipChange{Kind: removeMember, Member: member{ID: 4}}},
-		"too few":                            {v(3, voter(0), voter(0)), membershipChange{Kind: findCandidate}},
-		"learner for too few":                {v(3, voter(0), voter(0), learner(0, true, 0)), membershipChange{Kind: promoteLearner, Member: member{ID: 3}}},
-		"too many":                           {v(1, voter(0), voter(3), voter(0)), membershipChange{Kind: removeMember, Member: member{ID: 2}}},
-		"too many, and one silent":           {v(3, voter(0), voter(0), voter(0), voter(50)), membershipChange{Kind: removeMember, Member: member{ID: 4}}},
-		"two, and one wanted":                {v(1, voter(0), voter(0)), membershipChange{Kind: removeMember, Member: member{ID: 2}}},
-		"comes back":                         {order(v(3, voter(0), voter(0), voter(20)), 3, false), membershipChange{Kind: addLearner, Member: member{ID: 9, Replaces: 3}}},
-		"comes back while the old one lives": {order(v(3, voter(0), voter(0), voter(19)), 3, false), membershipChange{}},
-		"ordered":                            {order(v(3, voter(0), voter(0), voter(0)), 2, true), membershipChange{Kind: addLearner, Member: member{ID: 9, Replaces: 2}}},
-		"ordered for one that is gone":       {order(v(3, voter(0), voter(0), voter(0)), 8, true), membershipChange{}},
+		{"all well", v(3, voter(0), voter(2), voter(3)), none},
+		{"silent for long", v(3, voter(0), voter(99), voter(100)), change(findCandidate, 0, 3)},
+		{"one at a time", v(3, voter(0), voter(500), voter(500), learner(3, false, 0)), none},
+		{"a change is under way", joint, none},
+		{"even learner", v(3, voter(0), voter(0), voter(500), learner(3, true, 0)), change(promoteLearner, 4, 3)},
+		{"learner not heard of", v(3, voter(0), voter(0), voter(500), learner(3, true, 50)), none},
+		{"learner gone", v(3, voter(0), voter(0), voter(500), learner(3, true, 401)), change(removeMember, 4, 3)},
+		{"learner that lost its folder", again, named},
+		{"learner for nobody", v(3, voter(0), voter(0), voter(0), learner(0, true, 0)), change(removeMember, 4, 0)},
+		{"too few", v(3, voter(0), voter(0)), change(findCandidate, 0, 0)},
+		{"learner for too few", v(3, voter(0), voter(0), learner(0, true, 0)), change(promoteLearner, 3, 0)},
+		{"too many", v(1, voter(0), voter(3), voter(0)), change(removeMember, 2, 0)},
+		{"too many, and one silent", v(3, voter(0), voter(0), voter(0), voter(50)), change(removeMember, 4, 0)},
+		{"two, and one wanted", v(1, voter(0), voter(0)), change(removeMember, 2, 0)},
+		{"comes back", order(v(3, voter(0), voter(0), voter(20)), 3, false), change(addLearner, 9, 3)},
+		{"comes back while the old one lives", order(v(3, voter(0), voter(0), voter(19)), 3, false), none},
+		{"ordered", order(v(3, voter(0), voter(0), voter(0)), 2, true), change(addLearner, 9, 2)},
+		{"ordered for one that is gone", order(v(3, voter(0), voter(0), voter(0)), 8, true), none},
 	} {
 		if got := nextMembershipChange(c.view); got != c.want {
-			t.Errorf("%s: %+v, want %+v", what, got, c.want)
+			t.Errorf("%s: %+v, want %+v", c.what, got, c.want)
 		}
 	}
 }
 
 func TestSettingsAreChecked(t *testing.T) {
 	good := func() Config {
-		return Config{Cluster: "c", Name: "a", Listen: "10.0.0.1:7100", Folder: "f", Candidates: []Candidate{{Name: "a", Addr: "10.0.0.1:7100"}, {Name: "b", Addr: "10.0.0.2:7100"}}}
+		return Config{
+			Cluster:    "c",
+			Name:       "a",
+			Listen:     "10.0.0.1:7100",
+			Folder:     "f",
+			Candidates: []Candidate{{Name: "a", Addr: "10.0.0.1:7100"}, {Name: "b", Addr: "10.0.0.2:7100"}},
+		}
 	}
 	c, err := good().withDefaults()
 	if err != nil || c.Voters != 2 || c.Tick != 50*time.Millisecond {
 		t.Fatal(c, err)
 	}
 	for field, f := range map[string]func(*Config){
-		"cluster": func(c *Config) { c.Cluster = "" }, "name": func(c *Config) { c.Name = "" }, "members": func(c *Config) { c.Candidates[1].Name = "a" },
-		"voters": func(c *Config) { c.Voters = 3 }, "reach": func(c *Config) { c.Reach = map[string]string{"z": "10.0.0.1:1"} },
-		"listen": func(c *Config) { c.Name = "z" }, "folder": func(c *Config) { c.Folder = "" },
+		"cluster": func(c *Config) { c.Cluster = "" },
+		"name":    func(c *Config) { c.Name = "" },
+		"members": func(c *Config) { c.Candidates[1].Name = "a" },
+		"voters":  func(c *Config) { c.Voters = 3 },
+		"reach":   func(c *Config) { c.Reach = map[string]string{"z": "10.0.0.1:1"} },
+		"listen":  func(c *Config) { c.Name = "z" },
+		"folder":  func(c *Config) { c.Folder = "" },
 	} {
 		x := good()
 		f(&x)
--- a/internal/consensus/defects_test.go
+++ b/internal/consensus/defects_test.go
@@ -15,8 +15,12 @@
 		t.Skip("one is chosen already")
 	}
 	for _, d := range []struct{ name, run, seed string }{
-		{"ack-before-write", "TestStepped/3_of_3", "22"}, {"write-error-ignored", "TestStepped/1_of_1", "1"}, {"vote-with-lost-folder", "TestStepped/3_of_3", "6"},
-		{"confirm-unasked", "TestStepped/3_of_3", "15"}, {"sums-unchecked", "TestDamage", "0"}, {"founds-alone", "TestStepped/3_of_3", "60"},
+		{"ack-before-write", "TestStepped/3_of_3", "22"},
+		{"write-error-ignored", "TestStepped/1_of_1", "1"},
+		{"vote-with-lost-folder", "TestStepped/3_of_3", "6"},
+		{"confirm-unasked", "TestStepped/3_of_3", "15"},
+		{"sums-unchecked", "TestDamage", "0"},
+		{"founds-alone", "TestStepped/3_of_3", "60"},
 	} {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,12 +1,13 @@
-// Package consensus replicates a log of commands among balancers with raft (go.etcd.io/raft): what one member proposes is committed
-// once a majority of the voters has it on disk, and every voter applies the same entries in the same order to its Machine.
+// Package consensus replicates a log of commands among balancers with raft (go.etcd.io/raft): what one member
+// proposes is committed once a majority of the voters has it on disk, and every voter applies the same entries in
+// the same order to its Machine.
 //
-// A Node is one member. Its methods may be called from any goroutine. What an entry means is the Machine's business; the package
-// never interprets entries, and never runs on the goroutine that owns the balancer's state.
+// A Node is one member. Its methods may be called from any goroutine. What an entry means is the Machine's
+// business; the package never interprets entries, and never runs on the goroutine that owns the balancer's state.
 //
-// Voters keep a folder with their log. A voter's number is chosen at random with each new folder and never used again, so that a
-// member which has lost its folder cannot vote twice. Members without a vote keep nothing on disk and run no raft: they know who
-// leads, and call it.
+// Voters keep a folder with their log. A voter's number is chosen at random with each new folder and never used
+// again, so that a member which has lost its folder cannot vote twice. Members without a vote keep nothing on disk
+// and run no raft: they know who leads, and call it.
 //
 //	config.go      settings of a member
 //	node.go        proposals, confirmed reads and calls, for any goroutine
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -12,50 +12,56 @@
 
 func quoted(s string) string { return strconv.Quote(s) }
 
-// ConfigError is a setting that doesn't fit.
+// ConfigError is a setting that cannot work.
 type ConfigError struct{ Field, Why, Do string }
 
+// Error says what is wrong.
 func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *ConfigError) Hint() string { return e.Do }
 
-// ForeignFolder is a folder that belongs to another cluster, another member or another program. It is left as it is.
+// ForeignFolder is a folder of another cluster, another member or another program. It is left as it is.
 type ForeignFolder struct{ Folder, Why string }
 
+// Error says what is wrong.
 func (e *ForeignFolder) Error() string {
 	return fmt.Sprintf("folder %s is not this member's: %s", e.Folder, e.Why)
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *ForeignFolder) Hint() string {
 	return "name this member's own folder, or an empty one, with which it comes back as a new voter"
 }
 
-// CorruptFolder is a folder whose content isn't as it was written. It is left as it is.
+// CorruptFolder is a folder whose content is not as it was written. It is left as it is.
 type CorruptFolder struct{ Folder, Why string }
 
+// Error says what is wrong.
 func (e *CorruptFolder) Error() string {
 	return fmt.Sprintf("folder %s is damaged: %s", e.Folder, e.Why)
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *CorruptFolder) Hint() string {
 	return "move the folder away and start again: this member comes back as a new voter while most of the others stand"
 }
 
-// UnwritableFolder is a write to the folder that failed. The member doesn't act as a voter until it could write again.
+// UnwritableFolder is a write to the folder that failed. The member does not vote until it can write again.
 type UnwritableFolder struct {
 	Folder string
 	Cause  error
 }
 
+// Error says what is wrong.
 func (e *UnwritableFolder) Error() string {
 	return fmt.Sprintf("folder %s can't be written, this member doesn't vote: %v", e.Folder, e.Cause)
 }
+
+// Unwrap returns the cause.
 func (e *UnwritableFolder) Unwrap() error { return e.Cause }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *UnwritableFolder) Hint() string {
 	switch {
 	case errors.Is(e.Cause, syscall.ENOSPC), errors.Is(e.Cause, syscall.EDQUOT):
@@ -66,7 +72,8 @@
 	return "look at the disk; if it failed, put the folder on another one, empty, and restart this balancer"
 }
 
-// mayRecover tells whether it may pass by itself. What failed at a sync does not: nobody knows what is on the disk then.
+// mayRecover tells whether the fault may pass by itself. A failed sync does not: it is unknown what is on the disk
+// then.
 func (e *UnwritableFolder) mayRecover() bool {
 	for _, x := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EACCES, syscall.EPERM, syscall.EROFS} {
 		if errors.Is(e.Cause, x) {
@@ -76,19 +83,22 @@
 	return false
 }
 
-// ReplicaFailed is a voter that stopped since what it was told can't be, such as an entry before the last one settled.
+// ReplicaFailed is a voter that stopped because of a contradiction, such as an entry before the last committed one.
 type ReplicaFailed struct{ Why string }
 
+// Error says what is wrong.
 func (e *ReplicaFailed) Error() string { return "this member stopped voting: " + e.Why }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *ReplicaFailed) Hint() string {
-	return "keep a copy of its folder for those who look into it, empty the folder and restart this balancer: it comes back as a new voter"
+	return "keep a copy of its folder for those who look into it, empty the folder and restart this balancer: " +
+		"it comes back as a new voter"
 }
 
-// NotLeader says that only the leader can do that.
+// NotLeader says that only the leader can do what was asked.
 type NotLeader struct{ Leader LeaderInfo }
 
+// Error says what is wrong.
 func (e *NotLeader) Error() string {
 	if e.Leader.Name == "" {
 		return "nobody leads at present"
@@ -96,7 +106,7 @@
 	return "this member doesn't lead, " + e.Leader.Name + " does"
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *NotLeader) Hint() string {
 	if e.Leader.Name == "" {
 		return "see that most of the voters run and reach each other; then one leads within seconds"
@@ -104,50 +114,58 @@
 	return "ask " + e.Leader.Name
 }
 
-// Overloaded says that as much is under way as may be.
+// Overloaded says that as many calls or proposals are under way as may be.
 type Overloaded struct {
 	What  string
 	Limit int
 }
 
+// Error says what is wrong.
 func (e *Overloaded) Error() string {
 	return fmt.Sprintf("%s: %d are under way already", e.What, e.Limit)
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *Overloaded) Hint() string { return "try again in a second" }
 
-// TooLong is an entry or an answer above the bound.
+// TooLong is an entry or an answer above the limit.
 type TooLong struct{ Bytes, Limit int }
 
+// Error says what is wrong.
 func (e *TooLong) Error() string {
 	return fmt.Sprintf("%d bytes, and at most %d fit", e.Bytes, e.Limit)
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *TooLong) Hint() string { return "make it shorter, or do it in several steps" }
 
-// UnknownOutcome says that what was proposed may or may not be settled.
+// UnknownOutcome says that what was proposed may or may not be committed.
 type UnknownOutcome struct{ Cause error }
 
+// Error says what is wrong.
 func (e *UnknownOutcome) Error() string {
 	return fmt.Sprintf("it may or may not have been settled: %v", e.Cause)
 }
+
+// Unwrap returns the cause.
 func (e *UnknownOutcome) Unwrap() error { return e.Cause }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *UnknownOutcome) Hint() string { return "ask again with the same key: it is done once at most" }
 
-// Unreachable is a member that couldn't be called, or didn't answer in time.
+// Unreachable is a member that could not be called, or did not answer in time.
 type Unreachable struct {
 	Name, Addr string
 	Cause      error
 }
 
+// Error says what is wrong.
 func (e *Unreachable) Error() string { return fmt.Sprintf("%s at %s: %v", e.Name, e.Addr, e.Cause) }
+
+// Unwrap returns the cause.
 func (e *Unreachable) Unwrap() error { return e.Cause }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *Unreachable) Hint() string {
 	return "see that " + e.Name + " runs, and that " + e.Addr + " can be reached from here"
 }
@@ -155,19 +173,21 @@
 // UnknownMember is a name that is not among the candidates.
 type UnknownMember struct{ Name string }
 
+// Error says what is wrong.
 func (e *UnknownMember) Error() string {
 	return quoted(e.Name) + " is not among the members that may hold a vote"
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *UnknownMember) Hint() string { return "list it in revisions.members at all balancers" }
 
 // RemoteError is another member's error.
 type RemoteError struct{ Name, Method, Text, Do string }
 
+// Error says what is wrong.
 func (e *RemoteError) Error() string { return e.Text }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *RemoteError) Hint() string {
 	if e.Do == "" {
 		return "see the log of " + e.Name
@@ -175,24 +195,27 @@
 	return e.Do
 }
 
-// NotReplaced is a voter that keeps its vote.
+// NotReplaced is a replacement that did not come to pass: the old voter keeps its vote.
 type NotReplaced struct{ Old, New, Why, Do string }
 
+// Error says what is wrong.
 func (e *NotReplaced) Error() string {
 	return fmt.Sprintf("%s keeps its vote, %s gets none: %s", e.Old, e.New, e.Why)
 }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *NotReplaced) Hint() string { return e.Do }
 
 // CallFailed is a call between members that ended before its answer came.
 type CallFailed struct{ Why string }
 
+// Error says what is wrong.
 func (e *CallFailed) Error() string { return e.Why }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (e *CallFailed) Hint() string {
-	return "see that the other member runs, that nothing between the two cuts connections, and that both are of one version"
+	return "see that the other member runs, that nothing between the two cuts connections, " +
+		"and that both are of one version"
 }
 
 // FolderLocked is a folder that another process has.
@@ -204,9 +227,10 @@
 // Closed says that the node has been closed.
 type Closed struct{}
 
+// Error says what is wrong.
 func (*Closed) Error() string { return "the agreement has been closed here" }
 
-// Hint implements advice.Giver.
+// Hint implements hint.Hinter.
 func (*Closed) Hint() string { return "ask another balancer" }
 
 func oneLine(x any) string { return strings.Join(strings.Fields(fmt.Sprint(x)), " ") }
--- a/internal/consensus/folder.go
+++ b/internal/consensus/folder.go
@@ -28,8 +28,8 @@
 	Do:   "wait for this balancer's earlier process to end, or give each balancer a folder of its own",
 }}
 
-// openStore opens a folder or makes it. It waits for nobody. Errors: errLocked where another process has it, *ForeignFolder,
-// *CorruptFolder, *UnwritableFolder.
+// openStore opens a folder or makes it. It waits for nobody. Errors: errLocked where another process has it,
+// *ForeignFolder, *CorruptFolder, *UnwritableFolder.
 func openStore(folder, cluster, name string, writeFault func() error) (s *store, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &UnwritableFolder{Folder: folder, Cause: err}
@@ -62,8 +62,10 @@
 		return nil, err
 	}
 	if s.header.Cluster != cluster || s.header.Name != name {
-		why := fmt.Sprintf("it belongs to %q of cluster %q", s.header.Name, s.header.Cluster)
-		return nil, &ForeignFolder{Folder: folder, Why: why}
+		return nil, &ForeignFolder{
+			Folder: folder,
+			Why:    fmt.Sprintf("it belongs to %q of cluster %q", s.header.Name, s.header.Cluster),
+		}
 	}
 	return s, nil
 }
@@ -79,8 +81,10 @@
 	case !info.Mode().IsRegular():
 		return false, &ForeignFolder{Folder: folder, Why: fileName + " is no plain file"}
 	case info.Mode().Perm()&0o022 != 0:
-		why := fmt.Sprintf("others may write %s (mode %#o); 0600 is wanted", fileName, info.Mode().Perm())
-		return false, &ForeignFolder{Folder: folder, Why: why}
+		return false, &ForeignFolder{
+			Folder: folder,
+			Why:    fmt.Sprintf("others may write %s (mode %#o); 0600 is wanted", fileName, info.Mode().Perm()),
+		}
 	}
 	return false, nil
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -74,8 +74,12 @@
 	if from, body, err := w.unpackCall(golden.Read(t, "call.bin")); err != nil || from != "m" || string(body) != "body" {
 		t.Error(from, string(body), err)
 	}
-	for name, err := range map[string]error{"answer.bin": nil, "answer-leader.bin": &NotLeader{Leader: LeaderInfo{Name: "n"}},
-		"answer-load.bin": &Overloaded{What: "calls", Limit: 3}, "answer-error.bin": &RemoteError{Name: "m", Text: "no", Do: "wait"}} {
+	for name, err := range map[string]error{
+		"answer.bin":        nil,
+		"answer-leader.bin": &NotLeader{Leader: LeaderInfo{Name: "n"}},
+		"answer-load.bin":   &Overloaded{What: "calls", Limit: 3},
+		"answer-error.bin":  &RemoteError{Name: "m", Text: "no", Do: "wait"},
+	} {
 		golden.Check(t, name, packAnswer([]byte("out"), err))
 		_, back := w.unpackAnswer("n", "x", golden.Read(t, name))
 		if (back == nil) != (err == nil) {
@@ -96,6 +100,14 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "standing-told.json", body)
-	golden.Check(t, "snapshot.bin", packSnapshot([]member{{ID: 1, Name: "m", Zone: "z", Addr: "10.0.0.1:1", Replaces: 2}}, []byte("machine")))
-	golden.Check(t, "chain.txt", fmt.Appendln(nil, chain(1, 2, []byte("x")), newBootstrap("c", []member{{ID: 1}, {ID: 2}}).ID))
+	golden.Check(
+		t,
+		"snapshot.bin",
+		packSnapshot([]member{{ID: 1, Name: "m", Zone: "z", Addr: "10.0.0.1:1", Replaces: 2}}, []byte("machine")),
+	)
+	golden.Check(
+		t,
+		"chain.txt",
+		fmt.Appendln(nil, chain(1, 2, []byte("x")), newBootstrap("c", []member{{ID: 1}, {ID: 2}}).ID),
+	)
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// watchLeader keeps Leader up to date at a member without a vote: the leader itself is asked now and then, and the candidates in a
-// random order while none is known, or a call to it has failed.
+// watchLeader keeps Leader up to date at a member without a vote: the leader itself is asked now and then, and the
+// candidates in a random order while none is known, or a call to it has failed.
 func (n *Node) watchLeader() {
 	defer n.goroutines.Done()
 	rng := rand.New(rand.NewPCG(n.cfg.Seed, randomID()))
@@ -58,8 +58,8 @@
 	}
 }
 
-// searchesLeader tells whether this member has to ask others who leads: it has no replica, or one that waits to be added and hears of
-// nobody.
+// searchesLeader tells whether this member has to ask others who leads: it has no replica, or one that waits to be
+// added and hears of nobody.
 func (n *Node) searchesLeader() bool {
 	r := n.runner.Load()
 	if r == nil {
@@ -69,7 +69,8 @@
 	return state.isLearner && state.leader == 0
 }
 
-// findLeader asks the known leader or, if that is suspect, the other candidates, and tells whether a leader is known now.
+// findLeader asks the known leader or, if that is suspect, the other candidates, and tells whether a leader is
+// known now.
 func (n *Node) findLeader(rng *rand.Rand, suspect bool) bool {
 	known := n.Leader()
 	askKnown := !suspect && known.Name != ""
@@ -168,7 +169,7 @@
 			if reported.Leader == "" || reported.Leader == n.cfg.Name {
 				continue
 			}
-			answer, ok := n.askMember(reported.Leader, id)
+			answer, ok := n.queryMembership(reported.Leader, id)
 			if !ok {
 				continue
 			}
@@ -181,8 +182,8 @@
 	}()
 }
 
-// askMember asks a leader whether a folder's number has a vote.
-func (n *Node) askMember(leader string, id uint64) (answer memberAnswer, ok bool) {
+// queryMembership asks a leader whether a folder's number has a vote.
+func (n *Node) queryMembership(leader string, id uint64) (answer memberAnswer, ok bool) {
 	body, err := json.Marshal(id)
 	if err != nil {
 		return memberAnswer{}, false
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -20,7 +20,8 @@
 	tick int
 }
 
-// proposeChange proposes another set of members. Only one change is pending at a time; raft drops what comes too early.
+// proposeChange proposes another set of members. Only one change is pending at a time; raft drops what comes too
+// early.
 func (c *replica) proposeChange(change membershipChange) {
 	cc := &pb.ConfChangeV2{}
 	add := func(t pb.ConfChangeType, id uint64) {
@@ -50,7 +51,10 @@
 func (c *replica) applyConfChange(cc pb.ConfChangeI) {
 	v2 := cc.AsV2()
 	var changed member
-	_ = json.Unmarshal(v2.GetContext(), &changed) // none names no member: one that is added without its record has no name here
+	_ = json.Unmarshal(
+		v2.GetContext(),
+		&changed,
+	) // none names no member: one that is added without its record has no name here
 	for _, change := range v2.GetChanges() {
 		id := change.GetNodeId()
 		switch change.GetType() {
@@ -66,7 +70,7 @@
 			}
 			c.members[id] = changed
 			c.lastMessageTick[id] = c.ticks
-			c.snapshotWanted = true
+			c.snapshotRequested = true
 		}
 	}
 	c.conf = c.raw.ApplyConfChange(cc)
@@ -84,7 +88,8 @@
 	return list
 }
 
-// request notes that a member asks for a vote. It replaces earlier requests of its name and, by an operator, for the same vote.
+// request notes that a member asks for a vote. It replaces earlier requests of its name and, by an operator, for
+// the same vote.
 func (c *replica) request(r memberRequest) {
 	c.requests = slices.DeleteFunc(c.requests, func(old timedRequest) bool {
 		return old.Member.Name == r.Member.Name || old.Member.Replaces == r.Member.Replaces && r.ByOperator
@@ -94,7 +99,8 @@
 	}
 }
 
-// nextChange is the next change towards the wanted voters; none where this replica does not lead, or a change is pending.
+// nextChange is the next change towards the wanted voters; none where this replica does not lead, or a change is
+// pending.
 func (c *replica) nextChange() membershipChange {
 	if !c.isLeader() {
 		c.requests, c.changeTick = nil, 0
@@ -118,7 +124,7 @@
 func (c *replica) view() membershipView {
 	v := membershipView{
 		Self:          c.id,
-		WantedVoters:  c.cfg.Voters,
+		TargetVoters:  c.cfg.Voters,
 		ChangePending: len(c.conf.GetVotersOutgoing()) > 0,
 	}
 	if c.cfg.ReplaceAfter > 0 {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -13,16 +13,16 @@
 // callTimeout bounds a short call to another member.
 const callTimeout = 700 * time.Millisecond
 
-// Machine is the replicated state. All calls come from one goroutine of the node and must not block. Snapshot must be a function of
-// the entries applied alone, so that it is the same at all voters.
+// Machine is the replicated state. All calls come from one goroutine of the node and must not block. Snapshot must
+// be a function of the entries applied alone, so that it is the same at all voters.
 type Machine interface {
 	Apply(index uint64, entry []byte)
 	Snapshot() []byte
 	Restore(index uint64, snapshot []byte) error
 }
 
-// Handler answers other members' calls. It runs on goroutines of the transport, several at a time. The hint of its error reaches the
-// caller.
+// Handler answers other members' calls. It runs on goroutines of the transport, several at a time. The hint of its
+// error reaches the caller.
 type Handler func(ctx context.Context, from, method string, body []byte) ([]byte, error)
 
 // Node is one member. Its methods may be called from any goroutine.
@@ -55,8 +55,9 @@
 	awaiting string
 }
 
-// Start begins. A folder that cannot be trusted, and settings that do not fit, are errors here (*ConfigError, *ForeignFolder,
-// *CorruptFolder); whatever comes later is told by Status and logged, and this member stays a reader.
+// Start begins. A folder that cannot be trusted, and settings that do not fit, are errors here (*ConfigError,
+// *ForeignFolder, *CorruptFolder); whatever comes later is told by Status and logged, and this member stays a
+// reader.
 func Start(cfg Config, machine Machine, handler Handler, log *slog.Logger) (*Node, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -92,8 +93,8 @@
 	return n, nil
 }
 
-// startVoter opens the folder and the address of a member that may hold a vote. One that another process still has, and a folder that
-// cannot be written now, are left to the voter's goroutine.
+// startVoter opens the folder and the address of a member that may hold a vote. One that another process still has,
+// and a folder that cannot be written now, are left to the voter's goroutine.
 func (n *Node) startVoter() error {
 	store, err := openStore(n.cfg.Folder, n.cfg.Cluster, n.cfg.Name, n.cfg.writeFault)
 	var unwritable *UnwritableFolder
@@ -125,8 +126,8 @@
 	n.goroutines.Wait()
 }
 
-// Propose commits an entry, and returns once it is applied here. Errors: *NotLeader, *Overloaded and *TooLong (it is not committed),
-// *UnknownOutcome (it may or may not be), *Closed.
+// Propose commits an entry, and returns once it is applied here. Errors: *NotLeader, *Overloaded and *TooLong (it
+// is not committed), *UnknownOutcome (it may or may not be), *Closed.
 func (n *Node) Propose(ctx context.Context, entry []byte) error {
 	if len(entry) > maxEntry {
 		return &TooLong{Bytes: len(entry), Limit: maxEntry}
@@ -138,8 +139,9 @@
 	return err
 }
 
-// Confirm tells that this member led after the call began, in the term returned, and that all that was committed until then is applied
-// here. Calls at the same time share one round. Errors: *NotLeader, *Overloaded, *Closed, or ctx's.
+// Confirm tells that this member led after the call began, in the term returned, and that all that was committed
+// until then is applied here. Calls at the same time share one round. Errors: *NotLeader, *Overloaded, *Closed, or
+// ctx's.
 func (n *Node) Confirm(ctx context.Context) (term uint64, err error) {
 	return n.onLeader(ctx, func(r *replica, w waiter) { r.confirm(w) })
 }
@@ -185,8 +187,9 @@
 	return &NotLeader{Leader: n.Leader()}
 }
 
-// Call calls a candidate's Handler by its name; also this member's own, be it in this process or, while that one holds the vote, in an
-// earlier one of the same name. Errors: *UnknownMember, *Overloaded, *Unreachable, *NotLeader, *RemoteError.
+// Call calls a candidate's Handler by its name; also this member's own, be it in this process or, while that one
+// holds the vote, in an earlier one of the same name. Errors: *UnknownMember, *Overloaded, *Unreachable,
+// *NotLeader, *RemoteError.
 func (n *Node) Call(ctx context.Context, name, method string, body []byte) ([]byte, error) {
 	if name == n.cfg.Name && !n.runsInOtherProcess() {
 		return n.handler(ctx, name, method, body)
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -4,176 +4,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
-	"net"
 	"os"
 	"slices"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// sheet is a machine that keeps what it was told.
-type sheet struct {
-	mu    sync.Mutex
-	at    uint64
-	lines []string
-}
-
-func (s *sheet) Apply(index uint64, entry []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if index <= s.at {
-		panic("applied twice")
-	}
-	s.at, s.lines = index, append(s.lines, string(entry))
-}
-
-func (s *sheet) Snapshot() []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var b []byte
-	for _, l := range s.lines {
-		b = append(append(b, l...), '\n')
-	}
-	return b
-}
-
-func (s *sheet) Restore(index uint64, snapshot []byte) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.at, s.lines = index, nil
-	for len(snapshot) > 0 {
-		i := slices.Index(snapshot, '\n')
-		s.lines, snapshot = append(s.lines, string(snapshot[:i])), snapshot[i+1:]
-	}
-	return nil
-}
-
-func (s *sheet) read() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.lines)
-}
-
-// crew are members in this process that talk over sockets.
-type crew struct {
-	t     testing.TB
-	cfg   []Config
-	nodes []*Node
-	m     []*sheet
-	runs  int // started so far
-}
-
-// freeAddr is an address that nobody listens at.
-func freeAddr(t testing.TB, i int) string {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.121.0.%d:0", i))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-func newCrew(t testing.TB, candidates, voters int, change func(*Config)) *crew {
-	cluster := fmt.Sprintf("test %x", randomID()) // runs side by side have nothing to do with each other
-	c := &crew{t: t, nodes: make([]*Node, candidates), m: make([]*sheet, candidates)}
-	var list []Candidate
-	for i := range candidates {
-		list = append(list, Candidate{Name: fmt.Sprintf("m%d", i), Zone: string(rune('A' + i%3)), Addr: freeAddr(t, i+1)})
-	}
-	for i := range candidates {
-		cfg := Config{Cluster: cluster, Name: list[i].Name, Listen: list[i].Addr, Candidates: list, Voters: voters, Folder: t.TempDir(), Tick: 25 * time.Millisecond}
-		if change != nil {
-			change(&cfg)
-		}
-		c.cfg = append(c.cfg, cfg)
-	}
-	t.Cleanup(func() {
-		for i := range c.nodes {
-			c.stop(i)
-		}
-	})
-	return c
-}
-
-func (c *crew) start(i int) {
-	c.t.Helper()
-	c.m[i] = &sheet{}
-	c.runs++
-	run := c.runs
-	n, err := Start(c.cfg[i], c.m[i], func(_ context.Context, from, method string, body []byte) ([]byte, error) {
-		switch method {
-		case "fail":
-			return nil, &TooLong{Bytes: 2, Limit: 1}
-		case "run":
-			return fmt.Append(nil, run), nil
-		}
-		return fmt.Appendf(nil, "%s>%s %s %s", from, c.cfg[i].Name, method, body), nil
-	}, slog.New(slog.DiscardHandler))
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	c.nodes[i] = n
-}
-
-func (c *crew) stop(i int) {
-	if c.nodes[i] != nil {
-		c.nodes[i].Close()
-		c.nodes[i] = nil
-	}
-}
-
-// until waits for f.
-func (c *crew) until(what string, f func() bool) {
-	c.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			for _, n := range c.nodes {
-				if n != nil {
-					c.t.Logf("%s: %+v", n.cfg.Name, n.Status())
-				}
-			}
-			c.t.Fatalf("not in 30 s: %.80s", what)
-		}
-	}
-}
-
-func (c *crew) leader() *Node {
-	for _, n := range c.nodes {
-		if n != nil && n.Leader().IsSelf {
-			return n
-		}
-	}
-	return nil
-}
-
-// settle has whoever leads settle line.
-func (c *crew) settle(line string) {
-	c.t.Helper()
-	c.until("settle "+line, func() bool {
-		n := c.leader()
-		if n == nil {
-			return false
-		}
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		return n.Propose(ctx, []byte(line)) == nil
-	})
-}
-
-func (c *crew) same(want ...string) {
-	c.t.Helper()
-	for i, n := range c.nodes {
-		if n != nil && n.runner.Load() != nil {
-			c.until(fmt.Sprintf("%s has %q", n.cfg.Name, want), func() bool { return slices.Equal(slices.Compact(c.m[i].read()), want) })
-		}
-	}
-}
-
 func TestOverSockets(t *testing.T) {
 	for _, voters := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(voters), func(t *testing.T) {
@@ -212,7 +51,8 @@
 			if from == lead {
 				from = c.nodes[1]
 			}
-			if _, err := from.Call(ctx, lead.cfg.Name, "fail", nil); !errors.As(err, &told) || told.Hint() != (&TooLong{}).Hint() {
+			if _, err := from.Call(ctx, lead.cfg.Name, "fail", nil); !errors.As(err, &told) ||
+				told.Hint() != (&TooLong{}).Hint() {
 				t.Fatal(err)
 			}
 			for i := range c.nodes {
@@ -227,18 +67,6 @@
 	}
 }
 
-// voters are the names of those that vote, as the leader has it.
-func (c *crew) voters() (names []string) {
-	if n := c.leader(); n != nil {
-		for _, v := range n.Status().Voters {
-			if !v.Learner {
-				names = append(names, v.Name)
-			}
-		}
-	}
-	return names
-}
-
 func TestTwoOfFiveDown(t *testing.T) {
 	t.Parallel()
 	c := newCrew(t, 5, 5, nil)
@@ -275,7 +103,10 @@
 	c.settle("all again")
 	for i, n := range c.nodes {
 		c.until(n.cfg.Name+" is even", func() bool { l := c.m[i].read(); return len(l) > 0 && l[len(l)-1] == "all again" })
-		if got := slices.Compact(c.m[i].read()); !slices.Equal(got, []string{"all", "three of five", "with the fifth", "all again"}) {
+		if got := slices.Compact(c.m[i].read()); !slices.Equal(
+			got,
+			[]string{"all", "three of five", "with the fifth", "all again"},
+		) {
 			t.Fatal(got)
 		}
 	}
@@ -297,7 +128,9 @@
 	c.start(1)
 	c.until("it votes under another number", func() bool {
 		l := c.leader()
-		return l != nil && slices.ContainsFunc(l.Status().Voters, func(v Voter) bool { return v.Name == "m1" && v.ID != id && !v.Learner }) && len(l.Status().Voters) == 3
+		return l != nil &&
+			slices.ContainsFunc(l.Status().Voters, func(v Voter) bool { return v.Name == "m1" && v.ID != id && !v.Learner }) &&
+			len(l.Status().Voters) == 3
 	})
 	c.settle("three")
 	c.same("one", "two", "three")
@@ -358,37 +191,70 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
+	c.replaceByCall(ctx)
+	c.replaceByTime()
+	c.replaceLeader(ctx)
+	c.settle("end")
+	for _, n := range c.nodes {
+		if slices.Contains(c.voters(), n.cfg.Name) {
+			i := slices.Index(c.nodes, n)
+			c.until(n.cfg.Name+" is even", func() bool {
+				l := slices.Compact(c.m[i].read())
+				return len(l) == 32 && l[31] == "end"
+			})
+		}
+	}
+}
+
+// replaceByCall gives a follower's vote to m4, as an operator's call does; asked for twice it is done once.
+func (c *crew) replaceByCall(ctx context.Context) {
+	c.t.Helper()
 	var old string
 	for _, v := range c.voters() {
 		if v != c.leader().cfg.Name {
 			old = v
 		}
 	}
-	if err := c.leader().Replace(ctx, old, "m4"); err != nil { // by call
-		t.Fatal(err)
+	if err := c.leader().Replace(ctx, old, "m4"); err != nil {
+		c.t.Fatal(err)
 	}
 	if v := c.voters(); len(v) != 3 || !slices.Contains(v, "m4") || slices.Contains(v, old) {
-		t.Fatal(v)
+		c.t.Fatal(v)
 	}
-	if err := c.leader().Replace(ctx, old, "m4"); err != nil { // asked for twice
-		t.Fatal(err)
+	if err := c.leader().Replace(ctx, old, "m4"); err != nil {
+		c.t.Fatal(err)
 	}
-	var stranger *UnknownMember
-	if err := c.leader().Replace(ctx, "m4", "m9"); !errors.As(err, &stranger) {
-		t.Fatal(err)
+	var unknown *UnknownMember
+	if err := c.leader().Replace(ctx, "m4", "m9"); !errors.As(err, &unknown) {
+		c.t.Fatal(err)
 	}
-	// by time: one ends for good, another gets its vote
-	for i, n := range c.nodes {
-		if n != c.leader() && slices.Contains(c.voters(), n.cfg.Name) && n.cfg.Name != "m4" {
-			c.stop(i)
-			c.until("another votes in its place", func() bool { v := c.voters(); return len(v) == 3 && !slices.Contains(v, c.cfg[i].Name) })
-			c.settle("late")
-			c.start(i)
-			c.until("it doesn't vote any more", func() bool { s := c.nodes[i].Status(); return s.Role == Reader && s.Leader.Name != "" })
-			break
-		}
+}
+
+// replaceByTime stops a follower: another member gets its vote, and it comes back without one.
+func (c *crew) replaceByTime() {
+	c.t.Helper()
+	i := slices.IndexFunc(c.nodes, func(n *Node) bool {
+		return n != c.leader() && slices.Contains(c.voters(), n.cfg.Name) && n.cfg.Name != "m4"
+	})
+	if i < 0 {
+		c.t.Fatal("no voter to stop")
 	}
-	// the leader itself
+	c.stop(i)
+	c.until("another votes in its place", func() bool {
+		v := c.voters()
+		return len(v) == 3 && !slices.Contains(v, c.cfg[i].Name)
+	})
+	c.settle("late")
+	c.start(i)
+	c.until("it doesn't vote any more", func() bool {
+		s := c.nodes[i].Status()
+		return s.Role == Reader && s.Leader.Name != ""
+	})
+}
+
+// replaceLeader gives the leader's vote to a member without one.
+func (c *crew) replaceLeader(ctx context.Context) {
+	c.t.Helper()
 	lead := c.leader()
 	var spare string
 	for _, k := range c.cfg {
@@ -398,19 +264,12 @@
 	}
 	var unknown *UnknownOutcome
 	if err := lead.Replace(ctx, lead.cfg.Name, spare); err != nil && !errors.As(err, &unknown) {
-		t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	c.until("another leads", func() bool {
 		l := c.leader()
 		return l != nil && l != lead && slices.Contains(c.voters(), spare) && len(c.voters()) == 3
 	})
-	c.settle("end")
-	for _, n := range c.nodes {
-		if slices.Contains(c.voters(), n.cfg.Name) {
-			i := slices.Index(c.nodes, n)
-			c.until(n.cfg.Name+" is even", func() bool { l := slices.Compact(c.m[i].read()); return len(l) == 32 && l[31] == "end" })
-		}
-	}
 }
 
 // TestLongEntries settles more bytes than are kept; a member that was away meanwhile gets them by a snapshot.
@@ -484,7 +343,10 @@
 		t.Fatal(string(out), err)
 	}
 	old.Close()
-	c.until("it votes", func() bool { s := c.nodes[at].Status(); return (s.Role == Follower || s.Role == Leading) && s.ID == id })
+	c.until(
+		"it votes",
+		func() bool { s := c.nodes[at].Status(); return (s.Role == Follower || s.Role == Leading) && s.ID == id },
+	)
 	c.settle("two")
 	c.same("one", "two")
 }
@@ -493,7 +355,11 @@
 	t.Parallel()
 	c := newCrew(t, 3, 3, nil)
 	list := c.cfg[0].Candidates
-	c.cfg = append(c.cfg, Config{Cluster: c.cfg[0].Cluster, Name: "reader", Candidates: list}, Config{Cluster: "other", Name: "stranger", Candidates: list})
+	c.cfg = append(
+		c.cfg,
+		Config{Cluster: c.cfg[0].Cluster, Name: "reader", Candidates: list},
+		Config{Cluster: "other", Name: "stranger", Candidates: list},
+	)
 	c.nodes, c.m = append(c.nodes, nil, nil), append(c.m, nil, nil)
 	for i := range c.nodes {
 		c.start(i)
@@ -531,7 +397,8 @@
 	var no *RemoteError
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := c.nodes[4].Call(ctx, "m0", "hello", nil); !errors.As(err, &no) || !strings.Contains(no.Hint(), "revisions.cluster") {
+	if _, err := c.nodes[4].Call(ctx, "m0", "hello", nil); !errors.As(err, &no) ||
+		!strings.Contains(no.Hint(), "revisions.cluster") {
 		t.Fatal(err)
 	}
 }
--- a/internal/consensus/outbox.go
+++ b/internal/consensus/outbox.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// outboxFor returns the queue to a voter, which it begins if there is none of the voter's name; nil if the name is unknown.
+// outboxFor returns the queue to a voter, which it begins if there is none of the voter's name; nil if the name is
+// unknown.
 func (r *runner) outboxFor(ctx context.Context, to uint64) *outbox {
 	o, name := r.outboxes[to], r.nameOf(to)
 	if o != nil && o.name == name {
--- a/internal/consensus/peer.go
+++ b/internal/consensus/peer.go
@@ -48,8 +48,8 @@
 	return p
 }
 
-// call calls a member: it waits for a free slot first, until ctx ends at most. A call is not repeated by itself, since nobody knows what
-// the first one did. Errors: *Overloaded, *Unreachable, and what the other member answers.
+// call calls a member: it waits for a free slot first, until ctx ends at most. A call is not repeated by itself,
+// since nobody knows what the first one did. Errors: *Overloaded, *Unreachable, and what the other member answers.
 func (w *transport) call(ctx context.Context, name, address, method string, body []byte) ([]byte, error) {
 	p := w.peer(name)
 	defer p.waiting.Add(-1)
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -19,8 +19,8 @@
 	waiters []waiter
 }
 
-// confirm asks whether this replica still leads; w hears once a majority has said so after this call, and all that was committed
-// before it is applied here.
+// confirm asks whether this replica still leads; w hears once a majority has said so after this call, and all that
+// was committed before it is applied here.
 func (c *replica) confirm(w waiter) {
 	switch {
 	case !c.isLeader():
@@ -41,7 +41,8 @@
 		failAll(&c.readQueue, &NotLeader{})
 		return
 	}
-	if c.appliedTerm != c.term { // what was committed before it led may not be known as such; raft ignores that for a single voter
+	// What was committed before it led may not be known as such yet; raft takes no care of that for a single voter.
+	if c.appliedTerm != c.term {
 		return
 	}
 	if failpoint.On("confirm-unasked") {
--- a/internal/consensus/replace.go
+++ b/internal/consensus/replace.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Replace gives the vote of one member to another. It returns once that is committed. Only the leader can. Errors: *NotLeader,
-// *UnknownMember, *NotReplaced, *Unreachable, *RemoteError, *Overloaded, and *UnknownOutcome if it may or may not come to pass.
+// Replace gives the vote of one member to another. It returns once that is committed. Only the leader can. Errors:
+// *NotLeader, *UnknownMember, *NotReplaced, *Unreachable, *RemoteError, *Overloaded, and *UnknownOutcome if it may
+// or may not come to pass.
 func (n *Node) Replace(ctx context.Context, oldName, newName string) error {
 	r := n.runner.Load()
 	if _, err := n.Confirm(ctx); err != nil {
@@ -50,8 +51,8 @@
 		"see that "+newName+" runs and can be reached from all voters, then try again"))
 }
 
-// awaitReplacement waits until the vote of one number is another's. It returns failed if the new one was added and removed again, or
-// the old one was removed without it.
+// awaitReplacement waits until the vote of one number is another's. It returns failed if the new one was added and
+// removed again, or the old one was removed without it.
 func (n *Node) awaitReplacement(ctx context.Context, r *runner, oldID, newID uint64, failed error) error {
 	added := false
 	for {
@@ -107,7 +108,8 @@
 	return member{ID: status.ID, Name: candidate.Name, Zone: candidate.Zone, Addr: candidate.Addr}, nil
 }
 
-// findCandidate recruits a candidate without a vote that could replace a member (0: be one more), if possible of the same zone.
+// findCandidate recruits a candidate without a vote that could replace a member (0: be one more), if possible of
+// the same zone.
 func (n *Node) findCandidate(ctx context.Context, r *runner, members []member, replaces uint64) {
 	defer r.searching.Store(false)
 	for _, candidate := range n.candidatesFor(members, replaces) {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -31,9 +31,10 @@
 // waiter takes one outcome, without waiting itself.
 type waiter chan outcome
 
-// replica is one voter's raft, stepped: messages, proposals and ticks in, messages out, and what to write to the folder in between.
-// It has no goroutine, clock or socket; the runner's goroutine owns it, and tests step many over a network of their own. No message
-// leaves before what it rests on is in the folder, and nothing happens any more after a write that failed.
+// replica is one voter's raft, stepped: messages, proposals and ticks in, messages out, and what to write to the
+// folder in between. It has no goroutine, clock or socket; the runner's goroutine owns it, and tests step many over
+// a network of their own. No message leaves before what it rests on is in the folder, and nothing happens any more
+// after a write that failed.
 type replica struct {
 	cfg          *Config
 	store        *store
@@ -65,9 +66,9 @@
 	readRoundNumber uint64
 	confirmedReads  []confirmedRead
 
-	snapshotIndex  uint64 // of the last snapshot, made or on its way to the folder
-	snapshotting   bool   // one is on its way
-	snapshotWanted bool   // a member was added, who can only do with a snapshot that names it
+	snapshotIndex     uint64 // of the last snapshot, made or on its way to the folder
+	snapshotting      bool   // one is on its way
+	snapshotRequested bool   // a member was added, who can only do with a snapshot that names it
 }
 
 // newReplica begins from what the store holds.
@@ -133,8 +134,8 @@
 	}
 }
 
-// restore takes a snapshot's members, and its machine unless that is further already. The first snapshot is the bootstrap, of which
-// the machine knows nothing.
+// restore takes a snapshot's members, and its machine unless that is further already. The first snapshot is the
+// bootstrap, of which the machine knows nothing.
 func (c *replica) restore(index uint64, data []byte) error {
 	members, machine, err := unpackSnapshot(data)
 	if err != nil {
@@ -191,8 +192,8 @@
 	c.pending[c.nextKey] = w
 }
 
-// storeJob is something to write to the folder: a message of raft to its storage, or a compaction. Jobs are done in their order, one
-// at a time; and when one is done, the replica's written is called.
+// storeJob is something to write to the folder: a message of raft to its storage, or a compaction. Jobs are done in
+// their order, one at a time; and when one is done, the replica's written is called.
 type storeJob struct {
 	message    *pb.Message
 	compaction *compaction
@@ -237,8 +238,8 @@
 	return out
 }
 
-// advance does all that is ready. It returns the messages that may leave now, and what to write to the folder. After an error this
-// replica must not be used any more.
+// advance does all that is ready. It returns the messages that may leave now, and what to write to the folder.
+// After an error this replica must not be used any more.
 func (c *replica) advance() (out []*pb.Message, jobs []storeJob, err error) {
 	for {
 		c.beginReadRound()
@@ -276,7 +277,8 @@
 	return out, jobs, nil
 }
 
-// releaseEarly is a failpoint: it takes out of a message to the storage the answers to others, which are to leave once it is written.
+// releaseEarly is a failpoint: it takes out of a message to the storage the answers to others, which are to leave
+// once it is written.
 func releaseEarly(m *pb.Message, id uint64) (early []*pb.Message) {
 	if !failpoint.On("ack-before-write") {
 		return nil
@@ -294,7 +296,7 @@
 // nextCompaction returns the snapshot to make and the entries to drop, nil if none are due.
 func (c *replica) nextCompaction() (*compaction, error) {
 	tooLong := c.store.state().entryBytes > c.cfg.maxEntryBytes && !c.snapshotting
-	due := c.applied-c.snapshotIndex >= c.cfg.SnapshotEvery || c.snapshotWanted || tooLong
+	due := c.applied-c.snapshotIndex >= c.cfg.SnapshotEvery || c.snapshotRequested || tooLong
 	if c.applied <= c.snapshotIndex || !due {
 		return nil, nil
 	}
@@ -302,7 +304,7 @@
 	if err != nil {
 		return nil, &ReplicaFailed{Why: fmt.Sprintf("entry %d is applied and not in the folder", c.applied)}
 	}
-	c.snapshotWanted = false
+	c.snapshotRequested = false
 	c.snapshotIndex = c.applied
 	c.snapshotting = true
 	return &compaction{
@@ -327,7 +329,8 @@
 	return n
 }
 
-// leadershipChanged takes a change of who leads, or of the term. What was asked of a leader that is none any more ends here.
+// leadershipChanged takes a change of who leads, or of the term. What was asked of a leader that is none any more
+// ends here.
 func (c *replica) leadershipChanged(ready raft.Ready) {
 	term := ready.HardState.GetTerm()
 	if ready.SoftState == nil && (term == 0 || term == c.term) {
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -8,17 +8,12 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"slices"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
-
-	"go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 )
 
 var (
@@ -128,14 +123,34 @@
 	key[0], key[1], key[2] = byte(seed), byte(seed>>8), byte(candidates)
 	old := crand.Reader
 	crand.Reader = io.Reader(&drawn{r: rand.NewChaCha8(key)})
-	r := &rig{t: t, r: rand.New(rand.NewPCG(seed, uint64(candidates))), cut: map[[2]int]bool{}, settled: map[string]bool{}, order: map[uint64]string{}, terms: map[uint64]uint64{}}
+	r := &rig{
+		t:       t,
+		r:       rand.New(rand.NewPCG(seed, uint64(candidates))),
+		cut:     map[[2]int]bool{},
+		settled: map[string]bool{},
+		order:   map[uint64]string{},
+		terms:   map[uint64]uint64{},
+	}
 	var list []Candidate
 	for i := range candidates {
-		list = append(list, Candidate{Name: fmt.Sprintf("m%d", i), Zone: string(rune('A' + i%3)), Addr: fmt.Sprintf("10.0.0.%d:7100", i+1)})
+		list = append(
+			list,
+			Candidate{Name: fmt.Sprintf("m%d", i), Zone: string(rune('A' + i%3)), Addr: fmt.Sprintf("10.0.0.%d:7100", i+1)},
+		)
 	}
 	dir := t.TempDir()
 	for i := range candidates {
-		cfg, err := Config{Cluster: "rig", Name: list[i].Name, Listen: list[i].Addr, Candidates: list, Voters: voters, Folder: filepath.Join(dir, list[i].Name), SnapshotEvery: 12, KeepEntries: 5, ReplaceAfter: 6 * time.Second}.withDefaults()
+		cfg, err := Config{
+			Cluster:       "rig",
+			Name:          list[i].Name,
+			Listen:        list[i].Addr,
+			Candidates:    list,
+			Voters:        voters,
+			Folder:        filepath.Join(dir, list[i].Name),
+			SnapshotEvery: 12,
+			KeepEntries:   5,
+			ReplaceAfter:  6 * time.Second,
+		}.withDefaults()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -197,12 +212,6 @@
 	b.c, b.st, b.stopped, b.jobs = nil, nil, false, nil
 }
 
-// hears tells whether a call of from reaches to, and its answer from.
-func (r *rig) hears(from, to int) bool {
-	b := r.boxes[to]
-	return b.st != nil && !b.stopped && !r.cut[[2]int{from, to}] && !r.cut[[2]int{to, from}]
-}
-
 // seek is what a member with a fresh folder does.
 func (r *rig) seek(b *box) {
 	drawn := SelectVoters(b.cfg.Candidates, b.cfg.Voters)
@@ -286,7 +295,8 @@
 	for _, o := range r.boxes {
 		if o.c != nil && o.c.isLeader() && r.hears(b.i, o.i) && r.majority(o) {
 			_, has := o.c.members[b.st.header.ID]
-			if !has && !slices.ContainsFunc(o.c.requests, func(x timedRequest) bool { return x.Member.ID == b.st.header.ID }) && o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
+			if !has && !slices.ContainsFunc(o.c.requests, func(x timedRequest) bool { return x.Member.ID == b.st.header.ID }) &&
+				o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
 				b.c.stop(&UnknownOutcome{}, &NotLeader{})
 				b.c, b.jobs = nil, nil
 				if b.st.reset() != nil {
@@ -312,7 +322,9 @@
 			r.begin(o, bootstrap{ID: b.st.header.Bootstrap.ID})
 		}
 		if o.st != nil && o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
-			b.c.request(memberRequest{Member: member{ID: o.st.header.ID, Name: o.cfg.Name, Addr: o.cfg.Listen, Replaces: instead}})
+			b.c.request(
+				memberRequest{Member: member{ID: o.st.header.ID, Name: o.cfg.Name, Addr: o.cfg.Listen, Replaces: instead}},
+			)
 			return
 		}
 	}
@@ -358,23 +370,6 @@
 	})
 }
 
-// send puts messages into the bag.
-func (r *rig) send(b *box, msgs []*pb.Message) {
-	for _, m := range msgs {
-		body, e := proto.Marshal(m)
-		if e != nil {
-			r.t.Fatal(e)
-		}
-		s, known := b.c.members[m.GetTo()]
-		to, heard := b.names[m.GetTo()]
-		for _, o := range r.boxes {
-			if known && o.cfg.Name == s.Name || !known && heard && o.i == to {
-				r.bag = append(r.bag, packet{from: b.i, to: o.i, founding: b.st.header.Bootstrap.ID, body: body})
-			}
-		}
-	}
-}
-
 // write does some of what is to be written to a folder; the rest is still under way.
 func (r *rig) write(b *box) {
 	for n := r.r.IntN(len(b.jobs) + 1); n > 0; n-- {
@@ -396,40 +391,6 @@
 	}
 }
 
-func (r *rig) deliver() {
-	if len(r.bag) == 0 {
-		return
-	}
-	i := r.r.IntN(min(len(r.bag), 8)) // out of order, by little
-	p := r.bag[i]
-	r.bag = slices.Delete(r.bag, i, i+1)
-	b := r.boxes[p.to]
-	m := new(pb.Message)
-	if err := proto.Unmarshal(p.body, m); err != nil {
-		r.t.Fatal(err)
-	}
-	gone := r.cut[[2]int{p.from, p.to}] || r.r.IntN(100) < r.loss || b.c == nil || p.founding != b.st.header.Bootstrap.ID
-	if from := r.boxes[p.from]; m.GetType() == pb.MsgSnap && from.c != nil && !b.stopped {
-		how := raft.SnapshotFinish
-		if gone {
-			how = raft.SnapshotFailure
-		}
-		from.c.raw.ReportSnapshot(m.GetTo(), how)
-	}
-	if gone {
-		return
-	}
-	if b.stopped {
-		if len(r.bag) < 2000 {
-			r.bag = append(r.bag, p) // it reads that when it wakes
-		}
-		return
-	}
-	b.names[m.GetFrom()] = p.from
-	b.c.step(m)
-	r.work(b)
-}
-
 func (r *rig) propose(b *box) {
 	if b.c == nil || b.stopped {
 		return
@@ -462,140 +423,9 @@
 	}
 }
 
-// intact tells whether another folder may get lost: as many voters stand with theirs as have to.
-func (r *rig) intact() bool {
-	var top *box
-	for _, b := range r.boxes {
-		if b.c != nil && (top == nil || b.c.applied > top.c.applied) {
-			top = b
-		}
-	}
-	if top == nil || len(top.c.conf.GetVotersOutgoing()) > 0 || len(top.c.conf.GetVoters()) < top.cfg.Voters {
-		return false
-	}
-	whole := 0
-	for _, id := range top.c.conf.GetVoters() {
-		for _, b := range r.boxes {
-			if b.c != nil && b.st.header.ID == id && b.c.applied+2 >= top.c.applied {
-				whole++
-			}
-		}
-	}
-	return whole >= 3 && whole == len(top.c.conf.GetVoters()) // one alone has nobody to learn from
-}
-
-func (r *rig) trouble() {
-	b := r.boxes[r.r.IntN(len(r.boxes))]
-	switch r.r.IntN(14) {
-	case 0, 1:
-		r.kill(b)
-		b.names = nil // and stays away
-	case 2, 3, 4:
-		if b.st == nil && b.names == nil {
-			b.full = false
-			r.start(b)
-		}
-	case 5:
-		if b.st != nil && r.intact() {
-			r.kill(b)
-			b.full = false
-			if err := os.RemoveAll(b.cfg.Folder); err != nil {
-				r.t.Fatal(err)
-			}
-			r.lost++
-			r.start(b)
-		}
-	case 6:
-		b.full = !b.full
-	case 7:
-		b.stopped = !b.stopped && b.st != nil
-	case 8, 9:
-		clear(r.cut)
-	case 10:
-		for range 3 {
-			r.cut[[2]int{r.r.IntN(len(r.boxes)), r.r.IntN(len(r.boxes))}] = true
-		}
-	case 11:
-		for i := range r.boxes {
-			for j := range r.boxes {
-				if i%2 != j%2 {
-					r.cut[[2]int{i, j}] = true
-				}
-			}
-		}
-	case 12:
-		r.loss = r.r.IntN(30)
-	case 13:
-		for _, b := range r.boxes {
-			if r.r.IntN(2) == 0 {
-				r.kill(b)
-				b.full = false
-				r.start(b)
-			}
-		}
-	}
-}
-
-// heal ends all faults and waits until all hold the same, with what was told as settled.
-func (r *rig) heal() {
-	clear(r.cut)
-	r.loss = 0
-	for _, b := range r.boxes {
-		b.full, b.stopped = false, false
-		if b.st == nil && b.names == nil {
-			r.start(b)
-		}
-	}
-	r.line++
-	last := fmt.Sprint("line ", r.line)
-	for round := 0; ; round++ {
-		r.pass()
-		if !r.settled[last] && round%20 == 0 {
-			for _, b := range r.boxes {
-				if b.c != nil && b.c.isLeader() {
-					w := wait{w: make(waiter, 1), box: b, machine: b.m, line: last}
-					b.c.propose([]byte(last), w.w)
-					r.waits = append(r.waits, w)
-					r.work(b)
-				}
-			}
-		}
-		voters, even := 0, 0
-		for _, b := range r.boxes {
-			if b.c != nil && slices.Contains(b.c.conf.GetVoters(), b.st.header.ID) {
-				if voters++; b.m.has[last] {
-					even++
-				}
-			}
-		}
-		if r.settled[last] && voters == even && voters == r.boxes[0].cfg.Voters {
-			break
-		}
-		if round > 2500 {
-			for _, b := range r.boxes {
-				if b.c != nil {
-					r.t.Logf("%s id %x of %x: applied %d, term %d, conf %v, orders %v, lead %x, seats %v", b.cfg.Name, b.st.header.ID, b.st.header.Bootstrap.ID, b.c.applied, b.c.term, b.c.conf, b.c.requests, b.c.softState.Lead, b.c.members)
-				} else {
-					r.t.Logf("%s doesn't run: %+v", b.cfg.Name, b.st)
-				}
-			}
-			r.t.Fatalf("no agreement long after the last fault; %v", r.settled[last])
-		}
-	}
-	for _, b := range r.boxes {
-		if b.c == nil || !slices.Contains(b.c.conf.GetVoters(), b.st.header.ID) {
-			continue
-		}
-		for line := range r.settled {
-			if !b.m.has[line] {
-				r.t.Fatalf("%s has lost %q, which was told as settled", b.cfg.Name, line)
-			}
-		}
-	}
-}
-
-// TestStepped draws faults of all kinds against clusters: what was told as settled stays, in the same order at all; two
-// never lead in one term; a leader that was confirmed has all that was settled before; and all are even in the end.
+// TestStepped draws faults of all kinds against clusters: what was told as settled stays, in the same order at all;
+// two never lead in one term; a leader that was confirmed has all that was settled before; and all are even in the
+// end.
 func TestStepped(t *testing.T) {
 	var lines, lost, terms, moved int
 	for _, size := range [][2]int{{1, 1}, {3, 3}, {5, 3}, {5, 5}, {7, 5}} {
--- a/internal/consensus/runner.go
+++ b/internal/consensus/runner.go
@@ -35,8 +35,9 @@
 	msgs []*pb.Message
 }
 
-// runner is the goroutine around a replica: messages, proposals and ticks in, batches of messages out. It owns the replica and, with
-// its writer, the open folder, while it runs. Queues are bounded; what does not fit is dropped and counted, which raft bears.
+// runner is the goroutine around a replica: messages, proposals and ticks in, batches of messages out. It owns the
+// replica and, with its writer, the open folder, while it runs. Queues are bounded; what does not fit is dropped
+// and counted, which raft bears.
 type runner struct {
 	node    *Node
 	store   *store
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -83,12 +83,13 @@
 	}
 }
 
-// store is a voter's open folder: one bbolt database. One goroutine writes, and another one reads meanwhile what is on disk, as raft's
-// Storage.
+// store is a voter's open folder: one bbolt database. One goroutine writes, and another one reads meanwhile what is
+// on disk, as raft's Storage.
 //
-// Nothing is used that is not as it was written. bbolt has checksums of its two head pages only, so verifyPages looks at the pages
-// before bbolt gets the file, and each value has a checksum here; entries are chained, so that a page which is whole but of an earlier
-// time is found as well. What is read is kept in memory; entries are few and short, since snapshots replace them.
+// Nothing is used that is not as it was written. bbolt has checksums of its two head pages only, so verifyPages
+// looks at the pages before bbolt gets the file, and each value has a checksum here; entries are chained, so that a
+// page which is whole but of an earlier time is found as well. What is read is kept in memory; entries are few and
+// short, since snapshots replace them.
 type store struct {
 	db         *bolt.DB
 	folder     string
@@ -210,8 +211,8 @@
 	return tx.Bucket(bucketMeta).Put(keyHeader, withChecksum(keyHeader, b))
 }
 
-// update writes in one transaction: all of it is on disk when it returns nil. f changes a draft of what is in memory along with it,
-// which is taken over then. The error is an *UnwritableFolder.
+// update writes in one transaction: all of it is on disk when it returns nil. f changes a draft of what is in
+// memory along with it, which is taken over then. The error is an *UnwritableFolder.
 func (s *store) update(f func(draft *logState, tx *bolt.Tx) error) error {
 	draft := s.logState
 	write := func(tx *bolt.Tx) error {
@@ -250,8 +251,9 @@
 	return s.db.Update(write)
 }
 
-// recordBootstrap writes down which bootstrap the folder belongs to, before anything is sent that rests on it. A bootstrap with voters
-// is also the first snapshot; a member that is added later gets its first one from the leader.
+// recordBootstrap writes down which bootstrap the folder belongs to, before anything is sent that rests on it. A
+// bootstrap with voters is also the first snapshot; a member that is added later gets its first one from the
+// leader.
 func (s *store) recordBootstrap(b bootstrap) error {
 	return s.update(func(draft *logState, tx *bolt.Tx) error {
 		draft.header.Bootstrap = b
@@ -296,7 +298,8 @@
 	return err
 }
 
-// writeMessage does what a message of raft to its storage asks for. What rests on it may be sent once it has returned nil.
+// writeMessage does what a message of raft to its storage asks for. What rests on it may be sent once it has
+// returned nil.
 func (s *store) writeMessage(m *pb.Message) error {
 	snapshot, entries := m.GetSnapshot(), m.GetEntries()
 	sameVote := m.Term == nil || m.GetTerm() == s.header.Term && m.GetVote() == s.header.Vote
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -38,7 +38,17 @@
 	}
 	put(2, 60, 2)
 	put(50, 90, 3) // entries 50 to 60 are replaced
-	check(s.compact(compaction{index: 40, term: 2, conf: s.header.Conf.pb(), data: packSnapshot(s.header.Bootstrap.Voters, []byte(strings.Repeat("state", 3000))), keepEntries: 10}))
+	check(
+		s.compact(
+			compaction{
+				index:       40,
+				term:        2,
+				conf:        s.header.Conf.pb(),
+				data:        packSnapshot(s.header.Bootstrap.Voters, []byte(strings.Repeat("state", 3000))),
+				keepEntries: 10,
+			},
+		),
+	)
 	want = told(t, s)
 	s.close()
 	return folder, want
@@ -76,7 +86,8 @@
 	if got := told(t, s); got != want {
 		t.Fatalf("got %.300s\nwant %.300s", got, want)
 	}
-	if s.header.Base != 30 || s.header.Last != 90 || s.header.SnapIndex != 40 || s.entries[len(s.entries)-1].GetTerm() != 3 {
+	if s.header.Base != 30 || s.header.Last != 90 || s.header.SnapIndex != 40 ||
+		s.entries[len(s.entries)-1].GetTerm() != 3 {
 		t.Fatalf("%+v", s.header)
 	}
 	if _, err := openStore(folder, "c", "m", nil); !errors.Is(err, errLocked) {
@@ -84,68 +95,24 @@
 	}
 }
 
-// TestDamage changes a byte here and there, cuts the file off, and puts pages of an earlier time in: whatever is taken is
-// what was written, the rest is refused in one line, and the file stays as it is.
+// TestDamage changes a byte here and there, cuts the file off, and puts pages of an earlier time in: whatever is
+// taken is what was written, the rest is refused in one line, and the file stays as it is.
 func TestDamage(t *testing.T) {
 	folder, want := filled(t)
-	path := filepath.Join(folder, fileName)
-	whole, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := openStore(folder, "c", "m", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var list []*pb.Entry
-	for i := uint64(91); i < 120; i++ {
-		list = append(list, &pb.Entry{Index: new(i), Term: new(uint64(3)), Data: []byte("later")})
-	}
-	if err := s.writeMessage(&pb.Message{Entries: list}); err != nil {
-		t.Fatal(err)
-	}
-	later := told(t, s)
-	s.close()
-	after, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := &damage{t: t, folder: folder, path: filepath.Join(folder, fileName)}
+	whole := d.read()
+	later := d.writeMore()
+	after := d.read()
 	r := rand.New(rand.NewPCG(1, 2))
-	refused, taken := 0, 0
-	try := func(what string, file []byte, may ...string) {
-		if err := os.WriteFile(path, file, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		s, err := openStore(folder, "c", "m", nil)
-		if err == nil {
-			got := told(t, s)
-			s.close()
-			for _, w := range may {
-				if taken++; got == w {
-					return
-				}
-			}
-			t.Fatalf("%s: taken as %.200s", what, got)
-		}
-		refused++
-		var damaged *CorruptFolder
-		var foreign *ForeignFolder
-		if !errors.As(err, &damaged) && !errors.As(err, &foreign) || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
-			t.Fatalf("%s: %v", what, err)
-		}
-		if now, _ := os.ReadFile(path); !bytes.Equal(now, file) {
-			t.Fatalf("%s: the file has been changed", what)
-		}
-	}
 	for range 250 {
 		file := append([]byte(nil), whole...)
 		at, bit := r.IntN(len(file)), byte(1<<r.IntN(8))
 		file[at] ^= bit
-		try(fmt.Sprintf("byte %d", at), file, want)
+		d.try(fmt.Sprintf("byte %d", at), file, want)
 	}
 	for range 20 {
 		n := r.IntN(len(whole))
-		try(fmt.Sprintf("cut off at %d", n), whole[:n], want) // there may be room behind its end
+		d.try(fmt.Sprintf("cut off at %d", n), whole[:n], want) // there may be room behind its end
 	}
 	for p := 0; p < len(whole)/pageSize; p++ { // a page that was written and got lost
 		file := append([]byte(nil), after...)
@@ -154,10 +121,73 @@
 		if p < 2 {
 			may = append(may, want) // the head of before: its pages still stand, and nobody can tell
 		}
-		try(fmt.Sprintf("page %d of before", p), file, may...)
+		d.try(fmt.Sprintf("page %d of before", p), file, may...)
+	}
+	if d.refused < 40 || d.taken < 10 {
+		t.Fatalf("%d refused, %d taken", d.refused, d.taken)
+	}
+}
+
+// damage tries damaged files in a folder's place.
+type damage struct {
+	t              *testing.T
+	folder, path   string
+	refused, taken int
+}
+
+func (d *damage) read() []byte {
+	d.t.Helper()
+	body, err := os.ReadFile(d.path)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return body
+}
+
+// writeMore appends entries to the folder, and returns what it says then.
+func (d *damage) writeMore() string {
+	d.t.Helper()
+	s, err := openStore(d.folder, "c", "m", nil)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	defer s.close()
+	var list []*pb.Entry
+	for i := uint64(91); i < 120; i++ {
+		list = append(list, &pb.Entry{Index: new(i), Term: new(uint64(3)), Data: []byte("later")})
+	}
+	if err := s.writeMessage(&pb.Message{Entries: list}); err != nil {
+		d.t.Fatal(err)
+	}
+	return told(d.t, s)
+}
+
+// try opens a file, which has to say one of what it may, or be refused in one line and left as it is.
+func (d *damage) try(what string, file []byte, may ...string) {
+	d.t.Helper()
+	if err := os.WriteFile(d.path, file, 0o600); err != nil {
+		d.t.Fatal(err)
+	}
+	s, err := openStore(d.folder, "c", "m", nil)
+	if err == nil {
+		got := told(d.t, s)
+		s.close()
+		for _, w := range may {
+			if d.taken++; got == w {
+				return
+			}
+		}
+		d.t.Fatalf("%s: taken as %.200s", what, got)
+	}
+	d.refused++
+	var corrupt *CorruptFolder
+	var foreign *ForeignFolder
+	typed := errors.As(err, &corrupt) || errors.As(err, &foreign)
+	if !typed || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
+		d.t.Fatalf("%s: %v", what, err)
 	}
-	if refused < 40 || taken < 10 {
-		t.Fatalf("%d refused, %d taken", refused, taken)
+	if now, _ := os.ReadFile(d.path); !bytes.Equal(now, file) {
+		d.t.Fatalf("%s: the file has been changed", what)
 	}
 }
 
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -63,8 +63,9 @@
 	return nil
 }
 
-// transport makes and answers calls between members, by storj.io/drpc over TCP. It keeps no more than its limits for a member that
-// does not answer, and refuses calls of another cluster. Its methods may be called from any goroutine.
+// transport makes and answers calls between members, by storj.io/drpc over TCP. It keeps no more than its limits
+// for a member that does not answer, and refuses calls of another cluster. Its methods may be called from any
+// goroutine.
 type transport struct {
 	cfg     *Config
 	cluster uint64
@@ -124,8 +125,8 @@
 	})
 }
 
-// listen opens the listener and answers calls until ctx ends; done is closed once the last one is answered. It returns once the listener
-// is open.
+// listen opens the listener and answers calls until ctx ends; done is closed once the last one is answered. It
+// returns once the listener is open.
 func (w *transport) listen(ctx context.Context, address string) (done <-chan struct{}, err error) {
 	config := net.ListenConfig{Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp", address)
--- a/internal/consensus/transport_test.go
+++ b/internal/consensus/transport_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A call whose name is longer than names are is refused, or read whole: its length once overflowed a byte, and ended the process.
+// A call whose name is longer than names are is refused, or read whole: its length once overflowed a byte, and
+// ended the process.
 func TestMalformedCalls(t *testing.T) {
 	w := newTransport(&Config{Cluster: "c", Name: "m"}, nil)
 	header := w.packCall(nil)[:callHeaderBytes]
@@ -14,7 +15,8 @@
 		call[callHeaderBytes-1] = length
 		for n := range 300 {
 			from, body, err := w.unpackCall(append(bytes.Clone(call), make([]byte, n)...))
-			if whole := n >= int(length); whole != (err == nil) || whole && (len(from) != int(length) || len(body) != n-int(length)) {
+			if whole := n >= int(length); whole != (err == nil) ||
+				whole && (len(from) != int(length) || len(body) != n-int(length)) {
 				t.Fatalf("name of %d bytes, %d there: %d and %d bytes, %v", length, n, len(from), len(body), err)
 			}
 		}
--- a/internal/consensus/verify.go
+++ b/internal/consensus/verify.go
@@ -8,176 +8,245 @@
 	"io"
 )
 
-// corruptPages is a file that bbolt would go astray in.
+// The layout of a bbolt file, version 2. Numbers are little-endian.
+const (
+	bboltMagic      = 0xED0CDAED
+	bboltVersion    = 2
+	pageHeader      = 16 // number, kind, count of elements, count of further pages
+	elementHeader   = 16
+	bucketHeader    = 16 // root page, sequence
+	checkedMeta     = 56 // bytes of a meta page's body that its checksum covers
+	firstDataPage   = 2  // behind the two meta pages
+	branchPage      = 0x01
+	leafPage        = 0x02
+	freelistPage    = 0x10
+	bucketElement   = 0x01
+	longFreelist    = 0xFFFF // its count stands in front of the list
+	maxDepth        = 32
+	lastCheckedPage = 1
+)
+
+var littleEndian = binary.LittleEndian
+
+// corruptPages is a database that bbolt would go astray in.
 type corruptPages struct{ why string }
 
+// Error says where.
 func (e *corruptPages) Error() string { return e.why }
 
-// Hint implements advice.Giver.
+// Hint is that of the folder which holds the database.
 func (*corruptPages) Hint() string { return (*CorruptFolder)(nil).Hint() }
 
-func corruptf(s string, args ...any) error { return &corruptPages{why: fmt.Sprintf(s, args...)} }
-
-// verifyPages looks at how the pages of a bbolt file hang together: both heads whole, every page that is pointed to within the
-// file, of the number and kind it should be, reached once, its elements inside it and their keys in order, and no page in
-// use told as free. bbolt itself takes all that for granted, and with one damaged head it would go back to the state
-// before, which a voter must not.
-func verifyPages(f io.ReaderAt, size int64) error {
-	w := &pageVerifier{f: f, seen: map[uint64]bool{0: true, 1: true}}
-	var root, free, newest uint64
-	for i := range uint64(2) {
-		b := make([]byte, pageSize)
-		if _, err := f.ReadAt(b, int64(i)*pageSize); err != nil {
-			return corruptf("page %d is missing", i)
-		}
-		m := b[16:]
-		sum := fnv.New64a()
-		_, _ = sum.Write(m[:56])
-		le := binary.LittleEndian
-		switch {
-		case le.Uint32(m) != 0xED0CDAED || le.Uint32(m[4:]) != 2 || le.Uint32(m[8:]) != pageSize:
-			return corruptf("head page %d is none, or of another version", i)
-		case le.Uint64(m[56:]) != sum.Sum64():
-			return corruptf("the sum of head page %d doesn't fit", i)
+func corruptf(format string, args ...any) error {
+	return &corruptPages{why: fmt.Sprintf(format, args...)}
+}
+
+// pageVerifier walks over the pages of a bbolt file.
+type pageVerifier struct {
+	file  io.ReaderAt
+	pages uint64
+	used  map[uint64]bool
+}
+
+// metaPage is what a meta page says.
+type metaPage struct {
+	root, freelist, pages, txID uint64
+}
+
+// verifyPages checks how the pages of a bbolt file hang together: both meta pages are whole; every page that is
+// pointed to lies within the file, has the number and kind it should have and is reached once; its elements lie
+// inside it and their keys are in order; and no page in use is listed as free. bbolt takes all that for granted,
+// and with one corrupt meta page it would go back to the state before, which a voter must not. The error is a
+// *corruptPages.
+func verifyPages(file io.ReaderAt, size int64) error {
+	var newest metaPage
+	for i := range uint64(firstDataPage) {
+		meta, err := readMeta(file, i)
+		if err != nil {
+			return err
 		}
-		if tx := le.Uint64(m[48:]); tx >= newest {
-			newest, root, free, w.end = tx, le.Uint64(m[16:]), le.Uint64(m[32:]), le.Uint64(m[40:])
+		if meta.txID >= newest.txID {
+			newest = meta
 		}
 	}
-	if w.end > uint64(size)/pageSize {
-		return corruptf("it has %d bytes in place of %d", size, w.end*pageSize)
+	if newest.pages > uint64(size)/pageSize {
+		return corruptf("it has %d bytes in place of %d", size, newest.pages*pageSize)
 	}
-	if err := w.tree(root, 0, nil, nil); err != nil {
+	v := &pageVerifier{file: file, pages: newest.pages, used: map[uint64]bool{0: true, 1: true}}
+	if err := v.tree(newest.root, 0, nil, nil); err != nil {
 		return err
 	}
-	return w.free(free)
+	return v.freelist(newest.freelist)
 }
 
-type pageVerifier struct {
-	f    io.ReaderAt
-	end  uint64 // pages
-	seen map[uint64]bool
+func readMeta(file io.ReaderAt, number uint64) (metaPage, error) {
+	page := make([]byte, pageSize)
+	if _, err := file.ReadAt(page, int64(number)*pageSize); err != nil {
+		return metaPage{}, corruptf("page %d is missing", number)
+	}
+	body := page[pageHeader:]
+	sum := fnv.New64a()
+	_, _ = sum.Write(body[:checkedMeta])
+	known := littleEndian.Uint32(body) == bboltMagic &&
+		littleEndian.Uint32(body[4:]) == bboltVersion &&
+		littleEndian.Uint32(body[8:]) == pageSize
+	switch {
+	case !known:
+		return metaPage{}, corruptf("head page %d is none, or of another version", number)
+	case littleEndian.Uint64(body[checkedMeta:]) != sum.Sum64():
+		return metaPage{}, corruptf("the sum of head page %d doesn't fit", number)
+	}
+	return metaPage{
+		root:     littleEndian.Uint64(body[16:]),
+		freelist: littleEndian.Uint64(body[32:]),
+		pages:    littleEndian.Uint64(body[40:]),
+		txID:     littleEndian.Uint64(body[48:]),
+	}, nil
 }
 
-// read reads page id, with those that belong to it, and notes that they are in use.
-func (w *pageVerifier) read(id uint64) ([]byte, error) {
-	if id < 2 || id >= w.end {
-		return nil, corruptf("a pointer to page %d, of %d", id, w.end)
+// read reads a page, with those that belong to it, and notes that they are in use.
+func (v *pageVerifier) read(number uint64) ([]byte, error) {
+	if number < firstDataPage || number >= v.pages {
+		return nil, corruptf("a pointer to page %d, of %d", number, v.pages)
 	}
-	head := make([]byte, 16)
-	if _, err := w.f.ReadAt(head, int64(id)*pageSize); err != nil {
-		return nil, corruptf("page %d can't be read", id)
+	header := make([]byte, pageHeader)
+	if _, err := v.file.ReadAt(header, int64(number)*pageSize); err != nil {
+		return nil, corruptf("page %d can't be read", number)
 	}
-	le := binary.LittleEndian
-	more := uint64(le.Uint32(head[12:]))
-	if le.Uint64(head) != id || more >= w.end-id {
-		return nil, corruptf("page %d is another one", id)
+	further := uint64(littleEndian.Uint32(header[12:]))
+	if littleEndian.Uint64(header) != number || further >= v.pages-number {
+		return nil, corruptf("page %d is another one", number)
 	}
-	for i := id; i <= id+more; i++ {
-		if w.seen[i] {
+	for i := number; i <= number+further; i++ {
+		if v.used[i] {
 			return nil, corruptf("page %d is used twice", i)
 		}
-		w.seen[i] = true
+		v.used[i] = true
 	}
-	page := make([]byte, (1+more)*pageSize)
-	if _, err := w.f.ReadAt(page, int64(id)*pageSize); err != nil {
-		return nil, corruptf("page %d can't be read", id)
+	page := make([]byte, (1+further)*pageSize)
+	if _, err := v.file.ReadAt(page, int64(number)*pageSize); err != nil {
+		return nil, corruptf("page %d can't be read", number)
 	}
 	return page, nil
 }
 
-// free looks at the list of free pages.
-func (w *pageVerifier) free(id uint64) error {
-	page, err := w.read(id)
+func pageKind(page []byte) uint16  { return littleEndian.Uint16(page[8:]) }
+func pageCount(page []byte) uint16 { return littleEndian.Uint16(page[10:]) }
+
+// freelist checks the list of free pages: in order, within the file, and none of them in use.
+func (v *pageVerifier) freelist(number uint64) error {
+	page, err := v.read(number)
 	if err != nil {
 		return err
 	}
-	le := binary.LittleEndian
-	count, list := uint64(le.Uint16(page[10:])), page[16:]
-	if count == 0xFFFF {
-		count, list = le.Uint64(list), list[8:]
+	count, list := uint64(pageCount(page)), page[pageHeader:]
+	if count == longFreelist {
+		count, list = littleEndian.Uint64(list), list[8:]
 	}
-	if le.Uint16(page[8:]) != 0x10 || count > uint64(len(list)/8) {
-		return corruptf("page %d is no list of free pages", id)
+	if pageKind(page) != freelistPage || count > uint64(len(list)/8) {
+		return corruptf("page %d is no list of free pages", number)
 	}
-	last := uint64(1)
+	last := uint64(lastCheckedPage)
 	for i := range count {
-		x := le.Uint64(list[8*i:])
-		if x <= last || x >= w.end || w.seen[x] {
-			return corruptf("page %d is told as free", x)
+		free := littleEndian.Uint64(list[8*i:])
+		if free <= last || free >= v.pages || v.used[free] {
+			return corruptf("page %d is told as free", free)
 		}
-		last = x
+		last = free
 	}
 	return nil
 }
 
-// tree looks at a page and those below it, whose keys lie from least to below most (nil: anywhere).
-func (w *pageVerifier) tree(id uint64, depth int, least, most []byte) error {
-	if depth > 32 {
+// tree checks a page and those below it, whose keys lie from least to below most (nil: anywhere).
+func (v *pageVerifier) tree(number uint64, depth int, least, most []byte) error {
+	if depth > maxDepth {
 		return corruptf("its pages lie too deep")
 	}
-	page, err := w.read(id)
+	page, err := v.read(number)
 	if err != nil {
 		return err
 	}
-	return w.page(id, page, depth, least, most)
+	return v.page(number, page, depth, least, most)
 }
 
-// page looks at the elements of one page, also of one that lies inside another's element.
-func (w *pageVerifier) page(id uint64, page []byte, depth int, least, most []byte) error {
-	le := binary.LittleEndian
-	flags, count := le.Uint16(page[8:]), int(le.Uint16(page[10:]))
-	if flags != 1 && flags != 2 || 16+16*count > len(page) || flags == 1 && count == 0 {
-		return corruptf("page %d is of an unknown kind", id)
-	}
-	type element struct {
-		key, value []byte
-		flags      uint32
-		child      uint64
-	}
-	list := make([]element, count)
-	for i := range count {
-		e, at := page[16+16*i:], 16+16*i
-		pos, klen, vlen := le.Uint32(e), le.Uint32(e[4:]), uint32(0)
-		if flags == 2 {
-			pos, klen, vlen = le.Uint32(e[4:]), le.Uint32(e[8:]), le.Uint32(e[12:])
+// page checks the elements of one page, also of one that lies inside another's element.
+func (v *pageVerifier) page(number uint64, page []byte, depth int, least, most []byte) error {
+	kind, count := pageKind(page), int(pageCount(page))
+	known := kind == branchPage && count > 0 || kind == leafPage
+	if !known || pageHeader+elementHeader*count > len(page) {
+		return corruptf("page %d is of an unknown kind", number)
+	}
+	elements := make([]pageElement, count)
+	for i := range elements {
+		element, ok := readElement(page, kind, i)
+		if !ok {
+			return corruptf("an element of page %d reaches out of it", number)
 		}
-		from := uint64(at) + uint64(pos)
-		if klen == 0 || from+uint64(klen)+uint64(vlen) > uint64(len(page)) {
-			return corruptf("an element of page %d reaches out of it", id)
+		repeated := i > 0 && bytes.Equal(element.key, least)
+		if bytes.Compare(element.key, least) < 0 || repeated || most != nil && bytes.Compare(element.key, most) >= 0 {
+			return corruptf("the keys of page %d are out of order", number)
 		}
-		x := element{key: page[from:][:klen], value: page[from+uint64(klen):][:vlen], flags: le.Uint32(e), child: le.Uint64(e[8:])}
-		if bytes.Compare(x.key, least) < 0 || i > 0 && bytes.Equal(x.key, least) || most != nil && bytes.Compare(x.key, most) >= 0 {
-			return corruptf("the keys of page %d are out of order", id)
+		elements[i], least = element, element.key
+	}
+	for i, element := range elements {
+		end := most
+		if i+1 < count {
+			end = elements[i+1].key
 		}
-		list[i], least = x, x.key
-	}
-	for i, x := range list {
-		switch {
-		case flags == 1:
-			end := most
-			if i+1 < count {
-				end = list[i+1].key
-			}
-			if err := w.tree(x.child, depth+1, x.key, end); err != nil {
-				return err
-			}
-		case x.flags > 1:
-			return corruptf("an element of page %d is of an unknown kind", id)
-		case x.flags == 0:
-		case len(x.value) < 16:
-			return corruptf("a bucket in page %d is cut off", id)
-		case le.Uint64(x.value) != 0:
-			if err := w.tree(le.Uint64(x.value), depth+1, nil, nil); err != nil {
-				return err
-			}
-		case len(x.value) < 32:
-			return corruptf("a bucket in page %d is cut off", id)
-		default:
-			if err := w.page(id, x.value[16:], depth+1, nil, nil); err != nil {
-				return err
-			}
+		if err := v.element(number, kind, element, depth, end); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// pageElement is an element of a branch, which has a child page, or of a leaf, which has a value.
+type pageElement struct {
+	key, value []byte
+	flags      uint32 // of a leaf's
+	child      uint64 // of a branch's
+}
+
+// readElement reads the i-th element; false if it reaches out of the page.
+func readElement(page []byte, kind uint16, i int) (pageElement, bool) {
+	start := pageHeader + elementHeader*i
+	header := page[start:]
+	position, keySize, valueSize := littleEndian.Uint32(header), littleEndian.Uint32(header[4:]), uint32(0)
+	if kind == leafPage {
+		position, keySize = littleEndian.Uint32(header[4:]), littleEndian.Uint32(header[8:])
+		valueSize = littleEndian.Uint32(header[12:])
+	}
+	keyAt := uint64(start) + uint64(position)
+	valueAt := keyAt + uint64(keySize)
+	if keySize == 0 || valueAt+uint64(valueSize) > uint64(len(page)) {
+		return pageElement{}, false
+	}
+	return pageElement{
+		key:   page[keyAt:valueAt],
+		value: page[valueAt:][:valueSize],
+		flags: littleEndian.Uint32(header),
+		child: littleEndian.Uint64(header[8:]),
+	}, true
+}
+
+// element checks what lies below an element, whose keys end before end: a branch's child, or a bucket, whose page
+// may lie inside.
+func (v *pageVerifier) element(number uint64, kind uint16, element pageElement, depth int, end []byte) error {
+	switch {
+	case kind == branchPage:
+		return v.tree(element.child, depth+1, element.key, end)
+	case element.flags > bucketElement:
+		return corruptf("an element of page %d is of an unknown kind", number)
+	case element.flags == 0:
+		return nil
+	case len(element.value) < bucketHeader:
+		return corruptf("a bucket in page %d is cut off", number)
+	}
+	if root := littleEndian.Uint64(element.value); root != 0 {
+		return v.tree(root, depth+1, nil, nil)
+	}
+	if len(element.value) < bucketHeader+pageHeader {
+		return corruptf("a bucket in page %d is cut off", number)
+	}
+	return v.page(number, element.value[bucketHeader:], depth+1, nil, nil)
+}
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -20,8 +20,8 @@
 	reply       chan error
 }
 
-// voter is a candidate's way to its vote: open the folder, listen, bootstrap or rejoin, run, and begin again where that is safe. It
-// belongs to one goroutine, which owns the folder from its opening to its closing.
+// voter is a candidate's way to its vote: open the folder, listen, bootstrap or rejoin, run, and begin again where
+// that is safe. It belongs to one goroutine, which owns the folder from its opening to its closing.
 type voter struct {
 	*Node
 	store     *store          // nil while it is not open
@@ -104,7 +104,8 @@
 	return store, nil
 }
 
-// waitAfter reports a fault and waits a while. If only a restart helps, it waits until the node is closed: this member stays a reader.
+// waitAfter reports a fault and waits a while. If only a restart helps, it waits until the node is closed: this
+// member stays a reader.
 func (n *Node) waitAfter(err error) {
 	var unwritable *UnwritableFolder
 	switch {
@@ -132,7 +133,8 @@
 	n.status.Store(&memberStatus{Name: n.cfg.Name, ID: store.header.ID, Bootstrap: store.header.Bootstrap})
 }
 
-// vote goes from a folder, fresh or not, to a running replica, and returns why that ended; nil when the node is closed.
+// vote goes from a folder, fresh or not, to a running replica, and returns why that ended; nil when the node is
+// closed.
 func (v *voter) vote() error {
 	if v.store.header.Bootstrap.ID == 0 {
 		if begun, err := v.begin(); err != nil || !begun {
@@ -163,8 +165,8 @@
 	return err
 }
 
-// begin gives a fresh folder the bootstrap that it belongs to: its own, or that of a leader which asks this member to get ready. It
-// returns false when the node is closed before.
+// begin gives a fresh folder the bootstrap that it belongs to: its own, or that of a leader which asks this member
+// to get ready. It returns false when the node is closed before.
 func (v *voter) begin() (bool, error) {
 	ctx, cancel := context.WithCancel(v.ctx)
 	defer cancel()
@@ -220,8 +222,8 @@
 	}
 }
 
-// awaitBootstrap finds what one of the first voters, with a fresh folder of number id, begins with. Calls to others may take a while;
-// a leader that asks this member to get ready is answered meanwhile.
+// awaitBootstrap finds what one of the first voters, with a fresh folder of number id, begins with. Calls to others
+// may take a while; a leader that asks this member to get ready is answered meanwhile.
 func (n *Node) awaitBootstrap(ctx context.Context, first []Candidate, id uint64, found chan<- bootstrap) {
 	for ; ctx.Err() == nil; n.sleep(retryInterval) {
 		reported := map[string]memberStatus{}
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -23,7 +23,7 @@
 
 	calls     int // under way
 	last      time.Duration
-	next      time.Duration  // when to ask
+	next      time.Duration        // when to ask
 	lead      consensus.LeaderInfo // whom the calls under way were sent to
 	known     consensus.LeaderInfo // as last seen
 	answers   chan answer
