--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -95,7 +95,7 @@
 		}
 		switch {
 		case !ok || status.ID == 0:
-			if !(failpoint.On("founds-alone") && len(fresh) > 0) {
+			if !failpoint.On("founds-alone") || len(fresh) == 0 {
 				await = cmp.Or(await, c.Name)
 			}
 		case status.Bootstrap.ID == 0:
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -90,12 +90,8 @@
 		if n.ctx.Err() != nil || !n.searchesLeader() {
 			return true
 		}
-		if ok && reported.Leader != "" && reported.Term >= known.Term && reported.Term >= best.Term {
-			best = LeaderInfo{
-				Name:    reported.Leader,
-				Address: n.addressOf(reported.Leader, ""),
-				Term:    reported.Term,
-			}
+		if ok && reported.Leader != "" && reported.Term >= max(known.Term, best.Term) {
+			best = n.leaderInfo(reported)
 			if !suspect || best.Term > known.Term {
 				break
 			}
@@ -113,6 +109,14 @@
 	return best.Name != ""
 }
 
+func (n *Node) leaderInfo(reported reportedStatus) LeaderInfo {
+	return LeaderInfo{
+		Name:    reported.Leader,
+		Address: n.addressOf(reported.Leader, ""),
+		Term:    reported.Term,
+	}
+}
+
 // reportedStatus is a member's status with what goes with it in an answer.
 type reportedStatus struct {
 	memberStatus
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -332,7 +332,7 @@
 // leadershipChanged takes a change of who leads, or of the term. What was asked of a leader that is none any more
 // ends here.
 func (c *replica) leadershipChanged(ready raft.Ready) {
-	term := ready.HardState.GetTerm()
+	term := ready.GetTerm()
 	if ready.SoftState == nil && (term == 0 || term == c.term) {
 		return
 	}
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -72,6 +72,33 @@
 }
 
 func (r *Reducer) dispatch(event Event) {
+	if r.dispatchClient(event) || r.dispatchAttempt(event) || r.dispatchDiscovery(event) {
+		return
+	}
+	switch event := event.(type) {
+	case ConfigChanged:
+		r.configChanged(event)
+	case ShutdownRequested:
+		r.beginShutdown(event)
+	case MaintenanceSet:
+		r.setMaintenance(event)
+	case DrainSet:
+		r.setDrain(event.On)
+	case PredecessorState:
+		r.predecessorState(event)
+	case OverlappingProcesses:
+		r.setOverlappingProcesses(event.Count)
+	case FleetEvents:
+		r.decideAll(event.Events)
+	case LeaseChanged:
+		r.leaseChanged(event)
+	case Tick:
+		r.timers.advance(r.now, r.timerFired)
+	}
+}
+
+// dispatchClient takes the events of clients, and tells whether this is one.
+func (r *Reducer) dispatchClient(event Event) bool {
 	switch event := event.(type) {
 	case ConnectionAccepted:
 		r.idle.add(event.Client, r.now)
@@ -91,6 +118,15 @@
 		r.backpressureChanged(event)
 	case ServerDataQueued:
 		r.serverDataQueued(event)
+	default:
+		return false
+	}
+	return true
+}
+
+// dispatchAttempt takes the events of attempts and probes, and tells whether this is one.
+func (r *Reducer) dispatchAttempt(event Event) bool {
+	switch event := event.(type) {
 	case AttemptConnected:
 		r.attemptConnected(event)
 	case RequestSent:
@@ -101,6 +137,15 @@
 		r.attemptClosed(event)
 	case ProbeFinished:
 		r.probeFinished(event)
+	default:
+		return false
+	}
+	return true
+}
+
+// dispatchDiscovery takes the events of discovery, and tells whether this is one.
+func (r *Reducer) dispatchDiscovery(event Event) bool {
+	switch event := event.(type) {
 	case EndpointsListed:
 		r.endpointsListed(event)
 	case WatchDataReceived:
@@ -109,25 +154,10 @@
 		r.watchHeartbeat()
 	case WatchClosed:
 		r.watchClosed()
-	case ConfigChanged:
-		r.configChanged(event)
-	case ShutdownRequested:
-		r.beginShutdown(event)
-	case MaintenanceSet:
-		r.setMaintenance(event)
-	case DrainSet:
-		r.setDrain(event.On)
-	case PredecessorState:
-		r.predecessorState(event)
-	case OverlappingProcesses:
-		r.setOverlappingProcesses(event.Count)
-	case FleetEvents:
-		r.decideAll(event.Events)
-	case LeaseChanged:
-		r.leaseChanged(event)
-	case Tick:
-		r.timers.advance(r.now, r.timerFired)
+	default:
+		return false
 	}
+	return true
 }
 
 func (r *Reducer) emit(effect Effect) { r.effects = append(r.effects, effect) }
