--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -90,7 +90,7 @@
 	if a.OK {
 		return false
 	}
-	for _, head := range []string{revision.LaterText, "busy: ", "leaving: "} {
+	for _, head := range []string{revision.RetryLaterPrefix, "busy: ", "leaving: "} {
 		if strings.HasPrefix(a.Text, head) {
 			return true
 		}
@@ -113,7 +113,7 @@
 		case err != nil:
 			last = err
 		case later(answer):
-			e := no(strings.TrimPrefix(answer.Text, revision.LaterText))
+			e := no(strings.TrimPrefix(answer.Text, revision.RetryLaterPrefix))
 			e.at = at
 			last = e
 		case !answer.OK:
@@ -163,7 +163,7 @@
 
 // run hands o in and waits; want is the short hash of what it proposes.
 func (c *change) run(o revision.Order, want string) error {
-	o.Key, o.From, o.Watch, o.Deadline, o.By = c.Key, revision.Latest, c.Watch, c.Deadline, c.By
+	o.Key, o.Base, o.GuardFor, o.Deadline, o.By = c.Key, revision.Latest, c.Watch, c.Deadline, c.By
 	if o.Key == "" {
 		var b [8]byte
 		_, _ = rand.Read(b[:])
@@ -174,7 +174,7 @@
 	}
 	o.By = strings.ReplaceAll(o.By, " ", "-")
 	if c.From != nil {
-		o.From = *c.From
+		o.Base = *c.From
 	}
 	if _, err := revision.ParseOrder(o.String()); err != nil { // as a balancer will read it
 		return err
@@ -323,10 +323,10 @@
 		return err
 	}
 	if c.Check {
-		fmt.Println(path+": sound,", revision.Short(revision.Hash(content)))
+		fmt.Println(path+": sound,", revision.ShortHash(revision.Hash(content)))
 		return nil
 	}
-	err = c.run(revision.Order{Verb: revision.VerbPropose, Text: revision.Encode(content)}, revision.Short(revision.Hash(content)))
+	err = c.run(revision.Order{Verb: revision.VerbPropose, Text: revision.Encode(content)}, revision.ShortHash(revision.Hash(content)))
 	if e, ok := err.(*refused); ok && e.at == "" {
 		if at := revisioncue.Where(path, body, e.text); at != path {
 			e.at = at
@@ -476,7 +476,7 @@
 }
 
 func (c *replace) Run() error {
-	return c.say(revision.Order{Verb: revision.VerbReplace, Name: c.Old, Other: c.New})
+	return c.say(revision.Order{Verb: revision.VerbReplace, Name: c.Old, NewName: c.New})
 }
 
 type forget struct {
--- a/cmd/oatctl/revision_test.go
+++ b/cmd/oatctl/revision_test.go
@@ -36,7 +36,7 @@
 		return "-ERR " + hint.Line(err)
 	case b.later > 0:
 		b.later--
-		return "-ERR " + revision.LaterText + "nobody leads; do: wait"
+		return "-ERR " + revision.RetryLaterPrefix + "nobody leads; do: wait"
 	case o.Verb == revision.VerbStatus:
 		return "+OK " + b.status
 	case o.Verb == revision.VerbGet && o.Number == revision.Latest:
@@ -51,8 +51,8 @@
 		return "+OK " + revision.SettledText(uint64(n), revision.Hash(c), o.Key)
 	case b.no != "":
 		return "-ERR " + b.no
-	case o.From != revision.Latest && int(o.From) != in:
-		return fmt.Sprintf("-ERR revision %d is in force, not %d; do: see what has changed", in, o.From)
+	case o.Base != revision.Latest && int(o.Base) != in:
+		return fmt.Sprintf("-ERR revision %d is in force, not %d; do: see what has changed", in, o.Base)
 	case o.Verb == revision.VerbRollback:
 		o.Text = []byte(b.texts[o.Number])
 	}
--- a/internal/bandwidth/bench_test.go
+++ b/internal/bandwidth/bench_test.go
@@ -145,7 +145,7 @@
 			for i := range b.N {
 				now += 250 * time.Millisecond / time.Duration(n)
 				body := asker.Demand()
-				answer, _ := part.Ask(names[i%n], body, now)
+				answer, _ := part.Grant(names[i%n], body, now)
 				asker.Granted(answer, epoch.Add(now))
 				bytes += len(body) + len(answer)
 			}
--- a/internal/bandwidth/links.go
+++ b/internal/bandwidth/links.go
@@ -70,7 +70,7 @@
 	var list []rule
 	last := 0
 	for _, c := range l.Classes {
-		r := rule{c.Name, max(c.Priority, 1), c.Least, c.Weight}
+		r := rule{c.Name, max(c.Priority, 1), c.MinShare, c.Weight}
 		if r.weight <= 0 {
 			r.weight = 1
 		}
--- a/internal/bandwidth/links_test.go
+++ b/internal/bandwidth/links_test.go
@@ -24,7 +24,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "classes") {
 			least := rapid.Float64Range(0, left).Draw(t, "least")
 			left -= least
-			l.Classes = append(l.Classes, revision.LinkClass{Name: fmt.Sprint("c", i), Priority: rapid.IntRange(1, 3).Draw(t, "priority"), Least: least,
+			l.Classes = append(l.Classes, revision.LinkClass{Name: fmt.Sprint("c", i), Priority: rapid.IntRange(1, 3).Draw(t, "priority"), MinShare: least,
 				Weight: rapid.Float64Range(0, 5).Draw(t, "weight")})
 		}
 		list := rules(&l, []string{"other"})
@@ -115,7 +115,7 @@
 // was lent before has lapsed and all follow the new table).
 func drawnRun(t *rapid.T) error {
 	set := Settings{Lease: 2 * time.Second, SafePart: rapid.SampledFrom([]float64{0.04, 0.3}).Draw(t, "safe"), Holders: 6}
-	table := []revision.Link{{From: "a", To: "b", Bytes: 1e5, Classes: []revision.LinkClass{{Name: "top", Priority: 1, Least: 0.2}, {Name: "bulk", Priority: 2, Least: 0.1}}},
+	table := []revision.Link{{From: "a", To: "b", Bytes: 1e5, Classes: []revision.LinkClass{{Name: "top", Priority: 1, MinShare: 0.2}, {Name: "bulk", Priority: 2, MinShare: 0.1}}},
 		{From: "b", To: "a", Bytes: 3e4}}
 	bound, lapses := []float64{1e5, 3e4}, []time.Duration{0, 0}
 	now := time.Duration(0)
--- a/internal/bandwidth/part.go
+++ b/internal/bandwidth/part.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// Ask answers another process's question, at the member that coordinates: now is when the question came, before it was made sure that this
+// Grant answers another process's question, at the member that coordinates: now is when the question came, before it was made sure that this
 // member still does. Where again is above 0 the asker should do so after that, since a part of a link changes hands.
-func (p *Part) Ask(holder string, body []byte, now time.Duration) (answer []byte, again time.Duration) {
+func (p *Part) Grant(holder string, body []byte, now time.Duration) (answer []byte, again time.Duration) {
 	var a Asks
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,8 +141,8 @@
 	p.keeper.Elected(now)
 }
 
-// Left tells that a process has left, or is held to have lapsed.
-func (p *Part) Left(holder string) {
+// HolderLeft tells that a process has left, or is held to have lapsed.
+func (p *Part) HolderLeft(holder string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.keeper.Left(holder)
--- a/internal/bandwidth/stepped_test.go
+++ b/internal/bandwidth/stepped_test.go
@@ -126,7 +126,7 @@
 				if !s.cut {
 					again := time.Duration(0)
 					c.asks++
-					if s.answer, again = c.lead.Ask(s.name, body, c.now); again > 0 {
+					if s.answer, again = c.lead.Grant(s.name, body, c.now); again > 0 {
 						s.ask = min(s.ask, c.now+c.round+again)
 					}
 					s.asked, s.comes = c.now, c.now+c.round
@@ -180,7 +180,7 @@
 
 func three(bytes float64) revision.Link {
 	return revision.Link{From: "a", To: "b", Bytes: bytes, Classes: []revision.LinkClass{
-		{Name: "top", Priority: 1, Least: 0.3}, {Name: "mid", Priority: 2, Least: 0.1, Weight: 3}, {Name: "bulk", Priority: 2, Least: 0.1, Weight: 1}}}
+		{Name: "top", Priority: 1, MinShare: 0.3}, {Name: "mid", Priority: 2, MinShare: 0.1, Weight: 3}, {Name: "bulk", Priority: 2, MinShare: 0.1, Weight: 1}}}
 }
 
 // Each class has its guaranteed least part wherever its senders are, the rest goes by priority and weight, a class without a least part
--- a/internal/faultinjection/answers.go
+++ b/internal/faultinjection/answers.go
@@ -30,7 +30,7 @@
 
 // asksAgain tells whether a no says nothing of the request itself: it may be handed in again.
 func asksAgain(text string) bool {
-	return strings.HasPrefix(text, revision.LaterText) || strings.HasPrefix(text, "busy:")
+	return strings.HasPrefix(text, revision.RetryLaterPrefix) || strings.HasPrefix(text, "busy:")
 }
 
 // Status is what a balancer says of revisions.
--- a/internal/faultinjection/content.go
+++ b/internal/faultinjection/content.go
@@ -19,12 +19,12 @@
 func (w *Scenario) content(key string, c Call) *revision.Content {
 	r := &revision.Content{Form: revision.Form, Note: key}
 	if c.Out > 0 {
-		r.Regions = []revision.Place{{ID: w.Regions[(c.Out-1)%len(w.Regions)].Name, Out: true}}
+		r.Servers = []revision.Place{{ID: w.Regions[(c.Out-1)%len(w.Regions)].Name, Excluded: true}}
 	}
 	if n := len(w.Regions); c.Only > 0 {
 		for i, g := range w.Regions {
 			if at := (i - c.Only + 1 + n) % n; at >= planIn {
-				r.Regions = append(r.Regions, revision.Place{ID: g.Name, Out: true})
+				r.Servers = append(r.Servers, revision.Place{ID: g.Name, Excluded: true})
 			}
 		}
 	}
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -202,9 +202,9 @@
 // An answer is read as what it says of the request, and what says nothing of it leaves it open.
 func TestAnswers(t *testing.T) {
 	for text, want := range map[string]string{
-		"+" + revision.SettledText(5, "abcdef", "op1"): "1 5 0", "-" + hint.Line(&revision.Moved{From: 2, InForce: 4, Hash: "abcdef"}): "2 0 4",
-		"-" + hint.Line(&revision.Unwilling{Key: "op1", Who: []string{"b02"}, Why: "no such class"}): "3 0 0", "+" + revision.PendingText("op1", ""): "0 0 0",
-		"-" + revision.LaterText + "no leader; do: wait": "0 0 0", "-" + hint.Line(&revision.Busy{Key: "op2", By: "x"}): "0 0 0",
+		"+" + revision.SettledText(5, "abcdef", "op1"): "1 5 0", "-" + hint.Line(&revision.BaseChanged{From: 2, InForce: 4, Hash: "abcdef"}): "2 0 4",
+		"-" + hint.Line(&revision.ProposalFailed{Key: "op1", Members: []string{"b02"}, Reason: "no such class"}): "3 0 0", "+" + revision.PendingText("op1", ""): "0 0 0",
+		"-" + revision.RetryLaterPrefix + "no leader; do: wait": "0 0 0", "-" + hint.Line(&revision.ProposalPending{Key: "op2", By: "x"}): "0 0 0",
 	} {
 		o := &Op{}
 		o.told(management.Answer{OK: text[0] == '+', Text: text[1:]})
--- a/internal/faultinjection/links.go
+++ b/internal/faultinjection/links.go
@@ -74,7 +74,7 @@
 
 // table is a revision's table of links, of one size.
 func (w *Scenario) table(bytes float64) []revision.Link {
-	classes := []revision.LinkClass{{Name: "chat", Priority: 1, Least: leastChat, Weight: 1}, {Name: "bulk", Priority: 2, Least: leastBulk, Weight: 1}}
+	classes := []revision.LinkClass{{Name: "chat", Priority: 1, MinShare: leastChat, Weight: 1}, {Name: "bulk", Priority: 2, MinShare: leastBulk, Weight: 1}}
 	return []revision.Link{{From: east, To: west, Bytes: bytes, Classes: classes}, {From: west, To: east, Bytes: bytes, Classes: classes}}
 }
 
--- a/internal/faultinjection/operators.go
+++ b/internal/faultinjection/operators.go
@@ -123,7 +123,7 @@
 		content := w.content(o.Key, c)
 		body := revision.Encode(content)
 		var out []string
-		for _, r := range content.Regions {
+		for _, r := range content.Servers {
 			out = append(out, r.ID)
 		}
 		o.Out = strings.Join(out, ",")
--- a/internal/proxy/links_test.go
+++ b/internal/proxy/links_test.go
@@ -148,7 +148,7 @@
 		part.Elected(-time.Hour)
 		for ctx.Err() == nil {
 			asked := time.Now()
-			answer, _ := part.Ask("n0", part.Demand(), asked.Sub(began))
+			answer, _ := part.Grant("n0", part.Demand(), asked.Sub(began))
 			part.Granted(answer, asked)
 			time.Sleep(25 * time.Millisecond)
 		}
@@ -300,7 +300,7 @@
 
 func linkOf(from, to string, bytes float64) revision.Link {
 	return revision.Link{From: from, To: to, Bytes: bytes, Classes: []revision.LinkClass{
-		{Name: "chat", Priority: 1, Least: 0.3}, {Name: "bulk", Priority: 2, Least: 0.2}}}
+		{Name: "chat", Priority: 1, MinShare: 0.3}, {Name: "bulk", Priority: 2, MinShare: 0.2}}}
 }
 
 // Bytes of terminals at full tilt pass a link at its rate and no faster, whole and in order; those of the first class and those that cross
--- a/internal/proxy/manage.go
+++ b/internal/proxy/manage.go
@@ -231,7 +231,7 @@
 		return management.No("starting: no list of servers yet")
 	}
 	if !s.mayPlace() {
-		return management.No("without a revision: %s, %d standing", s.revisions.host.Permit().Why, s.core.OpenRequests()-s.core.Unanswered())
+		return management.No("without a revision: %s, %d standing", s.revisions.host.Lease().Reason, s.core.OpenRequests()-s.core.Unanswered())
 	}
 	if s.core.DrainRequested() {
 		return management.No("standby: %d standing", s.core.OpenRequests()-s.core.Unanswered())
--- a/internal/proxy/revisions.go
+++ b/internal/proxy/revisions.go
@@ -55,20 +55,20 @@
 	if l := e.Links; l != nil && 4*l.Lease < x.Lease {
 		return &ShortLease{time.Duration(l.Lease), time.Duration(x.Lease)}
 	}
-	r := &Revisions{Links: e.Links, Host: lease.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), Succeeds: c.Inherited == "",
-		Hold: x.OnCut == "hold", Lease: time.Duration(x.Lease), Deadline: time.Duration(x.Deadline), History: x.History, HistoryBytes: int64(x.HistoryBytes),
-		Agree: lease.Log{Cluster: x.Cluster, Name: c.Name, Listen: x.Listen, Voters: x.Voters, Reach: x.Reach, Folder: x.Folder,
+	r := &Revisions{Links: e.Links, Host: lease.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), PredecessorEnded: c.Inherited == "",
+		HoldOnPartition: x.OnCut == "hold", Lease: time.Duration(x.Lease), Deadline: time.Duration(x.Deadline), History: x.History, HistoryBytes: int64(x.HistoryBytes),
+		Log: lease.Log{Cluster: x.Cluster, Name: c.Name, Listen: x.Listen, Voters: x.Voters, Reach: x.Reach, Folder: x.Folder,
 			ReplaceAfter: time.Duration(x.ReplaceAfter), Seed: uint64(c.Core.Seed)}}}
 	candidate := false
 	for _, m := range x.Members {
-		r.Host.Agree.Candidates = append(r.Host.Agree.Candidates, lease.Candidate{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
+		r.Host.Log.Candidates = append(r.Host.Log.Candidates, lease.Candidate{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
 		candidate = candidate || m.Name == c.Name
 		if m.Zone != "" && !slices.Contains(r.Zones, m.Zone) {
 			r.Zones = append(r.Zones, m.Zone)
 		}
 	}
 	if !candidate { // it follows the log, and nobody calls it
-		r.Host.Agree.Listen = ""
+		r.Host.Log.Listen = ""
 	}
 	c.Revisions = r
 	return nil
@@ -132,9 +132,9 @@
 		return r == o
 	}
 	a, b := r.Host, o.Host
-	x, y := a.Agree, b.Agree
+	x, y := a.Log, b.Log
 	links := r.Links == nil && o.Links == nil || r.Links != nil && o.Links != nil && *r.Links == *o.Links
-	return links && a.Name == b.Name && a.Hold == b.Hold && a.Lease == b.Lease && a.Deadline == b.Deadline && a.History == b.History &&
+	return links && a.Name == b.Name && a.HoldOnPartition == b.HoldOnPartition && a.Lease == b.Lease && a.Deadline == b.Deadline && a.History == b.History &&
 		a.HistoryBytes == b.HistoryBytes && x.Cluster == y.Cluster && x.Listen == y.Listen && x.Voters == y.Voters && x.Folder == y.Folder &&
 		x.ReplaceAfter == y.ReplaceAfter && slices.Equal(x.Candidates, y.Candidates)
 }
@@ -144,9 +144,9 @@
 	host  lease.Host
 	seq   uint64 // of the permit that the loop goes by ...
 	phase lease.Phase
-	at    *lease.Permit // ... which is this one
+	at    *lease.Lease  // ... which is this one
 	plain policy.Config // of the settings, nothing laid over it
-	today atomic.Pointer[revision.Today]
+	today atomic.Pointer[revision.Environment]
 	next  time.Time // when today is looked at again
 	list  []policy.Server
 	older bool           // the settings are others since today was made
@@ -161,13 +161,13 @@
 	s.renewToday(time.Now())
 	cfg := s.cfg.Revisions.Host
 	cfg.Check = func(c *revision.Content) error { return revision.Check(c, *r.today.Load()) }
-	cfg.Changed = s.queue.ring
+	cfg.LeaseChanged = s.queue.ring
 	if e := s.cfg.Revisions.Links; e != nil { // two processes of a balancer, in an upgrade, are two that carry bytes
 		set := bandwidth.Settings{Lease: time.Duration(e.Lease), SafePart: e.SafePart, Holders: 2 * max(1, s.cfg.Core.Policy.Balancers)}
 		if s.links, err = newLinkage(s, set, int(e.Buffer)); err != nil {
 			return err
 		}
-		cfg.Links = s.links.part
+		cfg.Bandwidth = s.links.part
 	}
 	if lease.Start == nil {
 		return &NotHeld{}
@@ -184,25 +184,25 @@
 // lapsed before it sends anything.
 func (s *Server) heed(now time.Time) {
 	r := s.revisions
-	p := r.host.Permit()
+	p := r.host.Lease()
 	phase := p.Phase
-	if phase == lease.AtWork && !p.May(now) {
-		phase = lease.Lapsed
+	if phase == lease.Active && !p.Allows(now) {
+		phase = lease.Expired
 	}
 	if p.Seq == r.seq && phase == r.phase {
 		return
 	}
-	another := phase == lease.AtWork && (r.at == nil || r.at.Hash != p.Hash)
+	another := phase == lease.Active && (r.at == nil || r.at.Hash != p.Hash)
 	moved := p.Seq != r.seq
-	if phase == lease.AtWork {
+	if phase == lease.Active {
 		r.at = p
 	}
 	r.seq, r.phase = p.Seq, phase // before the steps below, which come here again
 	says := policy.LeaseExpired
 	switch phase {
-	case lease.AtWork:
+	case lease.Active:
 		says = policy.LeaseActive
-	case lease.Between:
+	case lease.Suspended:
 		says = policy.LeaseSuspended
 	}
 	if another {
@@ -210,7 +210,7 @@
 	}
 	s.step(core.LeaseChanged{Lease: says})
 	if moved {
-		r.host.Took(p.Seq)
+		r.host.Acknowledge(p.Seq)
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // mayPlace tells whether newcomers are taken; those who come between two revisions wait.
 func (s *Server) mayPlace() bool {
-	return s.revisions == nil || s.revisions.phase == lease.AtWork || s.revisions.phase == lease.Between
+	return s.revisions == nil || s.revisions.phase == lease.Active || s.revisions.phase == lease.Suspended
 }
 
 // comeBack is when a terminal should come again that was turned away for want of a permit; 0 where none heeds it.
@@ -256,7 +256,7 @@
 // tellHost tells the figures that revisions are watched by, and renews what proposals are checked with.
 func (s *Server) tellHost(now time.Time) {
 	c := &s.core.Counters
-	s.revisions.host.Figures(c.Requests+s.revisions.cut, c.Rejected+s.revisions.cut, c.Failed, c.EstablishedLate)
+	s.revisions.host.SetTotals(c.Requests+s.revisions.cut, c.Rejected+s.revisions.cut, c.Failed, c.EstablishedLate)
 	s.renewToday(now)
 }
 
@@ -270,11 +270,11 @@
 		s.tellFull()
 	}
 	list := s.core.ListedServers()
-	if t := r.today.Load(); t != nil && t.Listed == s.core.HasEndpoints() && slices.Equal(list, r.list) && !r.older {
+	if t := r.today.Load(); t != nil && t.HasList == s.core.HasEndpoints() && slices.Equal(list, r.list) && !r.older {
 		return
 	}
 	r.list, r.older = list, false
-	t := revision.On(s.cfg.Core.Policy, s.cfg.Revisions.Zones, list, s.core.HasEndpoints())
+	t := revision.NewEnvironment(s.cfg.Core.Policy, s.cfg.Revisions.Zones, list, s.core.HasEndpoints())
 	r.today.Store(&t)
 }
 
@@ -285,7 +285,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leavePermit)
 	defer cancel()
-	s.revisions.host.Took(math.MaxUint64) // the loop is over, and goes by nothing any more
+	s.revisions.host.Acknowledge(math.MaxUint64) // the loop is over, and goes by nothing any more
 	s.revisions.host.Leave(ctx)
 	s.revisions.host.Close()
 }
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -71,7 +71,7 @@
 	return 2*time.Millisecond + time.Duration(w.r.ExpFloat64()*float64(2*time.Millisecond))
 }
 
-func newStepped(seed uint64, n int, pace Pace, faulty bool) *stepped {
+func newStepped(seed uint64, n int, pace LeaderConfig, faulty bool) *stepped {
 	w := &stepped{r: rand.New(rand.NewPCG(seed, 3)), s: NewState(), flying: map[string]bool{}, faulty: faulty}
 	w.elect(pace)
 	for i := range n {
@@ -86,18 +86,18 @@
 	return w
 }
 
-func (w *stepped) elect(pace Pace) {
+func (w *stepped) elect(pace LeaderConfig) {
 	w.leader, w.flying = NewLeader("x", pace), map[string]bool{}
-	w.leader.Reigns(w.now, w.s.Apply(Command{Op: OpReign}).Number)
+	w.leader.BeginTerm(w.now, w.s.Apply(Command{Op: OpBeginTerm}).Number)
 }
 
-func (w *stepped) look(pace Pace) {
+func (w *stepped) look(pace LeaderConfig) {
 	w.step()
 	w.after(10*time.Millisecond, func() { w.look(pace) })
 }
 
 // fault: every second or so the leader goes for 0.6 s, or somebody is cut off for up to two leases.
-func (w *stepped) fault(pace Pace) {
+func (w *stepped) fault(pace LeaderConfig) {
 	w.after(time.Duration(w.r.ExpFloat64()*float64(time.Second)), func() {
 		if w.r.IntN(3) == 0 && !w.down {
 			w.down = true
@@ -114,8 +114,8 @@
 		return
 	}
 	l := w.leader
-	for _, c := range l.Step(w.now, w.s) {
-		id := fmt.Sprint(c.Op, c.Holder, c.ID, c.Epoch)
+	for _, c := range l.NextCommands(w.now, w.s) {
+		id := fmt.Sprint(c.Op, c.Holder, c.ProposalID, c.Epoch)
 		if w.flying[id] {
 			continue
 		}
@@ -136,7 +136,7 @@
 	w.step()
 }
 
-func (w *stepped) ask(x *simMember, pace Pace) {
+func (w *stepped) ask(x *simMember, pace LeaderConfig) {
 	asked := w.now
 	x.m.Tick(w.now)
 	w.loop(x)
@@ -150,14 +150,14 @@
 	if w.down || w.now < x.until {
 		return
 	}
-	q := x.m.Ask()
+	q := x.m.NextRequest()
 	b, _ := json.Marshal(q)
 	w.bytes += len(b)
 	w.after(w.way()+w.way()+w.way(), func() { // there, and the leader's own question to the voters
 		if w.down {
 			return
 		}
-		reply, ok := w.leader.Answer(w.now, w.s, q)
+		reply, ok := w.leader.Renew(w.now, w.s, q)
 		w.step()
 		if !ok {
 			return
@@ -168,7 +168,7 @@
 			if w.now < x.until || x.asks != n {
 				return
 			}
-			x.m.Take(w.now, asked, q.Seq, reply)
+			x.m.HandleReply(w.now, asked, q.Seq, reply)
 			w.loop(x)
 			if !reply.Known {
 				w.after(w.settling(), func() { w.apply(Command{Op: OpJoin, Holder: x.m.Holder}) })
@@ -183,16 +183,16 @@
 }
 
 func (w *stepped) loop(x *simMember) {
-	p := x.m.Permission()
-	x.m.Took(p.Seq)
+	p := x.m.Lease()
+	x.m.Acknowledge(p.Seq)
 	switch {
-	case p.May(w.now) && x.paused != 0:
+	case p.Allows(w.now) && x.paused != 0:
 		w.pauses = append(w.pauses, w.now-x.paused)
 		x.paused = 0
-	case p.Phase == Between && x.paused == 0:
+	case p.Phase == Suspended && x.paused == 0:
 		x.paused = w.now
 	}
-	if p.May(w.now) {
+	if p.Allows(w.now) {
 		x.number = p.Number
 	}
 }
@@ -214,7 +214,7 @@
 
 func (w *stepped) allBy(n uint64) bool {
 	for _, x := range w.members {
-		if p := x.m.Permission(); p.Number != n || !p.May(w.now) {
+		if p := x.m.Lease(); p.Number != n || !p.Allows(w.now) {
 			return false
 		}
 	}
@@ -224,7 +224,7 @@
 // BenchmarkChange tells the time from a proposal to its being in force, and at work at all members, the time for which one
 // member's newcomers wait, and bytes a second that a member sends and is sent, calm.
 func BenchmarkChange(b *testing.B) {
-	pace := Pace{Lease: 3 * time.Second, Deadline: 10 * time.Second}
+	pace := LeaderConfig{Lease: 3 * time.Second, Deadline: 10 * time.Second}
 	for _, n := range []int{3, 10, 30, 100, 300} {
 		for _, faulty := range []bool{false, true} {
 			b.Run(fmt.Sprintf("members=%d/faults=%v", n, faulty), func(b *testing.B) {
@@ -240,7 +240,7 @@
 						w.run(10*time.Millisecond, func() bool { return false })
 					}
 					from := w.now
-					w.apply(Command{Op: OpPropose, Kind: Proposed, Key: "k", From: 0, Text: w.s.InForce().Text, Hash: "h", Keep: 10})
+					w.apply(Command{Op: OpPropose, Kind: KindProposed, Key: "k", Base: 0, Text: w.s.InForce().Text, Hash: "h", KeepRevisions: 10})
 					w.run(time.Minute, func() bool { return w.s.Pending == nil })
 					if w.s.InForce().Number == 0 {
 						nowhere++
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -12,9 +12,9 @@
 
 // Diff is what b says otherwise than a, one line for each field, in the order of the names; none where their hashes are equal.
 func Diff(a, b *Content) []string {
-	was, is := said(a), said(b)
+	was, is := describe(a), describe(b)
 	var lines []string
-	for _, name := range fields(was, is) {
+	for _, name := range fieldNames(was, is) {
 		old, had := was[name]
 		now, has := is[name]
 		switch {
@@ -30,7 +30,7 @@
 	return lines
 }
 
-func fields(maps ...map[string]string) []string {
+func fieldNames(maps ...map[string]string) []string {
 	all := map[string]bool{}
 	for _, m := range maps {
 		for name := range m {
@@ -45,9 +45,9 @@
 	return names
 }
 
-// said is every field that c says, by a name that doesn't hang on the order of lists. What is left at zero isn't said, but an
+// describe is every field that c says, by a name that doesn't hang on the order of lists. What is left at zero isn't said, but an
 // entry that says nothing is still an entry.
-func said(c *Content) map[string]string {
+func describe(c *Content) map[string]string {
 	m := map[string]string{}
 	number := func(field string, x float64) {
 		if x != 0 {
@@ -70,38 +70,38 @@
 	}
 	for _, k := range c.Classes {
 		at := "classes " + k.Name
-		number(at+" order", float64(k.Order))
-		length(at+" aim", k.Aim)
-		length(at+" message_aim", k.MessageAim)
-		number(at+" attempts", float64(k.Attempts))
+		number(at+" order", float64(k.PriorityRank))
+		length(at+" aim", k.LatencyObjective)
+		length(at+" message_aim", k.MessageLatencyObjective)
+		number(at+" attempts", float64(k.MaxAttempts))
 		entry(at, k == Class{Name: k.Name})
 	}
 	for _, t := range c.Tenants {
-		m["tenants "+t.Name+" connections"] = strconv.FormatFloat(t.Connections, 'g', -1, 64)
-		if t.Connections == 0 {
+		m["tenants "+t.Name+" connections"] = strconv.FormatFloat(t.ConnectionQuota, 'g', -1, 64)
+		if t.ConnectionQuota == 0 {
 			m["tenants "+t.Name+" connections"] = "no limit"
 		}
 	}
-	for list, places := range map[string][]Place{"regions ": c.Regions, "zones ": c.Zones} {
+	for list, places := range map[string][]Place{"regions ": c.Servers, "zones ": c.Zones} {
 		for _, p := range places {
-			if p.Out {
+			if p.Excluded {
 				m[list+p.ID] = "left out"
 			}
 			number(list+p.ID+" weight", p.Weight)
 			entry(list+p.ID, p == Place{ID: p.ID})
 		}
 	}
-	number("budgets retries", c.Budgets.Retries)
-	number("budgets setups", float64(c.Budgets.Setups))
-	number("budgets cold", c.Budgets.Cold)
-	number("moves per_second", c.Moves.PerSecond)
+	number("budgets retries", c.Budgets.RetryRatio)
+	number("budgets setups", float64(c.Budgets.MaxPendingAttempts))
+	number("budgets cold", c.Budgets.WarmUpShare)
+	number("moves per_second", c.Migration.PerSecond)
 	for _, l := range c.Links {
 		at := "links " + l.name()
 		m[at+" bytes"] = strconv.FormatFloat(l.Bytes, 'f', -1, 64)
 		for _, k := range l.Classes {
 			at := at + " " + k.Name
 			number(at+" priority", float64(k.Priority))
-			number(at+" least", k.Least)
+			number(at+" least", k.MinShare)
 			number(at+" weight", k.Weight)
 			entry(at, k == LinkClass{Name: k.Name})
 		}
--- a/internal/revision/explore_test.go
+++ b/internal/revision/explore_test.go
@@ -244,7 +244,7 @@
 					c := w.clone(how)
 					switch p := &c.procs[i]; how {
 					case "kill":
-						p.dead, p.leader, p.loop = true, nil, Permission{}
+						p.dead, p.leader, p.loop = true, nil, Lease{}
 						if c.lead == i {
 							c.lead = -1
 						}
--- a/internal/revision/golden_test.go
+++ b/internal/revision/golden_test.go
@@ -22,8 +22,8 @@
 	}
 	golden.Check(t, "content.json", Encode(read))
 	golden.JSON[Command](t, "command.json")
-	golden.JSON[Renew](t, "renew.json")
-	golden.JSON[Reply](t, "reply.json")
+	golden.JSON[RenewRequest](t, "renew.json")
+	golden.JSON[RenewReply](t, "reply.json")
 	golden.JSON[Holder](t, "holder.json")
 }
 
@@ -47,9 +47,9 @@
 func TestFormOfOrders(t *testing.T) {
 	out := ""
 	for _, o := range []Order{
-		{Verb: VerbPropose, Key: "k", From: 3, Watch: time.Minute, Deadline: time.Second, By: "ann", Text: []byte(`{"oatloft_revision":1}`)},
-		{Verb: VerbPropose, Key: "k", From: Latest, Text: []byte(`{}`)}, {Verb: VerbRollback, Key: "k", From: Latest, Number: 2},
-		{Verb: VerbGet, Number: Latest}, {Verb: VerbList, Number: 7}, {Verb: VerbStatus}, {Verb: VerbOutcome, Key: "k"}, {Verb: VerbReplace, Name: "a", Other: "b"},
+		{Verb: VerbPropose, Key: "k", Base: 3, GuardFor: time.Minute, Deadline: time.Second, By: "ann", Text: []byte(`{"oatloft_revision":1}`)},
+		{Verb: VerbPropose, Key: "k", Base: Latest, Text: []byte(`{}`)}, {Verb: VerbRollback, Key: "k", Base: Latest, Number: 2},
+		{Verb: VerbGet, Number: Latest}, {Verb: VerbList, Number: 7}, {Verb: VerbStatus}, {Verb: VerbOutcome, Key: "k"}, {Verb: VerbReplace, Name: "a", NewName: "b"},
 		{Verb: VerbForget, Name: "a"}} {
 		out += o.String() + "\n"
 		if read, err := ParseOrder(o.String()); err != nil || read.String() != o.String() {
--- a/internal/revision/host/agree_test.go
+++ b/internal/revision/host/agree_test.go
@@ -30,8 +30,8 @@
 	begin := func(i int, gen uint64) *balancer {
 		b := newBalancer(candidates[i].Name)
 		cfg := b.config(hold)
-		cfg.Generation, cfg.Succeeds = gen, true
-		cfg.Agree = lease.Log{Cluster: "t", Name: b.name, Listen: candidates[i].Addr, Candidates: candidates, Voters: voters, Folder: folder + "/" + b.name, Tick: 10 * time.Millisecond}
+		cfg.Generation, cfg.PredecessorEnded = gen, true
+		cfg.Log = lease.Log{Cluster: "t", Name: b.name, Listen: candidates[i].Addr, Candidates: candidates, Voters: voters, Folder: folder + "/" + b.name, Tick: 10 * time.Millisecond}
 		cfg.Lease = 600 * time.Millisecond
 		h, err := Start(cfg, quiet())
 		if err != nil {
@@ -93,7 +93,7 @@
 				}
 			}
 			waitFor(t, "all at work by 7", func() bool { return allBy(all, 7) })
-			if c := all[0].Permit().Content; c.Note != "k1" {
+			if c := all[0].Lease().Content; c.Note != "k1" {
 				t.Fatalf("rolled back to %q", c.Note)
 			}
 			if n == 5 {
@@ -143,8 +143,8 @@
 		}
 		b = newBalancer("a")
 		cfg := b.config(false)
-		cfg.Generation, cfg.Succeeds, cfg.Lease, cfg.History, cfg.HistoryBytes = uint64(gen), true, 200*time.Millisecond, keep, bytes
-		cfg.Agree = lease.Log{Cluster: "t", Name: "a", Listen: addr, Candidates: []lease.Candidate{{Name: "a", Addr: addr}}, Voters: 1, Folder: folder, Tick: 5 * time.Millisecond}
+		cfg.Generation, cfg.PredecessorEnded, cfg.Lease, cfg.History, cfg.HistoryBytes = uint64(gen), true, 200*time.Millisecond, keep, bytes
+		cfg.Log = lease.Log{Cluster: "t", Name: "a", Listen: addr, Candidates: []lease.Candidate{{Name: "a", Addr: addr}}, Voters: 1, Folder: folder, Tick: 5 * time.Millisecond}
 		h, err := Start(cfg, quiet())
 		if err != nil {
 			t.Fatal(err)
@@ -158,7 +158,7 @@
 		got := ""
 		waitFor(t, words, func() bool {
 			got, err = b.Operate(context.Background(), words)
-			return err == nil || !strings.HasPrefix(err.Error(), revision.LaterText)
+			return err == nil || !strings.HasPrefix(err.Error(), revision.RetryLaterPrefix)
 		})
 		return got
 	}
@@ -178,7 +178,7 @@
 		if got := call("list 0"); err != nil || !strings.HasPrefix(got, fmt.Sprint(first, " hash=")) || !strings.Contains(got, fmt.Sprintf(" forgotten=..%d ", first-1)) {
 			t.Error(got, err)
 		}
-		if call(fmt.Sprintf("get %d", first-1)); !errors.As(err, new(*revision.Forgotten)) || hint.Of(err) == "" {
+		if call(fmt.Sprintf("get %d", first-1)); !errors.As(err, new(*revision.RevisionForgotten)) || hint.Of(err) == "" {
 			t.Errorf("%d: %v", first-1, err)
 		}
 		for i := first; i <= last; i++ {
@@ -196,7 +196,7 @@
 		t.Fatal(got, err)
 	}
 	check(n-8, n) // nine of them and the one that went back
-	if call(fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9)); !errors.As(err, new(*revision.Forgotten)) {
+	if call(fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9)); !errors.As(err, new(*revision.RevisionForgotten)) {
 		t.Error(err)
 	}
 }
--- a/internal/revision/host/coordinate.go
+++ b/internal/revision/host/coordinate.go
@@ -16,11 +16,11 @@
 	"oatloft/internal/revision"
 )
 
-// settled is the host as the log's machine.
-type settled Host
+// machine is the host as the log's machine.
+type machine Host
 
 // Apply takes a settled entry. One that can't be read does nothing, at all members alike.
-func (s *settled) Apply(_ uint64, entry []byte) {
+func (s *machine) Apply(_ uint64, entry []byte) {
 	c, err := revision.ReadCommand(entry)
 	if err != nil {
 		s.log.Error("a settled entry can't be read", "err", err)
@@ -28,7 +28,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var before []revision.Rostered
+	var before []revision.HolderEntry
 	if c.Op == revision.OpJoin && c.Ended {
 		before = s.state.Holders
 	}
@@ -39,29 +39,29 @@
 	}
 	if s.leader != nil {
 		s.leader.Applied(c)
-		if s.cfg.Links != nil && r.Refused == nil {
+		if s.cfg.Bandwidth != nil && r.Err == nil {
 			if c.Op == revision.OpLeave {
-				s.cfg.Links.Left(c.Holder.String())
+				s.cfg.Bandwidth.HolderLeft(c.Holder.String())
 			}
 			for _, b := range before {
-				if !s.state.Has(b.Holder) {
-					s.cfg.Links.Left(b.Holder.String())
+				if !s.state.HasHolder(b.Holder) {
+					s.cfg.Bandwidth.HolderLeft(b.Holder.String())
 				}
 			}
 		}
 	}
-	ring(s.nudge)
+	signal(s.wakeCoordinator)
 }
 
 // Snapshot is the whole of what is settled.
-func (s *settled) Snapshot() []byte {
+func (s *machine) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Snapshot()
 }
 
 // Restore takes a snapshot for what is settled.
-func (s *settled) Restore(_ uint64, snapshot []byte) error {
+func (s *machine) Restore(_ uint64, snapshot []byte) error {
 	n := &revision.State{}
 	if err := n.Restore(snapshot); err != nil {
 		return err
@@ -69,12 +69,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = n
-	ring(s.nudge)
+	signal(s.wakeCoordinator)
 	return nil
 }
 
-// settle has a command settled. The error is a *revision... refusal, or *Unsettled where it isn't known.
-func (h *Host) settle(ctx context.Context, c revision.Command) (revision.Result, error) {
+// commit has a command settled. The error is a *revision... refusal, or *Unsettled where it isn't known.
+func (h *Host) commit(ctx context.Context, c revision.Command) (revision.Result, error) {
 	c.Nonce = rand.Uint64() | 1
 	w := make(chan revision.Result, 1)
 	h.mu.Lock()
@@ -86,33 +86,33 @@
 		h.mu.Unlock()
 	}()
 	if err := h.node.Propose(ctx, c.Entry()); err != nil {
-		return revision.Result{}, &Unsettled{err.Error()}
+		return revision.Result{}, &NotCommitted{err.Error()}
 	}
 	select {
 	case r := <-w:
-		return r, r.Refused
+		return r, r.Err
 	default: // a snapshot has come over it
-		return revision.Result{}, &Unsettled{"it may have been settled long ago"}
+		return revision.Result{}, &NotCommitted{"it may have been settled long ago"}
 	}
 }
 
 // coordinate is the goroutine that leads while this process does.
 func (h *Host) coordinate() {
 	for {
-		wait := h.lead()
+		wait := h.leadStep()
 		select {
 		case <-h.ctx.Done():
 			return
 		case <-h.node.LeaderChanged():
-			ring(h.poke)
-		case <-h.nudge:
+			signal(h.wakeHolder)
+		case <-h.wakeCoordinator:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// lead does what is to be done now, and tells when to look again.
-func (h *Host) lead() time.Duration {
+// leadStep does what is to be done now, and tells when to look again.
+func (h *Host) leadStep() time.Duration {
 	lead := h.node.Leader()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,14 +124,14 @@
 	}
 	if h.leader == nil {
 		h.term = lead.Term
-		h.leader = revision.NewLeader(h.cfg.Name, revision.Pace{Lease: h.cfg.Lease, Deadline: h.cfg.Deadline, Keep: h.cfg.History, KeepB: h.cfg.HistoryBytes})
+		h.leader = revision.NewLeader(h.cfg.Name, revision.LeaderConfig{Lease: h.cfg.Lease, Deadline: h.cfg.Deadline, KeepRevisions: h.cfg.History, KeepBytes: h.cfg.HistoryBytes})
 	}
-	if h.leader.Reign() == 0 {
-		h.fly(revision.Command{Op: revision.OpReign, By: h.cfg.Name})
+	if h.leader.Term() == 0 {
+		h.commitInBackground(revision.Command{Op: revision.OpBeginTerm, By: h.cfg.Name})
 		return 50 * time.Millisecond
 	}
-	for _, c := range h.leader.Step(h.now(), h.state) {
-		h.fly(c)
+	for _, c := range h.leader.NextCommands(h.now(), h.state) {
+		h.commitInBackground(c)
 	}
 	if h.state.Pending != nil {
 		return min(10*time.Millisecond, h.cfg.Lease/16)
@@ -139,42 +139,42 @@
 	return min(50*time.Millisecond, h.cfg.Lease/16)
 }
 
-// fly has one of the coordinator's commands settled in the background, unless it is on its way already. With mu held.
-func (h *Host) fly(c revision.Command) {
-	id := fmt.Sprint(h.term, c.Op, c.Holder, c.ID, c.Epoch, c.Key)
-	if h.flying[id] || len(h.flying) >= 64 {
+// commitInBackground has one of the coordinator's commands settled in the background, unless it is on its way already. With mu held.
+func (h *Host) commitInBackground(c revision.Command) {
+	id := fmt.Sprint(h.term, c.Op, c.Holder, c.ProposalID, c.Epoch, c.Key)
+	if h.inFlight[id] || len(h.inFlight) >= 64 {
 		return
 	}
-	h.flying[id] = true
+	h.inFlight[id] = true
 	term := h.term
 	if c.Op == revision.OpPropose {
-		c.At = time.Now().UnixMilli()
+		c.ProposedAt = time.Now().UnixMilli()
 	}
-	h.all.Go(func() {
+	h.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, 5*time.Second)
-		r, err := h.settle(ctx, c)
+		r, err := h.commit(ctx, c)
 		cancel()
 		h.mu.Lock()
-		delete(h.flying, id)
-		if c.Op == revision.OpReign && err == nil && h.leader != nil && h.term == term && h.leader.Reign() == 0 {
-			h.leader.Reigns(h.now(), r.Number)
-			if h.cfg.Links != nil {
-				h.cfg.Links.Elected(h.now())
+		delete(h.inFlight, id)
+		if c.Op == revision.OpBeginTerm && err == nil && h.leader != nil && h.term == term && h.leader.Term() == 0 {
+			h.leader.BeginTerm(h.now(), r.Number)
+			if h.cfg.Bandwidth != nil {
+				h.cfg.Bandwidth.Elected(h.now())
 			}
 		}
 		h.mu.Unlock()
-		if u := (*Unsettled)(nil); errors.As(err, &u) {
+		if u := (*NotCommitted)(nil); errors.As(err, &u) {
 			select {
 			case <-time.After(20 * time.Millisecond): // the log doesn't take it now
 			case <-h.ctx.Done():
 			}
 		}
-		ring(h.nudge)
+		signal(h.wakeCoordinator)
 	})
 }
 
-// confirmed makes sure that this process leads, later than now. It comes back with mu held if there is no error.
-func (h *Host) confirmed(ctx context.Context) error {
+// lockAsLeader makes sure that this process leads, later than now. It comes back with mu held if there is no error.
+func (h *Host) lockAsLeader(ctx context.Context) error {
 	within, cancel := context.WithTimeout(ctx, max(h.cfg.Lease/2, 200*time.Millisecond))
 	defer cancel()
 	term, err := h.node.Confirm(within)
@@ -182,13 +182,13 @@
 		term, err = h.node.Leader().Term, nil
 	}
 	if err != nil {
-		return &Elsewhere{h.cfg.Name}
+		return &NotLeader{h.cfg.Name}
 	}
 	h.mu.Lock()
-	if h.leader == nil || h.leader.Reign() == 0 || h.term != term {
+	if h.leader == nil || h.leader.Term() == 0 || h.term != term {
 		h.mu.Unlock()
-		ring(h.nudge)
-		return &Elsewhere{h.cfg.Name}
+		signal(h.wakeCoordinator)
+		return &NotLeader{h.cfg.Name}
 	}
 	return nil
 }
@@ -197,67 +197,67 @@
 func (h *Host) serve(ctx context.Context, from, method string, body []byte) ([]byte, error) {
 	switch method {
 	case "renew":
-		var r revision.Renew
+		var r revision.RenewRequest
 		if err := json.Unmarshal(body, &r); err != nil {
-			return nil, &revision.Torn{Cause: err.Error()}
+			return nil, &revision.Corrupt{Cause: err.Error()}
 		}
 		return h.renew(ctx, r)
 	case "join", "leave":
 		var c revision.Command
 		if method == "join" {
 			if err := json.Unmarshal(body, &c); err != nil {
-				return nil, &revision.Torn{Cause: err.Error()}
+				return nil, &revision.Corrupt{Cause: err.Error()}
 			}
-			c = revision.Command{Op: revision.OpJoin, Holder: c.Holder, Hold: c.Hold, Ended: c.Ended}
+			c = revision.Command{Op: revision.OpJoin, Holder: c.Holder, HoldOnPartition: c.HoldOnPartition, Ended: c.Ended}
 		} else {
 			c.Op = revision.OpLeave
 			if err := json.Unmarshal(body, &c.Holder); err != nil {
-				return nil, &revision.Torn{Cause: err.Error()}
+				return nil, &revision.Corrupt{Cause: err.Error()}
 			}
 		}
-		if err := h.confirmed(ctx); err != nil {
+		if err := h.lockAsLeader(ctx); err != nil {
 			return nil, err
 		}
 		h.mu.Unlock()
-		_, err := h.settle(ctx, c)
+		_, err := h.commit(ctx, c)
 		return nil, err
 	case "ended":
 		var o revision.Holder
 		if err := json.Unmarshal(body, &o); err != nil {
-			return nil, &revision.Torn{Cause: err.Error()}
+			return nil, &revision.Corrupt{Cause: err.Error()}
 		}
-		return nil, h.end(ctx, from, o)
+		return nil, h.processEnded(ctx, from, o)
 	case "operate":
 		o, err := revision.ParseOrder(string(body))
 		if err != nil {
 			return nil, err
 		}
-		text, err := h.order(ctx, o)
+		text, err := h.executeOrder(ctx, o)
 		return []byte(text), err
 	}
-	return nil, &revision.Torn{Cause: "no such call: " + method}
+	return nil, &revision.Corrupt{Cause: "no such call: " + method}
 }
 
-func (h *Host) renew(ctx context.Context, r revision.Renew) ([]byte, error) {
+func (h *Host) renew(ctx context.Context, r revision.RenewRequest) ([]byte, error) {
 	came := h.now() // what is lent counts from before it was made sure that this process leads
-	if err := h.confirmed(ctx); err != nil {
+	if err := h.lockAsLeader(ctx); err != nil {
 		return nil, err
 	}
-	reply, ok := h.leader.Answer(h.now(), h.state, r)
+	reply, ok := h.leader.Renew(h.now(), h.state, r)
 	if h.state.Pending != nil {
-		ring(h.nudge)
+		signal(h.wakeCoordinator)
 	}
 	h.mu.Unlock()
 	if !ok {
-		return nil, &Elsewhere{h.cfg.Name}
+		return nil, &NotLeader{h.cfg.Name}
 	}
-	if r.Links != nil && reply.Known && h.cfg.Links != nil {
+	if r.Links != nil && reply.Known && h.cfg.Bandwidth != nil {
 		again := time.Duration(0)
-		if reply.Links, again = h.cfg.Links.Ask(r.Holder.String(), r.Links, came); again > 0 {
+		if reply.Links, again = h.cfg.Bandwidth.Grant(r.Holder.String(), r.Links, came); again > 0 {
 			reply.Next = min(reply.Next, again)
 		}
 	}
 	return json.Marshal(reply)
 }
 
-var _ consensus.Machine = (*settled)(nil)
+var _ consensus.Machine = (*machine)(nil)
--- a/internal/revision/host/errors.go
+++ b/internal/revision/host/errors.go
@@ -10,7 +10,7 @@
 type NoLeader struct{ Cause string }
 
 func (e *NoLeader) Error() string {
-	return revision.LaterText + "no member leads that can be reached from here: " + e.Cause
+	return revision.RetryLaterPrefix + "no member leads that can be reached from here: " + e.Cause
 }
 
 // Hint is what an operator can do.
@@ -18,64 +18,68 @@
 	return "ask again in some seconds, with the same key; if it stays so, see that most of the voters run and reach each other"
 }
 
-// Elsewhere is the error that a member was called that doesn't lead. It is of calls between members.
-type Elsewhere struct{ Name string }
+// NotLeader is the error that a member was called that doesn't lead. It is of calls between members.
+type NotLeader struct{ Name string }
 
-func (e *Elsewhere) Error() string { return revision.LaterText + e.Name + " does not lead" }
+func (e *NotLeader) Error() string { return revision.RetryLaterPrefix + e.Name + " does not lead" }
 
 // Hint is what an operator can do.
-func (e *Elsewhere) Hint() string { return "ask again in a second" }
+func (e *NotLeader) Hint() string { return "ask again in a second" }
 
-// NoKey is the error that nothing is known under a key.
-type NoKey struct{ Key string }
+// UnknownKey is the error that nothing is known under a key.
+type UnknownKey struct{ Key string }
 
-func (e *NoKey) Error() string { return "no proposal is known under the key " + e.Key }
+func (e *UnknownKey) Error() string { return "no proposal is known under the key " + e.Key }
 
 // Hint is what an operator can do.
-func (e *NoKey) Hint() string {
+func (e *UnknownKey) Hint() string {
 	return "hand it in again with the same key; outcomes of the last 1000 proposals are known, see also oatctl revision list"
 }
 
-// Settings is the error that a host can't start with its settings.
-type Settings struct{ Field, Why string }
+// ConfigError is the error that a host can't start with its settings.
+type ConfigError struct{ Field, Why string }
 
-func (e *Settings) Error() string { return "revisions." + e.Field + ": " + e.Why }
+func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
 // Hint is what an operator can do.
-func (e *Settings) Hint() string { return "mend the field in the edge file" }
+func (e *ConfigError) Hint() string { return "mend the field in the edge file" }
 
-// Taken is the error that another process of this balancer has the same generation.
-type Taken struct{ Path string }
+// GenerationInUse is the error that another process of this balancer has the same generation.
+type GenerationInUse struct{ Path string }
 
-func (e *Taken) Error() string { return e.Path + ": another process of this balancer has this file" }
+func (e *GenerationInUse) Error() string {
+	return e.Path + ": another process of this balancer has this file"
+}
 
 // Hint is what an operator can do.
-func (e *Taken) Hint() string {
+func (e *GenerationInUse) Hint() string {
 	return "start processes of one balancer at least a millisecond apart, and set the machine's clock right"
 }
 
-// Unseen is the error that other processes of this balancer can't see when this one ends.
-type Unseen struct {
+// ProcessFileFailed is the error that other processes of this balancer can't see when this one ends.
+type ProcessFileFailed struct {
 	Folder string
 	Cause  error
 }
 
-func (e *Unseen) Error() string {
+func (e *ProcessFileFailed) Error() string {
 	return "other processes of this balancer can't see when this one ends: " + e.Cause.Error()
 }
 
 // Unwrap is the cause.
-func (e *Unseen) Unwrap() error { return e.Cause }
+func (e *ProcessFileFailed) Unwrap() error { return e.Cause }
 
 // Hint is what an operator can do.
-func (e *Unseen) Hint() string {
+func (e *ProcessFileFailed) Hint() string {
 	return "see that " + e.Folder + " can be written to; until then, should it be killed where on_cut is hold, oatctl revision forget"
 }
 
-// Unsettled is the error that it isn't known yet whether something was settled.
-type Unsettled struct{ Cause string }
+// NotCommitted is the error that it isn't known yet whether something was settled.
+type NotCommitted struct{ Reason string }
 
-func (e *Unsettled) Error() string { return revision.LaterText + "not known to be settled: " + e.Cause }
+func (e *NotCommitted) Error() string {
+	return revision.RetryLaterPrefix + "not known to be settled: " + e.Reason
+}
 
 // Hint is what an operator can do.
-func (e *Unsettled) Hint() string { return "ask again with the same key: it is done once at most" }
+func (e *NotCommitted) Hint() string { return "ask again with the same key: it is done once at most" }
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -49,7 +49,7 @@
 	l.leader = name
 	l.term++
 	for _, n := range l.nodes {
-		ring(n.changed)
+		signal(n.changed)
 	}
 }
 
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -20,17 +20,17 @@
 // What the data's loop sees is named in a package of its own, which knows nothing of the log: a program that doesn't hold it can be built.
 type (
 	Phase     = lease.Phase
-	Permit    = lease.Permit
-	LinksPart = lease.LinksPart
+	Lease     = lease.Lease
+	Bandwidth = lease.Bandwidth
 	Config    = lease.Config
 )
 
 // The phases.
 const (
-	Learning = lease.Learning
-	AtWork   = lease.AtWork
-	Between  = lease.Between
-	Lapsed   = lease.Lapsed
+	Learning  = lease.Learning
+	Active    = lease.Active
+	Suspended = lease.Suspended
+	Expired   = lease.Expired
 )
 
 func init() {
@@ -57,12 +57,12 @@
 
 // Bounds of the settings.
 const (
-	LeastLease = 100 * time.Millisecond
-	MostLease  = 10 * time.Minute
+	MinLease = 100 * time.Millisecond
+	MaxLease = 10 * time.Minute
 )
 
-// take tells that the loop goes by a permit since at, in µs of wall clock.
-type take struct {
+// acknowledgement tells that the loop goes by a permit since at, in µs of wall clock.
+type acknowledgement struct {
 	seq uint64
 	at  int64
 }
@@ -74,33 +74,33 @@
 	node Node
 	base time.Time // all durations count from here, on the monotonic clock
 
-	permit atomic.Pointer[Permit]
-	took   atomic.Uint64
-	taking sync.Mutex
-	takes  []take // by the loop, that the member's goroutine has not seen yet
-	totals [4]atomic.Int64
-	poke   chan struct{} // the member's goroutine has something to do
-	nudge  chan struct{} // the coordinator's
-	leave  chan chan struct{}
-	alive  *alive
-	gone   atomic.Bool // all know that this process has left
-
-	mu      sync.Mutex // what is settled, and the coordinator
-	state   *revision.State
-	waiting map[uint64]chan revision.Result // by nonce of the command
-	leader  *revision.Leader                // nil while another leads
-	term    uint64
-	flying  map[string]bool // commands being settled
-
-	ctx  context.Context
-	stop context.CancelFunc
-	all  sync.WaitGroup
+	lease           atomic.Pointer[Lease]
+	acknowledged    atomic.Uint64
+	acksMu          sync.Mutex
+	acks            []acknowledgement // by the loop, that the member's goroutine has not seen yet
+	totals          [4]atomic.Int64
+	wakeHolder      chan struct{} // the member's goroutine has something to do
+	wakeCoordinator chan struct{} // the coordinator's
+	leave           chan chan struct{}
+	processes       *processFiles
+	released        atomic.Bool // all know that this process has left
+
+	mu       sync.Mutex // what is settled, and the coordinator
+	state    *revision.State
+	waiting  map[uint64]chan revision.Result // by nonce of the command
+	leader   *revision.Leader                // nil while another leads
+	term     uint64
+	inFlight map[string]bool // commands being settled
+
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // Start joins the others in the background. The error is of settings or the folder; that nobody answers is none.
 func Start(cfg Config, log *slog.Logger) (*Host, error) {
 	return start(cfg, log, func(m consensus.Machine, h consensus.Handler) (Node, error) {
-		n, err := consensus.Start(logConfig(cfg.Agree), m, h, log)
+		n, err := consensus.Start(consensusConfig(cfg.Log), m, h, log)
 		if err != nil {
 			return nil, err
 		}
@@ -108,8 +108,8 @@
 	})
 }
 
-// logConfig is what the log is started with.
-func logConfig(l lease.Log) consensus.Config {
+// consensusConfig is what the log is started with.
+func consensusConfig(l lease.Log) consensus.Config {
 	c := consensus.Config{Cluster: l.Cluster, Name: l.Name, Listen: l.Listen, Voters: l.Voters, Reach: l.Reach, Folder: l.Folder, Tick: l.Tick,
 		ReplaceAfter: l.ReplaceAfter, Seed: l.Seed}
 	for _, m := range l.Candidates {
@@ -121,26 +121,26 @@
 func start(cfg Config, log *slog.Logger, node func(consensus.Machine, consensus.Handler) (Node, error)) (*Host, error) {
 	switch {
 	case cfg.Name == "":
-		return nil, &Settings{"name", "is empty"}
-	case cfg.Lease < LeastLease || cfg.Lease > MostLease:
-		return nil, &Settings{"lease", cfg.Lease.String() + " is not in " + LeastLease.String() + " to " + MostLease.String()}
+		return nil, &ConfigError{"name", "is empty"}
+	case cfg.Lease < MinLease || cfg.Lease > MaxLease:
+		return nil, &ConfigError{"lease", cfg.Lease.String() + " is not in " + MinLease.String() + " to " + MaxLease.String()}
 	case cfg.Deadline < cfg.Lease/2:
-		return nil, &Settings{"deadline", cfg.Deadline.String() + " is under half the lease"}
+		return nil, &ConfigError{"deadline", cfg.Deadline.String() + " is under half the lease"}
 	case cfg.History < 2:
-		return nil, &Settings{"history", "under 2: there must be something to go back to"}
+		return nil, &ConfigError{"history", "under 2: there must be something to go back to"}
 	}
-	h := &Host{cfg: cfg, log: log, base: time.Now(), poke: make(chan struct{}, 1), nudge: make(chan struct{}, 1), leave: make(chan chan struct{}), alive: newAlive(cfg.Agree.Folder),
-		state: revision.NewState(), waiting: map[uint64]chan revision.Result{}, flying: map[string]bool{}}
+	h := &Host{cfg: cfg, log: log, base: time.Now(), wakeHolder: make(chan struct{}, 1), wakeCoordinator: make(chan struct{}, 1), leave: make(chan chan struct{}), processes: newProcessFiles(cfg.Log.Folder),
+		state: revision.NewState(), waiting: map[uint64]chan revision.Result{}, inFlight: map[string]bool{}}
 	h.ctx, h.stop = context.WithCancel(context.Background())
-	m := revision.NewMember(revision.Holder{Name: cfg.Name, Gen: max(cfg.Generation, 1)}, cfg.Hold, h.check)
-	h.permit.Store(&Permit{Seq: m.Permission().Seq, Why: m.Permission().Why})
+	m := revision.NewMember(revision.Holder{Name: cfg.Name, Generation: max(cfg.Generation, 1)}, cfg.HoldOnPartition, h.check)
+	h.lease.Store(&Lease{Seq: m.Lease().Seq, Reason: m.Lease().Reason})
 	ready := make(chan struct{})
-	n, err := node((*settled)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
+	n, err := node((*machine)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
 		select {
 		case <-ready:
 			return h.serve(ctx, from, method, body)
 		case <-ctx.Done():
-			return nil, &Elsewhere{cfg.Name}
+			return nil, &NotLeader{cfg.Name}
 		}
 	})
 	if err != nil {
@@ -149,9 +149,9 @@
 	}
 	h.node = n
 	close(ready)
-	h.all.Go(func() { (&holder{Host: h, m: m, log: log}).run() })
-	h.all.Go(h.coordinate)
-	h.all.Go(h.watchEnded)
+	h.goroutines.Go(func() { (&leaseHolder{Host: h, member: m, log: log}).run() })
+	h.goroutines.Go(h.coordinate)
+	h.goroutines.Go(h.watchEnded)
 	return h, nil
 }
 
@@ -166,30 +166,30 @@
 // now is the time by which this process counts.
 func (h *Host) now() time.Duration { return time.Since(h.base) }
 
-func ring(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Permit is what holds now. Never nil, no lock.
-func (h *Host) Permit() *Permit { return h.permit.Load() }
+// Lease is what holds now. Never nil, no lock.
+func (h *Host) Lease() *Lease { return h.lease.Load() }
 
-// Took tells that the data's goroutine goes by the permit with this Seq, and by none before. Called by one goroutine.
-func (h *Host) Took(seq uint64) {
-	if h.took.Load() == seq {
+// Acknowledge tells that the data's goroutine goes by the permit with this Seq, and by none before. Called by one goroutine.
+func (h *Host) Acknowledge(seq uint64) {
+	if h.acknowledged.Load() == seq {
 		return
 	}
-	h.taking.Lock()
-	h.takes = append(h.takes, take{seq, time.Now().UnixMicro()})
-	h.taking.Unlock()
-	h.took.Store(seq)
-	ring(h.poke)
+	h.acksMu.Lock()
+	h.acks = append(h.acks, acknowledgement{seq, time.Now().UnixMicro()})
+	h.acksMu.Unlock()
+	h.acknowledged.Store(seq)
+	signal(h.wakeHolder)
 }
 
-// Figures are the running totals of this process: newcomers and routed tasks asked for, refused, failed, answered late.
-func (h *Host) Figures(asked, refused, failed, late int64) {
+// SetTotals are the running totals of this process: newcomers and routed tasks asked for, refused, failed, answered late.
+func (h *Host) SetTotals(asked, refused, failed, late int64) {
 	for i, n := range [...]int64{asked, refused, failed, late} {
 		h.totals[i].Store(n)
 	}
@@ -216,9 +216,9 @@
 // Close ends everything. The permit ends with it.
 func (h *Host) Close() {
 	h.stop()
-	h.all.Wait()
+	h.goroutines.Wait()
 	h.node.Close()
-	old := h.permit.Load()
-	h.permit.Store(&Permit{Number: old.Number, Hash: old.Hash, Content: old.Content, Phase: Lapsed, Seq: old.Seq + 1, Why: "it has been closed"})
-	h.alive.close(h.gone.Load()) // last: from here on others take this process for ended
+	old := h.lease.Load()
+	h.lease.Store(&Lease{Number: old.Number, Hash: old.Hash, Content: old.Content, Phase: Expired, Seq: old.Seq + 1, Reason: "it has been closed"})
+	h.processes.close(h.released.Load()) // last: from here on others take this process for ended
 }
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -30,13 +30,13 @@
 func (e *unfit) Hint() string  { return "load the settings that have it" }
 
 func (b *balancer) config(hold bool) Config {
-	return Config{Name: b.name, Generation: 1, Hold: hold, Lease: 300 * time.Millisecond, Deadline: 2 * time.Second, History: 10, HistoryBytes: 1 << 20,
+	return Config{Name: b.name, Generation: 1, HoldOnPartition: hold, Lease: 300 * time.Millisecond, Deadline: 2 * time.Second, History: 10, HistoryBytes: 1 << 20,
 		Check: func(c *revision.Content) error {
 			if u := b.unfit.Load(); u != nil && *u == c.Note {
 				return &unfit{c.Note}
 			}
 			return nil
-		}, Changed: func() {
+		}, LeaseChanged: func() {
 			select {
 			case b.rung <- struct{}{}:
 			default:
@@ -49,7 +49,7 @@
 		select {
 		case <-b.rung:
 			if !b.stopped.Load() {
-				b.Took(b.Permit().Seq)
+				b.Acknowledge(b.Lease().Seq)
 			}
 		case <-b.end:
 			return
@@ -89,7 +89,7 @@
 
 func allBy(all []*balancer, n uint64) bool {
 	for _, b := range all {
-		if p := b.Permit(); !p.May(time.Now()) || p.Number != n {
+		if p := b.Lease(); !p.Allows(time.Now()) || p.Number != n {
 			return false
 		}
 	}
@@ -115,7 +115,7 @@
 	var got string
 	var err error
 	waitFor(t, key+" ends", func() bool {
-		if got, err = b.Operate(context.Background(), words); err != nil && strings.HasPrefix(err.Error(), revision.LaterText) {
+		if got, err = b.Operate(context.Background(), words); err != nil && strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) {
 			return false
 		}
 		words = "outcome " + key
@@ -131,7 +131,7 @@
 		t.Fatal(got, err)
 	}
 	waitFor(t, "all at work by 1", func() bool { return allBy(all, 1) })
-	if p := all[2].Permit(); p.Content == nil || p.Content.Note != "one" {
+	if p := all[2].Lease(); p.Content == nil || p.Content.Note != "one" {
 		t.Fatalf("%+v", p)
 	}
 	note := "two"
@@ -187,7 +187,7 @@
 			if err == nil || !strings.Contains(err.Error(), "for c: no answer") || !allBy(all, 0) {
 				t.Fatal(got, err)
 			}
-		} else if err != nil || all[2].Permit().May(time.Now()) {
+		} else if err != nil || all[2].Lease().Allows(time.Now()) {
 			t.Fatal(got, err)
 		}
 		l.cut("c", false)
@@ -210,7 +210,7 @@
 		t.Fatal(got, err)
 	}
 	all[1].stopped.Store(false)
-	all[1].Took(all[1].Permit().Seq)
+	all[1].Acknowledge(all[1].Lease().Seq)
 	if got, err := all[0].settled(t, "k2", "propose k2 0 - 1s op "+text("x")); err != nil {
 		t.Fatal(got, err)
 	}
@@ -221,8 +221,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	all[2].Leave(ctx)
-	if ctx.Err() != nil || all[2].Permit().Phase != Lapsed {
-		t.Fatal("left", ctx.Err(), all[2].Permit())
+	if ctx.Err() != nil || all[2].Lease().Phase != Expired {
+		t.Fatal("left", ctx.Err(), all[2].Lease())
 	}
 	if got, err := all[0].settled(t, "k", "propose k 0 - - op "+text("x")); err != nil {
 		t.Fatal(got, err)
@@ -247,9 +247,9 @@
 		asked += 100
 		for _, b := range all {
 			if bad {
-				b.Figures(asked, asked/2, 0, 0)
+				b.SetTotals(asked, asked/2, 0, 0)
 			} else {
-				b.Figures(asked, 0, 0, 0)
+				b.SetTotals(asked, 0, 0, 0)
 			}
 		}
 	}
@@ -275,15 +275,15 @@
 // The log tells of each permit that the loop went by, also where it has gone over to the next before the member's goroutine ran.
 func TestEachPermitThatWasTakenIsLogged(t *testing.T) {
 	var b strings.Builder
-	h := &holder{Host: &Host{poke: make(chan struct{}, 1), nudge: make(chan struct{}, 1)}, m: revision.NewMember(revision.Holder{Name: "a", Gen: 1}, false, nil),
+	h := &leaseHolder{Host: &Host{wakeHolder: make(chan struct{}, 1), wakeCoordinator: make(chan struct{}, 1)}, member: revision.NewMember(revision.Holder{Name: "a", Generation: 1}, false, nil),
 		log: slog.New(slog.NewTextHandler(&b, nil))}
-	for seq, phase := range []revision.Phase{revision.AtWork, revision.Lapsed, revision.AtWork, revision.Between} {
-		h.seen = append(h.seen, revision.Permission{Seq: uint64(10 + seq), Number: 7, Phase: phase})
+	for seq, phase := range []revision.LeasePhase{revision.Active, revision.Expired, revision.Active, revision.Suspended} {
+		h.published = append(h.published, revision.Lease{Seq: uint64(10 + seq), Number: 7, Phase: phase})
 	}
 	for _, seq := range []uint64{10, 11, 13} { // it never saw the twelfth
-		h.Took(seq)
+		h.Acknowledge(seq)
 	}
-	h.taken()
+	h.collectAcks()
 	if got := b.String(); strings.Count(got, `"revision at work"`) != 1 || strings.Count(got, `"revision let go"`) != 1 {
 		t.Error(got)
 	}
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -56,10 +56,10 @@
 			if err == nil {
 				return string(back), nil
 			}
-			if g := hint.Hinter(nil); errors.As(err, &g) && !again(err) {
+			if g := hint.Hinter(nil); errors.As(err, &g) && !mayRetry(err) {
 				return "", err
 			}
-			cause = strings.TrimPrefix(err.Error(), revision.LaterText)
+			cause = strings.TrimPrefix(err.Error(), revision.RetryLaterPrefix)
 		}
 		select {
 		case <-ctx.Done():
@@ -71,46 +71,46 @@
 	}
 }
 
-// again tells of an error by which nothing is known to be done, so that another member may be asked.
-func again(err error) bool {
-	return strings.HasPrefix(err.Error(), revision.LaterText) || errors.As(err, new(*consensus.Unreachable)) || errors.As(err, new(*consensus.Overloaded)) ||
+// mayRetry tells of an error by which nothing is known to be done, so that another member may be asked.
+func mayRetry(err error) bool {
+	return strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) || errors.As(err, new(*consensus.Unreachable)) || errors.As(err, new(*consensus.Overloaded)) ||
 		errors.As(err, new(*consensus.NotLeader))
 }
 
-// order is done at the leader.
-func (h *Host) order(ctx context.Context, o revision.Order) (string, error) {
-	if err := h.confirmed(ctx); err != nil {
+// executeOrder is done at the leader.
+func (h *Host) executeOrder(ctx context.Context, o revision.Order) (string, error) {
+	if err := h.lockAsLeader(ctx); err != nil {
 		return "", err
 	}
 	defer h.mu.Unlock()
 	s := h.state
 	switch o.Verb {
 	case revision.VerbStatus:
-		return h.leads(), nil
+		return h.leaderStatus(), nil
 	case revision.VerbGet:
 		if o.Number == revision.Latest {
 			return string(s.InForce().Text), nil
 		}
-		r, err := s.Find(o.Number)
+		r, err := s.Revision(o.Number)
 		if err != nil {
 			return "", err
 		}
 		return string(r.Text), nil
 	case revision.VerbList:
-		return list(s, o.Number), nil
+		return listRevision(s, o.Number), nil
 	case revision.VerbOutcome:
 		return h.outcome(o.Key)
 	case revision.VerbReplace:
 		h.mu.Unlock()
-		err := h.node.Replace(ctx, o.Name, o.Other)
+		err := h.node.Replace(ctx, o.Name, o.NewName)
 		h.mu.Lock()
 		if err != nil {
 			return "", err
 		}
-		return "voter " + o.Name + " replaced by " + o.Other, nil
+		return "voter " + o.Name + " replaced by " + o.NewName, nil
 	case revision.VerbForget:
-		c := revision.Command{Op: revision.OpForget, Reign: s.Reign, Name: o.Name}
-		if _, err := h.unlocked(ctx, c); err != nil {
+		c := revision.Command{Op: revision.OpForget, LeaderTerm: s.LeaderTerm, Name: o.Name}
+		if _, err := h.commitUnlocked(ctx, c); err != nil {
 			return "", err
 		}
 		return "forgotten " + o.Name, nil
@@ -118,26 +118,26 @@
 	return h.propose(ctx, o)
 }
 
-// unlocked has a command settled. With mu held before and after, not during.
-func (h *Host) unlocked(ctx context.Context, c revision.Command) (revision.Result, error) {
+// commitUnlocked has a command settled. With mu held before and after, not during.
+func (h *Host) commitUnlocked(ctx context.Context, c revision.Command) (revision.Result, error) {
 	h.mu.Unlock()
 	defer h.mu.Lock()
-	return h.settle(ctx, c)
+	return h.commit(ctx, c)
 }
 
 func (h *Host) propose(ctx context.Context, o revision.Order) (string, error) {
 	s := h.state
-	if text, err := h.outcome(o.Key); !errors.As(err, new(*NoKey)) {
+	if text, err := h.outcome(o.Key); !errors.As(err, new(*UnknownKey)) {
 		return text, err // handed in before
 	}
-	c := revision.Command{Op: revision.OpPropose, Kind: revision.Proposed, Key: o.Key, From: o.From, By: cmp.Or(o.By, "-"), Watch: int64(o.Watch),
-		Within: int64(o.Deadline), At: time.Now().UnixMilli()}
-	if o.From == revision.Latest {
-		c.From = s.InForce().Number
+	c := revision.Command{Op: revision.OpPropose, Kind: revision.KindProposed, Key: o.Key, Base: o.Base, By: cmp.Or(o.By, "-"), GuardFor: int64(o.GuardFor),
+		Deadline: int64(o.Deadline), ProposedAt: time.Now().UnixMilli()}
+	if o.Base == revision.Latest {
+		c.Base = s.InForce().Number
 	}
 	if o.Verb == revision.VerbRollback {
-		c.Kind, c.Of = revision.Rollback, o.Number
-		if _, err := s.Find(o.Number); err != nil {
+		c.Kind, c.Source = revision.KindRollback, o.Number
+		if _, err := s.Revision(o.Number); err != nil {
 			return "", err
 		}
 	} else {
@@ -147,10 +147,10 @@
 		}
 		c.Text, c.Hash, c.Note = revision.Encode(content), revision.Hash(content), content.Note
 	}
-	if _, err := h.unlocked(ctx, c); err != nil {
+	if _, err := h.commitUnlocked(ctx, c); err != nil {
 		return "", err
 	}
-	ring(h.nudge)
+	signal(h.wakeCoordinator)
 	return h.outcome(o.Key)
 }
 
@@ -158,28 +158,28 @@
 func (h *Host) outcome(key string) (string, error) {
 	s := h.state
 	if p := s.Pending; p != nil && p.Key == key {
-		return revision.PendingText(key, h.waits()), nil
+		return revision.PendingText(key, h.waitingText()), nil
 	}
 	o := s.Outcome(key)
 	switch {
 	case o == nil:
-		return "", &NoKey{key}
+		return "", &UnknownKey{key}
 	case o.Number == 0:
-		return "", &revision.Unwilling{Key: key, Who: o.Who, Why: o.Why}
+		return "", &revision.ProposalFailed{Key: key, Members: o.Members, Reason: o.Reason}
 	}
 	hash := "-"
-	if r, err := s.Find(o.Number); err == nil {
+	if r, err := s.Revision(o.Number); err == nil {
 		hash = r.Hash
 	}
 	return revision.SettledText(o.Number, hash, key), nil
 }
 
-func (h *Host) waits() string {
+func (h *Host) waitingText() string {
 	step := "check"
 	if h.state.Stopped() {
 		step = "stop"
 	}
-	names := h.leader.Waits(h.state)
+	names := h.leader.WaitingFor(h.state)
 	if len(names) == 0 {
 		return step
 	}
@@ -190,8 +190,8 @@
 	return step + "(waiting for " + strings.Join(names, ",") + more + ")"
 }
 
-// list is the revision after n in one line, "-" at the end.
-func list(s *revision.State, after uint64) string {
+// listRevision is the revision after n in one line, "-" at the end.
+func listRevision(s *revision.State, after uint64) string {
 	first, last := s.History[0].Number, s.InForce().Number
 	n := after + 1 // Latest: 0
 	if n > last {
@@ -204,27 +204,27 @@
 	r := &s.History[n-first]
 	kind := string(r.Kind)
 	switch r.Kind {
-	case revision.Rollback:
-		kind = fmt.Sprintf("rollback-of-%d", r.Of)
-	case revision.Guard:
-		kind = fmt.Sprintf("guard-back-to-%d", r.Of)
+	case revision.KindRollback:
+		kind = fmt.Sprintf("rollback-of-%d", r.Source)
+	case revision.KindGuard:
+		kind = fmt.Sprintf("guard-back-to-%d", r.Source)
 	}
 	age := "-"
-	if r.At > 0 {
-		age = time.Since(time.UnixMilli(r.At)).Truncate(time.Second).String()
+	if r.ProposedAt > 0 {
+		age = time.Since(time.UnixMilli(r.ProposedAt)).Truncate(time.Second).String()
 	}
-	return fmt.Sprintf("%d hash=%s age=%s by=%s from=%d kind=%s key=%s%s note=%q", r.Number, revision.Short(r.Hash), age, cmp.Or(word(r.By), "-"), r.From, kind, cmp.Or(r.Key, "-"), lost, r.Note)
+	return fmt.Sprintf("%d hash=%s age=%s by=%s from=%d kind=%s key=%s%s note=%q", r.Number, revision.ShortHash(r.Hash), age, cmp.Or(quoteIfSpaced(r.By), "-"), r.Base, kind, cmp.Or(r.Key, "-"), lost, r.Note)
 }
 
-func word(s string) string {
+func quoteIfSpaced(s string) string {
 	if strings.ContainsAny(s, " \t") {
 		return fmt.Sprintf("%q", s)
 	}
 	return s
 }
 
-// leads is what the leader says of all. With mu held.
-func (h *Host) leads() string {
+// leaderStatus is what the leader says of all. With mu held.
+func (h *Host) leaderStatus() string {
 	s := h.state
 	f := s.InForce()
 	var voters, members []string
@@ -240,48 +240,48 @@
 		if !slices.Contains(members, r.Name) {
 			members = append(members, r.Name)
 		}
-		if r.Hold {
+		if r.HoldOnPartition {
 			holds = "hold"
 		}
 	}
 	pending := "none"
 	if p := s.Pending; p != nil {
-		pending = p.Key + ":" + h.waits()
+		pending = p.Key + ":" + h.waitingText()
 	}
 	watch := "none"
-	if w := s.Watch; w != nil {
+	if w := s.Guard; w != nil {
 		switch {
 		case w.Kept:
 			watch = "kept"
-		case w.Tries >= revision.MostTries:
+		case w.FailedRollbacks >= revision.MaxFailedRollbacks:
 			watch = "no-way-back"
 		default:
 			watch = "open"
 		}
 	}
-	return fmt.Sprintf("in-force=%d hash=%s leader=%s reign=%d voters=%s members=%d(%s) pending=%s watch=%s history=%d..%d on_cut=%s", f.Number, revision.Short(f.Hash),
-		h.cfg.Name, s.Reign, strings.Join(voters, ","), len(members), strings.Join(members[:min(len(members), 16)], ","), pending, watch, s.History[0].Number, f.Number, holds)
+	return fmt.Sprintf("in-force=%d hash=%s leader=%s reign=%d voters=%s members=%d(%s) pending=%s watch=%s history=%d..%d on_cut=%s", f.Number, revision.ShortHash(f.Hash),
+		h.cfg.Name, s.LeaderTerm, strings.Join(voters, ","), len(members), strings.Join(members[:min(len(members), 16)], ","), pending, watch, s.History[0].Number, f.Number, holds)
 }
 
 // status is this balancer's own part, and what the leader says, if one can be reached.
 func (h *Host) status(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	p := h.Permit()
+	p := h.Lease()
 	now := time.Now()
 	own := fmt.Sprintf("here=%d phase=%s", p.Number, p.Phase)
-	if p.Phase == AtWork && !p.May(now) {
-		own = fmt.Sprintf("here=%d phase=%s", p.Number, Lapsed)
+	if p.Phase == Active && !p.Allows(now) {
+		own = fmt.Sprintf("here=%d phase=%s", p.Number, Expired)
 	}
-	if p.Phase == AtWork {
+	if p.Phase == Active {
 		if p.Until.IsZero() {
 			own += " until=-"
 		} else {
 			own += " until=" + p.Until.Sub(now).Truncate(time.Millisecond).String()
 		}
 	}
-	if p.Why != "" {
-		own += fmt.Sprintf(" why=%q", p.Why)
+	if p.Reason != "" {
+		own += fmt.Sprintf(" why=%q", p.Reason)
 	}
 	n := h.node.Status()
 	own += fmt.Sprintf(" role=%s", n.Role)
--- a/internal/revision/host/alive.go
+++ b/internal/revision/host/processes.go
@@ -23,39 +23,41 @@
 	"oatloft/internal/revision"
 )
 
-// alive are the files of a balancer's processes, by generation. Safe for concurrent use.
-type alive struct {
+// processFiles are the files of a balancer's processes, by generation. Safe for concurrent use.
+type processFiles struct {
 	folder string // "" where there is none: nothing is known of others
 	mu     sync.Mutex
-	held   map[uint64]*os.File
+	own    map[uint64]*os.File
 }
 
 const (
-	aliveMost = 64 // files looked at in a turn
-	aliveLeft = time.Minute
+	maxProcessFiles = 64 // files looked at in a turn
+	leftoverAge     = time.Minute
 )
 
-func newAlive(folder string) *alive {
-	a := &alive{held: map[uint64]*os.File{}}
+func newProcessFiles(folder string) *processFiles {
+	a := &processFiles{own: map[uint64]*os.File{}}
 	if folder != "" {
 		a.folder = filepath.Join(folder, consensus.Processes)
 	}
 	return a
 }
 
-func (a *alive) path(gen uint64) string { return filepath.Join(a.folder, strconv.FormatUint(gen, 10)) }
+func (a *processFiles) path(gen uint64) string {
+	return filepath.Join(a.folder, strconv.FormatUint(gen, 10))
+}
 
-// hold makes this process known under gen. The file gets its name once it is locked, so that one with a name which can be locked is of a
+// create makes this process known under gen. The file gets its name once it is locked, so that one with a name which can be locked is of a
 // process that has ended.
-func (a *alive) hold(gen uint64) (err error) {
+func (a *processFiles) create(gen uint64) (err error) {
 	defer func() {
-		if err != nil && !errors.As(err, new(*Taken)) {
-			err = &Unseen{a.folder, err}
+		if err != nil && !errors.As(err, new(*GenerationInUse)) {
+			err = &ProcessFileFailed{a.folder, err}
 		}
 	}()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.folder == "" || a.held[gen] != nil {
+	if a.folder == "" || a.own[gen] != nil {
 		return nil
 	}
 	if err = os.MkdirAll(a.folder, 0o700); err != nil {
@@ -71,7 +73,7 @@
 	}
 	if err == nil {
 		if _, e := os.Lstat(path); e == nil {
-			err = &Taken{path}
+			err = &GenerationInUse{path}
 		} else {
 			err = os.Rename(path+".new", path)
 		}
@@ -80,7 +82,7 @@
 		_ = f.Close()
 		return err
 	}
-	a.held[gen] = f
+	a.own[gen] = f
 	return nil
 }
 
@@ -94,30 +96,30 @@
 }
 
 // ended are processes of this balancer that were there and have ended.
-func (a *alive) ended() (list []uint64) {
+func (a *processFiles) ended() (list []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.folder == "" {
 		return nil
 	}
 	files, _ := os.ReadDir(a.folder)
-	for _, e := range files[:min(len(files), aliveMost)] {
+	for _, e := range files[:min(len(files), maxProcessFiles)] {
 		gen, err := strconv.ParseUint(e.Name(), 10, 64)
 		if err != nil { // half of one, of a process that was killed just then
-			if info, err := e.Info(); err == nil && time.Since(info.ModTime()) > aliveLeft {
+			if info, err := e.Info(); err == nil && time.Since(info.ModTime()) > leftoverAge {
 				_ = os.Remove(filepath.Join(a.folder, e.Name()))
 			}
 			continue
 		}
-		if a.held[gen] == nil && free(a.path(gen)) {
+		if a.own[gen] == nil && hasEnded(a.path(gen)) {
 			list = append(list, gen)
 		}
 	}
 	return list
 }
 
-// free tells of a file whose lock nobody holds, and which is no copy.
-func free(path string) bool {
+// hasEnded tells of a file whose lock nobody holds, and which is no copy.
+func hasEnded(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
 		return false
@@ -130,20 +132,20 @@
 	return len(said) > 0 && string(said) == inode(f)
 }
 
-// forget takes away the file of a process that has ended.
-func (a *alive) forget(gen uint64) { _ = os.Remove(a.path(gen)) }
+// remove takes away the file of a process that has ended.
+func (a *processFiles) remove(gen uint64) { _ = os.Remove(a.path(gen)) }
 
 // close gives the locks back. Where all know that this process has left, its files go too.
-func (a *alive) close(left bool) {
+func (a *processFiles) close(left bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for gen, f := range a.held {
+	for gen, f := range a.own {
 		if left {
-			a.forget(gen)
+			a.remove(gen)
 		}
 		_ = f.Close()
 	}
-	clear(a.held)
+	clear(a.own)
 }
 
 // watchEnded tells the leader of this balancer's processes that have ended, so that nobody waits for them: the next one may have been
@@ -152,12 +154,12 @@
 	every := min(max(h.cfg.Lease/4, 100*time.Millisecond), 2*time.Second)
 	for {
 		if lead := h.node.Leader(); lead.Name != "" {
-			for _, gen := range h.alive.ended() {
-				body, _ := json.Marshal(revision.Holder{Name: h.cfg.Name, Gen: gen})
+			for _, gen := range h.processes.ended() {
+				body, _ := json.Marshal(revision.Holder{Name: h.cfg.Name, Generation: gen})
 				if _, err := h.callLeader(lead, "ended", body, 2*time.Second); err != nil {
 					break
 				}
-				h.alive.forget(gen)
+				h.processes.remove(gen)
 				h.log.Info("revisions: an earlier process has ended without a word", "generation", gen)
 			}
 		}
@@ -169,19 +171,19 @@
 	}
 }
 
-// end is what the leader does of it.
-func (h *Host) end(ctx context.Context, from string, o revision.Holder) error {
+// processEnded is what the leader does of it.
+func (h *Host) processEnded(ctx context.Context, from string, o revision.Holder) error {
 	if from != o.Name {
-		return &revision.Torn{Cause: from + " tells that a process of " + o.Name + " has ended"}
+		return &revision.Corrupt{Cause: from + " tells that a process of " + o.Name + " has ended"}
 	}
-	if err := h.confirmed(ctx); err != nil {
+	if err := h.lockAsLeader(ctx); err != nil {
 		return err
 	}
-	known := h.state.Ended(o)
+	known := h.state.HasEnded(o)
 	h.mu.Unlock()
 	if known {
 		return nil
 	}
-	_, err := h.settle(ctx, revision.Command{Op: revision.OpLeave, Holder: o, Ended: true})
+	_, err := h.commit(ctx, revision.Command{Op: revision.OpLeave, Holder: o, Ended: true})
 	return err
 }
--- a/internal/revision/host/alive_test.go
+++ b/internal/revision/host/processes_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	b := newBalancer(name)
 	cfg := b.config(true)
-	cfg.Generation, cfg.Agree = gen, lease.Log{Folder: folder}
+	cfg.Generation, cfg.Log = gen, lease.Log{Folder: folder}
 	h, err := start(cfg, quiet(), l.node(name))
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 		"before it joined": func(l *fakeLog, c func(uint64) *balancer) string {
 			l.lead("")
 			b := c(first)
-			if err := b.alive.hold(first); err != nil {
+			if err := b.processes.create(first); err != nil {
 				t.Fatal(err)
 			}
 			b.close()
@@ -162,11 +162,11 @@
 	if err := os.WriteFile(folder+"/no-folder", nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := newAlive(folder + "/no-folder").hold(1); !errors.As(err, new(*Unseen)) || hint.Of(err) == "" {
+	if err := newProcessFiles(folder + "/no-folder").create(1); !errors.As(err, new(*ProcessFileFailed)) || hint.Of(err) == "" {
 		t.Error(err)
 	}
-	other := newAlive(folder)
-	if err := other.hold(10); !errors.As(err, new(*Taken)) || hint.Of(err) == "" {
+	other := newProcessFiles(folder)
+	if err := other.create(10); !errors.As(err, new(*GenerationInUse)) || hint.Of(err) == "" {
 		t.Error(err)
 	}
 	if got := other.ended(); len(got) != 0 {
@@ -175,7 +175,7 @@
 	if _, err := b.callLeader(l.nodes["a"].Leader(), "ended", []byte(`{"n":"b","g":1}`), 1e9); err == nil || !strings.Contains(fmt.Sprint(err), "c tells that a process of b has ended") {
 		t.Error(err)
 	}
-	b.Took(b.Permit().Seq)
+	b.Acknowledge(b.Lease().Seq)
 	left := make(chan struct{})
 	go func() { b.Leave(t.Context()); close(left) }()
 	waitFor(t, "it has left", func() bool {
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -12,171 +12,171 @@
 	"oatloft/internal/failpoint"
 )
 
-// Phase is what a process may do.
-type Phase uint8
+// LeasePhase is what a process may do.
+type LeasePhase uint8
 
 // The phases.
 const (
-	Learning Phase = iota // it doesn't know yet what is in force, or can't route by it
-	AtWork                // newcomers go by Number until Until
-	Between               // it has heard that the next one is about to be in force
-	Lapsed                // its permission has run out, or was taken away
-	Gone                  // it has given it up for good
+	Learning  LeasePhase = iota // it doesn't know yet what is in force, or can't route by it
+	Active                      // newcomers go by Number until Until
+	Suspended                   // it has heard that the next one is about to be in force
+	Expired                     // its permission has run out, or was taken away
+	Released                    // it has given it up for good
 )
 
-func (p Phase) String() string {
+func (p LeasePhase) String() string {
 	return [...]string{"learning", "at-work", "between", "lapsed", "left"}[p]
 }
 
-// Permission is what a process may do now. Seq grows whenever anything but a later Until is new.
-type Permission struct {
+// Lease is what a process may do now. Seq grows whenever anything but a later Until is new.
+type Lease struct {
 	Seq    uint64
-	Phase  Phase
+	Phase  LeasePhase
 	Number uint64
 	Hash   string
 	Text   json.RawMessage
 	Until  time.Duration // by this process's clock; Forever for no end
-	Why    string
+	Reason string
 }
 
 // Forever is the end of a permission that doesn't end by time.
 const Forever = time.Duration(1<<63 - 1)
 
-// May tells whether newcomers may be routed now.
-func (p *Permission) May(now time.Duration) bool { return p.Phase == AtWork && now < p.Until }
+// Allows tells whether newcomers may be routed now.
+func (p *Lease) Allows(now time.Duration) bool { return p.Phase == Active && now < p.Until }
 
-// Renew is what a holder tells and asks. Numbers are 0 for none.
-type Renew struct {
+// RenewRequest is what a holder tells and asks. Numbers are 0 for none.
+type RenewRequest struct {
 	Holder
-	Hold    bool    `json:"c,omitempty"`
-	Seq     uint64  `json:"s"`           // of the asking
-	Has     uint64  `json:"t,omitempty"` // the revision whose text it has, plus one
-	Answers uint64  `json:"p,omitempty"` // the proposal that it has staged or turned down
-	No      string  `json:"no,omitempty"`
-	Stopped uint64  `json:"e,omitempty"` // the epoch of the stop that its loop has taken up
-	Figures Figures `json:"f,omitzero"`
-	Links   []byte  `json:"l,omitempty"`
+	HoldOnPartition  bool   `json:"c,omitempty"`
+	Seq              uint64 `json:"s"`           // of the asking
+	HasNumber        uint64 `json:"t,omitempty"` // the revision whose text it has, plus one
+	AnsweredProposal uint64 `json:"p,omitempty"` // the proposal that it has staged or turned down
+	Rejection        string `json:"no,omitempty"`
+	StoppedEpoch     uint64 `json:"e,omitempty"` // the epoch of the stop that its loop has taken up
+	Totals           Totals `json:"f,omitzero"`
+	Links            []byte `json:"l,omitempty"`
 }
 
-// Reply is the leader's answer.
-type Reply struct {
-	Known    bool            `json:"k,omitempty"` // the holder is in the roster
-	Floor    uint64          `json:"fl,omitempty"`
-	Epoch    uint64          `json:"e"`
-	Stopped  bool            `json:"s,omitempty"`
-	Granted  bool            `json:"g,omitempty"`
-	Lease    time.Duration   `json:"d,omitempty"`
-	Number   uint64          `json:"n"` // in force
-	Hash     string          `json:"h,omitempty"`
-	Text     json.RawMessage `json:"t,omitempty"` // where the holder hasn't got it
-	Proposal uint64          `json:"p,omitempty"`
-	Proposed json.RawMessage `json:"pt,omitempty"` // where the holder hasn't answered
-	PropHash string          `json:"ph,omitempty"`
-	Next     time.Duration   `json:"x,omitempty"` // ask again after
-	Links    []byte          `json:"l,omitempty"`
+// RenewReply is the leader's answer.
+type RenewReply struct {
+	Known         bool            `json:"k,omitempty"` // the holder is in the roster
+	MinGeneration uint64          `json:"fl,omitempty"`
+	Epoch         uint64          `json:"e"`
+	Stopped       bool            `json:"s,omitempty"`
+	Granted       bool            `json:"g,omitempty"`
+	Lease         time.Duration   `json:"d,omitempty"`
+	Number        uint64          `json:"n"` // in force
+	Hash          string          `json:"h,omitempty"`
+	Text          json.RawMessage `json:"t,omitempty"` // where the holder hasn't got it
+	Proposal      uint64          `json:"p,omitempty"`
+	Proposed      json.RawMessage `json:"pt,omitempty"` // where the holder hasn't answered
+	ProposedHash  string          `json:"ph,omitempty"`
+	Next          time.Duration   `json:"x,omitempty"` // ask again after
+	Links         []byte          `json:"l,omitempty"`
 }
 
 // Member is one process's part.
 type Member struct {
-	Holder Holder
-	Hold   bool
-	Check  func(text json.RawMessage) error // against this balancer's own settings and list
+	Holder          Holder
+	HoldOnPartition bool
+	Check           func(text json.RawMessage) error // against this balancer's own settings and list
 
-	permission Permission
-	took       uint64 // Seq that the loop has taken up
-	asked      uint64 // last asking
-	floor      uint64 // answers to askings up to this one don't count
-	known      bool   // in the roster, as far as told
-	epoch      uint64 // latest heard of
-	stopAt     uint64 // epoch of the stop heard of, 0 for none
-	stopSeq    uint64 // Seq by which that was told to the loop
-	has        bool   // text of number
-	number     uint64
-	hash       string
-	text       json.RawMessage
-	staged     uint64 // proposal
-	stagedHash string
-	stagedText json.RawMessage
-	no         string
-	unfit      string // why it can't route by what is in force
+	lease           Lease
+	acknowledged    uint64 // Seq that the loop has taken up
+	lastRequest     uint64 // last asking
+	ignoreUpTo      uint64 // answers to askings up to this one don't count
+	listed          bool   // in the roster, as far as told
+	epoch           uint64 // latest heard of
+	stopEpoch       uint64 // epoch of the stop heard of, 0 for none
+	stopSeq         uint64 // Seq by which that was told to the loop
+	hasText         bool   // text of number
+	number          uint64
+	hash            string
+	text            json.RawMessage
+	staged          uint64 // proposal
+	stagedHash      string
+	stagedText      json.RawMessage
+	rejection       string
+	incompatibility string // why it can't route by what is in force
 }
 
 // NewMember is a process that knows of nothing.
 func NewMember(h Holder, hold bool, check func(json.RawMessage) error) *Member {
-	return &Member{Holder: h, Hold: hold, Check: check, permission: Permission{Seq: 1, Why: "it has not heard yet what is in force"}}
+	return &Member{Holder: h, HoldOnPartition: hold, Check: check, lease: Lease{Seq: 1, Reason: "it has not heard yet what is in force"}}
 }
 
-// Permission is what it may do, as last published.
-func (m *Member) Permission() Permission { return m.permission }
+// Lease is what it may do, as last published.
+func (m *Member) Lease() Lease { return m.lease }
 
-// Joined tells whether it is in the roster, as far as it knows.
-func (m *Member) Joined() bool { return m.known }
+// IsListed tells whether it is in the roster, as far as it knows.
+func (m *Member) IsListed() bool { return m.listed }
 
-// Learned tells that it has the text of what is in force, as far as told.
-func (m *Member) Learned() bool { return m.has }
+// HasText tells that it has the text of what is in force, as far as told.
+func (m *Member) HasText() bool { return m.hasText }
 
-// Fit is why it can't route by what is in force, "" if it can or doesn't know.
-func (m *Member) Fit() string { return m.unfit }
+// Incompatibility is why it can't route by what is in force, "" if it can or doesn't know.
+func (m *Member) Incompatibility() string { return m.incompatibility }
 
 // publish makes what may be done now known to the loop; what is the same but for a later Until keeps its Seq.
-func (m *Member) publish(phase Phase, until time.Duration, why string) {
-	p := Permission{m.permission.Seq, phase, m.number, m.hash, m.text, until, why}
-	if old := m.permission; old.Phase != phase || old.Number != m.number || old.Why != why {
+func (m *Member) publish(phase LeasePhase, until time.Duration, why string) {
+	p := Lease{m.lease.Seq, phase, m.number, m.hash, m.text, until, why}
+	if old := m.lease; old.Phase != phase || old.Number != m.number || old.Reason != why {
 		p.Seq++
 	}
-	m.permission = p
+	m.lease = p
 }
 
-// Took tells that the loop goes by what was published with this Seq.
-func (m *Member) Took(seq uint64) { m.took = max(m.took, seq) }
+// Acknowledge tells that the loop goes by what was published with this Seq.
+func (m *Member) Acknowledge(seq uint64) { m.acknowledged = max(m.acknowledged, seq) }
 
-// Ask is what to tell the leader now. The caller keeps the time at which it asked.
-func (m *Member) Ask() Renew {
-	m.asked++
-	r := Renew{Holder: m.Holder, Hold: m.Hold, Seq: m.asked, Answers: m.staged, No: m.no}
-	if m.has {
-		r.Has = m.number + 1
+// NextRequest is what to tell the leader now. The caller keeps the time at which it asked.
+func (m *Member) NextRequest() RenewRequest {
+	m.lastRequest++
+	r := RenewRequest{Holder: m.Holder, HoldOnPartition: m.HoldOnPartition, Seq: m.lastRequest, AnsweredProposal: m.staged, Rejection: m.rejection}
+	if m.hasText {
+		r.HasNumber = m.number + 1
 	}
-	if m.stopAt != 0 && (m.took >= m.stopSeq || failpoint.On("stopped-untaken")) {
-		r.Stopped = m.stopAt
+	if m.stopEpoch != 0 && (m.acknowledged >= m.stopSeq || failpoint.On("stopped-untaken")) {
+		r.StoppedEpoch = m.stopEpoch
 	}
 	return r
 }
 
 // Leave gives the permission up for good. It may be told to the leader once Left.
 func (m *Member) Leave() {
-	if m.permission.Phase != Gone {
-		m.publish(Gone, 0, "it has left")
+	if m.lease.Phase != Released {
+		m.publish(Released, 0, "it has left")
 	}
 }
 
-// Left tells that the loop has taken up that this process has left.
-func (m *Member) Left() bool {
-	return m.permission.Phase == Gone && (m.took >= m.permission.Seq || failpoint.On("leaves-untaken"))
+// HasLeft tells that the loop has taken up that this process has left.
+func (m *Member) HasLeft() bool {
+	return m.lease.Phase == Released && (m.acknowledged >= m.lease.Seq || failpoint.On("leaves-untaken"))
 }
 
 // Tick ends what has run out.
 func (m *Member) Tick(now time.Duration) {
-	if m.permission.Phase == AtWork && now >= m.permission.Until {
-		if failpoint.On("renews-itself") && now < m.permission.Until+time.Second*3600 {
-			m.permission.Until += time.Second
+	if m.lease.Phase == Active && now >= m.lease.Until {
+		if failpoint.On("renews-itself") && now < m.lease.Until+time.Second*3600 {
+			m.lease.Until += time.Second
 			return
 		}
-		m.publish(Lapsed, 0, "nobody has renewed its permission in time")
+		m.publish(Expired, 0, "nobody has renewed its permission in time")
 	}
 }
 
-// Take is the leader's answer r to what was asked at asked, by this process's clock.
-func (m *Member) Take(now, asked time.Duration, seq uint64, r Reply) {
+// HandleReply is the leader's answer r to what was asked at asked, by this process's clock.
+func (m *Member) HandleReply(now, asked time.Duration, seq uint64, r RenewReply) {
 	m.Tick(now)
-	if seq <= m.floor || m.permission.Phase == Gone {
+	if seq <= m.ignoreUpTo || m.lease.Phase == Released {
 		return
 	}
 	if !r.Known {
-		m.unknown(r)
+		m.notListed(r)
 		return
 	}
-	m.known = true
+	m.listed = true
 	if r.Epoch < m.epoch && !failpoint.On("old-epoch") {
 		return
 	}
@@ -186,97 +186,97 @@
 	}
 	switch {
 	case r.Stopped:
-		if m.stopAt != r.Epoch {
-			m.stopAt = r.Epoch
-			if m.permission.Phase == AtWork || m.permission.Phase == Lapsed {
-				m.publish(Between, 0, "the next revision is about to be in force")
+		if m.stopEpoch != r.Epoch {
+			m.stopEpoch = r.Epoch
+			if m.lease.Phase == Active || m.lease.Phase == Expired {
+				m.publish(Suspended, 0, "the next revision is about to be in force")
 			}
-			m.stopSeq = m.permission.Seq
+			m.stopSeq = m.lease.Seq
 		}
 	case r.Granted:
 		m.granted(now, asked, r)
 	}
 }
 
-// unknown: not in the roster. Nothing that it may have been granted counts any more, and it begins anew.
-func (m *Member) unknown(r Reply) {
-	if r.Floor > m.Holder.Gen {
-		m.Holder.Gen = r.Floor
+// notListed: not in the roster. Nothing that it may have been granted counts any more, and it begins anew.
+func (m *Member) notListed(r RenewReply) {
+	if r.MinGeneration > m.Holder.Generation {
+		m.Holder.Generation = r.MinGeneration
 	}
 	m.learn(r)
-	if m.known || m.permission.Phase == AtWork {
-		m.known, m.epoch, m.stopAt, m.stopSeq = false, 0, 0, 0
-		m.floor = m.asked
-		if m.permission.Phase == AtWork || m.permission.Phase == Between {
-			m.publish(Lapsed, 0, "the others have gone on without it")
+	if m.listed || m.lease.Phase == Active {
+		m.listed, m.epoch, m.stopEpoch, m.stopSeq = false, 0, 0, 0
+		m.ignoreUpTo = m.lastRequest
+		if m.lease.Phase == Active || m.lease.Phase == Suspended {
+			m.publish(Expired, 0, "the others have gone on without it")
 		}
 	}
-	m.stageNone()
-	if m.permission.Phase == Learning && m.unfit != "" {
-		m.publish(Learning, 0, "it can't route by revision "+utoa(r.Number)+": "+m.unfit)
+	m.unstage()
+	if m.lease.Phase == Learning && m.incompatibility != "" {
+		m.publish(Learning, 0, "it can't route by revision "+formatUint(r.Number)+": "+m.incompatibility)
 	}
 }
 
 // learn takes the text in force, if it is new, and sees whether this balancer can route by it.
-func (m *Member) learn(r Reply) {
+func (m *Member) learn(r RenewReply) {
 	switch {
-	case m.has && m.number == r.Number && m.hash == r.Hash:
-	case r.Hash != "" && m.stagedHash == r.Hash && m.stagedText != nil && m.no == "":
-		m.has, m.number, m.hash, m.text, m.unfit = true, r.Number, r.Hash, m.stagedText, ""
+	case m.hasText && m.number == r.Number && m.hash == r.Hash:
+	case r.Hash != "" && m.stagedHash == r.Hash && m.stagedText != nil && m.rejection == "":
+		m.hasText, m.number, m.hash, m.text, m.incompatibility = true, r.Number, r.Hash, m.stagedText, ""
 		return
 	case r.Text != nil:
-		m.has, m.number, m.hash, m.text, m.unfit = true, r.Number, r.Hash, r.Text, "?"
+		m.hasText, m.number, m.hash, m.text, m.incompatibility = true, r.Number, r.Hash, r.Text, "?"
 	default:
-		m.has = false // ask for it
+		m.hasText = false // ask for it
 		return
 	}
-	if m.unfit != "" { // settings may have changed since
-		m.unfit = ""
+	if m.incompatibility != "" { // settings may have changed since
+		m.incompatibility = ""
 		if err := m.Check(m.text); err != nil {
-			m.unfit = err.Error()
+			m.incompatibility = err.Error()
 		}
 	}
 }
 
 // stage keeps a proposal, and what this balancer says of it. It stays staged when the proposal has ended: the next thing heard may
 // be that it is in force. A process that doesn't know enough yet says nothing, and is asked again with its next renewal.
-func (m *Member) stage(r Reply) {
+func (m *Member) stage(r RenewReply) {
 	err := m.Check(r.Proposed)
-	var unfit *Unfit
-	if errors.As(err, &unfit) && unfit.Later {
+	var unfit *Incompatible
+	if errors.As(err, &unfit) && unfit.MayChange {
 		return
 	}
-	m.staged, m.stagedHash, m.stagedText, m.no = r.Proposal, r.PropHash, r.Proposed, ""
+	m.staged, m.stagedHash, m.stagedText, m.rejection = r.Proposal, r.ProposedHash, r.Proposed, ""
 	if err != nil && !failpoint.On("unchecked") {
-		m.no = err.Error()
+		m.rejection = err.Error()
 	}
 }
 
-func (m *Member) stageNone() { m.staged, m.stagedHash, m.stagedText, m.no = 0, "", nil, "" }
+func (m *Member) unstage() { m.staged, m.stagedHash, m.stagedText, m.rejection = 0, "", nil, "" }
 
-func (m *Member) granted(now, asked time.Duration, r Reply) {
+func (m *Member) granted(now, asked time.Duration, r RenewReply) {
 	before := m.number
 	m.learn(r)
-	if !m.has {
+	if !m.hasText {
 		return
 	}
-	m.stopAt, m.stopSeq = 0, 0
-	if m.unfit != "" {
-		m.publish(Learning, 0, "it can't route by revision "+utoa(r.Number)+": "+m.unfit)
+	m.stopEpoch, m.stopSeq = 0, 0
+	if m.incompatibility != "" {
+		m.publish(Learning, 0, "it can't route by revision "+formatUint(r.Number)+": "+m.incompatibility)
 		return
 	}
 	until := Forever
-	if !m.Hold {
+	if !m.HoldOnPartition {
 		until = asked + r.Lease
 		if failpoint.On("lease-from-answer") {
 			until = now + r.Lease
 		}
-		if m.permission.Phase == AtWork && before == m.number {
-			until = max(until, m.permission.Until)
+		if m.lease.Phase == Active && before == m.number {
+			until = max(until, m.lease.Until)
 		}
 		if until <= now {
 			return
 		}
 	}
-	m.publish(AtWork, until, "")
+	m.publish(Active, until, "")
 }
--- a/internal/revision/words.go
+++ b/internal/revision/orders.go
@@ -41,24 +41,24 @@
 type Order struct {
 	Verb     Verb
 	Key      string        // of a proposal: the same call twice makes one revision
-	From     uint64        // in force as the operator has seen it; Latest where he doesn't mind
-	Watch    time.Duration // 0 for none
+	Base     uint64        // in force as the operator has seen it; Latest where he doesn't mind
+	GuardFor time.Duration // 0 for none
 	Deadline time.Duration // 0 for the settings'
 	By       string
 	Text     []byte // of VerbPropose
 	Number   uint64 // of VerbRollback and VerbGet; of VerbList: the one before the next, Latest for the first
 	Name     string // of VerbForget; of VerbReplace the old one
-	Other    string // of VerbReplace: the new one
+	NewName  string // of VerbReplace: the new one
 }
 
-// Misread is the error that an operators' line is no order.
-type Misread struct {
+// MalformedOrder is the error that an operators' line is no order.
+type MalformedOrder struct {
 	Verb  Verb // "" if that is what is wrong
 	Field string
 	Cause string
 }
 
-func (e *Misread) Error() string {
+func (e *MalformedOrder) Error() string {
 	at := "revision"
 	if e.Verb != "" {
 		at += " " + string(e.Verb)
@@ -70,7 +70,7 @@
 }
 
 // Hint is what an operator can do.
-func (e *Misread) Hint() string {
+func (e *MalformedOrder) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
 			return "use oatctl revision " + string(e.Verb) + ", which writes revision " + strings.TrimSpace(string(v.verb)+" "+v.form)
@@ -81,9 +81,9 @@
 
 // Bounds of orders' words.
 const (
-	mostKey   = 64
-	mostName  = 64
-	mostWatch = time.Hour
+	maxKeyBytes      = 64
+	maxNameBytes     = 64
+	maxGuardDuration = time.Hour
 )
 
 // String is the line after "revision".
@@ -111,7 +111,7 @@
 		if o.Verb == VerbRollback {
 			what = number(o.Number)
 		}
-		return strings.Join([]string{head, o.Key, number(o.From), length(o.Watch), length(o.Deadline), by, what}, " ")
+		return strings.Join([]string{head, o.Key, number(o.Base), length(o.GuardFor), length(o.Deadline), by, what}, " ")
 	case VerbGet:
 		return head + " " + number(o.Number)
 	case VerbList:
@@ -119,7 +119,7 @@
 	case VerbOutcome:
 		return head + " " + o.Key
 	case VerbReplace:
-		return head + " " + o.Name + " " + o.Other
+		return head + " " + o.Name + " " + o.NewName
 	case VerbForget:
 		return head + " " + o.Name
 	}
@@ -129,7 +129,7 @@
 // ParseOrder reads the line after "revision". The error is *Misread. The text of a proposal is not read: Decode does.
 func ParseOrder(line string) (Order, error) {
 	head, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	o := Order{Verb: Verb(head), From: Latest, Number: Latest}
+	o := Order{Verb: Verb(head), Base: Latest, Number: Latest}
 	wants := -1
 	for _, v := range verbs {
 		if v.verb == o.Verb {
@@ -137,7 +137,7 @@
 		}
 	}
 	if wants < 0 {
-		return o, &Misread{"", "", fmt.Sprintf("%.32q is no call", head)}
+		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", head)}
 	}
 	var f []string
 	for rest = strings.TrimLeft(rest, " "); rest != "" && len(f) < wants-1; rest = strings.TrimLeft(rest, " ") {
@@ -149,17 +149,17 @@
 		f = append(f, rest)
 	}
 	if len(f) != wants || o.Verb != VerbPropose && strings.Contains(rest, " ") {
-		return o, &Misread{o.Verb, "", "not the words that it takes"}
+		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
 	}
-	r := reader{&o, nil}
+	r := orderReader{&o, nil}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		r.name("KEY", f[0], mostKey, &o.Key)
-		r.number("FROM", f[1], &o.From)
-		r.length("WATCH", f[2], mostWatch, &o.Watch)
-		r.length("DEADLINE", f[3], mostWatch, &o.Deadline)
+		r.name("KEY", f[0], maxKeyBytes, &o.Key)
+		r.number("FROM", f[1], &o.Base)
+		r.length("WATCH", f[2], maxGuardDuration, &o.GuardFor)
+		r.length("DEADLINE", f[3], maxGuardDuration, &o.Deadline)
 		if f[4] != "-" {
-			r.name("BY", f[4], mostName, &o.By)
+			r.name("BY", f[4], maxNameBytes, &o.By)
 		}
 		if o.Verb == VerbPropose {
 			o.Text = []byte(f[5])
@@ -171,12 +171,12 @@
 	case VerbList:
 		r.number("AFTER", f[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", f[0], mostKey, &o.Key)
+		r.name("KEY", f[0], maxKeyBytes, &o.Key)
 	case VerbReplace:
-		r.name("OLD", f[0], mostName, &o.Name)
-		r.name("NEW", f[1], mostName, &o.Other)
+		r.name("OLD", f[0], maxNameBytes, &o.Name)
+		r.name("NEW", f[1], maxNameBytes, &o.NewName)
 	case VerbForget:
-		r.name("NAME", f[0], mostName, &o.Name)
+		r.name("NAME", f[0], maxNameBytes, &o.Name)
 	}
 	if r.err != nil {
 		return o, r.err
@@ -184,24 +184,24 @@
 	return o, nil
 }
 
-type reader struct {
+type orderReader struct {
 	o   *Order
-	err *Misread
+	err *MalformedOrder
 }
 
-func (r *reader) fault(field, word, cause string) {
+func (r *orderReader) fault(field, word, cause string) {
 	if r.err == nil {
-		r.err = &Misread{r.o.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
+		r.err = &MalformedOrder{r.o.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
 	}
 }
 
-func (r *reader) name(field, word string, most int, to *string) {
-	if *to = word; !plain(word, most) || word == "-" {
+func (r *orderReader) name(field, word string, most int, to *string) {
+	if *to = word; !isName(word, most) || word == "-" {
 		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", most))
 	}
 }
 
-func (r *reader) number(field, word string, to *uint64) {
+func (r *orderReader) number(field, word string, to *uint64) {
 	if word == "-" {
 		*to = Latest
 		return
@@ -213,7 +213,7 @@
 	*to = n
 }
 
-func (r *reader) length(field, word string, most time.Duration, to *time.Duration) {
+func (r *orderReader) length(field, word string, most time.Duration, to *time.Duration) {
 	if word == "-" {
 		return
 	}
@@ -231,12 +231,12 @@
 
 // SettledText is how it begins once the proposal is in force: "settled NUMBER HASH KEY".
 func SettledText(number uint64, hash, key string) string {
-	return fmt.Sprintf("settled %d %s %s", number, Short(hash), key)
+	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
 }
 
-// LaterText is how the answer begins to an order that could not be taken up now, and may be repeated as it is: nothing is known to have
+// RetryLaterPrefix is how the answer begins to an order that could not be taken up now, and may be repeated as it is: nothing is known to have
 // come of it.
-const LaterText = "later: "
+const RetryLaterPrefix = "later: "
 
 // ReadAnswer reads the answer to a proposal or outcome: the number in force, whether it is pending. An answer that is neither is
 // that the proposal ended nowhere, or was turned down.
--- a/internal/revision/words_test.go
+++ b/internal/revision/orders_test.go
@@ -16,12 +16,12 @@
 func TestOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := func(what string) string { return rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,20}`).Draw(t, what) }
-		o := Order{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, From: Latest, Number: Latest}
+		o := Order{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, Base: Latest, Number: Latest}
 		number := rapid.SampledFrom([]uint64{0, 1, 12345, Latest})
 		switch o.Verb {
 		case VerbPropose, VerbRollback:
-			o.Key, o.From, o.By = name("key"), number.Draw(t, "from"), rapid.SampledFrom([]string{"", "amina"}).Draw(t, "by")
-			o.Watch, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).Draw(t, "watch"), rapid.SampledFrom([]time.Duration{0, time.Minute}).Draw(t, "deadline")
+			o.Key, o.Base, o.By = name("key"), number.Draw(t, "from"), rapid.SampledFrom([]string{"", "amina"}).Draw(t, "by")
+			o.GuardFor, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).Draw(t, "watch"), rapid.SampledFrom([]time.Duration{0, time.Minute}).Draw(t, "deadline")
 			if o.Verb == VerbRollback {
 				o.Number = uint64(rapid.IntRange(0, 99).Draw(t, "number"))
 			} else {
@@ -32,7 +32,7 @@
 		case VerbOutcome:
 			o.Key = name("key")
 		case VerbReplace:
-			o.Name, o.Other = name("old"), name("new")
+			o.Name, o.NewName = name("old"), name("new")
 		case VerbForget:
 			o.Name = name("name")
 		}
@@ -50,7 +50,7 @@
 		"outcome " + strings.Repeat("k", 65): "KEY", "forget -": "NAME", "replace a": "not the words", "rollback k 1 - - " + strings.Repeat("b", 65) + " 3": "BY",
 	} {
 		_, err := ParseOrder(line)
-		var e *Misread
+		var e *MalformedOrder
 		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || hint.Of(err) == "" {
 			t.Errorf("%q: %v", line, err)
 		}
--- a/internal/revision/overlay.go
+++ b/internal/revision/overlay.go
@@ -10,8 +10,8 @@
 	"oatloft/policy"
 )
 
-// Zone is the name by which policy.Config.Weights knows a zone, between the regions' ids.
-const Zone = "zone/"
+// ZonePrefix is the name by which policy.Config.Weights knows a zone, between the regions' ids.
+const ZonePrefix = "zone/"
 
 // Overlay is base as the revision has it. Classes and tenants that base lacks are passed over: Check found them when the
 // revision was agreed on, and settings that lose one later must not stop a balancer.
@@ -25,9 +25,9 @@
 			continue
 		}
 		b := &base.Classes[i]
-		b.PriorityRank, b.LatencyObjective, b.MessageLatencyObjective = or(k.Order, b.PriorityRank), or(k.Aim, b.LatencyObjective), or(k.MessageAim, b.MessageLatencyObjective)
-		if k.Attempts > 0 && (b.MaxAttempts == 0 || k.Attempts < b.MaxAttempts) {
-			b.MaxAttempts = k.Attempts
+		b.PriorityRank, b.LatencyObjective, b.MessageLatencyObjective = orDefault(k.PriorityRank, b.PriorityRank), orDefault(k.LatencyObjective, b.LatencyObjective), orDefault(k.MessageLatencyObjective, b.MessageLatencyObjective)
+		if k.MaxAttempts > 0 && (b.MaxAttempts == 0 || k.MaxAttempts < b.MaxAttempts) {
+			b.MaxAttempts = k.MaxAttempts
 		}
 	}
 	if len(c.Tenants) > 0 {
@@ -35,35 +35,35 @@
 	}
 	for _, t := range c.Tenants {
 		if i := slices.IndexFunc(base.Tenants, func(x policy.Tenant) bool { return x.Name == t.Name }); i >= 0 {
-			base.Tenants[i].ConnectionQuota = t.Connections
+			base.Tenants[i].ConnectionQuota = t.ConnectionQuota
 		}
 	}
-	if len(c.Regions)+len(c.Zones) > 0 {
+	if len(c.Servers)+len(c.Zones) > 0 {
 		base.Weights = maps.Clone(base.Weights)
 		if base.Weights == nil {
-			base.Weights = make(map[string]float64, len(c.Regions)+len(c.Zones))
+			base.Weights = make(map[string]float64, len(c.Servers)+len(c.Zones))
 		}
 	}
-	for _, p := range c.Regions {
+	for _, p := range c.Servers {
 		base.Weights[p.ID] = p.weight()
 	}
 	for _, p := range c.Zones {
-		base.Weights[Zone+p.ID] = p.weight()
+		base.Weights[ZonePrefix+p.ID] = p.weight()
 	}
-	base.RetryRatio, base.MaxPendingAttempts, base.WarmUpBudgetShare = or(c.Budgets.Retries, base.RetryRatio), or(c.Budgets.Setups, base.MaxPendingAttempts), or(c.Budgets.Cold, base.WarmUpBudgetShare)
-	base.MigrationsPerSecond = or(c.Moves.PerSecond, base.MigrationsPerSecond)
+	base.RetryRatio, base.MaxPendingAttempts, base.WarmUpBudgetShare = orDefault(c.Budgets.RetryRatio, base.RetryRatio), orDefault(c.Budgets.MaxPendingAttempts, base.MaxPendingAttempts), orDefault(c.Budgets.WarmUpShare, base.WarmUpBudgetShare)
+	base.MigrationsPerSecond = orDefault(c.Migration.PerSecond, base.MigrationsPerSecond)
 	return base
 }
 
 // weight is what a place counts for: nothing where it is left out, and 1 where nothing is said.
 func (p Place) weight() float64 {
-	if p.Out {
+	if p.Excluded {
 		return 0
 	}
-	return or(p.Weight, 1)
+	return orDefault(p.Weight, 1)
 }
 
-func or[T comparable](said, settings T) T {
+func orDefault[T comparable](said, settings T) T {
 	var nothing T
 	if said == nothing {
 		return settings
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -15,14 +15,14 @@
 
 // Holder is a process that may hold the permission to route newcomers: a member by name, and which of its processes.
 type Holder struct {
-	Name string `json:"n"`
-	Gen  uint64 `json:"g"`
+	Name       string `json:"n"`
+	Generation uint64 `json:"g"`
 }
 
-func (h Holder) String() string { return h.Name + "/" + strconv.FormatUint(h.Gen, 10) }
+func (h Holder) String() string { return h.Name + "/" + strconv.FormatUint(h.Generation, 10) }
 
 func (h Holder) compare(o Holder) int {
-	return cmp.Or(cmp.Compare(h.Name, o.Name), cmp.Compare(h.Gen, o.Gen))
+	return cmp.Or(cmp.Compare(h.Name, o.Name), cmp.Compare(h.Generation, o.Generation))
 }
 
 // Op is what a command does.
@@ -30,63 +30,63 @@
 
 // The commands. Those of a reign count only while it lasts.
 const (
-	OpReign   Op = "reign"   // By coordinates from now on; ends every earlier reign
-	OpJoin    Op = "join"    // Holder comes into the roster; Ended: no earlier process of its name is there any more
-	OpLeave   Op = "leave"   // Holder has given its permission up for good; Ended: its process is over, and never comes again
-	OpLapse   Op = "lapse"   // of a reign: Holder's permission is over for sure
-	OpForget  Op = "forget"  // of a reign: an operator says that Name is off
-	OpPropose Op = "propose" // Text, or the text of revision Of, is to be the next revision after From
-	OpEnd     Op = "end"     // of a reign: the proposal ends nowhere
-	OpStop    Op = "stop"    // of a reign: all have said yes; nobody is granted anything until settle, resume or end
-	OpResume  Op = "resume"  // of a reign: not all have stopped in time; the one in force is at work again
-	OpSettle  Op = "settle"  // of a reign: all have stopped; the proposal is in force
-	OpKeep    Op = "keep"    // of a reign: revision Of has stood its watch
+	OpBeginTerm Op = "reign"   // By coordinates from now on; ends every earlier reign
+	OpJoin      Op = "join"    // Holder comes into the roster; Ended: no earlier process of its name is there any more
+	OpLeave     Op = "leave"   // Holder has given its permission up for good; Ended: its process is over, and never comes again
+	OpExpire    Op = "lapse"   // of a reign: Holder's permission is over for sure
+	OpForget    Op = "forget"  // of a reign: an operator says that Name is off
+	OpPropose   Op = "propose" // Text, or the text of revision Of, is to be the next revision after From
+	OpAbort     Op = "end"     // of a reign: the proposal ends nowhere
+	OpStop      Op = "stop"    // of a reign: all have said yes; nobody is granted anything until settle, resume or end
+	OpResume    Op = "resume"  // of a reign: not all have stopped in time; the one in force is at work again
+	OpCommit    Op = "settle"  // of a reign: all have stopped; the proposal is in force
+	OpKeep      Op = "keep"    // of a reign: revision Of has stood its watch
 )
 
-// Figures are sums over members: newcomers and routed tasks asked for, and of these refused, failed and late.
-type Figures struct {
-	Asked   int64 `json:"a,omitempty"`
-	Refused int64 `json:"r,omitempty"`
-	Failed  int64 `json:"f,omitempty"`
-	Late    int64 `json:"l,omitempty"`
+// Totals are sums over members: newcomers and routed tasks asked for, and of these refused, failed and late.
+type Totals struct {
+	Requests int64 `json:"a,omitempty"`
+	Rejected int64 `json:"r,omitempty"`
+	Failed   int64 `json:"f,omitempty"`
+	Late     int64 `json:"l,omitempty"`
 }
 
-func (f Figures) plus(o Figures) Figures {
-	return Figures{f.Asked + o.Asked, f.Refused + o.Refused, f.Failed + o.Failed, f.Late + o.Late}
+func (f Totals) plus(o Totals) Totals {
+	return Totals{f.Requests + o.Requests, f.Rejected + o.Rejected, f.Failed + o.Failed, f.Late + o.Late}
 }
 
-func (f Figures) minus(o Figures) Figures {
-	return Figures{f.Asked - o.Asked, f.Refused - o.Refused, f.Failed - o.Failed, f.Late - o.Late}
+func (f Totals) minus(o Totals) Totals {
+	return Totals{f.Requests - o.Requests, f.Rejected - o.Rejected, f.Failed - o.Failed, f.Late - o.Late}
 }
 
 // Command is one entry of the log.
 type Command struct {
-	Op     Op              `json:"op"`
-	Reign  uint64          `json:"reign,omitempty"`
-	By     string          `json:"by,omitempty"` // leader of a reign, operator of a proposal
-	Holder Holder          `json:"holder,omitzero"`
-	Hold   bool            `json:"hold,omitempty"`
-	Ended  bool            `json:"ended,omitempty"`
-	Name   string          `json:"name,omitempty"`
-	Key    string          `json:"key,omitempty"`
-	From   uint64          `json:"from,omitempty"`
-	Of     uint64          `json:"of,omitempty"`
-	Kind   Kind            `json:"kind,omitempty"`
-	Text   json.RawMessage `json:"text,omitempty"` // as Encode gives it
-	Hash   string          `json:"hash,omitempty"`
-	Note   string          `json:"note,omitempty"`
-	Watch  int64           `json:"watch,omitempty"`  // ns; 0 for none
-	Within int64           `json:"within,omitempty"` // ns; 0 for the leader's own
-	At     int64           `json:"at,omitempty"`     // ms of wall clock, for operators to read only
-	Keep   int             `json:"keep,omitempty"`   // revisions of history
-	KeepB  int64           `json:"keep_b,omitempty"` // bytes of history
-	ID     uint64          `json:"id,omitempty"`     // of the proposal meant
-	Epoch  uint64          `json:"epoch,omitempty"`  // at which the coordinator decided
-	Roster uint64          `json:"roster,omitempty"` // version of the roster at which it did
-	Who    []string        `json:"who,omitempty"`    // members that are the reason
-	Why    string          `json:"why,omitempty"`
-	Before Figures         `json:"before,omitzero"`
-	Nonce  uint64          `json:"nonce,omitempty"` // by which the proposing process knows its own again
+	Op              Op              `json:"op"`
+	LeaderTerm      uint64          `json:"reign,omitempty"`
+	By              string          `json:"by,omitempty"` // leader of a reign, operator of a proposal
+	Holder          Holder          `json:"holder,omitzero"`
+	HoldOnPartition bool            `json:"hold,omitempty"`
+	Ended           bool            `json:"ended,omitempty"`
+	Name            string          `json:"name,omitempty"`
+	Key             string          `json:"key,omitempty"`
+	Base            uint64          `json:"from,omitempty"`
+	Source          uint64          `json:"of,omitempty"`
+	Kind            Kind            `json:"kind,omitempty"`
+	Text            json.RawMessage `json:"text,omitempty"` // as Encode gives it
+	Hash            string          `json:"hash,omitempty"`
+	Note            string          `json:"note,omitempty"`
+	GuardFor        int64           `json:"watch,omitempty"`  // ns; 0 for none
+	Deadline        int64           `json:"within,omitempty"` // ns; 0 for the leader's own
+	ProposedAt      int64           `json:"at,omitempty"`     // ms of wall clock, for operators to read only
+	KeepRevisions   int             `json:"keep,omitempty"`   // revisions of history
+	KeepBytes       int64           `json:"keep_b,omitempty"` // bytes of history
+	ProposalID      uint64          `json:"id,omitempty"`     // of the proposal meant
+	Epoch           uint64          `json:"epoch,omitempty"`  // at which the coordinator decided
+	HoldersVersion  uint64          `json:"roster,omitempty"` // version of the roster at which it did
+	Members         []string        `json:"who,omitempty"`    // members that are the reason
+	Reason          string          `json:"why,omitempty"`
+	Before          Totals          `json:"before,omitzero"`
+	Nonce           uint64          `json:"nonce,omitempty"` // by which the proposing process knows its own again
 }
 
 // Kind is how a revision came to be.
@@ -94,97 +94,97 @@
 
 // The kinds.
 const (
-	Proposed Kind = "propose"
-	Rollback Kind = "rollback"
-	Guard    Kind = "guard"
+	KindProposed Kind = "propose"
+	KindRollback Kind = "rollback"
+	KindGuard    Kind = "guard"
 )
 
 // Revision is one of the history.
 type Revision struct {
-	Number uint64          `json:"n"`
-	ID     uint64          `json:"id,omitempty"` // of the proposal that it was
-	Hash   string          `json:"hash"`
-	Kind   Kind            `json:"kind"`
-	Of     uint64          `json:"of,omitempty"` // whose text it has, of a rollback or the guard's
-	From   uint64          `json:"from"`
-	Key    string          `json:"key"`
-	By     string          `json:"by"`
-	Note   string          `json:"note,omitempty"`
-	At     int64           `json:"at"`
-	Text   json.RawMessage `json:"text"`
+	Number     uint64          `json:"n"`
+	ID         uint64          `json:"id,omitempty"` // of the proposal that it was
+	Hash       string          `json:"hash"`
+	Kind       Kind            `json:"kind"`
+	Source     uint64          `json:"of,omitempty"` // whose text it has, of a rollback or the guard's
+	Base       uint64          `json:"from"`
+	Key        string          `json:"key"`
+	By         string          `json:"by"`
+	Note       string          `json:"note,omitempty"`
+	ProposedAt int64           `json:"at"`
+	Text       json.RawMessage `json:"text"`
 }
 
 // Proposal is the one under way.
 type Proposal struct {
 	Revision
-	Watch   int64 `json:"watch,omitempty"`
-	Within  int64 `json:"within,omitempty"`
-	Stopped bool  `json:"stopped,omitempty"`
+	GuardFor int64 `json:"watch,omitempty"`
+	Deadline int64 `json:"within,omitempty"`
+	Stopped  bool  `json:"stopped,omitempty"`
 }
 
 // Outcome is what became of a proposal.
 type Outcome struct {
-	Key    string   `json:"key"`
-	Number uint64   `json:"n,omitempty"` // in force as this one, or 0: nowhere
-	Who    []string `json:"who,omitempty"`
-	Why    string   `json:"why,omitempty"`
+	Key     string   `json:"key"`
+	Number  uint64   `json:"n,omitempty"` // in force as this one, or 0: nowhere
+	Members []string `json:"who,omitempty"`
+	Reason  string   `json:"why,omitempty"`
 }
 
-// Watch is the guard of the revision in force.
-type Watch struct {
-	Number uint64  `json:"n"`
-	Back   uint64  `json:"back"` // to which the guard goes back
-	For    int64   `json:"for"`  // ns
-	Before Figures `json:"before"`
-	Tries  int     `json:"tries,omitempty"` // ways back that ended nowhere
-	Kept   bool    `json:"kept,omitempty"`
+// GuardWindow is the guard of the revision in force.
+type GuardWindow struct {
+	Number          uint64 `json:"n"`
+	RollbackTo      uint64 `json:"back"` // to which the guard goes back
+	Duration        int64  `json:"for"`  // ns
+	Before          Totals `json:"before"`
+	FailedRollbacks int    `json:"tries,omitempty"` // ways back that ended nowhere
+	Kept            bool   `json:"kept,omitempty"`
 }
 
 // Bounds of the state.
 const (
-	mostOutcomes = 1000
-	mostFloors   = 2000
-	mostOver     = 1000
-	MostTries    = 5 // of the guard to go back
-	defaultKeep  = 1000
-	defaultBytes = 8 << 20
+	maxOutcomes          = 1000
+	maxFloors            = 2000
+	maxEnded             = 1000
+	MaxFailedRollbacks   = 5 // of the guard to go back
+	defaultKeepRevisions = 1000
+	defaultKeepBytes     = 8 << 20
 )
 
-// Rostered is what the roster says of a holder.
-type Rostered struct {
+// HolderEntry is what the roster says of a holder.
+type HolderEntry struct {
 	Holder
-	Hold bool `json:"hold,omitempty"`
+	HoldOnPartition bool `json:"hold,omitempty"`
 }
 
 // State is what the log's commands add up to.
 type State struct {
-	Reign    uint64            `json:"reign"`
-	Leader   string            `json:"leader"`
-	Epoch    uint64            `json:"epoch"`          // grows whenever who may route by what changes
-	Roster   uint64            `json:"roster"`         // grows whenever Holders changes
-	Holders  []Rostered        `json:"holders"`        // by name and generation
-	Floors   map[string]uint64 `json:"floors"`         // processes of a name before this generation have ended
-	Over     []Holder          `json:"over,omitempty"` // processes that have ended, and were told so one by one
-	Last     uint64            `json:"last"`           // id of the last proposal
-	Pending  *Proposal         `json:"pending"`
-	History  []Revision        `json:"history"` // without holes; the last is in force
-	Outcomes []Outcome         `json:"outcomes"`
-	Watch    *Watch            `json:"watch"`
+	LeaderTerm     uint64            `json:"reign"`
+	Leader         string            `json:"leader"`
+	Epoch          uint64            `json:"epoch"`          // grows whenever who may route by what changes
+	HoldersVersion uint64            `json:"roster"`         // grows whenever Holders changes
+	Holders        []HolderEntry     `json:"holders"`        // by name and generation
+	MinGenerations map[string]uint64 `json:"floors"`         // processes of a name before this generation have ended
+	EndedProcesses []Holder          `json:"over,omitempty"` // processes that have ended, and were told so one by one
+	LastProposal   uint64            `json:"last"`           // id of the last proposal
+	Pending        *Proposal         `json:"pending"`
+	History        []Revision        `json:"history"` // without holes; the last is in force
+	Outcomes       []Outcome         `json:"outcomes"`
+	Guard          *GuardWindow      `json:"watch"`
 
 	bytes int64
 }
 
 // Result is what became of a command.
 type Result struct {
-	Refused error  // nil if it did what it says, or had been done already
-	Number  uint64 // of a proposal that was settled before
+	Err    error  // nil if it did what it says, or had been done already
+	Number uint64 // of a proposal that was settled before
 }
 
 // NewState is that of a cluster in which nothing is settled: revision 0, the settings alone.
 func NewState() *State {
 	c := &Content{Form: Form}
-	r := Revision{Hash: Hash(c), Kind: Proposed, Text: Encode(c), Note: "the settings alone"}
-	return &State{History: []Revision{r}, Floors: map[string]uint64{}, Epoch: 1, bytes: int64(len(r.Text))}
+	r := Revision{Hash: Hash(c), Kind: KindProposed, Text: Encode(c), Note: "the settings alone"}
+	return &State{History: []Revision{r}, MinGenerations: map[string]uint64{}, Epoch: 1, bytes: int64(len(r.Text))}
 }
 
 // InForce is the last of the history.
@@ -193,14 +193,14 @@
 // Stopped tells that nobody may be granted anything.
 func (s *State) Stopped() bool { return s.Pending != nil && s.Pending.Stopped }
 
-// Find is revision n of the history.
-func (s *State) Find(n uint64) (*Revision, error) {
+// Revision is revision n of the history.
+func (s *State) Revision(n uint64) (*Revision, error) {
 	first := s.History[0].Number
 	switch {
 	case n < first:
-		return nil, &Forgotten{n, first}
+		return nil, &RevisionForgotten{n, first}
 	case n > s.InForce().Number:
-		return nil, &Missing{n, s.InForce().Number}
+		return nil, &RevisionMissing{n, s.InForce().Number}
 	}
 	return &s.History[n-first], nil
 }
@@ -220,78 +220,78 @@
 	return nil
 }
 
-// Ended tells that a process is known to have ended, and is in the roster no more.
-func (s *State) Ended(h Holder) bool {
-	return !s.Has(h) && (h.Gen < s.Floors[h.Name] || slices.Contains(s.Over, h))
+// HasEnded tells that a process is known to have ended, and is in the roster no more.
+func (s *State) HasEnded(h Holder) bool {
+	return !s.HasHolder(h) && (h.Generation < s.MinGenerations[h.Name] || slices.Contains(s.EndedProcesses, h))
 }
 
-// over notes that a process has ended, so that a join of its which is settled later is refused.
-func (s *State) over(h Holder) {
-	if h.Gen < s.Floors[h.Name] || slices.Contains(s.Over, h) {
+// markEnded notes that a process has ended, so that a join of its which is settled later is refused.
+func (s *State) markEnded(h Holder) {
+	if h.Generation < s.MinGenerations[h.Name] || slices.Contains(s.EndedProcesses, h) {
 		return
 	}
-	s.Over = append(slices.Clip(s.Over), h)
-	s.Over = s.Over[max(0, len(s.Over)-mostOver):]
+	s.EndedProcesses = append(slices.Clip(s.EndedProcesses), h)
+	s.EndedProcesses = s.EndedProcesses[max(0, len(s.EndedProcesses)-maxEnded):]
 }
 
-// Has tells whether h is in the roster.
-func (s *State) Has(h Holder) bool { _, ok := s.at(h); return ok }
+// HasHolder tells whether h is in the roster.
+func (s *State) HasHolder(h Holder) bool { _, ok := s.indexOf(h); return ok }
 
-func (s *State) at(h Holder) (int, bool) {
-	return slices.BinarySearchFunc(s.Holders, h, func(r Rostered, h Holder) int { return r.Holder.compare(h) })
+func (s *State) indexOf(h Holder) (int, bool) {
+	return slices.BinarySearchFunc(s.Holders, h, func(r HolderEntry, h Holder) int { return r.Holder.compare(h) })
 }
 
 // Apply takes the log's next command.
 func (s *State) Apply(c Command) Result {
 	switch c.Op {
-	case OpLapse, OpForget, OpEnd, OpStop, OpResume, OpSettle, OpKeep:
-		if c.Reign != s.Reign && !failpoint.On("old-reign") {
-			return Result{Refused: &Stale{string(c.Op), "the reign it was decided in is over"}}
+	case OpExpire, OpForget, OpAbort, OpStop, OpResume, OpCommit, OpKeep:
+		if c.LeaderTerm != s.LeaderTerm && !failpoint.On("old-reign") {
+			return Result{Err: &StaleCommand{string(c.Op), "the reign it was decided in is over"}}
 		}
 	}
 	switch c.Op {
-	case OpReign:
-		s.Reign++
+	case OpBeginTerm:
+		s.LeaderTerm++
 		s.Leader = c.By
-		return Result{Number: s.Reign}
+		return Result{Number: s.LeaderTerm}
 	case OpJoin:
 		return s.join(c)
-	case OpLeave, OpLapse:
-		if i, ok := s.at(c.Holder); ok {
+	case OpLeave, OpExpire:
+		if i, ok := s.indexOf(c.Holder); ok {
 			s.Holders = slices.Delete(slices.Clone(s.Holders), i, i+1)
-			s.Roster++
+			s.HoldersVersion++
 		}
 		if c.Op == OpLeave && c.Ended {
-			s.over(c.Holder)
+			s.markEnded(c.Holder)
 		}
 		return Result{}
 	case OpForget:
-		left := slices.DeleteFunc(slices.Clone(s.Holders), func(r Rostered) bool { return r.Name == c.Name })
+		left := slices.DeleteFunc(slices.Clone(s.Holders), func(r HolderEntry) bool { return r.Name == c.Name })
 		if len(left) == len(s.Holders) {
-			return Result{Refused: &NoMember{c.Name}}
+			return Result{Err: &UnknownHolder{c.Name}}
 		}
 		s.Holders = left
-		s.Roster++
+		s.HoldersVersion++
 		return Result{}
 	case OpPropose:
 		return s.propose(c)
 	case OpKeep:
-		if w := s.Watch; w != nil && w.Number == c.Of {
+		if w := s.Guard; w != nil && w.Number == c.Source {
 			kept := *w
 			kept.Kept = true
-			s.Watch = &kept
+			s.Guard = &kept
 		}
 		return Result{}
 	}
 	p := s.Pending // end, stop, resume and settle
-	if p == nil || p.ID != c.ID {
-		return Result{Refused: &Stale{string(c.Op), "its proposal has ended"}}
+	if p == nil || p.ID != c.ProposalID {
+		return Result{Err: &StaleCommand{string(c.Op), "its proposal has ended"}}
 	}
-	if c.Epoch != s.Epoch || c.Op != OpEnd && p.Stopped == (c.Op == OpStop) {
-		return Result{Refused: &Stale{string(c.Op), "it was decided before another step was settled"}}
+	if c.Epoch != s.Epoch || c.Op != OpAbort && p.Stopped == (c.Op == OpStop) {
+		return Result{Err: &StaleCommand{string(c.Op), "it was decided before another step was settled"}}
 	}
-	if (c.Op == OpStop || c.Op == OpSettle) && c.Roster != s.Roster && !failpoint.On("roster-unseen") {
-		return Result{Refused: &Stale{string(c.Op), "somebody has come or gone since it was decided"}}
+	if (c.Op == OpStop || c.Op == OpCommit) && c.HoldersVersion != s.HoldersVersion && !failpoint.On("roster-unseen") {
+		return Result{Err: &StaleCommand{string(c.Op), "somebody has come or gone since it was decided"}}
 	}
 	if c.Op != OpStop || !failpoint.On("stop-same-epoch") {
 		s.Epoch++
@@ -301,37 +301,37 @@
 		q := *p
 		q.Stopped = c.Op == OpStop
 		s.Pending = &q
-	case OpEnd:
+	case OpAbort:
 		s.Pending = nil
-		s.ended(Outcome{Key: p.Key, Who: c.Who, Why: c.Why})
-		if p.Kind == Guard && s.Watch != nil {
-			w := *s.Watch
-			w.Tries++
-			s.Watch = &w
+		s.addOutcome(Outcome{Key: p.Key, Members: c.Members, Reason: c.Reason})
+		if p.Kind == KindGuard && s.Guard != nil {
+			w := *s.Guard
+			w.FailedRollbacks++
+			s.Guard = &w
 		}
-	case OpSettle:
-		s.settle(p, c)
+	case OpCommit:
+		s.commit(p, c)
 	}
 	return Result{}
 }
 
 func (s *State) join(c Command) Result {
-	if c.Holder.Gen < s.Floors[c.Holder.Name] {
-		return Result{Refused: &Superseded{c.Holder.Name, s.Floors[c.Holder.Name]}}
+	if c.Holder.Generation < s.MinGenerations[c.Holder.Name] {
+		return Result{Err: &Superseded{c.Holder.Name, s.MinGenerations[c.Holder.Name]}}
 	}
-	if slices.Contains(s.Over, c.Holder) { // settled late
-		return Result{Refused: &Superseded{c.Holder.Name, c.Holder.Gen + 1}}
+	if slices.Contains(s.EndedProcesses, c.Holder) { // settled late
+		return Result{Err: &Superseded{c.Holder.Name, c.Holder.Generation + 1}}
 	}
 	if c.Ended {
-		s.Floors[c.Holder.Name] = c.Holder.Gen
-		s.Holders = slices.DeleteFunc(slices.Clone(s.Holders), func(r Rostered) bool {
-			return r.Name == c.Holder.Name && r.Gen < c.Holder.Gen
+		s.MinGenerations[c.Holder.Name] = c.Holder.Generation
+		s.Holders = slices.DeleteFunc(slices.Clone(s.Holders), func(r HolderEntry) bool {
+			return r.Name == c.Holder.Name && r.Generation < c.Holder.Generation
 		})
 	}
-	if i, ok := s.at(c.Holder); !ok {
-		s.Holders = slices.Insert(slices.Clone(s.Holders), i, Rostered{c.Holder, c.Hold})
+	if i, ok := s.indexOf(c.Holder); !ok {
+		s.Holders = slices.Insert(slices.Clone(s.Holders), i, HolderEntry{c.Holder, c.HoldOnPartition})
 	}
-	s.Roster++
+	s.HoldersVersion++
 	return Result{}
 }
 
@@ -344,40 +344,40 @@
 		if p.Key == c.Key {
 			return Result{}
 		}
-		return Result{Refused: &Busy{p.Key, p.Kind, p.By}}
+		return Result{Err: &ProposalPending{p.Key, p.Kind, p.By}}
 	}
-	if c.From != now && !failpoint.On("from-unseen") {
-		return Result{Refused: &Moved{c.From, now, s.InForce().Hash}}
+	if c.Base != now && !failpoint.On("from-unseen") {
+		return Result{Err: &BaseChanged{c.Base, now, s.InForce().Hash}}
 	}
-	if w := s.Watch; w != nil && !w.Kept && w.Tries < MostTries && c.Kind == Proposed {
-		return Result{Refused: &Watched{w.Number, w.For}}
+	if w := s.Guard; w != nil && !w.Kept && w.FailedRollbacks < MaxFailedRollbacks && c.Kind == KindProposed {
+		return Result{Err: &GuardActive{w.Number, w.Duration}}
 	}
-	r := Revision{Hash: c.Hash, Kind: c.Kind, Of: c.Of, From: c.From, Key: c.Key, By: c.By, Note: c.Note, At: c.At, Text: c.Text}
-	if c.Kind != Proposed {
-		old, err := s.Find(c.Of)
+	r := Revision{Hash: c.Hash, Kind: c.Kind, Source: c.Source, Base: c.Base, Key: c.Key, By: c.By, Note: c.Note, ProposedAt: c.ProposedAt, Text: c.Text}
+	if c.Kind != KindProposed {
+		old, err := s.Revision(c.Source)
 		if err != nil {
-			return Result{Refused: err}
+			return Result{Err: err}
 		}
 		r.Text, r.Hash, r.Note = old.Text, old.Hash, old.Note
 	}
-	s.Last++
-	r.ID = s.Last
-	s.Pending = &Proposal{Revision: r, Watch: c.Watch, Within: c.Within}
+	s.LastProposal++
+	r.ID = s.LastProposal
+	s.Pending = &Proposal{Revision: r, GuardFor: c.GuardFor, Deadline: c.Deadline}
 	return Result{}
 }
 
-func (s *State) settle(p *Proposal, c Command) {
+func (s *State) commit(p *Proposal, c Command) {
 	r := p.Revision
 	back := s.InForce().Number
 	r.Number = back + 1
-	s.Pending, s.Watch = nil, nil
+	s.Pending, s.Guard = nil, nil
 	s.History = append(s.History, r)
 	s.bytes += int64(len(r.Text))
-	s.ended(Outcome{Key: p.Key, Number: r.Number})
-	if p.Watch > 0 {
-		s.Watch = &Watch{Number: r.Number, Back: back, For: p.Watch, Before: c.Before}
+	s.addOutcome(Outcome{Key: p.Key, Number: r.Number})
+	if p.GuardFor > 0 {
+		s.Guard = &GuardWindow{Number: r.Number, RollbackTo: back, Duration: p.GuardFor, Before: c.Before}
 	}
-	keep, most := cmp.Or(c.Keep, defaultKeep), cmp.Or(c.KeepB, defaultBytes)
+	keep, most := cmp.Or(c.KeepRevisions, defaultKeepRevisions), cmp.Or(c.KeepBytes, defaultKeepBytes)
 	drop := 0
 	for n := len(s.History); n-drop > 2 && (n-drop > keep || s.bytes > most); drop++ {
 		s.bytes -= int64(len(s.History[drop].Text))
@@ -385,9 +385,9 @@
 	s.History = s.History[drop:]
 }
 
-func (s *State) ended(o Outcome) {
+func (s *State) addOutcome(o Outcome) {
 	s.Outcomes = append(s.Outcomes, o)
-	if drop := len(s.Outcomes) - mostOutcomes; drop > 0 {
+	if drop := len(s.Outcomes) - maxOutcomes; drop > 0 {
 		s.Outcomes = s.Outcomes[drop:]
 	}
 }
@@ -395,10 +395,10 @@
 // Clone is a copy that shares nothing that Apply changes.
 func (s *State) Clone() *State {
 	c := *s
-	c.History, c.Outcomes, c.Over = slices.Clip(s.History), slices.Clip(s.Outcomes), slices.Clip(s.Over)
-	c.Floors = make(map[string]uint64, len(s.Floors))
-	for k, v := range s.Floors {
-		c.Floors[k] = v
+	c.History, c.Outcomes, c.EndedProcesses = slices.Clip(s.History), slices.Clip(s.Outcomes), slices.Clip(s.EndedProcesses)
+	c.MinGenerations = make(map[string]uint64, len(s.MinGenerations))
+	for k, v := range s.MinGenerations {
+		c.MinGenerations[k] = v
 	}
 	return &c
 }
@@ -416,13 +416,13 @@
 func (s *State) Restore(b []byte) error {
 	n := &State{}
 	if err := json.Unmarshal(b, n); err != nil {
-		return &Torn{err.Error()}
+		return &Corrupt{err.Error()}
 	}
 	if len(n.History) == 0 {
-		return &Torn{"it has no revision in force"}
+		return &Corrupt{"it has no revision in force"}
 	}
-	if n.Floors == nil {
-		n.Floors = map[string]uint64{}
+	if n.MinGenerations == nil {
+		n.MinGenerations = map[string]uint64{}
 	}
 	for i := range n.History {
 		n.bytes += int64(len(n.History[i].Text))
@@ -435,7 +435,7 @@
 func ReadCommand(entry []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
-		return c, &Torn{err.Error()}
+		return c, &Corrupt{err.Error()}
 	}
 	return c, nil
 }
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -16,17 +16,17 @@
 	"unicode/utf16"
 )
 
-// MostText is how long a revision's text may be, in bytes: it has to fit into one operators' call.
-const MostText = 120 << 10
+// MaxTextBytes is how long a revision's text may be, in bytes: it has to fit into one operators' call.
+const MaxTextBytes = 120 << 10
 
-// Malformed is the error that a text is no revision.
-type Malformed struct {
+// MalformedText is the error that a text is no revision.
+type MalformedText struct {
 	Offset int64  // bytes of the text before the fault; -1 where it is nowhere in particular
 	Field  string // "" where none is at fault
 	Cause  string
 }
 
-func (e *Malformed) Error() string {
+func (e *MalformedText) Error() string {
 	where := ""
 	if e.Field != "" {
 		where = e.Field + ": "
@@ -37,7 +37,7 @@
 }
 
 // Hint is what an operator can do.
-func (e *Malformed) Hint() string {
+func (e *MalformedText) Hint() string {
 	return "hand revisions in by oatctl revision propose of the same version as the balancers, which writes this text"
 }
 
@@ -64,33 +64,33 @@
 
 // Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is Check's.
 func Decode(text []byte) (*Content, error) {
-	if len(text) > MostText {
-		return nil, &Malformed{-1, "", fmt.Sprintf("%d bytes, more than %d", len(text), MostText)}
+	if len(text) > MaxTextBytes {
+		return nil, &MalformedText{-1, "", fmt.Sprintf("%d bytes, more than %d", len(text), MaxTextBytes)}
 	}
 	c := &Content{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
-		e := &Malformed{d.InputOffset(), "", strings.TrimPrefix(err.Error(), "json: ")}
+		e := &MalformedText{d.InputOffset(), "", strings.TrimPrefix(err.Error(), "json: ")}
 		if wrong, ok := err.(*json.UnmarshalTypeError); ok {
 			e.Field, e.Cause = wrong.Field, fmt.Sprintf("%s where %v belongs", wrong.Value, wrong.Type)
 		}
 		return nil, e
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, &Malformed{d.InputOffset(), "", "something follows the revision"}
+		return nil, &MalformedText{d.InputOffset(), "", "something follows the revision"}
 	}
-	if name, at := twice(text); name != "" {
-		return nil, &Malformed{at, "", fmt.Sprintf("%q is there twice", name)}
+	if name, at := duplicateName(text); name != "" {
+		return nil, &MalformedText{at, "", fmt.Sprintf("%q is there twice", name)}
 	}
 	if c.Form != Form {
-		return nil, &Malformed{-1, "oatloft_revision", fmt.Sprintf("form %d; this program reads %d", c.Form, Form)}
+		return nil, &MalformedText{-1, "oatloft_revision", fmt.Sprintf("form %d; this program reads %d", c.Form, Form)}
 	}
 	return c, nil
 }
 
-// twice is a name that an object of a sound text holds more than once: a reader could take either.
-func twice(text []byte) (string, int64) {
+// duplicateName is a name that an object of a sound text holds more than once: a reader could take either.
+func duplicateName(text []byte) (string, int64) {
 	type level struct {
 		names map[string]bool // nil in a list
 		name  bool            // the next text is a name
@@ -132,28 +132,28 @@
 // brings a tenth of a megabyte with it: a balancer without the agreement hashes nothing.
 func Hash(c *Content) string {
 	h := crypto.SHA256.New()
-	_, _ = h.Write(Encode(ordered(c)))
+	_, _ = h.Write(Encode(normalized(c)))
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Short is the part of a hash that is shown to operators.
-func Short(hash string) string { return hash[:min(16, len(hash))] }
+// ShortHash is the part of a hash that is shown to operators.
+func ShortHash(hash string) string { return hash[:min(16, len(hash))] }
 
-// ordered is c with every list in the order of its names. c stays as it is.
-func ordered(c *Content) *Content {
+// normalized is c with every list in the order of its names. c stays as it is.
+func normalized(c *Content) *Content {
 	o := *c
-	o.Classes = inOrder(o.Classes, func(x Class) string { return x.Name })
-	o.Tenants = inOrder(o.Tenants, func(x Tenant) string { return x.Name })
-	o.Regions = inOrder(o.Regions, func(x Place) string { return x.ID })
-	o.Zones = inOrder(o.Zones, func(x Place) string { return x.ID })
-	o.Links = inOrder(o.Links, Link.name)
+	o.Classes = sortedBy(o.Classes, func(x Class) string { return x.Name })
+	o.Tenants = sortedBy(o.Tenants, func(x Tenant) string { return x.Name })
+	o.Servers = sortedBy(o.Servers, func(x Place) string { return x.ID })
+	o.Zones = sortedBy(o.Zones, func(x Place) string { return x.ID })
+	o.Links = sortedBy(o.Links, Link.name)
 	for i := range o.Links {
-		o.Links[i].Classes = inOrder(o.Links[i].Classes, func(x LinkClass) string { return x.Name })
+		o.Links[i].Classes = sortedBy(o.Links[i].Classes, func(x LinkClass) string { return x.Name })
 	}
 	return &o
 }
 
-func inOrder[T any](list []T, name func(T) string) []T {
+func sortedBy[T any](list []T, name func(T) string) []T {
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
 	return list
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -20,7 +20,7 @@
 )
 
 // small are the times of the world: a lease of 2 ticks is held lapsed after 3.
-var small = Pace{Lease: 2 * unit, Deadline: 4 * unit, StopWait: unit}
+var small = LeaderConfig{Lease: 2 * unit, Deadline: 4 * unit, StopTimeout: unit}
 
 // plan bounds a world: how many of each may happen.
 type plan struct {
@@ -43,9 +43,9 @@
 type proc struct {
 	m       *Member
 	gen     uint64
-	loop    Permission // what its loop goes by
-	slow    bool       // its loop takes nothing up
-	stopped bool       // SIGSTOP
+	loop    Lease // what its loop goes by
+	slow    bool  // its loop takes nothing up
+	stopped bool  // SIGSTOP
 	dead    bool
 	left    bool
 	leader  *Leader
@@ -60,8 +60,8 @@
 	gen   uint64
 	seq   uint64
 	asked time.Duration
-	renew Renew
-	reply Reply
+	renew RenewRequest
+	reply RenewReply
 	cmd   Command
 }
 
@@ -99,7 +99,7 @@
 	bad := fmt.Sprintf(`"bad%d"`, i)
 	return func(text json.RawMessage) error {
 		if string(text) == bad {
-			return &NoMember{bad}
+			return &UnknownHolder{bad}
 		}
 		return nil
 	}
@@ -130,7 +130,7 @@
 		c.procs[i].m = &m
 		if l := c.procs[i].leader; l != nil {
 			n := *l
-			n.holders = make(map[Holder]*heard, len(l.holders))
+			n.holders = make(map[Holder]*holderState, len(l.holders))
 			for k, v := range l.holders {
 				x := *v
 				n.holders[k] = &x
@@ -166,15 +166,15 @@
 	w.lead = i
 	p := &w.procs[i]
 	p.leader, p.st = NewLeader(p.m.Holder.Name, small), nil
-	r := w.apply(Command{Op: OpReign, By: p.m.Holder.Name})
-	p.leader.Reigns(w.now, r.Number)
+	r := w.apply(Command{Op: OpBeginTerm, By: p.m.Holder.Name})
+	p.leader.BeginTerm(w.now, r.Number)
 }
 
 // exchange is one renewal of process i. how: 0 all at once, 'q' the leader stops before it answers, 'a' the answer comes late.
 func (w *world) exchange(i int, how byte) {
 	p := &w.procs[i]
 	q := late{kind: 'q', to: w.lead, from: i, gen: p.gen, asked: w.now}
-	q.renew = p.m.Ask()
+	q.renew = p.m.NextRequest()
 	q.seq = q.renew.Seq
 	if how == 'q' {
 		w.late = append(w.late, q)
@@ -193,7 +193,7 @@
 	if l.leader == nil || l.dead {
 		return
 	}
-	reply, ok := l.leader.Answer(w.now, st, q.renew)
+	reply, ok := l.leader.Renew(w.now, st, q.renew)
 	if !ok {
 		return
 	}
@@ -210,17 +210,17 @@
 	if p.dead || p.gen != a.gen {
 		return
 	}
-	p.m.Take(w.now, a.asked, a.seq, a.reply)
+	p.m.HandleReply(w.now, a.asked, a.seq, a.reply)
 	w.loop(a.from)
-	if !a.reply.Known && p.m.Learned() && p.m.Fit() == "" && !p.left {
-		w.apply(Command{Op: OpJoin, Holder: p.m.Holder, Hold: p.m.Hold, Ended: true})
+	if !a.reply.Known && p.m.HasText() && p.m.Incompatibility() == "" && !p.left {
+		w.apply(Command{Op: OpJoin, Holder: p.m.Holder, HoldOnPartition: p.m.HoldOnPartition, Ended: true})
 	}
 }
 
 func (w *world) loop(i int) {
 	if p := &w.procs[i]; !p.slow && !p.dead && !p.stopped {
-		p.loop = p.m.Permission()
-		p.m.Took(p.loop.Seq)
+		p.loop = p.m.Lease()
+		p.m.Acknowledge(p.loop.Seq)
 	}
 }
 
@@ -228,9 +228,9 @@
 func (w *world) step() {
 	for again := true; again && w.lead >= 0 && w.runs(w.lead); {
 		again = false
-		for _, c := range w.procs[w.lead].leader.Step(w.now, w.s) {
+		for _, c := range w.procs[w.lead].leader.NextCommands(w.now, w.s) {
 			if slices.ContainsFunc(w.late, func(x late) bool {
-				return x.kind == 'c' && x.cmd.Op == c.Op && x.cmd.Holder == c.Holder && x.cmd.Epoch == c.Epoch && x.cmd.Reign == c.Reign
+				return x.kind == 'c' && x.cmd.Op == c.Op && x.cmd.Holder == c.Holder && x.cmd.Epoch == c.Epoch && x.cmd.LeaderTerm == c.LeaderTerm
 			}) {
 				continue // on its way
 			}
@@ -278,7 +278,7 @@
 			for j := range w.procs {
 				if w.procs[j].leader != nil && w.runs(j) && j != w.lead {
 					do("renew at who led before "+name, false, func(c *world) {
-						q := late{to: j, from: i, gen: p.gen, asked: c.now, renew: c.procs[i].m.Ask()}
+						q := late{to: j, from: i, gen: p.gen, asked: c.now, renew: c.procs[i].m.NextRequest()}
 						q.seq = q.renew.Seq
 						c.answer(q, 0)
 					})
@@ -289,7 +289,7 @@
 		case p.dead:
 			do("restart "+name, false, func(c *world) {
 				q := &c.procs[i]
-				*q = proc{gen: q.gen + 1, m: NewMember(Holder{name, q.gen + 1}, q.m.Hold, fits(i))}
+				*q = proc{gen: q.gen + 1, m: NewMember(Holder{name, q.gen + 1}, q.m.HoldOnPartition, fits(i))}
 			})
 		case p.stopped:
 			do("wake "+name, false, func(c *world) {
@@ -300,7 +300,7 @@
 		default:
 			do("stop "+name, true, func(c *world) { c.procs[i].stopped = true })
 			do("kill "+name, true, func(c *world) {
-				c.procs[i].dead, c.procs[i].leader, c.procs[i].loop = true, nil, Permission{}
+				c.procs[i].dead, c.procs[i].leader, c.procs[i].loop = true, nil, Lease{}
 				if c.lead == i {
 					c.lead = -1
 				}
@@ -317,7 +317,7 @@
 				do("leave "+name, true, func(c *world) { c.procs[i].m.Leave(); c.procs[i].left = true; c.loop(i) })
 			}
 		}
-		if p.left && p.m.Left() && w.s.Has(p.m.Holder) {
+		if p.left && p.m.HasLeft() && w.s.HasHolder(p.m.Holder) {
 			do("left "+name, false, func(c *world) { c.apply(Command{Op: OpLeave, Holder: p.m.Holder}) })
 		}
 	}
@@ -360,12 +360,12 @@
 }
 
 func (o op) command(pl *plan) Command {
-	c := Command{Op: OpPropose, Kind: Proposed, Key: o.key, From: o.from, Of: o.of, Text: json.RawMessage(`"` + o.note + `"`), Hash: o.note, Keep: 100}
+	c := Command{Op: OpPropose, Kind: KindProposed, Key: o.key, Base: o.from, Source: o.of, Text: json.RawMessage(`"` + o.note + `"`), Hash: o.note, KeepRevisions: 100}
 	if o.rollback {
-		c.Kind, c.Text, c.Hash = Rollback, nil, ""
+		c.Kind, c.Text, c.Hash = KindRollback, nil, ""
 	}
 	if pl.watch {
-		c.Watch = int64(unit)
+		c.GuardFor = int64(unit)
 	}
 	return c
 }
@@ -375,7 +375,7 @@
 	inForce := w.s.InForce()
 	for i := range w.procs {
 		p := &w.procs[i]
-		if p.dead || !p.loop.May(w.now) {
+		if p.dead || !p.loop.Allows(w.now) {
 			continue
 		}
 		if p.loop.Number != inForce.Number || p.loop.Hash != inForce.Hash {
@@ -406,8 +406,8 @@
 		if r.Number >= uint64(len(w.hashes)) || w.hashes[r.Number] != r.Hash {
 			w.fail("revision %d was lost or altered by %s", r.Number, c.Op)
 		}
-		if r.Number > 0 && r.From != r.Number-1 {
-			w.fail("revision %d was made from %d", r.Number, r.From)
+		if r.Number > 0 && r.Base != r.Number-1 {
+			w.fail("revision %d was made from %d", r.Number, r.Base)
 		}
 		if r.Number > 0 && keys[r.Key] {
 			w.fail("key %s made two revisions", r.Key)
@@ -435,14 +435,14 @@
 		p := &c.procs[i]
 		p.stopped, p.slow = false, false
 		if p.dead {
-			*p = proc{gen: p.gen + 1, m: NewMember(Holder{p.m.Holder.Name, p.gen + 1}, p.m.Hold, fits(i))}
+			*p = proc{gen: p.gen + 1, m: NewMember(Holder{p.m.Holder.Name, p.gen + 1}, p.m.HoldOnPartition, fits(i))}
 		}
 		if i != c.lead {
 			p.leader = nil
 		}
 		p.m.Tick(c.now)
 		c.loop(i)
-		if p.left && c.s.Has(p.m.Holder) {
+		if p.left && c.s.HasHolder(p.m.Holder) {
 			c.apply(Command{Op: OpLeave, Holder: p.m.Holder})
 		}
 	}
@@ -465,7 +465,7 @@
 		done := c.s.Pending == nil
 		for i := range c.procs {
 			p := &c.procs[i]
-			done = done && (p.left || p.loop.May(c.now) || fits(i)(c.s.InForce().Text) != nil) // who was lapsed had no say
+			done = done && (p.left || p.loop.Allows(c.now) || fits(i)(c.s.InForce().Text) != nil) // who was lapsed had no say
 		}
 		if done {
 			return ""
@@ -478,7 +478,7 @@
 			}
 		}
 	}
-	return fmt.Sprintf("not all are at work after a calm time: pending %v, %v %v %v", c.s.Pending, c.procs[0].m.permission, c.procs[1].m.permission, c.procs[2].m.permission)
+	return fmt.Sprintf("not all are at work after a calm time: pending %v, %v %v %v", c.s.Pending, c.procs[0].m.lease, c.procs[1].m.lease, c.procs[2].m.lease)
 }
 
 // hash tells worlds apart that can go on differently. Counters that are only compared go in by rank.
@@ -492,21 +492,21 @@
 		}
 	}
 	for _, s := range states {
-		epochs, reigns, rosters = append(epochs, s.Epoch), append(reigns, s.Reign), append(rosters, s.Roster)
+		epochs, reigns, rosters = append(epochs, s.Epoch), append(reigns, s.LeaderTerm), append(rosters, s.HoldersVersion)
 	}
 	for i := range w.procs {
 		m := w.procs[i].m
-		epochs = append(epochs, m.epoch, m.stopAt)
+		epochs = append(epochs, m.epoch, m.stopEpoch)
 		if l := w.procs[i].leader; l != nil {
-			reigns = append(reigns, l.reign)
-			epochs = append(epochs, l.stop)
+			reigns = append(reigns, l.term)
+			epochs = append(epochs, l.stopEpoch)
 			for _, x := range l.holders {
-				epochs = append(epochs, x.stopped)
+				epochs = append(epochs, x.stoppedEpoch)
 			}
 		}
 	}
 	for _, x := range w.late {
-		epochs, reigns, rosters = append(epochs, x.reply.Epoch, x.cmd.Epoch, x.renew.Stopped), append(reigns, x.cmd.Reign), append(rosters, x.cmd.Roster)
+		epochs, reigns, rosters = append(epochs, x.reply.Epoch, x.cmd.Epoch, x.renew.StoppedEpoch), append(reigns, x.cmd.LeaderTerm), append(rosters, x.cmd.HoldersVersion)
 	}
 	rank := func(all []uint64) func(uint64) byte {
 		slices.Sort(all)
@@ -526,13 +526,13 @@
 	}
 	ago := func(t time.Duration) { put(byte(min(max((w.now-t)/unit, -4), 4) + 4)) }
 	state := func(s *State) {
-		put(epoch(s.Epoch), reign(s.Reign), roster(s.Roster), byte(s.InForce().Number), byte(s.Last), byte(len(s.Outcomes)))
+		put(epoch(s.Epoch), reign(s.LeaderTerm), roster(s.HoldersVersion), byte(s.InForce().Number), byte(s.LastProposal), byte(len(s.Outcomes)))
 		buf = append(buf, s.InForce().Hash...)
 		for _, r := range s.Holders {
-			put(r.Name[0], byte(r.Gen))
+			put(r.Name[0], byte(r.Generation))
 		}
 		for i := range w.procs {
-			put(byte(s.Floors[w.procs[i].m.Holder.Name]))
+			put(byte(s.MinGenerations[w.procs[i].m.Holder.Name]))
 		}
 		if p := s.Pending; p != nil {
 			put('p', byte(p.ID))
@@ -552,24 +552,24 @@
 	for i := range w.procs {
 		p := &w.procs[i]
 		m := p.m
-		flag(w.slowLog, p.dead, p.stopped, p.slow, p.left, m.known, m.has, m.no != "")
-		flag(m.unfit != "", m.took >= m.stopSeq, m.took >= m.permission.Seq, p.loop.Seq == m.permission.Seq, p.leader != nil, p.st != nil)
-		put(byte(p.gen), byte(m.Holder.Gen), epoch(m.epoch), epoch(m.stopAt), byte(m.number), byte(m.staged), byte(m.permission.Phase), byte(m.permission.Number))
+		flag(w.slowLog, p.dead, p.stopped, p.slow, p.left, m.listed, m.hasText, m.rejection != "")
+		flag(m.incompatibility != "", m.acknowledged >= m.stopSeq, m.acknowledged >= m.lease.Seq, p.loop.Seq == m.lease.Seq, p.leader != nil, p.st != nil)
+		put(byte(p.gen), byte(m.Holder.Generation), epoch(m.epoch), epoch(m.stopEpoch), byte(m.number), byte(m.staged), byte(m.lease.Phase), byte(m.lease.Number))
 		put(byte(p.loop.Phase), byte(p.loop.Number))
-		if m.permission.Phase == AtWork {
-			ago(m.permission.Until)
+		if m.lease.Phase == Active {
+			ago(m.lease.Until)
 		}
-		if p.loop.Phase == AtWork {
+		if p.loop.Phase == Active {
 			ago(p.loop.Until)
 		}
 		if l := p.leader; l != nil && !p.dead {
-			put(reign(l.reign), byte(l.proposal), epoch(l.stop))
-			ago(l.began)
+			put(reign(l.term), byte(l.proposal), epoch(l.stopEpoch))
+			ago(l.termBegan)
 			if l.proposal != 0 {
-				ago(l.since)
+				ago(l.proposalSeen)
 			}
-			if l.stop != 0 {
-				ago(l.stopped)
+			if l.stopEpoch != 0 {
+				ago(l.stopSeen)
 			}
 			for j := range w.procs {
 				for g := uint64(1); g <= w.procs[j].gen; g++ {
@@ -577,10 +577,10 @@
 					if x == nil {
 						continue
 					}
-					put(byte(j), byte(g), byte(x.answers), epoch(x.stopped))
-					ago(x.granted)
-					ago(x.seen)
-					flag(x.condemned, x.missed, x.no != "")
+					put(byte(j), byte(g), byte(x.answeredProposal), epoch(x.stoppedEpoch))
+					ago(x.lastGrant)
+					ago(x.lastRenewal)
+					flag(x.expiring, x.missedStop, x.rejection != "")
 				}
 			}
 			if p.st != nil {
@@ -591,11 +591,11 @@
 	for _, x := range w.late {
 		put('l', x.kind, byte(x.to), byte(x.from), byte(x.gen))
 		ago(x.asked)
-		put(byte(x.renew.Has), byte(x.renew.Answers), epoch(x.renew.Stopped), epoch(x.reply.Epoch), byte(x.reply.Number), byte(x.reply.Proposal))
-		flag(x.reply.Known, x.reply.Stopped, x.reply.Granted, x.kind != 'c' && x.seq > w.procs[x.from].m.floor, x.renew.No != "", x.reply.Text != nil, x.reply.Proposed != nil)
+		put(byte(x.renew.HasNumber), byte(x.renew.AnsweredProposal), epoch(x.renew.StoppedEpoch), epoch(x.reply.Epoch), byte(x.reply.Number), byte(x.reply.Proposal))
+		flag(x.reply.Known, x.reply.Stopped, x.reply.Granted, x.kind != 'c' && x.seq > w.procs[x.from].m.ignoreUpTo, x.renew.Rejection != "", x.reply.Text != nil, x.reply.Proposed != nil)
 		buf = append(buf, x.cmd.Op...)
 		buf = append(buf, x.cmd.Holder.Name...)
-		put(reign(x.cmd.Reign), epoch(x.cmd.Epoch), roster(x.cmd.Roster), byte(x.cmd.ID), byte(x.cmd.Holder.Gen))
+		put(reign(x.cmd.LeaderTerm), epoch(x.cmd.Epoch), roster(x.cmd.HoldersVersion), byte(x.cmd.ProposalID), byte(x.cmd.Holder.Generation))
 	}
 	return xxhash.Sum64(buf)
 }
--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -75,14 +75,14 @@
 
 // text is the record as operators write it: times with their units, without the form, which is this program's.
 type text struct {
-	Note    string            `json:"note,omitzero"`
-	Classes []class           `json:"classes,omitempty"`
-	Tenants []revision.Tenant `json:"tenants,omitempty"`
-	Regions []revision.Place  `json:"regions,omitempty"`
-	Zones   []revision.Place  `json:"zones,omitempty"`
-	Budgets revision.Budgets  `json:"budgets,omitzero"`
-	Moves   revision.Moves    `json:"moves,omitzero"`
-	Links   []revision.Link   `json:"links,omitempty"`
+	Note    string             `json:"note,omitzero"`
+	Classes []class            `json:"classes,omitempty"`
+	Tenants []revision.Tenant  `json:"tenants,omitempty"`
+	Regions []revision.Place   `json:"regions,omitempty"`
+	Zones   []revision.Place   `json:"zones,omitempty"`
+	Budgets revision.Budgets   `json:"budgets,omitzero"`
+	Moves   revision.Migration `json:"moves,omitzero"`
+	Links   []revision.Link    `json:"links,omitempty"`
 }
 
 type class struct {
@@ -102,7 +102,7 @@
 	if bytes.HasPrefix(bytes.TrimSpace(body), []byte(`{"oatloft_revision"`)) { // as balancers write it
 		c, err := revision.Decode(bytes.TrimSpace(body))
 		if err == nil {
-			err = revision.Sound(c)
+			err = revision.Validate(c)
 		}
 		if err != nil {
 			return nil, Faults{{path, 0, 0, "", err.Error(), hint.Of(err)}}
@@ -130,13 +130,13 @@
 	if err := json.Unmarshal(values, &t); err != nil {
 		return nil, Faults{{path, 0, 0, "", err.Error(), "use whole numbers within the bounds where the schema asks for int"}}
 	}
-	c := revision.Content{Form: revision.Form, Note: t.Note, Tenants: t.Tenants, Regions: t.Regions, Zones: t.Zones, Budgets: t.Budgets, Moves: t.Moves, Links: t.Links}
+	c := revision.Content{Form: revision.Form, Note: t.Note, Tenants: t.Tenants, Servers: t.Regions, Zones: t.Zones, Budgets: t.Budgets, Migration: t.Moves, Links: t.Links}
 	for i, k := range t.Classes {
-		x := revision.Class{Name: k.Name, Order: k.Order, Attempts: k.Attempts}
+		x := revision.Class{Name: k.Name, PriorityRank: k.Order, MaxAttempts: k.Attempts}
 		for _, at := range []struct {
 			field, text string
 			to          *time.Duration
-		}{{"aim", k.Aim, &x.Aim}, {"message_aim", k.MessageAim, &x.MessageAim}} {
+		}{{"aim", k.Aim, &x.LatencyObjective}, {"message_aim", k.MessageAim, &x.MessageLatencyObjective}} {
 			if at.text == "" {
 				continue
 			}
@@ -151,9 +151,9 @@
 		}
 		c.Classes = append(c.Classes, x)
 	}
-	var wrong *revision.Unfit
-	if err := revision.Sound(&c); errors.As(err, &wrong) {
-		return nil, Faults{place(path, given, wrong.Field, wrong.What(), wrong.Do)}
+	var wrong *revision.Incompatible
+	if err := revision.Validate(&c); errors.As(err, &wrong) {
+		return nil, Faults{place(path, given, wrong.Field, wrong.Message(), wrong.Remedy)}
 	}
 	return &c, nil
 }
@@ -189,9 +189,9 @@
 
 // Format is c as an operator would write it; Parse gives c back if it is sound.
 func Format(c *revision.Content) []byte {
-	t := text{Note: c.Note, Tenants: c.Tenants, Regions: c.Regions, Zones: c.Zones, Budgets: c.Budgets, Moves: c.Moves, Links: c.Links}
+	t := text{Note: c.Note, Tenants: c.Tenants, Regions: c.Servers, Zones: c.Zones, Budgets: c.Budgets, Moves: c.Migration, Links: c.Links}
 	for _, k := range c.Classes {
-		t.Classes = append(t.Classes, class{k.Name, k.Order, length(k.Aim), length(k.MessageAim), k.Attempts})
+		t.Classes = append(t.Classes, class{k.Name, k.PriorityRank, length(k.LatencyObjective), length(k.MessageLatencyObjective), k.MaxAttempts})
 	}
 	body, err := json.Marshal(t)
 	if err != nil {
--- a/internal/revisioncue/revisioncue_test.go
+++ b/internal/revisioncue/revisioncue_test.go
@@ -33,10 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &revision.Content{Form: 1, Note: "bulk last, mba drained", Classes: []revision.Class{{Name: "gold", Order: 1, Aim: 300 * time.Millisecond, Attempts: 3},
-		{Name: "bulk", Order: 2, MessageAim: 1500 * time.Millisecond}}, Tenants: []revision.Tenant{{Name: "t1", Connections: 5000}}, Regions: []revision.Place{{ID: "r-7", Out: true}},
-		Zones: []revision.Place{{ID: "mba", Weight: 0.25}}, Budgets: revision.Budgets{Retries: 0.2, Setups: 100, Cold: 0.5}, Moves: revision.Moves{PerSecond: 2},
-		Links: []revision.Link{{From: "nrb", To: "mba", Bytes: 20000, Classes: []revision.LinkClass{{Name: "gold", Priority: 1, Least: 0.5, Weight: 1}, {Name: "bulk", Priority: 2, Weight: 1}}}}}
+	want := &revision.Content{Form: 1, Note: "bulk last, mba drained", Classes: []revision.Class{{Name: "gold", PriorityRank: 1, LatencyObjective: 300 * time.Millisecond, MaxAttempts: 3},
+		{Name: "bulk", PriorityRank: 2, MessageLatencyObjective: 1500 * time.Millisecond}}, Tenants: []revision.Tenant{{Name: "t1", ConnectionQuota: 5000}}, Servers: []revision.Place{{ID: "r-7", Excluded: true}},
+		Zones: []revision.Place{{ID: "mba", Weight: 0.25}}, Budgets: revision.Budgets{RetryRatio: 0.2, MaxPendingAttempts: 100, WarmUpShare: 0.5}, Migration: revision.Migration{PerSecond: 2},
+		Links: []revision.Link{{From: "nrb", To: "mba", Bytes: 20000, Classes: []revision.LinkClass{{Name: "gold", Priority: 1, MinShare: 0.5, Weight: 1}, {Name: "bulk", Priority: 2, Weight: 1}}}}}
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Fatal(diff)
 	}
@@ -54,12 +54,12 @@
 func TestFormat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := func() time.Duration {
-			return time.Duration(rapid.Int64Range(int64(revision.LeastAim), int64(revision.MostAim)).Draw(t, "aim"))
+			return time.Duration(rapid.Int64Range(int64(revision.MinObjective), int64(revision.MaxObjective)).Draw(t, "aim"))
 		}
-		c := &revision.Content{Form: revision.Form, Note: rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "note"), Classes: []revision.Class{{Name: "gold", Aim: d(), MessageAim: d().Round(time.Second)}},
-			Tenants: []revision.Tenant{{Name: "if"}}, Regions: []revision.Place{{ID: rapid.StringMatching(`[!-~]{1,12}`).Draw(t, "id"), Weight: rapid.Float64Range(1e-5, 100).Draw(t, "weight")}},
-			Zones:   []revision.Place{{ID: "mba", Out: true}},
-			Budgets: revision.Budgets{Cold: rapid.Float64Range(0, 1).Draw(t, "cold")},
+		c := &revision.Content{Form: revision.Form, Note: rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "note"), Classes: []revision.Class{{Name: "gold", LatencyObjective: d(), MessageLatencyObjective: d().Round(time.Second)}},
+			Tenants: []revision.Tenant{{Name: "if"}}, Servers: []revision.Place{{ID: rapid.StringMatching(`[!-~]{1,12}`).Draw(t, "id"), Weight: rapid.Float64Range(1e-5, 100).Draw(t, "weight")}},
+			Zones:   []revision.Place{{ID: "mba", Excluded: true}},
+			Budgets: revision.Budgets{WarmUpShare: rapid.Float64Range(0, 1).Draw(t, "cold")},
 			Links:   []revision.Link{{From: "a", To: "b", Bytes: rapid.Float64Range(1, 1e12).Draw(t, "bytes"), Classes: []revision.LinkClass{{Name: "gold", Priority: 3, Weight: 1}}}}}
 		text := Format(c)
 		back, err := Parse("x.cue", text)
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := "k-1 ended nowhere, for b2: " + hint.Line(revision.Check(c, revision.Today{Classes: []string{"gold"}, MaxAttempts: 3}))
+	answer := "k-1 ended nowhere, for b2: " + hint.Line(revision.Check(c, revision.Environment{Classes: []string{"gold"}, MaxAttempts: 3}))
 	for text, want := range map[string]string{answer: "x.cue:4:3", "classes[7].name: lost": "x.cue:2:1", "budgets.setups: 100 is": "x.cue:9:25", "later: nobody leads": "x.cue"} {
 		if got := Where("x.cue", []byte(sample), text); got != want {
 			t.Errorf("%s: %s, not %s", text, got, want)
