--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -1,22 +1,22 @@
 package revision
 
-// This file owns how two revisions differ, in words for operators. Two whose hashes are equal differ in nothing; it must never
-// say that two are alike that aren't.
-
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strconv"
 	"time"
 )
 
-// Diff is what b says otherwise than a, one line for each field, in the order of the names; none where their hashes are equal.
+// Diff says how b differs from a, one line for each field, in the order of the names; none where their hashes are equal.
 func Diff(a, b *Content) []string {
-	was, is := describe(a), describe(b)
+	before, after := describe(a), describe(b)
+	names := maps.Clone(before)
+	maps.Copy(names, after)
 	var lines []string
-	for _, name := range fieldNames(was, is) {
-		old, had := was[name]
-		now, has := is[name]
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		old, had := before[name]
+		now, has := after[name]
 		switch {
 		case old == now && had == has:
 		case !had:
@@ -30,81 +30,87 @@
 	return lines
 }
 
-func fieldNames(maps ...map[string]string) []string {
-	all := map[string]bool{}
-	for _, m := range maps {
-		for name := range m {
-			all[name] = true
-		}
-	}
-	names := make([]string, 0, len(all))
-	for name := range all {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
+// description is every field that a revision says, by a name that does not depend on the order of lists. What is left at zero is not
+// said, but an entry that says nothing is still an entry.
+type description map[string]string
 
-// describe is every field that c says, by a name that doesn't hang on the order of lists. What is left at zero isn't said, but an
-// entry that says nothing is still an entry.
-func describe(c *Content) map[string]string {
-	m := map[string]string{}
-	number := func(field string, x float64) {
-		if x != 0 {
-			m[field] = strconv.FormatFloat(x, 'g', -1, 64)
-		}
+func describe(c *Content) description {
+	d := description{}
+	d.number("form", float64(c.Form))
+	if c.Note != "" {
+		d["note"] = strconv.Quote(c.Note)
 	}
-	length := func(field string, d time.Duration) {
-		if d != 0 {
-			m[field] = d.String()
+	d.classes(c.Classes)
+	for _, tenant := range c.Tenants {
+		quota := "no limit"
+		if tenant.ConnectionQuota != 0 {
+			quota = formatFloat(tenant.ConnectionQuota)
 		}
+		d["tenants "+tenant.Name+" connections"] = quota
 	}
-	entry := func(field string, bare bool) {
-		if bare {
-			m[field] = "named"
-		}
+	d.places("regions ", c.Servers)
+	d.places("zones ", c.Zones)
+	d.number("budgets retries", c.Budgets.RetryRatio)
+	d.number("budgets setups", float64(c.Budgets.MaxPendingAttempts))
+	d.number("budgets cold", c.Budgets.WarmUpShare)
+	d.number("moves per_second", c.Migration.PerSecond)
+	d.links(c.Links)
+	return d
+}
+
+func formatFloat(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+
+func (d description) number(field string, x float64) {
+	if x != 0 {
+		d[field] = formatFloat(x)
 	}
-	number("form", float64(c.Form))
-	if c.Note != "" {
-		m["note"] = strconv.Quote(c.Note)
+}
+
+func (d description) duration(field string, x time.Duration) {
+	if x != 0 {
+		d[field] = x.String()
 	}
-	for _, k := range c.Classes {
-		at := "classes " + k.Name
-		number(at+" order", float64(k.PriorityRank))
-		length(at+" aim", k.LatencyObjective)
-		length(at+" message_aim", k.MessageLatencyObjective)
-		number(at+" attempts", float64(k.MaxAttempts))
-		entry(at, k == Class{Name: k.Name})
+}
+
+// entry describes an entry that says nothing but its name.
+func (d description) entry(field string, empty bool) {
+	if empty {
+		d[field] = "named"
 	}
-	for _, t := range c.Tenants {
-		m["tenants "+t.Name+" connections"] = strconv.FormatFloat(t.ConnectionQuota, 'g', -1, 64)
-		if t.ConnectionQuota == 0 {
-			m["tenants "+t.Name+" connections"] = "no limit"
-		}
+}
+
+func (d description) classes(classes []Class) {
+	for _, class := range classes {
+		at := "classes " + class.Name
+		d.number(at+" order", float64(class.PriorityRank))
+		d.duration(at+" aim", class.LatencyObjective)
+		d.duration(at+" message_aim", class.MessageLatencyObjective)
+		d.number(at+" attempts", float64(class.MaxAttempts))
+		d.entry(at, class == Class{Name: class.Name})
 	}
-	for list, places := range map[string][]Place{"regions ": c.Servers, "zones ": c.Zones} {
-		for _, p := range places {
-			if p.Excluded {
-				m[list+p.ID] = "left out"
-			}
-			number(list+p.ID+" weight", p.Weight)
-			entry(list+p.ID, p == Place{ID: p.ID})
+}
+
+func (d description) places(list string, places []Place) {
+	for _, place := range places {
+		at := list + place.ID
+		if place.Excluded {
+			d[at] = "left out"
 		}
+		d.number(at+" weight", place.Weight)
+		d.entry(at, place == Place{ID: place.ID})
 	}
-	number("budgets retries", c.Budgets.RetryRatio)
-	number("budgets setups", float64(c.Budgets.MaxPendingAttempts))
-	number("budgets cold", c.Budgets.WarmUpShare)
-	number("moves per_second", c.Migration.PerSecond)
-	for _, l := range c.Links {
-		at := "links " + l.name()
-		m[at+" bytes"] = strconv.FormatFloat(l.Bytes, 'f', -1, 64)
-		for _, k := range l.Classes {
-			at := at + " " + k.Name
-			number(at+" priority", float64(k.Priority))
-			number(at+" least", k.MinShare)
-			number(at+" weight", k.Weight)
-			entry(at, k == LinkClass{Name: k.Name})
+}
+
+func (d description) links(links []Link) {
+	for _, link := range links {
+		at := "links " + link.name()
+		d[at+" bytes"] = strconv.FormatFloat(link.Bytes, 'f', -1, 64)
+		for _, class := range link.Classes {
+			at := at + " " + class.Name
+			d.number(at+" priority", float64(class.Priority))
+			d.number(at+" least", class.MinShare)
+			d.number(at+" weight", class.Weight)
+			d.entry(at, class == LinkClass{Name: class.Name})
 		}
 	}
-	return m
 }
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -1,7 +1,5 @@
 package revision
 
-// This file owns the errors that proposals and calls are refused with, each a type of its own. They must say what an operator can do.
-
 import (
 	"fmt"
 	"strings"
@@ -15,6 +13,7 @@
 	By   string
 }
 
+// Error says what is wrong.
 func (e *ProposalPending) Error() string {
 	return fmt.Sprintf("another proposal is under way: %s (%s) by %s", e.Key, e.Kind, e.By)
 }
@@ -24,27 +23,30 @@
 	return "wait for it with oatctl revision wait " + e.Key + ", look at what it made, and propose anew"
 }
 
-// BaseChanged is the error that another revision is in force than the one that the proposal was made from.
+// BaseChanged is the error that another revision is in force than the one on which the proposal was based.
 type BaseChanged struct {
 	From, InForce uint64
 	Hash          string
 }
 
+// Error says what is wrong.
 func (e *BaseChanged) Error() string {
 	return fmt.Sprintf("revision %d is in force (%s), not %d", e.InForce, ShortHash(e.Hash), e.From)
 }
 
 // Hint is what an operator can do.
 func (e *BaseChanged) Hint() string {
-	return fmt.Sprintf("see what has changed with oatctl revision diff %d %d, and propose anew with --from %d", e.From, e.InForce, e.InForce)
+	return fmt.Sprintf("see what has changed with oatctl revision diff %d %d, and propose anew with --from %d",
+		e.From, e.InForce, e.InForce)
 }
 
-// GuardActive is the error that the revision in force is being watched.
+// GuardActive is the error that the guard of the revision in force is not over.
 type GuardActive struct {
 	Number   uint64
 	Duration int64
 }
 
+// Error says what is wrong.
 func (e *GuardActive) Error() string {
 	return fmt.Sprintf("revision %d is watched for %v and not kept yet", e.Number, time.Duration(e.Duration))
 }
@@ -57,18 +59,21 @@
 // RevisionForgotten is the error that a revision is not in the history any more.
 type RevisionForgotten struct{ Number, First uint64 }
 
+// Error says what is wrong.
 func (e *RevisionForgotten) Error() string {
 	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.First)
 }
 
 // Hint is what an operator can do.
 func (e *RevisionForgotten) Hint() string {
-	return "take one from oatctl revision list, or propose the text anew; revisions.history and history_bytes say how many are kept"
+	return "take one from oatctl revision list, or propose the text anew; " +
+		"revisions.history and history_bytes say how many are kept"
 }
 
 // RevisionMissing is the error that there has been no such revision.
 type RevisionMissing struct{ Number, InForce uint64 }
 
+// Error says what is wrong.
 func (e *RevisionMissing) Error() string {
 	return fmt.Sprintf("there has been no revision %d; %d is in force", e.Number, e.InForce)
 }
@@ -76,9 +81,10 @@
 // Hint is what an operator can do.
 func (e *RevisionMissing) Hint() string { return "take one from oatctl revision list" }
 
-// UnknownHolder is the error that nobody of that name is in the roster.
+// UnknownHolder is the error that no process of that name is listed.
 type UnknownHolder struct{ Name string }
 
+// Error says what is wrong.
 func (e *UnknownHolder) Error() string { return "no member " + e.Name + " may route newcomers" }
 
 // Hint is what an operator can do.
@@ -86,12 +92,13 @@
 	return "see the names in oatctl revision status; one that isn't there holds nothing up"
 }
 
-// Superseded is the error that a later process of this name has told that this one has ended.
+// Superseded is the error that a later process of this name has reported that this one has ended.
 type Superseded struct {
 	Name  string
 	Floor uint64
 }
 
+// Error says what is wrong.
 func (e *Superseded) Error() string {
 	return fmt.Sprintf("a later process of %s (%d) has taken its place", e.Name, e.Floor)
 }
@@ -101,17 +108,19 @@
 	return "run one balancer under a name, but in an upgrade; see that the machine's clock doesn't go back"
 }
 
-// StaleCommand is the error that a coordinator's step was settled too late to count. Nothing has happened.
+// StaleCommand is the error that a leader's command was committed too late to count. Nothing has happened.
 type StaleCommand struct{ Step, Cause string }
 
+// Error says what is wrong.
 func (e *StaleCommand) Error() string { return e.Step + " came too late: " + e.Cause }
 
 // Hint is what an operator can do.
 func (e *StaleCommand) Hint() string { return "do it again" }
 
-// Corrupt is the error that a snapshot or entry can't be read.
+// Corrupt is the error that a snapshot, entry or call cannot be read.
 type Corrupt struct{ Cause string }
 
+// Error says what is wrong.
 func (e *Corrupt) Error() string { return "what is settled can't be read: " + e.Cause }
 
 // Hint is what an operator can do.
@@ -119,13 +128,14 @@
 	return "move the revisions' folder aside and start again: the balancer comes back as a new voter"
 }
 
-// ProposalFailed is the error that a proposal ended nowhere.
+// ProposalFailed is the error that a proposal was given up.
 type ProposalFailed struct {
 	Key     string
 	Members []string
 	Reason  string
 }
 
+// Error says what is wrong.
 func (e *ProposalFailed) Error() string {
 	if len(e.Members) == 0 {
 		return e.Key + " ended nowhere: " + e.Reason
@@ -138,5 +148,6 @@
 	if len(e.Members) == 0 {
 		return "propose anew, under a new key"
 	}
-	return "mend what it says at " + strings.Join(e.Members, ", ") + ", or, if that balancer is off for good, oatctl revision forget it; then propose anew"
+	return "mend what it says at " + strings.Join(e.Members, ", ") +
+		", or, if that balancer is off for good, oatctl revision forget it; then propose anew"
 }
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -1,35 +1,45 @@
 package revision
 
-// This file owns the guard: whether the members' own figures since a revision came in force stay within bounds of what was before.
-// It must never take few figures for a sign.
-
 import (
 	"slices"
 	"strings"
 	"time"
 )
 
-// Bounds of the guard: a rate may be half as much again as before and two points more, and is judged from so many asked on.
+// Bounds of the guard.
 const (
-	maxRateFactor   = 1.5
-	maxRateIncrease = 0.02
-	minRequests     = 50
-	maxBlindRate    = 0.25 // where hardly anything was asked before, a rate that is taken for bad
+	maxRateFactor   = 1.5  // a rate may be half as much again as before ...
+	maxRateIncrease = 0.02 // ... and two points more
+	minRequests     = 50   // from which on a rate is judged: few requests are no sign
+	maxBlindRate    = 0.25 // where hardly anything was requested before
 	sampleInterval  = time.Second
-	maxSamples      = 30 // samples kept of the time before
+	maxSamples      = 30 // of the time before
 )
 
+// guard compares the members' totals since a revision came in force with those of the time before.
 type guard struct {
-	since       time.Duration // when this leader began to watch
-	number      uint64        // the revision that it watches
-	startTotals Totals        // the total then
-	samples     []Totals      // totals, one each guardEvery
+	since       time.Duration // when this leader began to watch the revision
+	number      uint64        // of the revision
+	startTotals Totals        // when it began
+	samples     []Totals      // running totals, one each sampleInterval
 	nextSample  time.Duration
 }
 
 func (g *guard) reset(now time.Duration) { *g = guard{nextSample: now} }
 
-// totalsBefore are the figures of the time that the samples span.
+// sample keeps the running totals.
+func (g *guard) sample(now time.Duration, totals Totals) {
+	if now < g.nextSample {
+		return
+	}
+	g.nextSample = now + sampleInterval
+	g.samples = append(g.samples, totals)
+	if len(g.samples) > maxSamples {
+		g.samples = slices.Delete(g.samples, 0, 1)
+	}
+}
+
+// totalsBefore are the totals of the time that the samples span.
 func (g *guard) totalsBefore() Totals {
 	if len(g.samples) < 2 {
 		return Totals{}
@@ -37,64 +47,69 @@
 	return g.samples[len(g.samples)-1].minus(g.samples[0])
 }
 
-// addTotals takes a holder's running totals; those that it came with don't count.
-func (l *Leader) addTotals(x *holderState, f Totals) {
-	if x.hasTotals {
-		l.totals = l.totals.plus(f.minus(x.totals))
+// addTotals takes a holder's running totals; those that it came with do not count.
+func (l *Leader) addTotals(h *holderState, totals Totals) {
+	if h.hasTotals {
+		l.totals = l.totals.plus(totals.minus(h.totals))
 	}
-	x.hasTotals, x.totals = true, f
+	h.hasTotals, h.totals = true, totals
 }
 
-// checkGuard is what is to be settled for the sake of the revision that is watched, while no proposal is under way.
+// checkGuard returns what is to be committed for the sake of the guarded revision, while no proposal is under way: a rollback if the
+// totals are worse than before, or the end of the guard.
 func (l *Leader) checkGuard(now time.Duration, s *State) []Command {
 	g := &l.guard
-	if now >= g.nextSample {
-		g.nextSample = now + sampleInterval
-		g.samples = append(g.samples, l.totals)
-		if len(g.samples) > maxSamples {
-			g.samples = slices.Delete(g.samples, 0, 1)
-		}
-	}
-	w := s.Guard
-	if w == nil || w.Kept || w.FailedRollbacks >= MaxFailedRollbacks {
+	g.sample(now, l.totals)
+	window := s.Guard
+	if window == nil || window.Kept || window.FailedRollbacks >= MaxFailedRollbacks {
 		return nil
 	}
-	if g.number != w.Number {
-		g.number, g.since, g.startTotals = w.Number, now, l.totals
+	if g.number != window.Number {
+		g.number, g.since, g.startTotals = window.Number, now, l.totals
 	}
-	since := l.totals.minus(g.startTotals)
-	over := now >= g.since+time.Duration(w.Duration)
-	if why := Worse(w.Before, since); why != "" {
-		key := "guard-" + formatUint(w.Number) + strings.Repeat("+", w.FailedRollbacks)
-		return []Command{{Op: OpPropose, Key: key, Kind: KindGuard, Base: w.Number, Source: w.RollbackTo, By: "guard: " + why}}
+	if reason := Worse(window.Before, l.totals.minus(g.startTotals)); reason != "" {
+		return []Command{{
+			Op:     OpPropose,
+			Key:    "guard-" + formatUint(window.Number) + strings.Repeat("+", window.FailedRollbacks),
+			Kind:   KindGuard,
+			Base:   window.Number,
+			Source: window.RollbackTo,
+			By:     "guard: " + reason,
+		}}
 	}
-	if over {
-		return []Command{{Op: OpKeep, LeaderTerm: l.term, Source: w.Number}}
+	if now >= g.since+time.Duration(window.Duration) {
+		return []Command{{Op: OpKeep, LeaderTerm: l.term, Source: window.Number}}
 	}
 	return nil
 }
 
-// Worse says what is out of bounds now, "" for nothing.
+// Worse says which rate is out of bounds now, "" for none.
 func Worse(before, now Totals) string {
 	if now.Requests < minRequests {
 		return ""
 	}
 	for _, x := range []struct {
-		what     string
-		was, now int64
-	}{{"refused", before.Rejected, now.Rejected}, {"failed", before.Failed, now.Failed}, {"late", before.Late, now.Late}} {
-		was := float64(x.was) / float64(max(before.Requests, 1))
-		most := was*maxRateFactor + maxRateIncrease
+		rate        string
+		before, now int64
+	}{
+		{"refused", before.Rejected, now.Rejected},
+		{"failed", before.Failed, now.Failed},
+		{"late", before.Late, now.Late},
+	} {
+		rateBefore := float64(x.before) / float64(max(before.Requests, 1))
+		limit := rateBefore*maxRateFactor + maxRateIncrease
 		if before.Requests < minRequests {
-			most = maxBlindRate
+			limit = maxBlindRate
 		}
-		if is := float64(x.now) / float64(now.Requests); is > most {
-			return x.what + " " + percent(is) + ", before " + percent(was)
+		if rate := float64(x.now) / float64(now.Requests); rate > limit {
+			return x.rate + " " + percent(rate) + ", before " + percent(rateBefore)
 		}
 	}
 	return ""
 }
 
-func percent(x float64) string {
-	return formatUint(uint64(x*1000+0.5)/10) + "." + formatUint(uint64(x*1000+0.5)%10) + "%"
+// percent writes a rate with one decimal.
+func percent(rate float64) string {
+	tenths := uint64(rate*1000 + 0.5)
+	return formatUint(tenths/10) + "." + formatUint(tenths%10) + "%"
 }
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -1,9 +1,5 @@
 package revision
 
-// This file owns what one process may do: by which revision it may route newcomers, and until when by its own clock. It takes
-// the leader's answers and what the data's loop has taken up, and says what is to be told to the leader. It must never lengthen a
-// permission but by a grant, which counts from the moment at which it was asked for, nor say that it has stopped before the loop has.
-
 import (
 	"encoding/json"
 	"errors"
@@ -12,198 +8,164 @@
 	"oatloft/internal/failpoint"
 )
 
-// LeasePhase is what a process may do.
-type LeasePhase uint8
-
-// The phases.
-const (
-	Learning  LeasePhase = iota // it doesn't know yet what is in force, or can't route by it
-	Active                      // newcomers go by Number until Until
-	Suspended                   // it has heard that the next one is about to be in force
-	Expired                     // its permission has run out, or was taken away
-	Released                    // it has given it up for good
-)
-
-func (p LeasePhase) String() string {
-	return [...]string{"learning", "at-work", "between", "lapsed", "left"}[p]
-}
-
-// Lease is what a process may do now. Seq grows whenever anything but a later Until is new.
-type Lease struct {
-	Seq    uint64
-	Phase  LeasePhase
-	Number uint64
-	Hash   string
-	Text   json.RawMessage
-	Until  time.Duration // by this process's clock; Forever for no end
-	Reason string
-}
-
-// Forever is the end of a permission that doesn't end by time.
-const Forever = time.Duration(1<<63 - 1)
-
-// Allows tells whether newcomers may be routed now.
-func (p *Lease) Allows(now time.Duration) bool { return p.Phase == Active && now < p.Until }
-
-// RenewRequest is what a holder tells and asks. Numbers are 0 for none.
-type RenewRequest struct {
-	Holder
-	HoldOnPartition  bool   `json:"c,omitempty"`
-	Seq              uint64 `json:"s"`           // of the asking
-	HasNumber        uint64 `json:"t,omitempty"` // the revision whose text it has, plus one
-	AnsweredProposal uint64 `json:"p,omitempty"` // the proposal that it has staged or turned down
-	Rejection        string `json:"no,omitempty"`
-	StoppedEpoch     uint64 `json:"e,omitempty"` // the epoch of the stop that its loop has taken up
-	Totals           Totals `json:"f,omitzero"`
-	Links            []byte `json:"l,omitempty"`
-}
-
-// RenewReply is the leader's answer.
-type RenewReply struct {
-	Known         bool            `json:"k,omitempty"` // the holder is in the roster
-	MinGeneration uint64          `json:"fl,omitempty"`
-	Epoch         uint64          `json:"e"`
-	Stopped       bool            `json:"s,omitempty"`
-	Granted       bool            `json:"g,omitempty"`
-	Lease         time.Duration   `json:"d,omitempty"`
-	Number        uint64          `json:"n"` // in force
-	Hash          string          `json:"h,omitempty"`
-	Text          json.RawMessage `json:"t,omitempty"` // where the holder hasn't got it
-	Proposal      uint64          `json:"p,omitempty"`
-	Proposed      json.RawMessage `json:"pt,omitempty"` // where the holder hasn't answered
-	ProposedHash  string          `json:"ph,omitempty"`
-	Next          time.Duration   `json:"x,omitempty"` // ask again after
-	Links         []byte          `json:"l,omitempty"`
-}
-
-// Member is one process's part.
+// Member is one process's part: by which revision it may place new requests, and until when by its own clock. It takes the leader's
+// replies and the loop's acknowledgements, and says what is to be told to the leader. Only a grant lengthens a lease, from the moment
+// at which it was requested; and the member says that it has stopped only once the loop has acknowledged that.
+//
+// A Member has no goroutine and no clock. Its methods may not be called at the same time.
 type Member struct {
 	Holder          Holder
 	HoldOnPartition bool
 	Check           func(text json.RawMessage) error // against this balancer's own settings and list
 
-	lease           Lease
-	acknowledged    uint64 // Seq that the loop has taken up
-	lastRequest     uint64 // last asking
-	ignoreUpTo      uint64 // answers to askings up to this one don't count
-	listed          bool   // in the roster, as far as told
-	epoch           uint64 // latest heard of
-	stopEpoch       uint64 // epoch of the stop heard of, 0 for none
-	stopSeq         uint64 // Seq by which that was told to the loop
-	hasText         bool   // text of number
+	lease        Lease
+	acknowledged uint64 // Seq by which the loop goes
+	lastRequest  uint64 // Seq of the last request
+	ignoreUpTo   uint64 // replies to requests up to this one do not count
+	listed       bool   // as far as it knows
+	epoch        uint64 // the latest heard of
+	stopEpoch    uint64 // epoch of the stop heard of; 0 for none
+	stopSeq      uint64 // Seq by which the loop was told of that
+	inForce      inForce
+	staged       stagedProposal
+}
+
+// inForce is the revision in force, as far as a member knows.
+type inForce struct {
+	hasText         bool
 	number          uint64
 	hash            string
 	text            json.RawMessage
-	staged          uint64 // proposal
-	stagedHash      string
-	stagedText      json.RawMessage
-	rejection       string
-	incompatibility string // why it can't route by what is in force
+	incompatibility string // why this balancer cannot route by it; "" if it can
 }
 
-// NewMember is a process that knows of nothing.
-func NewMember(h Holder, hold bool, check func(json.RawMessage) error) *Member {
-	return &Member{Holder: h, HoldOnPartition: hold, Check: check, lease: Lease{Seq: 1, Reason: "it has not heard yet what is in force"}}
+// stagedProposal is the latest proposal that a member has answered. It stays staged when the proposal has ended: the next thing heard
+// may be that it is in force.
+type stagedProposal struct {
+	id        uint64 // 0 for none
+	hash      string
+	text      json.RawMessage
+	rejection string // "" if it is accepted
+}
+
+// unchecked is the incompatibility of a text that has not been checked yet.
+const unchecked = "?"
+
+// NewMember returns a process that knows nothing.
+func NewMember(h Holder, holdOnPartition bool, check func(json.RawMessage) error) *Member {
+	return &Member{
+		Holder:          h,
+		HoldOnPartition: holdOnPartition,
+		Check:           check,
+		lease:           Lease{Seq: 1, Reason: "it has not heard yet what is in force"},
+	}
 }
 
 // Lease is what it may do, as last published.
 func (m *Member) Lease() Lease { return m.lease }
 
-// IsListed tells whether it is in the roster, as far as it knows.
+// IsListed tells whether it is listed, as far as it knows.
 func (m *Member) IsListed() bool { return m.listed }
 
-// HasText tells that it has the text of what is in force, as far as told.
-func (m *Member) HasText() bool { return m.hasText }
+// HasText tells that it has the text of the revision in force, as far as it knows.
+func (m *Member) HasText() bool { return m.inForce.hasText }
 
-// Incompatibility is why it can't route by what is in force, "" if it can or doesn't know.
-func (m *Member) Incompatibility() string { return m.incompatibility }
+// Incompatibility is why it cannot route by the revision in force, "" if it can or does not know.
+func (m *Member) Incompatibility() string { return m.inForce.incompatibility }
 
-// publish makes what may be done now known to the loop; what is the same but for a later Until keeps its Seq.
-func (m *Member) publish(phase LeasePhase, until time.Duration, why string) {
-	p := Lease{m.lease.Seq, phase, m.number, m.hash, m.text, until, why}
-	if old := m.lease; old.Phase != phase || old.Number != m.number || old.Reason != why {
-		p.Seq++
+// publish changes the lease; one that is the same but for a later Until keeps its Seq.
+func (m *Member) publish(phase LeasePhase, until time.Duration, reason string) {
+	old := m.lease
+	m.lease = Lease{
+		Seq:    old.Seq,
+		Phase:  phase,
+		Number: m.inForce.number,
+		Hash:   m.inForce.hash,
+		Text:   m.inForce.text,
+		Until:  until,
+		Reason: reason,
+	}
+	if old.Phase != phase || old.Number != m.inForce.number || old.Reason != reason {
+		m.lease.Seq++
 	}
-	m.lease = p
 }
 
-// Acknowledge tells that the loop goes by what was published with this Seq.
+// Acknowledge tells that the loop goes by the lease with this Seq.
 func (m *Member) Acknowledge(seq uint64) { m.acknowledged = max(m.acknowledged, seq) }
 
-// NextRequest is what to tell the leader now. The caller keeps the time at which it asked.
+// NextRequest returns what to tell the leader now. The caller keeps the time at which it is sent.
 func (m *Member) NextRequest() RenewRequest {
 	m.lastRequest++
-	r := RenewRequest{Holder: m.Holder, HoldOnPartition: m.HoldOnPartition, Seq: m.lastRequest, AnsweredProposal: m.staged, Rejection: m.rejection}
-	if m.hasText {
-		r.HasNumber = m.number + 1
+	request := RenewRequest{
+		Holder:           m.Holder,
+		HoldOnPartition:  m.HoldOnPartition,
+		Seq:              m.lastRequest,
+		AnsweredProposal: m.staged.id,
+		Rejection:        m.staged.rejection,
+	}
+	if m.inForce.hasText {
+		request.HasNumber = m.inForce.number + 1
 	}
 	if m.stopEpoch != 0 && (m.acknowledged >= m.stopSeq || failpoint.On("stopped-untaken")) {
-		r.StoppedEpoch = m.stopEpoch
+		request.StoppedEpoch = m.stopEpoch
 	}
-	return r
+	return request
 }
 
-// Leave gives the permission up for good. It may be told to the leader once Left.
+// Leave gives up the lease for good. The leader may be told once HasLeft.
 func (m *Member) Leave() {
 	if m.lease.Phase != Released {
 		m.publish(Released, 0, "it has left")
 	}
 }
 
-// HasLeft tells that the loop has taken up that this process has left.
+// HasLeft tells that the loop has acknowledged that this process has left.
 func (m *Member) HasLeft() bool {
 	return m.lease.Phase == Released && (m.acknowledged >= m.lease.Seq || failpoint.On("leaves-untaken"))
 }
 
-// Tick ends what has run out.
+// Tick ends a lease that has run out.
 func (m *Member) Tick(now time.Duration) {
-	if m.lease.Phase == Active && now >= m.lease.Until {
-		if failpoint.On("renews-itself") && now < m.lease.Until+time.Second*3600 {
-			m.lease.Until += time.Second
-			return
-		}
-		m.publish(Expired, 0, "nobody has renewed its permission in time")
+	if m.lease.Phase != Active || now < m.lease.Until {
+		return
+	}
+	if failpoint.On("renews-itself") && now < m.lease.Until+time.Hour {
+		m.lease.Until += time.Second
+		return
 	}
+	m.publish(Expired, 0, "nobody has renewed its permission in time")
 }
 
-// HandleReply is the leader's answer r to what was asked at asked, by this process's clock.
-func (m *Member) HandleReply(now, asked time.Duration, seq uint64, r RenewReply) {
+// HandleReply takes the leader's reply to the request of that Seq, which was sent at requestedAt by this process's clock.
+func (m *Member) HandleReply(now, requestedAt time.Duration, seq uint64, reply RenewReply) {
 	m.Tick(now)
 	if seq <= m.ignoreUpTo || m.lease.Phase == Released {
 		return
 	}
-	if !r.Known {
-		m.notListed(r)
+	if !reply.Known {
+		m.notListed(reply)
 		return
 	}
 	m.listed = true
-	if r.Epoch < m.epoch && !failpoint.On("old-epoch") {
+	if reply.Epoch < m.epoch && !failpoint.On("old-epoch") {
 		return
 	}
-	m.epoch = max(m.epoch, r.Epoch)
-	if r.Proposal > m.staged && r.Proposed != nil {
-		m.stage(r)
+	m.epoch = max(m.epoch, reply.Epoch)
+	if reply.Proposal > m.staged.id && reply.Proposed != nil {
+		m.stage(reply)
 	}
 	switch {
-	case r.Stopped:
-		if m.stopEpoch != r.Epoch {
-			m.stopEpoch = r.Epoch
-			if m.lease.Phase == Active || m.lease.Phase == Expired {
-				m.publish(Suspended, 0, "the next revision is about to be in force")
-			}
-			m.stopSeq = m.lease.Seq
-		}
-	case r.Granted:
-		m.granted(now, asked, r)
+	case reply.Stopped:
+		m.suspend(reply.Epoch)
+	case reply.Granted:
+		m.granted(now, requestedAt, reply)
 	}
 }
 
-// notListed: not in the roster. Nothing that it may have been granted counts any more, and it begins anew.
-func (m *Member) notListed(r RenewReply) {
-	if r.MinGeneration > m.Holder.Generation {
-		m.Holder.Generation = r.MinGeneration
-	}
-	m.learn(r)
+// notListed takes a reply that this process is not listed. Nothing that it may have been granted counts any more, and it begins again.
+func (m *Member) notListed(reply RenewReply) {
+	m.Holder.Generation = max(m.Holder.Generation, reply.MinGeneration)
+	m.learn(reply)
 	if m.listed || m.lease.Phase == Active {
 		m.listed, m.epoch, m.stopEpoch, m.stopSeq = false, 0, 0, 0
 		m.ignoreUpTo = m.lastRequest
@@ -211,72 +173,91 @@
 			m.publish(Expired, 0, "the others have gone on without it")
 		}
 	}
-	m.unstage()
-	if m.lease.Phase == Learning && m.incompatibility != "" {
-		m.publish(Learning, 0, "it can't route by revision "+formatUint(r.Number)+": "+m.incompatibility)
+	m.staged = stagedProposal{}
+	if m.lease.Phase == Learning && m.inForce.incompatibility != "" {
+		m.publishIncompatible(reply.Number)
 	}
 }
 
-// learn takes the text in force, if it is new, and sees whether this balancer can route by it.
-func (m *Member) learn(r RenewReply) {
+func (m *Member) publishIncompatible(number uint64) {
+	m.publish(Learning, 0, "it can't route by revision "+formatUint(number)+": "+m.inForce.incompatibility)
+}
+
+// learn takes the text of the revision in force, if it is new, and checks whether this balancer can route by it. Settings may have
+// changed since the last check.
+func (m *Member) learn(reply RenewReply) {
+	f := &m.inForce
+	known := f.hasText && f.number == reply.Number && f.hash == reply.Hash
+	isStaged := reply.Hash != "" && m.staged.hash == reply.Hash && m.staged.text != nil && m.staged.rejection == ""
 	switch {
-	case m.hasText && m.number == r.Number && m.hash == r.Hash:
-	case r.Hash != "" && m.stagedHash == r.Hash && m.stagedText != nil && m.rejection == "":
-		m.hasText, m.number, m.hash, m.text, m.incompatibility = true, r.Number, r.Hash, m.stagedText, ""
-		return
-	case r.Text != nil:
-		m.hasText, m.number, m.hash, m.text, m.incompatibility = true, r.Number, r.Hash, r.Text, "?"
-	default:
-		m.hasText = false // ask for it
+	case known:
+	case isStaged:
+		*f = inForce{hasText: true, number: reply.Number, hash: reply.Hash, text: m.staged.text}
+	case reply.Text != nil:
+		*f = inForce{
+			hasText: true, number: reply.Number, hash: reply.Hash, text: reply.Text, incompatibility: unchecked,
+		}
+	default: // its text has to be requested
+		f.hasText = false
 		return
 	}
-	if m.incompatibility != "" { // settings may have changed since
-		m.incompatibility = ""
-		if err := m.Check(m.text); err != nil {
-			m.incompatibility = err.Error()
+	if f.incompatibility != "" {
+		f.incompatibility = ""
+		if err := m.Check(f.text); err != nil {
+			f.incompatibility = err.Error()
 		}
 	}
 }
 
-// stage keeps a proposal, and what this balancer says of it. It stays staged when the proposal has ended: the next thing heard may
-// be that it is in force. A process that doesn't know enough yet says nothing, and is asked again with its next renewal.
-func (m *Member) stage(r RenewReply) {
-	err := m.Check(r.Proposed)
-	var unfit *Incompatible
-	if errors.As(err, &unfit) && unfit.MayChange {
+// stage answers a proposal. A process that does not know enough yet does not answer, and is asked again with its next renewal.
+func (m *Member) stage(reply RenewReply) {
+	err := m.Check(reply.Proposed)
+	var incompatible *Incompatible
+	if errors.As(err, &incompatible) && incompatible.MayChange {
 		return
 	}
-	m.staged, m.stagedHash, m.stagedText, m.rejection = r.Proposal, r.ProposedHash, r.Proposed, ""
+	m.staged = stagedProposal{id: reply.Proposal, hash: reply.ProposedHash, text: reply.Proposed}
 	if err != nil && !failpoint.On("unchecked") {
-		m.rejection = err.Error()
+		m.staged.rejection = err.Error()
 	}
 }
 
-func (m *Member) unstage() { m.staged, m.stagedHash, m.stagedText, m.rejection = 0, "", nil, "" }
+// suspend stops this process for the next revision.
+func (m *Member) suspend(epoch uint64) {
+	if m.stopEpoch == epoch {
+		return
+	}
+	m.stopEpoch = epoch
+	if m.lease.Phase == Active || m.lease.Phase == Expired {
+		m.publish(Suspended, 0, "the next revision is about to be in force")
+	}
+	m.stopSeq = m.lease.Seq
+}
 
-func (m *Member) granted(now, asked time.Duration, r RenewReply) {
-	before := m.number
-	m.learn(r)
-	if !m.hasText {
+// granted takes a grant, which counts from the moment at which it was requested.
+func (m *Member) granted(now, requestedAt time.Duration, reply RenewReply) {
+	before := m.inForce.number
+	m.learn(reply)
+	if !m.inForce.hasText {
 		return
 	}
 	m.stopEpoch, m.stopSeq = 0, 0
-	if m.incompatibility != "" {
-		m.publish(Learning, 0, "it can't route by revision "+formatUint(r.Number)+": "+m.incompatibility)
+	if m.inForce.incompatibility != "" {
+		m.publishIncompatible(reply.Number)
 		return
 	}
-	until := Forever
-	if !m.HoldOnPartition {
-		until = asked + r.Lease
-		if failpoint.On("lease-from-answer") {
-			until = now + r.Lease
-		}
-		if m.lease.Phase == Active && before == m.number {
-			until = max(until, m.lease.Until)
-		}
-		if until <= now {
-			return
-		}
+	if m.HoldOnPartition {
+		m.publish(Active, Forever, "")
+		return
+	}
+	until := requestedAt + reply.Lease
+	if failpoint.On("lease-from-answer") {
+		until = now + reply.Lease
+	}
+	if m.lease.Phase == Active && before == m.inForce.number {
+		until = max(until, m.lease.Until)
+	}
+	if until > now {
+		m.publish(Active, until, "")
 	}
-	m.publish(Active, until, "")
 }
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -1,10 +1,9 @@
 package revision
 
-// This file owns how operators' calls about revisions are written, and the first words of their answers: the line after
-// "revision" at the management address, as oatctl writes it and a balancer reads it. It must never do what they ask for.
-
 import (
+	"cmp"
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -25,19 +24,28 @@
 	VerbForget   Verb = "forget"   // NAME: a balancer that is known to be off
 )
 
-var verbs = []struct {
-	verb Verb
-	form string
-	more int
-}{
-	{VerbPropose, "KEY FROM WATCH DEADLINE BY TEXT", 6}, {VerbRollback, "KEY FROM WATCH DEADLINE BY NUMBER", 6}, {VerbGet, "NUMBER", 1}, {VerbList, "AFTER", 1}, {VerbStatus, "", 0},
-	{VerbOutcome, "KEY", 1}, {VerbReplace, "OLD NEW", 2}, {VerbForget, "NAME", 1},
+// verbForm is what follows a verb.
+type verbForm struct {
+	verb  Verb
+	form  string
+	words int
+}
+
+var verbs = []verbForm{
+	{VerbPropose, "KEY FROM WATCH DEADLINE BY TEXT", 6},
+	{VerbRollback, "KEY FROM WATCH DEADLINE BY NUMBER", 6},
+	{VerbGet, "NUMBER", 1},
+	{VerbList, "AFTER", 1},
+	{VerbStatus, "", 0},
+	{VerbOutcome, "KEY", 1},
+	{VerbReplace, "OLD NEW", 2},
+	{VerbForget, "NAME", 1},
 }
 
-// Latest is the number by which an order means what is in force.
+// Latest is the number by which an order means the revision in force.
 const Latest = ^uint64(0)
 
-// Order is one operators' call.
+// Order is one operator's call: the line after "revision" at the management address.
 type Order struct {
 	Verb     Verb
 	Key      string        // of a proposal: the same call twice makes one revision
@@ -51,13 +59,14 @@
 	NewName  string // of VerbReplace: the new one
 }
 
-// MalformedOrder is the error that an operators' line is no order.
+// MalformedOrder is the error that an operator's line is no order.
 type MalformedOrder struct {
 	Verb  Verb // "" if that is what is wrong
 	Field string
 	Cause string
 }
 
+// Error says which word is wrong.
 func (e *MalformedOrder) Error() string {
 	at := "revision"
 	if e.Verb != "" {
@@ -79,130 +88,148 @@
 	return "use oatctl revision, which writes one of propose, rollback, get, list, status, outcome, replace, forget"
 }
 
-// Bounds of orders' words.
+// Limits of orders' words.
 const (
 	maxKeyBytes      = 64
 	maxNameBytes     = 64
 	maxGuardDuration = time.Hour
 )
 
-// String is the line after "revision".
+// unsaid stands for a word that an order does not say.
+const unsaid = "-"
+
+// String returns the line after "revision".
 func (o Order) String() string {
-	number := func(n uint64) string {
-		if n == Latest {
-			return "-"
-		}
-		return strconv.FormatUint(n, 10)
-	}
-	length := func(d time.Duration) string {
-		if d == 0 {
-			return "-"
-		}
-		return d.String()
-	}
-	head := string(o.Verb)
+	words := []string{string(o.Verb)}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		by := o.By
-		if by == "" {
-			by = "-"
-		}
 		what := string(o.Text)
 		if o.Verb == VerbRollback {
-			what = number(o.Number)
+			what = formatNumber(o.Number)
 		}
-		return strings.Join([]string{head, o.Key, number(o.Base), length(o.GuardFor), length(o.Deadline), by, what}, " ")
-	case VerbGet:
-		return head + " " + number(o.Number)
-	case VerbList:
-		return head + " " + number(o.Number)
+		words = append(words, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
+			cmp.Or(o.By, unsaid), what)
+	case VerbGet, VerbList:
+		words = append(words, formatNumber(o.Number))
 	case VerbOutcome:
-		return head + " " + o.Key
+		words = append(words, o.Key)
 	case VerbReplace:
-		return head + " " + o.Name + " " + o.NewName
+		words = append(words, o.Name, o.NewName)
 	case VerbForget:
-		return head + " " + o.Name
+		words = append(words, o.Name)
 	}
-	return head
+	return strings.Join(words, " ")
 }
 
-// ParseOrder reads the line after "revision". The error is *Misread. The text of a proposal is not read: Decode does.
+func formatNumber(n uint64) string {
+	if n == Latest {
+		return unsaid
+	}
+	return formatUint(n)
+}
+
+func formatDuration(d time.Duration) string {
+	if d == 0 {
+		return unsaid
+	}
+	return d.String()
+}
+
+// ParseOrder reads the line after "revision". The error is a *MalformedOrder. The text of a proposal is left to Decode.
 func ParseOrder(line string) (Order, error) {
-	head, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	o := Order{Verb: Verb(head), Base: Latest, Number: Latest}
-	wants := -1
-	for _, v := range verbs {
-		if v.verb == o.Verb {
-			wants = v.more
-		}
+	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
+	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
+	i := slices.IndexFunc(verbs, func(v verbForm) bool { return v.verb == o.Verb })
+	if i < 0 {
+		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", verb)}
 	}
-	if wants < 0 {
-		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", head)}
+	words := splitWords(rest, verbs[i].words)
+	textHasSpaces := len(words) > 0 && strings.Contains(words[len(words)-1], " ")
+	if len(words) != verbs[i].words || o.Verb != VerbPropose && textHasSpaces {
+		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
+	}
+	r := orderReader{order: &o}
+	r.read(words)
+	if r.err != nil {
+		return o, r.err
 	}
-	var f []string
-	for rest = strings.TrimLeft(rest, " "); rest != "" && len(f) < wants-1; rest = strings.TrimLeft(rest, " ") {
+	return o, nil
+}
+
+// splitWords cuts text into so many words at most; the last one is the rest.
+func splitWords(text string, most int) (words []string) {
+	rest := strings.TrimLeft(text, " ")
+	for rest != "" && len(words) < most-1 {
 		var word string
 		word, rest, _ = strings.Cut(rest, " ")
-		f = append(f, word)
+		words = append(words, word)
+		rest = strings.TrimLeft(rest, " ")
 	}
 	if rest = strings.TrimRight(rest, " "); rest != "" {
-		f = append(f, rest)
-	}
-	if len(f) != wants || o.Verb != VerbPropose && strings.Contains(rest, " ") {
-		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
+		words = append(words, rest)
 	}
-	r := orderReader{&o, nil}
+	return words
+}
+
+// orderReader reads an order's words, and keeps the first fault.
+type orderReader struct {
+	order *Order
+	err   *MalformedOrder
+}
+
+func (r *orderReader) read(words []string) {
+	o := r.order
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		r.name("KEY", f[0], maxKeyBytes, &o.Key)
-		r.number("FROM", f[1], &o.Base)
-		r.length("WATCH", f[2], maxGuardDuration, &o.GuardFor)
-		r.length("DEADLINE", f[3], maxGuardDuration, &o.Deadline)
-		if f[4] != "-" {
-			r.name("BY", f[4], maxNameBytes, &o.By)
-		}
-		if o.Verb == VerbPropose {
-			o.Text = []byte(f[5])
-		} else if r.number("NUMBER", f[5], &o.Number); o.Number == Latest && r.err == nil {
-			r.fault("NUMBER", f[5], "is no number of a revision")
-		}
+		r.readProposal(words)
 	case VerbGet:
-		r.number("NUMBER", f[0], &o.Number)
+		r.number("NUMBER", words[0], &o.Number)
 	case VerbList:
-		r.number("AFTER", f[0], &o.Number)
+		r.number("AFTER", words[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", f[0], maxKeyBytes, &o.Key)
+		r.name("KEY", words[0], maxKeyBytes, &o.Key)
 	case VerbReplace:
-		r.name("OLD", f[0], maxNameBytes, &o.Name)
-		r.name("NEW", f[1], maxNameBytes, &o.NewName)
+		r.name("OLD", words[0], maxNameBytes, &o.Name)
+		r.name("NEW", words[1], maxNameBytes, &o.NewName)
 	case VerbForget:
-		r.name("NAME", f[0], maxNameBytes, &o.Name)
-	}
-	if r.err != nil {
-		return o, r.err
+		r.name("NAME", words[0], maxNameBytes, &o.Name)
 	}
-	return o, nil
 }
 
-type orderReader struct {
-	o   *Order
-	err *MalformedOrder
+func (r *orderReader) readProposal(words []string) {
+	o := r.order
+	r.name("KEY", words[0], maxKeyBytes, &o.Key)
+	r.number("FROM", words[1], &o.Base)
+	r.duration("WATCH", words[2], maxGuardDuration, &o.GuardFor)
+	r.duration("DEADLINE", words[3], maxGuardDuration, &o.Deadline)
+	if words[4] != unsaid {
+		r.name("BY", words[4], maxNameBytes, &o.By)
+	}
+	if o.Verb == VerbPropose {
+		o.Text = []byte(words[5])
+		return
+	}
+	r.number("NUMBER", words[5], &o.Number)
+	if o.Number == Latest {
+		r.fault("NUMBER", words[5], "is no number of a revision")
+	}
 }
 
 func (r *orderReader) fault(field, word, cause string) {
 	if r.err == nil {
-		r.err = &MalformedOrder{r.o.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
+		r.err = &MalformedOrder{r.order.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
 	}
 }
 
 func (r *orderReader) name(field, word string, most int, to *string) {
-	if *to = word; !isName(word, most) || word == "-" {
+	*to = word
+	if !isName(word, most) || word == unsaid {
 		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", most))
 	}
 }
 
 func (r *orderReader) number(field, word string, to *uint64) {
-	if word == "-" {
+	if word == unsaid {
 		*to = Latest
 		return
 	}
@@ -213,8 +240,8 @@
 	*to = n
 }
 
-func (r *orderReader) length(field, word string, most time.Duration, to *time.Duration) {
-	if word == "-" {
+func (r *orderReader) duration(field, word string, most time.Duration, to *time.Duration) {
+	if word == unsaid {
 		return
 	}
 	d, err := time.ParseDuration(word)
@@ -234,12 +261,12 @@
 	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
 }
 
-// RetryLaterPrefix is how the answer begins to an order that could not be taken up now, and may be repeated as it is: nothing is known to have
-// come of it.
+// RetryLaterPrefix begins the answer to an order that could not be taken now, and may be repeated as it is: nothing is known to have come
+// of it.
 const RetryLaterPrefix = "later: "
 
-// ReadAnswer reads the answer to a proposal or outcome: the number in force, whether it is pending. An answer that is neither is
-// that the proposal ended nowhere, or was turned down.
+// ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending. An answer that is
+// neither says that the proposal was given up, or rejected.
 func ReadAnswer(text string) (number uint64, settled, pending bool) {
 	f := strings.Fields(text)
 	switch {
--- /dev/null
+++ b/internal/revision/suggestion.go
@@ -0,0 +1,49 @@
+package revision
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// suggestion says which name may have been meant: the nearest if one is near, otherwise the first few.
+func suggestion(name, what string, list []string) string {
+	best, least := "", min(3, len(name)/3+1) // a short name is near to all others
+	for _, x := range list {
+		if d := editDistance(strings.ToLower(name), strings.ToLower(x)); d < least {
+			best, least = x, d
+		}
+	}
+	switch {
+	case best != "":
+		return fmt.Sprintf("take this entry out, or write %q if that is meant", best)
+	case len(list) == 0:
+		return fmt.Sprintf("take this entry out: there is no %s", what)
+	}
+	some := slices.Sorted(slices.Values(list))
+	more := ""
+	if len(some) > 8 {
+		some, more = some[:8], fmt.Sprintf(" and %d more", len(list)-8)
+	}
+	return fmt.Sprintf("take this entry out, or name one that there is: %s%s", strings.Join(some, ", "), more)
+}
+
+// editDistance is how many bytes have to be changed, inserted or removed to make a into b.
+func editDistance(a, b string) int {
+	row := make([]int, len(b)+1)
+	for j := range row {
+		row[j] = j
+	}
+	for i := range len(a) {
+		corner := row[0]
+		row[0] = i + 1
+		for j := range len(b) {
+			cost := 1
+			if a[i] == b[j] {
+				cost = 0
+			}
+			corner, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, corner+cost)
+		}
+	}
+	return row[len(b)]
+}
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -1,14 +1,12 @@
 package revision
 
-// This file owns how a revision is written down: the compact text that travels, rests in the log and is called for, and the
-// hash by which two are told apart. It must never take a text that it doesn't understand whole: what one balancer reads, all do.
-
 import (
 	"bytes"
 	"cmp"
 	"crypto"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -16,16 +14,17 @@
 	"unicode/utf16"
 )
 
-// MaxTextBytes is how long a revision's text may be, in bytes: it has to fit into one operators' call.
+// MaxTextBytes is how long a revision's text may be: it has to fit into one operators' call.
 const MaxTextBytes = 120 << 10
 
-// MalformedText is the error that a text is no revision.
+// MalformedText is the error that a text is not a revision's.
 type MalformedText struct {
 	Offset int64  // bytes of the text before the fault; -1 where it is nowhere in particular
 	Field  string // "" where none is at fault
 	Cause  string
 }
 
+// Error says where the fault is.
 func (e *MalformedText) Error() string {
 	where := ""
 	if e.Field != "" {
@@ -41,10 +40,11 @@
 	return "hand revisions in by oatctl revision propose of the same version as the balancers, which writes this text"
 }
 
-// Encode is c's text: one line of ASCII, without what c doesn't say. Decode gives c back.
+// Encode returns a revision's text: one line of ASCII, without what the revision does not say. It is nil for a figure that is NaN or
+// infinite, which Validate names before anybody proposes it.
 func Encode(c *Content) []byte {
 	body, err := json.Marshal(c)
-	if err != nil { // a figure that is no number; Sound names it before anybody proposes it
+	if err != nil {
 		return nil
 	}
 	var out bytes.Buffer
@@ -62,7 +62,8 @@
 	return out.Bytes()
 }
 
-// Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is Check's.
+// Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is up to Validate and
+// Check. The error is a *MalformedText.
 func Decode(text []byte) (*Content, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &MalformedText{-1, "", fmt.Sprintf("%d bytes, more than %d", len(text), MaxTextBytes)}
@@ -72,12 +73,13 @@
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
 		e := &MalformedText{d.InputOffset(), "", strings.TrimPrefix(err.Error(), "json: ")}
-		if wrong, ok := err.(*json.UnmarshalTypeError); ok {
+		var wrong *json.UnmarshalTypeError
+		if errors.As(err, &wrong) {
 			e.Field, e.Cause = wrong.Field, fmt.Sprintf("%s where %v belongs", wrong.Value, wrong.Type)
 		}
 		return nil, e
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return nil, &MalformedText{d.InputOffset(), "", "something follows the revision"}
 	}
 	if name, at := duplicateName(text); name != "" {
@@ -89,57 +91,73 @@
 	return c, nil
 }
 
-// duplicateName is a name that an object of a sound text holds more than once: a reader could take either.
-func duplicateName(text []byte) (string, int64) {
-	type level struct {
-		names map[string]bool // nil in a list
-		name  bool            // the next text is a name
-	}
-	var stack []level
+// duplicateName is a name that an object of a valid text holds more than once, since a reader could take either, and the bytes before
+// it; "" if there is none.
+func duplicateName(text []byte) (name string, offset int64) {
+	var levels []jsonLevel
 	d := json.NewDecoder(bytes.NewReader(text))
 	for {
-		t, err := d.Token()
+		token, err := d.Token()
 		if err != nil {
 			return "", 0
 		}
-		if x, ok := t.(json.Delim); ok && (x == '{' || x == '[') {
-			l := level{}
-			if x == '{' {
-				l = level{map[string]bool{}, true}
-			}
-			stack = append(stack, l)
+		switch token {
+		case json.Delim('{'):
+			levels = append(levels, jsonLevel{names: map[string]bool{}, expectsName: true})
+			continue
+		case json.Delim('['):
+			levels = append(levels, jsonLevel{})
 			continue
-		} else if ok {
-			stack = stack[:len(stack)-1]
+		case json.Delim('}'), json.Delim(']'):
+			levels = levels[:len(levels)-1]
 		}
-		if len(stack) == 0 {
+		if len(levels) == 0 {
 			continue
 		}
-		l := &stack[len(stack)-1]
-		switch x, ok := t.(string); {
-		case l.names == nil:
-		case !l.name || !ok:
-			l.name = true
-		case l.names[strings.ToLower(x)]:
-			return x, d.InputOffset()
-		default:
-			l.names[strings.ToLower(x)], l.name = true, false
+		if name, again := levels[len(levels)-1].take(token); again {
+			return name, d.InputOffset()
 		}
 	}
 }
 
-// Hash is the SHA-256 of what c says, in hex. In which order it names classes, tenants, places and links makes no difference. Whoever calls it imports crypto/sha256, which
-// brings a tenth of a megabyte with it: a balancer without the agreement hashes nothing.
+// jsonLevel is an object or list that a decoder is in.
+type jsonLevel struct {
+	names       map[string]bool // in lower case; nil in a list
+	expectsName bool            // the next token is a name
+}
+
+// take notes a token of the level, and tells of a name that was there before.
+func (l *jsonLevel) take(token json.Token) (name string, again bool) {
+	if l.names == nil {
+		return "", false
+	}
+	if !l.expectsName { // a value, or the end of one
+		l.expectsName = true
+		return "", false
+	}
+	name, isName := token.(string)
+	if !isName { // the end of a value that is an object or list
+		return "", false
+	}
+	folded := strings.ToLower(name)
+	again = l.names[folded]
+	l.names[folded] = true
+	l.expectsName = false
+	return name, again
+}
+
+// Hash is the SHA-256 of what a revision says, in hexadecimal. The order of classes, tenants, places and links makes no difference.
+// Callers import crypto/sha256: a balancer without the agreement hashes nothing, and does without its tenth of a megabyte.
 func Hash(c *Content) string {
 	h := crypto.SHA256.New()
 	_, _ = h.Write(Encode(normalized(c)))
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ShortHash is the part of a hash that is shown to operators.
+// ShortHash is the part of a hash that operators are shown.
 func ShortHash(hash string) string { return hash[:min(16, len(hash))] }
 
-// normalized is c with every list in the order of its names. c stays as it is.
+// normalized returns a copy with every list in the order of its names.
 func normalized(c *Content) *Content {
 	o := *c
 	o.Classes = sortedBy(o.Classes, func(x Class) string { return x.Name })
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -552,9 +552,9 @@
 	for i := range w.procs {
 		p := &w.procs[i]
 		m := p.m
-		flag(w.slowLog, p.dead, p.stopped, p.slow, p.left, m.listed, m.hasText, m.rejection != "")
-		flag(m.incompatibility != "", m.acknowledged >= m.stopSeq, m.acknowledged >= m.lease.Seq, p.loop.Seq == m.lease.Seq, p.leader != nil, p.st != nil)
-		put(byte(p.gen), byte(m.Holder.Generation), epoch(m.epoch), epoch(m.stopEpoch), byte(m.number), byte(m.staged), byte(m.lease.Phase), byte(m.lease.Number))
+		flag(w.slowLog, p.dead, p.stopped, p.slow, p.left, m.listed, m.inForce.hasText, m.staged.rejection != "")
+		flag(m.inForce.incompatibility != "", m.acknowledged >= m.stopSeq, m.acknowledged >= m.lease.Seq, p.loop.Seq == m.lease.Seq, p.leader != nil, p.st != nil)
+		put(byte(p.gen), byte(m.Holder.Generation), epoch(m.epoch), epoch(m.stopEpoch), byte(m.inForce.number), byte(m.staged.id), byte(m.lease.Phase), byte(m.lease.Number))
 		put(byte(p.loop.Phase), byte(p.loop.Number))
 		if m.lease.Phase == Active {
 			ago(m.lease.Until)
