--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -38,7 +38,7 @@
 			}
 		}()
 	}
-	body, err := os.ReadFile("../net/testdata/config.json")
+	body, err := os.ReadFile("../proxy/testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -1,6 +1,6 @@
 package revision
 
-// This file owns the stepping of many members with drawn delays, on a clock of its own: how long a change takes, and what it costs.
+// Many members with random delays, on a clock of their own: how long a change takes, and what it costs.
 
 import (
 	"container/heap"
@@ -16,7 +16,7 @@
 type stepped struct {
 	r       *rand.Rand
 	now     time.Duration
-	queue   events
+	queue   eventQueue
 	count   int
 	s       *State
 	leader  *Leader
@@ -42,15 +42,15 @@
 	do func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -221,8 +221,8 @@
 	return true
 }
 
-// BenchmarkChange tells the time from a proposal to its being in force, and at work at all members, the time for which one
-// member's newcomers wait, and bytes a second that a member sends and is sent, calm.
+// BenchmarkChange tells the time from a proposal to its being in force, and at work at all members, the time for
+// which one member's newcomers wait, and bytes a second that a member sends and is sent, calm.
 func BenchmarkChange(b *testing.B) {
 	pace := LeaderConfig{Lease: 3 * time.Second, Deadline: 10 * time.Second}
 	for _, n := range []int{3, 10, 30, 100, 300} {
@@ -240,7 +240,17 @@
 						w.run(10*time.Millisecond, func() bool { return false })
 					}
 					from := w.now
-					w.apply(Command{Op: OpPropose, Kind: KindProposed, Key: "k", Base: 0, Text: w.s.InForce().Text, Hash: "h", KeepRevisions: 10})
+					w.apply(
+						Command{
+							Op:            OpPropose,
+							Kind:          KindProposed,
+							Key:           "k",
+							Base:          0,
+							Text:          w.s.InForce().Text,
+							Hash:          "h",
+							KeepRevisions: 10,
+						},
+					)
 					w.run(time.Minute, func() bool { return w.s.Pending == nil })
 					if w.s.InForce().Number == 0 {
 						nowhere++
--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Incompatible is the error that a revision cannot be in force: the first field that is at fault, what it holds, why that cannot be,
-// and what would make it fit.
+// Incompatible is the error that a revision cannot be in force: the first field that is at fault, what it holds,
+// why that cannot be, and what would make it fit.
 type Incompatible struct {
 	Field     string // as in the text: "classes[2].aim"; "" for the whole
 	Name      string // of the entry, "" where the field is in none
@@ -37,8 +37,8 @@
 // Hint is what an operator can do.
 func (e *Incompatible) Hint() string { return e.Remedy }
 
-// Check names the first field that does not fit a balancer's environment: an *Incompatible, or nil. What Validate refuses fits none.
-// The same check stands before a proposal and before a rollback.
+// Check names the first field that does not fit a balancer's environment: an *Incompatible, or nil. What Validate
+// refuses fits none. The same check stands before a proposal and before a rollback.
 func Check(c *Content, env Environment) error {
 	if err := Validate(c); err != nil {
 		return err
--- a/internal/revision/command.go
+++ b/internal/revision/command.go
@@ -22,7 +22,8 @@
 // Op is what a command does.
 type Op string
 
-// The commands. Members of all versions know them by these texts. Those that bear a LeaderTerm count only while it lasts.
+// The commands. Members of all versions know them by these texts. Those that bear a LeaderTerm count only while it
+// lasts.
 const (
 	OpBeginTerm Op = "reign"   // By leads from now on; ends every earlier term
 	OpJoin      Op = "join"    // Holder is listed; Ended: no earlier process of its name is there any more
@@ -93,7 +94,8 @@
 	KindGuard    Kind = "guard"
 )
 
-// ReadCommand returns the command of a log entry. One that cannot be read is an error at all members alike (*Corrupt), and does nothing.
+// ReadCommand returns the command of a log entry. One that cannot be read is an error at all members alike
+// (*Corrupt), and does nothing.
 func ReadCommand(entry []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
--- a/internal/revision/content.go
+++ b/internal/revision/content.go
@@ -5,8 +5,8 @@
 // Form is the version of a revision's text. A text of another form is rejected.
 const Form = 1
 
-// Content is what a revision says. What it does not name stays as the settings have it, so that an empty one is the settings alone:
-// revision 0, with which every cluster begins.
+// Content is what a revision says. What it does not name stays as the settings have it, so that an empty one is the
+// settings alone: revision 0, with which every cluster begins.
 type Content struct {
 	Form      int       `json:"oatloft_revision"`
 	Note      string    `json:"note,omitzero"` // for operators
@@ -22,7 +22,7 @@
 // Class is what a revision says of one class of the settings; 0 leaves the settings' figure.
 type Class struct {
 	Name                    string        `json:"name,omitzero"`
-	PriorityRank            int           `json:"order,omitzero"` // 1 first: where capacity is scarce the last are rejected first
+	PriorityRank            int           `json:"order,omitzero"` // 1 first; the last are rejected first
 	LatencyObjective        time.Duration `json:"aim,omitzero"`   // nanoseconds here, "300ms" in an operator's text
 	MessageLatencyObjective time.Duration `json:"message_aim,omitzero"`
 	MaxAttempts             int           `json:"attempts,omitzero"` // at most; never above the settings'
@@ -45,7 +45,7 @@
 type Budgets struct {
 	RetryRatio         float64 `json:"retries,omitzero"` // retries, as a fraction of first attempts
 	MaxPendingAttempts int     `json:"setups,omitzero"`  // at one balancer
-	WarmUpShare        float64 `json:"cold,omitzero"`    // fraction of the bound at which a starting server fails, in (0, 1]
+	WarmUpShare        float64 `json:"cold,omitzero"`    // of the bound at which a starting server fails, in (0, 1]
 }
 
 // Migration says what becomes of connections to servers that take no new requests: nothing, or migration at a rate.
--- /dev/null
+++ b/internal/revision/content_test.go
@@ -0,0 +1,434 @@
+package revision
+
+import (
+	"encoding/json"
+	"errors"
+	"math/rand/v2"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"oatloft/internal/hint"
+	"oatloft/policy"
+)
+
+var (
+	someClasses = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
+	someZones   = []string{"nrb", "mba", "ksm"}
+	today       = Environment{
+		Classes:     someClasses,
+		Tenants:     []string{"t1", "t2"},
+		Zones:       someZones,
+		Servers:     []string{"r1", "r2", "r3"},
+		HasList:     true,
+		MaxAttempts: 6,
+		ZoneOf:      map[string]string{"r1": "nrb", "r2": "mba", "r3": "nrb"},
+	}
+)
+
+// drawn is a revision that fits today.
+func drawn(t *rapid.T) *Content {
+	c := &Content{
+		Form: Form,
+		Note: rapid.SampledFrom([]string{"", "a  \"b\" <c> & d\\", "w\u012bki \U0001f98a"}).Draw(t, "note"),
+	}
+	some := func(names []string, what string) []string {
+		return rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, len(names), rapid.ID).Draw(t, what)
+	}
+	aim := rapid.Custom(func(t *rapid.T) time.Duration {
+		return time.Duration(
+			rapid.SampledFrom([]int64{0, int64(MinObjective), 1500001, 3e8, int64(MaxObjective)}).Draw(t, "aim"),
+		)
+	})
+	weight := func() float64 { return rapid.Float64Range(1e-5, MaxWeight).Draw(t, "weight") }
+	for _, n := range some(someClasses, "classes") {
+		c.Classes = append(
+			c.Classes,
+			Class{
+				n,
+				rapid.IntRange(0, MaxPriorityRank).Draw(t, "order"),
+				aim.Draw(t, "aim"),
+				aim.Draw(t, "message"),
+				rapid.IntRange(0, 6).Draw(t, "attempts"),
+			},
+		)
+	}
+	for _, n := range some(today.Tenants, "tenants") {
+		c.Tenants = append(c.Tenants, Tenant{n, rapid.Float64Range(0, 1e9).Draw(t, "connections")})
+	}
+	for _, n := range some([]string{"r1", "r2"}, "regions") {
+		if rapid.Bool().Draw(t, "out") {
+			c.Servers = append(c.Servers, Place{ID: n, Excluded: true})
+		} else {
+			c.Servers = append(c.Servers, Place{ID: n, Weight: weight()})
+		}
+	}
+	for _, n := range some([]string{"mba", "ksm"}, "zones") {
+		c.Zones = append(c.Zones, Place{ID: n, Excluded: true})
+	}
+	c.Budgets = Budgets{
+		rapid.Float64Range(0, MaxRetryRatio).Draw(t, "retries"),
+		rapid.IntRange(0, MaxPendingAttempts).Draw(t, "setups"),
+		rapid.Float64Range(0, 1).Draw(t, "cold"),
+	}
+	c.Migration.PerSecond = rapid.Float64Range(0, MaxMigrationsPerSecond).Draw(t, "moves")
+	for _, to := range some(someZones[1:], "links") {
+		l := Link{From: "nrb", To: to, Bytes: rapid.Float64Range(1, MaxLinkBytes).Draw(t, "bytes")}
+		for _, n := range some(someClasses, "of link") {
+			l.Classes = append(
+				l.Classes,
+				LinkClass{
+					n,
+					rapid.IntRange(1, MaxLinkPriority).Draw(t, "priority"),
+					rapid.Float64Range(0, 0.2).Draw(t, "least"),
+					rapid.Float64Range(0, MaxWeight).Draw(t, "weight"),
+				},
+			)
+		}
+		c.Links = append(c.Links, l)
+	}
+	return c
+}
+
+// shuffled is c with every list in another order.
+func shuffled(c *Content, seed uint64) *Content {
+	r := rand.New(rand.NewPCG(seed, 1))
+	o := normalized(c)
+	swap := func(list any) { r.Shuffle(reflect.ValueOf(list).Len(), reflect.Swapper(list)) }
+	swap(o.Classes)
+	swap(o.Tenants)
+	swap(o.Servers)
+	swap(o.Zones)
+	swap(o.Links)
+	for _, l := range o.Links {
+		swap(l.Classes)
+	}
+	return o
+}
+
+// What is written is read back whole, in printable ASCII; the order of entries changes nothing, anything else does.
+func TestText(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := drawn(t)
+		text := Encode(c)
+		if i := strings.IndexFunc(string(text), func(r rune) bool { return r < ' ' || r > '~' }); i >= 0 {
+			t.Fatalf("%q", text)
+		}
+		back, err := Decode(text)
+		if diff := cmp.Diff(c, back); err != nil || diff != "" {
+			t.Fatalf("%v\n%s\n%s", err, text, diff)
+		}
+		o := shuffled(c, rapid.Uint64().Draw(t, "seed"))
+		if Hash(o) != Hash(c) || len(Diff(c, o)) > 0 {
+			t.Fatalf("another order is another revision: %v", Diff(c, o))
+		}
+		if err := Check(c, today); err != nil {
+			t.Fatal(err)
+		}
+		other := drawn(t)
+		if alike := Hash(other) == Hash(c); alike != (len(Diff(c, other)) == 0) ||
+			len(Diff(c, other)) != len(Diff(other, c)) {
+			t.Fatalf("hashes alike: %v, but differ in %v", alike, Diff(c, other))
+		}
+	})
+}
+
+// A text that isn't understood whole is refused in one line with what is at fault.
+func TestMalformed(t *testing.T) {
+	for text, want := range map[string]string{
+		"": "EOF", "{": "EOF", "null": "form 0", "[]": "array where", "{}": "form 0", `{"oatloft_revision":2}`: "form 2",
+		`{"oatloft_revision":1} {}`: "something follows", `{"oatloft_revision":1,"colour":"red"}`: `unknown field "colour"`,
+		`{"oatloft_revision":1,"classes":[{"name":"a","aim":"300ms"}]}`:      "classes.aim: string where",
+		`{"oatloft_revision":1,"note":"a","note":"b"}`:                       `"note" is there twice`,
+		`{"oatloft_revision":1,"note":"a","Note":"b"}`:                       `"Note" is there twice`,
+		`{"oatloft_revision":1,"zones":[{"id":"a","id":"b"}]}`:               `"id" is there twice`,
+		`{"oatloft_revision":1,"note":"` + strings.Repeat("x", MaxTextBytes): "more than",
+	} {
+		_, err := Decode([]byte(text))
+		var e *MalformedText
+		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") ||
+			hint.Of(err) == "" {
+			t.Errorf("%.60s: %v", text, err)
+		}
+	}
+	for _, text := range []string{`{"oatloft_revision":1}`, ` {"note":"note","oatloft_revision":1,"zones":[{"id":"id"},{"id":"id"}]} `} {
+		if _, err := Decode([]byte(text)); err != nil {
+			t.Errorf("%s: %v", text, err)
+		}
+	}
+}
+
+// incompatibilities are what may be wrong with a revision: the field that is named, why, and what would make it fit.
+var incompatibilities = []struct {
+	spoil          func(c *Content, d *Environment)
+	field, why, do string
+}{
+	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "another form", "form 1"},
+	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "no note", "one line"},
+	{func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) }, "note", "no note", "1000"},
+	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "no class", `write "gold"`},
+	{func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" }, "classes[1].name", "is in classes[0]", "one entry"},
+	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "name it"},
+	{func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" }, "classes[0].name", "no name", "without spaces"},
+	{
+		func(c *Content, _ *Environment) { c.Classes[1].PriorityRank = 256 },
+		"classes[1].order",
+		"outside 0 to 255",
+		"leave it out",
+	},
+	{func(c *Content, _ *Environment) { c.Classes[1].LatencyObjective = 5 }, "classes[1].aim", "5ns is outside", "1ms"},
+	{
+		func(c *Content, _ *Environment) { c.Classes[1].MessageLatencyObjective = -1 },
+		"classes[1].message_aim",
+		"outside",
+		"1h",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = 7 },
+		"classes[1].attempts",
+		"above the settings' 6",
+		"set 6",
+	},
+	{func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = -1 }, "classes[1].attempts", "outside", "leave it out"},
+	{func(c *Content, _ *Environment) { c.Tenants[0].Name = "nobody" }, "tenants[0].name", "no tenant", "t1, t2"},
+	{func(c *Content, _ *Environment) { c.Tenants[0].ConnectionQuota = -1 }, "tenants[0].connections", "outside", "0"},
+	{func(c *Content, d *Environment) { d.Tenants = nil }, "tenants[0].name", "no tenant", "there is no tenant"},
+	{
+		func(c *Content, _ *Environment) { c.Servers[0].ID = "r9" },
+		"regions[0].id",
+		"no region of discovery's list",
+		"r1, r2, r3; or bring the region back",
+	},
+	{
+		func(c *Content, d *Environment) { d.Servers = d.Servers[1:] },
+		"regions[0].id",
+		"no region",
+		"bring the region back",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Servers[0].ID = "zone/nrb" },
+		"regions[0].id",
+		"how a zone is named",
+		"into zones",
+	},
+	{func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 }, "regions[0].weight", "left out", "one of the two"},
+	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not said", "out: true"},
+	{func(c *Content, _ *Environment) { c.Zones[0].Weight = 101 }, "zones[0].weight", "outside", "100"},
+	{func(c *Content, _ *Environment) { c.Zones[0].Weight = -1 }, "zones[0].weight", "outside", "100"},
+	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "no zone", `"mba"`},
+	{func(c *Content, _ *Environment) {
+		c.Servers = append(c.Servers, Place{ID: "r2", Excluded: true}, Place{ID: "r3", Excluded: true})
+	}, "regions", "no region for newcomers", "at least one"},
+	{func(c *Content, _ *Environment) {
+		c.Servers = nil
+		c.Zones = []Place{{ID: "mba", Excluded: true}, {ID: "nrb", Excluded: true}}
+	}, "zones", "no region for newcomers", "at least one"},
+	{func(c *Content, _ *Environment) {
+		c.Zones = []Place{{ID: "mba", Excluded: true}}
+		c.Servers = append(c.Servers, Place{ID: "r3", Excluded: true})
+	}, "regions", "no region for newcomers", "by its zone"},
+	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "no list", "discovery"},
+	{func(c *Content, _ *Environment) { c.Budgets.RetryRatio = 11 }, "budgets.retries", "outside", "10"},
+	{func(c *Content, _ *Environment) { c.Budgets.MaxPendingAttempts = -1 }, "budgets.setups", "outside", "0"},
+	{func(c *Content, _ *Environment) { c.Budgets.WarmUpShare = 1.5 }, "budgets.cold", "outside", "1"},
+	{func(c *Content, _ *Environment) { c.Migration.PerSecond = -3 }, "moves.per_second", "outside", "0"},
+	{func(c *Content, _ *Environment) { c.Links[0].Bytes = 0 }, "links[0].bytes", "outside", "1"},
+	{func(c *Content, _ *Environment) { c.Links[0].To = "nrb" }, "links[0].to", "is where it begins", "another zone"},
+	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "no zone", "ksm, mba, nrb"},
+	{
+		func(c *Content, _ *Environment) { c.Links = append(c.Links, c.Links[0]) },
+		"links[1].from",
+		"links[0] already",
+		"one entry",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].Classes[0].MinShare = 0.6 },
+		"links[0].classes",
+		"1.1 together",
+		"lower",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].Classes[0].MinShare = -0.6 },
+		"links[0].classes[0].least",
+		"outside",
+		"1",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].Classes[0].Priority = 0 },
+		"links[0].classes[0].priority",
+		"outside 1 to 16",
+		"1",
+	},
+	{func(c *Content, _ *Environment) { c.Links[0].Classes[0].Weight = -1 }, "links[0].classes[0].weight", "outside", "1"},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].Classes[0].Name = "x" },
+		"links[0].classes[0].name",
+		"no class",
+		"bulk",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].Classes[1].Name = "gold" },
+		"links[0].classes[1].name",
+		"links[0].classes[0]",
+		"one entry",
+	},
+}
+
+// What doesn't fit is named by its field, with what would make it fit; the first of several.
+func TestIncompatible(t *testing.T) {
+	whole := Content{
+		Form:    Form,
+		Classes: []Class{{Name: "gold"}, {Name: "bulk"}},
+		Tenants: []Tenant{{Name: "t1"}},
+		Servers: []Place{{ID: "r1", Excluded: true}},
+		Zones: []Place{
+			{ID: "mba", Weight: 2},
+		},
+		Links: []Link{{"nrb", "mba", 20000, []LinkClass{{"gold", 1, 0.5, 1}, {"bulk", 2, 0.5, 0}}}},
+	}
+	if err := Check(&whole, today); err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range incompatibilities {
+		c, err := Decode(Encode(&whole))
+		if err != nil {
+			t.Fatal(err)
+		}
+		d := today
+		x.spoil(c, &d)
+		var e *Incompatible
+		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.why) ||
+			!strings.Contains(hint.Of(err), x.do) ||
+			strings.Contains(hint.Line(err), "%!") {
+			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.why, x.do)
+		}
+	}
+	many := Content{Form: Form}
+	for i := range 5000 {
+		many.Servers = append(
+			many.Servers,
+			Place{ID: strings.Repeat("r", 20) + string(rune('a'+i%26)) + strings.Repeat("x", i/26), Excluded: true},
+		)
+	}
+	if err := Validate(&many); err == nil {
+		t.Error("a revision of any length is sound")
+	}
+}
+
+// A balancer of today is read off its settings and its list.
+func TestNewEnvironment(t *testing.T) {
+	d := NewEnvironment(
+		policy.Config{
+			Zone:        "nrb",
+			MaxAttempts: 3,
+			Classes:     []policy.Class{{Name: "gold"}},
+			Tenants:     []policy.Tenant{{Name: "t1"}},
+		},
+		[]string{"nrb", "ksm"},
+		[]policy.Server{
+			{ID: "r1", Zone: "mba"},
+			{ID: "r2", Zone: "mba", State: policy.Draining},
+			{ID: "r3", Zone: "xyz", State: policy.Gone},
+		},
+		true,
+	)
+	want := Environment{
+		[]string{"gold"},
+		[]string{"t1"},
+		[]string{"nrb", "ksm", "mba"},
+		[]string{"r1", "r2"},
+		map[string]string{"r1": "mba", "r2": "mba"},
+		true,
+		3,
+	}
+	if diff := cmp.Diff(want, d); diff != "" {
+		t.Fatal(diff)
+	}
+}
+
+// An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
+func TestOverlay(t *testing.T) {
+	base := func() policy.Config {
+		return policy.Config{
+			Zone:                "nrb",
+			MaxAttempts:         6,
+			RetryRatio:          0.5,
+			MaxPendingAttempts:  9,
+			WarmUpBudgetShare:   0.3,
+			MigrationsPerSecond: 2,
+			Weights:             map[string]float64{"r3": 3},
+			Classes: []policy.Class{
+				{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 2},
+				{Name: "bulk", LatencyObjective: time.Minute},
+			},
+			Tenants: []policy.Tenant{{Name: "t1", ConnectionQuota: 100}, {Name: "t2"}},
+		}
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		b, c := base(), drawn(t)
+		if diff := cmp.Diff(base(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
+			t.Fatalf("an empty one changed %s", diff)
+		}
+		once := Overlay(b, c)
+		if !cmp.Equal(b, base()) {
+			t.Fatal("the settings were written to")
+		}
+		if other := Overlay(base(), shuffled(c, 3)); !cmp.Equal(once, other) || !cmp.Equal(once, Overlay(once, c)) {
+			t.Fatal("the order of entries, or how often it is laid over, makes a difference")
+		}
+		if again := Overlay(once, &Content{Form: Form}); !cmp.Equal(once, again) {
+			t.Fatal("an empty one changed what another said")
+		}
+		if len(once.Classes) != 2 || len(once.Tenants) != 2 || once.Classes[0].MaxAttempts > 2 {
+			t.Fatalf("%+v", once)
+		}
+	})
+	got := Overlay(
+		base(),
+		&Content{
+			Form:    Form,
+			Classes: []Class{{"bulk", 9, 2, 3, 4}, {"gold", 0, 0, 0, 1}, {Name: "lost", PriorityRank: 1}},
+			Tenants: []Tenant{{"t1", 0}, {"t2", 8}, {"t3", 1}},
+			Servers: []Place{
+				{ID: "r1", Excluded: true},
+				{ID: "r3", Weight: 0.5},
+			},
+			Zones:     []Place{{ID: "mba", Excluded: true}},
+			Budgets:   Budgets{0.1, 5, 0.2},
+			Migration: Migration{1},
+		},
+	)
+	want := base()
+	want.Classes = []policy.Class{
+		{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 1},
+		{Name: "bulk", LatencyObjective: 2, MessageLatencyObjective: 3, PriorityRank: 9, MaxAttempts: 4},
+	}
+	want.Tenants = []policy.Tenant{{Name: "t1"}, {Name: "t2", ConnectionQuota: 8}}
+	want.RetryRatio, want.MaxPendingAttempts, want.WarmUpBudgetShare, want.MigrationsPerSecond = 0.1, 5, 0.2, 1
+	want.Weights = map[string]float64{"r1": 0, "r3": 0.5, "zone/mba": 0}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Fatal(diff)
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add([]byte(`{"oatloft_revision":1,"note":"a","zones":[{"id":"a","out":true}]}`))
+	f.Add([]byte(`{"a":[[{}],{"b":1}]}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		c, err := Decode(text)
+		if err != nil {
+			return
+		}
+		if !json.Valid(text) {
+			t.Fatal("read what is no JSON")
+		}
+		again, err := Decode(Encode(c))
+		if err != nil || Hash(again) != Hash(c) {
+			t.Fatalf("%v: %s became %s", err, text, Encode(c))
+		}
+	})
+}
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Diff says how b differs from a, one line for each field, in the order of the names; none where their hashes are equal.
+// Diff says how b differs from a, one line for each field, in the order of the names; none where their hashes are
+// equal.
 func Diff(a, b *Content) []string {
 	before, after := describe(a), describe(b)
 	names := maps.Clone(before)
@@ -30,8 +31,8 @@
 	return lines
 }
 
-// description is every field that a revision says, by a name that does not depend on the order of lists. What is left at zero is not
-// said, but an entry that says nothing is still an entry.
+// description is every field that a revision says, by a name that does not depend on the order of lists. What is
+// left at zero is not said, but an entry that says nothing is still an entry.
 type description map[string]string
 
 func describe(c *Content) description {
--- a/internal/revision/doc.go
+++ b/internal/revision/doc.go
@@ -1,9 +1,9 @@
-// Package revision holds routing revisions: what all balancers route by, every one by the same at any time, and the agreement on the
-// next one. It is pure: no socket, clock or goroutine.
+// Package revision holds routing revisions: what all balancers route by, every one by the same at any time, and the
+// agreement on the next one. It is pure: no socket, clock or goroutine.
 //
-// A proposal becomes the revision in force in four steps, each a Command in the log that package consensus replicates: it is proposed;
-// every listed process checks it against its own settings and accepts; all stop placing new requests; and it is committed. A process
-// may place new requests only while the leader has granted it a Lease.
+// A proposal becomes the revision in force in four steps, each a Command in the log that package consensus
+// replicates: it is proposed; every listed process checks it against its own settings and accepts; all stop placing
+// new requests; and it is committed. A process may place new requests only while the leader has granted it a Lease.
 //
 //	content.go      what a revision says
 //	text.go         how it is written down, and its hash
--- a/internal/revision/environment.go
+++ b/internal/revision/environment.go
@@ -13,8 +13,8 @@
 	MaxAttempts int
 }
 
-// NewEnvironment returns the environment of a balancer with these settings and this list. zones are further ones that its settings
-// name; hasList tells whether there has been a list at all.
+// NewEnvironment returns the environment of a balancer with these settings and this list. zones are further ones
+// that its settings name; hasList tells whether there has been a list at all.
 func NewEnvironment(settings policy.Config, zones []string, list []policy.Server, hasList bool) Environment {
 	env := Environment{MaxAttempts: settings.MaxAttempts, HasList: hasList, ZoneOf: map[string]string{}}
 	for _, class := range settings.Classes {
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -56,30 +56,30 @@
 	return "wait until oatctl revision status shows watch=kept, or roll back, which is not held up"
 }
 
-// RevisionForgotten is the error that a revision is not in the history any more.
-type RevisionForgotten struct{ Number, First uint64 }
+// Forgotten is the error that a revision is not in the history any more.
+type Forgotten struct{ Number, First uint64 }
 
 // Error says what is wrong.
-func (e *RevisionForgotten) Error() string {
+func (e *Forgotten) Error() string {
 	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.First)
 }
 
 // Hint is what an operator can do.
-func (e *RevisionForgotten) Hint() string {
+func (e *Forgotten) Hint() string {
 	return "take one from oatctl revision list, or propose the text anew; " +
 		"revisions.history and history_bytes say how many are kept"
 }
 
-// RevisionMissing is the error that there has been no such revision.
-type RevisionMissing struct{ Number, InForce uint64 }
+// Missing is the error that there has been no such revision.
+type Missing struct{ Number, InForce uint64 }
 
 // Error says what is wrong.
-func (e *RevisionMissing) Error() string {
+func (e *Missing) Error() string {
 	return fmt.Sprintf("there has been no revision %d; %d is in force", e.Number, e.InForce)
 }
 
 // Hint is what an operator can do.
-func (e *RevisionMissing) Hint() string { return "take one from oatctl revision list" }
+func (e *Missing) Hint() string { return "take one from oatctl revision list" }
 
 // UnknownHolder is the error that no process of that name is listed.
 type UnknownHolder struct{ Name string }
--- a/internal/revision/explore_test.go
+++ b/internal/revision/explore_test.go
@@ -1,6 +1,6 @@
 package revision
 
-// This file owns the walks through the small world: all states within bounds, and drawn paths beyond them.
+// Walks through the small world: all states within bounds, and random paths beyond them.
 
 import (
 	"flag"
@@ -22,7 +22,8 @@
 	exploreMost   = flag.Int("explore.most", 0, "states after which the exploring ends unfinished; 0 for none")
 )
 
-// The calls of the plans: one proposal handed in twice; two proposals, the second one not to everybody's liking, and a way back.
+// The calls of the plans: one proposal handed in twice; two proposals, the second one not to everybody's liking,
+// and a way back.
 var (
 	one        = []op{{key: "k1", note: "one", again: 1}}
 	twoAndBack = []op{{key: "k1", note: "one"}, {key: "k2", note: "bad1", from: 1}, {key: "k3", rollback: true, from: 1}}
@@ -36,84 +37,113 @@
 	unfinished          bool
 }
 
-// explore walks through every state of the plan, breadth first.
-func explore(pl *plan, most int) found {
-	const shards = 256
-	var seen [shards]struct {
+const shards = 256
+
+// seenSet has the hashes of the worlds that were seen. Safe for concurrent use.
+type seenSet struct {
+	shards [shards]struct {
 		sync.Mutex
 		m map[uint64]struct{}
 	}
-	for i := range seen {
-		seen[i].m = map[uint64]struct{}{}
+	count atomic.Int64
+}
+
+func newSeenSet() *seenSet {
+	s := &seenSet{}
+	for i := range s.shards {
+		s.shards[i].m = map[uint64]struct{}{}
 	}
-	var states, edges, calm atomic.Int64
-	fresh := func(w *world) (uint64, bool) {
-		h := w.hash()
-		s := &seen[h%shards]
-		s.Lock()
-		defer s.Unlock()
-		if _, old := s.m[h]; old {
-			return h, false
-		}
-		s.m[h] = struct{}{}
-		states.Add(1)
-		return h, true
+	return s
+}
+
+// add tells whether a world is new.
+func (s *seenSet) add(w *world) (hash uint64, fresh bool) {
+	hash = w.hash()
+	shard := &s.shards[hash%shards]
+	shard.Lock()
+	defer shard.Unlock()
+	if _, old := shard.m[hash]; old {
+		return hash, false
 	}
+	shard.m[hash] = struct{}{}
+	s.count.Add(1)
+	return hash, true
+}
+
+// explorer goes through every state of a plan, breadth first.
+type explorer struct {
+	plan        *plan
+	seen        *seenSet
+	edges, calm atomic.Int64
+	broken      atomic.Pointer[world]
+}
+
+// explore goes through every state of the plan; through about most of them if that isn't 0.
+func explore(pl *plan, most int) found {
+	x := &explorer{plan: pl, seen: newSeenSet()}
 	first := newWorld(pl)
-	fresh(first)
+	x.seen.add(first)
 	frontier := []*world{first}
 	out := found{}
-	var broken atomic.Pointer[world]
-	for len(frontier) > 0 && broken.Load() == nil {
+	for len(frontier) > 0 && x.broken.Load() == nil {
 		out.depth++
-		var mu sync.Mutex
-		var next []*world
-		var at atomic.Int64
-		var all sync.WaitGroup
-		for range runtime.GOMAXPROCS(0) {
-			all.Go(func() {
-				var mine []*world
-				for {
-					k := at.Add(1) - 1
-					if k >= int64(len(frontier)) || broken.Load() != nil {
-						break
-					}
-					w := frontier[k]
-					frontier[k] = nil
-					w.next(pl, nil, func(n *world) {
-						edges.Add(1)
-						if n.broken != "" {
-							broken.CompareAndSwap(nil, n)
-							return
-						}
-						if h, ok := fresh(n); ok {
-							if h%64 == 0 {
-								calm.Add(1)
-								if why := n.settles(); why != "" {
-									n.broken = why
-									broken.CompareAndSwap(nil, n)
-								}
-							}
-							mine = append(mine, n)
-						}
-					})
-				}
-				mu.Lock()
-				next = append(next, mine...)
-				mu.Unlock()
-			})
-		}
-		all.Wait()
-		frontier = next
-		if most > 0 && states.Load() > int64(most) {
+		frontier = x.level(frontier)
+		if most > 0 && x.seen.count.Load() > int64(most) {
 			out.unfinished = true
 			break
 		}
 	}
-	out.states, out.edges, out.calm, out.broken = states.Load(), edges.Load(), calm.Load(), broken.Load()
+	out.states, out.edges, out.calm, out.broken = x.seen.count.Load(), x.edges.Load(), x.calm.Load(), x.broken.Load()
 	return out
 }
 
+// level returns the new worlds one event from the frontier's.
+func (x *explorer) level(frontier []*world) (next []*world) {
+	var mu sync.Mutex
+	var at atomic.Int64
+	var all sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		all.Go(func() {
+			var mine []*world
+			for k := at.Add(1) - 1; k < int64(len(frontier)) && x.broken.Load() == nil; k = at.Add(1) - 1 {
+				w := frontier[k]
+				frontier[k] = nil
+				w.next(x.plan, nil, func(n *world) {
+					if x.visit(n) {
+						mine = append(mine, n)
+					}
+				})
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			next = append(next, mine...)
+		})
+	}
+	all.Wait()
+	return next
+}
+
+// visit tells whether to go on from a world: it is new and nothing is broken in it. One of 64 goes on to the calm.
+func (x *explorer) visit(w *world) bool {
+	x.edges.Add(1)
+	if w.broken != "" {
+		x.broken.CompareAndSwap(nil, w)
+		return false
+	}
+	hash, fresh := x.seen.add(w)
+	if !fresh {
+		return false
+	}
+	if hash%64 == 0 {
+		x.calm.Add(1)
+		if why := w.settles(); why != "" {
+			w.broken = why
+			x.broken.CompareAndSwap(nil, w)
+		}
+	}
+	return true
+}
+
 func TestExplore(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -126,7 +156,14 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f := explore(&x.plan, *exploreMost)
-			t.Logf("%d states, %d steps between them, %d deep, %d times on to the calm, unfinished %v", f.states, f.edges, f.depth, f.calm, f.unfinished)
+			t.Logf(
+				"%d states, %d steps between them, %d deep, %d times on to the calm, unfinished %v",
+				f.states,
+				f.edges,
+				f.depth,
+				f.calm,
+				f.unfinished,
+			)
 			if f.broken != nil {
 				t.Fatal(f.broken.broken, "\n", f.broken.trace)
 			}
@@ -134,8 +171,8 @@
 	}
 }
 
-// walk goes one drawn path of the plan, and on to the calm. Of the kinds of faults, three seeds of four have a third each, so that
-// some paths have many of one kind.
+// walk goes one drawn path of the plan, and on to the calm. Of the kinds of faults, three seeds of four have a
+// third each, so that some paths have many of one kind.
 func walk(seed uint64, pl *plan) *world {
 	r := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(pl)
@@ -218,8 +255,8 @@
 	}
 }
 
-// Every process killed, stopped across a lease, or the leader deposed, between any two steps of a change: it ends everywhere or nowhere, and
-// what is handed in again makes no second one.
+// Every process killed, stopped across a lease, or the leader deposed, between any two steps of a change: it ends
+// everywhere or nowhere, and what is handed in again makes no second one.
 func TestBetweenAnyTwoSteps(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		pl := &plan{ticks: 20, faults: 9, ops: one, hold: [procs]bool{hold, hold, hold}}
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -55,8 +55,8 @@
 	h.hasTotals, h.totals = true, totals
 }
 
-// checkGuard returns what is to be committed for the sake of the guarded revision, while no proposal is under way: a rollback if the
-// totals are worse than before, or the end of the guard.
+// checkGuard returns what is to be committed for the sake of the guarded revision, while no proposal is under way:
+// a rollback if the totals are worse than before, or the end of the guard.
 func (l *Leader) checkGuard(now time.Duration, s *State) []Command {
 	g := &l.guard
 	g.sample(now, l.totals)
--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -61,7 +61,8 @@
 	signal(m.wakeCoordinator)
 }
 
-// releaseBandwidth tells of holders that use nothing of links any more: one that has left, or the earlier processes of one that joins.
+// releaseBandwidth tells of holders that use nothing of links any more: one that has left, or the earlier processes
+// of one that joins.
 func (m *machine) releaseBandwidth(command revision.Command, before []revision.HolderEntry) {
 	if m.cfg.Bandwidth == nil {
 		return
@@ -72,7 +73,7 @@
 	case command.Op == revision.OpJoin && command.Ended:
 		for _, entry := range before {
 			if !m.state.HasHolder(entry.Holder) {
-				m.cfg.Bandwidth.HolderLeft(entry.Holder.String())
+				m.cfg.Bandwidth.HolderLeft(entry.String())
 			}
 		}
 	}
@@ -211,7 +212,8 @@
 	}
 }
 
-// lockAsLeader makes sure that this process leads, later than the call began. It returns with mu held if there is no error (*NotLeader).
+// lockAsLeader makes sure that this process leads, later than the call began. It returns with mu held if there is
+// no error (*NotLeader).
 func (h *Host) lockAsLeader(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, max(h.cfg.Lease/2, minConfirmTimeout))
 	defer cancel()
@@ -284,8 +286,8 @@
 	return err
 }
 
-// serveRenew answers a renewal, once it is sure, after the renewal came, that this process leads. What is granted of links counts from
-// before that.
+// serveRenew answers a renewal, once it is sure, after the renewal came, that this process leads. What is granted
+// of links counts from before that.
 func (h *Host) serveRenew(ctx context.Context, body []byte) ([]byte, error) {
 	var request revision.RenewRequest
 	if err := unmarshal(body, &request); err != nil {
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -9,8 +9,8 @@
 	"oatloft/internal/consensus"
 )
 
-// fakeLog is a log that settles at once, and whose leader the test names. It stands in for internal/consensus where a test is about the
-// host alone.
+// fakeLog is a log that settles at once, and whose leader the test names. It stands in for internal/consensus where
+// a test is about the host alone.
 type fakeLog struct {
 	mu      sync.Mutex
 	nodes   map[string]*fakeNode
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -1,8 +1,5 @@
 package host
 
-// This file owns the goroutine that holds this balancer's permission: it renews, joins and leaves, and publishes permits. It must
-// never publish anything but what the machine says, nor tell the leader that a stop is taken up before the data's loop has told so.
-
 import (
 	"context"
 	"encoding/json"
@@ -10,12 +7,34 @@
 	"time"
 
 	"oatloft/internal/consensus"
-	"oatloft/internal/failpoint"
 	"oatloft/internal/hint"
 	"oatloft/internal/revision"
 )
 
-// leaseHolder is the goroutine's own.
+const (
+	// callTimeout bounds a call to join or to leave, and one that reports an ended process.
+	callTimeout = 2 * time.Second
+	// minRenewTimeout is the least time a renewal's answer is waited for.
+	minRenewTimeout = time.Second
+	// maxCalls is how many calls to leaders may be under way.
+	maxCalls = 3
+	// minRetryAfter is the least time between a failed call and the next one.
+	minRetryAfter = 10 * time.Millisecond
+	// minIdle is the least time between two looks of the lease holder that have nothing to do.
+	minIdle = 5 * time.Millisecond
+	// minWait keeps the lease holder's timer from spinning.
+	minWait = time.Millisecond
+)
+
+// Parts of a lease's length after which a lease holder acts.
+const (
+	renewParts = 8  // renews in the usual case
+	retryParts = 16 // calls again after a failure
+	idleParts  = 64 // looks again while no leader answers
+)
+
+// leaseHolder is the goroutine that holds this balancer's lease: it joins, renews and leaves, and publishes what
+// the member says. It reports an acknowledgement to the leader only once the proxy's loop has given it.
 type leaseHolder struct {
 	*Host
 	member *revision.Member
@@ -23,32 +42,41 @@
 
 	calls        int // under way
 	lastCall     time.Duration
-	next         time.Duration        // when to ask
-	calledLeader consensus.LeaderInfo // whom the calls under way were sent to
+	nextCall     time.Duration
+	calledLeader consensus.LeaderInfo // to which the calls under way were sent
 	knownLeader  consensus.LeaderInfo // as last seen
 	answers      chan answer
 	joined       chan error
 	joining      bool
-	leaving      []chan struct{}
+	leaving      []chan struct{} // closed once this process has left
 	left         bool
-	contentHash  string // hash of content
-	content      *revision.Content
-	published    []revision.Lease // published and not taken up yet
-	activeNumber uint64           // number plus one by which the loop is at work
-	until        time.Duration
-	complaint    string
+	callFailure  string // why the last call failed; empty after a success
+
+	published published
 }
 
+// answer is the outcome of a call to the leader.
 type answer struct {
-	seq         uint64
+	seq         uint64 // of a renewal; 0 for the call to leave
 	requestedAt time.Duration
 	reply       revision.RenewReply
 	err         error
 }
 
+func newLeaseHolder(h *Host, member *revision.Member) *leaseHolder {
+	return &leaseHolder{
+		Host:      h,
+		member:    member,
+		log:       h.log,
+		answers:   make(chan answer, maxCalls+1),
+		joined:    make(chan error, 1),
+		published: published{activeNumber: noNumber},
+	}
+}
+
 func (h *leaseHolder) run() {
-	h.answers, h.joined = make(chan answer, 4), make(chan error, 1)
 	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-h.ctx.Done():
@@ -61,65 +89,85 @@
 		case a := <-h.answers:
 			h.handleAnswer(a)
 		case err := <-h.joined:
-			h.joining = false
-			h.logAnswer(err)
-			h.next = 0
-			if err != nil {
-				h.next = h.now() + h.cfg.Lease/16
-			}
+			h.handleJoined(err)
 		}
 		h.step()
-		wait := max(h.next-h.now(), 0)
-		if p := h.member.Lease(); p.Phase == revision.Active && p.Until != revision.Forever {
-			wait = min(wait, max(p.Until-h.now(), 0))
-		}
-		timer.Reset(max(wait, time.Millisecond))
+		timer.Reset(h.untilNextStep())
 	}
 }
 
+// untilNextStep returns when to look again: at the next call, or when the lease expires.
+func (h *leaseHolder) untilNextStep() time.Duration {
+	wait := max(h.nextCall-h.now(), 0)
+	if l := h.member.Lease(); l.Phase == revision.Active && l.Until != revision.Forever {
+		wait = min(wait, max(l.Until-h.now(), 0))
+	}
+	return max(wait, minWait)
+}
+
 func (h *leaseHolder) step() {
 	h.collectAcks()
 	h.member.Tick(h.now())
 	h.publish()
-	lead := h.node.Leader()
+	leader := h.node.Leader()
 	now := h.now()
-	if lead.Term != h.knownLeader.Term || lead.Name != h.knownLeader.Name {
-		h.knownLeader, h.next = lead, now
+	if !sameLeader(leader, h.knownLeader) {
+		h.knownLeader, h.nextCall = leader, now
 	}
 	switch {
-	case h.left || lead.Name == "" || h.calls > 3: // nobody answers
+	case h.left || leader.Name == "" || h.calls > maxCalls: // nobody to call, or nobody answers
 	case h.member.HasLeft():
 		if h.calls == 0 {
-			h.call(lead, "leave", h.member.Holder)
+			h.callLeave(leader)
 		}
-	case h.member.Lease().Phase == revision.Released: // until the loop has taken it up
-	case h.calls > 0 && lead.Term == h.calledLeader.Term && lead.Name == h.calledLeader.Name && now < h.lastCall+h.cfg.Lease/2:
-	case now >= h.next:
-		h.next = now + h.cfg.Lease/8
-		h.renew(lead, now)
+	case h.member.Lease().Phase == revision.Released: // until the loop has acknowledged it
+	case h.calls > 0 && sameLeader(leader, h.calledLeader) && now < h.lastCall+h.cfg.Lease/2: // an answer may still come
+	case now >= h.nextCall:
+		h.nextCall = now + h.cfg.Lease/renewParts
+		h.callRenew(leader, now)
 	}
-	if h.next <= now {
-		h.next = now + max(h.cfg.Lease/64, 5*time.Millisecond)
+	if h.nextCall <= now {
+		h.nextCall = now + max(h.cfg.Lease/idleParts, minIdle)
 	}
 }
 
-// renew renews. The time from which a grant counts is read before anything is sent.
-func (h *leaseHolder) renew(lead consensus.LeaderInfo, now time.Duration) {
-	r := h.member.NextRequest()
-	t := &h.totals
-	r.Totals = revision.Totals{Requests: t[0].Load(), Rejected: t[1].Load(), Failed: t[2].Load(), Late: t[3].Load()}
+func sameLeader(a, b consensus.LeaderInfo) bool { return a.Term == b.Term && a.Name == b.Name }
+
+// callRenew asks the leader for a renewal. A grant counts from requestedAt, which was read before anything was sent.
+func (h *leaseHolder) callRenew(leader consensus.LeaderInfo, requestedAt time.Duration) {
+	request := h.member.NextRequest()
+	totals := &h.totals
+	request.Totals = revision.Totals{
+		Requests: totals[0].Load(),
+		Rejected: totals[1].Load(),
+		Failed:   totals[2].Load(),
+		Late:     totals[3].Load(),
+	}
 	if h.cfg.Bandwidth != nil {
-		r.Links = h.cfg.Bandwidth.Demand()
+		request.Links = h.cfg.Bandwidth.Demand()
 	}
-	body, _ := json.Marshal(r)
+	timeout := max(h.cfg.Lease, minRenewTimeout)
+	h.startCall(leader, requestedAt, func() answer {
+		a := answer{seq: request.Seq, requestedAt: requestedAt}
+		a.err = h.callLeader(leader, methodRenew, request, &a.reply, timeout)
+		return a
+	})
+}
+
+// callLeave tells the leader that this process has given its lease back.
+func (h *leaseHolder) callLeave(leader consensus.LeaderInfo) {
+	holder := h.member.Holder
+	h.startCall(leader, h.now(), func() answer {
+		return answer{err: h.callLeader(leader, methodLeave, holder, nil, callTimeout)}
+	})
+}
+
+// startCall runs a call to the leader in a goroutine of its own, which ends with the call's timeout.
+func (h *leaseHolder) startCall(leader consensus.LeaderInfo, now time.Duration, call func() answer) {
 	h.calls++
-	h.lastCall, h.calledLeader = now, lead
+	h.lastCall, h.calledLeader = now, leader
 	go func() {
-		a := answer{seq: r.Seq, requestedAt: now}
-		var back []byte
-		if back, a.err = h.callLeader(lead, "renew", body, max(h.cfg.Lease, time.Second)); a.err == nil {
-			a.err = json.Unmarshal(back, &a.reply)
-		}
+		a := call()
 		select {
 		case h.answers <- a:
 		case <-h.ctx.Done():
@@ -127,28 +175,31 @@
 	}()
 }
 
-func (h *Host) callLeader(lead consensus.LeaderInfo, method string, body []byte, within time.Duration) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(h.ctx, within)
-	defer cancel()
-	if lead.IsSelf {
-		return h.serve(ctx, h.cfg.Name, method, body)
+// callLeader calls a method of the leader with a JSON request; reply is nil where the answer carries nothing.
+func (h *Host) callLeader(
+	leader consensus.LeaderInfo, method string, request, reply any, timeout time.Duration,
+) error {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return err
+	}
+	answer, err := h.callLeaderRaw(leader, method, body, timeout)
+	if err != nil || reply == nil {
+		return err
 	}
-	return h.node.Call(ctx, lead.Name, method, body)
+	return json.Unmarshal(answer, reply)
 }
 
-// call is a call whose answer is yes or an error: join and leave.
-func (h *leaseHolder) call(lead consensus.LeaderInfo, method string, what any) {
-	body, _ := json.Marshal(what)
-	h.calls++
-	h.lastCall, h.calledLeader = h.now(), lead
-	go func() {
-		a := answer{}
-		_, a.err = h.callLeader(lead, method, body, 2*time.Second)
-		select {
-		case h.answers <- a:
-		case <-h.ctx.Done():
-		}
-	}()
+// callLeaderRaw calls a method of the leader, which may be this process.
+func (h *Host) callLeaderRaw(
+	leader consensus.LeaderInfo, method string, body []byte, timeout time.Duration,
+) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(h.ctx, timeout)
+	defer cancel()
+	if leader.IsSelf {
+		return h.serve(ctx, h.cfg.Name, method, body)
+	}
+	return h.node.Call(ctx, leader.Name, method, body)
 }
 
 func (h *leaseHolder) handleAnswer(a answer) {
@@ -156,43 +207,56 @@
 	now := h.now()
 	if a.err != nil {
 		h.logAnswer(a.err)
-		h.next = now + max(h.cfg.Lease/16, 10*time.Millisecond)
+		h.nextCall = now + max(h.cfg.Lease/retryParts, minRetryAfter)
 		return
 	}
-	if a.seq == 0 { // has left
-		h.left = true
-		h.released.Store(true)
-		for _, done := range h.leaving {
-			close(done)
-		}
+	if a.seq == 0 {
+		h.handleLeft()
 		return
 	}
 	h.member.HandleReply(now, a.requestedAt, a.seq, a.reply)
 	h.logAnswer(nil)
-	h.next = now + a.reply.Next
+	h.nextCall = now + a.reply.Next
 	if h.cfg.Bandwidth != nil && a.reply.Links != nil {
 		h.cfg.Bandwidth.Granted(a.reply.Links, h.base.Add(a.requestedAt))
 	}
-	if !a.reply.Known && !h.joining {
-		h.next = now + 10*time.Millisecond
-		switch {
-		case h.member.HasText() && h.member.Incompatibility() == "":
-			h.join()
-		case h.member.HasText(): // till the settings fit
-			h.next = now + h.cfg.Lease/8
-		}
+	if a.reply.Known || h.joining {
+		return
 	}
+	h.nextCall = now + minRetryAfter
+	if !h.member.HasText() {
+		return
+	}
+	if h.member.Incompatibility() == "" {
+		h.join()
+		return
+	}
+	h.nextCall = now + h.cfg.Lease/renewParts // until the settings fit
 }
 
+func (h *leaseHolder) handleLeft() {
+	h.left = true
+	h.released.Store(true)
+	for _, done := range h.leaving {
+		close(done)
+	}
+}
+
+// join has this process listed among the holders, once other processes of this balancer can see when it ends.
 func (h *leaseHolder) join() {
 	h.joining = true
-	lead, gen := h.node.Leader(), h.member.Holder.Generation
-	body, _ := json.Marshal(revision.Command{Op: revision.OpJoin, Holder: h.member.Holder, HoldOnPartition: h.cfg.HoldOnPartition, Ended: h.cfg.PredecessorEnded})
+	leader, generation := h.node.Leader(), h.member.Holder.Generation
+	request := revision.Command{
+		Op:              revision.OpJoin,
+		Holder:          h.member.Holder,
+		HoldOnPartition: h.cfg.HoldOnPartition,
+		Ended:           h.cfg.PredecessorEnded,
+	}
 	go func() {
-		if err := h.processes.create(gen); err != nil { // it serves all the same: once it ends, the next one or an operator tells
+		if err := h.processes.create(generation); err != nil { // not fatal: the next process or an operator ends the lease
 			h.log.Warn("revisions: nobody will see this process end", "err", hint.Line(err))
 		}
-		_, err := h.callLeader(lead, "join", body, 2*time.Second)
+		err := h.callLeader(leader, methodJoin, request, nil, callTimeout)
 		select {
 		case h.joined <- err:
 		case <-h.ctx.Done():
@@ -200,109 +264,26 @@
 	}()
 }
 
-// logAnswer logs once that, and why, nothing is heard; nil ends it.
-func (h *leaseHolder) logAnswer(err error) {
-	text := ""
+func (h *leaseHolder) handleJoined(err error) {
+	h.joining = false
+	h.logAnswer(err)
+	h.nextCall = 0
 	if err != nil {
-		text = err.Error()
-	}
-	if (text == "") != (h.complaint == "") {
-		if text != "" {
-			h.log.Debug("revisions: the leader does not answer", "err", text)
-		} else {
-			h.log.Debug("revisions: the leader answers")
-		}
-	}
-	h.complaint = text
-}
-
-// publish makes the machine's permission the permit, where anything is new.
-func (h *leaseHolder) publish() {
-	p := h.member.Lease()
-	old := h.lease.Load()
-	var until time.Time
-	if p.Until != revision.Forever && p.Phase == revision.Active {
-		until = h.base.Add(p.Until)
-	}
-	if old.Seq == p.Seq && old.Until.Equal(until) {
-		return
-	}
-	if p.Text != nil && h.contentHash != p.Hash {
-		if c, err := revision.Decode(p.Text); err == nil {
-			h.contentHash, h.content = p.Hash, c
-		}
-	}
-	q := &Lease{Number: p.Number, Hash: p.Hash, Content: h.content, Until: until, Seq: p.Seq, Reason: p.Reason}
-	switch p.Phase {
-	case revision.Active:
-		q.Phase = Active
-		h.until = p.Until
-	case revision.Suspended:
-		q.Phase = Suspended
-	case revision.Expired, revision.Released:
-		q.Phase = Expired
-	}
-	if old.Seq != p.Seq {
-		h.published = append(h.published, p)
-		if len(h.published) > 64 { // a loop that is stopped for long
-			h.published = h.published[1:]
-		}
-	}
-	if p.Phase == revision.Expired && h.activeNumber != 0 && old.Phase == Active {
-		at := time.Now()
-		if !old.Until.IsZero() && old.Until.Before(at) {
-			at = old.Until
-		}
-		h.logRelease(time.Now().Add(-time.Since(at)).UnixMicro(), "lapsed")
-	}
-	h.lease.Store(q)
-	if h.cfg.LeaseChanged != nil && (old.Seq != p.Seq || !failpoint.On("changed-unrung")) {
-		h.cfg.LeaseChanged()
-	}
-}
-
-// collectAcks hands on what the data's loop has taken up: each of them, however short it went by it.
-func (h *leaseHolder) collectAcks() {
-	h.acksMu.Lock()
-	list := h.acks
-	h.acks = nil
-	h.acksMu.Unlock()
-	for _, t := range list {
-		for len(h.published) > 0 && h.published[0].Seq <= t.seq {
-			p := h.published[0]
-			h.published = h.published[1:]
-			if p.Seq == t.seq || len(h.published) == 0 || h.published[0].Seq > t.seq {
-				h.acknowledgedLease(p, t.at)
-			}
-		}
-		h.member.Acknowledge(t.seq)
+		h.nextCall = h.now() + h.cfg.Lease/retryParts
 	}
 }
 
-// acknowledgedLease: the loop goes by p since at.
-func (h *leaseHolder) acknowledgedLease(p revision.Lease, at int64) {
-	if p.Phase == revision.Active {
-		if h.activeNumber != p.Number+1 {
-			if h.activeNumber != 0 {
-				h.logRelease(at, "between")
-			}
-			h.activeNumber = p.Number + 1
-			h.log.Info("revision at work", "number", p.Number, "hash", revision.ShortHash(p.Hash), "at", at)
-			signal(h.wakeCoordinator)
-			h.next = 0
-		}
-		return
-	}
-	if h.activeNumber != 0 {
-		h.logRelease(at, map[revision.LeasePhase]string{revision.Suspended: "between", revision.Released: "left"}[p.Phase])
+// logAnswer logs when calls begin to fail, and when they succeed again.
+func (h *leaseHolder) logAnswer(err error) {
+	failure := ""
+	if err != nil {
+		failure = err.Error()
 	}
-	h.next = 0 // say so at once
-}
-
-func (h *leaseHolder) logRelease(at int64, why string) {
-	if why == "" {
-		why = "lapsed"
+	switch {
+	case failure != "" && h.callFailure == "":
+		h.log.Debug("revisions: the leader does not answer", "err", failure)
+	case failure == "" && h.callFailure != "":
+		h.log.Debug("revisions: the leader answers")
 	}
-	h.log.Info("revision let go", "number", h.activeNumber-1, "at", at, "why", why)
-	h.activeNumber = 0
+	h.callFailure = failure
 }
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -1,11 +1,14 @@
-// Package host runs the machines of internal/revision over the log of settled decisions: the permit that says by which revision
-// this balancer may place newcomers, and operators' calls. It owns the goroutines, clocks and calls between members; it must never
-// decide who may route by what (the machines do), and never stand on the data's goroutine: that one reads Permit by an atomic load.
+// Package host runs the state machines of internal/revision on a replicated log (internal/consensus). It owns the
+// goroutines, the clocks and the calls between members, and it publishes the lease that says by which revision this
+// balancer may place new clients.
+//
+// The machines decide who may route by what; this package only carries their decisions. The goroutine that moves
+// clients' data never waits for it: that goroutine reads Lease by an atomic load.
 package host
 
 import (
 	"context"
-	_ "crypto/sha256" // revision.Hash
+	_ "crypto/sha256" // for revision.Hash
 	"encoding/json"
 	"log/slog"
 	"sync"
@@ -17,12 +20,17 @@
 	"oatloft/internal/revision/lease"
 )
 
-// What the data's loop sees is named in a package of its own, which knows nothing of the log: a program that doesn't hold it can be built.
+// The types that the proxy's loop sees are declared in package lease, which does not import the log, so that a
+// program can be built without it.
 type (
-	Phase     = lease.Phase
-	Lease     = lease.Lease
+	// Phase says whether a lease allows placing new clients.
+	Phase = lease.Phase
+	// Lease says by which revision new clients may be placed.
+	Lease = lease.Lease
+	// Bandwidth carries the shares of links.
 	Bandwidth = lease.Bandwidth
-	Config    = lease.Config
+	// Config has the settings of a host.
+	Config = lease.Config
 )
 
 // The phases.
@@ -36,14 +44,14 @@
 func init() {
 	lease.Start = func(cfg Config, log *slog.Logger) (lease.Host, error) {
 		h, err := Start(cfg, log)
-		if err != nil { // and not a Host that is nil
-			return nil, err
+		if err != nil {
+			return nil, err // not h: a nil *Host is no nil lease.Host
 		}
 		return h, nil
 	}
 }
 
-// Node is internal/consensus as the host uses it.
+// Node is the part of consensus.Node that the host uses.
 type Node interface {
 	Propose(ctx context.Context, entry []byte) error
 	Confirm(ctx context.Context) (term uint64, err error)
@@ -55,87 +63,120 @@
 	Close()
 }
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
-	MinLease = 100 * time.Millisecond
-	MaxLease = 10 * time.Minute
+	MinLease   = 100 * time.Millisecond
+	MaxLease   = 10 * time.Minute
+	minHistory = 2
 )
 
-// acknowledgement tells that the loop goes by a permit since at, in µs of wall clock.
+// acknowledgement says that the proxy's loop has gone by a lease since a time.
 type acknowledgement struct {
 	seq uint64
-	at  int64
+	at  int64 // microseconds of wall clock
 }
 
-// Host is one balancer's part in revisions.
+// Host is one balancer's part in revisions. Its methods are safe for concurrent use, except that Acknowledge is for
+// one goroutine.
 type Host struct {
 	cfg  Config
 	log  *slog.Logger
 	node Node
-	base time.Time // all durations count from here, on the monotonic clock
+	base time.Time // durations count from here, on the monotonic clock
 
 	lease           atomic.Pointer[Lease]
 	acknowledged    atomic.Uint64
 	acksMu          sync.Mutex
-	acks            []acknowledgement // by the loop, that the member's goroutine has not seen yet
+	acks            []acknowledgement // that the lease holder has not seen yet
 	totals          [4]atomic.Int64
-	wakeHolder      chan struct{} // the member's goroutine has something to do
-	wakeCoordinator chan struct{} // the coordinator's
+	wakeHolder      chan struct{}
+	wakeCoordinator chan struct{}
 	leave           chan chan struct{}
 	processes       *processFiles
-	released        atomic.Bool // all know that this process has left
+	released        atomic.Bool // the leader knows that this process has left
 
-	mu       sync.Mutex // what is settled, and the coordinator
+	mu       sync.Mutex // guards the fields below
 	state    *revision.State
-	waiting  map[uint64]chan revision.Result // by nonce of the command
-	leader   *revision.Leader                // nil while another leads
-	term     uint64
-	inFlight map[string]bool // commands being settled
+	waiting  map[uint64]chan revision.Result // by the command's nonce
+	leader   *revision.Leader                // nil while another member leads
+	term     uint64                          // of the log, in which leader leads
+	inFlight map[string]bool                 // the leader's commands that are being committed
 
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Start joins the others in the background. The error is of settings or the folder; that nobody answers is none.
+// Start starts a host; it joins the others in the background. The error is about the settings or the folder; it is
+// no error that no other member answers.
 func Start(cfg Config, log *slog.Logger) (*Host, error) {
-	return start(cfg, log, func(m consensus.Machine, h consensus.Handler) (Node, error) {
-		n, err := consensus.Start(consensusConfig(cfg.Log), m, h, log)
+	return start(cfg, log, func(machine consensus.Machine, handler consensus.Handler) (Node, error) {
+		node, err := consensus.Start(consensusConfig(cfg.Log), machine, handler, log)
 		if err != nil {
 			return nil, err
 		}
-		return n, nil
+		return node, nil
 	})
 }
 
-// consensusConfig is what the log is started with.
-func consensusConfig(l lease.Log) consensus.Config {
-	c := consensus.Config{Cluster: l.Cluster, Name: l.Name, Listen: l.Listen, Voters: l.Voters, Reach: l.Reach, Folder: l.Folder, Tick: l.Tick,
-		ReplaceAfter: l.ReplaceAfter, Seed: l.Seed}
-	for _, m := range l.Candidates {
-		c.Candidates = append(c.Candidates, consensus.Candidate(m))
+// consensusConfig returns the settings of the log.
+func consensusConfig(log lease.Log) consensus.Config {
+	cfg := consensus.Config{
+		Cluster:      log.Cluster,
+		Name:         log.Name,
+		Listen:       log.Listen,
+		Voters:       log.Voters,
+		Reach:        log.Reach,
+		Folder:       log.Folder,
+		Tick:         log.Tick,
+		ReplaceAfter: log.ReplaceAfter,
+		Seed:         log.Seed,
+	}
+	for _, candidate := range log.Candidates {
+		cfg.Candidates = append(cfg.Candidates, consensus.Candidate(candidate))
 	}
-	return c
+	return cfg
 }
 
-func start(cfg Config, log *slog.Logger, node func(consensus.Machine, consensus.Handler) (Node, error)) (*Host, error) {
+// validate checks the settings that are the host's own.
+func validate(cfg Config) error {
 	switch {
 	case cfg.Name == "":
-		return nil, &ConfigError{"name", "is empty"}
+		return &ConfigError{"name", "is empty"}
 	case cfg.Lease < MinLease || cfg.Lease > MaxLease:
-		return nil, &ConfigError{"lease", cfg.Lease.String() + " is not in " + MinLease.String() + " to " + MaxLease.String()}
+		return &ConfigError{"lease", cfg.Lease.String() + " is not in " + MinLease.String() + " to " + MaxLease.String()}
 	case cfg.Deadline < cfg.Lease/2:
-		return nil, &ConfigError{"deadline", cfg.Deadline.String() + " is under half the lease"}
-	case cfg.History < 2:
-		return nil, &ConfigError{"history", "under 2: there must be something to go back to"}
+		return &ConfigError{"deadline", cfg.Deadline.String() + " is under half the lease"}
+	case cfg.History < minHistory:
+		return &ConfigError{"history", "under 2: there must be something to go back to"}
+	}
+	return nil
+}
+
+func start(
+	cfg Config, log *slog.Logger, startNode func(consensus.Machine, consensus.Handler) (Node, error),
+) (*Host, error) {
+	if err := validate(cfg); err != nil {
+		return nil, err
+	}
+	h := &Host{
+		cfg:             cfg,
+		log:             log,
+		base:            time.Now(),
+		wakeHolder:      make(chan struct{}, 1),
+		wakeCoordinator: make(chan struct{}, 1),
+		leave:           make(chan chan struct{}),
+		processes:       newProcessFiles(cfg.Log.Folder),
+		state:           revision.NewState(),
+		waiting:         map[uint64]chan revision.Result{},
+		inFlight:        map[string]bool{},
 	}
-	h := &Host{cfg: cfg, log: log, base: time.Now(), wakeHolder: make(chan struct{}, 1), wakeCoordinator: make(chan struct{}, 1), leave: make(chan chan struct{}), processes: newProcessFiles(cfg.Log.Folder),
-		state: revision.NewState(), waiting: map[uint64]chan revision.Result{}, inFlight: map[string]bool{}}
 	h.ctx, h.stop = context.WithCancel(context.Background())
-	m := revision.NewMember(revision.Holder{Name: cfg.Name, Generation: max(cfg.Generation, 1)}, cfg.HoldOnPartition, h.check)
-	h.lease.Store(&Lease{Seq: m.Lease().Seq, Reason: m.Lease().Reason})
+	holder := revision.Holder{Name: cfg.Name, Generation: max(cfg.Generation, 1)}
+	member := revision.NewMember(holder, cfg.HoldOnPartition, h.check)
+	h.lease.Store(&Lease{Seq: member.Lease().Seq, Reason: member.Lease().Reason})
 	ready := make(chan struct{})
-	n, err := node((*machine)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
+	node, err := startNode((*machine)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
 		select {
 		case <-ready:
 			return h.serve(ctx, from, method, body)
@@ -147,25 +188,27 @@
 		h.stop()
 		return nil, err
 	}
-	h.node = n
+	h.node = node
 	close(ready)
-	h.goroutines.Go(func() { (&leaseHolder{Host: h, member: m, log: log}).run() })
+	h.goroutines.Go(newLeaseHolder(h, member).run)
 	h.goroutines.Go(h.coordinate)
 	h.goroutines.Go(h.watchEnded)
 	return h, nil
 }
 
+// check returns why this balancer cannot route by a revision's text, or nil.
 func (h *Host) check(text json.RawMessage) error {
-	c, err := revision.Decode(text)
+	content, err := revision.Decode(text)
 	if err != nil {
 		return err
 	}
-	return h.cfg.Check(c)
+	return h.cfg.Check(content)
 }
 
-// now is the time by which this process counts.
+// now returns the time since the host's start, by the monotonic clock.
 func (h *Host) now() time.Duration { return time.Since(h.base) }
 
+// signal wakes the goroutine that receives from c; it does not block.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -173,10 +216,10 @@
 	}
 }
 
-// Lease is what holds now. Never nil, no lock.
+// Lease returns what holds now. It is never nil and takes no lock.
 func (h *Host) Lease() *Lease { return h.lease.Load() }
 
-// Acknowledge tells that the data's goroutine goes by the permit with this Seq, and by none before. Called by one goroutine.
+// Acknowledge says that the calling goroutine goes by the lease with this Seq, and by no earlier one.
 func (h *Host) Acknowledge(seq uint64) {
 	if h.acknowledged.Load() == seq {
 		return
@@ -188,15 +231,17 @@
 	signal(h.wakeHolder)
 }
 
-// SetTotals are the running totals of this process: newcomers and routed tasks asked for, refused, failed, answered late.
+// SetTotals sets the running totals of this process: new clients and routed requests asked for, refused, failed, and
+// answered late.
 func (h *Host) SetTotals(asked, refused, failed, late int64) {
 	for i, n := range [...]int64{asked, refused, failed, late} {
 		h.totals[i].Store(n)
 	}
 }
 
-// Leave gives the permission back for good: no newcomers are placed by it from now on. It returns once the others know, or ctx is over:
-// then the permission lapses by itself, or, where on_cut is hold, stands in the roster until a later process or an operator ends it.
+// Leave gives the lease back for good: no new clients are placed from now on. It returns once the leader knows, or
+// when ctx ends. In the second case the lease expires by itself; where on_cut is hold, it stays listed until a
+// later process or an operator ends it.
 func (h *Host) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -213,12 +258,19 @@
 	}
 }
 
-// Close ends everything. The permit ends with it.
+// Close ends the host's goroutines and its lease, and waits for them.
 func (h *Host) Close() {
 	h.stop()
 	h.goroutines.Wait()
 	h.node.Close()
 	old := h.lease.Load()
-	h.lease.Store(&Lease{Number: old.Number, Hash: old.Hash, Content: old.Content, Phase: Expired, Seq: old.Seq + 1, Reason: "it has been closed"})
+	h.lease.Store(&Lease{
+		Number:  old.Number,
+		Hash:    old.Hash,
+		Content: old.Content,
+		Phase:   Expired,
+		Seq:     old.Seq + 1,
+		Reason:  "it has been closed",
+	})
 	h.processes.close(h.released.Load()) // last: from here on others take this process for ended
 }
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -13,7 +13,7 @@
 	"oatloft/internal/revision"
 )
 
-// balancer is a host with a loop that takes up permits at once, unless it is stopped.
+// balancer is a host with a loop that acknowledges leases at once, unless it is stopped.
 type balancer struct {
 	*Host
 	name    string
@@ -30,18 +30,27 @@
 func (e *unfit) Hint() string  { return "load the settings that have it" }
 
 func (b *balancer) config(hold bool) Config {
-	return Config{Name: b.name, Generation: 1, HoldOnPartition: hold, Lease: 300 * time.Millisecond, Deadline: 2 * time.Second, History: 10, HistoryBytes: 1 << 20,
+	return Config{
+		Name:            b.name,
+		Generation:      1,
+		HoldOnPartition: hold,
+		Lease:           300 * time.Millisecond,
+		Deadline:        2 * time.Second,
+		History:         10,
+		HistoryBytes:    1 << 20,
 		Check: func(c *revision.Content) error {
 			if u := b.unfit.Load(); u != nil && *u == c.Note {
 				return &unfit{c.Note}
 			}
 			return nil
-		}, LeaseChanged: func() {
+		},
+		LeaseChanged: func() {
 			select {
 			case b.rung <- struct{}{}:
 			default:
 			}
-		}}
+		},
+	}
 }
 
 func (b *balancer) loop() {
@@ -115,7 +124,8 @@
 	var got string
 	var err error
 	waitFor(t, key+" ends", func() bool {
-		if got, err = b.Operate(context.Background(), words); err != nil && strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) {
+		if got, err = b.Operate(context.Background(), words); err != nil &&
+			strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) {
 			return false
 		}
 		words = "outcome " + key
@@ -124,6 +134,15 @@
 	return got, err
 }
 
+// mustSettle hands a proposal in, and fails the test unless it makes the revision of a number.
+func (b *balancer) mustSettle(t *testing.T, key, words string, number int) {
+	t.Helper()
+	got, err := b.settled(t, key, words)
+	if err != nil || !strings.HasPrefix(got, fmt.Sprintf("settled %d ", number)) {
+		t.Fatal(key, got, err)
+	}
+}
+
 func TestEverywhereOrNowhere(t *testing.T) {
 	_, all := fleet(t, 3, false)
 	got, err := all[1].settled(t, "k1", "propose k1 0 - - op "+text("one"))
@@ -136,16 +155,19 @@
 	}
 	note := "two"
 	all[2].unfit.Store(&note)
-	if got, err = all[0].settled(t, "k2", "propose k2 1 - - op "+text("two")); err == nil || !strings.Contains(err.Error(), "for c: class two is unknown here") {
+	if got, err = all[0].settled(t, "k2", "propose k2 1 - - op "+text("two")); err == nil ||
+		!strings.Contains(err.Error(), "for c: class two is unknown here") {
 		t.Fatal(got, err)
 	}
 	if !allBy(all, 1) {
 		waitFor(t, "all at work by 1 again", func() bool { return allBy(all, 1) })
 	}
-	if got, err = all[0].settled(t, "k1", "propose k1 0 - - op "+text("one")); err != nil || !strings.HasPrefix(got, "settled 1 ") {
+	if got, err = all[0].settled(t, "k1", "propose k1 0 - - op "+text("one")); err != nil ||
+		!strings.HasPrefix(got, "settled 1 ") {
 		t.Fatal("the same key again:", got, err)
 	}
-	if _, err = all[0].settled(t, "k3", "rollback k3 0 - - op 0"); err == nil || !strings.Contains(err.Error(), "revision 1 is in force") {
+	if _, err = all[0].settled(t, "k3", "rollback k3 0 - - op 0"); err == nil ||
+		!strings.Contains(err.Error(), "revision 1 is in force") {
 		t.Fatal(err)
 	}
 	if got, err = all[2].settled(t, "k4", "rollback k4 1 - - op 0"); err != nil || !strings.HasPrefix(got, "settled 2 ") {
@@ -156,13 +178,14 @@
 	if err != nil || !strings.HasPrefix(line, "2 hash=") || !strings.Contains(line, "kind=rollback-of-0") {
 		t.Fatal(line, err)
 	}
-	if s, _ := all[1].Operate(context.Background(), "status"); !strings.Contains(s, "in-force=2") || !strings.Contains(s, "members=3(a,b,c)") {
+	if s, _ := all[1].Operate(context.Background(), "status"); !strings.Contains(s, "in-force=2") ||
+		!strings.Contains(s, "members=3(a,b,c)") {
 		t.Fatal(s)
 	}
 }
 
 // A leader that goes between any two steps leaves a proposal that its successor ends.
-func TestLeadersGo(t *testing.T) {
+func TestLeadersEnd(t *testing.T) {
 	l, all := fleet(t, 3, false)
 	for i := range 12 {
 		key := fmt.Sprintf("k%d", i)
@@ -178,7 +201,7 @@
 }
 
 // One that is cut off has lost its permission before the others go on, with refuse; with hold they don't.
-func TestCut(t *testing.T) {
+func TestPartition(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		l, all := fleet(t, 3, hold)
 		l.cut("c", true)
@@ -203,7 +226,7 @@
 }
 
 // A loop that doesn't take up the stop keeps the revision from being settled, or lapses.
-func TestStoppedOnlyWhenTaken(t *testing.T) {
+func TestStopWaitsForAcknowledgement(t *testing.T) {
 	_, all := fleet(t, 3, true)
 	all[1].stopped.Store(true)
 	if got, err := all[0].settled(t, "k", "propose k 0 - 1s op "+text("x")); !names(err, "b") {
@@ -257,7 +280,8 @@
 	if got, err := all[0].settled(t, "k", "propose k 0 20s - op "+text("x")); err != nil {
 		t.Fatal(got, err)
 	}
-	if _, err := all[0].settled(t, "k2", "propose k2 1 - - op "+text("y")); err == nil || !strings.Contains(err.Error(), "is watched") {
+	if _, err := all[0].settled(t, "k2", "propose k2 1 - - op "+text("y")); err == nil ||
+		!strings.Contains(err.Error(), "is watched") {
 		t.Fatal(err)
 	}
 	waitFor(t, "the way back", func() bool {
@@ -267,18 +291,27 @@
 		}
 		return allBy(all, 2)
 	})
-	if line, err := all[1].Operate(context.Background(), "list 1"); err != nil || !strings.Contains(line, "kind=guard-back-to-0") {
+	if line, err := all[1].Operate(context.Background(), "list 1"); err != nil ||
+		!strings.Contains(line, "kind=guard-back-to-0") {
 		t.Fatal(line, err)
 	}
 }
 
-// The log tells of each permit that the loop went by, also where it has gone over to the next before the member's goroutine ran.
-func TestEachPermitThatWasTakenIsLogged(t *testing.T) {
+// The log tells of each lease that the loop went by, also where it has gone over to the next before the holder's
+// goroutine ran.
+func TestEachAcknowledgedLeaseIsLogged(t *testing.T) {
 	var b strings.Builder
-	h := &leaseHolder{Host: &Host{wakeHolder: make(chan struct{}, 1), wakeCoordinator: make(chan struct{}, 1)}, member: revision.NewMember(revision.Holder{Name: "a", Generation: 1}, false, nil),
-		log: slog.New(slog.NewTextHandler(&b, nil))}
+	host := &Host{
+		wakeHolder:      make(chan struct{}, 1),
+		wakeCoordinator: make(chan struct{}, 1),
+		log:             slog.New(slog.NewTextHandler(&b, nil)),
+	}
+	h := newLeaseHolder(host, revision.NewMember(revision.Holder{Name: "a", Generation: 1}, false, nil))
 	for seq, phase := range []revision.LeasePhase{revision.Active, revision.Expired, revision.Active, revision.Suspended} {
-		h.published = append(h.published, revision.Lease{Seq: uint64(10 + seq), Number: 7, Phase: phase})
+		h.published.unacknowledged = append(
+			h.published.unacknowledged,
+			revision.Lease{Seq: uint64(10 + seq), Number: 7, Phase: phase},
+		)
 	}
 	for _, seq := range []uint64{10, 11, 13} { // it never saw the twelfth
 		h.Acknowledge(seq)
--- a/internal/revision/host/processes.go
+++ b/internal/revision/host/processes.go
@@ -1,12 +1,6 @@
 package host
 
-// This file owns how one process of a balancer knows that another one has ended: each holds, from before it joins until its end, the
-// lock of a file of its own beside the log, which the system gives back however the process ends, and once nothing of it can send any
-// more. It must never take a process for ended but by that lock: a file that isn't there, can't be read, or is a copy says nothing.
-
 import (
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -20,73 +14,93 @@
 
 	"oatloft/internal/consensus"
 	"oatloft/internal/failpoint"
-	"oatloft/internal/revision"
 )
 
-// processFiles are the files of a balancer's processes, by generation. Safe for concurrent use.
+const (
+	// maxProcessFiles is how many files are looked at in one turn.
+	maxProcessFiles = 64
+	// leftoverAge is the age at which a file that was never finished is removed.
+	leftoverAge = time.Minute
+	// maxProcessFile bounds what is read of a file, in bytes.
+	maxProcessFile = 64
+
+	processFolderMode = 0o700
+	processFileMode   = 0o600
+)
+
+// processFiles lets the processes of one balancer see each other's end. Each process holds the lock of a file of
+// its own, named by its generation, from before it joins until its end; the system releases the lock however the
+// process ends. A file that is missing, unreadable or copied says nothing. Safe for concurrent use.
 type processFiles struct {
-	folder string // "" where there is none: nothing is known of others
+	folder string // empty where there is none: nothing is known of other processes
 	mu     sync.Mutex
-	own    map[uint64]*os.File
+	own    map[uint64]*os.File // locked by this process, by generation
 }
 
-const (
-	maxProcessFiles = 64 // files looked at in a turn
-	leftoverAge     = time.Minute
-)
-
 func newProcessFiles(folder string) *processFiles {
-	a := &processFiles{own: map[uint64]*os.File{}}
+	p := &processFiles{own: map[uint64]*os.File{}}
 	if folder != "" {
-		a.folder = filepath.Join(folder, consensus.Processes)
+		p.folder = filepath.Join(folder, consensus.Processes)
 	}
-	return a
+	return p
 }
 
-func (a *processFiles) path(gen uint64) string {
-	return filepath.Join(a.folder, strconv.FormatUint(gen, 10))
+func (p *processFiles) path(generation uint64) string {
+	return filepath.Join(p.folder, strconv.FormatUint(generation, 10))
 }
 
-// create makes this process known under gen. The file gets its name once it is locked, so that one with a name which can be locked is of a
-// process that has ended.
-func (a *processFiles) create(gen uint64) (err error) {
-	defer func() {
-		if err != nil && !errors.As(err, new(*GenerationInUse)) {
-			err = &ProcessFileFailed{a.folder, err}
-		}
-	}()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.folder == "" || a.own[gen] != nil {
+// create makes this process known under a generation. The error is *GenerationInUse or *ProcessFileFailed.
+func (p *processFiles) create(generation uint64) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.folder == "" || p.own[generation] != nil {
 		return nil
 	}
-	if err = os.MkdirAll(a.folder, 0o700); err != nil {
-		return err
+	f, err := p.createLocked(generation)
+	if err == nil {
+		p.own[generation] = f
+		return nil
 	}
-	path := a.path(gen)
-	f, err := os.OpenFile(path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
-	if err != nil {
+	if inUse := (*GenerationInUse)(nil); errors.As(err, &inUse) {
 		return err
 	}
-	if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
-		_, err = io.WriteString(f, inode(f))
-	}
-	if err == nil {
-		if _, e := os.Lstat(path); e == nil {
-			err = &GenerationInUse{path}
-		} else {
-			err = os.Rename(path+".new", path)
-		}
+	return &ProcessFileFailed{p.folder, err}
+}
+
+// createLocked creates the file of a generation and locks it. The file gets its name once it is locked, so that a
+// named file whose lock is free belongs to a process that has ended.
+func (p *processFiles) createLocked(generation uint64) (*os.File, error) {
+	if err := os.MkdirAll(p.folder, processFolderMode); err != nil {
+		return nil, err
 	}
+	path := p.path(generation)
+	unnamed := path + ".new"
+	f, err := os.OpenFile(unnamed, os.O_RDWR|os.O_CREATE|os.O_TRUNC, processFileMode)
 	if err != nil {
+		return nil, err
+	}
+	if err := lockAndName(f, unnamed, path); err != nil {
 		_ = f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// lockAndName locks a new file, writes which file it is, and gives it its name.
+func lockAndName(f *os.File, unnamed, path string) error {
+	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(f, inode(f)); err != nil {
 		return err
 	}
-	a.own[gen] = f
-	return nil
+	if _, err := os.Lstat(path); err == nil {
+		return &GenerationInUse{path}
+	}
+	return os.Rename(unnamed, path)
 }
 
-// inode tells a file from a copy of it.
+// inode identifies a file, so that it can be told from a copy.
 func inode(f *os.File) string {
 	var s unix.Stat_t
 	if unix.Fstat(int(f.Fd()), &s) != nil {
@@ -95,30 +109,35 @@
 	return fmt.Sprintf("inode %d\n", s.Ino)
 }
 
-// ended are processes of this balancer that were there and have ended.
-func (a *processFiles) ended() (list []uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.folder == "" {
+// ended returns the generations of this balancer's other processes that have ended.
+func (p *processFiles) ended() (generations []uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.folder == "" {
 		return nil
 	}
-	files, _ := os.ReadDir(a.folder)
-	for _, e := range files[:min(len(files), maxProcessFiles)] {
-		gen, err := strconv.ParseUint(e.Name(), 10, 64)
-		if err != nil { // half of one, of a process that was killed just then
-			if info, err := e.Info(); err == nil && time.Since(info.ModTime()) > leftoverAge {
-				_ = os.Remove(filepath.Join(a.folder, e.Name()))
-			}
+	files, _ := os.ReadDir(p.folder) // an unreadable folder says nothing
+	for _, file := range files[:min(len(files), maxProcessFiles)] {
+		generation, err := strconv.ParseUint(file.Name(), 10, 64)
+		if err != nil {
+			p.removeLeftover(file)
 			continue
 		}
-		if a.own[gen] == nil && hasEnded(a.path(gen)) {
-			list = append(list, gen)
+		if p.own[generation] == nil && hasEnded(p.path(generation)) {
+			generations = append(generations, generation)
 		}
 	}
-	return list
+	return generations
+}
+
+// removeLeftover removes a file without a generation's name, if it is old: its process was killed while creating it.
+func (p *processFiles) removeLeftover(file os.DirEntry) {
+	if info, err := file.Info(); err == nil && time.Since(info.ModTime()) > leftoverAge {
+		_ = os.Remove(filepath.Join(p.folder, file.Name()))
+	}
 }
 
-// hasEnded tells of a file whose lock nobody holds, and which is no copy.
+// hasEnded tells whether nobody holds a file's lock, and the file is not a copy.
 func hasEnded(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
@@ -128,62 +147,22 @@
 	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil && !failpoint.On("ended-unlocked") {
 		return false
 	}
-	said, _ := io.ReadAll(io.LimitReader(f, 64))
-	return len(said) > 0 && string(said) == inode(f)
+	content, err := io.ReadAll(io.LimitReader(f, maxProcessFile))
+	return err == nil && len(content) > 0 && string(content) == inode(f)
 }
 
-// remove takes away the file of a process that has ended.
-func (a *processFiles) remove(gen uint64) { _ = os.Remove(a.path(gen)) }
+// remove removes the file of a process that has ended.
+func (p *processFiles) remove(generation uint64) { _ = os.Remove(p.path(generation)) }
 
-// close gives the locks back. Where all know that this process has left, its files go too.
-func (a *processFiles) close(left bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for gen, f := range a.own {
+// close releases this process's locks. If the leader knows that the process has left, its files are removed.
+func (p *processFiles) close(left bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for generation, f := range p.own {
 		if left {
-			a.remove(gen)
+			p.remove(generation)
 		}
 		_ = f.Close()
 	}
-	clear(a.own)
-}
-
-// watchEnded tells the leader of this balancer's processes that have ended, so that nobody waits for them: the next one may have been
-// started while such a one was there, and couldn't say so.
-func (h *Host) watchEnded() {
-	every := min(max(h.cfg.Lease/4, 100*time.Millisecond), 2*time.Second)
-	for {
-		if lead := h.node.Leader(); lead.Name != "" {
-			for _, gen := range h.processes.ended() {
-				body, _ := json.Marshal(revision.Holder{Name: h.cfg.Name, Generation: gen})
-				if _, err := h.callLeader(lead, "ended", body, 2*time.Second); err != nil {
-					break
-				}
-				h.processes.remove(gen)
-				h.log.Info("revisions: an earlier process has ended without a word", "generation", gen)
-			}
-		}
-		select {
-		case <-h.ctx.Done():
-			return
-		case <-time.After(every):
-		}
-	}
-}
-
-// processEnded is what the leader does of it.
-func (h *Host) processEnded(ctx context.Context, from string, o revision.Holder) error {
-	if from != o.Name {
-		return &revision.Corrupt{Cause: from + " tells that a process of " + o.Name + " has ended"}
-	}
-	if err := h.lockAsLeader(ctx); err != nil {
-		return err
-	}
-	known := h.state.HasEnded(o)
-	h.mu.Unlock()
-	if known {
-		return nil
-	}
-	_, err := h.commit(ctx, revision.Command{Op: revision.OpLeave, Holder: o, Ended: true})
-	return err
+	clear(p.own)
 }
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -25,8 +25,8 @@
 	silentRenewals     = 2                      // a holder that has missed so many counts as silent
 )
 
-// ExpiryMargin is how long a leader waits after the last grant that anybody may have given before it takes a lease for expired: rates of
-// clocks differ by less than a tenth.
+// ExpiryMargin is how long a leader waits after the last grant that anybody may have given before it takes a lease
+// for expired: rates of clocks differ by less than a tenth.
 func ExpiryMargin(lease time.Duration) time.Duration {
 	if failpoint.On("no-margin") {
 		return lease / 2
@@ -47,9 +47,10 @@
 	totals           Totals
 }
 
-// Leader is the coordinator of one term: it grants leases, collects the members' answers to a proposal, and says which commands are to
-// be committed. It keeps nothing that a successor would need: that is in State, or requested again. It never grants anything in a term
-// that is not its own, while a stop is committed, or to a holder whose lease it is about to expire.
+// Leader is the coordinator of one term: it grants leases, collects the members' answers to a proposal, and says
+// which commands are to be committed. It keeps nothing that a successor would need: that is in State, or requested
+// again. It never grants anything in a term that is not its own, while a stop is committed, or to a holder whose
+// lease it is about to expire.
 //
 // A Leader has no goroutine and no clock. Its methods may not be called at the same time.
 type Leader struct {
@@ -98,8 +99,8 @@
 	return state
 }
 
-// Renew answers a holder's request. The caller has made sure, after the request had come, that this process leads in this term; ok is
-// false if the term is over.
+// Renew answers a holder's request. The caller has made sure, after the request had come, that this process leads
+// in this term; ok is false if the term is over.
 func (l *Leader) Renew(now time.Duration, s *State, request RenewRequest) (reply RenewReply, ok bool) {
 	if l.term == 0 || l.term != s.LeaderTerm {
 		return RenewReply{}, false
@@ -190,7 +191,8 @@
 	return !entry.HoldOnPartition && now >= max(h.lastGrant, l.termBegan)+ExpiryMargin(l.Config.Lease)
 }
 
-// NextCommands returns what is to be committed now. It may return the same again until it is; what comes too late does nothing.
+// NextCommands returns what is to be committed now. It may return the same again until it is; what comes too late
+// does nothing.
 func (l *Leader) NextCommands(now time.Duration, s *State) []Command {
 	if l.term == 0 || l.term != s.LeaderTerm {
 		return nil
@@ -223,8 +225,9 @@
 	return commands
 }
 
-// advanceProposal is the next step of the proposal, if one is due: an abort as soon as a holder rejects it or the deadline has passed;
-// a stop once all have accepted; the commit once all have stopped, or a resume if that takes too long.
+// advanceProposal is the next step of the proposal, if one is due: an abort as soon as a holder rejects it or the
+// deadline has passed; a stop once all have accepted; the commit once all have stopped, or a resume if that takes
+// too long.
 func (l *Leader) advanceProposal(now time.Duration, s *State, p *Proposal) (command Command, due bool) {
 	l.noteProposal(now, s, p)
 	command = Command{LeaderTerm: l.term, ProposalID: p.ID, Epoch: s.Epoch, HoldersVersion: s.HoldersVersion}
@@ -276,8 +279,9 @@
 	return "", "", false
 }
 
-// missingHolders names the holders that the proposal waits for: those that have not answered or are silent, then those that have not
-// stopped yet. Before the stop a silent one counts although it has accepted, since the stop would only wait for it.
+// missingHolders names the holders that the proposal waits for: those that have not answered or are silent, then
+// those that have not stopped yet. Before the stop a silent one counts although it has accepted, since the stop
+// would only wait for it.
 func (l *Leader) missingHolders(now time.Duration, s *State, p *Proposal) []string {
 	var silent, running []string
 	for _, entry := range s.Holders {
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -8,9 +8,10 @@
 	"oatloft/internal/failpoint"
 )
 
-// Member is one process's part: by which revision it may place new requests, and until when by its own clock. It takes the leader's
-// replies and the loop's acknowledgements, and says what is to be told to the leader. Only a grant lengthens a lease, from the moment
-// at which it was requested; and the member says that it has stopped only once the loop has acknowledged that.
+// Member is one process's part: by which revision it may place new requests, and until when by its own clock. It
+// takes the leader's replies and the loop's acknowledgements, and says what is to be told to the leader. Only a
+// grant lengthens a lease, from the moment at which it was requested; and the member says that it has stopped only
+// once the loop has acknowledged that.
 //
 // A Member has no goroutine and no clock. Its methods may not be called at the same time.
 type Member struct {
@@ -39,8 +40,8 @@
 	incompatibility string // why this balancer cannot route by it; "" if it can
 }
 
-// stagedProposal is the latest proposal that a member has answered. It stays staged when the proposal has ended: the next thing heard
-// may be that it is in force.
+// stagedProposal is the latest proposal that a member has answered. It stays staged when the proposal has ended:
+// the next thing heard may be that it is in force.
 type stagedProposal struct {
 	id        uint64 // 0 for none
 	hash      string
@@ -136,7 +137,8 @@
 	m.publish(Expired, 0, "nobody has renewed its permission in time")
 }
 
-// HandleReply takes the leader's reply to the request of that Seq, which was sent at requestedAt by this process's clock.
+// HandleReply takes the leader's reply to the request of that Seq, which was sent at requestedAt by this process's
+// clock.
 func (m *Member) HandleReply(now, requestedAt time.Duration, seq uint64, reply RenewReply) {
 	m.Tick(now)
 	if seq <= m.ignoreUpTo || m.lease.Phase == Released {
@@ -162,7 +164,8 @@
 	}
 }
 
-// notListed takes a reply that this process is not listed. Nothing that it may have been granted counts any more, and it begins again.
+// notListed takes a reply that this process is not listed. Nothing that it may have been granted counts any more,
+// and it begins again.
 func (m *Member) notListed(reply RenewReply) {
 	m.Holder.Generation = max(m.Holder.Generation, reply.MinGeneration)
 	m.learn(reply)
@@ -183,8 +186,8 @@
 	m.publish(Learning, 0, "it can't route by revision "+formatUint(number)+": "+m.inForce.incompatibility)
 }
 
-// learn takes the text of the revision in force, if it is new, and checks whether this balancer can route by it. Settings may have
-// changed since the last check.
+// learn takes the text of the revision in force, if it is new, and checks whether this balancer can route by it.
+// Settings may have changed since the last check.
 func (m *Member) learn(reply RenewReply) {
 	f := &m.inForce
 	known := f.hasText && f.number == reply.Number && f.hash == reply.Hash
@@ -209,7 +212,8 @@
 	}
 }
 
-// stage answers a proposal. A process that does not know enough yet does not answer, and is asked again with its next renewal.
+// stage answers a proposal. A process that does not know enough yet does not answer, and is asked again with its
+// next renewal.
 func (m *Member) stage(reply RenewReply) {
 	err := m.Check(reply.Proposed)
 	var incompatible *Incompatible
--- a/internal/revision/later_test.go
+++ b/internal/revision/member_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Guards: a process that has had no list yet ended a change at all others by its no. It says nothing until it knows enough.
-func TestWhoKnowsTooLittleSaysNothing(t *testing.T) {
+// Guards: a process that has had no list yet ended a change at all others by its no. It says nothing until it knows
+// enough.
+func TestMemberWithoutListDoesNotAnswer(t *testing.T) {
 	text := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
 	now := Environment{Servers: []string{"r1", "r2"}}
 	m := NewMember(Holder{Name: "b1", Generation: 1}, false, func(text json.RawMessage) error {
@@ -18,7 +19,17 @@
 		return Check(c, now)
 	})
 	plain := Encode(&Content{Form: Form})
-	told := RenewReply{Known: true, Epoch: 1, Granted: true, Lease: time.Second, Hash: "h", Text: plain, Proposal: 7, Proposed: text, ProposedHash: "p"}
+	told := RenewReply{
+		Known:        true,
+		Epoch:        1,
+		Granted:      true,
+		Lease:        time.Second,
+		Hash:         "h",
+		Text:         plain,
+		Proposal:     7,
+		Proposed:     text,
+		ProposedHash: "p",
+	}
 	m.HandleReply(0, 0, m.NextRequest().Seq, told)
 	if r := m.NextRequest(); r.AnsweredProposal != 0 || r.Rejection != "" {
 		t.Errorf("without a list: %+v", r)
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -82,7 +82,11 @@
 func (e *MalformedOrder) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
-			return "use oatctl revision " + string(e.Verb) + ", which writes revision " + strings.TrimSpace(string(v.verb)+" "+v.form)
+			return "use oatctl revision " + string(
+				e.Verb,
+			) + ", which writes revision " + strings.TrimSpace(
+				string(v.verb)+" "+v.form,
+			)
 		}
 	}
 	return "use oatctl revision, which writes one of propose, rollback, get, list, status, outcome, replace, forget"
@@ -90,8 +94,7 @@
 
 // Limits of orders' words.
 const (
-	maxKeyBytes      = 64
-	maxNameBytes     = 64
+	maxNameBytes     = 64 // of a key, too
 	maxGuardDuration = time.Hour
 )
 
@@ -135,7 +138,8 @@
 	return d.String()
 }
 
-// ParseOrder reads the line after "revision". The error is a *MalformedOrder. The text of a proposal is left to Decode.
+// ParseOrder reads the line after "revision". The error is a *MalformedOrder. The text of a proposal is left to
+// Decode.
 func ParseOrder(line string) (Order, error) {
 	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
@@ -187,23 +191,23 @@
 	case VerbList:
 		r.number("AFTER", words[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", words[0], maxKeyBytes, &o.Key)
+		r.name("KEY", words[0], &o.Key)
 	case VerbReplace:
-		r.name("OLD", words[0], maxNameBytes, &o.Name)
-		r.name("NEW", words[1], maxNameBytes, &o.NewName)
+		r.name("OLD", words[0], &o.Name)
+		r.name("NEW", words[1], &o.NewName)
 	case VerbForget:
-		r.name("NAME", words[0], maxNameBytes, &o.Name)
+		r.name("NAME", words[0], &o.Name)
 	}
 }
 
 func (r *orderReader) readProposal(words []string) {
 	o := r.order
-	r.name("KEY", words[0], maxKeyBytes, &o.Key)
+	r.name("KEY", words[0], &o.Key)
 	r.number("FROM", words[1], &o.Base)
 	r.duration("WATCH", words[2], maxGuardDuration, &o.GuardFor)
 	r.duration("DEADLINE", words[3], maxGuardDuration, &o.Deadline)
 	if words[4] != unsaid {
-		r.name("BY", words[4], maxNameBytes, &o.By)
+		r.name("BY", words[4], &o.By)
 	}
 	if o.Verb == VerbPropose {
 		o.Text = []byte(words[5])
@@ -221,10 +225,10 @@
 	}
 }
 
-func (r *orderReader) name(field, word string, most int, to *string) {
+func (r *orderReader) name(field, word string, to *string) {
 	*to = word
-	if !isName(word, most) || word == unsaid {
-		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", most))
+	if !isName(word, maxNameBytes) || word == unsaid {
+		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", maxNameBytes))
 	}
 }
 
@@ -261,12 +265,12 @@
 	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
 }
 
-// RetryLaterPrefix begins the answer to an order that could not be taken now, and may be repeated as it is: nothing is known to have come
-// of it.
+// RetryLaterPrefix begins the answer to an order that could not be taken now, and may be repeated as it is: nothing
+// is known to have come of it.
 const RetryLaterPrefix = "later: "
 
-// ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending. An answer that is
-// neither says that the proposal was given up, or rejected.
+// ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending.
+// An answer that is neither says that the proposal was given up, or rejected.
 func ReadAnswer(text string) (number uint64, settled, pending bool) {
 	f := strings.Fields(text)
 	switch {
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -21,7 +21,10 @@
 		switch o.Verb {
 		case VerbPropose, VerbRollback:
 			o.Key, o.Base, o.By = name("key"), number.Draw(t, "from"), rapid.SampledFrom([]string{"", "amina"}).Draw(t, "by")
-			o.GuardFor, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).Draw(t, "watch"), rapid.SampledFrom([]time.Duration{0, time.Minute}).Draw(t, "deadline")
+			o.GuardFor, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).
+				Draw(t, "watch"),
+				rapid.SampledFrom([]time.Duration{0, time.Minute}).
+					Draw(t, "deadline")
 			if o.Verb == VerbRollback {
 				o.Number = uint64(rapid.IntRange(0, 99).Draw(t, "number"))
 			} else {
@@ -42,7 +45,7 @@
 	})
 }
 
-func TestMisread(t *testing.T) {
+func TestMalformedOrders(t *testing.T) {
 	for line, want := range map[string]string{
 		"": `"" is no call`, "rollback": "not the words", "undo 5": `"undo" is no call`, "status now": "not the words", "get": "not the words", "get 1 2": "not the words",
 		"get x": "NUMBER", "get -3": "NUMBER", "rollback k - - - me -": "NUMBER", "propose k 1 - - me": "not the words", "propose - 1 - - me {}": "KEY",
--- a/internal/revision/overlay.go
+++ b/internal/revision/overlay.go
@@ -11,8 +11,9 @@
 // ZonePrefix begins the name of a zone in policy.Config.Weights.
 const ZonePrefix = "zone/"
 
-// Overlay returns the settings as the revision has them; base stays as it is, since others read it. Classes and tenants that base lacks
-// are passed over: Check found them when the revision was agreed on, and settings that lose one later must not stop a balancer.
+// Overlay returns the settings as the revision has them; base stays as it is, since others read it. Classes and
+// tenants that base lacks are passed over: Check found them when the revision was agreed on, and settings that lose
+// one later must not stop a balancer.
 func Overlay(base policy.Config, c *Content) policy.Config {
 	base.Classes = overlayClasses(base.Classes, c.Classes)
 	base.Tenants = overlayTenants(base.Tenants, c.Tenants)
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -9,9 +9,9 @@
 	"oatloft/internal/failpoint"
 )
 
-// State is what every member builds from the same log of commands. It decides nothing by time and asks nobody: a command that does
-// not fit the state any more is refused here, whoever proposed it, so that a leader that was deposed, or a command that was committed
-// late or twice, can do no harm.
+// State is what every member builds from the same log of commands. It decides nothing by time and asks nobody: a
+// command that does not fit the state any more is refused here, whoever proposed it, so that a leader that was
+// deposed, or a command that was committed late or twice, can do no harm.
 type State struct {
 	LeaderTerm     uint64            `json:"reign"`
 	Leader         string            `json:"leader"`
@@ -53,9 +53,9 @@
 	first := s.History[0].Number
 	switch {
 	case n < first:
-		return nil, &RevisionForgotten{n, first}
+		return nil, &Forgotten{n, first}
 	case n > s.InForce().Number:
-		return nil, &RevisionMissing{n, s.InForce().Number}
+		return nil, &Missing{n, s.InForce().Number}
 	}
 	return &s.History[n-first], nil
 }
@@ -93,7 +93,7 @@
 func (s *State) HasHolder(h Holder) bool { _, ok := s.indexOf(h); return ok }
 
 func (s *State) indexOf(h Holder) (int, bool) {
-	return slices.BinarySearchFunc(s.Holders, h, func(r HolderEntry, h Holder) int { return r.Holder.compare(h) })
+	return slices.BinarySearchFunc(s.Holders, h, func(r HolderEntry, h Holder) int { return r.compare(h) })
 }
 
 // Apply applies the log's next command.
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// settleOne brings a text in force the whole way.
-func settleOne(t *testing.T, s *State, c Command) {
+// commitRevision brings a text in force the whole way.
+func commitRevision(t *testing.T, s *State, c Command) {
 	t.Helper()
 	c.Base = s.InForce().Number
 	for _, op := range []Op{OpPropose, OpStop, OpCommit} {
@@ -32,7 +32,18 @@
 	}
 	for i := 1; i <= 10_000; i++ {
 		c := &Content{Form: Form, Note: fmt.Sprint(i)}
-		settleOne(t, s, Command{Kind: KindProposed, Key: fmt.Sprint("k", i), Text: Encode(c), Hash: Hash(c), KeepRevisions: 1000, KeepBytes: 1 << 20})
+		commitRevision(
+			t,
+			s,
+			Command{
+				Kind:          KindProposed,
+				Key:           fmt.Sprint("k", i),
+				Text:          Encode(c),
+				Hash:          Hash(c),
+				KeepRevisions: 1000,
+				KeepBytes:     1 << 20,
+			},
+		)
 		if i%1700 == 0 {
 			n := &State{}
 			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) || n.bytes != s.bytes {
@@ -53,10 +64,10 @@
 			t.Fatalf("%d is not what was settled: %+v", n, r)
 		}
 	}
-	if _, err := s.Revision(9000); !errors.As(err, new(*RevisionForgotten)) {
+	if _, err := s.Revision(9000); !errors.As(err, new(*Forgotten)) {
 		t.Fatal(err)
 	}
-	settleOne(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500, KeepRevisions: 1000, KeepBytes: 20_000})
+	commitRevision(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500, KeepRevisions: 1000, KeepBytes: 20_000})
 	if s.InForce().Hash != hash(9500) || s.bytes > 20_000 {
 		t.Fatal(s.InForce().Hash, s.bytes)
 	}
@@ -67,9 +78,22 @@
 
 func TestRefusals(t *testing.T) {
 	s := NewState()
-	settleOne(t, s, Command{Kind: KindProposed, Key: "k", Text: Encode(&Content{Form: Form}), GuardFor: int64(time.Minute)})
+	commitRevision(
+		t,
+		s,
+		Command{Kind: KindProposed, Key: "k", Text: Encode(&Content{Form: Form}), GuardFor: int64(time.Minute)},
+	)
 	propose := func(kind Kind, from, of uint64) error {
-		return s.Apply(Command{Op: OpPropose, Key: fmt.Sprint(kind, from, of), Kind: kind, Base: from, Source: of, Text: Encode(&Content{Form: Form})}).Err
+		return s.Apply(
+			Command{
+				Op:     OpPropose,
+				Key:    fmt.Sprint(kind, from, of),
+				Kind:   kind,
+				Base:   from,
+				Source: of,
+				Text:   Encode(&Content{Form: Form}),
+			},
+		).Err
 	}
 	if err := propose(KindProposed, 1, 0); !errors.As(err, new(*GuardActive)) {
 		t.Error(err)
@@ -77,7 +101,7 @@
 	if err := propose(KindRollback, 0, 0); !errors.As(err, new(*BaseChanged)) {
 		t.Error(err)
 	}
-	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*RevisionMissing)) {
+	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*Missing)) {
 		t.Error(err)
 	}
 	if err := propose(KindRollback, 1, 0); err != nil {
@@ -98,13 +122,16 @@
 	if err := join(2, true); !errors.As(err, new(*Superseded)) {
 		t.Error(err)
 	}
-	if err := s.Apply(Command{Op: OpForget, Name: "x", LeaderTerm: s.LeaderTerm}).Err; !errors.As(err, new(*UnknownHolder)) {
+	if err := s.Apply(Command{Op: OpForget, Name: "x", LeaderTerm: s.LeaderTerm}).Err; !errors.As(
+		err,
+		new(*UnknownHolder),
+	) {
 		t.Error(err)
 	}
 }
 
 // The guard keeps what is as good as before, goes back from what is worse, and gives up after some tries.
-func TestGuardJudges(t *testing.T) {
+func TestGuard(t *testing.T) {
 	before := Totals{Requests: 1000, Rejected: 20, Late: 50}
 	for _, x := range []struct {
 		now   Totals
@@ -125,7 +152,17 @@
 	l := NewLeader("a", small)
 	l.BeginTerm(0, s.Apply(Command{Op: OpBeginTerm}).Number)
 	s.Apply(Command{Op: OpJoin, Holder: Holder{"a", 1}})
-	settleOne(t, s, Command{Kind: KindProposed, Key: "k", Text: Encode(&Content{Form: Form}), GuardFor: int64(time.Minute), Before: before})
+	commitRevision(
+		t,
+		s,
+		Command{
+			Kind:     KindProposed,
+			Key:      "k",
+			Text:     Encode(&Content{Form: Form}),
+			GuardFor: int64(time.Minute),
+			Before:   before,
+		},
+	)
 	tell := func(now time.Duration, f Totals) []Command {
 		l.Renew(now, s, RenewRequest{Holder: Holder{"a", 1}, Totals: f})
 		return l.NextCommands(now, s)
@@ -134,7 +171,9 @@
 	if c := tell(time.Second, Totals{Requests: 100}); len(c) != 0 {
 		t.Fatal(c)
 	}
-	if c := tell(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard || c[0].Source != 0 || c[0].Key != "guard-1" {
+	if c := tell(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard ||
+		c[0].Source != 0 ||
+		c[0].Key != "guard-1" {
 		t.Fatal(c)
 	}
 	n := NewLeader("b", small) // its successor begins the watch anew
@@ -149,7 +188,8 @@
 	}
 }
 
-// A join that is settled after others have told that its process has ended puts nobody into the roster, after a snapshot too.
+// A join that is settled after others have told that its process has ended puts nobody into the roster, after a
+// snapshot too.
 func TestJoinSettledAfterTheEnd(t *testing.T) {
 	s := NewState()
 	h, later := Holder{"a", 5}, Holder{"a", 7}
@@ -163,7 +203,9 @@
 	if err := s.Restore(s.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(Command{Op: OpJoin, Holder: h}); !errors.As(r.Err, new(*Superseded)) || s.HasHolder(h) || !s.HasEnded(h) || len(s.EndedProcesses) != 1 {
+	if r := s.Apply(Command{Op: OpJoin, Holder: h}); !errors.As(r.Err, new(*Superseded)) || s.HasHolder(h) ||
+		!s.HasEnded(h) ||
+		len(s.EndedProcesses) != 1 {
 		t.Error(r.Err, s.Holders, s.EndedProcesses)
 	}
 	if s.HasEnded(later) || !s.HasHolder(later) {
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -40,8 +40,8 @@
 	return "hand revisions in by oatctl revision propose of the same version as the balancers, which writes this text"
 }
 
-// Encode returns a revision's text: one line of ASCII, without what the revision does not say. It is nil for a figure that is NaN or
-// infinite, which Validate names before anybody proposes it.
+// Encode returns a revision's text: one line of ASCII, without what the revision does not say. It is nil for a
+// figure that is NaN or infinite, which Validate names before anybody proposes it.
 func Encode(c *Content) []byte {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return out.Bytes()
 }
 
-// Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is up to Validate and
-// Check. The error is a *MalformedText.
+// Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is up
+// to Validate and Check. The error is a *MalformedText.
 func Decode(text []byte) (*Content, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &MalformedText{-1, "", fmt.Sprintf("%d bytes, more than %d", len(text), MaxTextBytes)}
@@ -91,8 +91,8 @@
 	return c, nil
 }
 
-// duplicateName is a name that an object of a valid text holds more than once, since a reader could take either, and the bytes before
-// it; "" if there is none.
+// duplicateName is a name that an object of a valid text holds more than once, since a reader could take either,
+// and the bytes before it; "" if there is none.
 func duplicateName(text []byte) (name string, offset int64) {
 	var levels []jsonLevel
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -146,8 +146,9 @@
 	return name, again
 }
 
-// Hash is the SHA-256 of what a revision says, in hexadecimal. The order of classes, tenants, places and links makes no difference.
-// Callers import crypto/sha256: a balancer without the agreement hashes nothing, and does without its tenth of a megabyte.
+// Hash is the SHA-256 of what a revision says, in hexadecimal. The order of classes, tenants, places and links
+// makes no difference. Callers import crypto/sha256: a balancer without the agreement hashes nothing, and does
+// without its tenth of a megabyte.
 func Hash(c *Content) string {
 	h := crypto.SHA256.New()
 	_, _ = h.Write(Encode(normalized(c)))
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -1,17 +1,14 @@
 package revision
 
-// This file owns the small world in which the machines are explored: three processes, one log, a leader, clocks of one rate, and
-// whatever can come late, be lost, stop or end. explore_test.go walks through all of its states, or drawn paths.
+// The small world in which the machines are explored: three processes, one log, a leader, clocks of one rate, and
+// whatever can come late, be lost, stop or end. explore_test.go goes through all of its states, or through random
+// paths.
 
 import (
 	"encoding/json"
 	"fmt"
 	"slices"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
-
-	"oatloft/internal/failpoint"
 )
 
 const (
@@ -170,7 +167,8 @@
 	p.leader.BeginTerm(w.now, r.Number)
 }
 
-// exchange is one renewal of process i. how: 0 all at once, 'q' the leader stops before it answers, 'a' the answer comes late.
+// exchange is one renewal of process i. how: 0 all at once, 'q' the leader stops before it answers, 'a' the answer
+// comes late.
 func (w *world) exchange(i int, how byte) {
 	p := &w.procs[i]
 	q := late{kind: 'q', to: w.lead, from: i, gen: p.gen, asked: w.now}
@@ -230,7 +228,8 @@
 		again = false
 		for _, c := range w.procs[w.lead].leader.NextCommands(w.now, w.s) {
 			if slices.ContainsFunc(w.late, func(x late) bool {
-				return x.kind == 'c' && x.cmd.Op == c.Op && x.cmd.Holder == c.Holder && x.cmd.Epoch == c.Epoch && x.cmd.LeaderTerm == c.LeaderTerm
+				return x.kind == 'c' && x.cmd.Op == c.Op && x.cmd.Holder == c.Holder && x.cmd.Epoch == c.Epoch &&
+					x.cmd.LeaderTerm == c.LeaderTerm
 			}) {
 				continue // on its way
 			}
@@ -245,122 +244,17 @@
 	}
 }
 
-// next are all worlds one event from here. With pick there is one at most, the one that it takes, and this world becomes it.
-func (w *world) next(pl *plan, pick func(what string, fault bool) bool, visit func(*world)) {
-	do := func(what string, fault bool, f func(c *world)) {
-		if fault && w.faults == 0 || pick != nil && !pick(what, fault) {
-			return
-		}
-		c := w
-		if pick == nil {
-			c = w.clone(what)
-		} else {
-			w.trace = &trace{what, w.trace}
-		}
-		if fault {
-			c.faults--
-		}
-		f(c)
-		c.step()
-		c.judge()
-		visit(c)
-	}
-	led := w.lead >= 0 && w.runs(w.lead)
-	for i := range w.procs {
-		p := &w.procs[i]
-		name := p.m.Holder.Name
-		if w.runs(i) && led && !p.left {
-			do("renew "+name, false, func(c *world) { c.exchange(i, 0) })
-			do("renew, not answered yet "+name, true, func(c *world) { c.exchange(i, 'q') })
-			do("renew, answer late "+name, true, func(c *world) { c.exchange(i, 'a') })
-		}
-		if failpoint.On("unconfirmed") && w.runs(i) && !p.left {
-			for j := range w.procs {
-				if w.procs[j].leader != nil && w.runs(j) && j != w.lead {
-					do("renew at who led before "+name, false, func(c *world) {
-						q := late{to: j, from: i, gen: p.gen, asked: c.now, renew: c.procs[i].m.NextRequest()}
-						q.seq = q.renew.Seq
-						c.answer(q, 0)
-					})
-				}
-			}
-		}
-		switch {
-		case p.dead:
-			do("restart "+name, false, func(c *world) {
-				q := &c.procs[i]
-				*q = proc{gen: q.gen + 1, m: NewMember(Holder{name, q.gen + 1}, q.m.HoldOnPartition, fits(i))}
-			})
-		case p.stopped:
-			do("wake "+name, false, func(c *world) {
-				c.procs[i].stopped = false
-				c.procs[i].m.Tick(c.now)
-				c.loop(i)
-			})
-		default:
-			do("stop "+name, true, func(c *world) { c.procs[i].stopped = true })
-			do("kill "+name, true, func(c *world) {
-				c.procs[i].dead, c.procs[i].leader, c.procs[i].loop = true, nil, Lease{}
-				if c.lead == i {
-					c.lead = -1
-				}
-			})
-			if p.slow {
-				do("loop takes up "+name, false, func(c *world) { c.procs[i].slow = false; c.loop(i) })
-			} else {
-				do("loop waits "+name, true, func(c *world) { c.procs[i].slow = true })
-			}
-			if i != w.lead {
-				do("elect "+name, w.lead >= 0, func(c *world) { c.elect(i) })
-			}
-			if !p.left && w.lead != i {
-				do("leave "+name, true, func(c *world) { c.procs[i].m.Leave(); c.procs[i].left = true; c.loop(i) })
-			}
-		}
-		if p.left && p.m.HasLeft() && w.s.HasHolder(p.m.Holder) {
-			do("left "+name, false, func(c *world) { c.apply(Command{Op: OpLeave, Holder: p.m.Holder}) })
-		}
-	}
-	if led && !w.slowLog {
-		do("the log is slow", true, func(c *world) { c.slowLog = true })
-	}
-	for k, x := range w.late {
-		if x.kind == 'q' && !w.runs(x.to) || x.kind == 'a' && !w.runs(x.from) {
-			continue
-		}
-		do("late "+string(x.kind)+" "+string(x.cmd.Op)+string(rune('a'+x.from)), false, func(c *world) {
-			c.late = slices.Delete(c.late, k, k+1)
-			switch x.kind {
-			case 'q':
-				c.answer(x, 0)
-			case 'a':
-				c.take(x)
-			case 'c':
-				c.apply(x.cmd)
-			}
-		})
-	}
-	for k, o := range pl.ops {
-		if w.handed[k] < 1+o.again && (k == 0 || w.handed[k-1] > 0) {
-			do("call "+o.key, false, func(c *world) { c.handed[k]++; c.apply(o.command(pl)) })
-		}
-	}
-	if w.ticks > 0 {
-		do("tick", false, func(c *world) {
-			c.ticks--
-			c.now += unit
-			for i := range c.procs {
-				if c.runs(i) {
-					c.procs[i].m.Tick(c.now)
-					c.loop(i)
-				}
-			}
-		})
-	}
-}
-
 func (o op) command(pl *plan) Command {
-	c := Command{Op: OpPropose, Kind: KindProposed, Key: o.key, Base: o.from, Source: o.of, Text: json.RawMessage(`"` + o.note + `"`), Hash: o.note, KeepRevisions: 100}
+	c := Command{
+		Op:            OpPropose,
+		Kind:          KindProposed,
+		Key:           o.key,
+		Base:          o.from,
+		Source:        o.of,
+		Text:          json.RawMessage(`"` + o.note + `"`),
+		Hash:          o.note,
+		KeepRevisions: 100,
+	}
 	if o.rollback {
 		c.Kind, c.Text, c.Hash = KindRollback, nil, ""
 	}
@@ -369,233 +263,3 @@
 	}
 	return c
 }
-
-// judge looks for what must never be.
-func (w *world) judge() {
-	inForce := w.s.InForce()
-	for i := range w.procs {
-		p := &w.procs[i]
-		if p.dead || !p.loop.Allows(w.now) {
-			continue
-		}
-		if p.loop.Number != inForce.Number || p.loop.Hash != inForce.Hash {
-			w.fail("%s is at work by %d, and %d is in force", p.m.Holder, p.loop.Number, inForce.Number)
-		}
-		if err := fits(i)(p.loop.Text); err != nil {
-			w.fail("%s is at work by %d, which doesn't fit it", p.m.Holder, p.loop.Number)
-		}
-		if p.left && !p.slow {
-			w.fail("%s has left and is at work", p.m.Holder)
-		}
-	}
-}
-
-// judgeSettled looks at a step of what is settled.
-func (w *world) judgeSettled(before *State, c Command) {
-	if w.s.InForce().Number > before.InForce().Number {
-		w.hashes = append(slices.Clone(w.hashes), w.s.InForce().Hash)
-		for _, r := range before.Holders {
-			if fits(int(r.Name[0]-'a'))(w.s.InForce().Text) != nil {
-				w.fail("%s may route and was not asked, or said no, and %d is in force", r.Holder, w.s.InForce().Number)
-			}
-		}
-	}
-	keys := map[string]bool{}
-	for i := range w.s.History {
-		r := &w.s.History[i]
-		if r.Number >= uint64(len(w.hashes)) || w.hashes[r.Number] != r.Hash {
-			w.fail("revision %d was lost or altered by %s", r.Number, c.Op)
-		}
-		if r.Number > 0 && r.Base != r.Number-1 {
-			w.fail("revision %d was made from %d", r.Number, r.Base)
-		}
-		if r.Number > 0 && keys[r.Key] {
-			w.fail("key %s made two revisions", r.Key)
-		}
-		keys[r.Key] = true
-	}
-	for _, o := range w.s.Outcomes {
-		if o.Number == 0 && keys[o.Key] {
-			w.fail("key %s ended nowhere, and is in force", o.Key)
-		}
-	}
-}
-
-func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
-	}
-}
-
-// settles goes on from here with no further fault, and tells what is still wrong in the end.
-func (w *world) settles() string {
-	c := w.clone("calm")
-	c.late, c.faults, c.slowLog = nil, 0, false
-	for i := range c.procs {
-		p := &c.procs[i]
-		p.stopped, p.slow = false, false
-		if p.dead {
-			*p = proc{gen: p.gen + 1, m: NewMember(Holder{p.m.Holder.Name, p.gen + 1}, p.m.HoldOnPartition, fits(i))}
-		}
-		if i != c.lead {
-			p.leader = nil
-		}
-		p.m.Tick(c.now)
-		c.loop(i)
-		if p.left && c.s.HasHolder(p.m.Holder) {
-			c.apply(Command{Op: OpLeave, Holder: p.m.Holder})
-		}
-	}
-	if c.lead < 0 {
-		c.elect(0)
-	}
-	for round := range 60 {
-		for range 2 {
-			for i := range c.procs {
-				if !c.procs[i].left {
-					c.exchange(i, 0)
-				}
-			}
-			c.step()
-			c.judge()
-		}
-		if c.broken != "" {
-			return "when calm: " + c.broken
-		}
-		done := c.s.Pending == nil
-		for i := range c.procs {
-			p := &c.procs[i]
-			done = done && (p.left || p.loop.Allows(c.now) || fits(i)(c.s.InForce().Text) != nil) // who was lapsed had no say
-		}
-		if done {
-			return ""
-		}
-		if round%2 == 1 {
-			c.now += unit
-			for i := range c.procs {
-				c.procs[i].m.Tick(c.now)
-				c.loop(i)
-			}
-		}
-	}
-	return fmt.Sprintf("not all are at work after a calm time: pending %v, %v %v %v", c.s.Pending, c.procs[0].m.lease, c.procs[1].m.lease, c.procs[2].m.lease)
-}
-
-// hash tells worlds apart that can go on differently. Counters that are only compared go in by rank.
-func (w *world) hash() uint64 {
-	buf := make([]byte, 0, 256)
-	var epochs, reigns, rosters []uint64
-	states := []*State{w.s}
-	for i := range w.procs {
-		if st := w.procs[i].st; st != nil {
-			states = append(states, st)
-		}
-	}
-	for _, s := range states {
-		epochs, reigns, rosters = append(epochs, s.Epoch), append(reigns, s.LeaderTerm), append(rosters, s.HoldersVersion)
-	}
-	for i := range w.procs {
-		m := w.procs[i].m
-		epochs = append(epochs, m.epoch, m.stopEpoch)
-		if l := w.procs[i].leader; l != nil {
-			reigns = append(reigns, l.term)
-			epochs = append(epochs, l.stopEpoch)
-			for _, x := range l.holders {
-				epochs = append(epochs, x.stoppedEpoch)
-			}
-		}
-	}
-	for _, x := range w.late {
-		epochs, reigns, rosters = append(epochs, x.reply.Epoch, x.cmd.Epoch, x.renew.StoppedEpoch), append(reigns, x.cmd.LeaderTerm), append(rosters, x.cmd.HoldersVersion)
-	}
-	rank := func(all []uint64) func(uint64) byte {
-		slices.Sort(all)
-		all = slices.Compact(all)
-		return func(x uint64) byte { i, _ := slices.BinarySearch(all, x); return byte(i) }
-	}
-	epoch, reign, roster := rank(epochs), rank(reigns), rank(rosters)
-	put := func(x ...byte) { buf = append(buf, x...) }
-	flag := func(x ...bool) {
-		b := byte(0)
-		for i, y := range x {
-			if y {
-				b |= 1 << i
-			}
-		}
-		put(b)
-	}
-	ago := func(t time.Duration) { put(byte(min(max((w.now-t)/unit, -4), 4) + 4)) }
-	state := func(s *State) {
-		put(epoch(s.Epoch), reign(s.LeaderTerm), roster(s.HoldersVersion), byte(s.InForce().Number), byte(s.LastProposal), byte(len(s.Outcomes)))
-		buf = append(buf, s.InForce().Hash...)
-		for _, r := range s.Holders {
-			put(r.Name[0], byte(r.Generation))
-		}
-		for i := range w.procs {
-			put(byte(s.MinGenerations[w.procs[i].m.Holder.Name]))
-		}
-		if p := s.Pending; p != nil {
-			put('p', byte(p.ID))
-			flag(p.Stopped)
-		}
-		put(0xff)
-	}
-	state(w.s)
-	for _, o := range w.s.Outcomes {
-		buf = append(buf, o.Key...)
-		put(byte(o.Number))
-	}
-	put(byte(w.lead), byte(w.ticks), byte(w.faults))
-	for _, n := range w.handed {
-		put(byte(n))
-	}
-	for i := range w.procs {
-		p := &w.procs[i]
-		m := p.m
-		flag(w.slowLog, p.dead, p.stopped, p.slow, p.left, m.listed, m.inForce.hasText, m.staged.rejection != "")
-		flag(m.inForce.incompatibility != "", m.acknowledged >= m.stopSeq, m.acknowledged >= m.lease.Seq, p.loop.Seq == m.lease.Seq, p.leader != nil, p.st != nil)
-		put(byte(p.gen), byte(m.Holder.Generation), epoch(m.epoch), epoch(m.stopEpoch), byte(m.inForce.number), byte(m.staged.id), byte(m.lease.Phase), byte(m.lease.Number))
-		put(byte(p.loop.Phase), byte(p.loop.Number))
-		if m.lease.Phase == Active {
-			ago(m.lease.Until)
-		}
-		if p.loop.Phase == Active {
-			ago(p.loop.Until)
-		}
-		if l := p.leader; l != nil && !p.dead {
-			put(reign(l.term), byte(l.proposal), epoch(l.stopEpoch))
-			ago(l.termBegan)
-			if l.proposal != 0 {
-				ago(l.proposalSeen)
-			}
-			if l.stopEpoch != 0 {
-				ago(l.stopSeen)
-			}
-			for j := range w.procs {
-				for g := uint64(1); g <= w.procs[j].gen; g++ {
-					x := l.holders[Holder{w.procs[j].m.Holder.Name, g}]
-					if x == nil {
-						continue
-					}
-					put(byte(j), byte(g), byte(x.answeredProposal), epoch(x.stoppedEpoch))
-					ago(x.lastGrant)
-					ago(x.lastRenewal)
-					flag(x.expiring, x.missedStop, x.rejection != "")
-				}
-			}
-			if p.st != nil {
-				state(p.st)
-			}
-		}
-	}
-	for _, x := range w.late {
-		put('l', x.kind, byte(x.to), byte(x.from), byte(x.gen))
-		ago(x.asked)
-		put(byte(x.renew.HasNumber), byte(x.renew.AnsweredProposal), epoch(x.renew.StoppedEpoch), epoch(x.reply.Epoch), byte(x.reply.Number), byte(x.reply.Proposal))
-		flag(x.reply.Known, x.reply.Stopped, x.reply.Granted, x.kind != 'c' && x.seq > w.procs[x.from].m.ignoreUpTo, x.renew.Rejection != "", x.reply.Text != nil, x.reply.Proposed != nil)
-		buf = append(buf, x.cmd.Op...)
-		buf = append(buf, x.cmd.Holder.Name...)
-		put(reign(x.cmd.LeaderTerm), epoch(x.cmd.Epoch), roster(x.cmd.HoldersVersion), byte(x.cmd.ProposalID), byte(x.cmd.Holder.Generation))
-	}
-	return xxhash.Sum64(buf)
-}
