--- a/internal/coordination/together_test.go
+++ b/internal/coordination/coordinator_test.go
@@ -15,35 +15,46 @@
 // side is many balancers' parts side by side; each sees what the others said late looks ago.
 type side struct {
 	t       *testing.T
-	parts   []*Together
-	said    [][]Words // by balancer, latest last
-	regions []Region
+	parts   []*Coordinator
+	said    [][]Announcement // by balancer, latest last
+	regions []Server
 	group   []int
 	late    int
 	now     time.Duration
 	got     []map[reflect.Type]policy.Event // latest by kind
 	heard   []map[string]policy.PeerReading
-	read    func(by int, region string) stagger.Told
+	read    func(by int, region string) stagger.Report
 }
 
-func newSide(t *testing.T, n, regions int, set Settings) *side {
-	s := &side{t: t, now: time.Minute, late: 2, said: make([][]Words, n), group: make([]int, n), got: make([]map[reflect.Type]policy.Event, n),
-		heard: make([]map[string]policy.PeerReading, n), read: func(int, string) stagger.Told { return stagger.Told{X: 0.5} }}
-	set.Balancers, set.Silent = n, 3*time.Second
+func newSide(t *testing.T, n, regions int, set Config) *side {
+	s := &side{
+		t:     t,
+		now:   time.Minute,
+		late:  2,
+		said:  make([][]Announcement, n),
+		group: make([]int, n),
+		got:   make([]map[reflect.Type]policy.Event, n),
+		heard: make(
+			[]map[string]policy.PeerReading,
+			n,
+		),
+		read: func(int, string) stagger.Report { return stagger.Report{Load: 0.5} },
+	}
+	set.Balancers, set.PeerTimeout = n, 3*time.Second
 	for i := range n {
 		set.Name, set.Zone = fmt.Sprintf("b%03d", i), fmt.Sprint("z", i%2)
 		s.parts = append(s.parts, New(set))
 		s.got[i], s.heard[i] = map[reflect.Type]policy.Event{}, map[string]policy.PeerReading{}
 	}
 	for j := range regions {
-		s.regions = append(s.regions, Region{ID: fmt.Sprintf("r%03d", j), Zone: fmt.Sprint("z", j%2), Live: true})
+		s.regions = append(s.regions, Server{ID: fmt.Sprintf("r%03d", j), Zone: fmt.Sprint("z", j%2), Live: true})
 	}
 	return s
 }
 
 func (s *side) look() {
 	s.now += 500 * time.Millisecond
-	words := make([]Words, len(s.parts))
+	words := make([]Announcement, len(s.parts))
 	for i, p := range s.parts {
 		v := View{Known: 1}
 		for j := range s.parts {
@@ -51,18 +62,22 @@
 				continue
 			}
 			v.Known++
-			m := Member{Name: s.parts[j].set.Name, Zone: s.parts[j].set.Zone}
+			m := Member{Name: s.parts[j].cfg.Name, Zone: s.parts[j].cfg.Zone}
 			if n := len(s.said[j]); n > 0 {
 				w := s.said[j][max(0, n-1-s.late)]
-				m.Told, m.Clock, m.SlotAge, m.Demand, m.Reference, m.Holds = true, w.Clock, w.SlotAge, w.Demand, w.Reference, w.Holds
-				m.Readings = map[string]stagger.Told{}
+				m.Reported, m.ExplorationSlots, m.SlotAge, m.Demand, m.ReferenceSize, m.Subset = true, w.ExplorationSlots, w.SlotAge, w.Demand, w.ReferenceSize, w.Subset
+				m.Readings = map[string]stagger.Report{}
 				for _, id := range w.Readings {
 					m.Readings[id] = s.read(j, id)
 				}
 			}
 			v.Members = append(v.Members, m)
 		}
-		events, w := p.Look(s.now, v, Own{Regions: s.regions, Clock: 10, SlotAge: time.Second, SlotPeriod: 16 * time.Second, Demand: 1})
+		events, w := p.Update(
+			s.now,
+			v,
+			Local{Servers: s.regions, ExplorationSlots: 10, SlotAge: time.Second, SlotPeriod: 16 * time.Second, Demand: 1},
+		)
 		words[i] = w
 		for _, e := range events {
 			if h, ok := e.(policy.PeerReading); ok {
@@ -93,10 +108,10 @@
 	return least, most, seen
 }
 
-// Thirty balancers settle on subsets that cover thirty regions alike; a cut in two halves has each half cover all again, and
-// after it the whole fleet does, all within twelve looks (6 s), with words that are three looks old.
+// Thirty balancers settle on subsets that cover thirty regions alike; a cut in two halves has each half cover all
+// again, and after it the whole fleet does, all within twelve looks (6 s), with words that are three looks old.
 func TestSubsetsSettleThroughACut(t *testing.T) {
-	s := newSide(t, 30, 30, Settings{Subset: 6})
+	s := newSide(t, 30, 30, Config{SubsetSize: 6})
 	settle := func(what string) {
 		for range 12 {
 			s.look()
@@ -120,7 +135,7 @@
 			}
 		}
 		for _, r := range s.regions {
-			if at[r.ID] < least {
+			if at[r.ID] < minBalancers {
 				t.Errorf("half %d has %d balancers at %s", half, at[r.ID], r.ID)
 			}
 		}
@@ -129,23 +144,28 @@
 		s.group[i] = 0
 	}
 	settle("together again")
-	s.regions = append(s.regions[10:], Region{ID: "new1", Zone: "z0", Live: true}, Region{ID: "new2", Zone: "z1", Live: true})
+	s.regions = append(
+		s.regions[10:],
+		Server{ID: "new1", Zone: "z0", Live: true},
+		Server{ID: "new2", Zone: "z1", Live: true},
+	)
 	settle("with a third of the regions gone")
 }
 
-// Peers gone altogether, or a view that is old: within one look all servers are candidates, no reading of others counts, and
-// the settings' shares hold.
+// Peers gone altogether, or a view that is old: within one look all servers are candidates, no reading of others
+// counts, and the settings' shares hold.
 func TestAloneAgain(t *testing.T) {
-	s := newSide(t, 12, 20, Settings{Subset: 4, Readings: true, Turns: true})
+	s := newSide(t, 12, 20, Config{SubsetSize: 4, ShareReadings: true, Stagger: true})
 	for range 12 {
 		s.look()
 	}
-	if f := s.got[0][reflect.TypeFor[policy.FleetState]()].(policy.FleetState); f.BudgetDivisor != 12 || f.Demand != 12 || f.StaggerOffset <= 0 {
+	if f := s.got[0][reflect.TypeFor[policy.FleetState]()].(policy.FleetState); f.BudgetDivisor != 12 || f.Demand != 12 ||
+		f.StaggerOffset <= 0 {
 		t.Fatalf("among twelve: %+v", f)
 	}
-	own := Own{Regions: s.regions, SlotPeriod: 16 * time.Second}
-	for _, v := range []View{{Old: true, Known: 12, Members: []Member{{Name: "b001", Told: true}}}, {Known: 12}} {
-		events, _ := s.parts[0].Look(s.now+time.Second, v, own)
+	own := Local{Servers: s.regions, SlotPeriod: 16 * time.Second}
+	for _, v := range []View{{Stale: true, Known: 12, Members: []Member{{Name: "b001", Reported: true}}}, {Known: 12}} {
+		events, _ := s.parts[0].Update(s.now+time.Second, v, own)
 		for _, e := range events {
 			switch e := e.(type) {
 			case policy.CandidateSubset:
@@ -163,14 +183,15 @@
 	}
 }
 
-// Each region is read by three, and all others hear of it. One of the readers that says all regions are empty moves nobody.
+// Each region is read by three, and all others hear of it. One of the readers that says all regions are empty moves
+// nobody.
 func TestOneProbeServesAll(t *testing.T) {
-	s := newSide(t, 40, 12, Settings{Readings: true})
-	s.read = func(by int, region string) stagger.Told {
+	s := newSide(t, 40, 12, Config{ShareReadings: true})
+	s.read = func(by int, region string) stagger.Report {
 		if by == 7 {
-			return stagger.Told{X: 0, Age: 200 * time.Millisecond}
+			return stagger.Report{Load: 0, Age: 200 * time.Millisecond}
 		}
-		return stagger.Told{X: 0.7, Age: 300 * time.Millisecond}
+		return stagger.Report{Load: 0.7, Age: 300 * time.Millisecond}
 	}
 	for range 6 {
 		s.look()
@@ -186,19 +207,21 @@
 		}
 	}
 	for _, r := range s.regions {
-		if readers[r.ID] != stagger.Readers {
+		if readers[r.ID] != stagger.ReadersPerServer {
 			t.Errorf("%s has %d readers", r.ID, readers[r.ID])
 		}
 		for i := range s.parts {
-			if h := s.heard[i][r.ID]; h.Server == "" && !slices.Contains(s.got[i][reflect.TypeFor[policy.FleetState]()].(policy.FleetState).AssignedServers, r.ID) || h.Server != "" && h.Load != 0.7 {
-				t.Errorf("%s heard %+v of %s", s.parts[i].set.Name, h, r.ID)
+			if h := s.heard[i][r.ID]; h.Server == "" &&
+				!slices.Contains(s.got[i][reflect.TypeFor[policy.FleetState]()].(policy.FleetState).AssignedServers, r.ID) ||
+				h.Server != "" && h.Load != 0.7 {
+				t.Errorf("%s heard %+v of %s", s.parts[i].cfg.Name, h, r.ID)
 			}
 		}
 	}
 }
 
-// By number alone, every far region is looked at by as many as each other, within one, near ones by all of the zone, and each
-// has a turn of its own.
+// By number alone, every far region is looked at by as many as each other, within one, near ones by all of the
+// zone, and each has a turn of its own.
 func TestByNumber(t *testing.T) {
 	var regions []policy.Server
 	for i := range 30 {
@@ -207,7 +230,7 @@
 	regions[4].State = policy.Draining
 	at, turnsTaken := map[string]int{}, map[float64]bool{}
 	for i := range 45 {
-		events := Numbered{Number: i, Count: 45, Zone: "z9", Subset: 5}.Look(regions)
+		events := Numbered{Number: i, Count: 45, Zone: "z9", SubsetSize: 5}.Events(regions)
 		turnsTaken[events[0].(policy.FleetState).StaggerOffset] = true
 		for _, id := range events[1].(policy.CandidateSubset).Servers {
 			at[id]++
@@ -221,39 +244,62 @@
 	if len(turnsTaken) != 45 {
 		t.Errorf("%d turns", len(turnsTaken))
 	}
-	near := Numbered{Number: 3, Count: 45, Zone: "z1", Subset: 5}.Look(regions)[1].(policy.CandidateSubset).Servers
+	near := Numbered{Number: 3, Count: 45, Zone: "z1", SubsetSize: 5}.Events(regions)[1].(policy.CandidateSubset).Servers
 	if len(near) != 9+5 && len(near) != 9+6 {
 		t.Errorf("looks at %d, of which 9 are near", len(near))
 	}
-	if n, err := NumberOf("n17"); n != 17 || err != nil {
+	if n, err := ParseNumber("n17"); n != 17 || err != nil {
 		t.Error(n, err)
 	}
-	if _, err := NumberOf("edge-west"); err == nil {
+	if _, err := ParseNumber("edge-west"); err == nil {
 		t.Error("a name without a number has one")
 	}
 }
 
 // Words come back as they were said; what no balancer would say is left out.
 func TestWordsTravel(t *testing.T) {
-	w := Words{Zone: "nairobi west", Clock: 12, SlotAge: 1500 * time.Millisecond, Demand: 3.25, Reference: 30, Holds: []uint32{1, 1 << 31}}
+	w := Announcement{
+		Zone:             "nairobi west",
+		ExplorationSlots: 12,
+		SlotAge:          1500 * time.Millisecond,
+		Demand:           3.25,
+		ReferenceSize:    30,
+		Subset:           []uint32{1, 1 << 31},
+	}
 	p := membership.View{Members: []membership.MemberView{
 		{Record: membership.Record{Name: "a", State: membership.Alive}, Signals: []membership.SignalView{
-			{Key: WordsKey, Value: w.Value(), Age: time.Second}, {Key: HoldsKey, Value: w.HoldsValue()},
-			{Key: membership.RegionKey + "r1", Value: membership.Reading{X: 0.5, Age: time.Second}.Value(), Age: 2 * time.Second},
+			{Key: AnnouncementKey, Value: w.Encode(), Age: time.Second}, {Key: SubsetKey, Value: w.EncodeSubset()},
+			{
+				Key:   membership.RegionKey + "r1",
+				Value: membership.Reading{X: 0.5, Age: time.Second}.Value(),
+				Age:   2 * time.Second,
+			},
 			{Key: membership.RegionKey + "r2", Value: []byte("NaN 1 1")}}},
-		{Record: membership.Record{Name: "b", State: membership.Gone}, Signals: []membership.SignalView{{Key: WordsKey, Value: w.Value()}}},
-		{Record: membership.Record{Name: "c", State: membership.Leaving}, Signals: []membership.SignalView{{Key: WordsKey, Value: []byte("1 2 -3 4 z")}, {Key: HoldsKey, Value: []byte("abc")}}},
+		{
+			Record:  membership.Record{Name: "b", State: membership.Gone},
+			Signals: []membership.SignalView{{Key: AnnouncementKey, Value: w.Encode()}},
+		},
+		{
+			Record: membership.Record{Name: "c", State: membership.Leaving},
+			Signals: []membership.SignalView{
+				{Key: AnnouncementKey, Value: []byte("1 2 -3 4 z")},
+				{Key: SubsetKey, Value: []byte("abc")},
+			},
+		},
 	}}
-	v, malformed := ViewOf(p)
+	v, malformed := ParseView(p)
 	if len(v.Members) != 2 || v.Known != 4 || malformed != 3 {
 		t.Fatalf("%d malformed, %+v", malformed, v)
 	}
 	a := v.Members[0]
-	if a.Zone != w.Zone || a.Clock != 12 || a.SlotAge != 2500*time.Millisecond || a.Demand != 3.25 || a.Reference != 30 || !slices.Equal(a.Holds, w.Holds) ||
-		a.Readings["r1"] != (stagger.Told{X: 0.5, Age: 3 * time.Second}) || len(a.Readings) != 1 {
+	if a.Zone != w.Zone || a.ExplorationSlots != 12 || a.SlotAge != 2500*time.Millisecond || a.Demand != 3.25 ||
+		a.ReferenceSize != 30 ||
+		!slices.Equal(a.Subset, w.Subset) ||
+		a.Readings["r1"] != (stagger.Report{Load: 0.5, Age: 3 * time.Second}) ||
+		len(a.Readings) != 1 {
 		t.Errorf("%+v", a)
 	}
-	if c := v.Members[1]; c.Told || !c.Leaving {
+	if c := v.Members[1]; c.Reported || !c.Leaving {
 		t.Errorf("%+v", c)
 	}
 }
@@ -261,13 +307,24 @@
 func FuzzWords(f *testing.F) {
 	f.Add([]byte("12 1500 3.25 30 nairobi"), []byte{0, 0, 0, 1}, []byte("0.500 100 0"))
 	f.Fuzz(func(t *testing.T, words, holds, reading []byte) {
-		v, _ := ViewOf(membership.View{Members: []membership.MemberView{{Record: membership.Record{Name: "a"}, Signals: []membership.SignalView{
-			{Key: WordsKey, Value: words}, {Key: HoldsKey, Value: holds}, {Key: membership.RegionKey + "r", Value: reading}}}}})
+		v, _ := ParseView(
+			membership.View{
+				Members: []membership.MemberView{{Record: membership.Record{Name: "a"}, Signals: []membership.SignalView{
+					{
+						Key:   AnnouncementKey,
+						Value: words,
+					}, {Key: SubsetKey, Value: holds}, {Key: membership.RegionKey + "r", Value: reading}}}},
+			},
+		)
 		m := v.Members[0]
-		if m.Clock < 0 || m.Clock > mostClock || m.Demand < 0 || m.Demand > mostDemand || m.SlotAge < 0 || m.Reference < 0 {
+		if m.ExplorationSlots < 0 || m.ExplorationSlots > maxExplorationSlots || m.Demand < 0 || m.Demand > maxDemand ||
+			m.SlotAge < 0 ||
+			m.ReferenceSize < 0 {
 			t.Errorf("%+v", m)
 		}
-		part := New(Settings{Name: "b", Silent: time.Second, Balancers: 2, Subset: 2, Readings: true, Turns: true})
-		part.Look(time.Minute, v, Own{Regions: []Region{{ID: "r", Live: true}}})
+		part := New(
+			Config{Name: "b", PeerTimeout: time.Second, Balancers: 2, SubsetSize: 2, ShareReadings: true, Stagger: true},
+		)
+		part.Update(time.Minute, v, Local{Servers: []Server{{ID: "r", Live: true}}})
 	})
 }
--- a/internal/faultinjection/cover.go
+++ b/internal/faultinjection/cover.go
@@ -28,7 +28,7 @@
 		if !ok {
 			return w.name((i+1)%n) + " does not answer the call peers"
 		}
-		value, _, _ := strings.Cut(h.members[w.name(i)][coordination.HoldsKey], "/")
+		value, _, _ := strings.Cut(h.members[w.name(i)][coordination.SubsetKey], "/")
 		marks, err := hex.DecodeString(value)
 		if err != nil || len(marks) == 0 || len(marks)%4 != 0 {
 			return fmt.Sprintf("%s has not heard what %s looks at", w.name((i+1)%n), w.name(i))
@@ -39,7 +39,7 @@
 	}
 	least, most := n, 0
 	for _, r := range w.Regions {
-		c := at[coordination.Mark(r.Name)]
+		c := at[coordination.ServerHash(r.Name)]
 		least, most = min(least, c), max(most, c)
 	}
 	if most-least > 1 || least == 0 {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -102,18 +102,18 @@
 		p.Generation = uint64(time.Now().UnixMilli())
 		p.Seed = uint64(c.Core.Seed) ^ p.Generation
 		c.Peers = &Peers{Config: p, Listen: e.Peers.Listen, Every: time.Duration(e.Peers.SignalEvery), Life: time.Duration(e.Peers.SignalLife),
-			Together: coordination.Settings{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, Silent: p.SilentAfter,
-				Subset: e.Peers.Subset, Readings: e.Peers.Readings, Turns: e.Peers.Turns}}
+			Together: coordination.Config{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, PeerTimeout: p.SilentAfter,
+				SubsetSize: e.Peers.Subset, ShareReadings: e.Peers.Readings, Stagger: e.Peers.Turns}}
 	}
 	if e.Numbered != nil {
-		n := coordination.Numbered{Number: e.Numbered.Number, Count: c.Core.Policy.Balancers, Zone: c.Core.Policy.Zone, Subset: e.Numbered.Subset}
+		n := coordination.Numbered{Number: e.Numbered.Number, Count: c.Core.Policy.Balancers, Zone: c.Core.Policy.Zone, SubsetSize: e.Numbered.Subset}
 		if n.Number < 0 {
 			var err error
-			if n.Number, err = coordination.NumberOf(c.Name); err != nil {
+			if n.Number, err = coordination.ParseNumber(c.Name); err != nil {
 				return err
 			}
 		}
-		if c.Peers != nil && c.Peers.Together.On() {
+		if c.Peers != nil && c.Peers.Together.Enabled() {
 			return &Unfit{hint.Annotated{Where: "numbered", What: "peers.subset, readings or turns are on, which know more than a number does", Do: "leave the section numbered out"}}
 		}
 		c.Numbered = &n
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -24,7 +24,7 @@
 	Config      membership.Config
 	Listen      string
 	Every, Life time.Duration
-	Together    coordination.Settings
+	Together    coordination.Config
 }
 
 // same tells that two say the same but for the generation, which is of the process.
@@ -99,27 +99,27 @@
 
 // actTogether brings the module what the others tell, tells this balancer's words, and returns whose readings to tell.
 func (s *Server) actTogether(now time.Time, readings []policy.ServerReading) func(region string) bool {
-	view, malformed := coordination.ViewOf(s.peers.View())
+	view, malformed := coordination.ParseView(s.peers.View())
 	s.counters.PeersWords += int64(malformed)
 	activity := s.core.Activity()
-	own := coordination.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
-		Demand: activity.Demand, Refused: s.core.Counters.Rejected}
+	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+		Demand: activity.Demand, Rejected: s.core.Counters.Rejected}
 	read := make(map[string]policy.ServerReading, len(readings))
 	for _, r := range readings {
 		read[r.Server] = r
 	}
 	for _, g := range s.core.ListedServers() {
 		r := read[g.ID]
-		own.Regions = append(own.Regions, coordination.Region{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, Cold: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, X: r.Load, At: r.At, Fails: r.FailedProbes})
+		own.Servers = append(own.Servers, coordination.Server{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, WarmingUp: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, Load: r.Load, ReadAt: r.At, FailedProbes: r.FailedProbes})
 	}
-	events, words := s.together.Look(s.now(), view, own)
+	events, words := s.together.Update(s.now(), view, own)
 	s.step(core.FleetEvents{Events: events})
 	life := s.cfg.Peers.Life
-	s.peers.Set(coordination.WordsKey, words.Value(), life)
-	if holds := string(words.HoldsValue()); holds != s.told.holds || now.Sub(s.told.holdsAt) > life/3 {
+	s.peers.Set(coordination.AnnouncementKey, words.Encode(), life)
+	if holds := string(words.EncodeSubset()); holds != s.told.holds || now.Sub(s.told.holdsAt) > life/3 {
 		s.told.holds, s.told.holdsAt = holds, now
 		if len(holds) > 0 {
-			s.peers.Set(coordination.HoldsKey, []byte(holds), life)
+			s.peers.Set(coordination.SubsetKey, []byte(holds), life)
 		}
 	}
 	return func(region string) bool { return slices.Contains(words.Readings, region) }
@@ -129,7 +129,7 @@
 func (s *Server) byNumber() {
 	if list := s.core.ListedServers(); s.numbered == nil || !slices.Equal(list, s.numbered) {
 		s.numbered = list
-		s.step(core.FleetEvents{Events: s.cfg.Numbered.Look(list)})
+		s.step(core.FleetEvents{Events: s.cfg.Numbered.Events(list)})
 	}
 }
 
@@ -191,7 +191,7 @@
 			break
 		}
 		value := strings.ReplaceAll(string(s.Value), " ", ",")
-		if s.Key == coordination.HoldsKey {
+		if s.Key == coordination.SubsetKey {
 			value = fmt.Sprintf("%x", s.Value)
 		}
 		fmt.Fprintf(&b, " %s=%s/%v#%d", s.Key, value, s.Age.Round(time.Millisecond), s.Version)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -84,10 +84,10 @@
 	door      *door            // nil where no admission is configured
 	peers     *membership.Host // nil where this balancer knows of no other
 	told      toldPeers
-	together  *coordination.Together // nil where it acts alone
-	revisions *ruled                 // nil where it goes by its settings alone
-	links     *linkage               // nil where no link between zones is bounded
-	numbered  []policy.Server        // regions when its part by number was taken last
+	together  *coordination.Coordinator // nil where it acts alone
+	revisions *ruled                    // nil where it goes by its settings alone
+	links     *linkage                  // nil where no link between zones is bounded
+	numbered  []policy.Server           // regions when its part by number was taken last
 	byTicket  map[admission.Ticket]*terminal
 	sendOff   []admission.Victim
 	short     bool // of memory
@@ -129,7 +129,7 @@
 		if s.peers, err = membership.Start(cfg.Peers.Config, cfg.Peers.Listen, s.inherit != nil, log); err != nil {
 			return nil, err
 		}
-		if cfg.Peers.Together.On() {
+		if cfg.Peers.Together.Enabled() {
 			s.together = coordination.New(cfg.Peers.Together)
 		}
 	}
--- a/internal/proxy/together_test.go
+++ b/internal/proxy/together_test.go
@@ -28,12 +28,12 @@
 			SignalEvery: edgeconfig.Duration(500 * time.Millisecond), SignalLife: edgeconfig.Duration(5 * time.Second), Subset: subset}
 	}
 	for _, e := range []*edgeconfig.Settings{nil, {}, {Peers: peers(0)}} {
-		if c, err := parse(e); err != nil || c.Numbered != nil || c.Peers != nil && c.Peers.Together.On() {
+		if c, err := parse(e); err != nil || c.Numbered != nil || c.Peers != nil && c.Peers.Together.Enabled() {
 			t.Errorf("%+v: %+v, %v", e, c, err)
 		}
 	}
 	c, err := parse(&edgeconfig.Settings{Peers: peers(8)})
-	if err != nil || !c.Peers.Together.On() || c.Peers.Together.Subset != 8 || c.Peers.Together.Balancers != 40 || c.Peers.Together.Zone == "" {
+	if err != nil || !c.Peers.Together.Enabled() || c.Peers.Together.SubsetSize != 8 || c.Peers.Together.Balancers != 40 || c.Peers.Together.Zone == "" {
 		t.Errorf("%+v, %v", c.Peers, err)
 	}
 	c, err = parse(&edgeconfig.Settings{Numbered: &edgeconfig.Numbered{Number: -1, Subset: 6}})
--- a/internal/simulation/crowd.go
+++ b/internal/simulation/crowd.go
@@ -80,7 +80,7 @@
 type balancer struct {
 	name, zone string
 	b          *policy.Balancer
-	t          *coordination.Together
+	t          *coordination.Coordinator
 	conns      map[string]*conn // those that stand, and those that have no answer yet (on is nil)
 	own        map[string]reading
 	words      []said // latest last
@@ -250,8 +250,8 @@
 		return err
 	}
 	d.conns, d.own, d.words, d.dead, d.listed, d.t, d.candidates = map[string]*conn{}, map[string]reading{}, nil, false, -1, nil, nil
-	s := coordination.Settings{Name: d.name, Zone: d.zone, Balancers: w.Set.Balancers, Silent: 3 * time.Second, Subset: w.Set.Subset, Readings: w.Set.Readings, Turns: w.Set.Turns}
-	if s.On() {
+	s := coordination.Config{Name: d.name, Zone: d.zone, Balancers: w.Set.Balancers, PeerTimeout: 3 * time.Second, SubsetSize: w.Set.Subset, ShareReadings: w.Set.Readings, Stagger: w.Set.Turns}
+	if s.Enabled() {
 		d.t = coordination.New(s)
 		d.t.Layouts = &w.layouts
 	}
@@ -511,35 +511,35 @@
 	return v
 }
 
-func (w *World) own(d *balancer) coordination.Own {
+func (w *World) own(d *balancer) coordination.Local {
 	activity := d.b.Activity()
-	own := coordination.Own{Clock: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
-		Demand: activity.Demand, Refused: d.refused}
+	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+		Demand: activity.Demand, Rejected: d.refused}
 	for _, s := range w.servers {
 		r := d.own[s.ID]
-		own.Regions = append(own.Regions, coordination.Region{ID: s.ID, Zone: s.Zone, Live: true, Cold: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, X: r.x, At: r.at, Fails: r.fails})
+		own.Servers = append(own.Servers, coordination.Server{ID: s.ID, Zone: s.Zone, Live: true, WarmingUp: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, Load: r.x, ReadAt: r.at, FailedProbes: r.fails})
 	}
 	return own
 }
 
 func (w *World) look(d *balancer) {
-	events, words := d.t.Look(w.Now, w.view(d), w.own(d))
+	events, words := d.t.Update(w.Now, w.view(d), w.own(d))
 	for _, ev := range events {
 		if c, ok := ev.(policy.CandidateSubset); ok {
 			d.candidates = c.Servers
 		}
 		w.event(d, ev)
 	}
-	m := coordination.Member{Name: d.name, Zone: d.zone, Told: true, Clock: words.Clock, SlotAge: words.SlotAge, Demand: words.Demand,
-		Reference: words.Reference, Holds: words.Holds}
+	m := coordination.Member{Name: d.name, Zone: d.zone, Reported: true, ExplorationSlots: words.ExplorationSlots, SlotAge: words.SlotAge, Demand: words.Demand,
+		ReferenceSize: words.ReferenceSize, Subset: words.Subset}
 	if w.Set.Readings {
-		m.Readings = map[string]stagger.Told{}
+		m.Readings = map[string]stagger.Report{}
 		for _, id := range words.Readings {
 			switch r, ok := d.own[id]; {
 			case d.lying:
-				m.Readings[id] = stagger.Told{X: d.lies, Age: w.Set.Lag}
+				m.Readings[id] = stagger.Report{Load: d.lies, Age: w.Set.Lag}
 			case ok && w.Now-r.at < 5*time.Second:
-				m.Readings[id] = stagger.Told{X: r.x, Age: w.Now - r.at + w.Set.Lag, Fails: r.fails}
+				m.Readings[id] = stagger.Report{Load: r.x, Age: w.Now - r.at + w.Set.Lag, FailedProbes: r.fails}
 			}
 		}
 	}
--- a/internal/simulation/crowd_test.go
+++ b/internal/simulation/crowd_test.go
@@ -140,8 +140,8 @@
 	}
 	w.Run(20 * time.Second)
 	for _, d := range w.all {
-		if d.t.Counts.Heard > 0 {
-			t.Fatalf("%s took %d readings", d.name, d.t.Counts.Heard)
+		if d.t.Counts.Received > 0 {
+			t.Fatalf("%s took %d readings", d.name, d.t.Counts.Received)
 		}
 	}
 	if got := worst(w, 8); got > 1.6 {
@@ -165,10 +165,10 @@
 	w.Run(24 * time.Second) // subsets that had no room have come back by then
 	at := map[string]int{}
 	for _, d := range w.all {
-		_, words := d.t.Look(w.Now, w.view(d), w.own(d))
-		for _, mark := range words.Holds {
+		_, words := d.t.Update(w.Now, w.view(d), w.own(d))
+		for _, mark := range words.Subset {
 			for _, r := range w.order {
-				if coordination.Mark(r.ID) == mark {
+				if coordination.ServerHash(r.ID) == mark {
 					at[r.ID]++
 				}
 			}
--- /dev/null
+++ b/internal/subset/number.go
@@ -0,0 +1,34 @@
+package subset
+
+import "slices"
+
+// ForNumber returns the subset of one of count balancers that know each other by number alone, from 0. It follows
+// from the lists and from no earlier subsets: each begins with the servers that it ranks first, and the balance is
+// made from there.
+func ForNumber(number, count int, zone func(number int) string, servers []Server, cfg Config) []string {
+	members := make([]Member, count)
+	for i := range members {
+		members[i] = Member{Name: numberName(i), Zone: zone(i)}
+	}
+	members = WithFirstByRank(members, servers, cfg)
+	return Plan(members, servers, cfg)[numberName(number)]
+}
+
+// numberName is the name by which a number is ranked.
+func numberName(number int) string {
+	return string([]byte{byte(number >> 24), byte(number >> 16), byte(number >> 8), byte(number)})
+}
+
+// WithFirstByRank returns the members, each holding the servers that it ranks first, near ones before far ones.
+func WithFirstByRank(members []Member, servers []Server, cfg Config) []Member {
+	ranked := slices.Clone(members)
+	for i, m := range ranked {
+		order := slices.Clone(servers)
+		slices.SortFunc(order, func(a, b Server) int { return comparePreference(m, a, b) })
+		ranked[i].Current = nil
+		for _, s := range order[:min(len(order), max(cfg.Size, 1))] {
+			ranked[i].Current = append(ranked[i].Current, s.ID)
+		}
+	}
+	return ranked
+}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -17,9 +17,9 @@
 	return list
 }
 
-func servers(n, zones int) (list []Region) {
+func servers(n, zones int) (list []Server) {
 	for i := range n {
-		list = append(list, Region{ID: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%max(1, zones))})
+		list = append(list, Server{ID: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%max(1, zones))})
 	}
 	return list
 }
@@ -27,12 +27,12 @@
 func holding(members []Member, plan map[string][]string) []Member {
 	out := slices.Clone(members)
 	for i, m := range out {
-		out[i].Holds = plan[m.Name]
+		out[i].Current = plan[m.Name]
 	}
 	return out
 }
 
-func spread(regions []Region, plan map[string][]string) (least, most int) {
+func spread(regions []Server, plan map[string][]string) (least, most int) {
 	at := map[string]int{}
 	for _, list := range plan {
 		for _, id := range list {
@@ -46,22 +46,22 @@
 	return least, most
 }
 
-// Whatever the counts, shares and zones, and whatever was held before, every region has as many balancers as each other,
-// within one, nobody holds a region twice, and a plan made again from what it says changes nothing.
+// Whatever the counts, shares and zones, and whatever was held before, every region has as many balancers as each
+// other, within one, nobody holds a region twice, and a plan made again from what it says changes nothing.
 func TestEveryRegionIsCoveredAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := fleet(rapid.IntRange(1, 60).Draw(t, "balancers"), rapid.IntRange(1, 4).Draw(t, "zones"))
 		regions := servers(rapid.IntRange(1, 60).Draw(t, "regions"), rapid.IntRange(1, 4).Draw(t, "zones of regions"))
-		set := Settings{Size: rapid.IntRange(1, 20).Draw(t, "size"), Least: rapid.IntRange(1, 5).Draw(t, "least")}
+		set := Config{Size: rapid.IntRange(1, 20).Draw(t, "size"), MinBalancers: rapid.IntRange(1, 5).Draw(t, "least")}
 		for i := range members {
-			members[i].Share = rapid.SampledFrom([]float64{0, 1, 1, 1, 0.2, 10}).Draw(t, "share")
+			members[i].TrafficShare = rapid.SampledFrom([]float64{0, 1, 1, 1, 0.2, 10}).Draw(t, "share")
 			for range rapid.IntRange(0, 12).Draw(t, "held") {
-				members[i].Holds = append(members[i].Holds, fmt.Sprint("r", rapid.IntRange(0, 70).Draw(t, "region")))
+				members[i].Current = append(members[i].Current, fmt.Sprint("r", rapid.IntRange(0, 70).Draw(t, "region")))
 			}
 		}
 		plan := Plan(members, regions, set)
 		least, most := spread(regions, plan)
-		if most-least > 1 || least < min(set.Least, len(members)) {
+		if most-least > 1 || least < min(set.MinBalancers, len(members)) {
 			t.Fatalf("regions have %d to %d balancers", least, most)
 		}
 		for name, list := range plan {
@@ -70,7 +70,8 @@
 			}
 		}
 		shuffled := holding(members, plan)
-		rand.New(rand.NewPCG(1, 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+		rand.New(rand.NewPCG(1, 1)).
+			Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		for name, list := range Plan(shuffled, regions, set) {
 			if !slices.Equal(list, plan[name]) {
 				t.Fatalf("%s was to hold %v and is to hold %v", name, plan[name], list)
@@ -79,9 +80,10 @@
 	})
 }
 
-// A balancer or region more or less, one by one and many at once, changes within 1.2 times the least that is possible.
+// A balancer or region more or less, one by one and many at once, changes within 1.2 times the least that is
+// possible.
 func TestLittleChanges(t *testing.T) {
-	set := Settings{Size: 8, Least: 3}
+	set := Config{Size: 8, MinBalancers: 3}
 	for _, at := range []struct{ balancers, regions int }{{3, 10}, {30, 10}, {30, 90}, {300, 90}} {
 		rng := rand.New(rand.NewPCG(7, uint64(at.balancers)))
 		members, regions := fleet(at.balancers, 3), servers(at.regions, 3)
@@ -101,7 +103,7 @@
 				}
 			case 2:
 				next++
-				regions = append(regions, Region{ID: fmt.Sprint("r", next), Zone: fmt.Sprint("z", next%3)})
+				regions = append(regions, Server{ID: fmt.Sprint("r", next), Zone: fmt.Sprint("z", next%3)})
 			case 3:
 				if len(regions) > 3 {
 					i := rng.IntN(len(regions))
@@ -115,7 +117,14 @@
 			}
 			changed, least, plan = changed+c, least+l, after
 		}
-		t.Logf("%d balancers, %d regions: %d changes, at least %d (%.3f times)", at.balancers, at.regions, changed, least, float64(changed)/float64(least))
+		t.Logf(
+			"%d balancers, %d regions: %d changes, at least %d (%.3f times)",
+			at.balancers,
+			at.regions,
+			changed,
+			least,
+			float64(changed)/float64(least),
+		)
 		if float64(changed) > 1.2*float64(least) {
 			t.Errorf("%d balancers, %d regions: %d changes for %d", at.balancers, at.regions, changed, least)
 		}
@@ -123,21 +132,25 @@
 }
 
 // Members hold lists that are up to four rounds old, and each takes up what its own list says. Nothing may be left
-// uncovered meanwhile but what all lists lack, and once the lists stand still the cover is even again within six rounds.
+// uncovered meanwhile but what all lists lack, and once the lists stand still the cover is even again within six
+// rounds.
 func TestViewsThatDiffer(t *testing.T) {
-	set := Settings{Size: 6, Least: 3}
+	set := Config{Size: 6, MinBalancers: 3}
 	rng := rand.New(rand.NewPCG(3, 3))
 	members, regions := fleet(40, 2), servers(24, 2)
 	said := Plan(members, regions, set)
 	type moment struct {
 		members []Member
-		regions []Region
+		regions []Server
 	}
 	var past []moment
 	bare, since := 0, 0
 	for round := range 60 {
 		if round < 40 && round%5 == 0 { // a server is replaced, and a few balancers start anew
-			regions = append(slices.Delete(slices.Clone(regions), 0, 1), Region{ID: fmt.Sprint("n", round), Zone: fmt.Sprint("z", round%2)})
+			regions = append(
+				slices.Delete(slices.Clone(regions), 0, 1),
+				Server{ID: fmt.Sprint("n", round), Zone: fmt.Sprint("z", round%2)},
+			)
 			for range 4 {
 				said[members[rng.IntN(len(members))].Name] = nil
 			}
@@ -150,7 +163,7 @@
 			own := slices.Clone(view.members)
 			for i := range own {
 				if own[i].Name == m.Name { // of itself it knows what it holds now
-					own[i].Holds = said[m.Name]
+					own[i].Current = said[m.Name]
 				}
 			}
 			next[m.Name] = Plan(own, view.regions, set)[m.Name]
@@ -169,36 +182,36 @@
 	}
 }
 
-// Without talk nothing that was before counts, so more changes; the cover is even all the same, and whoever has the same
-// lists has the same subsets.
+// Without talk nothing that was before counts, so more changes; the cover is even all the same, and whoever has the
+// same lists has the same subsets.
 func TestByNumberAlone(t *testing.T) {
-	set := Settings{Size: 8, Least: 3}
+	set := Config{Size: 8, MinBalancers: 3}
 	zone := func(i int) string { return fmt.Sprint("z", i%3) }
 	regions := servers(31, 3)
 	plan := map[string][]string{}
 	for i := range 50 {
-		plan[fmt.Sprint(i)] = Numbered(i, 50, zone, regions, set)
+		plan[fmt.Sprint(i)] = ForNumber(i, 50, zone, regions, set)
 	}
 	if least, most := spread(regions, plan); most-least > 1 {
 		t.Errorf("%d to %d balancers at a region", least, most)
 	}
 }
 
-// One zone with two balancers and forty regions, and the reverse: the cover is even, and near ones come first as far as
-// that allows.
+// One zone with two balancers and forty regions, and the reverse: the cover is even, and near ones come first as
+// far as that allows.
 func TestZonesOfUnequalSize(t *testing.T) {
 	for _, at := range []struct{ balancers, regions [2]int }{{[2]int{2, 20}, [2]int{40, 4}}, {[2]int{40, 4}, [2]int{2, 20}}, {[2]int{10, 10}, [2]int{10, 10}}} {
 		var members []Member
-		var regions []Region
+		var regions []Server
 		for z := range 2 {
 			for i := range at.balancers[z] {
 				members = append(members, Member{Name: fmt.Sprint("b", z, "-", i), Zone: fmt.Sprint(z)})
 			}
 			for i := range at.regions[z] {
-				regions = append(regions, Region{ID: fmt.Sprint("r", z, "-", i), Zone: fmt.Sprint(z)})
+				regions = append(regions, Server{ID: fmt.Sprint("r", z, "-", i), Zone: fmt.Sprint(z)})
 			}
 		}
-		plan := Plan(members, regions, Settings{Size: 5, Least: 2})
+		plan := Plan(members, regions, Config{Size: 5, MinBalancers: 2})
 		least, most := spread(regions, plan)
 		near, all := 0, 0
 		for _, m := range members {
@@ -208,73 +221,93 @@
 				}
 			}
 		}
-		t.Logf("balancers %v, regions %v: %d to %d balancers at a region, %d of %d near", at.balancers, at.regions, least, most, near, all)
+		t.Logf(
+			"balancers %v, regions %v: %d to %d balancers at a region, %d of %d near",
+			at.balancers,
+			at.regions,
+			least,
+			most,
+			near,
+			all,
+		)
 		if most-least > 1 || at.balancers == at.regions && near != all {
 			t.Errorf("%d to %d, %d of %d near", least, most, near, all)
 		}
 	}
 }
 
-// The subset is full, then failing: one looks further step by step, and comes back as its room does.
-func TestLooksFurtherAndComesBack(t *testing.T) {
-	w := Width{Wait: time.Second, Back: 10 * time.Second}
-	regions := servers(40, 1)
+// looker is a balancer whose subset is r1 to r4 of forty servers.
+type looker struct {
+	widening Widening
+	servers  []Server
+	subset   []string
+	full     map[string]bool
+}
+
+// look updates the widening, and returns how many servers are looked at then.
+func (l *looker) look(seconds int) int {
 	m := Member{Name: "b", Zone: "z0"}
-	own := []string{"r1", "r2", "r3", "r4"}
-	full := map[string]bool{}
-	for _, id := range own {
-		full[id] = true
-	}
-	look := func(now time.Duration) []string {
-		var mine, all []Seen
-		looked := Widened(m, own, regions, w.Step)
-		for _, id := range looked {
-			s := Seen{ID: id, Room: !full[id]}
-			if all = append(all, s); slices.Contains(own, id) {
-				mine = append(mine, s)
-			}
+	var own, all []Observation
+	for _, id := range Candidates(m, l.subset, l.servers, l.widening.Step) {
+		o := Observation{ID: id, HasCapacity: !l.full[id]}
+		all = append(all, o)
+		if slices.Contains(l.subset, id) {
+			own = append(own, o)
 		}
-		w.Look(now, mine, all, false)
-		w.Bound(len(own), len(regions))
-		return Widened(m, own, regions, w.Step)
 	}
-	if n := len(look(time.Second)); n != 4 {
+	l.widening.Update(time.Duration(seconds)*time.Second, own, all, false)
+	l.widening.Limit(len(l.subset), len(l.servers))
+	return len(Candidates(m, l.subset, l.servers, l.widening.Step))
+}
+
+// The subset is full, then all servers are: a balancer looks further step by step, and comes back once there is capacity.
+func TestWidensAndNarrows(t *testing.T) {
+	l := &looker{
+		widening: Widening{WidenAfter: time.Second, NarrowAfter: 10 * time.Second},
+		servers:  servers(40, 1),
+		subset:   []string{"r1", "r2", "r3", "r4"},
+		full:     map[string]bool{"r1": true, "r2": true, "r3": true, "r4": true},
+	}
+	if n := l.look(1); n != 4 {
 		t.Fatalf("looks at %d at once", n)
 	}
-	if n := len(look(2 * time.Second)); n != 8 {
-		t.Fatalf("looks at %d after a second without room, not twice as many", n)
+	if n := l.look(2); n != 8 {
+		t.Fatalf("looks at %d after a second without capacity, not twice as many", n)
 	}
-	for _, r := range regions {
-		full[r.ID] = true
+	for _, r := range l.servers {
+		l.full[r.ID] = true
 	}
 	for s := range 100 {
-		look(time.Duration(3+s) * time.Second)
-	}
-	if n := len(look(110 * time.Second)); n != 40 {
-		t.Fatalf("looks at %d of 40 though none has room", n)
+		l.look(3 + s)
 	}
-	clear(full)
-	one := Width{Wait: time.Second, Back: 10 * time.Second}
-	if one.Look(time.Second, nil, []Seen{{ID: "r1", Room: true}}, true) != 1 {
-		t.Fatal("refuses, and looks no further")
+	if n := l.look(110); n != 40 {
+		t.Fatalf("looks at %d of 40 though none has capacity", n)
 	}
+	clear(l.full)
 	for s := range 9 {
-		if n := len(look(time.Duration(111+s) * time.Second)); n != 40 {
-			t.Fatalf("looks at %d after %d s of room", n, s)
+		if n := l.look(111 + s); n != 40 {
+			t.Fatalf("looks at %d after %d s of capacity", n, s)
 		}
 	}
 	for s := range 60 {
-		look(time.Duration(120+s) * time.Second)
+		l.look(120 + s)
 	}
-	if n := len(look(200 * time.Second)); n != 4 {
-		t.Fatalf("looks at %d a minute after room came back", n)
+	if n := l.look(200); n != 4 {
+		t.Fatalf("looks at %d a minute after capacity came back", n)
+	}
+}
+
+func TestRejectionWidensAtOnce(t *testing.T) {
+	w := Widening{WidenAfter: time.Second, NarrowAfter: 10 * time.Second}
+	if w.Update(time.Second, nil, []Observation{{ID: "r1", HasCapacity: true}}, true) != 1 {
+		t.Fatal("rejects, and looks no further")
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			members, regions, set := fleet(n, 3), servers(90, 3), Settings{Size: 8, Least: 3}
+			members, regions, set := fleet(n, 3), servers(90, 3), Config{Size: 8, MinBalancers: 3}
 			held := holding(members, Plan(members, regions, set))
 			for b.Loop() {
 				Plan(held[1:], regions[1:], set)
