--- a/internal/coordination/announcement.go
+++ b/internal/coordination/announcement.go
@@ -116,14 +116,14 @@
 	if m.Readings == nil {
 		m.Readings = map[string]stagger.Report{}
 	}
-	m.Readings[server] = stagger.Report{Load: reading.X, Age: reading.Age + age, FailedProbes: reading.Fails}
+	m.Readings[server] = stagger.Report{Load: reading.Load, Age: reading.Age + age, FailedProbes: reading.FailedProbes}
 	return nil
 }
 
 // ParseView reads the announcements of a membership view. malformed is how many signals could not be read; they
 // count as not sent.
 func ParseView(p membership.View) (v View, malformed int) {
-	v.Stale, v.Known = p.Old || p.Displaced, 1+len(p.Members)
+	v.Stale, v.Known = p.Stale || p.Superseded, 1+len(p.Members)
 	for _, listed := range p.Members {
 		if listed.State == membership.Gone { // a suspected member counts: most refute it
 			continue
@@ -141,7 +141,7 @@
 
 // decodeSignal sets what a signal says; other signals than a coordinator's are passed over.
 func (m *Member) decodeSignal(signal membership.SignalView) error {
-	if server, ok := strings.CutPrefix(signal.Key, membership.RegionKey); ok {
+	if server, ok := strings.CutPrefix(signal.Key, membership.ServerKey); ok {
 		return m.decodeReading(server, signal.Value, signal.Age)
 	}
 	switch signal.Key {
--- a/internal/coordination/coordinator_test.go
+++ b/internal/coordination/coordinator_test.go
@@ -270,11 +270,11 @@
 		{Record: membership.Record{Name: "a", State: membership.Alive}, Signals: []membership.SignalView{
 			{Key: AnnouncementKey, Value: w.Encode(), Age: time.Second}, {Key: SubsetKey, Value: w.EncodeSubset()},
 			{
-				Key:   membership.RegionKey + "r1",
-				Value: membership.Reading{X: 0.5, Age: time.Second}.Value(),
+				Key:   membership.ServerKey + "r1",
+				Value: membership.Reading{Load: 0.5, Age: time.Second}.Encode(),
 				Age:   2 * time.Second,
 			},
-			{Key: membership.RegionKey + "r2", Value: []byte("NaN 1 1")}}},
+			{Key: membership.ServerKey + "r2", Value: []byte("NaN 1 1")}}},
 		{
 			Record:  membership.Record{Name: "b", State: membership.Gone},
 			Signals: []membership.SignalView{{Key: AnnouncementKey, Value: w.Encode()}},
@@ -313,7 +313,7 @@
 					{
 						Key:   AnnouncementKey,
 						Value: words,
-					}, {Key: SubsetKey, Value: holds}, {Key: membership.RegionKey + "r", Value: reading}}}},
+					}, {Key: SubsetKey, Value: holds}, {Key: membership.ServerKey + "r", Value: reading}}}},
 			},
 		)
 		m := v.Members[0]
--- a/internal/edgeconfig/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -91,7 +91,7 @@
 
 // Config is what the member is to know, for a balancer of this name. The generation is the host's.
 func (p *Peers) Config(name string) (membership.Config, error) {
-	c := membership.Config{Cluster: p.Cluster, Name: name, Addr: p.Advertise, Join: p.Join, Reach: p.Reach, SilentAfter: time.Duration(p.SilentAfter),
+	c := membership.Config{Cluster: p.Cluster, Name: name, Addr: p.Advertise, Join: p.Join, Routes: p.Reach, PeerTimeout: time.Duration(p.SilentAfter),
 		MaxMembers: p.MaxMembers, SignalBytes: int(p.SignalBytes), Generation: 1}
 	if c.Addr == "" {
 		c.Addr = p.Listen
@@ -105,7 +105,7 @@
 		return c, &Unfit{hint.Annotated{Where: "peers.signal_life", What: fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
 			Do: "make it longer, or signal_every shorter"}}
 	}
-	return c, c.Check()
+	return c, c.Validate()
 }
 
 // Admission is the section of internal/admission.
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -12,10 +12,10 @@
 func TestFormOfMessages(t *testing.T) {
 	var filled Message
 	golden.Fill(&filled)
-	filled.Form, filled.Kind, filled.From.State, filled.Members[0].State = Form, Tell, Leaving, Suspect
+	filled.FormatVersion, filled.Kind, filled.From.State, filled.Members[0].State = FormatVersion, Gossip, Leaving, Suspect
 	for name, message := range map[string]Message{
 		"message-full.bin": filled,
-		"message-ping.bin": {Form: Form, Cluster: "c", From: Record{Name: "lb-1", Addr: "10.0.0.1:7000", Generation: 1 << 40}, Kind: Ping, Seq: 9, Target: "lb-2"},
+		"message-ping.bin": {FormatVersion: FormatVersion, Cluster: "c", From: Record{Name: "lb-1", Addr: "10.0.0.1:7000", Generation: 1 << 40}, Kind: Ping, Sequence: 9, Target: "lb-2"},
 	} {
 		body, err := Encode(&message)
 		if err != nil {
--- a/internal/membership/host_test.go
+++ b/internal/membership/host_test.go
@@ -13,8 +13,13 @@
 
 func host(t *testing.T, name, addr, cluster string, join ...string) *membership.Host {
 	t.Helper()
-	h, err := membership.Start(membership.Config{Cluster: cluster, Name: name, Addr: addr, Join: join, SilentAfter: time.Second, MaxMembers: 50,
-		SignalBytes: 1024, Generation: uint64(time.Now().UnixMilli()), Seed: 1}, "", true, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h, err := membership.Start(
+		membership.Config{Cluster: cluster, Name: name, Addr: addr, Join: join, PeerTimeout: time.Second, MaxMembers: 50,
+			SignalBytes: 1024, Generation: uint64(time.Now().UnixMilli()), Seed: 1},
+		"",
+		true,
+		slog.New(slog.NewTextHandler(io.Discard, nil)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,6 +46,38 @@
 	return false
 }
 
+// flood sends messages of a member of cluster c and junk to 127.8.20.1:7000, as fast as it goes.
+func flood(stop <-chan struct{}) {
+	from := &net.UDPAddr{IP: net.IPv4(127, 8, 20, 9)}
+	conn, err := net.DialUDP("udp4", from, &net.UDPAddr{IP: net.IPv4(127, 8, 20, 1), Port: 7000})
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	g := membership.Message{
+		FormatVersion: membership.FormatVersion,
+		Cluster:       "c",
+		Kind:          membership.Gossip,
+		From:          membership.Record{Name: "noisy", Addr: "127.8.20.9:7000", Generation: 1},
+	}
+	junk := [][]byte{{1}, make([]byte, 65507), []byte("GET / HTTP/1.1\r\n\r\n"), {}}
+	for n := uint64(1); ; n++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		g.Signals = []membership.SignalRecord{{
+			Owner: "noisy", Generation: 1, Key: string(rune('a' + n%26)), Version: n, LifetimeMS: 60000,
+			Value: make([]byte, 200),
+		}}
+		if body, err := membership.Encode(&g); err == nil {
+			_, _ = conn.Write(body)
+		}
+		_, _ = conn.Write(junk[n%4])
+	}
+}
+
 // Two members with wrong entries in their join lists beside the right one, one of another cluster, one who floods and
 // sends junk: the two find each other, hear each other's signals, and are not told dead while it goes on.
 func TestHostsAmongStrangers(t *testing.T) {
@@ -49,28 +86,12 @@
 	other := host(t, "x", "127.8.20.3:7000", "another", "127.8.20.1:7000", "127.8.20.2:7000")
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // as fast as it goes, for as long as the test takes: of a cluster's own member, and junk
-		c, err := net.DialUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 8, 20, 9)}, &net.UDPAddr{IP: net.IPv4(127, 8, 20, 1), Port: 7000})
-		if err != nil {
-			return
-		}
-		defer func() { _ = c.Close() }()
-		g := membership.Message{Form: membership.Form, Cluster: "c", Kind: membership.Tell, From: membership.Record{Name: "noisy", Addr: "127.8.20.9:7000", Generation: 1}}
-		junk := [][]byte{{1}, make([]byte, 65507), []byte("GET / HTTP/1.1\r\n\r\n"), {}}
-		for n := uint64(1); ; n++ {
-			select {
-			case <-stop:
-				return
-			default:
-			}
-			g.Signals = []membership.SignalRecord{{Owner: "noisy", Generation: 1, Key: string(rune('a' + n%26)), Version: n, LifeMS: 60000, Value: make([]byte, 200)}}
-			if body, err := membership.Encode(&g); err == nil {
-				_, _ = c.Write(body)
-			}
-			_, _ = c.Write(junk[n%4])
-		}
-	}()
-	eventually(t, "they don't find each other", func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) })
+	go flood(stop)
+	eventually(
+		t,
+		"they don't find each other",
+		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
+	)
 	eventually(t, "no signal", func() bool {
 		b.Set(membership.LoadKey, []byte("7 0"), time.Minute)
 		for _, m := range a.View().Members {
@@ -108,16 +129,25 @@
 
 // What can't work is said before anything is opened.
 func TestConfigThatCannotWork(t *testing.T) {
-	good := membership.Config{Cluster: "c", Name: "a", Addr: "127.8.20.7:7000", SilentAfter: time.Second, MaxMembers: 5, SignalBytes: 100, Generation: 1}
+	good := membership.Config{
+		Cluster:     "c",
+		Name:        "a",
+		Addr:        "127.8.20.7:7000",
+		PeerTimeout: time.Second,
+		MaxMembers:  5,
+		SignalBytes: 100,
+		Generation:  1,
+	}
 	for field, change := range map[string]func(*membership.Config){
 		"peers.cluster": func(c *membership.Config) { c.Cluster = "" }, "name": func(c *membership.Config) { c.Name = strings.Repeat("n", 65) },
 		"peers.listen": func(c *membership.Config) { c.Addr = "0.0.0.0:7000" }, "peers.join[1]": func(c *membership.Config) { c.Join = []string{"127.0.0.1:1", "host:x"} },
-		"peers.reach.b": func(c *membership.Config) { c.Reach = map[string]string{"b": "::1"} }, "peers.silent_after": func(c *membership.Config) { c.SilentAfter = time.Millisecond },
+		"peers.reach.b": func(c *membership.Config) { c.Routes = map[string]string{"b": "::1"} }, "peers.silent_after": func(c *membership.Config) { c.PeerTimeout = time.Millisecond },
 		"peers.max_members": func(c *membership.Config) { c.MaxMembers = 1 }, "peers.signal_bytes": func(c *membership.Config) { c.SignalBytes = 1 },
 	} {
 		c := good
 		change(&c)
-		if _, err := membership.New(c); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		if _, err := membership.New(c); err == nil || !strings.Contains(err.Error(), field) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -135,7 +165,7 @@
 	next := host(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
 	next.Set(membership.ClockKey, []byte("1"), time.Minute)
 	time.Sleep(200 * time.Millisecond)
-	if !next.View().Old || next.Counts().In > 0 {
+	if !next.View().Stale || next.Counts().In > 0 {
 		t.Errorf("it takes part beside the one before: %+v", next.View())
 	}
 	before.Close()
@@ -143,7 +173,7 @@
 		v := next.View()
 		for _, m := range a.View().Members {
 			if m.Name == "b" {
-				return m.State == membership.Alive && m.Generation == v.Self.Generation && !v.Old && !v.Displaced
+				return m.State == membership.Alive && m.Generation == v.Self.Generation && !v.Stale && !v.Superseded
 			}
 		}
 		return false
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -38,8 +38,8 @@
 
 var lan = stepped.Net{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 
-// A death is known to all within SilentAfter and a half, whatever the number of members, and also with one datagram in
-// ten lost; nobody alive is told gone.
+// A death is known to all within SilentAfter and a half, whatever the number of members, and also with one datagram
+// in ten lost; nobody alive is told gone.
 func TestADeathIsKnown(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 20, 50} {
 		for _, loss := range []float64{0, 0.1} {
@@ -59,7 +59,8 @@
 	}
 }
 
-// Two halves that are cut for 20 s each hold the other to be gone, grow and shrink meanwhile, and are one again after.
+// Two halves that are cut for 20 s each hold the other to be gone, grow and shrink meanwhile, and are one again
+// after.
 func TestTwoHalvesComeTogether(t *testing.T) {
 	for seed := range uint64(10) {
 		w := world(t, 8, seed, lan)
@@ -122,14 +123,14 @@
 		}
 	}
 	for _, e := range w.Nodes[4].M.Step(w.Now, membership.Tick{}, nil) {
-		if a, ok := e.(membership.Aged); ok && a.On {
+		if a, ok := e.(membership.ViewStale); ok && a.On {
 			aged = true
 		}
 		if s, ok := e.(membership.Send); ok && len(s.Message.Members)+len(s.Message.Signals) > 0 {
 			t.Errorf("it tells on what is old: %+v", s.Message)
 		}
 	}
-	if !aged || !w.Nodes[4].M.View().Old {
+	if !aged || !w.Nodes[4].M.View().Stale {
 		t.Error("its view is not old")
 	}
 	w.Stop(4, false)
@@ -218,52 +219,94 @@
 	}
 }
 
-// Two processes with one name, both alive: the later start has it, the other one says so and is nobody until that is gone.
+// Two processes with one name, both alive: the later start has it, the other one says so and is nobody until that
+// is gone.
 func TestANameUsedTwice(t *testing.T) {
 	w := world(t, 4, 6, lan)
-	late, err := membership.New(membership.Config{Cluster: "c", Name: w.Nodes[3].Name, Addr: "127.8.9.9:7000", SilentAfter: silent, MaxMembers: 100,
-		SignalBytes: 1000, Generation: 1 << 40, Seed: 1, Join: []string{w.Nodes[0].Addr}})
+	late, err := membership.New(
+		membership.Config{Cluster: "c", Name: w.Nodes[3].Name, Addr: "127.8.9.9:7000", PeerTimeout: silent, MaxMembers: 100,
+			SignalBytes: 1000, Generation: 1 << 40, Seed: 1, Join: []string{w.Nodes[0].Addr}},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The late one tells the others of itself; they tell the early one.
 	for i := range 3 {
-		w.Nodes[i].M.Step(w.Now, membership.Received{Message: membership.Message{Form: membership.Form, Cluster: "c", From: late.View().Self, Kind: membership.Tell}}, nil)
+		w.Nodes[i].M.Step(
+			w.Now,
+			membership.Received{
+				Message: membership.Message{
+					FormatVersion: membership.FormatVersion,
+					Cluster:       "c",
+					From:          late.View().Self,
+					Kind:          membership.Gossip,
+				},
+			},
+			nil,
+		)
 	}
 	w.Run(silent)
-	if !w.Nodes[3].M.View().Displaced {
+	if !w.Nodes[3].M.View().Superseded {
 		t.Fatal("the early one goes on as if nothing were")
 	}
 	if o := w.Nodes[0].M.View().Members[2]; o.Addr != "127.8.9.9:7000" {
 		t.Errorf("the others hold %+v", o)
 	}
 	w.Run(6 * silent) // the late one never answers: it is gone, and the name is the early one's again
-	if v := w.Nodes[3].M.View(); v.Displaced || v.Self.Generation <= 1<<40 {
+	if v := w.Nodes[3].M.View(); v.Superseded || v.Self.Generation <= 1<<40 {
 		t.Errorf("the name is not taken back: %+v", v)
 	}
 	settle(t, w, 3*silent)
 }
 
+// drawMessages returns messages with records of two members and signals of the sender.
+func drawMessages(t *rapid.T) (all []membership.Message) {
+	for range rapid.IntRange(1, 12).Draw(t, "messages") {
+		g := membership.Message{
+			FormatVersion: membership.FormatVersion,
+			Cluster:       "c",
+			Kind:          membership.Gossip,
+			From:          membership.Record{Name: "x", Addr: "127.8.0.9:1", Generation: 1},
+		}
+		for range rapid.IntRange(0, 3).Draw(t, "members") {
+			g.Members = append(
+				g.Members,
+				membership.Record{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "127.8.0.2:1",
+					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))},
+			)
+		}
+		for range rapid.IntRange(0, 3).Draw(t, "signals") {
+			v := rapid.IntRange(1, 5).Draw(t, "version")
+			g.Signals = append(
+				g.Signals,
+				membership.SignalRecord{Owner: "x", Generation: 1, Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key"),
+					Version: uint64(
+						v,
+					), AgeMS: uint32(rapid.IntRange(0, 900).Draw(t, "age")), LifetimeMS: 1000, Value: []byte{byte(v)}},
+			)
+		}
+		all = append(all, g)
+	}
+	return all
+}
+
 // Merging is commutative and idempotent: what members and signals come to doesn't hang on the order, nor on repeats.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []membership.Message
-		for range rapid.IntRange(1, 12).Draw(t, "messages") {
-			g := membership.Message{Form: membership.Form, Cluster: "c", Kind: membership.Tell, From: membership.Record{Name: "x", Addr: "127.8.0.9:1", Generation: 1}}
-			for range rapid.IntRange(0, 3).Draw(t, "members") {
-				g.Members = append(g.Members, membership.Record{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "127.8.0.2:1",
-					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))})
-			}
-			for range rapid.IntRange(0, 3).Draw(t, "signals") {
-				v := rapid.IntRange(1, 5).Draw(t, "version")
-				g.Signals = append(g.Signals, membership.SignalRecord{Owner: "x", Generation: 1, Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key"),
-					Version: uint64(v), AgeMS: uint32(rapid.IntRange(0, 900).Draw(t, "age")), LifeMS: 1000, Value: []byte{byte(v)}})
-			}
-			all = append(all, g)
-		}
+		all := drawMessages(t)
 		seed := rapid.Uint64().Draw(t, "seed")
 		hold := func(list []membership.Message) string {
-			m, err := membership.New(membership.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 100, SignalBytes: 1000, Generation: 1})
+			m, err := membership.New(
+				membership.Config{
+					Cluster:     "c",
+					Name:        "me",
+					Addr:        "127.8.0.1:1",
+					PeerTimeout: silent,
+					MaxMembers:  100,
+					SignalBytes: 1000,
+					Generation:  1,
+				},
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -309,8 +352,17 @@
 
 // Whatever comes from outside is read or refused, never more than a packet's worth, and does no harm.
 func FuzzDatagram(f *testing.F) {
-	good, err := membership.Encode(&membership.Message{Form: membership.Form, Cluster: "c", From: membership.Record{Name: "a", Addr: "127.8.0.2:1", Generation: 3},
-		Members: []membership.Record{{Name: "b", Addr: "127.8.0.3:1", Generation: 1}}, Signals: []membership.SignalRecord{{Owner: "a", Generation: 3, Key: "k", Version: 1, LifeMS: 9}}})
+	good, err := membership.Encode(
+		&membership.Message{
+			FormatVersion: membership.FormatVersion,
+			Cluster:       "c",
+			From:          membership.Record{Name: "a", Addr: "127.8.0.2:1", Generation: 3},
+			Members: []membership.Record{
+				{Name: "b", Addr: "127.8.0.3:1", Generation: 1},
+			},
+			Signals: []membership.SignalRecord{{Owner: "a", Generation: 3, Key: "k", Version: 1, LifetimeMS: 9}},
+		},
+	)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -323,7 +375,17 @@
 		if err != nil {
 			return
 		}
-		m, err := membership.New(membership.Config{Cluster: "c", Name: "me", Addr: "127.8.0.1:1", SilentAfter: silent, MaxMembers: 8, SignalBytes: 1000, Generation: 1})
+		m, err := membership.New(
+			membership.Config{
+				Cluster:     "c",
+				Name:        "me",
+				Addr:        "127.8.0.1:1",
+				PeerTimeout: silent,
+				MaxMembers:  8,
+				SignalBytes: 1000,
+				Generation:  1,
+			},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -343,8 +405,8 @@
 	})
 }
 
-// All stand still at once, as on a host that was paused: each held its view to be old and waited for one that was not, for
-// ever. Found by a drawn storm.
+// All stand still at once, as on a host that was paused: each held its view to be old and waited for one that was
+// not, for ever. Found by a drawn storm.
 func TestAllStandStillAtOnce(t *testing.T) {
 	w := world(t, 4, 7, lan)
 	for i := range 4 {
@@ -359,8 +421,9 @@
 	}
 }
 
-// What waited for a member while it stood still is old, whatever age it says: signals that are no longer given don't come back
-// by it, neither there nor, told on, elsewhere. Nor does an earlier one that was on its way longer than the later one lived.
+// What waited for a member while it stood still is old, whatever age it says: signals that are no longer given
+// don't come back by it, neither there nor, told on, elsewhere. Nor does an earlier one that was on its way longer
+// than the later one lived.
 func TestNothingOldComesBackAfterAStandstill(t *testing.T) {
 	for seed := range uint64(20) {
 		net := lan
--- /dev/null
+++ b/internal/membership/members.go
@@ -0,0 +1,159 @@
+package membership
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"oatloft/internal/failpoint"
+)
+
+const (
+	// maxSuspecters bounds how many members are remembered that suspect a member.
+	maxSuspecters = 8
+	// referenceMembers is the number of members up to which the times of suspicion are as configured.
+	referenceMembers = 50
+	// confirmingSuspecters is how many further members shorten a suspicion to its least time.
+	confirmingSuspecters = 2
+)
+
+// member is what is held of another member.
+type member struct {
+	Record
+	changedAt    time.Duration // of State or Generation
+	lastReceived time.Duration // time of the last message from it; 0 if none
+	retryAt      time.Duration // of a member that is Gone: pinged again then
+
+	suspectedBy     map[string]bool
+	suspectedAt     time.Duration
+	suspectDeadline time.Duration // gone then
+}
+
+// mergeRecord merges what a member tells of another one. The order of records, and how often they come, makes no
+// difference.
+func (m *Machine) mergeRecord(r Record, reason, by string) {
+	if r.Name == m.self.Name {
+		m.handleOwnRecord(r)
+		return
+	}
+	o := m.members[r.Name]
+	if o == nil {
+		m.addMember(r, reason, by)
+		return
+	}
+	if r.State == Gone && by != m.self.Name && r.Generation == o.Generation && m.receivedLately(o) {
+		r.State = Suspect // the member that lost it may be the one that is cut off: let it refute
+	}
+	switch {
+	case r == o.Record:
+		m.confirmSuspicion(o, by)
+	case r.newer(o.Record) && (o.State != Gone || !failpoint.On("gone-for-ever")):
+		m.replaceRecord(o, r, reason, by)
+	}
+}
+
+func (m *Machine) receivedLately(o *member) bool {
+	return o.lastReceived > 0 && m.now-o.lastReceived < m.cfg.PeerTimeout/2
+}
+
+func (m *Machine) addMember(r Record, reason, by string) {
+	if len(m.members) >= m.cfg.MaxMembers-1 || !r.wellFormed() {
+		m.Counters.TooMany++
+		return
+	}
+	o := &member{Record: r, changedAt: m.now}
+	m.members[r.Name] = o
+	m.addToOrder(r.Name)
+	m.Counters.Joined++
+	m.emit(Changed{Record: r, Before: Gone, New: true, Reason: reason})
+	m.enterState(o, by)
+}
+
+// confirmSuspicion counts another member that suspects o.
+func (m *Machine) confirmSuspicion(o *member, by string) {
+	if o.State == Suspect && !o.suspectedBy[by] && len(o.suspectedBy) < maxSuspecters {
+		o.suspectedBy[by] = true
+		m.setSuspectDeadline(o)
+		m.queueUpdate(updateKey{owner: o.Name})
+	}
+}
+
+func (m *Machine) replaceRecord(o *member, r Record, reason, by string) {
+	before := o.Record
+	o.Record = r
+	if r.Generation != before.Generation && !failpoint.On("earlier-start") {
+		o.lastReceived = 0
+		m.dropSignals(r.Name, r.Generation)
+	}
+	if r.State != before.State || r.Generation != before.Generation {
+		o.changedAt = m.now
+		m.emit(Changed{Record: r, Before: before.State, Reason: reason})
+	}
+	if r.State == Suspect && before.State == Suspect {
+		m.queueUpdate(updateKey{owner: r.Name})
+		return
+	}
+	m.enterState(o, by)
+	if before.State == Gone && r.State != Gone { // a partition is over, perhaps for many
+		m.requestSync(r.Name)
+	}
+}
+
+// enterState sets what a member's new state brings with it.
+func (m *Machine) enterState(o *member, by string) {
+	o.suspectedBy = nil
+	o.retryAt = m.now + m.cfg.PeerTimeout/2 + m.jitter(m.cfg.PeerTimeout)
+	if o.State == Suspect {
+		m.Counters.Suspected++
+		o.suspectedBy, o.suspectedAt = map[string]bool{by: true}, m.now
+		m.setSuspectDeadline(o)
+	}
+	m.queueUpdate(updateKey{owner: o.Name})
+}
+
+// setSuspectDeadline sets when a suspect is held gone: the sooner, the more members suspect it (Lifeguard). Updates
+// take longer to reach all members the more there are, so the time to refute grows with their number.
+func (m *Machine) setSuspectDeadline(o *member) {
+	stretch := max(1, math.Log(float64(len(m.members)+1))/math.Log(referenceMembers))
+	least := time.Duration(stretch * float64(m.cfg.minSuspectTime()))
+	most := time.Duration(stretch * float64(m.cfg.maxSuspectTime()))
+	wait := most
+	possible := min(confirmingSuspecters, len(m.members)-1)
+	if confirmed := len(o.suspectedBy) - 1; possible > 0 && confirmed > 0 {
+		share := math.Log(float64(confirmed)+1) / math.Log(float64(possible)+1)
+		wait = max(least, most-time.Duration(share*float64(most-least)))
+	}
+	o.suspectDeadline = o.suspectedAt + m.slowed(wait)
+}
+
+// expireMembers ends suspicions, forgets members that have long been gone, and pings those that are gone now and
+// then, since a partition may be over.
+func (m *Machine) expireMembers() {
+	for _, name := range m.suspectOrGone() {
+		switch o := m.members[name]; {
+		case o.State == Suspect && m.now >= o.suspectDeadline && !m.stall.stale:
+			m.Counters.Gone++
+			gone := o.Record
+			gone.State = Gone
+			m.mergeRecord(gone, "silent", m.self.Name)
+		case o.State == Gone && m.now-o.changedAt > m.cfg.forgetAfter():
+			delete(m.members, name)
+			delete(m.signals, name)
+		case o.State == Gone && m.now >= o.retryAt && !failpoint.On("no-retry"):
+			o.retryAt = m.now + m.cfg.PeerTimeout + m.jitter(2*m.cfg.PeerTimeout)
+			m.ping(name, name)
+		}
+	}
+}
+
+// suspectOrGone returns the names of members to look at, sorted so that a run can be repeated.
+func (m *Machine) suspectOrGone() []string {
+	var names []string
+	for name, o := range m.members {
+		if o.State == Suspect || o.State == Gone {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
--- /dev/null
+++ b/internal/membership/probe.go
@@ -0,0 +1,173 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"oatloft/internal/failpoint"
+)
+
+// probeRelays is how many members are asked to probe for another one.
+const probeRelays = 3
+
+// probing is the state of probes.
+type probing struct {
+	order        []string // of members, shuffled anew each round
+	nextInOrder  int
+	probes       map[uint32]*probe       // by sequence
+	relayed      map[uint32]relayedProbe // by sequence
+	syncSequence uint32                  // of the latest Sync
+}
+
+// probe is a ping that waits for its answer.
+type probe struct {
+	target   string
+	sentAt   time.Duration
+	indirect bool // other members have been asked as well
+	relays   int  // how many
+	nacks    int  // of the relays
+}
+
+// relayedProbe is a probe made for another member.
+type relayedProbe struct {
+	requester string
+	sequence  uint32 // of the requester's probe
+	deadline  time.Duration
+	target    string
+}
+
+// probeNext probes the next member of the round that is not gone.
+func (m *Machine) probeNext() {
+	p := &m.probing
+	for range len(p.order) + 1 {
+		if p.nextInOrder >= len(p.order) {
+			m.shuffleOrder()
+			if len(p.order) == 0 {
+				return
+			}
+		}
+		name := p.order[p.nextInOrder]
+		p.nextInOrder++
+		if o := m.members[name]; o != nil && o.State != Gone {
+			m.Counters.Probes++
+			sequence := m.ping(name, name)
+			p.probes[sequence] = &probe{target: name, sentAt: m.now}
+			return
+		}
+	}
+}
+
+// ping sends a ping with a sequence of its own.
+func (m *Machine) ping(to, target string) (sequence uint32) {
+	m.sequence++
+	m.send(to, &Message{Kind: Ping, Sequence: m.sequence, Target: target})
+	return m.sequence
+}
+
+// shuffleOrder begins a new round.
+func (m *Machine) shuffleOrder() {
+	p := &m.probing
+	p.order, p.nextInOrder = p.order[:0], 0
+	for name := range m.members {
+		p.order = append(p.order, name)
+	}
+	slices.Sort(p.order)
+	m.rng.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
+}
+
+// addToOrder adds a new member at a random place among those to come in this round.
+func (m *Machine) addToOrder(name string) {
+	p := &m.probing
+	p.order = append(p.order, name)
+	last := len(p.order) - 1
+	place := p.nextInOrder + m.rng.IntN(len(p.order)-min(p.nextInOrder, last))
+	if place <= last {
+		p.order[place], p.order[last] = p.order[last], p.order[place]
+	}
+}
+
+// expireProbes asks other members where a probe has had no answer for a while, gives up after its interval, and
+// tells the requesters of relayed probes that there was no answer.
+func (m *Machine) expireProbes() {
+	p := &m.probing
+	for _, sequence := range slices.Sorted(maps.Keys(p.probes)) {
+		switch pending := p.probes[sequence]; {
+		case !pending.indirect && m.now >= pending.sentAt+m.slowed(m.cfg.ackTimeout()):
+			m.probeIndirectly(sequence, pending)
+		case m.now >= pending.sentAt+m.slowed(m.cfg.probeInterval()):
+			delete(p.probes, sequence)
+			m.probeFailed(pending)
+		}
+	}
+	for _, sequence := range slices.Sorted(maps.Keys(p.relayed)) {
+		if relayed := p.relayed[sequence]; m.now >= relayed.deadline {
+			delete(p.relayed, sequence)
+			m.send(relayed.requester, &Message{Kind: Nack, Sequence: relayed.sequence, Target: relayed.target})
+		}
+	}
+}
+
+// probeIndirectly pings the target again, since the first ping may just be lost, and asks other members to.
+func (m *Machine) probeIndirectly(sequence uint32, p *probe) {
+	p.indirect = true
+	m.send(p.target, &Message{Kind: Ping, Sequence: sequence, Target: p.target})
+	relays := m.randomMembers(probeRelays, func(o *member) bool { return o.State == Alive && o.Name != p.target })
+	for _, relay := range relays {
+		p.relays++
+		m.send(relay, &Message{Kind: IndirectPing, Sequence: sequence, Target: p.target})
+	}
+}
+
+// probeFailed counts a probe without an answer against its target. If relays were silent too, it also counts
+// against this member itself (Lifeguard).
+func (m *Machine) probeFailed(p *probe) {
+	m.Counters.ProbesFailed++
+	if p.nacks < p.relays || p.relays == 0 && len(m.members) > 1 {
+		m.slowdown = min(maxSlowdown, m.slowdown+1)
+	}
+	o := m.members[p.target]
+	if o == nil || o.State == Gone || o.lastReceived > p.sentAt || m.stall.stale {
+		return
+	}
+	suspect := o.Record
+	suspect.State = Suspect
+	m.mergeRecord(suspect, "no answer to a probe", m.self.Name)
+}
+
+// relayPing pings a target for another member, as far as there is room.
+func (m *Machine) relayPing(requester string, g *Message) {
+	maxRelayed := 4*probeRelays*len(m.members) + probeRelays
+	if m.members[g.Target] == nil || len(m.probing.relayed) >= maxRelayed {
+		return
+	}
+	sequence := m.ping(g.Target, g.Target)
+	m.probing.relayed[sequence] = relayedProbe{
+		requester: requester,
+		sequence:  g.Sequence,
+		deadline:  m.now + m.cfg.ackTimeout(),
+		target:    g.Target,
+	}
+}
+
+func (m *Machine) handleAck(from string, g *Message) {
+	p := &m.probing
+	if relayed, ok := p.relayed[g.Sequence]; ok && relayed.target == from {
+		delete(p.relayed, g.Sequence)
+		m.send(relayed.requester, &Message{Kind: Ack, Sequence: relayed.sequence, Target: from})
+		return
+	}
+	if pending := p.probes[g.Sequence]; pending != nil && pending.target == g.Target {
+		delete(p.probes, g.Sequence)
+		m.slowdown = max(0, m.slowdown-1)
+	}
+}
+
+func (m *Machine) handleNack(g *Message) {
+	if failpoint.On("crash-on-nack") {
+		panic("a nack")
+	}
+	if pending := m.probing.probes[g.Sequence]; pending != nil && pending.target == g.Target {
+		pending.nacks++
+	}
+}
--- a/internal/membership/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -1,6 +1,7 @@
-// Package stepped lets many members of internal/membership live side by side in stepped time, without sockets: messages take
-// a while, get lost, come twice; links are cut, one way or both; members stop, go on, die and start again. The same seed
-// gives the same run. It owns the network between them and the judgement of what they hold; tests and oatlab build on it.
+// Package stepped lets many members of internal/membership live side by side in stepped time, without sockets:
+// messages take a while, get lost, come twice; links are cut, one way or both; members stop, go on, die and start
+// again. The same seed gives the same run. It owns the network between them and the judgement of what they hold;
+// tests and oatlab build on it.
 package stepped
 
 import (
@@ -48,17 +49,17 @@
 	seq    int
 	byAddr map[string]*Node
 	cut    map[[2]int]bool
-	seen   map[sight]mark // latest signal seen
+	seen   map[observationKey]signalVersion // latest signal seen
 }
 
-// sight is a signal as one start of an observer sees it.
-type sight struct {
+// observationKey is a signal as one start of an observer sees it.
+type observationKey struct {
 	observer   *Node
 	starts     uint64
 	owner, key string
 }
 
-type mark struct {
+type signalVersion struct {
 	generation, version uint64
 }
 
@@ -86,10 +87,23 @@
 
 // New starts n members that all join by the first two.
 func New(n int, seed uint64, silentAfter time.Duration, net Net) (*World, error) {
-	w := &World{Net: net, Tick: max(silentAfter/60, 5*time.Millisecond), SilentAfter: silentAfter, rng: rand.New(rand.NewPCG(seed, 3)),
-		byAddr: map[string]*Node{}, cut: map[[2]int]bool{}, seen: map[sight]mark{}, Now: time.Second}
+	w := &World{
+		Net:         net,
+		Tick:        max(silentAfter/60, 5*time.Millisecond),
+		SilentAfter: silentAfter,
+		rng:         rand.New(rand.NewPCG(seed, 3)),
+		byAddr:      map[string]*Node{},
+		cut:         map[[2]int]bool{},
+		seen:        map[observationKey]signalVersion{},
+		Now:         time.Second,
+	}
 	for i := range n {
-		d := &Node{index: i, Name: fmt.Sprintf("b%04d", i), Addr: fmt.Sprintf("127.8.%d.%d:7000", i/250, i%250+1), clock: 1000}
+		d := &Node{
+			index: i,
+			Name:  fmt.Sprintf("b%04d", i),
+			Addr:  fmt.Sprintf("127.8.%d.%d:7000", i/250, i%250+1),
+			clock: 1000,
+		}
 		w.Nodes = append(w.Nodes, d)
 		w.byAddr[d.Addr] = d
 	}
@@ -106,14 +120,24 @@
 	d := w.Nodes[i]
 	d.starts++
 	d.clock += 1000
-	cfg := membership.Config{Cluster: "c", Name: d.Name, Addr: d.Addr, SilentAfter: w.SilentAfter, MaxMembers: 4096, SignalBytes: 4096,
-		Generation: d.clock, Seed: w.rng.Uint64(), Join: []string{w.Nodes[0].Addr, w.Nodes[min(1, len(w.Nodes)-1)].Addr}}
+	cfg := membership.Config{
+		Cluster:     "c",
+		Name:        d.Name,
+		Addr:        d.Addr,
+		PeerTimeout: w.SilentAfter,
+		MaxMembers:  4096,
+		SignalBytes: 4096,
+		Generation:  d.clock,
+		Seed:        w.rng.Uint64(),
+		Join:        []string{w.Nodes[0].Addr, w.Nodes[min(1, len(w.Nodes)-1)].Addr},
+	}
 	d.M, err = membership.New(cfg)
 	d.Stopped, d.waiting = false, nil
 	return err
 }
 
-// Kill ends a member at once; Stop has one stand still (On) or go on; what comes meanwhile waits, as far as there is room.
+// Kill ends a member at once; Stop has one stand still (On) or go on; what comes meanwhile waits, as far as there
+// is room.
 func (w *World) Kill(i int) { w.Nodes[i].M = nil }
 
 // Stop has a member stand still, or go on.
@@ -137,7 +161,7 @@
 // Set gives a signal.
 func (w *World) Set(i int, key string, value []byte, life time.Duration) {
 	if w.Nodes[i].M != nil && !w.Nodes[i].Stopped {
-		w.step(i, membership.SetSignal{Key: key, Value: value, Life: life})
+		w.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: life})
 	}
 }
 
@@ -208,8 +232,11 @@
 			return
 		}
 		w.seq++
-		heap.Push(&w.q, packet{at: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)), seq: w.seq, to: d, from: from,
-			r: membership.Received{Message: g, Size: len(b)}})
+		heap.Push(
+			&w.q,
+			packet{at: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)), seq: w.seq, to: d, from: from,
+				r: membership.Received{Message: g, Size: len(b)}},
+		)
 	}
 }
 
@@ -239,7 +266,7 @@
 			continue
 		}
 		held := make(map[string]membership.Record, len(w.Nodes))
-		if d.M.Held(func(r membership.Record) { held[r.Name] = r }) {
+		if d.M.EachMember(func(r membership.Record) { held[r.Name] = r }) {
 			return d.Name + "'s view is old"
 		}
 		for j, o := range w.Nodes {
@@ -283,15 +310,24 @@
 			bytes := 0
 			for _, s := range o.Signals {
 				bytes += len(s.Key) + len(s.Value)
-				key := sight{d, d.starts, o.Name, s.Key}
+				key := observationKey{d, d.starts, o.Name, s.Key}
 				was := w.seen[key]
 				if o.Generation < was.generation || o.Generation == was.generation && s.Version < was.version {
-					w.fault("%s went back with %s of %s: generation %d version %d after %d, %d", d.Name, s.Key, o.Name, o.Generation, s.Version, was.generation, was.version)
+					w.fault(
+						"%s went back with %s of %s: generation %d version %d after %d, %d",
+						d.Name,
+						s.Key,
+						o.Name,
+						o.Generation,
+						s.Version,
+						was.generation,
+						was.version,
+					)
 				}
-				if s.Age >= s.Life {
+				if s.Age >= s.Lifetime {
 					w.fault("%s holds %s of %s beyond its life", d.Name, s.Key, o.Name)
 				}
-				w.seen[key] = mark{o.Generation, s.Version}
+				w.seen[key] = signalVersion{o.Generation, s.Version}
 			}
 			if bytes > 4096 {
 				w.fault("%s holds %d bytes of %s's signals", d.Name, bytes, o.Name)
--- /dev/null
+++ b/internal/membership/sync.go
@@ -0,0 +1,109 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"oatloft/internal/failpoint"
+)
+
+// syncPartBytes is the room for records and signals in a message that answers a Sync, in bytes.
+const syncPartBytes = MaxPacket - 200
+
+// join asks those addresses of the join list for everything at which no present member is listed.
+func (m *Machine) join() {
+	m.schedule.joinAt = m.now + m.cfg.PeerTimeout/2 + m.jitter(m.cfg.PeerTimeout)
+	listed := map[string]bool{m.self.Addr: true}
+	for _, o := range m.members {
+		if o.State != Gone {
+			listed[o.Addr], listed[m.route(o.Name, o.Addr)] = true, true
+		}
+	}
+	for _, addr := range m.cfg.Join {
+		if listed[addr] || failpoint.On("no-retry") && len(m.members) > 0 {
+			continue
+		}
+		m.probing.syncSequence++
+		m.sendTo(addr, &Message{Kind: Sync, Sequence: m.probing.syncSequence})
+	}
+}
+
+// requestSyncs asks some random members for everything.
+func (m *Machine) requestSyncs(count int) {
+	for _, to := range m.randomMembers(count, notGone) {
+		m.requestSync(to)
+	}
+}
+
+// requestSync asks a member for everything that it knows.
+func (m *Machine) requestSync(name string) {
+	m.Counters.Syncs++
+	m.probing.syncSequence++
+	m.send(name, &Message{Kind: Sync, Sequence: m.probing.syncSequence})
+}
+
+// answerSync answers a Sync with everything, in as many messages as it takes. The last one does not end the
+// receiver's stale view if this member's own view is stale.
+func (m *Machine) answerSync(g *Message) {
+	records := m.allRecords()
+	answer := &syncAnswer{machine: m, to: m.route(g.From.Name, g.From.Addr), sequence: g.Sequence}
+	answer.begin()
+	for _, r := range records {
+		answer.reserve(recordSize(r))
+		answer.part.Members = append(answer.part.Members, r)
+	}
+	for _, s := range m.allSignals(records) {
+		answer.reserve(signalSize(s))
+		answer.part.Signals = append(answer.part.Signals, s)
+	}
+	answer.part.Last = !m.stall.stale
+	m.sendTo(answer.to, answer.part)
+}
+
+// syncAnswer collects the messages that answer a Sync.
+type syncAnswer struct {
+	machine   *Machine
+	to        string
+	sequence  uint32
+	part      *Message
+	freeBytes int // in part
+}
+
+func (a *syncAnswer) begin() {
+	a.part, a.freeBytes = &Message{Kind: Gossip, Sequence: a.sequence}, syncPartBytes
+}
+
+// reserve makes sure that the part has so many bytes left: it sends one that is full.
+func (a *syncAnswer) reserve(size int) {
+	if a.freeBytes < size {
+		a.machine.sendTo(a.to, a.part)
+		a.begin()
+	}
+	a.freeBytes -= size
+}
+
+// allRecords returns this member's record and those of all others, by name.
+func (m *Machine) allRecords() []Record {
+	records := []Record{m.self}
+	for _, o := range m.members {
+		records = append(records, o.Record)
+	}
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+	return records
+}
+
+// allSignals returns the live signals of some members, by owner and key.
+func (m *Machine) allSignals(owners []Record) (signals []SignalRecord) {
+	for _, owner := range owners {
+		for _, s := range m.signals[owner.Name] {
+			if m.now-s.givenAt < s.lifetime() {
+				signals = append(signals, m.withAge(s))
+			}
+		}
+	}
+	slices.SortFunc(signals, func(a, b SignalRecord) int {
+		return cmp.Or(strings.Compare(a.Owner, b.Owner), strings.Compare(a.Key, b.Key))
+	})
+	return signals
+}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -102,7 +102,7 @@
 		p.Generation = uint64(time.Now().UnixMilli())
 		p.Seed = uint64(c.Core.Seed) ^ p.Generation
 		c.Peers = &Peers{Config: p, Listen: e.Peers.Listen, Every: time.Duration(e.Peers.SignalEvery), Life: time.Duration(e.Peers.SignalLife),
-			Together: coordination.Config{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, PeerTimeout: p.SilentAfter,
+			Together: coordination.Config{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, PeerTimeout: p.PeerTimeout,
 				SubsetSize: e.Peers.Subset, ShareReadings: e.Peers.Readings, Stagger: e.Peers.Turns}}
 	}
 	if e.Numbered != nil {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -34,7 +34,7 @@
 	}
 	a, b := p.Config, o.Config
 	return p.Listen == o.Listen && p.Every == o.Every && p.Life == o.Life && a.Cluster == b.Cluster && a.Name == b.Name && a.Addr == b.Addr &&
-		slices.Equal(a.Join, b.Join) && maps.Equal(a.Reach, b.Reach) && a.SilentAfter == b.SilentAfter && a.MaxMembers == b.MaxMembers &&
+		slices.Equal(a.Join, b.Join) && maps.Equal(a.Routes, b.Routes) && a.PeerTimeout == b.PeerTimeout && a.MaxMembers == b.MaxMembers &&
 		a.SignalBytes == b.SignalBytes && p.Together == o.Together
 }
 
@@ -89,8 +89,8 @@
 			break
 		}
 		s.told.regions[r.Server] = r.At
-		reading := membership.Reading{X: r.Load, Age: s.now() - r.At, Fails: r.FailedProbes}
-		s.peers.Set(membership.RegionKey+r.Server, reading.Value(), life)
+		reading := membership.Reading{Load: r.Load, Age: s.now() - r.At, FailedProbes: r.FailedProbes}
+		s.peers.Set(membership.ServerKey+r.Server, reading.Encode(), life)
 	}
 	if len(s.told.regions) > 2*len(readings)+16 {
 		clear(s.told.regions)
@@ -151,7 +151,7 @@
 	for _, f := range []struct {
 		is   bool
 		what string
-	}{{v.Old, " view-is-old"}, {v.Alone, " alone"}, {v.Displaced, " displaced"}} {
+	}{{v.Stale, " view-is-old"}, {v.Isolated, " alone"}, {v.Superseded, " displaced"}} {
 		if f.is {
 			flags += f.what
 		}
@@ -162,7 +162,7 @@
 			by[m.State]++
 		}
 		return management.Yes("%s generation=%d members=%d alive=%d leaving=%d suspect=%d gone=%d slow=%d%s", v.Self.Name, v.Self.Generation,
-			len(v.Members)+1, by[membership.Alive]+1, by[membership.Leaving], by[membership.Suspect], by[membership.Gone], v.Slow, flags)
+			len(v.Members)+1, by[membership.Alive]+1, by[membership.Leaving], by[membership.Suspect], by[membership.Gone], v.Slowdown, flags)
 	}
 	after, next := strings.CutPrefix(name, ">")
 	for _, m := range v.Members {
@@ -180,11 +180,11 @@
 
 func wordsOf(v membership.View, m membership.MemberView) string {
 	heard := "never"
-	if m.Heard > 0 {
-		heard = (v.At - m.Heard).Round(time.Millisecond).String() + "-ago"
+	if m.LastReceived > 0 {
+		heard = (v.At - m.LastReceived).Round(time.Millisecond).String() + "-ago"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s at=%s state=%s since=%v generation=%d heard=%s", m.Name, m.Addr, m.State, m.Since.Round(time.Millisecond), m.Generation, heard)
+	fmt.Fprintf(&b, "%s at=%s state=%s since=%v generation=%d heard=%s", m.Name, m.Addr, m.State, m.InState.Round(time.Millisecond), m.Generation, heard)
 	for i, s := range m.Signals {
 		if b.Len() > answerRoom {
 			fmt.Fprintf(&b, " and-%d-more", len(m.Signals)-i)
