--- a/cmd/oatctl/calls.go
+++ b/cmd/oatctl/calls.go
@@ -19,7 +19,7 @@
 }
 
 func (a at) call(line string) error {
-	answer, err := management.Ask(a.one(), line)
+	answer, err := management.Call(a.one(), line)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 		return err
 	}
 	for name := ""; ; {
-		answer, err := management.Ask(c.one(), "peers >"+name)
+		answer, err := management.Call(c.one(), "peers >"+name)
 		if err != nil {
 			return err
 		}
--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -108,7 +108,7 @@
 	var last error
 	for i := 0; ; i++ {
 		at := a.At[i%len(a.At)]
-		answer, err := management.Ask(at, "revision "+o.String())
+		answer, err := management.Call(at, "revision "+o.String())
 		switch {
 		case err != nil:
 			last = err
--- a/cmd/oatloft/revisions_test.go
+++ b/cmd/oatloft/revisions_test.go
@@ -132,7 +132,7 @@
 // call is an operator's call at balancer i; what it says must begin with want.
 func (c *cluster) call(i int, line, want string) string {
 	c.t.Helper()
-	a, err := management.Ask(c.launches[i].Management, line)
+	a, err := management.Call(c.launches[i].Management, line)
 	text := a.Text
 	if err != nil {
 		text = err.Error()
@@ -157,7 +157,7 @@
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		a, err := management.Ask(c.launches[i].Management, line)
+		a, err := management.Call(c.launches[i].Management, line)
 		if text = a.Text; err == nil && (a.OK || strings.Contains(text, "nowhere")) {
 			return
 		}
@@ -170,7 +170,7 @@
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		a, err := management.Ask(c.launches[i].Management, "revision outcome "+key)
+		a, err := management.Call(c.launches[i].Management, "revision outcome "+key)
 		if text = a.Text; err == nil && strings.Contains(text, want) {
 			return text
 		}
@@ -184,7 +184,7 @@
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		a, _ := management.Ask(c.launches[i].Management, "revision status")
+		a, _ := management.Call(c.launches[i].Management, "revision status")
 		if text = a.Text; strings.Contains(text, "in-force="+number+" ") && strings.Contains(text, "phase=at-work") {
 			return
 		}
@@ -290,7 +290,7 @@
 		}
 		for end := time.Now().Add(8 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 			c.propose(other, key, from, out)
-			if a, err := management.Ask(c.launches[other].Management, "revision outcome "+key); err == nil && strings.Contains(a.Text, "settled ") {
+			if a, err := management.Call(c.launches[other].Management, "revision outcome "+key); err == nil && strings.Contains(a.Text, "settled ") {
 				break
 			} else if time.Now().After(end) {
 				t.Fatalf("b%d stopped: %q", who+1, a.Text)
@@ -396,7 +396,7 @@
 	c.settled(2, "u1", "settled 1 ", 4*time.Second)
 	c.follows(0, "1", time.Second)
 	for end := time.Now().Add(time.Second); ; time.Sleep(20 * time.Millisecond) { // it follows with its next renewal
-		a, err := management.Ask(before, "revision status")
+		a, err := management.Call(before, "revision status")
 		if err == nil && strings.Contains(a.Text, "here=1 ") && strings.Contains(a.Text, "phase=at-work") {
 			break
 		}
--- a/internal/clientstore/knownstore_test.go
+++ b/internal/clientstore/clientstore_test.go
@@ -13,7 +13,7 @@
 )
 
 func sample(n int) Snapshot {
-	s := Snapshot{At: time.UnixMilli(1_800_000_000_000), Seed: 42}
+	s := Snapshot{CreatedAt: time.UnixMilli(1_800_000_000_000), Seed: 42}
 	for i := range n {
 		s.Clients = append(s.Clients, admission.KnownClient{ID: uint64(i) * 7919, Net: [2]uint64{1, uint64(i % 3)},
 			Age: time.Duration(n-i) * time.Second, Tenured: i%2 == 0})
@@ -31,17 +31,18 @@
 		if err := Save(path, want); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Load(path, want.At, 10*365*24*time.Hour)
-		if err != nil || fmt.Sprint(got.Clients) != fmt.Sprint(want.Clients) || got.Seed != want.Seed || !got.At.Equal(want.At) {
+		got, err := Load(path, want.CreatedAt, 10*365*24*time.Hour)
+		if err != nil || fmt.Sprint(got.Clients) != fmt.Sprint(want.Clients) || got.Seed != want.Seed ||
+			!got.CreatedAt.Equal(want.CreatedAt) {
 			t.Fatal(n, err)
 		}
 	}
 	// Ages go on while nobody runs, and what got too old is left out; a clock set back makes nobody younger.
-	got, err := Load(path, sample(0).At.Add(time.Hour), time.Hour+10*time.Second)
+	got, err := Load(path, sample(0).CreatedAt.Add(time.Hour), time.Hour+10*time.Second)
 	if err != nil || len(got.Clients) != 10 || got.Clients[0].Age != time.Hour+10*time.Second {
 		t.Fatal(len(got.Clients), err)
 	}
-	if got, err = Load(path, sample(0).At.Add(-time.Hour), 10*time.Second); err != nil || len(got.Clients) != 10 {
+	if got, err = Load(path, sample(0).CreatedAt.Add(-time.Hour), 10*time.Second); err != nil || len(got.Clients) != 10 {
 		t.Fatal(len(got.Clients), err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".known-*")); len(left) > 0 {
@@ -61,8 +62,11 @@
 	}
 	other := bytes.Replace(good, []byte(magic), []byte("oatloft known clients 9\n"), 1)
 	for name, body := range map[string][]byte{
-		"empty": nil, "cut": good[:len(good)-page], "torn": good[:len(good)-100], "foreign": bytes.Repeat([]byte("x"), 4*page),
-		"version": other, "longer": append(bytes.Clone(good), make([]byte, page)...),
+		"empty":   nil,
+		"cut":     good[:len(good)-pageBytes],
+		"torn":    good[:len(good)-100],
+		"foreign": bytes.Repeat([]byte("x"), 4*pageBytes),
+		"version": other, "longer": append(bytes.Clone(good), make([]byte, pageBytes)...),
 	} {
 		refused(t, path, name, body)
 	}
@@ -73,9 +77,9 @@
 	}
 	// Well summed up, but no database; and one whose trailer tells of more than there is.
 	for name, x := range map[string]Snapshot{"no database": {}, "count": sample(3)} {
-		body := bytes.Repeat([]byte{7}, 8*page)
+		body := bytes.Repeat([]byte{7}, 8*pageBytes)
 		if name == "count" {
-			body = good[:len(good)-page]
+			body = good[:len(good)-pageBytes]
 		}
 		refused(t, path, name, appendTrailer(bytes.Clone(body), body, x))
 	}
@@ -121,17 +125,17 @@
 		f.Fatal(err)
 	}
 	f.Add(good)
-	f.Add(good[:page])
+	f.Add(good[:pageBytes])
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var s Snapshot
-		if n, err := s.check(body); err == nil && n > len(body) {
+		if n, err := s.checkTrailer(body); err == nil && n > len(body) {
 			t.Fatal(n, "clients in", len(body), "bytes")
 		}
 		if c, err := parseClient(body); err == nil && !bytes.Equal(appendClient(nil, c), body) {
 			t.Fatal("a client changed")
 		}
-		if _, err := s.check(body); err == nil && !bytes.Equal(body, good) {
+		if _, err := s.checkTrailer(body); err == nil && !bytes.Equal(body, good) {
 			t.Fatal("a file that Save didn't write was taken")
 		}
 	})
--- a/internal/faultinjection/members.go
+++ b/internal/faultinjection/members.go
@@ -24,7 +24,7 @@
 }
 
 func ask(addr, call string) (string, bool) {
-	a, err := management.Ask(addr, call)
+	a, err := management.Call(addr, call)
 	return a.Text, err == nil && a.OK
 }
 
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -17,13 +17,13 @@
 
 // Files that an earlier version left are read, and what is written today has the same bytes but for the time.
 func TestFormsOfFiles(t *testing.T) {
-	m := Maintenance{Out: []string{"s-1", "s-2"}, Known: []string{"s-1", "s-2", "s-3"}}
-	l := Left{Known: []string{"s-1"}, Standing: map[string]string{"key-a": "s-1", "key-b": "s-3"}}
+	m := Maintenance{Excluded: []string{"s-1", "s-2"}, KnownServers: []string{"s-1", "s-2", "s-3"}}
+	l := PredecessorState{KnownServers: []string{"s-1"}, FlowServers: map[string]string{"key-a": "s-1", "key-b": "s-3"}}
 	d := Open(t.TempDir(), "lb 1/a")
-	if err := errors.Join(d.write(maintenance, m), d.write(left, l)); err != nil {
+	if err := errors.Join(d.write(maintenanceKind, m), d.write(predecessorKind, l)); err != nil {
 		t.Fatal(err)
 	}
-	for _, kind := range []string{maintenance, left} {
+	for _, kind := range []string{maintenanceKind, predecessorKind} {
 		body, err := os.ReadFile(d.file(kind))
 		if err != nil {
 			t.Fatal(err)
@@ -33,11 +33,11 @@
 			t.Fatal(err)
 		}
 	}
-	gotM, err := d.Maintenance()
+	gotM, err := d.ReadMaintenance()
 	if diff := cmp.Diff(m, gotM); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	gotL, ok, err := d.Left(100 * 365 * 24 * time.Hour)
+	gotL, ok, err := d.ReadPredecessor(100 * 365 * 24 * time.Hour)
 	if diff := cmp.Diff(l, gotL); err != nil || !ok || diff != "" {
 		t.Error(ok, err, diff)
 	}
@@ -46,20 +46,20 @@
 // The file by which processes see each other is read by one of another version while both run.
 func TestFormOfPresence(t *testing.T) {
 	d := Open(t.TempDir(), "lb")
-	p, err := d.Appear()
+	p, err := d.Register()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if err := p.Write(Use{Sockets: 300, Memory: 1 << 40, Leaving: 1}); err != nil {
+	if err := p.Write(Usage{Sockets: 300, Memory: 1 << 40, ShuttingDown: 1}); err != nil {
 		t.Fatal(err)
 	}
-	body, err := os.ReadFile(d.slot(p.mine))
+	body, err := os.ReadFile(d.presenceFile(p.number))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "presence.use", body)
-	q, err := d.Appear()
+	q, err := d.Register()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,10 +67,11 @@
 	if _, err := p.file.WriteAt(golden.Read(t, "presence.use"), 0); err != nil {
 		t.Fatal(err)
 	}
-	if others := q.Others(); len(others) != 1 || others[0] != (Use{300, 1 << 40, 1}) {
+	if others := q.Others(); len(others) != 1 || others[0] != (Usage{300, 1 << 40, 1}) {
 		t.Errorf("%+v", others)
 	}
-	if _, err := os.Stat(d.path + "/oatloft-lb-0.use"); err != nil || !bytes.HasSuffix([]byte(d.slot(0)), []byte("/oatloft-lb-0.use")) {
-		t.Error("the file has another name:", d.slot(0), err)
+	if _, err := os.Stat(d.path + "/oatloft-lb-0.use"); err != nil ||
+		!bytes.HasSuffix([]byte(d.presenceFile(0)), []byte("/oatloft-lb-0.use")) {
+		t.Error("the file has another name:", d.presenceFile(0), err)
 	}
 }
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,23 +16,23 @@
 func TestMaintain(t *testing.T) {
 	dir := t.TempDir()
 	a, b := Open(dir, "n/1"), Open(dir, "n/1")
-	for i, err := range []error{a.Maintain("x", true, Maintenance{Known: []string{"x", "y"}}), b.Maintain("y", true, Maintenance{}),
-		b.Maintain("y", true, Maintenance{}), a.Maintain("x", false, Maintenance{})} {
+	for i, err := range []error{a.SetMaintenance("x", true, Maintenance{KnownServers: []string{"x", "y"}}), b.SetMaintenance("y", true, Maintenance{}),
+		b.SetMaintenance("y", true, Maintenance{}), a.SetMaintenance("x", false, Maintenance{})} {
 		if err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	m, err := a.Maintenance()
-	if err != nil || !slices.Equal(m.Out, []string{"y"}) || !slices.Equal(m.Known, []string{"x", "y"}) {
+	m, err := a.ReadMaintenance()
+	if err != nil || !slices.Equal(m.Excluded, []string{"y"}) || !slices.Equal(m.KnownServers, []string{"x", "y"}) {
 		t.Fatal(m, err)
 	}
 	if !a.MaintenanceChanged() || a.MaintenanceChanged() {
 		t.Fatal("a change is seen once")
 	}
-	if err := b.Maintain("z", true, Maintenance{}); err != nil || !a.MaintenanceChanged() {
+	if err := b.SetMaintenance("z", true, Maintenance{}); err != nil || !a.MaintenanceChanged() {
 		t.Fatal("the other's change is not seen", err)
 	}
-	if m, err := Open(dir, "n2").Maintenance(); err != nil || len(m.Out) > 0 {
+	if m, err := Open(dir, "n2").ReadMaintenance(); err != nil || len(m.Excluded) > 0 {
 		t.Fatal("another balancer's:", m, err)
 	}
 	list, err := os.ReadDir(dir)
@@ -45,10 +45,10 @@
 func TestBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	d := Open(dir, "n1")
-	if err := d.Maintain("x", true, Maintenance{}); err != nil {
+	if err := d.SetMaintenance("x", true, Maintenance{}); err != nil {
 		t.Fatal(err)
 	}
-	good, err := os.ReadFile(d.file(maintenance))
+	good, err := os.ReadFile(d.file(maintenanceKind))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,22 +56,24 @@
 		"cut off": string(good[:len(good)/2]), "empty": "", "foreign": `{"form":"other","version":1}`, "no JSON": "\x00\x01",
 		"changed":   strings.Replace(string(good), `"x"`, `"z"`, 1),
 		"too new":   strings.Replace(string(good), `"version":1`, `"version":2`, 1),
-		"another's": strings.Replace(string(good), `"n1"`, `"n2"`, 1), "long": strings.Repeat(" ", mostBytes+1),
+		"another's": strings.Replace(string(good), `"n1"`, `"n2"`, 1), "long": strings.Repeat(" ", maxFileBytes+1),
 	} {
-		if err := os.WriteFile(d.file(maintenance), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(d.file(maintenanceKind), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if m, err := d.Maintenance(); err == nil || len(m.Out) > 0 || !strings.Contains(err.Error(), d.file(maintenance)) || strings.Contains(err.Error(), "\n") {
+		if m, err := d.ReadMaintenance(); err == nil || len(m.Excluded) > 0 ||
+			!strings.Contains(err.Error(), d.file(maintenanceKind)) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v %v", name, m, err)
 		}
-		if err := d.Maintain("y", true, Maintenance{Out: []string{"x"}}); err != nil {
+		if err := d.SetMaintenance("y", true, Maintenance{Excluded: []string{"x"}}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if m, err := d.Maintenance(); err != nil || !slices.Equal(m.Out, []string{"x", "y"}) {
+		if m, err := d.ReadMaintenance(); err != nil || !slices.Equal(m.Excluded, []string{"x", "y"}) {
 			t.Errorf("%s, after a call: %v %v", name, m, err)
 		}
 	}
-	if err := Open(dir+"/none", "n1").Maintain("x", true, Maintenance{}); !errors.Is(err, os.ErrNotExist) {
+	if err := Open(dir+"/none", "n1").SetMaintenance("x", true, Maintenance{}); !errors.Is(err, os.ErrNotExist) {
 		t.Error("a directory that isn't there:", err)
 	}
 }
@@ -79,27 +81,27 @@
 // What was left long ago tells nothing of today's connections.
 func TestLeft(t *testing.T) {
 	d := Open(t.TempDir(), "n1")
-	if _, ok, err := d.Left(time.Minute); ok || err != nil {
+	if _, ok, err := d.ReadPredecessor(time.Minute); ok || err != nil {
 		t.Fatal("nothing was left:", ok, err)
 	}
-	if err := d.Leave(Left{Standing: map[string]string{"k": "r"}}); err != nil {
+	if err := d.WriteForSuccessor(PredecessorState{FlowServers: map[string]string{"k": "r"}}); err != nil {
 		t.Fatal(err)
 	}
-	if l, ok, err := d.Left(time.Minute); !ok || err != nil || l.Standing["k"] != "r" {
+	if l, ok, err := d.ReadPredecessor(time.Minute); !ok || err != nil || l.FlowServers["k"] != "r" {
 		t.Fatal(l, ok, err)
 	}
 	time.Sleep(5 * time.Millisecond)
-	if _, ok, err := d.Left(time.Millisecond); ok || err != nil {
+	if _, ok, err := d.ReadPredecessor(time.Millisecond); ok || err != nil {
 		t.Fatal("it is too old:", ok, err)
 	}
 }
 
 func FuzzFile(f *testing.F) {
 	d := Open(f.TempDir(), "n1")
-	if err := d.Maintain("x", true, Maintenance{}); err != nil {
+	if err := d.SetMaintenance("x", true, Maintenance{}); err != nil {
 		f.Fatal(err)
 	}
-	good, _ := os.ReadFile(d.file(maintenance))
+	good, _ := os.ReadFile(d.file(maintenanceKind))
 	f.Add(good)
 	for _, change := range [][2]string{{`"x"`, `"z"`}, {`"version":1`, `"version":2`}, {`"n1"`, `"n2"`}} {
 		f.Add([]byte(strings.Replace(string(good), change[0], change[1], 1)))
@@ -107,7 +109,7 @@
 	f.Add([]byte(`{"form":"oatloft","version":1,"kind":"maintenance","balancer":"n1","body":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var m Maintenance
-		if _, err := d.decode(data, maintenance, &m); err != nil {
+		if _, err := d.decode(data, maintenanceKind, &m); err != nil {
 			return
 		}
 		// What passes is this balancer's, of this version, and what was summed up: read straight, by names.
@@ -123,18 +125,18 @@
 // Processes of one balancer know of each other and of what each takes, for as long as they are there.
 func TestPresence(t *testing.T) {
 	dir := t.TempDir()
-	a, err := Open(dir, "n1").Appear()
+	a, err := Open(dir, "n1").Register()
 	if err != nil || len(a.Others()) > 0 {
 		t.Fatal("alone:", err, a.Others())
 	}
-	b, err := Open(dir, "n1").Appear()
+	b, err := Open(dir, "n1").Register()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, "n2").Appear(); err != nil {
+	if _, err := Open(dir, "n2").Register(); err != nil {
 		t.Fatal(err)
 	}
-	use := Use{Sockets: 700, Memory: 9 << 20, Leaving: 1}
+	use := Usage{Sockets: 700, Memory: 9 << 20, ShuttingDown: 1}
 	if err := a.Write(use); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/hotrestart/maintenance.go
@@ -0,0 +1,52 @@
+package hotrestart
+
+import (
+	"errors"
+	"os"
+	"slices"
+)
+
+// Maintenance lists the servers in maintenance, and all servers that were ever listed.
+type Maintenance struct {
+	Excluded     []string `json:"out"`
+	KnownServers []string `json:"known"`
+}
+
+// ReadMaintenance reads which servers are in maintenance; none if there is no file. The error is *DamagedFile.
+func (d *Dir) ReadMaintenance() (m Maintenance, err error) {
+	_, err = d.read(maintenanceKind, &m)
+	if errors.Is(err, os.ErrNotExist) {
+		return Maintenance{}, nil
+	}
+	if err != nil {
+		return Maintenance{}, err
+	}
+	return m, nil
+}
+
+// SetMaintenance puts a server into maintenance or takes it out, and returns once that is on disk. The file counts,
+// since another process may have changed it; current is what this process holds, for a file that cannot be read.
+// The error is *WriteFailed.
+func (d *Dir) SetMaintenance(server string, on bool, current Maintenance) error {
+	unlock, err := d.lock()
+	if err != nil {
+		return err
+	}
+	defer unlock()
+	m, err := d.ReadMaintenance()
+	if err != nil {
+		m = Maintenance{Excluded: slices.Clone(current.Excluded)}
+	}
+	m.Excluded = slices.DeleteFunc(m.Excluded, func(excluded string) bool { return excluded == server })
+	if on {
+		m.Excluded = append(m.Excluded, server)
+	}
+	m.KnownServers = append(m.KnownServers, current.KnownServers...)
+	slices.Sort(m.Excluded)
+	slices.Sort(m.KnownServers)
+	m.KnownServers = slices.Compact(m.KnownServers)
+	return d.write(maintenanceKind, m)
+}
+
+// MaintenanceChanged tells whether the file is another one than at the last call.
+func (d *Dir) MaintenanceChanged() bool { return d.changed(maintenanceKind) }
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -3,85 +3,96 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"net/url"
 	"os"
-	"path/filepath"
 	"syscall"
 
 	"oatloft/internal/hint"
 )
 
-// slots is how many processes of one balancer are told apart; an upgrade has two, and three if the next one comes soon.
-const slots = 4
+// maxProcesses is how many processes of one balancer are told apart. An upgrade has two, and three if the next
+// comes soon.
+const maxProcesses = 4
 
-// Use is what a process takes of what all processes of a balancer have together.
-type Use struct {
-	Sockets int64 // descriptors
-	Memory  int64 // bytes
-	Leaving int64 // not 0: it places nobody new
+// Usage is what a process uses of what all processes of a balancer have together. Its fields are written to the
+// file in this order.
+type Usage struct {
+	Sockets      int64 // descriptors
+	Memory       int64 // bytes
+	ShuttingDown int64 // not 0: it places no new clients
 }
 
-// Presence tells the processes of one balancer of each other. Each holds the lock of a file, which the system gives back
-// however it ends, and writes its use there.
+// Presence lets the processes of one balancer see each other. Each holds the lock of a file, which the system
+// releases however the process ends, and writes its usage there.
 type Presence struct {
-	dir  *Dir
-	mine int
-	file *os.File
+	dir    *Dir
+	number int
+	file   *os.File
 }
 
-func (d *Dir) slot(i int) string {
-	return filepath.Join(d.path, fmt.Sprintf("%s-%s-%d.use", form, url.PathEscape(d.balancer), i))
-}
+func (d *Dir) presenceFile(number int) string { return d.name(fmt.Sprintf("-%d.use", number)) }
 
-// Appear takes the first free file.
-func (d *Dir) Appear() (*Presence, error) {
-	for i := range slots {
-		f, err := os.OpenFile(d.slot(i), os.O_RDWR|os.O_CREATE, 0o600)
+// Register takes the first file that no other process holds. The error is *WriteFailed or *TooManyProcesses.
+func (d *Dir) Register() (*Presence, error) {
+	for number := range maxProcesses {
+		f, err := os.OpenFile(d.presenceFile(number), os.O_RDWR|os.O_CREATE, fileMode)
 		if err != nil {
-			return nil, &Unwritable{hint.Annotated{Where: "handover", Cause: err, Do: writable}}
+			return nil, &WriteFailed{hint.Annotated{Where: "handover", Cause: err, Do: makeWritableHint}}
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			p := &Presence{d, i, f}
-			return p, p.Write(Use{})
+			p := &Presence{dir: d, number: number, file: f}
+			return p, p.Write(Usage{})
 		}
 		_ = f.Close()
 	}
-	return nil, &Taken{hint.Annotated{Where: "handover", What: fmt.Sprintf("%d processes of balancer %q are at work already", slots, d.balancer),
-		Do: "end those that should have left; or give this balancer a name of its own"}}
+	return nil, &TooManyProcesses{
+		hint.Annotated{
+			Where: "handover",
+			What:  fmt.Sprintf("%d processes of balancer %q are at work already", maxProcesses, d.balancer),
+			Do:    "end those that should have left; or give this balancer a name of its own",
+		},
+	}
 }
 
-// Write tells the others of this process's use.
-func (p *Presence) Write(u Use) error {
-	b, err := binary.Append(nil, binary.LittleEndian, u)
-	if err == nil {
-		_, err = p.file.WriteAt(b, 0)
+// Write publishes this process's usage.
+func (p *Presence) Write(usage Usage) error {
+	data, err := binary.Append(nil, binary.LittleEndian, usage)
+	if err != nil {
+		return err
 	}
+	_, err = p.file.WriteAt(data, 0)
 	return err
 }
 
-// Others returns the use of each other process that is there.
-func (p *Presence) Others() (list []Use) {
-	for i := range slots {
-		if i == p.mine {
-			continue
-		}
-		f, err := os.Open(p.dir.slot(i))
-		if err != nil {
+// Others returns the usage of each other process that is running.
+func (p *Presence) Others() (list []Usage) {
+	for number := range maxProcesses {
+		if number == p.number {
 			continue
 		}
-		// A lock that can be shared is held by nobody: what the file says is of a process that has ended.
-		if syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil {
-			var u Use
-			b := make([]byte, binary.Size(u))
-			if n, _ := f.ReadAt(b, 0); n == len(b) {
-				_, _ = binary.Decode(b, binary.LittleEndian, &u)
-			}
-			list = append(list, u)
+		if usage, running := readUsage(p.dir.presenceFile(number)); running {
+			list = append(list, usage)
 		}
-		_ = f.Close()
 	}
 	return list
 }
 
-// Close gives the file back.
+// readUsage reads the usage of a running process. A file whose lock can be shared is held by nobody: what it says
+// is of a process that has ended.
+func readUsage(path string) (usage Usage, running bool) {
+	f, err := os.Open(path)
+	if err != nil {
+		return Usage{}, false
+	}
+	defer func() { _ = f.Close() }()
+	if syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
+		return Usage{}, false
+	}
+	data := make([]byte, binary.Size(usage))
+	if n, _ := f.ReadAt(data, 0); n == len(data) {
+		_, _ = binary.Decode(data, binary.LittleEndian, &usage) // cannot fail: the size fits
+	}
+	return usage, true
+}
+
+// Close releases the file.
 func (p *Presence) Close() { _ = p.file.Close() }
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -14,9 +14,9 @@
 	for _, line := range []string{"status", "maint-on s-1", "maint-off s-1", "standby", "active", "peers", "peers x", "revision status", "maint-on", "status x",
 		"maint-on a b", "revision", "nothing", "", "stat\xffus"} {
 		call, err := Parse([]byte(line))
-		fmt.Fprintf(&out, "%q: %d %v %q %v\n", line, call.Word, call.Word, call.ID, err)
+		fmt.Fprintf(&out, "%q: %d %v %q %v\n", line, call.Verb, call.Verb, call.Argument, err)
 	}
-	for _, answer := range []Answer{Yes(""), Yes("%v, %d standing", Standby, 3), No("busy: nothing\nchanged")} {
+	for _, answer := range []Answer{Yes(""), Yes("%v, %d standing", Drain, 3), No("busy: nothing\nchanged")} {
 		fmt.Fprintf(&out, "%q\n", answer.Line())
 	}
 	golden.Check(t, "calls.txt", out.Bytes())
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -14,30 +14,25 @@
 	for text, want := range map[string]string{
 		"status\n": "+OK status ", "status\r\n": "+OK status ", " maint-on  s-1 \r\n": "+OK maint-on s-1",
 		"maint-off s-1\n": "+OK maint-off s-1", "standby\n": "+OK standby ", "active\n": "+OK active ",
-		"\n": "-ERR no call", "STATUS\n": "-ERR unknown call", "maint-on\n": "-ERR maint-on needs", "maint-on a b\n": "-ERR maint-on takes one",
-		"status now\n": "-ERR status takes nothing", "status\nstandby\n": "-ERR more than one", "stat": "-ERR line without",
+		"\n":             "-ERR no call",
+		"STATUS\n":       "-ERR unknown call",
+		"maint-on\n":     "-ERR maint-on needs",
+		"maint-on a b\n": "-ERR maint-on takes one",
+		"status now\n":   "-ERR status takes nothing", "status\nstandby\n": "-ERR more than one", "stat": "-ERR line without",
 		"maint-on \x00\n": "-ERR bytes", "maint-on \xff\xfe\n": "-ERR bytes", "st\rat\n": "-ERR bytes",
 		strings.Repeat("x", MaxLine) + "\n": "-ERR line longer", strings.Repeat("x", 3*MaxLine): "-ERR line longer",
 	} {
 		for size := 1; size <= len(text); size = size*2 + 1 {
 			s, done := serve(t, nil)
 			c := dial(t, s)
-			go func() {
-				for rest := text; len(rest) > 0; {
-					n := min(size, len(rest))
-					if _, err := io.WriteString(c, rest[:n]); err != nil {
-						return
-					}
-					rest = rest[n:]
-				}
-				_ = c.(*net.TCPConn).CloseWrite()
-			}()
+			go writeInPieces(c, text, size)
 			got, _ := io.ReadAll(c)
 			if strings.Contains(text, "\nstandby") && size < len(text) {
 				// In pieces the first line may be answered before the second is there.
 				want = ""
 			}
-			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") || bytes.Count(got, []byte("\n")) != 1 {
+			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") ||
+				bytes.Count(got, []byte("\n")) != 1 {
 				t.Errorf("%.30q in pieces of %d: %q, not %q", text, size, got, want)
 			}
 			if n := len(done()); strings.HasPrefix(want, "-") && n > 0 {
@@ -47,10 +42,22 @@
 	}
 }
 
-func serve(t *testing.T, stall chan struct{}) (*Server, func() []Call) {
+// writeInPieces writes a text and ends the connection's sending side.
+func writeInPieces(c net.Conn, text string, size int) {
+	for rest := text; len(rest) > 0; {
+		n := min(size, len(rest))
+		if _, err := io.WriteString(c, rest[:n]); err != nil {
+			return
+		}
+		rest = rest[n:]
+	}
+	_ = c.(*net.TCPConn).CloseWrite()
+}
+
+func serve(t *testing.T, stall chan struct{}) (*Server, func() []Request) {
 	t.Helper()
-	calls := make(chan Call, 1000)
-	s, err := Listen("127.0.0.1:0", func(c Call, over <-chan struct{}) Answer {
+	calls := make(chan Request, 1000)
+	s, err := Listen("127.0.0.1:0", func(c Request, over <-chan struct{}) Answer {
 		if stall != nil {
 			select {
 			case <-stall:
@@ -59,14 +66,14 @@
 			}
 		}
 		calls <- c
-		return Yes("%v %s", c.Word, c.ID)
+		return Yes("%v %s", c.Verb, c.Argument)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Serve()
 	t.Cleanup(s.Close)
-	return s, func() (list []Call) {
+	return s, func() (list []Request) {
 		for len(calls) > 0 {
 			list = append(list, <-calls)
 		}
@@ -94,7 +101,7 @@
 	for i := range 5 {
 		began := time.Now()
 		c := dial(t, s)
-		_, _ = io.WriteString(c, "status\n") // at once: a busy machine may take silentLeast for the others
+		_, _ = io.WriteString(c, "status\n") // at once: a busy machine may take minSilence for the others
 		for range 20 {
 			dial(t, s)
 		}
@@ -129,94 +136,108 @@
 	s, done := serve(t, nil)
 	long := func(head string, n int) string { return head + strings.Repeat("x", n-len(head)-1) + "\n" }
 	for text, want := range map[string]string{
-		"revision status\n": "+OK revision status\r\n", "revision  propose k {\"note\":  \"a b\"} \r\n": "+OK revision propose k {\"note\":  \"a b\"}\r\n",
-		"revision\n": "-ERR revision needs", " revision status\n": "-ERR revision needs", "revision \n": "-ERR revision needs", "revisions x\n": "-ERR unknown call",
-		long("revision get ", MaxRevision): "+OK revision get xxx", long("revision get ", MaxRevision+1): "-ERR line longer than 131072", long("revision get ", MaxLine+1): "+OK revision get xxx",
-		long("revisionget ", MaxLine+1): "-ERR line longer than 512", long("revision get ", 9000)[:8999]: "-ERR line without", long("revision get ", 9000) + "status\n": "-ERR more than one",
-		long("revision get ", 9000)[:8000] + "\x00\n": "-ERR bytes",
+		"revision status\n":                             "+OK revision status\r\n",
+		"revision  propose k {\"note\":  \"a b\"} \r\n": "+OK revision propose k {\"note\":  \"a b\"}\r\n",
+		"revision\n":                                    "-ERR revision needs",
+		" revision status\n":                            "-ERR revision needs",
+		"revision \n":                                   "-ERR revision needs",
+		"revisions x\n":                                 "-ERR unknown call",
+		long("revision get ", MaxRevision):              "+OK revision get xxx",
+		long("revision get ", MaxRevision+1):            "-ERR line longer than 131072",
+		long("revision get ", MaxLine+1):                "+OK revision get xxx",
+		long("revisionget ", MaxLine+1):                 "-ERR line longer than 512",
+		long("revision get ", 9000)[:8999]:              "-ERR line without",
+		long("revision get ", 9000) + "status\n":        "-ERR more than one",
+		long("revision get ", 9000)[:8000] + "\x00\n":   "-ERR bytes",
 	} {
 		for _, size := range []int{511, 512, 1 << 20} {
 			c := dial(t, s)
-			go func() {
-				for rest := text; len(rest) > 0; {
-					n := min(size, len(rest))
-					if _, err := io.WriteString(c, rest[:n]); err != nil {
-						return
-					}
-					rest = rest[n:]
-				}
-				_ = c.(*net.TCPConn).CloseWrite()
-			}()
+			go writeInPieces(c, text, size)
 			got, err := io.ReadAll(c)
 			if strings.HasSuffix(text, "xstatus\n") && size < len(text) {
 				continue // the first line may be answered before the second is there
 			}
-			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") || want[0] == '+' && len(text) > 400 && len(got) != len(text)+len("+OK \r") {
+			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") ||
+				want[0] == '+' && len(text) > 400 && len(got) != len(text)+len("+OK \r") {
 				t.Errorf("%.30q, %d bytes, in pieces of %d: %.80q %v, not %q", text, len(text), size, got, err, want)
 			}
 		}
 	}
 	for _, c := range done() {
-		if c.Word != Revision || c.ID == "" {
-			t.Errorf("%v %q was done", c.Word, c.ID)
+		if c.Verb != Revision || c.Argument == "" {
+			t.Errorf("%v %q was done", c.Verb, c.Argument)
 		}
 	}
 }
 
-// However many calls about revisions there are, and however slowly their lines come, other calls keep their second, and
-// those for whom there is no turn are told so.
+// However many calls about revisions there are, and however slowly their lines come, other calls keep their second,
+// and those for whom there is no turn are told so.
 func TestTurns(t *testing.T) {
 	stall := make(chan struct{})
-	s, err := Listen("127.0.0.1:0", func(c Call, over <-chan struct{}) Answer {
-		if c.ID == "stall" {
+	s, err := Listen("127.0.0.1:0", func(c Request, over <-chan struct{}) Answer {
+		if c.Argument == "stall" {
 			select {
 			case <-stall:
 			case <-over:
 				return No("late")
 			}
 		}
-		return Yes("%v", c.Word)
+		return Yes("%v", c.Verb)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Serve()
 	defer s.Close()
-	ask := func(line, want string) {
-		t.Helper()
-		began := time.Now()
-		c := dial(t, s)
-		_, _ = io.WriteString(c, line)
-		if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), want) || time.Since(began) > time.Second {
-			t.Fatalf("%.40q: %q %v after %v", line, got, err, time.Since(began))
-		}
+	longLinesOccupied(t, s)
+	turnsOccupied(t, s, stall)
+}
+
+// ask makes a call that has to be answered within a second.
+func ask(t *testing.T, s *Server, line, want string) {
+	t.Helper()
+	began := time.Now()
+	c := dial(t, s)
+	_, _ = io.WriteString(c, line)
+	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), want) || time.Since(began) > time.Second {
+		t.Fatalf("%.40q: %q %v after %v", line, got, err, time.Since(began))
 	}
+}
+
+// longLinesOccupied has as many long lines come slowly as may be.
+func longLinesOccupied(t *testing.T, s *Server) {
+	t.Helper()
 	var slow []net.Conn
-	for range longLines {
+	for range maxLongLines {
 		c := dial(t, s)
 		_, _ = io.WriteString(c, "revision propose "+strings.Repeat("x", 2*MaxLine))
 		slow = append(slow, c)
 	}
-	for len(s.long) < longLines {
+	for len(s.longLines) < maxLongLines {
 		time.Sleep(time.Millisecond)
 	}
-	ask("revision propose "+strings.Repeat("x", 2*MaxLine)+"\n", "-ERR busy")
-	ask("revision status\n", "+OK revision")
+	ask(t, s, "revision propose "+strings.Repeat("x", 2*MaxLine)+"\n", "-ERR busy")
+	ask(t, s, "revision status\n", "+OK revision")
 	for _, c := range slow {
 		_ = c.Close()
 	}
+}
+
+// turnsOccupied has more calls about revisions stall than have a turn.
+func turnsOccupied(t *testing.T, s *Server, stall chan struct{}) {
+	t.Helper()
 	var stalled []net.Conn
-	for range 2 * callers {
+	for range 2 * maxCallers {
 		c := dial(t, s)
 		_, _ = io.WriteString(c, "revision stall\n")
 		stalled = append(stalled, c)
 	}
-	for len(s.turns) < revisionTurns {
+	for len(s.revisionCalls) < maxRevisionCalls {
 		time.Sleep(time.Millisecond)
 	}
 	for range 3 {
-		ask("status\n", "+OK status")
-		ask("revision status\n", "-ERR busy")
+		ask(t, s, "status\n", "+OK status")
+		ask(t, s, "revision status\n", "-ERR busy")
 	}
 	close(stall)
 	done := 0
@@ -225,10 +246,10 @@
 			done++
 		}
 	}
-	if done < revisionTurns {
-		t.Fatalf("%d of %d that had their turn were answered", done, revisionTurns)
+	if done < maxRevisionCalls {
+		t.Fatalf("%d of %d that had their turn were answered", done, maxRevisionCalls)
 	}
-	ask("revision status\n", "+OK revision")
+	ask(t, s, "revision status\n", "+OK revision")
 }
 
 // Such a call has more time than others, but not when the server closes.
@@ -236,14 +257,14 @@
 	s, _ := serve(t, make(chan struct{}))
 	c := dial(t, s)
 	_, _ = io.WriteString(c, "revision status\n")
-	_ = c.SetReadDeadline(time.Now().Add(answerWait + 200*time.Millisecond))
+	_ = c.SetReadDeadline(time.Now().Add(callTimeout + 200*time.Millisecond))
 	if n, err := c.Read(make([]byte, 9)); err == nil {
 		t.Fatalf("answered with %d bytes as early as any other", n)
 	}
 	began := time.Now()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	go s.Close()
-	if got, _ := io.ReadAll(c); string(got) != "-ERR late\r\n" || time.Since(began) > answerWait+500*time.Millisecond {
+	if got, _ := io.ReadAll(c); string(got) != "-ERR late\r\n" || time.Since(began) > callTimeout+500*time.Millisecond {
 		t.Fatalf("%q %v after the close", got, time.Since(began))
 	}
 }
@@ -253,7 +274,7 @@
 		f.Add([]byte(s), true)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, ended bool) {
-		line, whole, err := Cut(data, ended)
+		line, whole, err := CutLine(data, ended)
 		if err != nil || !whole {
 			return
 		}
@@ -264,7 +285,9 @@
 			}
 			return
 		}
-		if (c.ID != "") != (c.Word == MaintOn || c.Word == MaintOff || c.Word == Revision || c.Word == Peers && c.ID != "") || c.Word != Revision && strings.ContainsAny(c.ID, " \t\r\n") {
+		takesArgument := c.Verb.needsServer() || c.Verb == Revision || c.Verb == Peers && c.Argument != ""
+		if (c.Argument != "") != takesArgument ||
+			c.Verb != Revision && strings.ContainsAny(c.Argument, " \t\r\n") {
 			t.Fatalf("%q read as %+v", line, c)
 		}
 	})
@@ -274,12 +297,12 @@
 func TestAsk(t *testing.T) {
 	s, _ := serve(t, nil)
 	for call, want := range map[string]Answer{"status": {true, "status "}, "maint-on": {false, "maint-on needs the id of a server; do: give the id, host in discovery's list"}} {
-		if a, err := Ask(s.Addr(), call); err != nil || a != want {
+		if a, err := Call(s.Addr(), call); err != nil || a != want {
 			t.Errorf("%s: %+v %v", call, a, err)
 		}
 	}
 	call := "revision get " + strings.Repeat("7", 100_000)
-	if a, err := Ask(s.Addr(), call); err != nil || !a.OK || a.Text != call {
+	if a, err := Call(s.Addr(), call); err != nil || !a.OK || a.Text != call {
 		t.Errorf("%.80q %v", a.Text, err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -294,7 +317,7 @@
 			_ = c.Close()
 		}
 	}()
-	if a, err := Ask(l.Addr().String(), "status"); err == nil {
+	if a, err := Call(l.Addr().String(), "status"); err == nil {
 		t.Error("another service's answer passed as", a)
 	}
 }
--- a/internal/membership/host_test.go
+++ b/internal/membership/host_test.go
@@ -139,10 +139,14 @@
 		Generation:  1,
 	}
 	for field, change := range map[string]func(*membership.Config){
-		"peers.cluster": func(c *membership.Config) { c.Cluster = "" }, "name": func(c *membership.Config) { c.Name = strings.Repeat("n", 65) },
-		"peers.listen": func(c *membership.Config) { c.Addr = "0.0.0.0:7000" }, "peers.join[1]": func(c *membership.Config) { c.Join = []string{"127.0.0.1:1", "host:x"} },
-		"peers.reach.b": func(c *membership.Config) { c.Routes = map[string]string{"b": "::1"} }, "peers.silent_after": func(c *membership.Config) { c.PeerTimeout = time.Millisecond },
-		"peers.max_members": func(c *membership.Config) { c.MaxMembers = 1 }, "peers.signal_bytes": func(c *membership.Config) { c.SignalBytes = 1 },
+		"peers.cluster":      func(c *membership.Config) { c.Cluster = "" },
+		"name":               func(c *membership.Config) { c.Name = strings.Repeat("n", 65) },
+		"peers.listen":       func(c *membership.Config) { c.Addr = "0.0.0.0:7000" },
+		"peers.join[1]":      func(c *membership.Config) { c.Join = []string{"127.0.0.1:1", "host:x"} },
+		"peers.reach.b":      func(c *membership.Config) { c.Routes = map[string]string{"b": "::1"} },
+		"peers.silent_after": func(c *membership.Config) { c.PeerTimeout = time.Millisecond },
+		"peers.max_members":  func(c *membership.Config) { c.MaxMembers = 1 },
+		"peers.signal_bytes": func(c *membership.Config) { c.SignalBytes = 1 },
 	} {
 		c := good
 		change(&c)
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -13,6 +13,7 @@
 	Gone
 )
 
+// String returns the name as it is logged and sent.
 func (s State) String() string {
 	return [...]string{"alive", "leaving", "suspect", "gone"}[min(s, Gone)]
 }
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -420,7 +420,7 @@
 		d.mu.Lock()
 		seed, clients := d.gate.KnownClients()
 		d.mu.Unlock()
-		if err := clientstore.Save(d.cfg.Snapshot, clientstore.Snapshot{At: time.Now(), Seed: seed, Clients: clients}); err != nil {
+		if err := clientstore.Save(d.cfg.Snapshot, clientstore.Snapshot{CreatedAt: time.Now(), Seed: seed, Clients: clients}); err != nil {
 			d.said.Say(time.Now(), slog.LevelWarn, "snapshot", "known clients not kept", slog.Any("err", err))
 		}
 	}
--- a/internal/proxy/manage.go
+++ b/internal/proxy/manage.go
@@ -32,7 +32,7 @@
 		if s.inherit, err = inherited(s.cfg.Inherited, s.cfg.Listen); err != nil {
 			return err
 		}
-		if s.beside, err = s.dir.Appear(); err != nil {
+		if s.beside, err = s.dir.Register(); err != nil {
 			s.log.Error("other processes of this balancer are not seen", "err", err)
 		}
 		s.meet(int64(heap()))
@@ -50,7 +50,7 @@
 	if c.Management == "" {
 		return nil
 	}
-	return management.Check(c.Management, func(err error) bool { return errors.Is(err, syscall.EADDRINUSE) })
+	return management.CheckAddress(c.Management, func(err error) bool { return errors.Is(err, syscall.EADDRINUSE) })
 }
 
 // descriptors is how many may be used for all but the operators' calls.
@@ -83,36 +83,36 @@
 }
 
 // operate answers one call, on the caller's goroutine.
-func (s *Server) operate(c management.Call, over <-chan struct{}) management.Answer {
-	switch c.Word {
-	case management.MaintOn, management.MaintOff:
+func (s *Server) operate(c management.Request, over <-chan struct{}) management.Answer {
+	switch c.Verb {
+	case management.StartMaintenance, management.EndMaintenance:
 		return s.maintain(c, over)
 	case management.Peers:
-		return s.whoIsThere(c.ID)
+		return s.whoIsThere(c.Argument)
 	case management.Revision:
-		return s.revise(c.ID)
+		return s.revise(c.Argument)
 	}
 	return s.onLoop(over, func() management.Answer {
-		if c.Word == management.Status {
+		if c.Verb == management.Status {
 			return s.status()
 		}
-		on := c.Word == management.Standby
+		on := c.Verb == management.Drain
 		if s.core.ShuttingDown() {
 			return refuse("leaving: nothing changed", "call the process that follows")
 		}
 		if s.core.DrainRequested() == on {
-			return management.Yes("%v already", c.Word)
+			return management.Yes("%v already", c.Verb)
 		}
 		s.step(core.DrainSet{On: on})
-		s.log.Info("operators' call", "call", c.Word.String(), "standing", s.core.OpenRequests()-s.core.Unanswered())
-		return management.Yes("%v, %d standing", c.Word, s.core.OpenRequests()-s.core.Unanswered())
+		s.log.Info("operators' call", "call", c.Verb.String(), "standing", s.core.OpenRequests()-s.core.Unanswered())
+		return management.Yes("%v, %d standing", c.Verb, s.core.OpenRequests()-s.core.Unanswered())
 	})
 }
 
 // maintain leaves a region out or takes it back. The file is written on the caller's goroutine, before the yes and before
 // the loop knows: a call whose file can't be written has changed nothing.
-func (s *Server) maintain(c management.Call, over <-chan struct{}) management.Answer {
-	on := c.Word == management.MaintOn
+func (s *Server) maintain(c management.Request, over <-chan struct{}) management.Answer {
+	on := c.Verb == management.StartMaintenance
 	select {
 	case s.keeping <- struct{}{}:
 		defer func() { <-s.keeping }()
@@ -122,31 +122,31 @@
 	var now hotrestart.Maintenance
 	known := false
 	if a := s.onLoop(over, func() management.Answer {
-		known = s.core.IsKnownServer(c.ID)
-		now = hotrestart.Maintenance{Out: s.core.ServersInMaintenance(), Known: slices.Clone(s.core.KnownServers())}
+		known = s.core.IsKnownServer(c.Argument)
+		now = hotrestart.Maintenance{Excluded: s.core.ServersInMaintenance(), KnownServers: slices.Clone(s.core.KnownServers())}
 		return management.Yes("")
 	}); !a.OK {
 		return a
 	}
 	if !known {
-		return refuse(c.ID+" was never listed, nothing changed", "check the id: it is host in discovery's list")
+		return refuse(c.Argument+" was never listed, nothing changed", "check the id: it is host in discovery's list")
 	}
-	if err := s.dir.Maintain(c.ID, on, now); err != nil {
+	if err := s.dir.SetMaintenance(c.Argument, on, now); err != nil {
 		return management.No("%s", hint.Line(&Refusal{hint.Annotated{What: "nothing changed", Cause: err, Do: "call again"}}))
 	}
 	// It is on disk: even if this loop takes it up no more, the next process finds the file.
 	s.onLoop(nil, func() management.Answer {
-		s.step(core.MaintenanceSet{Server: c.ID, On: on})
+		s.step(core.MaintenanceSet{Server: c.Argument, On: on})
 		return management.Answer{}
 	})
-	s.log.Info("operators' call", "call", c.Word.String(), "server", c.ID)
+	s.log.Info("operators' call", "call", c.Verb.String(), "server", c.Argument)
 	switch {
 	case on:
-		return management.Yes("%s is left out", c.ID)
-	case slices.Contains(now.Out, c.ID):
-		return management.Yes("%s is used again", c.ID)
+		return management.Yes("%s is left out", c.Argument)
+	case slices.Contains(now.Excluded, c.Argument):
+		return management.Yes("%s is used again", c.Argument)
 	}
-	return management.Yes("%s was not left out", c.ID)
+	return management.Yes("%s was not left out", c.Argument)
 }
 
 // follow reads what the other process of this balancer has written since the last look.
@@ -155,27 +155,27 @@
 		return
 	}
 	if s.dir.MaintenanceChanged() {
-		if m, err := s.dir.Maintenance(); err != nil {
+		if m, err := s.dir.ReadMaintenance(); err != nil {
 			s.log.Error("not read, what is left out stays", "err", err)
 		} else {
-			s.step(core.PredecessorState{Servers: m.Known})
+			s.step(core.PredecessorState{Servers: m.KnownServers})
 			for _, id := range s.core.ServersInMaintenance() {
-				if !slices.Contains(m.Out, id) {
+				if !slices.Contains(m.Excluded, id) {
 					s.step(core.MaintenanceSet{Server: id})
 				}
 			}
-			for _, id := range m.Out {
+			for _, id := range m.Excluded {
 				s.step(core.MaintenanceSet{Server: id, On: true})
 			}
 		}
 	}
-	if s.inherit != nil && !s.core.ShuttingDown() && s.dir.LeftChanged() {
-		l, ok, err := s.dir.Left(leftAge)
+	if s.inherit != nil && !s.core.ShuttingDown() && s.dir.PredecessorChanged() {
+		l, ok, err := s.dir.ReadPredecessor(leftAge)
 		if err != nil {
 			s.log.Error("not read, who comes back is placed anew", "err", err)
 		} else if ok {
-			s.log.Info("the process before has left", "standing", len(l.Standing))
-			s.step(core.PredecessorState{Servers: l.Known, Flows: l.Standing})
+			s.log.Info("the process before has left", "standing", len(l.FlowServers))
+			s.step(core.PredecessorState{Servers: l.KnownServers, Flows: l.FlowServers})
 		}
 	}
 }
@@ -186,20 +186,20 @@
 	if s.beside == nil {
 		return
 	}
-	mine := hotrestart.Use{Sockets: s.sockets.Load() + ownDescriptors, Memory: used}
+	mine := hotrestart.Usage{Sockets: s.sockets.Load() + ownDescriptors, Memory: used}
 	if s.core.ShuttingDown() {
-		mine.Leaving = 1
+		mine.ShuttingDown = 1
 	}
 	if err := s.beside.Write(mine); err != nil {
 		s.said.Say(time.Now(), slog.LevelError, "use", "other processes don't see what this one takes", slog.Any("err", err))
 	}
 	before := s.others
-	s.others = hotrestart.Use{}
+	s.others = hotrestart.Usage{}
 	placing := 0
 	for _, u := range s.beside.Others() {
 		s.others.Sockets += u.Sockets
 		s.others.Memory += u.Memory
-		if u.Leaving == 0 {
+		if u.ShuttingDown == 0 {
 			placing++
 		}
 	}
@@ -215,7 +215,7 @@
 	if s.inherit == nil {
 		return
 	}
-	if err := s.dir.Leave(hotrestart.Left{Known: s.core.KnownServers(), Standing: s.core.EstablishedFlows()}); err != nil {
+	if err := s.dir.WriteForSuccessor(hotrestart.PredecessorState{KnownServers: s.core.KnownServers(), FlowServers: s.core.EstablishedFlows()}); err != nil {
 		s.log.Error("what stands is not handed over", "err", err)
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -57,7 +57,7 @@
 	over      chan struct{}        // closed once the loop has ended
 	accepts   bool                 // terminals are taken in
 	beside    *hotrestart.Presence // nil where no other process can be there
-	others    hotrestart.Use       // what those take
+	others    hotrestart.Usage     // what those take
 	dir       *hotrestart.Dir      // nil where neither operators nor another process share anything with this one
 	keeping   chan struct{}        // calls that change the file go one by one
 	followAt  time.Time
--- a/internal/revision/golden_test.go
+++ b/internal/revision/golden_test.go
@@ -48,8 +48,13 @@
 	out := ""
 	for _, o := range []Order{
 		{Verb: VerbPropose, Key: "k", Base: 3, GuardFor: time.Minute, Deadline: time.Second, By: "ann", Text: []byte(`{"oatloft_revision":1}`)},
-		{Verb: VerbPropose, Key: "k", Base: Latest, Text: []byte(`{}`)}, {Verb: VerbRollback, Key: "k", Base: Latest, Number: 2},
-		{Verb: VerbGet, Number: Latest}, {Verb: VerbList, Number: 7}, {Verb: VerbStatus}, {Verb: VerbOutcome, Key: "k"}, {Verb: VerbReplace, Name: "a", NewName: "b"},
+		{Verb: VerbPropose, Key: "k", Base: Latest, Text: []byte(`{}`)},
+		{Verb: VerbRollback, Key: "k", Base: Latest, Number: 2},
+		{Verb: VerbGet, Number: Latest},
+		{Verb: VerbList, Number: 7},
+		{Verb: VerbStatus},
+		{Verb: VerbOutcome, Key: "k"},
+		{Verb: VerbReplace, Name: "a", NewName: "b"},
 		{Verb: VerbForget, Name: "a"}} {
 		out += o.String() + "\n"
 		if read, err := ParseOrder(o.String()); err != nil || read.String() != o.String() {
--- a/internal/revision/host/errors.go
+++ b/internal/revision/host/errors.go
@@ -7,6 +7,7 @@
 // NoLeader is the error that no member can be reached that leads now.
 type NoLeader struct{ Cause string }
 
+// Error describes what has happened.
 func (e *NoLeader) Error() string {
 	return revision.RetryLaterPrefix + "no member leads that can be reached from here: " + e.Cause
 }
@@ -20,6 +21,7 @@
 // NotLeader is the error of a call between members to one that does not lead.
 type NotLeader struct{ Name string }
 
+// Error describes what has happened.
 func (e *NotLeader) Error() string { return revision.RetryLaterPrefix + e.Name + " does not lead" }
 
 // Hint says what an operator can do.
@@ -28,6 +30,7 @@
 // UnknownKey is the error that no proposal is known under a key.
 type UnknownKey struct{ Key string }
 
+// Error describes what has happened.
 func (e *UnknownKey) Error() string { return "no proposal is known under the key " + e.Key }
 
 // Hint says what an operator can do.
@@ -39,6 +42,7 @@
 // ConfigError is the error that a host cannot start with its settings.
 type ConfigError struct{ Field, Why string }
 
+// Error describes what has happened.
 func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Why }
 
 // Hint says what an operator can do.
@@ -47,6 +51,7 @@
 // GenerationInUse is the error that another process of this balancer has the same generation.
 type GenerationInUse struct{ Path string }
 
+// Error describes what has happened.
 func (e *GenerationInUse) Error() string {
 	return e.Path + ": another process of this balancer has this file"
 }
@@ -62,6 +67,7 @@
 	Cause  error
 }
 
+// Error describes what has happened.
 func (e *ProcessFileFailed) Error() string {
 	return "other processes of this balancer can't see when this one ends: " + e.Cause.Error()
 }
@@ -78,6 +84,7 @@
 // NotCommitted is the error that it is not known yet whether a command was committed.
 type NotCommitted struct{ Reason string }
 
+// Error describes what has happened.
 func (e *NotCommitted) Error() string {
 	return revision.RetryLaterPrefix + "not known to be settled: " + e.Reason
 }
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -62,6 +62,7 @@
 	Expired                // cut off from the others, or left: new clients are refused
 )
 
+// String returns the name as it is logged and sent.
 func (p Phase) String() string { return [...]string{"learning", "at-work", "between", "lapsed"}[p] }
 
 // Lease says by which revision new clients may be placed. It is immutable.
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -47,10 +47,26 @@
 
 func TestMalformedOrders(t *testing.T) {
 	for line, want := range map[string]string{
-		"": `"" is no call`, "rollback": "not the words", "undo 5": `"undo" is no call`, "status now": "not the words", "get": "not the words", "get 1 2": "not the words",
-		"get x": "NUMBER", "get -3": "NUMBER", "rollback k - - - me -": "NUMBER", "propose k 1 - - me": "not the words", "propose - 1 - - me {}": "KEY",
-		"propose k x - - me {}": "FROM", "propose k 1 30 - me {}": "WATCH", "propose k 1 - 2h me {}": "DEADLINE", "rollback k 1 -1s - me 3": "WATCH", "rollback k 1 - - me 3 4": "not the words",
-		"outcome " + strings.Repeat("k", 65): "KEY", "forget -": "NAME", "replace a": "not the words", "rollback k 1 - - " + strings.Repeat("b", 65) + " 3": "BY",
+		"":                                   `"" is no call`,
+		"rollback":                           "not the words",
+		"undo 5":                             `"undo" is no call`,
+		"status now":                         "not the words",
+		"get":                                "not the words",
+		"get 1 2":                            "not the words",
+		"get x":                              "NUMBER",
+		"get -3":                             "NUMBER",
+		"rollback k - - - me -":              "NUMBER",
+		"propose k 1 - - me":                 "not the words",
+		"propose - 1 - - me {}":              "KEY",
+		"propose k x - - me {}":              "FROM",
+		"propose k 1 30 - me {}":             "WATCH",
+		"propose k 1 - 2h me {}":             "DEADLINE",
+		"rollback k 1 -1s - me 3":            "WATCH",
+		"rollback k 1 - - me 3 4":            "not the words",
+		"outcome " + strings.Repeat("k", 65): "KEY",
+		"forget -":                           "NAME",
+		"replace a":                          "not the words",
+		"rollback k 1 - - " + strings.Repeat("b", 65) + " 3": "BY",
 	} {
 		_, err := ParseOrder(line)
 		var e *MalformedOrder
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -137,8 +137,12 @@
 		now   Totals
 		worse bool
 	}{
-		{Totals{Requests: 49, Failed: 49}, false}, {Totals{Requests: 100, Rejected: 4}, false}, {Totals{Requests: 100, Rejected: 6}, true},
-		{Totals{Requests: 100, Late: 9}, false}, {Totals{Requests: 100, Late: 10}, true}, {Totals{Requests: 1000, Failed: 21}, true},
+		{Totals{Requests: 49, Failed: 49}, false},
+		{Totals{Requests: 100, Rejected: 4}, false},
+		{Totals{Requests: 100, Rejected: 6}, true},
+		{Totals{Requests: 100, Late: 9}, false},
+		{Totals{Requests: 100, Late: 10}, true},
+		{Totals{Requests: 1000, Failed: 21}, true},
 	} {
 		if why := Worse(before, x.now); (why != "") != x.worse {
 			t.Errorf("%+v: %q", x.now, why)
