--- a/internal/generate/drawn_test.go
+++ b/internal/generate/drawn_test.go
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := generate.Draw(t)
 		zone := rapid.IntRange(0, max(0, d.Zones-1)).Draw(t, "zone")
-		c, err := proxy.ParseConfig(d.JSON(zone, 77, nil), proxy.Beside{})
+		c, err := proxy.ParseConfig(d.JSON(zone, 77, nil), proxy.Overrides{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -39,8 +39,8 @@
 	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given." env:"PROXY_EDGE" type:"path"`
 }
 
-func (s source) beside() proxy.Beside {
-	return proxy.Beside{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, Management: s.Management, Inherited: s.Inherited, State: s.State}
+func (s source) beside() proxy.Overrides {
+	return proxy.Overrides{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, Management: s.Management, Inherited: s.Inherited, State: s.State}
 }
 
 func (s source) load() (proxy.Config, error) {
@@ -201,8 +201,8 @@
 		return err
 	}
 	regions := 0
-	if cfg.Known != nil {
-		regions = len(cfg.Known.Endpoints)
+	if cfg.KnownEndpoints != nil {
+		regions = len(cfg.KnownEndpoints.Endpoints)
 	}
 	fmt.Printf("%s: listens on %s, discovery at %s, %d classes, %d tenants, %d regions known\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Core.Policy.Classes), len(cfg.Core.Policy.Tenants), regions)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -19,7 +19,7 @@
 		if _, err := p.conn.Write([]byte(rest[:min(size, len(rest))])); err != nil {
 			return // the balancer has heard enough
 		}
-		h.s.work()
+		h.s.handleEvents()
 	}
 }
 
@@ -112,7 +112,7 @@
 			first, server := h.task("1"), h.attempt()
 			if len(x.answer) > 0 {
 				server.send(t, x.answer)
-				h.until("the answer in the queue", func() bool { return h.queued(evData) > 0 })
+				h.until("the answer in the queue", func() bool { return h.queued(eventData) > 0 })
 			}
 			if reset {
 				server.reset()
@@ -120,7 +120,7 @@
 				_ = server.conn.Close()
 			}
 			h.reached(first, ended)
-			h.s.work() // both in one turn
+			h.s.handleEvents() // both in one turn
 			if x.again {
 				h.served(client, h.attempt(), "2")
 			} else {
@@ -170,8 +170,8 @@
 
 // A side that doesn't read: what the balancer keeps for it is bounded, and all of it comes, in order, once it reads.
 func TestSlowSidesAreBounded(t *testing.T) {
-	const most = fullAt + 2*(readsAtOnce*readSize+2*socketBuffer) // what may be read before the pause is heeded, and at an end
-	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18)      // 4 MiB
+	const most = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer) // what may be read before the pause is heeded, and at an end
+	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18)              // 4 MiB
 	for _, slowClient := range []bool{true, false} {
 		h := triesStart(t, "unsafe")
 		client := h.ask("1", time.Hour)
@@ -180,12 +180,12 @@
 		server.got, client.got = nil, nil
 		from, to, backlog := client, server, h.task("1")
 		if slowClient {
-			from, to, backlog = server, client, h.terminal("1").l
+			from, to, backlog = server, client, h.terminal("1").conn
 		}
 		go func() { _, _ = from.conn.Write(text) }()
-		h.turning("the pause", func() bool { return backlog.backlog() > fullAt })
+		h.turning("the pause", func() bool { return backlog.backlog() > backpressureBytes })
 		for range 500 {
-			if h.s.work(); backlog.backlog() > most {
+			if h.s.handleEvents(); backlog.backlog() > most {
 				t.Fatal(backlog.backlog(), "bytes are kept")
 			}
 		}
@@ -215,7 +215,7 @@
 		return first.starved
 	}
 	h.until("the pause", starved)
-	if n := h.queued(evData); n > readsAtOnce+1 {
+	if n := h.queued(eventData); n > maxReads+1 {
 		t.Fatal(n, "pieces wait")
 	}
 	h.ends("the client", client, "ERR\r\n")
@@ -236,7 +236,7 @@
 	h.t.Helper()
 	p = known
 	h.until("a probe", func() bool {
-		h.s.work()
+		h.s.handleEvents()
 		select {
 		case p = <-h.came:
 		default:
@@ -255,7 +255,7 @@
 	h.t.Helper()
 	p.send(h.t, answer)
 	at := h.s.probes["r1"]
-	h.until("the probe's end", func() bool { h.s.work(); return !at.busy })
+	h.until("the probe's end", func() bool { h.s.handleEvents(); return !at.pending })
 	return at
 }
 
@@ -267,7 +267,7 @@
 	if second := h.probeOf(first); second != first {
 		t.Fatal("another connection")
 	}
-	if at := h.answeredProbe(first, "PONG x0=0.6\r\n"); at.l == nil || h.s.core.Counters.ProbesFailed != 0 {
+	if at := h.answeredProbe(first, "PONG x0=0.6\r\n"); at.conn == nil || h.s.core.Counters.ProbesFailed != 0 {
 		t.Fatal("the connection wasn't kept")
 	}
 }
@@ -285,7 +285,7 @@
 			} else {
 				h.answeredProbe(first, "PONG x0=0.5\r\n"+more)
 			}
-			h.until("the end of the connection", func() bool { h.s.work(); first.read(); return first.end != nil })
+			h.until("the end of the connection", func() bool { h.s.handleEvents(); first.read(); return first.end != nil })
 			if h.s.core.Counters.ProbesFailed != 0 {
 				t.Fatal("the probe that was answered failed")
 			}
@@ -301,15 +301,15 @@
 	h := triesStart(t, "safe")
 	first := h.probeOf(nil)
 	first.send(t, "PONG x0=0.9\r\n")
-	h.until("the answer in the queue", func() bool { return h.queued(evData) > 0 })
+	h.until("the answer in the queue", func() bool { return h.queued(eventData) > 0 })
 	at := h.s.probes["r1"]
-	h.s.ticked(at.due.Add(time.Millisecond))
-	if at.busy || at.l != nil || h.s.core.Counters.ProbesFailed != 1 {
+	h.s.handleTick(at.deadline.Add(time.Millisecond))
+	if at.pending || at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
 		t.Fatalf("%+v", at)
 	}
 	h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
-	h.s.work()
-	if !at.busy {
+	h.s.handleEvents()
+	if !at.pending {
 		t.Fatal("the late answer was taken for the next probe's")
 	}
 	if second := h.probeCame(nil); second == first {
@@ -322,7 +322,7 @@
 	for _, answer := range []string{strings.Repeat("P", platform.MaxLine), "PONG x0=0.5\n", "PONG \x01\r\n", "NO\r\n", "ERR\r\n", "\r\n"} {
 		h := triesStart(t, "safe")
 		at := h.answeredProbe(h.probeOf(nil), answer)
-		if at.l != nil || h.s.core.Counters.ProbesFailed != 1 {
+		if at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
 			t.Fatalf("%.20q: %+v", answer, h.s.core.Counters)
 		}
 	}
@@ -335,7 +335,7 @@
 		h := triesStart(t, "safe")
 		first := h.probeOf(nil)
 		at := h.answeredProbe(first, "PONG x0=0.5\r\n")
-		l := at.l
+		l := at.conn
 		if met {
 			_ = first.conn.Close()
 			h.reached(l, ended) // that it has ended waits in the queue
@@ -344,13 +344,13 @@
 			h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 			_ = first.conn.Close()
 		}
-		h.until("the probe's end", func() bool { h.s.work(); return !at.busy })
-		if at.l != nil || h.s.core.Counters.ProbesFailed != 1 {
+		h.until("the probe's end", func() bool { h.s.handleEvents(); return !at.pending })
+		if at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
 			t.Fatalf("%+v, %+v", at, h.s.core.Counters)
 		}
 		if second := h.probeOf(nil); second == first {
 			t.Fatal("the same connection")
 		}
-		at.l.drop()
+		at.conn.drop()
 	}
 }
--- a/internal/proxy/client_leaves_test.go
+++ b/internal/proxy/client_leaves_test.go
@@ -83,30 +83,30 @@
 }
 
 // leavesRequest sends a request, and waits until the balancer has it.
-func leavesRequest(t *testing.T, p *play) (*net.TCPConn, *terminal) {
+func leavesRequest(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
 	c, x := idleClient(t, p)
 	if _, err := io.WriteString(c, "OPEN 1 k c=chat,d=120000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	idleEventually(t, p.server, "the request", func() bool { return x.asked && p.server.core.Unanswered() == 1 })
+	idleEventually(t, p.server, "the request", func() bool { return x.requestRead && p.server.core.Unanswered() == 1 })
 	return c, x
 }
 
 // leavesBy has the client leave, and returns once the balancer has known it for longer than an attempt may still begin.
-func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *terminal, reset bool) {
+func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
 	t.Helper()
 	if reset {
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		idleEventually(t, p.server, "the client's reset", func() bool { return x.over && p.server.core.OpenRequests() == 0 })
+		idleEventually(t, p.server, "the client's reset", func() bool { return x.finished && p.server.core.OpenRequests() == 0 })
 		return
 	}
 	_ = c.CloseWrite()
 	idleEventually(t, p.server, "the client's end", func() bool {
-		x.l.mu.Lock()
-		defer x.l.mu.Unlock()
-		return x.l.tail != nil
+		x.conn.mu.Lock()
+		defer x.conn.mu.Unlock()
+		return x.conn.tail != nil
 	})
 	for range 50 { // the end was posted before that; an event at least is handled between two of these
 		onServerLoop(t, p.server, func() {})
@@ -256,7 +256,7 @@
 		l := leavesFullListener(t)
 		leavesList(t, p, nil, 9, l.Addr().String(), "ready", policy.Live)
 		c, x := leavesRequest(t, p)
-		idleEventually(t, p.server, "the dial", func() bool { return x.task != nil })
+		idleEventually(t, p.server, "the dial", func() bool { return x.server != nil })
 		leavesBy(t, p, c, x, reset)
 		v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
 		go func() { // the queue is taken now
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -23,14 +23,14 @@
 	"oatloft/policy"
 )
 
-const leastAsk = 100 * time.Millisecond
+const minPollInterval = 100 * time.Millisecond
 
 // Config is what one balancer needs to start.
 type Config struct {
 	Name, Listen, Discovery string
-	State                   string // directory for what one process leaves to the next
+	StateDir                string // directory for what one process leaves to the next
 	Management              string // where operators call; "" for nowhere
-	Inherited               string // the descriptor of a listening socket that the platform holds; "" for none
+	InheritedFD             string // the descriptor of a listening socket that the platform holds; "" for none
 	MemoryMB, Sockets       int
 	Cores                   float64
 	Core                    core.Config
@@ -38,8 +38,8 @@
 	Numbered                *coordination.Numbered // nil: this balancer has no part by its number
 	Peers                   *Peers                 // nil: this balancer knows of no other
 	Revisions               *Revisions             // nil: this balancer goes by its settings alone
-	Known                   *core.EndpointsListed
-	Zero                    time.Time // the balancer's clock counts from here
+	KnownEndpoints          *core.EndpointsListed
+	StartOfClock            time.Time // the balancer's clock counts from here
 }
 
 type configFile struct {
@@ -57,30 +57,30 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Beside is what a balancer is told beside its configuration, and wins over it where it is not empty.
-type Beside struct{ Name, Listen, Discovery, Management, Inherited, State string }
+// Overrides is what a balancer is told beside its configuration, and wins over it where it is not empty.
+type Overrides struct{ Name, Listen, Discovery, Management, Inherited, State string }
 
 // LoadConfig reads the configuration at path.
-func LoadConfig(path string, b Beside) (Config, error) {
+func LoadConfig(path string, b Overrides) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "see that --config (PROXY_CONFIG) names a file that this balancer may read"}}
+		return Config{}, &UnreadableConfig{hint.Annotated{Where: "config", Cause: err, Do: "see that --config (PROXY_CONFIG) names a file that this balancer may read"}}
 	}
 	return ParseConfig(body, b)
 }
 
 // ReloadConfig reads it again while the balancer serves. Discovery may have moved since the start, so what
 // the file says of it now wins over what was given beside it then.
-func ReloadConfig(path string, b Beside) (Config, error) {
+func ReloadConfig(path string, b Overrides) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "put the file back; the old configuration holds until the next SIGHUP"}}
+		return Config{}, &UnreadableConfig{hint.Annotated{Where: "config", Cause: err, Do: "put the file back; the old configuration holds until the next SIGHUP"}}
 	}
 	var file struct {
 		Discovery string `json:"discovery"`
 	}
 	_ = json.Unmarshal(body, &file) // ParseConfig tells what is wrong
-	b.Discovery = either(file.Discovery, b.Discovery)
+	b.Discovery = firstNonEmpty(file.Discovery, b.Discovery)
 	return ParseConfig(body, b)
 }
 
@@ -101,8 +101,8 @@
 		}
 		p.Generation = uint64(time.Now().UnixMilli())
 		p.Seed = uint64(c.Core.Seed) ^ p.Generation
-		c.Peers = &Peers{Config: p, Listen: e.Peers.Listen, Every: time.Duration(e.Peers.SignalEvery), Life: time.Duration(e.Peers.SignalLife),
-			Together: coordination.Config{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, PeerTimeout: p.PeerTimeout,
+		c.Peers = &Peers{Config: p, Listen: e.Peers.Listen, SignalInterval: time.Duration(e.Peers.SignalEvery), SignalLifetime: time.Duration(e.Peers.SignalLife),
+			Coordination: coordination.Config{Name: c.Name, Zone: c.Core.Policy.Zone, Balancers: c.Core.Policy.Balancers, PeerTimeout: p.PeerTimeout,
 				SubsetSize: e.Peers.Subset, ShareReadings: e.Peers.Readings, Stagger: e.Peers.Turns}}
 	}
 	if e.Numbered != nil {
@@ -113,8 +113,8 @@
 				return err
 			}
 		}
-		if c.Peers != nil && c.Peers.Together.Enabled() {
-			return &Unfit{hint.Annotated{Where: "numbered", What: "peers.subset, readings or turns are on, which know more than a number does", Do: "leave the section numbered out"}}
+		if c.Peers != nil && c.Peers.Coordination.Enabled() {
+			return &ConfigError{hint.Annotated{Where: "numbered", What: "peers.subset, readings or turns are on, which know more than a number does", Do: "leave the section numbered out"}}
 		}
 		c.Numbered = &n
 	}
@@ -135,41 +135,41 @@
 		a.Tenants = append(a.Tenants, admission.Tenant{Name: t.Name, Weight: t.ConnectionQuota})
 	}
 	s := &e.Admission.Reserve.Snapshot
-	c.Admission = &Admission{Config: a, GoodByes: e.Admission.Descriptors.GoodByes, Snapshot: s.Path,
-		SnapshotEvery: time.Duration(s.Every), SnapshotLives: time.Duration(s.MaxAge)}
+	c.Admission = &Admission{Config: a, MaxGoodbyes: e.Admission.Descriptors.GoodByes, SnapshotPath: s.Path,
+		SnapshotInterval: time.Duration(s.Every), SnapshotMaxAge: time.Duration(s.MaxAge)}
 	_, err = admission.New(a, 0)
 	return err
 }
 
 // ParseConfig reads a configuration.
-func ParseConfig(body []byte, b Beside) (Config, error) {
+func ParseConfig(body []byte, b Overrides) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(body, &file); err != nil {
-		return Config{}, &Unreadable{hint.Annotated{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"}}
+		return Config{}, &UnreadableConfig{hint.Annotated{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"}}
 	}
-	c := Config{Name: either(b.Name, file.Name), Listen: either(b.Listen, file.Listen),
-		Discovery:  either(b.Discovery, file.Discovery),
-		Management: either(b.Management, file.Management), Inherited: b.Inherited, State: b.State, MemoryMB: file.Limits.MemoryMB,
+	c := Config{Name: firstNonEmpty(b.Name, file.Name), Listen: firstNonEmpty(b.Listen, file.Listen),
+		Discovery:  firstNonEmpty(b.Discovery, file.Discovery),
+		Management: firstNonEmpty(b.Management, file.Management), InheritedFD: b.Inherited, StateDir: b.State, MemoryMB: file.Limits.MemoryMB,
 		Sockets: file.Limits.Sockets, Cores: file.Limits.Cores,
 		// An hour of slack: whatever started within it has a time of start after the clock's zero.
-		Zero: time.Now().Add(-time.Hour)}
+		StartOfClock: time.Now().Add(-time.Hour)}
 	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, err := net.ResolveTCPAddr("tcp", a.value); err != nil || a.value == "" {
-			return c, &Unfit{hint.Annotated{Where: a.field, What: fmt.Sprintf("%q is not host:port", a.value), Do: "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY"}}
+			return c, &ConfigError{hint.Annotated{Where: a.field, What: fmt.Sprintf("%q is not host:port", a.value), Do: "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY"}}
 		}
 	}
 	if _, err := net.ResolveTCPAddr("tcp4", c.Management); c.Management != "" && (err != nil || c.Management == c.Listen) {
-		return c, &Unfit{hint.Annotated{Where: "management", What: fmt.Sprintf("%q is not host:port of its own", c.Management), Do: "give it another port than listen, or leave it out"}}
+		return c, &ConfigError{hint.Annotated{Where: "management", What: fmt.Sprintf("%q is not host:port of its own", c.Management), Do: "give it another port than listen, or leave it out"}}
 	}
 	if c.MemoryMB < 0 || c.Sockets < 0 || c.Cores < 0 {
-		return c, &Unfit{hint.Annotated{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
+		return c, &ConfigError{hint.Annotated{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return c, &Unfit{hint.Annotated{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"}}
+		return c, &ConfigError{hint.Annotated{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"}}
 	}
 	if len(file.Settings) == 0 || bytes.Equal(file.Settings, []byte("null")) {
-		return c, &Unfit{hint.Annotated{Where: "settings", What: "missing", Do: "add the platform's settings"}}
+		return c, &ConfigError{hint.Annotated{Where: "settings", What: "missing", Do: "add the platform's settings"}}
 	}
 	f, err := settings.Flatten(file.Settings)
 	if err != nil {
@@ -184,43 +184,43 @@
 	if p := &c.Core.Policy; !p.PollEndpointList && failpoint.On("fit-push") {
 		p.PollEndpointList = true
 	} else if !p.PollEndpointList { // what the agent has counts at once: it is asked as often as news may be late
-		p.PollEndpointList, p.PollInterval = true, max(f.Millis("rules.drain-grace-ms"), leastAsk)
+		p.PollEndpointList, p.PollInterval = true, max(f.Millis("rules.drain-grace-ms"), minPollInterval)
 	}
 	for i := range c.Core.Policy.Classes {
 		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, f.Millis(fmt.Sprintf("classes.%d.give-up-ms", i)))
 	}
 	if f.Err != nil {
-		return c, &Unfit{hint.Annotated{Where: "settings", Cause: f.Err, Do: "mend the setting"}}
+		return c, &ConfigError{hint.Annotated{Where: "settings", Cause: f.Err, Do: "mend the setting"}}
 	}
 	if c.Core.ConnectTimeout <= 0 {
-		return c, &Unfit{hint.Annotated{Where: "settings: limits.connect-timeout-ms", What: "missing", Do: "set a time above 0"}}
+		return c, &ConfigError{hint.Annotated{Where: "settings: limits.connect-timeout-ms", What: "missing", Do: "set a time above 0"}}
 	}
 	if _, err := core.New(c.Core); err != nil {
 		return c, err
 	}
 	if len(file.Known) > 0 && !bytes.Equal(file.Known, []byte("null")) {
-		known, err := platform.ParseList(file.Known, c.Zero)
+		known, err := platform.ParseList(file.Known, c.StartOfClock)
 		if err != nil {
-			return c, &Unfit{hint.Annotated{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"}}
+			return c, &ConfigError{hint.Annotated{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"}}
 		}
 		known.Kind = policy.ListCached
-		c.Known = &known
+		c.KnownEndpoints = &known
 	}
 	return c, nil
 }
 
-func either(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// Unreadable is a configuration file that can't be read.
-type Unreadable struct{ hint.Annotated }
+// UnreadableConfig is a configuration file that can't be read.
+type UnreadableConfig struct{ hint.Annotated }
 
-// Unfit is a field of the configuration that can't work.
-type Unfit struct{ hint.Annotated }
+// ConfigError is a field of the configuration that can't work.
+type ConfigError struct{ hint.Annotated }
 
-// NoAddress is an address, or a descriptor given in its place, on which terminals can't be listened for.
-type NoAddress struct{ hint.Annotated }
+// ListenFailed is an address, or a descriptor given in its place, on which terminals can't be listened for.
+type ListenFailed struct{ hint.Annotated }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -17,7 +17,7 @@
 	for mode, want := range map[string]time.Duration{"on_request": 400 * time.Millisecond, "pushed": 300 * time.Millisecond} {
 		text := bytes.Replace(body, []byte(`"on_request"`), []byte(`"`+mode+`"`), 1)
 		text = bytes.Replace(text, []byte(`"ask-every-ms"`), []byte(`"drain-grace-ms": 300.0, "ask-every-ms"`), 1)
-		c, err := ParseConfig(text, Beside{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
+		c, err := ParseConfig(text, Overrides{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,11 +30,11 @@
 // Terminals may fill all descriptors but the reserve; the call to discovery is one of those that the reserve is for. It was refused
 // with the routed tasks, and a balancer in a crowd was deaf for as long.
 func TestWatchIsDialedInACrowd(t *testing.T) {
-	s := &Server{queue: queue{bell: make(chan struct{}, 1)}}
-	s.limit.Store(100)
+	s := &Balancer{queue: eventQueue{wake: make(chan struct{}, 1)}}
+	s.descriptorLimit.Store(100)
 	s.sockets.Store(90)
-	for role, dialed := range map[role]bool{watchRole: true, taskRole: false, probeRole: false} {
-		l := &link{s: s, role: role}
+	for role, dialed := range map[connectionRole]bool{watchRole: true, serverRole: false, probeRole: false} {
+		l := &connection{balancer: s, role: role}
 		s.dial(l, "127.0.0.1:1", time.Second)
 		if (l.cancel != nil) != dialed {
 			t.Errorf("role %d: dialed %v", role, l.cancel != nil)
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -25,52 +25,52 @@
 )
 
 const (
-	refusals    = 8                      // in one turn of the accepting goroutine
-	refusalRest = 50 * time.Microsecond  // in which the runtime looks at the network
-	spares      = 2                      // given up when the process has no descriptor left: one to answer, one to hand over
-	goodByeWait = 250 * time.Millisecond // for a refused terminal to read its answer and end
-	goodByeMost = 64 << 10               // bytes of it that are read away meanwhile
-	starvedWait = 3 * time.Millisecond   // between two tries to get a descriptor
+	maxRejections   = 8                      // in one turn of the accepting goroutine
+	rejectionPause  = 50 * time.Microsecond  // in which the runtime looks at the network
+	maxSpares       = 2                      // given up when the process has no descriptor left: one to answer, one to hand over
+	goodbyeTimeout  = 250 * time.Millisecond // for a refused terminal to read its answer and end
+	maxGoodbyeBytes = 64 << 10               // bytes of it that are read away meanwhile
+	exhaustedRetry  = 3 * time.Millisecond   // between two tries to get a descriptor
 )
 
 // Admission is what the host needs to know beside the module's settings.
 type Admission struct {
 	admission.Config
-	GoodByes                     int
-	Snapshot                     string // path; none if empty
-	SnapshotEvery, SnapshotLives time.Duration
+	MaxGoodbyes                      int
+	SnapshotPath                     string // path; none if empty
+	SnapshotInterval, SnapshotMaxAge time.Duration
 }
 
-// door is asked by the accepting goroutine, by nbio's for ends, and by the reducer's.
-type door struct {
-	shared bool // other processes hold the listener as well
-	now    func() time.Duration
-	log    *slog.Logger
-	said   *logs.Limited
-	cfg    Admission
-
-	refusedInTurn int // of the accepting goroutine alone, as is the pause
-	pause         *pause
-
-	mu     sync.Mutex
-	gate   *admission.Gate
-	spare  []*os.File
-	byes   []net.Conn // oldest first
-	taken  admission.Ticket
-	doomed map[admission.Ticket]admission.Victim // to be sent off before the reducer has heard of them
+// admissionController is asked by the accepting goroutine, by nbio's for ends, and by the reducer's.
+type admissionController struct {
+	shared     bool // other processes hold the listener as well
+	now        func() time.Duration
+	log        *slog.Logger
+	limitedLog *logs.Limited
+	cfg        Admission
+
+	rejectedInTurn int // of the accepting goroutine alone, as is the pause
+	timer          *systemTimer
+
+	mu               sync.Mutex
+	gate             *admission.Gate
+	spareDescriptors []*os.File
+	goodbyes         []net.Conn // oldest first
+	lastTicket       admission.Ticket
+	pendingVictims   map[admission.Ticket]admission.Victim // to be sent off before the reducer has heard of them
 }
 
-func newDoor(cfg Admission, seed uint64, now func() time.Duration, log *slog.Logger, said *logs.Limited) (*door, error) {
+func newAdmissionController(cfg Admission, seed uint64, now func() time.Duration, log *slog.Logger, said *logs.Limited) (*admissionController, error) {
 	g, err := admission.New(cfg.Config, seed)
 	if err != nil {
 		return nil, err
 	}
-	d := &door{now: now, log: log, said: said, cfg: cfg, gate: g, pause: newPause(), doomed: map[admission.Ticket]admission.Victim{}}
-	g.Fixed(admission.Spare, spares+cfg.GoodByes)
+	d := &admissionController{now: now, log: log, limitedLog: said, cfg: cfg, gate: g, timer: newSystemTimer(), pendingVictims: map[admission.Ticket]admission.Victim{}}
+	g.Fixed(admission.Spare, maxSpares+cfg.MaxGoodbyes)
 	g.Fixed(admission.Discovery, 2)
-	d.restock()
-	if cfg.Snapshot != "" {
-		s, err := clientstore.Load(cfg.Snapshot, time.Now(), cfg.SnapshotLives)
+	d.refillSpares()
+	if cfg.SnapshotPath != "" {
+		s, err := clientstore.Load(cfg.SnapshotPath, time.Now(), cfg.SnapshotMaxAge)
 		if err != nil {
 			log.Warn("known clients not restored, starting with none", "err", err)
 		} else if len(s.Clients) > 0 {
@@ -80,29 +80,29 @@
 	return d, nil
 }
 
-// restock opens the spare descriptors that are missing.
-func (d *door) restock() {
-	for len(d.spare) < spares {
+// refillSpares opens the spare descriptors that are missing.
+func (d *admissionController) refillSpares() {
+	for len(d.spareDescriptors) < maxSpares {
 		f, err := os.Open(os.DevNull)
 		if err != nil {
 			return
 		}
-		d.spare = append(d.spare, f)
+		d.spareDescriptors = append(d.spareDescriptors, f)
 	}
 }
 
-// starved tells the gate that the process has no descriptor left, and gives up the spare ones for what can't wait.
-func (d *door) starved(lend bool) {
+// descriptorsExhausted tells the gate that the process has no descriptor left, and gives up the spare ones for what can't wait.
+func (d *admissionController) descriptorsExhausted(lend bool) {
 	d.mu.Lock()
 	d.gate.Exhausted(d.now())
 	if lend {
-		for _, f := range d.spare {
+		for _, f := range d.spareDescriptors {
 			_ = f.Close()
 		}
-		d.spare = d.spare[:0]
+		d.spareDescriptors = d.spareDescriptors[:0]
 	}
 	d.mu.Unlock()
-	d.said.Say(time.Now(), slog.LevelWarn, "exhaustion", "the process has no descriptor left")
+	d.limitedLog.Say(time.Now(), slog.LevelWarn, "exhaustion", "the process has no descriptor left")
 }
 
 func noDescriptor(err error) bool {
@@ -114,32 +114,32 @@
 // at a time. That is not enough: as long as anybody can run, the runtime asks what came in from the network (the
 // ends of dials, for one) each 10 ms only. So this goroutine rests after some refusals, and a flood is taken in
 // turns: what has queued up meanwhile waits for the rest and no longer.
-func (d *door) accept(raw syscall.RawConn) (net.Conn, error) {
+func (d *admissionController) accept(raw syscall.RawConn) (net.Conn, error) {
 	for {
-		if d.refusedInTurn >= refusals {
-			d.refusedInTurn = 0
-			d.pause.rest(refusalRest)
+		if d.rejectedInTurn >= maxRejections {
+			d.rejectedInTurn = 0
+			d.timer.sleep(rejectionPause)
 		}
 		fd, from, err := acceptRaw(raw, true, d.shared)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case noDescriptor(err):
-			d.turnAway(raw)
+			d.rejectWithSpare(raw)
 			continue
 		case err != nil:
-			time.Sleep(gateWait)
+			time.Sleep(acceptRetry)
 			continue
 		}
 		d.mu.Lock()
-		if d.taken != 0 { // nbio could not take the one before in
-			d.gate.Closed(d.now(), d.taken)
+		if d.lastTicket != 0 { // nbio could not take the one before in
+			d.gate.Closed(d.now(), d.lastTicket)
 		}
 		var v admission.Verdict
-		d.taken, v = d.gate.Accept(d.now(), from)
+		d.lastTicket, v = d.gate.Accept(d.now(), from)
 		d.mu.Unlock()
 		if v.OK() {
-			c, err := asConn(fd)
+			c, err := newConn(fd)
 			if err == nil {
 				nc, err := nbio.NBConn(c)
 				if err == nil {
@@ -147,15 +147,15 @@
 				}
 				_ = c.Close()
 			}
-			d.starved(false)
+			d.descriptorsExhausted(false)
 			d.mu.Lock()
-			d.gate.Closed(d.now(), d.taken)
-			d.taken, v = 0, d.gate.Refusal(d.now(), admission.Exhaustion)
+			d.gate.Closed(d.now(), d.lastTicket)
+			d.lastTicket, v = 0, d.gate.Refusal(d.now(), admission.Exhaustion)
 			d.mu.Unlock()
 			v.Curt = true // there is no descriptor to wait with
 		}
-		d.refusedInTurn++
-		d.goodBye(fd, from, v)
+		d.rejectedInTurn++
+		d.sayGoodbye(fd, from, v)
 		runtime.Gosched()
 	}
 }
@@ -191,8 +191,8 @@
 	return fd, from, err
 }
 
-// asConn makes the standard library's connection of a copy of fd, and closes fd if that worked.
-func asConn(fd int) (net.Conn, error) {
+// newConn makes the standard library's connection of a copy of fd, and closes fd if that worked.
+func newConn(fd int) (net.Conn, error) {
 	twin, err := syscall.Dup(fd)
 	if err != nil {
 		return nil, err
@@ -207,32 +207,32 @@
 	return c, err
 }
 
-// turnAway answers a connection that the process has no descriptor for: the spare ones make room for it.
-func (d *door) turnAway(l syscall.RawConn) {
-	d.starved(true)
+// rejectWithSpare answers a connection that the process has no descriptor for: the spare ones make room for it.
+func (d *admissionController) rejectWithSpare(l syscall.RawConn) {
+	d.descriptorsExhausted(true)
 	fd, from, err := acceptRaw(l, false, d.shared)
 	if err == nil {
 		d.mu.Lock()
 		v := d.gate.Refusal(d.now(), admission.Exhaustion)
 		d.mu.Unlock()
 		v.Curt = true
-		d.goodBye(fd, from, v)
+		d.sayGoodbye(fd, from, v)
 	} else {
-		time.Sleep(starvedWait)
+		time.Sleep(exhaustedRetry)
 	}
 	d.mu.Lock()
-	d.restock()
+	d.refillSpares()
 	d.mu.Unlock()
 }
 
-// goodBye answers, and waits a little for the other side to end, since what it sends to a closed socket would make
+// sayGoodbye answers, and waits a little for the other side to end, since what it sends to a closed socket would make
 // a reset of the answer. No more than GoodByes wait so; the oldest of them gives up its place. Where the verdict is
 // curt, what has come already is read away, and that is all.
-func (d *door) goodBye(fd int, from netip.Addr, v admission.Verdict) {
-	d.said.Say(time.Now(), slog.LevelInfo, v.Reason.String(), "refused", slog.Any("from", from), slog.Duration("after", v.After))
+func (d *admissionController) sayGoodbye(fd int, from netip.Addr, v admission.Verdict) {
+	d.limitedLog.Say(time.Now(), slog.LevelInfo, v.Reason.String(), "refused", slog.Any("from", from), slog.Duration("after", v.After))
 	var line [32]byte
 	var junk [4096]byte
-	for range goodByeMost / len(junk) {
+	for range maxGoodbyeBytes / len(junk) {
 		n, err := syscall.Read(fd, junk[:])
 		if errors.Is(err, syscall.ECONNRESET) { // it is gone already
 			_ = syscall.Close(fd)
@@ -243,30 +243,30 @@
 		}
 	}
 	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], v.After)) // a fresh socket takes it at once
-	if v.Curt || d.cfg.GoodByes == 0 {
+	if v.Curt || d.cfg.MaxGoodbyes == 0 {
 		_ = syscall.Close(fd)
 		return
 	}
 	_ = syscall.Shutdown(fd, syscall.SHUT_WR)
-	c, err := asConn(fd)
+	c, err := newConn(fd)
 	if err != nil {
 		_ = syscall.Close(fd)
 		return
 	}
 	d.mu.Lock()
-	if len(d.byes) >= d.cfg.GoodByes {
-		_ = d.byes[0].Close()
-		d.byes = append(d.byes[:0], d.byes[1:]...)
+	if len(d.goodbyes) >= d.cfg.MaxGoodbyes {
+		_ = d.goodbyes[0].Close()
+		d.goodbyes = append(d.goodbyes[:0], d.goodbyes[1:]...)
 	}
-	d.byes = append(d.byes, c)
+	d.goodbyes = append(d.goodbyes, c)
 	d.mu.Unlock()
-	_ = c.SetReadDeadline(time.Now().Add(goodByeWait))
+	_ = c.SetReadDeadline(time.Now().Add(goodbyeTimeout))
 	go func() {
-		_, _ = io.CopyN(io.Discard, c, goodByeMost)
+		_, _ = io.CopyN(io.Discard, c, maxGoodbyeBytes)
 		d.mu.Lock()
-		for i, other := range d.byes {
+		for i, other := range d.goodbyes {
 			if other == c {
-				d.byes = append(d.byes[:i], d.byes[i+1:]...)
+				d.goodbyes = append(d.goodbyes[:i], d.goodbyes[i+1:]...)
 				break
 			}
 		}
@@ -275,72 +275,72 @@
 	}()
 }
 
-// bidding tells that a refused terminal may still have to read its answer.
-func (d *door) bidding() bool {
+// hasGoodbyes tells that a refused terminal may still have to read its answer.
+func (d *admissionController) hasGoodbyes() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.byes) > 0
+	return len(d.goodbyes) > 0
 }
 
 // close gives up all descriptors. Nobody is accepted any more.
-func (d *door) close() {
+func (d *admissionController) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, f := range d.spare {
+	for _, f := range d.spareDescriptors {
 		_ = f.Close()
 	}
-	for _, c := range d.byes {
+	for _, c := range d.goodbyes {
 		_ = c.Close()
 	}
-	d.spare = nil
-	d.pause.close()
+	d.spareDescriptors = nil
+	d.timer.close()
 }
 
-// ticket is that of the connection which accept returned last; nbio opens it on the same goroutine.
-func (d *door) ticket() admission.Ticket {
+// takeTicket is that of the connection which accept returned last; nbio opens it on the same goroutine.
+func (d *admissionController) takeTicket() admission.Ticket {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := d.taken
-	d.taken = 0
+	t := d.lastTicket
+	d.lastTicket = 0
 	return t
 }
 
-func (d *door) closed(t admission.Ticket) {
+func (d *admissionController) closed(t admission.Ticket) {
 	d.mu.Lock()
 	d.gate.Closed(d.now(), t)
-	delete(d.doomed, t)
+	delete(d.pendingVictims, t)
 	d.mu.Unlock()
 }
 
-func (d *door) answered(t admission.Ticket) {
+func (d *admissionController) answered(t admission.Ticket) {
 	d.mu.Lock()
 	d.gate.Answered(d.now(), t)
 	d.mu.Unlock()
 }
 
-func (d *door) stood(t admission.Ticket) {
+func (d *admissionController) established(t admission.Ticket) {
 	d.mu.Lock()
 	d.gate.Stood(d.now(), t)
 	d.mu.Unlock()
 }
 
-func (d *door) bytes(t admission.Ticket, n int) admission.Verdict {
+func (d *admissionController) countBytes(t admission.Ticket, n int) admission.Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Bytes(d.now(), t, n)
 }
 
-func (d *door) request(t admission.Ticket, o platform.Open) admission.Verdict {
+func (d *admissionController) request(t admission.Ticket, o platform.Open) admission.Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Request(d.now(), t, admission.Who{Key: o.Key, Tenant: o.Tenant})
 }
 
 // tick lets the gate's time pass and tells it what the process holds.
-func (d *door) tick(probes int, memory int64) (pressed bool) {
+func (d *admissionController) tick(probes int, memory int64) (pressed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.restock()
+	d.refillSpares()
 	d.gate.Fixed(admission.Probe, probes)
 	if memory > 0 {
 		d.gate.Memory(memory)
@@ -348,68 +348,68 @@
 	before := d.gate.Level()
 	d.gate.Tick(d.now())
 	if l := d.gate.Level(); l != before {
-		d.said.Say(time.Now(), slog.LevelInfo, "level", "level changed", slog.String("from", before.String()), slog.String("to", l.String()))
+		d.limitedLog.Say(time.Now(), slog.LevelInfo, "level", "level changed", slog.String("from", before.String()), slog.String("to", l.String()))
 	}
 	return d.gate.Pressed()
 }
 
 // victims are the silent terminals that are to be sent off now. Those that the reducer has not heard of yet are
 // kept in mind for accepted.
-func (d *door) victims(known func(admission.Ticket) bool, into []admission.Victim) []admission.Victim {
+func (d *admissionController) victims(known func(admission.Ticket) bool, into []admission.Victim) []admission.Victim {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, v := range d.gate.Victims() {
 		if known(v.Ticket) {
 			into = append(into, v)
 		} else {
-			d.doomed[v.Ticket] = v
+			d.pendingVictims[v.Ticket] = v
 		}
 	}
 	return into
 }
 
-// isDoomed tells whether a terminal that the reducer hears of now was chosen before.
-func (d *door) isDoomed(t admission.Ticket) (v admission.Victim, was bool) {
+// takePendingVictim tells whether a terminal that the reducer hears of now was chosen before.
+func (d *admissionController) takePendingVictim(t admission.Ticket) (v admission.Victim, was bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v, was = d.doomed[t]
-	delete(d.doomed, t)
+	v, was = d.pendingVictims[t]
+	delete(d.pendingVictims, t)
 	return v, was
 }
 
-func (d *door) limit(descriptors, memoryMB int) {
+func (d *admissionController) setLimits(descriptors, memoryMB int) {
 	d.mu.Lock()
 	d.gate.Limit(descriptors, int64(memoryMB)<<20)
 	d.mu.Unlock()
 }
 
-func (d *door) report() admission.Report {
+func (d *admissionController) report() admission.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Report()
 }
 
 // reconfigure takes new settings, whole or not at all. What the tables hold, and where snapshots go, stays.
-func (d *door) reconfigure(a Admission) error {
+func (d *admissionController) reconfigure(a Admission) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if a.Snapshot != d.cfg.Snapshot {
-		return &CantChange{"admission.reserve.snapshot.path"}
+	if a.SnapshotPath != d.cfg.SnapshotPath {
+		return &ImmutableSetting{"admission.reserve.snapshot.path"}
 	}
 	if err := d.gate.Reconfigure(a.Config); err != nil {
 		return err
 	}
 	d.cfg = a
-	d.gate.Fixed(admission.Spare, spares+a.GoodByes)
+	d.gate.Fixed(admission.Spare, maxSpares+a.MaxGoodbyes)
 	return nil
 }
 
-// keep writes the snapshot of known clients now and then, until stop is closed, and once more then.
-func (d *door) keep(stop <-chan struct{}) {
-	if d.cfg.Snapshot == "" {
+// saveSnapshots writes the snapshot of known clients now and then, until stop is closed, and once more then.
+func (d *admissionController) saveSnapshots(stop <-chan struct{}) {
+	if d.cfg.SnapshotPath == "" {
 		return
 	}
-	tick := time.NewTicker(max(time.Second, d.cfg.SnapshotEvery))
+	tick := time.NewTicker(max(time.Second, d.cfg.SnapshotInterval))
 	defer tick.Stop()
 	for last := false; !last; {
 		select {
@@ -420,8 +420,8 @@
 		d.mu.Lock()
 		seed, clients := d.gate.KnownClients()
 		d.mu.Unlock()
-		if err := clientstore.Save(d.cfg.Snapshot, clientstore.Snapshot{CreatedAt: time.Now(), Seed: seed, Clients: clients}); err != nil {
-			d.said.Say(time.Now(), slog.LevelWarn, "snapshot", "known clients not kept", slog.Any("err", err))
+		if err := clientstore.Save(d.cfg.SnapshotPath, clientstore.Snapshot{CreatedAt: time.Now(), Seed: seed, Clients: clients}); err != nil {
+			d.limitedLog.Say(time.Now(), slog.LevelWarn, "snapshot", "known clients not kept", slog.Any("err", err))
 		}
 	}
 }
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -11,9 +11,9 @@
 )
 
 // step feeds the reducer and carries out its effects; effects that make events feed it again.
-func (s *Server) step(ev core.Event) {
+func (s *Balancer) step(ev core.Event) {
 	if s.revisions != nil && len(s.effects) == 0 {
-		s.heed(time.Now())
+		s.applyLease(time.Now())
 	}
 	if s.tracing {
 		s.traceEvent(ev)
@@ -31,62 +31,62 @@
 	s.effects = s.effects[:base]
 }
 
-func (s *Server) carryOut(e core.Effect) {
+func (s *Balancer) carryOut(e core.Effect) {
 	switch e := e.(type) {
 	case core.Dial:
-		if t := s.terminals[e.Client]; t != nil {
-			t.answer, t.last, t.fromRegion = platform.LineReader{}, platform.Line, platform.Scan{}
-			t.task = &link{s: s, role: taskRole, term: t, attempt: e.Attempt, region: e.Server}
-			s.dial(t.task, e.Address, e.Timeout+dialLonger)
+		if t := s.clients[e.Client]; t != nil {
+			t.answerReader, t.lastServerWord, t.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
+			t.server = &connection{balancer: s, role: serverRole, client: t, attempt: e.Attempt, server: e.Server}
+			s.dial(t.server, e.Address, e.Timeout+dialMargin)
 		}
 	case core.SendRequest:
-		if t := s.terminals[e.Client]; t != nil && t.task != nil {
-			s.out = t.open.AppendLine(s.out[:0], e.TimeLeft)
-			whole := t.task.write(s.out)
-			if s.links != nil {
-				s.links.sentTo(t, t.task.region, len(s.out))
+		if t := s.clients[e.Client]; t != nil && t.server != nil {
+			s.lineBuffer = t.request.AppendLine(s.lineBuffer[:0], e.TimeLeft)
+			whole := t.server.write(s.lineBuffer)
+			if s.zoneLinks != nil {
+				s.zoneLinks.countSent(t, t.server.server, len(s.lineBuffer))
 			}
-			if whole && t.task.flushed() { // else it broke before the line's last byte: it never ran
+			if whole && t.server.flushed() { // else it broke before the line's last byte: it never ran
 				s.step(core.RequestSent{Client: e.Client, Attempt: e.Attempt})
 			}
 		}
 	case core.CloseAttempt:
-		if t := s.terminals[e.Client]; t != nil && t.task != nil && t.task.attempt == e.Attempt {
-			t.task.drop()
-			t.task = nil
+		if t := s.clients[e.Client]; t != nil && t.server != nil && t.server.attempt == e.Attempt {
+			t.server.drop()
+			t.server = nil
 		}
 	case core.Answer:
-		if t := s.terminals[e.Client]; t != nil {
+		if t := s.clients[e.Client]; t != nil {
 			line := platform.Failed
 			if e.Rejected {
-				s.out = platform.AppendShort(s.out[:0], e.RetryAfter)
-				line = s.out
+				s.lineBuffer = platform.AppendShort(s.lineBuffer[:0], e.RetryAfter)
+				line = s.lineBuffer
 			}
 			s.finalAnswer(t, line)
 		}
 	case core.Forward:
-		t := s.terminals[e.Client]
+		t := s.clients[e.Client]
 		if t == nil {
 			return
 		}
 		if e.ToServer {
-			s.counters.BytesToRegions += int64(len(e.Data))
-			if t.task != nil {
-				t.task.write(e.Data)
+			s.counters.BytesToServers += int64(len(e.Data))
+			if t.server != nil {
+				t.server.write(e.Data)
 			}
 		} else {
-			s.counters.BytesToTerminals += int64(len(e.Data))
-			t.l.write(e.Data)
+			s.counters.BytesToClients += int64(len(e.Data))
+			t.conn.write(e.Data)
 		}
-		s.flow(t)
+		s.updateBackpressure(t)
 	case core.PauseReading:
-		t := s.terminals[e.Client]
+		t := s.clients[e.Client]
 		if t == nil {
 			return
 		}
-		l := t.l
+		l := t.conn
 		if e.OfServer {
-			l = t.task
+			l = t.server
 		}
 		if l != nil && e.On {
 			l.pause()
@@ -94,29 +94,29 @@
 			l.resume()
 		}
 	case core.CloseServer:
-		if t := s.terminals[e.Client]; t != nil && t.task != nil {
+		if t := s.clients[e.Client]; t != nil && t.server != nil {
 			if e.Reason == core.CloseReset {
-				t.task.reset()
+				t.server.reset()
 			} else {
-				t.task.fin(false)
+				t.server.fin(false)
 			}
 		}
 	case core.CloseClient:
-		if t := s.terminals[e.Client]; t != nil {
-			s.closeTerminal(t, e.Reason)
-			if t.task != nil {
-				t.task.drop()
+		if t := s.clients[e.Client]; t != nil {
+			s.closeClient(t, e.Reason)
+			if t.server != nil {
+				t.server.drop()
 			}
 		}
 	case core.MigrateClient:
-		if t := s.terminals[e.Client]; t != nil {
-			if t.fromRegion.Between() {
-				s.moveNow(t)
+		if t := s.clients[e.Client]; t != nil {
+			if t.fromServer.Between() {
+				s.sendMove(t)
 			} else {
-				t.moveBy = time.Now().Add(moveWait + s.slack)
-				s.moving[t] = struct{}{}
-				if t.task != nil {
-					s.hurry(t)
+				t.migrateBy = time.Now().Add(migrateTimeout + s.testSlack)
+				s.migrating[t] = struct{}{}
+				if t.server != nil {
+					s.finishServerLine(t)
 				}
 			}
 		}
@@ -124,20 +124,20 @@
 		s.probe(e)
 	case core.ForgetServer:
 		if p := s.probes[e.Server]; p != nil {
-			if p.l != nil {
-				p.l.drop()
-				p.l = nil
+			if p.conn != nil {
+				p.conn.drop()
+				p.conn = nil
 			}
 			delete(s.probes, e.Server)
-			if p.busy { // nobody will answer it, and the module asks no second time before it has an answer
+			if p.pending { // nobody will answer it, and the module asks no second time before it has an answer
 				s.step(core.ProbeFinished{Server: e.Server, Result: policy.ResultUnreachable})
 			}
 		}
 	case core.Watch:
-		s.callDiscovery(e.Version)
+		s.openWatch(e.Version)
 	case core.StopWatch:
-		drop(&s.watch)
+		dropWatch(&s.watch)
 	case core.Exit:
-		s.close(e.Deadline)
+		s.beginClosing(e.Deadline)
 	}
 }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -10,7 +10,7 @@
 
 // Operators' tools read the counters by these keys.
 func TestFormOfCounters(t *testing.T) {
-	s := &Server{}
+	s := &Balancer{}
 	golden.Fill(&s.counters)
 	body, err := json.Marshal(s.counters)
 	if err != nil {
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -17,11 +17,11 @@
 const idleLimit = 20 * time.Second
 
 // onServerLoop runs do on the server's loop, between two events.
-func onServerLoop(t *testing.T, s *Server, do func()) {
+func onServerLoop(t *testing.T, s *Balancer, do func()) {
 	t.Helper()
 	done := make(chan struct{})
 	select {
-	case s.asks <- func() { do(); close(done) }:
+	case s.calls <- func() { do(); close(done) }:
 		<-done
 	case <-time.After(idleLimit):
 		t.Fatal("the loop takes nothing")
@@ -29,7 +29,7 @@
 }
 
 // idleEventually waits until holds is true, which it asks on the server's loop.
-func idleEventually(t *testing.T, s *Server, what string, holds func() bool) {
+func idleEventually(t *testing.T, s *Balancer, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(idleLimit); ; time.Sleep(time.Millisecond) {
 		var ok bool
@@ -70,7 +70,7 @@
 }
 
 // idleClient connects and returns the connection together with its terminal, which has said nothing.
-func idleClient(t *testing.T, p *play) (*net.TCPConn, *terminal) {
+func idleClient(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -78,14 +78,14 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(idleLimit))
-	var came *terminal
+	var came *client
 	idleEventually(t, p.server, "the terminal", func() bool {
-		for _, x := range p.server.terminals {
-			x.l.mu.Lock()
-			if x.l.c != nil && x.l.c.RemoteAddr().String() == c.LocalAddr().String() {
+		for _, x := range p.server.clients {
+			x.conn.mu.Lock()
+			if x.conn.conn != nil && x.conn.conn.RemoteAddr().String() == c.LocalAddr().String() {
 				came = x
 			}
-			x.l.mu.Unlock()
+			x.conn.mu.Unlock()
 		}
 		return came != nil
 	})
@@ -115,15 +115,15 @@
 // A client that has said nothing is sent off, and its request crosses the answer. It is read away: a close would reset
 // the connection, and the answer might be lost with it. So for both reasons to send it off, and also in pieces.
 func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
-	for answer, sendOff := range map[string]func(s *Server, x *terminal){
-		"BUSY\r\n": func(s *Server, x *terminal) { s.step(core.DescriptorsScarce{Missing: 1}) },
-		"ERR\r\n":  func(s *Server, x *terminal) { s.step(core.InvalidRequest{Client: x.handle}) },
+	for answer, sendOff := range map[string]func(s *Balancer, x *client){
+		"BUSY\r\n": func(s *Balancer, x *client) { s.step(core.DescriptorsScarce{Missing: 1}) },
+		"ERR\r\n":  func(s *Balancer, x *client) { s.step(core.InvalidRequest{Client: x.handle}) },
 	} {
 		p := start(t, "")
 		c, x := idleClient(t, p)
 		idleEventually(t, p.server, "old enough to be sent off", func() bool {
 			sendOff(p.server, x)
-			return x.over
+			return x.finished
 		})
 		if got, err := io.ReadAll(c); string(got) != answer || err != nil {
 			t.Fatalf("got %q, %v", got, err)
@@ -135,9 +135,9 @@
 			}
 		}
 		idleEventually(t, p.server, "the request read away", func() bool {
-			x.l.mu.Lock()
-			defer x.l.mu.Unlock()
-			return x.l.junk == len(request)
+			x.conn.mu.Lock()
+			defer x.conn.mu.Unlock()
+			return x.conn.discarded == len(request)
 		})
 		if state := idleState(t, c); state != idleCloseWait {
 			t.Fatalf("%q crossed by a request: the connection is in state %d, want %d", answer, state, idleCloseWait)
@@ -155,7 +155,7 @@
 	if got, err := io.ReadAll(c); string(got) != "ERR\r\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
-	idleEventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 && x.l.isGone() })
+	idleEventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 && x.conn.isDescriptorFreed() })
 }
 
 // In a crowd of silent clients only so many are sent off as descriptors are short, though they hold theirs for a while
@@ -209,10 +209,10 @@
 		}
 	}()
 	idleEventually(t, p.server, "the flood's end", func() bool {
-		if n := x.l.backlog(); n > 2*fullAt {
+		if n := x.conn.backlog(); n > 2*backpressureBytes {
 			t.Errorf("%d bytes of answers wait", n)
 		}
-		return x.over
+		return x.finished
 	})
 }
 
@@ -259,7 +259,7 @@
 	}
 	idleEventually(t, p.server, "all gone", func() bool {
 		s := p.server
-		return s.counters.Accepted >= 40 && len(s.terminals) == 0 && len(s.finishing) == 0 && s.sockets.Load() <= before+2
+		return s.counters.Accepted >= 40 && len(s.clients) == 0 && len(s.finishing) == 0 && s.sockets.Load() <= before+2
 	})
 }
 
@@ -282,11 +282,11 @@
 	}
 	idleEventually(t, p.server, "room again", func() bool {
 		s := p.server
-		return s.counters.Accepted == 250 && s.basic().MayTake(int(s.sockets.Load())+8, false)
+		return s.counters.Accepted == 250 && s.basicLimits().MayTake(int(s.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 	idleEventually(t, p.server, "the end of all others", func() bool {
-		return p.server.core.OpenRequests() == 1 && len(p.server.terminals) == 1 && len(p.server.finishing) == 0
+		return p.server.core.OpenRequests() == 1 && len(p.server.clients) == 1 && len(p.server.finishing) == 0
 	})
 }
 
@@ -308,11 +308,11 @@
 	answered := func(c net.Conn) {
 		t.Helper()
 		_, _ = io.WriteString(c, "PONG latency_ms=3.5,inflight=1,x0=0.1\r\n")
-		idleEventually(t, s, "the answer", func() bool { return !s.probes["own"].busy && s.probes["own"].l != nil })
+		idleEventually(t, s, "the answer", func() bool { return !s.probes["own"].pending && s.probes["own"].conn != nil })
 	}
 	failed := func(times int64) {
 		t.Helper()
-		idleEventually(t, s, "the failure", func() bool { return !s.probes["own"].busy && s.core.Counters.ProbesFailed == times })
+		idleEventually(t, s, "the failure", func() bool { return !s.probes["own"].pending && s.core.Counters.ProbesFailed == times })
 	}
 	ask := core.Probe{Server: "own", Address: v.Addr().String(), Timeout: time.Minute}
 	leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
@@ -321,7 +321,7 @@
 	answered(idle)
 	onServerLoop(t, s, func() { // the end is read, and its event waits behind the probe
 		_ = idle.Close()
-		l := s.probes["own"].l
+		l := s.probes["own"].conn
 		for end := time.Now().Add(idleLimit); !l.hasEnded() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -18,143 +18,143 @@
 	"github.com/lesismal/nbio"
 )
 
-type role uint8
+type connectionRole uint8
 
 const (
-	terminalRole role = iota
-	taskRole
+	clientRole connectionRole = iota
+	serverRole
 	probeRole
 	watchRole
 )
 
-type linkState uint8
+type connectionState uint8
 
 const (
-	dialing linkState = iota
+	dialing connectionState = iota
 	live
 	finishing // no more is written; what still comes is read and dropped until the other side has ended
 	ended
 )
 
-// link is one connection. Its first part belongs to the reducer's goroutine, the rest to whoever holds mu.
-type link struct {
-	s          *Server
-	role       role
-	term       *terminal
-	attempt    int
-	region     string
-	ticket     admission.Ticket // of a terminal, where admission is configured
-	from       net.Addr         // likewise
-	endBy      time.Time        // finishing: closed by force then
-	finishedAt time.Time        // finishing: since when
-	seen       int64            // finishing: of what was written, at the last look
-	cancel     func()           // stops the dialing
-	narrow     int              // bytes that the system may keep of what isn't read; 0 for socketBuffer
-
-	mu      sync.Mutex
-	state   linkState
-	c       *nbio.Conn
-	tail    *tail  // writes once the other side has closed its sending
-	starved bool   // reading waits for the reducer's goroutine to catch up
-	paused  bool   // reading waits for room on the other side
-	finWant bool   // FIN follows what is buffered
-	known   bool   // a terminal that is served; of others no more is read than a first line can hold
-	junk    int    // finishing: bytes read away
-	gone    bool   // finishing, then ended: the descriptor is free again
-	cut     bool   // finishing: neither side may say more; the poller closes it at its next event
-	rest    []byte // a copy of the backlog, for the hand-over
-	lane    *lane  // what is read passes a link between zones that is bounded; nil where it doesn't
-	held    *lane  // reading waits there for its turn
-	hurry   bool   // it waits for none any more
-	ahead   *ahead // read when the other side ended, and not passed on yet
-
-	handed, written atomic.Int64 // bytes
-	waiting         atomic.Int32 // pieces that were read and wait in the queue
-	turned          atomic.Bool  // what was read last had waited for its turn
-	want            atomic.Bool  // an evFlushed is wanted when all that was handed over is written
+// connection is one connection. Its first part belongs to the reducer's goroutine, the rest to whoever holds mu.
+type connection struct {
+	balancer      *Balancer
+	role          connectionRole
+	client        *client
+	attempt       int
+	server        string
+	ticket        admission.Ticket // of a terminal, where admission is configured
+	remoteAddr    net.Addr         // likewise
+	forceCloseAt  time.Time        // finishing: closed by force then
+	finishedAt    time.Time        // finishing: since when
+	writtenAtLook int64            // finishing: of what was written, at the last look
+	cancel        func()           // stops the dialing
+	receiveBuffer int              // bytes that the system may keep of what isn't read; 0 for socketBuffer
+
+	mu              sync.Mutex
+	state           connectionState
+	conn            *nbio.Conn
+	tail            *tailWriter     // writes once the other side has closed its sending
+	starved         bool            // reading waits for the reducer's goroutine to catch up
+	paused          bool            // reading waits for room on the other side
+	finPending      bool            // FIN follows what is buffered
+	established     bool            // a terminal that is served; of others no more is read than a first line can hold
+	discarded       int             // finishing: bytes read away
+	descriptorFreed bool            // finishing, then ended: the descriptor is free again
+	shutDown        bool            // finishing: neither side may say more; the poller closes it at its next event
+	unwritten       []byte          // a copy of the backlog, for the hand-over
+	queue           *bandwidthQueue // what is read passes a link between zones that is bounded; nil where it doesn't
+	waitsIn         *bandwidthQueue // reading waits there for its turn
+	bypass          bool            // it waits for none any more
+	endedData       *endedData      // read when the other side ended, and not passed on yet
+
+	accepted, written atomic.Int64 // bytes
+	queuedEvents      atomic.Int32 // pieces that were read and wait in the queue
+	hadWaited         atomic.Bool  // what was read last had waited for its turn
+	notifyFlushed     atomic.Bool  // an evFlushed is wanted when all that was handed over is written
 }
 
 type eventKind uint8
 
 const (
-	evOpened eventKind = iota
-	evData
-	evEnded
-	evBroken
-	evConnected
-	evRefused
-	evFlushed
+	eventAccepted eventKind = iota
+	eventData
+	eventEOF
+	eventReset
+	eventConnected
+	eventDialFailed
+	eventFlushed
 )
 
 type event struct {
 	kind eventKind
-	link *link
+	conn *connection
 	data *[]byte
 }
 
-// queue carries events from the callbacks to the reducer's goroutine. It never makes a callback wait;
+// eventQueue carries events from the callbacks to the reducer's goroutine. It never makes a callback wait;
 // when it is long, callbacks leave what they could read in the socket.
-type queue struct {
-	mu      sync.Mutex
-	list    []event
-	starved []*link
-	bell    chan struct{}
+type eventQueue struct {
+	mu       sync.Mutex
+	list     []event
+	deferred []*connection
+	wake     chan struct{}
 }
 
-const longQueue = 2048
+const maxQueuedEvents = 2048
 
-func (q *queue) post(e event) {
+func (q *eventQueue) post(e event) {
 	q.mu.Lock()
 	q.list = append(q.list, e)
 	q.mu.Unlock()
-	q.ring()
+	q.signal()
 }
 
-// ring wakes the loop.
-func (q *queue) ring() {
+// signal wakes the loop.
+func (q *eventQueue) signal() {
 	select {
-	case q.bell <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (q *queue) long() bool {
+func (q *eventQueue) isLong() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.list) >= longQueue
+	return len(q.list) >= maxQueuedEvents
 }
 
-func (q *queue) empty() bool {
+func (q *eventQueue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.list) == 0
 }
 
-// starve has l read again when the queue has been worked off.
-func (q *queue) starve(l *link) {
+// deferRead has l read again when the queue has been worked off.
+func (q *eventQueue) deferRead(l *connection) {
 	l.starved = true
 	q.mu.Lock()
-	q.starved = append(q.starved, l)
+	q.deferred = append(q.deferred, l)
 	q.mu.Unlock()
 }
 
-func (q *queue) take(into []event) ([]event, []*link) {
+func (q *eventQueue) take(into []event) ([]event, []*connection) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	list, starved := q.list, q.starved
-	q.list, q.starved = into[:0], nil
+	list, starved := q.list, q.deferred
+	q.list, q.deferred = into[:0], nil
 	return list, starved
 }
 
 const (
-	readSize    = 8 << 10
-	readsAtOnce = 16
-	junkAtMost  = 256 << 10 // read away from a link that ends, so that its last words aren't lost to a reset
+	readSize     = 8 << 10
+	maxReads     = 16
+	maxDiscarded = 256 << 10 // read away from a link that ends, so that its last words aren't lost to a reset
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
 
-func release(b *[]byte) {
+func releaseBuffer(b *[]byte) {
 	*b = (*b)[:cap(*b)]
 	buffers.Put(b)
 }
@@ -163,26 +163,26 @@
 // other side has closed its sending (poller_epoll.go, epollEventsError holds EPOLLRDHUP), and would drop
 // what is still to be written to it; so the read that meets the end must hand such a socket on before
 // it returns.
-func (s *Server) onRead(c *nbio.Conn) {
-	l := s.linkOf(c)
+func (s *Balancer) onRead(c *nbio.Conn) {
+	l := s.connectionOf(c)
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.c != c || l.state == ended {
+	if l.conn != c || l.state == ended {
 		return
 	}
-	if !hasFin(c) {
+	if !peerHasClosed(c) {
 		switch {
 		case l.state == finishing:
-			if l.junk > junkAtMost && !l.cut {
+			if l.discarded > maxDiscarded && !l.shutDown {
 				return
 			}
-		case l.paused || l.starved || l.held != nil:
+		case l.paused || l.starved || l.waitsIn != nil:
 			return
-		case s.queue.long():
-			s.queue.starve(l)
+		case s.queue.isLong():
+			s.queue.deferRead(l)
 			return
 		}
 	}
@@ -195,37 +195,37 @@
 // the other side has ended, all is read, since nbio closes the socket next; that is no more than the
 // system's buffer holds. A link that is finishing is read away up to a bound: one that sends at full
 // speed would hold the poller, and with the lock the reducer's goroutine, for as long as it likes.
-func (l *link) read(poller bool) {
-	if l.lane != nil && l.state == live {
+func (l *connection) read(poller bool) {
+	if l.queue != nil && l.state == live {
 		l.readShaped(poller, 0)
 		return
 	}
-	most, unknown := readsAtOnce, l.role == terminalRole && !l.known
+	most, unknown := maxReads, l.role == clientRole && !l.established
 	if unknown {
 		most = 1 // longer than any first line
 	}
 	for reads := 0; ; reads++ {
-		if l.state == live && (reads >= most || l.waiting.Load() >= readsAtOnce) && !hasFin(l.c) {
-			l.s.queue.starve(l)
+		if l.state == live && (reads >= most || l.queuedEvents.Load() >= maxReads) && !peerHasClosed(l.conn) {
+			l.balancer.queue.deferRead(l)
 			return
 		}
-		if l.state != live && l.junk > junkAtMost && !l.cut && !hasFin(l.c) {
+		if l.state != live && l.discarded > maxDiscarded && !l.shutDown && !peerHasClosed(l.conn) {
 			return // the rest stays in the socket until the link is closed by force
 		}
 		buf := buffers.Get().(*[]byte)
-		n, err := l.c.Read(*buf)
+		n, err := l.conn.Read(*buf)
 		if n > 0 {
 			*buf = (*buf)[:n]
 			if l.state != live || unknown && reads > most { // nobody will use it
-				l.junk += n
-				release(buf)
+				l.discarded += n
+				releaseBuffer(buf)
 				continue
 			}
-			l.waiting.Add(1)
-			l.s.queue.post(event{kind: evData, link: l, data: buf})
+			l.queuedEvents.Add(1)
+			l.balancer.queue.post(event{kind: eventData, conn: l, data: buf})
 			continue
 		}
-		release(buf)
+		releaseBuffer(buf)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 			continue
@@ -235,56 +235,56 @@
 			l.state = ended
 		case err != nil:
 			l.state = ended
-			l.s.queue.post(event{kind: evBroken, link: l})
+			l.balancer.queue.post(event{kind: eventReset, conn: l})
 		default:
-			l.s.queue.post(event{kind: evEnded, link: l})
-			if l.role == terminalRole {
-				if l.handOver() {
+			l.balancer.queue.post(event{kind: eventEOF, conn: l})
+			if l.role == clientRole {
+				if l.handOverToTail() {
 					return
 				}
-				l.s.queue.post(event{kind: evBroken, link: l}) // no answer can reach it
+				l.balancer.queue.post(event{kind: eventReset, conn: l}) // no answer can reach it
 			}
 			l.state = ended
 		}
-		_ = l.c.Close()
+		_ = l.conn.Close()
 		return
 	}
 }
 
-// knows tells that the terminal is served from now on.
-func (l *link) knows() {
+// markEstablished tells that the terminal is served from now on.
+func (l *connection) markEstablished() {
 	l.mu.Lock()
-	l.known = true
+	l.established = true
 	l.mu.Unlock()
 }
 
 // resume reads on after a pause.
-func (l *link) resume() {
+func (l *connection) resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = false
 	l.readOn()
 }
 
-// feed reads on after the queue was worked off.
-func (l *link) feed() {
+// resumeDeferred reads on after the queue was worked off.
+func (l *connection) resumeDeferred() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.starved = false
 	l.readOn()
 }
 
-func (l *link) readOn() {
-	if l.ahead != nil && l.held == nil {
-		l.passAhead(0)
+func (l *connection) readOn() {
+	if l.endedData != nil && l.waitsIn == nil {
+		l.passEndedData(0)
 		return
 	}
-	if l.state == live && l.c != nil && !l.paused && !l.starved && l.held == nil {
+	if l.state == live && l.conn != nil && !l.paused && !l.starved && l.waitsIn == nil {
 		l.read(false)
 	}
 }
 
-func (l *link) pause() {
+func (l *connection) pause() {
 	l.mu.Lock()
 	l.paused = true
 	l.mu.Unlock()
@@ -292,14 +292,14 @@
 
 // write hands bytes over. What the socket doesn't take at once is copied by nbio (or the tail). It is false where the link
 // had ended before the last byte was handed over: then that byte never leaves.
-func (l *link) write(b []byte) bool {
+func (l *connection) write(b []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.state != live || l.finWant || len(b) == 0 {
+	if l.state != live || l.finPending || len(b) == 0 {
 		return false
 	}
 	if l.tail != nil {
-		l.handed.Add(int64(len(b)))
+		l.accepted.Add(int64(len(b)))
 		l.tail.push(b)
 		return true
 	}
@@ -310,28 +310,28 @@
 		}
 	}
 	if err == nil {
-		l.handed.Add(int64(len(b)))
-		_, err = l.c.Write(b)
+		l.accepted.Add(int64(len(b)))
+		_, err = l.conn.Write(b)
 	}
 	if err != nil {
 		l.state = ended
-		l.s.queue.post(event{kind: evBroken, link: l})
+		l.balancer.queue.post(event{kind: eventReset, conn: l})
 		return false
 	}
 	if n := int(l.backlog()); n > 0 {
-		l.rest = append(l.rest, b...)
-		l.rest = l.rest[len(l.rest)-n:]
+		l.unwritten = append(l.unwritten, b...)
+		l.unwritten = l.unwritten[len(l.unwritten)-n:]
 	} else {
-		l.rest = nil
+		l.unwritten = nil
 	}
 	return true
 }
 
 // send writes what the socket takes at once, and returns the rest. Where a write fails nbio closes the
 // descriptor on the caller's goroutine; here the poller does, which is told of the break as well.
-func (l *link) send(b []byte) (rest []byte, err error) {
+func (l *connection) send(b []byte) (rest []byte, err error) {
 	err = syscall.EPIPE
-	control(l.c, func(fd int) {
+	withDescriptor(l.conn, func(fd int) {
 		var n int
 		if n, err = syscall.Write(fd, b); n > 0 {
 			b = b[n:]
@@ -344,26 +344,26 @@
 }
 
 // backlog is how much was handed over and has not left yet.
-func (l *link) backlog() int64 { return l.handed.Load() - l.written.Load() }
+func (l *connection) backlog() int64 { return l.accepted.Load() - l.written.Load() }
 
 // flushed tells whether all has left; if not, an event follows when it has.
-func (l *link) flushed() bool {
+func (l *connection) flushed() bool {
 	if l.backlog() == 0 {
 		return true
 	}
-	l.want.Store(true)
-	return l.backlog() == 0 && l.want.Swap(false)
+	l.notifyFlushed.Store(true)
+	return l.backlog() == 0 && l.notifyFlushed.Swap(false)
 }
 
 // wrote is told by nbio what has really left, and by the tail.
-func (l *link) wrote(n int) {
-	if l.written.Add(int64(n)); l.backlog() == 0 && l.want.Swap(false) {
-		l.s.queue.post(event{kind: evFlushed, link: l})
+func (l *connection) wrote(n int) {
+	if l.written.Add(int64(n)); l.backlog() == 0 && l.notifyFlushed.Swap(false) {
+		l.balancer.queue.post(event{kind: eventFlushed, conn: l})
 	}
 }
 
 // fin sends FIN after what is buffered. With last, nothing more is taken from the other side either.
-func (l *link) fin(last bool) {
+func (l *connection) fin(last bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state != live {
@@ -373,47 +373,47 @@
 		}
 		return
 	}
-	l.finWant = true
+	l.finPending = true
 	if last {
-		l.ahead = nil
+		l.endedData = nil
 		l.state = finishing
 		l.finishedAt = time.Now()
-		l.endBy, l.seen = l.finishedAt.Add(time.Second+l.s.slack), l.written.Load()
-		l.s.finishing[l] = struct{}{}
+		l.forceCloseAt, l.writtenAtLook = l.finishedAt.Add(time.Second+l.balancer.testSlack), l.written.Load()
+		l.balancer.finishing[l] = struct{}{}
 	}
 	if l.flushed() {
 		l.sendFin()
 	} else if last {
-		l.endBy = time.Now().Add(readWait)
+		l.forceCloseAt = time.Now().Add(peerReadTimeout)
 	}
-	if last && l.c != nil && (l.paused || l.starved || l.held != nil) { // what the pause kept in the socket has to be read away
+	if last && l.conn != nil && (l.paused || l.starved || l.waitsIn != nil) { // what the pause kept in the socket has to be read away
 		l.read(false)
 	}
 }
 
-func (l *link) sendFin() {
+func (l *connection) sendFin() {
 	if l.tail != nil {
 		l.tail.close(l.state == finishing)
 		return
 	}
-	control(l.c, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
+	withDescriptor(l.conn, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
 
 // onFlushed sends the FIN that waited for the last byte.
-func (l *link) onFlushed() {
+func (l *connection) onFlushed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.finWant && (l.state == live || l.state == finishing) {
+	if l.finPending && (l.state == live || l.state == finishing) {
 		l.sendFin()
 	}
 }
 
 // drop ends the link at once, and what is buffered with it. The poller closes the descriptor when it
 // meets the end that this makes.
-func (l *link) drop() {
+func (l *connection) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ahead = nil
+	l.endedData = nil
 	switch {
 	case l.state == dialing:
 		l.state = ended
@@ -423,24 +423,24 @@
 		l.state = ended
 		l.tail.close(true)
 	default:
-		l.state, l.cut = finishing, true
-		l.shut()
+		l.state, l.shutDown = finishing, true
+		l.shutBoth()
 	}
 }
 
-// shut lets neither side say more. That is an event for the poller, which closes the descriptor; nobody
+// shutBoth lets neither side say more. That is an event for the poller, which closes the descriptor; nobody
 // else may touch it from here on, since its number can be a newcomer's at any time.
-func (l *link) shut() {
-	control(l.c, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
+func (l *connection) shutBoth() {
+	withDescriptor(l.conn, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 }
 
 // reset ends the link with RST: the poller closes the descriptor, and nothing lingers. What wakes it is the end of
 // the reading, which sends nothing by itself. Connecting to no address would send the RST at once, but not every
 // network knows that call (EAFNOSUPPORT), and then the other side would never learn of the end.
-func (l *link) reset() {
+func (l *connection) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ahead = nil
+	l.endedData = nil
 	switch {
 	case l.state == dialing:
 		l.cancel()
@@ -448,7 +448,7 @@
 	case l.tail != nil:
 		l.tail.reset()
 	default:
-		control(l.c, func(fd int) {
+		withDescriptor(l.conn, func(fd int) {
 			_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 			_ = syscall.Shutdown(fd, syscall.SHUT_RD)
 		})
@@ -456,38 +456,38 @@
 	l.state = ended
 }
 
-// force ends a finishing link whose other side doesn't end. What it has sent is not read any more, so that
+// forceClose ends a finishing link whose other side doesn't end. What it has sent is not read any more, so that
 // the closing resets it: it may wait for room that nobody will make.
-func (l *link) force() {
+func (l *connection) forceClose() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.state != finishing || l.cut {
+	if l.state != finishing || l.shutDown {
 		return
 	}
 	l.state = ended
 	if l.tail != nil {
 		l.tail.reset()
 	} else {
-		l.shut()
+		l.shutBoth()
 	}
 }
 
-func (l *link) hasEnded() bool {
+func (l *connection) hasEnded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state == ended
 }
 
-// isGone tells that the descriptor of a link that finished is free again.
-func (l *link) isGone() bool {
+// isDescriptorFreed tells that the descriptor of a link that finished is free again.
+func (l *connection) isDescriptorFreed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.gone
+	return l.descriptorFreed
 }
 
-// control does something to the socket, unless nbio has closed it, which nothing but a write tells: the
+// withDescriptor does something to the socket, unless nbio has closed it, which nothing but a write tells: the
 // descriptor's number may be another connection's by now.
-func control(c *nbio.Conn, do func(fd int)) {
+func withDescriptor(c *nbio.Conn, do func(fd int)) {
 	if _, err := c.Write(nil); err != nil {
 		return
 	}
@@ -496,10 +496,10 @@
 	}
 }
 
-// hasFin tells whether the other side has ended, though bytes from before may still wait to be read.
-func hasFin(c *nbio.Conn) bool {
+// peerHasClosed tells whether the other side has ended, though bytes from before may still wait to be read.
+func peerHasClosed(c *nbio.Conn) bool {
 	fin := true
-	control(c, func(fd int) {
+	withDescriptor(c, func(fd int) {
 		state, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		const established, synRecv, finWait1, finWait2 = 1, 3, 4, 5 // the last two: only this side has
 		switch state & 0xff {
@@ -510,45 +510,45 @@
 	return fin
 }
 
-// tail writes to a terminal that has closed its sending, for which nbio has no use any more: the socket
+// tailWriter writes to a terminal that has closed its sending, for which nbio has no use any more: the socket
 // lives on under a second descriptor, served by the standard library, nbio's own fallback.
-type tail struct {
-	l      *link
-	conn   net.Conn
-	mu     sync.Mutex
-	cond   *sync.Cond
-	todo   []byte
-	done   bool
-	broken bool // ended by RST: a FIN before it would end the connection in good order
+type tailWriter struct {
+	owner          *connection
+	conn           net.Conn
+	mu             sync.Mutex
+	cond           *sync.Cond
+	pending        []byte
+	closeRequested bool
+	resetRequested bool // ended by RST: a FIN before it would end the connection in good order
 }
 
-// handOver moves the socket from nbio to a tail, and with it what nbio has not written yet: it would
+// handOverToTail moves the socket from nbio to a tail, and with it what nbio has not written yet: it would
 // drop that when it closes its descriptor.
-func (l *link) handOver() bool {
-	conn := l.twin()
-	if conn == nil && l.s.door != nil { // the spare descriptors are for this: the terminal's answer hangs on it
-		l.s.door.starved(true)
-		conn = l.twin()
+func (l *connection) handOverToTail() bool {
+	conn := l.duplicate()
+	if conn == nil && l.balancer.admission != nil { // the spare descriptors are for this: the terminal's answer hangs on it
+		l.balancer.admission.descriptorsExhausted(true)
+		conn = l.duplicate()
 	}
 	if conn == nil {
 		return false
 	}
-	l.tail = &tail{l: l, conn: conn}
+	l.tail = &tailWriter{owner: l, conn: conn}
 	l.tail.cond = sync.NewCond(&l.tail.mu)
-	l.tail.todo = l.rest[len(l.rest)-min(len(l.rest), int(l.backlog())):]
-	l.rest = nil
-	l.s.sockets.Add(1)
+	l.tail.pending = l.unwritten[len(l.unwritten)-min(len(l.unwritten), int(l.backlog())):]
+	l.unwritten = nil
+	l.balancer.sockets.Add(1)
 	go l.tail.run()
-	c := l.c
-	l.c = nil
-	unwatch(c)
+	c := l.conn
+	l.conn = nil
+	removeFromEpoll(c)
 	_ = c.Close()
 	return true
 }
 
-// twin is the same socket under a second descriptor, nil if there is none to be had.
-func (l *link) twin() (conn net.Conn) {
-	control(l.c, func(fd int) {
+// duplicate is the same socket under a second descriptor, nil if there is none to be had.
+func (l *connection) duplicate() (conn net.Conn) {
+	withDescriptor(l.conn, func(fd int) {
 		twin, err := syscall.Dup(fd)
 		if err != nil {
 			return
@@ -563,68 +563,68 @@
 	return conn
 }
 
-// unwatch takes a connection out of nbio's epoll. nbio leaves that to close(2), which does it only for
+// removeFromEpoll takes a connection out of nbio's epoll. nbio leaves that to close(2), which does it only for
 // the last descriptor of a socket; while the tail has another, events would go on coming under the
 // old number, and nbio would close whoever has got it since. The poller's descriptor is not exported.
-func unwatch(c *nbio.Conn) {
+func removeFromEpoll(c *nbio.Conn) {
 	poller := reflect.ValueOf(c).Elem().FieldByName("p")
 	if !poller.IsValid() || poller.Kind() != reflect.Pointer {
 		return
 	}
 	if epoll := poller.Elem().FieldByName("epfd"); epoll.IsValid() && epoll.CanInt() {
-		control(c, func(fd int) { _ = syscall.EpollCtl(int(epoll.Int()), syscall.EPOLL_CTL_DEL, fd, nil) })
+		withDescriptor(c, func(fd int) { _ = syscall.EpollCtl(int(epoll.Int()), syscall.EPOLL_CTL_DEL, fd, nil) })
 	}
 }
 
-func (t *tail) push(b []byte) {
+func (t *tailWriter) push(b []byte) {
 	t.mu.Lock()
-	t.todo = append(t.todo, b...)
+	t.pending = append(t.pending, b...)
 	t.mu.Unlock()
 	t.cond.Signal()
 }
 
 // close ends the writing; the descriptor goes with it, since nothing more can be read either.
-func (t *tail) close(bool) {
+func (t *tailWriter) close(bool) {
 	t.mu.Lock()
-	t.done = true
+	t.closeRequested = true
 	t.mu.Unlock()
 	t.cond.Signal()
 }
 
-func (t *tail) reset() {
+func (t *tailWriter) reset() {
 	if c, ok := t.conn.(*net.TCPConn); ok {
 		_ = c.SetLinger(0)
 	}
 	_ = t.conn.SetWriteDeadline(time.Now())
 	t.mu.Lock()
-	t.broken = true
+	t.resetRequested = true
 	t.mu.Unlock()
 	t.close(true)
 }
 
-func (t *tail) run() {
+func (t *tailWriter) run() {
 	defer func() {
-		t.l.s.sockets.Add(-1)
-		if t.l.ticket != 0 {
-			t.l.s.door.closed(t.l.ticket)
+		t.owner.balancer.sockets.Add(-1)
+		if t.owner.ticket != 0 {
+			t.owner.balancer.admission.closed(t.owner.ticket)
 		}
-		t.l.mu.Lock()
-		t.l.state, t.l.gone = ended, true
-		t.l.mu.Unlock()
+		t.owner.mu.Lock()
+		t.owner.state, t.owner.descriptorFreed = ended, true
+		t.owner.mu.Unlock()
 	}()
 	for {
 		t.mu.Lock()
-		for len(t.todo) == 0 && !t.done {
+		for len(t.pending) == 0 && !t.closeRequested {
 			t.cond.Wait()
 		}
-		todo, done, broken := t.todo, t.done, t.broken
-		t.todo = nil
+		todo, done, broken := t.pending, t.closeRequested, t.resetRequested
+		t.pending = nil
 		t.mu.Unlock()
 		if len(todo) > 0 && !broken {
 			n, err := t.conn.Write(todo)
-			t.l.wrote(n)
+			t.owner.wrote(n)
 			if err != nil {
-				t.l.s.queue.post(event{kind: evBroken, link: t.l})
+				t.owner.balancer.queue.post(event{kind: eventReset, conn: t.owner})
 				_ = t.conn.Close()
 				return
 			}
--- a/internal/proxy/links.go
+++ b/internal/proxy/links.go
@@ -19,67 +19,67 @@
 	"oatloft/internal/revision"
 )
 
-// linkage is what this balancer has to do with links between zones. Its first part belongs to the loop.
-type linkage struct {
-	s       *Server
-	zone    string
-	buffer  int                 // bytes that the system may keep of a region's that isn't read
-	zones   map[string][2]*pipe // by the other zone: from here to there, and back
-	shares  map[string]float64
-	part    *bandwidth.Part
-	pipes   atomic.Pointer[[]*pipe]
-	bell    chan struct{}
-	stop    chan struct{}
-	tellAt  time.Time
-	stopped sync.WaitGroup
-	turns   atomic.Int64
+// zoneLinks is what this balancer has to do with links between zones. Its first part belongs to the loop.
+type zoneLinks struct {
+	balancer      *Balancer
+	zone          string
+	receiveBuffer int                     // bytes that the system may keep of a region's that isn't read
+	byZone        map[string][2]*zoneLink // by the other zone: from here to there, and back
+	shares        map[string]float64
+	part          *bandwidth.Part
+	all           atomic.Pointer[[]*zoneLink]
+	wake          chan struct{}
+	stop          chan struct{}
+	nextReportAt  time.Time
+	stopped       sync.WaitGroup
+	turnCount     atomic.Int64
 }
 
-// pipe is one link in its direction. Its lock is held for moments, and nothing else is locked under it.
-type pipe struct {
-	k     *linkage
-	link  revision.Link
-	mu    sync.Mutex
-	sh    *bandwidth.Shaper[*link]
-	lanes map[[2]string]*lane
+// zoneLink is one link in its direction. Its lock is held for moments, and nothing else is locked under it.
+type zoneLink struct {
+	links  *zoneLinks
+	link   revision.Link
+	mu     sync.Mutex
+	shaper *bandwidth.Shaper[*connection]
+	queues map[[2]string]*bandwidthQueue
 }
 
-// lane is where bytes of one class and tenant wait for a pipe.
-type lane struct {
-	p    *pipe
-	flow *bandwidth.Flow[*link]
+// bandwidthQueue is where bytes of one class and tenant wait for a pipe.
+type bandwidthQueue struct {
+	link *zoneLink
+	flow *bandwidth.Flow[*connection]
 }
 
-// newLinkage has s ready for bounded links; there is none before setLinks. What comes back in part is what the others are to be asked by.
-func newLinkage(s *Server, set bandwidth.Settings, buffer int) (*linkage, error) {
+// newZoneLinks has s ready for bounded links; there is none before setLinks. What comes back in part is what the others are to be asked by.
+func newZoneLinks(s *Balancer, set bandwidth.Settings, buffer int) (*zoneLinks, error) {
 	part, err := bandwidth.NewPart(set)
 	if err != nil {
 		return nil, err
 	}
-	k := &linkage{s: s, zone: s.cfg.Core.Policy.Zone, buffer: buffer, part: part, shares: map[string]float64{},
-		bell: make(chan struct{}, 1), stop: make(chan struct{})}
-	k.pipes.Store(new([]*pipe))
-	part.Bind(k.measure, k.lent, func(err error) {
-		s.said.Say(time.Now(), slog.LevelWarn, "links", "links keep their safe parts", slog.Any("err", err))
+	k := &zoneLinks{balancer: s, zone: s.cfg.Core.Policy.Zone, receiveBuffer: buffer, part: part, shares: map[string]float64{},
+		wake: make(chan struct{}, 1), stop: make(chan struct{})}
+	k.all.Store(new([]*zoneLink))
+	part.Bind(k.measure, k.applyGrants, func(err error) {
+		s.limitedLog.Say(time.Now(), slog.LevelWarn, "links", "links keep their safe parts", slog.Any("err", err))
 	})
 	k.stopped.Add(1)
-	go k.pace()
+	go k.giveTurns()
 	return k, nil
 }
 
-func (k *linkage) close() {
+func (k *zoneLinks) close() {
 	close(k.stop)
 	k.stopped.Wait()
 }
 
 // setLinks takes the table of the revision that is in force. Connections that stand are held to it from now on.
-func (s *Server) setLinks(table []revision.Link) {
-	k := s.links
+func (s *Balancer) setLinks(table []revision.Link) {
+	k := s.zoneLinks
 	if k == nil {
 		return
 	}
 	k.shares = map[string]float64{} // a new one: others read the old one
-	tenants, most := s.overlaid(s.cfg.Core.Policy).Tenants, 0.0
+	tenants, most := s.overlay(s.cfg.Core.Policy).Tenants, 0.0
 	for _, t := range tenants {
 		most = max(most, t.ConnectionQuota)
 	}
@@ -89,9 +89,9 @@
 			k.shares[t.Name] = most
 		}
 	}
-	now, before := s.now(), *k.pipes.Load()
+	now, before := s.now(), *k.all.Load()
 	k.part.SetTable(table, k.shares)
-	zones, all := map[string][2]*pipe{}, make([]*pipe, 0, len(table))
+	zones, all := map[string][2]*zoneLink{}, make([]*zoneLink, 0, len(table))
 	for _, l := range table {
 		way, other := 0, l.To
 		if l.To == k.zone {
@@ -100,200 +100,202 @@
 		if (l.From == k.zone) == (l.To == k.zone) {
 			continue
 		}
-		p := &pipe{k: k, sh: bandwidth.NewShaper[*link](now), lanes: map[[2]string]*lane{}}
-		if i := slices.IndexFunc(before, func(p *pipe) bool { return p.link.From == l.From && p.link.To == l.To }); i >= 0 {
+		p := &zoneLink{links: k, shaper: bandwidth.NewShaper[*connection](now), queues: map[[2]string]*bandwidthQueue{}}
+		if i := slices.IndexFunc(before, func(p *zoneLink) bool { return p.link.From == l.From && p.link.To == l.To }); i >= 0 {
 			p = before[i]
 		}
 		p.mu.Lock()
 		p.link = l
-		p.sh.SetLink(now, l, k.part.Safe(l.Bytes), k.shares)
+		p.shaper.SetLink(now, l, k.part.Safe(l.Bytes), k.shares)
 		p.mu.Unlock()
 		both := zones[other]
 		both[way] = p
 		zones[other], all = both, append(all, p)
 	}
-	k.zones = zones
-	k.pipes.Store(&all)
-	for _, t := range s.terminals {
-		if t.up {
+	k.byZone = zones
+	k.all.Store(&all)
+	for _, t := range s.clients {
+		if t.established {
 			k.attach(t)
 		}
 	}
-	k.ring()
+	k.signal()
 }
 
 // attach has both sides of a transaction that is up read by the links that they cross, or freely.
-func (k *linkage) attach(t *terminal) {
-	var lanes [2]*lane
-	if t.task != nil {
-		for way, p := range k.zones[k.s.core.ZoneOf(t.task.region)] {
+func (k *zoneLinks) attach(t *client) {
+	var lanes [2]*bandwidthQueue
+	if t.server != nil {
+		for way, p := range k.byZone[k.balancer.core.ZoneOf(t.server.server)] {
 			if p != nil {
-				lanes[way] = p.lane(t)
+				lanes[way] = p.queueFor(t)
 			}
 		}
-		t.task.knows()
-		t.task.passBy(lanes[1])
+		t.server.markEstablished()
+		t.server.setQueue(lanes[1])
 	}
-	t.l.passBy(lanes[0])
+	t.conn.setQueue(lanes[0])
 }
 
-const tellEvery = 20 * time.Millisecond
+const reportInterval = 20 * time.Millisecond
 
-// ticked tells the reducer whose region is not to blame for its silence.
-func (k *linkage) ticked(now time.Time) {
-	if now.Before(k.tellAt) {
+// handleTick tells the reducer whose region is not to blame for its silence.
+func (k *zoneLinks) handleTick(now time.Time) {
+	if now.Before(k.nextReportAt) {
 		return
 	}
-	k.tellAt = now.Add(tellEvery)
-	for _, both := range k.zones {
+	k.nextReportAt = now.Add(reportInterval)
+	for _, both := range k.byZone {
 		if both[1] == nil {
 			continue
 		}
 		both[1].mu.Lock()
-		waiting := both[1].sh.Waiting()
+		waiting := both[1].shaper.Waiting()
 		both[1].mu.Unlock()
 		if waiting == 0 {
 			continue
 		}
-		for _, t := range k.s.terminals {
-			if t.up && t.task != nil && t.task.waits() {
-				k.s.step(core.ServerDataQueued{Client: t.handle})
+		for _, t := range k.balancer.clients {
+			if t.established && t.server != nil && t.server.waitsForTurn() {
+				k.balancer.step(core.ServerDataQueued{Client: t.handle})
 			}
 		}
 		return
 	}
 }
 
-// waits tells whether the link's bytes wait for their turn.
-func (l *link) waits() bool {
+// waitsForTurn tells whether the link's bytes wait for their turn.
+func (l *connection) waitsForTurn() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held != nil
+	return l.waitsIn != nil
 }
 
-// sentTo and cameFrom count what passes while a connection is set up, which isn't held back.
-func (k *linkage) sentTo(t *terminal, region string, n int)   { k.owe(t, region, 0, n) }
-func (k *linkage) cameFrom(t *terminal, region string, n int) { k.owe(t, region, 1, n) }
+// countSent and cameFrom count what passes while a connection is set up, which isn't held back.
+func (k *zoneLinks) countSent(t *client, region string, n int)     { k.count(t, region, 0, n) }
+func (k *zoneLinks) countReceived(t *client, region string, n int) { k.count(t, region, 1, n) }
 
-func (k *linkage) owe(t *terminal, region string, way, n int) {
-	if p := k.zones[k.s.core.ZoneOf(region)][way]; p != nil {
-		g := p.lane(t)
+func (k *zoneLinks) count(t *client, region string, way, n int) {
+	if p := k.byZone[k.balancer.core.ZoneOf(region)][way]; p != nil {
+		g := p.queueFor(t)
 		p.mu.Lock()
-		p.sh.Owe(k.s.now(), g.flow, n)
+		p.shaper.Owe(k.balancer.now(), g.flow, n)
 		p.mu.Unlock()
 	}
 }
 
-// begin has a routed task read by its link from the start, before anybody else knows of it. What the system keeps of it unread is little:
+// shapeFromStart has a routed task read by its link from the start, before anybody else knows of it. What the system keeps of it unread is little:
 // that has crossed the link already.
-func (k *linkage) begin(l *link) {
-	if p := k.zones[k.s.core.ZoneOf(l.region)][1]; p != nil {
-		l.lane, l.narrow = p.lane(l.term), k.buffer
+func (k *zoneLinks) shapeFromStart(l *connection) {
+	if p := k.byZone[k.balancer.core.ZoneOf(l.server)][1]; p != nil {
+		l.queue, l.receiveBuffer = p.queueFor(l.client), k.receiveBuffer
 	}
 }
 
-func (l *link) readBuffer() int {
-	if l != nil && l.narrow > 0 {
-		return l.narrow
+func (l *connection) receiveBufferSize() int {
+	if l != nil && l.receiveBuffer > 0 {
+		return l.receiveBuffer
 	}
 	return socketBuffer
 }
 
-// narrowed sets a small buffer before the connection is made, nil if there is none to set: later the other side has been told of more.
-func (l *link) narrowed() func(network, addr string, c syscall.RawConn) error {
-	if l.narrow == 0 {
+// dialControl sets a small buffer before the connection is made, nil if there is none to set: later the other side has been told of more.
+func (l *connection) dialControl() func(network, addr string, c syscall.RawConn) error {
+	if l.receiveBuffer == 0 {
 		return nil
 	}
 	return func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, l.narrow) })
+		return c.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, l.receiveBuffer)
+		})
 	}
 }
 
-// lane is that of a terminal's class and tenant. Tenants that nobody has heard of share one.
-func (p *pipe) lane(t *terminal) *lane {
-	of := [2]string{t.open.Class, t.open.Tenant}
-	if _, ok := p.k.shares[of[1]]; !ok {
+// queueFor is that of a terminal's class and tenant. Tenants that nobody has heard of share one.
+func (p *zoneLink) queueFor(t *client) *bandwidthQueue {
+	of := [2]string{t.request.Class, t.request.Tenant}
+	if _, ok := p.links.shares[of[1]]; !ok {
 		of[1] = ""
 	}
-	g := p.lanes[of]
+	g := p.queues[of]
 	if g == nil {
 		p.mu.Lock()
-		g = &lane{p, p.sh.Flow(of[0], of[1])}
+		g = &bandwidthQueue{p, p.shaper.Flow(of[0], of[1])}
 		p.mu.Unlock()
-		p.lanes[of] = g
+		p.queues[of] = g
 	}
 	return g
 }
 
 // take asks for l's turn. Where it isn't, l waits for it.
-func (g *lane) take(l *link, most int) int {
-	now := l.s.now()
-	g.p.mu.Lock()
-	n := g.p.sh.Take(now, g.flow, most)
+func (g *bandwidthQueue) take(l *connection, most int) int {
+	now := l.balancer.now()
+	g.link.mu.Lock()
+	n := g.link.shaper.Take(now, g.flow, most)
 	first := false
 	if n == 0 {
-		g.p.sh.Wait(now, g.flow, l)
-		first = g.p.sh.Waiting() == 1
+		g.link.shaper.Wait(now, g.flow, l)
+		first = g.link.shaper.Waiting() == 1
 	}
-	g.p.mu.Unlock()
+	g.link.mu.Unlock()
 	if first {
-		g.p.k.ring()
+		g.link.links.signal()
 	}
 	return n
 }
 
-func (g *lane) giveBack(n int) {
+func (g *bandwidthQueue) giveBack(n int) {
 	if n > 0 {
-		g.p.mu.Lock()
-		g.p.sh.Return(g.flow, n)
-		g.p.mu.Unlock()
+		g.link.mu.Lock()
+		g.link.shaper.Return(g.flow, n)
+		g.link.mu.Unlock()
 	}
 }
 
-func (k *linkage) ring() {
+func (k *zoneLinks) signal() {
 	select {
-	case k.bell <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
 type turn struct {
-	l *link
-	g *lane
-	n int
+	conn  *connection
+	queue *bandwidthQueue
+	bytes int
 }
 
-const turnsAtOnce = 64 // of one pipe, before another has its own
+const maxTurns = 64 // of one pipe, before another has its own
 
-// pace gives turns by the clock, on a goroutine of its own.
-func (k *linkage) pace() {
+// giveTurns gives turns by the clock, on a goroutine of its own.
+func (k *zoneLinks) giveTurns() {
 	defer k.stopped.Done()
-	timer, alarm := time.NewTimer(time.Hour), newPause() // the runtime's own is up to a millisecond late, which is more than a turn
+	timer, alarm := time.NewTimer(time.Hour), newSystemTimer() // the runtime's own is up to a millisecond late, which is more than a turn
 	defer timer.Stop()
 	defer alarm.close()
-	exact := alarm.rings(k.ring)
+	exact := alarm.onExpiry(k.signal)
 	var list []turn
 	for {
 		soon := time.Hour
-		for _, p := range *k.pipes.Load() {
+		for _, p := range *k.all.Load() {
 			list = list[:0]
 			p.mu.Lock()
-			now := k.s.now()
-			for len(list) < turnsAtOnce {
-				l, f, n, ok := p.sh.Next(now)
+			now := k.balancer.now()
+			for len(list) < maxTurns {
+				l, f, n, ok := p.shaper.Next(now)
 				if !ok {
 					break
 				}
-				list = append(list, turn{l, &lane{p, f}, n})
+				list = append(list, turn{l, &bandwidthQueue{p, f}, n})
 			}
 			p.mu.Unlock()
-			k.turns.Add(int64(len(list)))
+			k.turnCount.Add(int64(len(list)))
 			for i, t := range list {
-				t.l.turn(t.g, t.n)
+				t.conn.takeTurn(t.queue, t.bytes)
 				list[i] = turn{}
 			}
 			p.mu.Lock()
-			soon = min(soon, p.sh.Soon(k.s.now()))
+			soon = min(soon, p.shaper.Soon(k.balancer.now()))
 			p.mu.Unlock()
 		}
 		if !exact || !alarm.set(soon) {
@@ -301,166 +303,166 @@
 		}
 		select {
 		case <-timer.C:
-		case <-k.bell:
+		case <-k.wake:
 		case <-k.stop:
 			return
 		}
 	}
 }
 
-// passBy has the link read by a lane from now on, nil for freely.
-func (l *link) passBy(g *lane) {
+// setQueue has the link read by a lane from now on, nil for freely.
+func (l *connection) setQueue(g *bandwidthQueue) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lane == g {
+	if l.queue == g {
 		return
 	}
-	l.lane, l.held = g, nil // where it waited its turn comes to nothing
+	l.queue, l.waitsIn = g, nil // where it waited its turn comes to nothing
 	l.readOn()
 }
 
-// turn reads n bytes at most, or leaves them to others if this link has no use for them.
-func (l *link) turn(g *lane, n int) {
+// takeTurn reads n bytes at most, or leaves them to others if this link has no use for them.
+func (l *connection) takeTurn(g *bandwidthQueue, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held == nil || l.held.flow != g.flow {
+	if l.waitsIn == nil || l.waitsIn.flow != g.flow {
 		g.giveBack(n)
 		return
 	}
-	l.held = nil
-	l.turned.Store(true)
+	l.waitsIn = nil
+	l.hadWaited.Store(true)
 	switch {
-	case l.ahead != nil:
-		l.passAhead(n)
-	case l.state != live || l.c == nil || l.paused || l.starved:
+	case l.endedData != nil:
+		l.passEndedData(n)
+	case l.state != live || l.conn == nil || l.paused || l.starved:
 		g.giveBack(n)
-	case l.s.queue.long():
+	case l.balancer.queue.isLong():
 		g.giveBack(n)
-		l.s.queue.starve(l)
+		l.balancer.queue.deferRead(l)
 	default:
 		l.readShaped(false, n)
 	}
 }
 
 // readShaped takes in what the link has room for, given bytes of it already.
-func (l *link) readShaped(poller bool, given int) {
-	if poller && hasFin(l.c) {
-		l.readAhead()
+func (l *connection) readShaped(poller bool, given int) {
+	if poller && peerHasClosed(l.conn) {
+		l.readToEnd()
 		return
 	}
-	for reads := 0; reads < readsAtOnce; reads++ {
+	for reads := 0; reads < maxReads; reads++ {
 		n := given
 		given = 0
 		switch {
-		case l.answering():
+		case l.exempt():
 			if reads > 0 {
-				l.s.queue.starve(l)
+				l.balancer.queue.deferRead(l)
 				return
 			}
-			n = answerSize
+			n = exemptBytes
 		case n == 0:
-			if n = l.lane.take(l, readSize); n == 0 {
-				l.held = l.lane
+			if n = l.queue.take(l, readSize); n == 0 {
+				l.waitsIn = l.queue
 				return
 			}
 		}
 		buf := buffers.Get().(*[]byte)
-		m, err := l.c.Read((*buf)[:n])
-		if !l.answering() {
-			l.lane.giveBack(n - max(m, 0))
+		m, err := l.conn.Read((*buf)[:n])
+		if !l.exempt() {
+			l.queue.giveBack(n - max(m, 0))
 		}
 		if m > 0 {
 			*buf = (*buf)[:m]
-			l.waiting.Add(1)
-			l.s.queue.post(event{kind: evData, link: l, data: buf})
+			l.queuedEvents.Add(1)
+			l.balancer.queue.post(event{kind: eventData, conn: l, data: buf})
 			continue
 		}
-		release(buf)
+		releaseBuffer(buf)
 		if !errors.Is(err, syscall.EINTR) {
 			return // nothing is there, or an end that the poller will meet
 		}
 	}
-	l.s.queue.starve(l)
+	l.balancer.queue.deferRead(l)
 }
 
-const answerSize = 512 // of a region's bytes at a time that are read, and counted later, before it is known whether it takes the task
+const exemptBytes = 512 // of a region's bytes at a time that are read, and counted later, before it is known whether it takes the task
 
-// answering tells of a routed task whose answer hasn't been seen, and of a terminal whose line has to end: they aren't held back.
-func (l *link) answering() bool { return l.role == taskRole && !l.known || l.hurry }
+// exempt tells of a routed task whose answer hasn't been seen, and of a terminal whose line has to end: they aren't held back.
+func (l *connection) exempt() bool { return l.role == serverRole && !l.established || l.bypass }
 
-// hurried has a link that passes a bounded one read on without turns, little at a time; it is false where nothing bounds it.
-func (l *link) hurried() bool {
+// bypassQueue has a link that passes a bounded one read on without turns, little at a time; it is false where nothing bounds it.
+func (l *connection) bypassQueue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lane == nil {
+	if l.queue == nil {
 		return false
 	}
-	l.hurry, l.held, l.paused = true, nil, false
+	l.bypass, l.waitsIn, l.paused = true, nil, false
 	l.readOn()
 	return true
 }
 
-// ahead is what was read of a side that has ended: nbio closes the socket then, so that nothing can be left there. It is no more than the
+// endedData is what was read of a side that has ended: nbio closes the socket then, so that nothing can be left there. It is no more than the
 // system's buffer held, and passes on by the link's turns; the end comes behind it.
-type ahead struct {
+type endedData struct {
 	data []*[]byte
 	end  eventKind
 }
 
-// readAhead reads a socket to its end, on the poller's goroutine.
-func (l *link) readAhead() {
-	a := &ahead{end: evEnded}
+// readToEnd reads a socket to its end, on the poller's goroutine.
+func (l *connection) readToEnd() {
+	a := &endedData{end: eventEOF}
 	for {
 		buf := buffers.Get().(*[]byte)
-		n, err := l.c.Read(*buf)
+		n, err := l.conn.Read(*buf)
 		if n > 0 {
 			*buf = (*buf)[:n]
 			a.data = append(a.data, buf)
 			continue
 		}
-		release(buf)
+		releaseBuffer(buf)
 		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) {
-			a.end = evBroken
+			a.end = eventReset
 		}
 		break
 	}
-	if a.end == evBroken && l.role == terminalRole {
+	if a.end == eventReset && l.role == clientRole {
 		a.data = nil // nobody is there who waits for what comes of it
 	}
-	l.ahead, l.held = a, nil
-	c := l.c
-	if a.end == evBroken || l.role != terminalRole || !l.handOver() {
+	l.endedData, l.waitsIn = a, nil
+	c := l.conn
+	if a.end == eventReset || l.role != clientRole || !l.handOverToTail() {
 		l.state = ended
 		_ = c.Close()
 	}
-	l.passAhead(0)
+	l.passEndedData(0)
 }
 
-// passAhead passes on what was read ahead as far as there is room, given bytes of it already.
-func (l *link) passAhead(given int) {
-	g, a := l.lane, l.ahead
+// passEndedData passes on what was read ahead as far as there is room, given bytes of it already.
+func (l *connection) passEndedData(given int) {
+	g, a := l.queue, l.endedData
 	for len(a.data) > 0 {
-		if l.paused || l.starved || l.s.queue.long() {
+		if l.paused || l.starved || l.balancer.queue.isLong() {
 			if !l.paused && !l.starved {
-				l.s.queue.starve(l)
+				l.balancer.queue.deferRead(l)
 			}
 			break
 		}
 		buf := a.data[0]
 		n := given
 		given = 0
-		free := g == nil || l.answering()
+		free := g == nil || l.exempt()
 		switch {
 		case g == nil:
 			n = len(*buf)
 		case free:
-			n = answerSize
+			n = exemptBytes
 		case n == 0:
 			if n = g.take(l, len(*buf)); n == 0 {
-				l.held = g
+				l.waitsIn = g
 				return
 			}
 		}
@@ -475,10 +477,10 @@
 			}
 			a.data[0], a.data = nil, a.data[1:]
 		}
-		l.waiting.Add(1)
-		l.s.queue.post(event{kind: evData, link: l, data: buf})
+		l.queuedEvents.Add(1)
+		l.balancer.queue.post(event{kind: eventData, conn: l, data: buf})
 		if free && g != nil && len(a.data) > 0 {
-			l.s.queue.starve(l)
+			l.balancer.queue.deferRead(l)
 			break
 		}
 	}
@@ -486,41 +488,41 @@
 		g.giveBack(given)
 	}
 	if len(a.data) == 0 {
-		l.ahead = nil
-		l.s.queue.post(event{kind: a.end, link: l})
+		l.endedData = nil
+		l.balancer.queue.post(event{kind: a.end, conn: l})
 	}
 }
 
 // measure is what the links' demand was since the last time; lent takes what came of it.
-func (k *linkage) measure() (list []bandwidth.Ask) {
-	now := k.s.now()
-	for _, p := range *k.pipes.Load() {
+func (k *zoneLinks) measure() (list []bandwidth.Ask) {
+	now := k.balancer.now()
+	for _, p := range *k.all.Load() {
 		p.mu.Lock()
-		list = append(list, p.sh.Wants(now))
+		list = append(list, p.shaper.Wants(now))
 		p.mu.Unlock()
 	}
 	return list
 }
 
-func (k *linkage) lent(grants []bandwidth.Grant, until time.Time) {
-	now := k.s.now()
-	for _, p := range *k.pipes.Load() {
+func (k *zoneLinks) applyGrants(grants []bandwidth.Grant, until time.Time) {
+	now := k.balancer.now()
+	for _, p := range *k.all.Load() {
 		p.mu.Lock()
 		for _, g := range grants {
 			if g.Link == bandwidth.Name(p.link.From, p.link.To) {
-				p.sh.Lend(now, g, until.Sub(k.s.cfg.Zero))
+				p.shaper.Lend(now, g, until.Sub(k.balancer.cfg.StartOfClock))
 			}
 		}
 		p.mu.Unlock()
 	}
-	k.ring()
+	k.signal()
 }
 
-// full names the zones that a full link joins with this one, either way, with the last order of classes that still gets there; orders
+// saturated names the zones that a full link joins with this one, either way, with the last order of classes that still gets there; orders
 // are the classes', 1 for what is worth most. It is called on the loop.
-func (k *linkage) full(orders map[string]int) map[string]int {
+func (k *zoneLinks) saturated(orders map[string]int) map[string]int {
 	var zones map[string]int
-	for zone, both := range k.zones {
+	for zone, both := range k.byZone {
 		last, short := 0, false
 		for _, order := range orders {
 			last = max(last, order)
@@ -530,7 +532,7 @@
 				continue
 			}
 			p.mu.Lock()
-			for _, class := range p.sh.Short() {
+			for _, class := range p.shaper.Short() {
 				if order, ok := orders[class]; ok {
 					last, short = min(last, order-1), true
 				}
@@ -548,16 +550,16 @@
 }
 
 // report is what the counters' line says of links.
-func (k *linkage) report() any {
-	now := k.s.now()
+func (k *zoneLinks) report() any {
+	now := k.balancer.now()
 	all := struct {
 		Turns  int64               `json:"turns"`
 		Unread int64               `json:"unread"`
 		Links  []bandwidth.Figures `json:"links"`
-	}{k.turns.Load(), k.part.Unread(), []bandwidth.Figures{}}
-	for _, p := range *k.pipes.Load() {
+	}{k.turnCount.Load(), k.part.Unread(), []bandwidth.Figures{}}
+	for _, p := range *k.all.Load() {
 		p.mu.Lock()
-		all.Links = append(all.Links, p.sh.Figures(now))
+		all.Links = append(all.Links, p.shaper.Figures(now))
 		p.mu.Unlock()
 	}
 	return all
--- a/internal/proxy/links_test.go
+++ b/internal/proxy/links_test.go
@@ -28,7 +28,7 @@
 // numbered lines and has each be the next, "echo" sends back what comes, "source" sends numbered lines.
 type sites struct {
 	t      testing.TB
-	server *Server
+	server *Balancer
 	mu     sync.Mutex
 	bytes  map[string]int64 // that came to the far region, by class
 	byKey  map[string]int64 // and by terminal
@@ -121,7 +121,7 @@
 	from := strings.Index(text, `{"name":"chat"`)
 	chat := text[from : strings.Index(text[from:], "}")+from+1]
 	text = strings.Replace(text, chat, chat+","+strings.Replace(chat, "chat", "bulk", 1), 1)
-	cfg, err := ParseConfig([]byte(text), Beside{})
+	cfg, err := ParseConfig([]byte(text), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if on {
-		if w.server.links, err = newLinkage(w.server, bandwidth.Settings{Lease: time.Second, SafePart: 0.04, Holders: 2}, 16<<10); err != nil {
+		if w.server.zoneLinks, err = newZoneLinks(w.server, bandwidth.Settings{Lease: time.Second, SafePart: 0.04, Holders: 2}, 16<<10); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -144,7 +144,7 @@
 		if !on {
 			return
 		}
-		part, began := w.server.links.part, time.Now()
+		part, began := w.server.zoneLinks.part, time.Now()
 		part.Elected(-time.Hour)
 		for ctx.Err() == nil {
 			asked := time.Now()
@@ -166,7 +166,7 @@
 
 func (w *sites) set(table ...revision.Link) {
 	done := make(chan struct{})
-	w.server.asks <- func() { w.server.setLinks(table); close(done) }
+	w.server.calls <- func() { w.server.setLinks(table); close(done) }
 	<-done
 }
 
@@ -435,7 +435,7 @@
 		t.Fatal(took, err)
 	}
 	done := make(chan int64)
-	w.server.asks <- func() { done <- w.server.core.Counters.DelaysReported }
+	w.server.calls <- func() { done <- w.server.core.Counters.DelaysReported }
 	if n := <-done; n > 0 {
 		t.Errorf("told for slow %d times", n)
 	}
@@ -450,7 +450,7 @@
 	text := strings.Repeat("e", 7999) + "\n"
 	go func() { _, _ = io.WriteString(c, text+text) }()
 	time.Sleep(300 * time.Millisecond)
-	w.server.asks <- func() { w.server.step(core.ShutdownRequested{HandedOver: true}) }
+	w.server.calls <- func() { w.server.step(core.ShutdownRequested{HandedOver: true}) }
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if line, err := in.ReadString('\n'); err != nil || line != text {
 		t.Fatalf("%d bytes of a line, %v", len(line), err)
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// gate lets terminals in while there are descriptors for them. Without it nbio's accept loop would turn
+// clientListener lets terminals in while there are descriptors for them. Without it nbio's accept loop would turn
 // at full speed where they run out, and close what it can't take in.
-type gate struct {
+type clientListener struct {
 	net.Listener
-	s    *Server
-	file *os.File // the same socket, where we accept by ourselves: a listener of the standard library lets nobody else
+	balancer *Balancer
+	file     *os.File // the same socket, where we accept by ourselves: a listener of the standard library lets nobody else
 }
 
 // listen opens the listener that nbio accepts from.
-func (s *Server) listen(network, addr string) (net.Listener, error) {
-	l, err := s.inherit, error(nil)
+func (s *Balancer) listen(network, addr string) (net.Listener, error) {
+	l, err := s.inherited, error(nil)
 	if l == nil {
 		l, err = net.Listen(network, addr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if s.door == nil && s.inherit == nil {
-		s.listener = gate{Listener: l, s: s}
+	if s.admission == nil && s.inherited == nil {
+		s.listener = clientListener{Listener: l, balancer: s}
 		return s.listener, nil
 	}
 	f, err := l.(*net.TCPListener).File()
@@ -43,41 +43,41 @@
 		_ = l.Close()
 		return nil, err
 	}
-	s.listener = gate{l, s, f}
+	s.listener = clientListener{l, s, f}
 	return s.listener, nil
 }
 
-const handOver = "see that what starts the balancer hands over the listening socket, and gives its number by PROXY_FD"
+const inheritedHint = "see that what starts the balancer hands over the listening socket, and gives its number by PROXY_FD"
 
-// inherited takes over the listening socket that the platform holds for all processes of this balancer. It is closed by
+// takeInherited takes over the listening socket that the platform holds for all processes of this balancer. It is closed by
 // each of them, and shut down by none: what waits in its queue is another one's then.
-func inherited(fd, addr string) (net.Listener, error) {
+func takeInherited(fd, addr string) (net.Listener, error) {
 	n, err := strconv.Atoi(fd)
 	if err != nil || n < 3 {
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: handOver}}
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: inheritedHint}}
 	}
 	want, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
-		return nil, &NoAddress{hint.Annotated{Where: "listen", Cause: err, Do: "give host:port"}}
+		return nil, &ListenFailed{hint.Annotated{Where: "listen", Cause: err, Do: "give host:port"}}
 	}
 	switch on, err := syscall.GetsockoptInt(n, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); {
 	case errors.Is(err, syscall.EBADF):
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is not open", n), Do: handOver}}
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is not open", n), Do: inheritedHint}}
 	case err != nil:
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is no socket", n), Do: handOver}}
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is no socket", n), Do: inheritedHint}}
 	case on == 0:
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d does not listen", n), Do: handOver}}
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d does not listen", n), Do: inheritedHint}}
 	}
 	f := os.NewFile(uintptr(n), "PROXY_FD")
 	defer func() { _ = f.Close() }() // the listener has a descriptor of its own
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d", n), Cause: err, Do: handOver}}
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d", n), Cause: err, Do: inheritedHint}}
 	}
 	has, ok := l.Addr().(*net.TCPAddr)
 	if !ok || has.Port != want.Port || !has.IP.Equal(want.IP) && !(has.IP.IsUnspecified() && want.IP == nil) {
 		_ = l.Close()
-		return nil, &NoAddress{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", n, l.Addr(), addr),
+		return nil, &ListenFailed{hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", n, l.Addr(), addr),
 			Do: "set listen to the address of the socket that is handed over"}}
 	}
 	return l, nil
@@ -88,14 +88,14 @@
 type acceptLoop struct {
 	closed atomic.Bool // the listener is
 	once   sync.Once
-	over   chan struct{} // closed once the accept loop has met that
+	done   chan struct{} // closed once the accept loop has met that
 }
 
-func (a *acceptLoop) ended() { a.once.Do(func() { close(a.over) }) }
+func (a *acceptLoop) finish() { a.once.Do(func() { close(a.done) }) }
 
-func (a *acceptLoop) isOver() bool {
+func (a *acceptLoop) hasEnded() bool {
 	select {
-	case <-a.over:
+	case <-a.done:
 		return true
 	default:
 		return false
@@ -103,8 +103,8 @@
 }
 
 // Close ends the accepting as well.
-func (g gate) Close() error {
-	g.s.accepting.closed.Store(true)
+func (g clientListener) Close() error {
+	g.balancer.acceptLoop.closed.Store(true)
 	if g.file != nil {
 		_ = g.file.Close()
 	}
@@ -113,37 +113,37 @@
 
 // Accept returns the next terminal. nbio's accept loop doesn't end with its listener, but asks on without a pause: while
 // the last answers leave, it would take the processor from them.
-func (g gate) Accept() (net.Conn, error) {
-	c, err := g.next()
+func (g clientListener) Accept() (net.Conn, error) {
+	c, err := g.acceptNext()
 	if errors.Is(err, net.ErrClosed) {
-		g.s.accepting.ended()
-		time.Sleep(closedWait)
+		g.balancer.acceptLoop.finish()
+		time.Sleep(closedListenerPause)
 	}
 	return c, err
 }
 
-func (g gate) next() (net.Conn, error) {
-	if g.s.door != nil {
+func (g clientListener) acceptNext() (net.Conn, error) {
+	if g.balancer.admission != nil {
 		raw, err := g.file.SyscallConn()
 		if err != nil {
 			return nil, net.ErrClosed
 		}
-		return g.s.door.accept(raw)
+		return g.balancer.admission.accept(raw)
 	}
-	for !g.s.accepting.closed.Load() {
-		if g.s.basic().MayOpen(int(g.s.sockets.Load())) {
-			c, err := g.take()
+	for !g.balancer.acceptLoop.closed.Load() {
+		if g.balancer.basicLimits().MayOpen(int(g.balancer.sockets.Load())) {
+			c, err := g.acceptOne()
 			if err == nil || errors.Is(err, net.ErrClosed) {
 				return c, err
 			}
 		}
-		time.Sleep(gateWait)
+		time.Sleep(acceptRetry)
 	}
 	return nil, net.ErrClosed
 }
 
-// take accepts one connection.
-func (g gate) take() (net.Conn, error) {
+// acceptOne accepts one connection.
+func (g clientListener) acceptOne() (net.Conn, error) {
 	if g.file == nil {
 		return g.Listener.Accept()
 	}
@@ -155,18 +155,20 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := asConn(fd)
+	c, err := newConn(fd)
 	if err != nil {
 		_ = syscall.Close(fd)
 	}
 	return c, err
 }
 
-// basic are the limits that hold where no admission is configured.
-func (s *Server) basic() admission.Basic { return admission.Basic{Limit: int(s.limit.Load())} }
+// basicLimits are the limits that hold where no admission is configured.
+func (s *Balancer) basicLimits() admission.Basic {
+	return admission.Basic{Limit: int(s.descriptorLimit.Load())}
+}
 
-// openFiles is how many descriptors there may be, by configuration and by the system.
-func openFiles(limit int) int64 {
+// systemDescriptorLimit is how many descriptors there may be, by configuration and by the system.
+func systemDescriptorLimit(limit int) int64 {
 	var r syscall.Rlimit
 	n := int64(1024)
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r) == nil {
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -12,9 +12,9 @@
 // nbio asks a closed listener on and on: that once turned at full speed while the last answers were leaving.
 func TestClosedListenerDoesNotSpin(t *testing.T) {
 	s := start(t, "").server
-	l := gate{Listener: closedListener{}, s: s}
+	l := clientListener{Listener: closedListener{}, balancer: s}
 	began := time.Now()
-	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) || time.Since(began) < closedWait {
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) || time.Since(began) < closedListenerPause {
 		t.Fatal(err, time.Since(began))
 	}
 }
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -21,18 +21,18 @@
 
 // movesInsideALine brings a client up whose server has sent the beginning of a line, and has the balancer move it. The
 // move waits for the line's end then, for as long as the test likes.
-func movesInsideALine(t *testing.T, begun string) (*play, *terminal) {
+func movesInsideALine(t *testing.T, begun string) (*play, *client) {
 	t.Helper()
 	p := movesPlay(t)
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 		"b > OPEN 2 k c=chat,d=20000", "task2 < OPEN 2 *", fmt.Sprintf("task1 >> %q", begun))
 	movesRead(t, p, "a", begun)
 	p.leave <- struct{}{}
-	var moved *terminal
+	var moved *client
 	idleEventually(t, p.server, "the move", func() bool {
-		for x := range p.server.moving {
+		for x := range p.server.migrating {
 			moved = x
-			x.moveBy = time.Now().Add(time.Hour)
+			x.migrateBy = time.Now().Add(time.Hour)
 		}
 		return moved != nil
 	})
@@ -105,7 +105,7 @@
 		p, x := movesInsideALine(t, "half")
 		playSteps(t, p, "task1 "+how)
 		movesEnd(t, p, "a", "", how == "RST")
-		idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.moving) == 0 && x.task == nil })
+		idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.migrating) == 0 && x.server == nil })
 	}
 }
 
@@ -115,7 +115,7 @@
 	p, _ := movesInsideALine(t, "half")
 	playSteps(t, p, "a RST")
 	movesEnd(t, p, "task1", "", true)
-	idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.moving) == 0 })
+	idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.migrating) == 0 })
 
 	p, _ = movesInsideALine(t, "half")
 	playSteps(t, p, "a FIN")
@@ -137,16 +137,16 @@
 		}
 	}()
 	idleEventually(t, p.server, "the pause", func() bool {
-		if x.restPassed > 1<<20 {
-			t.Error(x.restPassed, "bytes of one line passed")
+		if x.restOfLineBytes > 1<<20 {
+			t.Error(x.restOfLineBytes, "bytes of one line passed")
 			return true
 		}
-		x.task.mu.Lock()
-		defer x.task.mu.Unlock()
-		return x.task.paused
+		x.server.mu.Lock()
+		defer x.server.mu.Unlock()
+		return x.server.paused
 	})
-	onServerLoop(t, p.server, func() { x.moveBy = time.Now().Add(-time.Second) })
-	idleEventually(t, p.server, "the cut", func() bool { return x.over && len(p.server.moving) == 0 })
+	onServerLoop(t, p.server, func() { x.migrateBy = time.Now().Add(-time.Second) })
+	idleEventually(t, p.server, "the cut", func() bool { return x.finished && len(p.server.migrating) == 0 })
 }
 
 // A shutdown's move crosses UP: whichever comes first, the client gets UP and then MOVE, also where half a line came
@@ -233,9 +233,9 @@
 func TestAHalfClosedClientThatNeverReadsIsLetGo(t *testing.T) {
 	p := patientPlay(t, "", nil)
 	playSteps(t, p, "narrow a 4096", "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "a FIN", "task1 > UP 1", "a < UP 1")
-	var x *terminal
+	var x *client
 	onServerLoop(t, p.server, func() {
-		for _, x = range p.server.terminals {
+		for _, x = range p.server.clients {
 		}
 	})
 	go func() {
@@ -248,14 +248,14 @@
 	}()
 	written, polls := int64(0), 0
 	idleEventually(t, p.server, "a full way to the client", func() bool { // also the system's buffers: none moves any more
-		if w := x.l.written.Load(); !x.full[0] || w != written {
+		if w := x.conn.written.Load(); !x.backpressure[0] || w != written {
 			written, polls = w, 0
 		}
 		polls++
 		return polls > 50
 	})
 	playSteps(t, p, "task1 RST")
-	idleEventually(t, p.server, "the descriptor free again", func() bool { return x.l.isGone() })
+	idleEventually(t, p.server, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
 }
 
 // A client's reset arrives together with its FIN and its request, just as its socket is handed over: its request is
@@ -275,19 +275,19 @@
 	}()
 	for i := range clients {
 		c, x := idleClient(t, p)
-		x.l.mu.Lock() // the poller waits here until all has come
+		x.conn.mu.Lock() // the poller waits here until all has come
 		_, err := fmt.Fprintf(c, "OPEN %d k c=chat,d=20000\r\n", i)
 		_ = c.CloseWrite()
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		x.l.mu.Unlock()
+		x.conn.mu.Unlock()
 		if err != nil {
 			t.Fatal(err)
 		}
-		idleEventually(t, p.server, "its end", func() bool { return x.over })
+		idleEventually(t, p.server, "its end", func() bool { return x.finished })
 	}
 	idleEventually(t, p.server, "nothing left of them", func() bool {
 		s := p.server // the watch, its dial and the regions' probes hold some descriptors
-		return len(s.terminals) == 0 && s.core.OpenRequests() == 0 && len(s.finishing) == 0 && s.sockets.Load() < clients/2
+		return len(s.clients) == 0 && s.core.OpenRequests() == 0 && len(s.finishing) == 0 && s.sockets.Load() < clients/2
 	})
 }
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -21,86 +21,86 @@
 
 // Peers is what internal/membership is told.
 type Peers struct {
-	Config      membership.Config
-	Listen      string
-	Every, Life time.Duration
-	Together    coordination.Config
+	Config                         membership.Config
+	Listen                         string
+	SignalInterval, SignalLifetime time.Duration
+	Coordination                   coordination.Config
 }
 
-// same tells that two say the same but for the generation, which is of the process.
-func (p *Peers) same(o *Peers) bool {
+// equal tells that two say the same but for the generation, which is of the process.
+func (p *Peers) equal(o *Peers) bool {
 	if p == nil || o == nil {
 		return p == o
 	}
 	a, b := p.Config, o.Config
-	return p.Listen == o.Listen && p.Every == o.Every && p.Life == o.Life && a.Cluster == b.Cluster && a.Name == b.Name && a.Addr == b.Addr &&
+	return p.Listen == o.Listen && p.SignalInterval == o.SignalInterval && p.SignalLifetime == o.SignalLifetime && a.Cluster == b.Cluster && a.Name == b.Name && a.Addr == b.Addr &&
 		slices.Equal(a.Join, b.Join) && maps.Equal(a.Routes, b.Routes) && a.PeerTimeout == b.PeerTimeout && a.MaxMembers == b.MaxMembers &&
-		a.SignalBytes == b.SignalBytes && p.Together == o.Together
+		a.SignalBytes == b.SignalBytes && p.Coordination == o.Coordination
 }
 
-const signalsAtOnce = 48 // in one go, so that all find their place
+const maxReadings = 48 // in one go, so that all find their place
 
-// toldPeers is what was told, and when.
-type toldPeers struct {
-	at      time.Time
-	regions map[string]time.Duration // time of the reading that was told
-	next    int
-	drain   bool
-	holds   string
-	holdsAt time.Time
+// sentSignals is what was told, and when.
+type sentSignals struct {
+	nextAt      time.Time
+	readings    map[string]time.Duration // time of the reading that was told
+	nextReading int
+	draining    bool
+	subset      string
+	subsetAt    time.Time
 }
 
-// signal gives this balancer's signals: its clock, its load, whether it drains, and readings that are new.
-func (s *Server) signal(now time.Time) {
+// sendSignals gives this balancer's signals: its clock, its load, whether it drains, and readings that are new.
+func (s *Balancer) sendSignals(now time.Time) {
 	drain := s.core.ShuttingDown() || s.core.DrainRequested()
-	if drain != s.told.drain {
-		s.told.drain = drain
+	if drain != s.sentSignals.draining {
+		s.sentSignals.draining = drain
 		s.peers.Leave(drain)
 	}
-	if now.Before(s.told.at) {
+	if now.Before(s.sentSignals.nextAt) {
 		return
 	}
-	s.told.at = now.Add(s.cfg.Peers.Every)
+	s.sentSignals.nextAt = now.Add(s.cfg.Peers.SignalInterval)
 	if failpoint.On("loop-waits") && s.peers.Counts().Gone > 0 {
 		time.Sleep(2500 * time.Millisecond)
 	}
-	if s.told.regions == nil {
-		s.told.regions = map[string]time.Duration{}
+	if s.sentSignals.readings == nil {
+		s.sentSignals.readings = map[string]time.Duration{}
 	}
-	life := s.cfg.Peers.Life
+	life := s.cfg.Peers.SignalLifetime
 	s.peers.Set(membership.ClockKey, fmt.Append(nil, s.core.Activity().ExplorationSlots), life)
 	s.peers.Set(membership.LoadKey, fmt.Append(nil, s.core.OpenRequests()-s.core.Unanswered(), " ", s.core.Unanswered()), life)
 	s.peers.Set(membership.DrainKey, fmt.Append(nil, drain), life)
 	readings, tells := s.core.LoadReadings(), func(string) bool { return true }
-	if s.together != nil && !drain { // who leaves takes nothing on, and this may be said within a step
-		tells = s.actTogether(now, readings)
+	if s.coordinator != nil && !drain { // who leaves takes nothing on, and this may be said within a step
+		tells = s.coordinate(now, readings)
 	}
-	left := signalsAtOnce
+	left := maxReadings
 	for i := range readings {
-		r := readings[(s.told.next+i)%len(readings)]
+		r := readings[(s.sentSignals.nextReading+i)%len(readings)]
 		if !tells(r.Server) {
 			continue
 		}
-		if at, told := s.told.regions[r.Server]; told && at == r.At && r.FailedProbes == 0 {
+		if at, told := s.sentSignals.readings[r.Server]; told && at == r.At && r.FailedProbes == 0 {
 			continue
 		}
 		if left--; left < 0 {
-			s.told.next = (s.told.next + i) % len(readings)
+			s.sentSignals.nextReading = (s.sentSignals.nextReading + i) % len(readings)
 			break
 		}
-		s.told.regions[r.Server] = r.At
+		s.sentSignals.readings[r.Server] = r.At
 		reading := membership.Reading{Load: r.Load, Age: s.now() - r.At, FailedProbes: r.FailedProbes}
 		s.peers.Set(membership.ServerKey+r.Server, reading.Encode(), life)
 	}
-	if len(s.told.regions) > 2*len(readings)+16 {
-		clear(s.told.regions)
+	if len(s.sentSignals.readings) > 2*len(readings)+16 {
+		clear(s.sentSignals.readings)
 	}
 }
 
-// actTogether brings the module what the others tell, tells this balancer's words, and returns whose readings to tell.
-func (s *Server) actTogether(now time.Time, readings []policy.ServerReading) func(region string) bool {
+// coordinate brings the module what the others tell, tells this balancer's words, and returns whose readings to tell.
+func (s *Balancer) coordinate(now time.Time, readings []policy.ServerReading) func(region string) bool {
 	view, malformed := coordination.ParseView(s.peers.View())
-	s.counters.PeersWords += int64(malformed)
+	s.counters.MalformedSignals += int64(malformed)
 	activity := s.core.Activity()
 	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
 		Demand: activity.Demand, Rejected: s.core.Counters.Rejected}
@@ -112,12 +112,12 @@
 		r := read[g.ID]
 		own.Servers = append(own.Servers, coordination.Server{ID: g.ID, Zone: g.Zone, Live: g.State == policy.Live, WarmingUp: g.StartedAt > 0 && s.now()-g.StartedAt < s.cfg.Core.Policy.WarmUpDuration, Load: r.Load, ReadAt: r.At, FailedProbes: r.FailedProbes})
 	}
-	events, words := s.together.Update(s.now(), view, own)
+	events, words := s.coordinator.Update(s.now(), view, own)
 	s.step(core.FleetEvents{Events: events})
-	life := s.cfg.Peers.Life
+	life := s.cfg.Peers.SignalLifetime
 	s.peers.Set(coordination.AnnouncementKey, words.Encode(), life)
-	if holds := string(words.EncodeSubset()); holds != s.told.holds || now.Sub(s.told.holdsAt) > life/3 {
-		s.told.holds, s.told.holdsAt = holds, now
+	if holds := string(words.EncodeSubset()); holds != s.sentSignals.subset || now.Sub(s.sentSignals.subsetAt) > life/3 {
+		s.sentSignals.subset, s.sentSignals.subsetAt = holds, now
 		if len(holds) > 0 {
 			s.peers.Set(coordination.SubsetKey, []byte(holds), life)
 		}
@@ -125,24 +125,24 @@
 	return func(region string) bool { return slices.Contains(words.Readings, region) }
 }
 
-// byNumber takes this balancer's part by its number, once the list of regions is another.
-func (s *Server) byNumber() {
-	if list := s.core.ListedServers(); s.numbered == nil || !slices.Equal(list, s.numbered) {
-		s.numbered = list
+// updateNumbered takes this balancer's part by its number, once the list of regions is another.
+func (s *Balancer) updateNumbered() {
+	if list := s.core.ListedServers(); s.numberedServers == nil || !slices.Equal(list, s.numberedServers) {
+		s.numberedServers = list
 		s.step(core.FleetEvents{Events: s.cfg.Numbered.Events(list)})
 	}
 }
 
-// sayLeaving tells the others before the process ends that it does.
-func (s *Server) sayLeaving() {
+// announceLeaving tells the others before the process ends that it does.
+func (s *Balancer) announceLeaving() {
 	if s.peers != nil {
-		s.signal(time.Now())
+		s.sendSignals(time.Now())
 	}
 }
 
-// whoIsThere answers the call peers: how many there are, or with a name, or ">" and a name for the one after it, what
+// describePeers answers the call peers: how many there are, or with a name, or ">" and a name for the one after it, what
 // that one says. It reads a view, and never waits for the loop.
-func (s *Server) whoIsThere(name string) management.Answer {
+func (s *Balancer) describePeers(name string) management.Answer {
 	if s.peers == nil {
 		return refuse("peers are off: the edge file has no such section", "add it and restart, or call a balancer that has it")
 	}
@@ -167,7 +167,7 @@
 	after, next := strings.CutPrefix(name, ">")
 	for _, m := range v.Members {
 		if next && m.Name > after || !next && m.Name == name {
-			return management.Yes("%s", wordsOf(v, m))
+			return management.Yes("%s", describeMember(v, m))
 		}
 	}
 	if next {
@@ -176,9 +176,9 @@
 	return refuse("nobody of that name is known", "see the names that peers gives without one")
 }
 
-const answerRoom = 3000 // bytes of an answer
+const maxAnswerBytes = 3000 // bytes of an answer
 
-func wordsOf(v membership.View, m membership.MemberView) string {
+func describeMember(v membership.View, m membership.MemberView) string {
 	heard := "never"
 	if m.LastReceived > 0 {
 		heard = (v.At - m.LastReceived).Round(time.Millisecond).String() + "-ago"
@@ -186,7 +186,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s at=%s state=%s since=%v generation=%d heard=%s", m.Name, m.Addr, m.State, m.InState.Round(time.Millisecond), m.Generation, heard)
 	for i, s := range m.Signals {
-		if b.Len() > answerRoom {
+		if b.Len() > maxAnswerBytes {
 			fmt.Fprintf(&b, " and-%d-more", len(m.Signals)-i)
 			break
 		}
--- a/internal/proxy/play_test.go
+++ b/internal/proxy/play_test.go
@@ -39,7 +39,7 @@
 //	reload ADDR      the configuration is read again, with discovery at ADDR
 type play struct {
 	t       *testing.T
-	server  *Server
+	server  *Balancer
 	addr    string
 	vars    *strings.Replacer
 	regions map[string]net.Listener
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := ParseConfig([]byte(p.vars.Replace(string(body))), Beside{})
+	cfg, err := ParseConfig([]byte(p.vars.Replace(string(body))), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	if operated.MatchString(text) {
-		cfg.Management, cfg.State = "127.0.0.1:0", t.TempDir()
+		cfg.Management, cfg.StateDir = "127.0.0.1:0", t.TempDir()
 	}
 	if p.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	case !strings.HasPrefix(name, "task"):
 		addr := p.addr
 		if strings.HasPrefix(name, "op") {
-			addr = p.server.manage.Addr()
+			addr = p.server.operators.Addr()
 		}
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -326,8 +326,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.step(*s.cfg.Known)
-	s.probes["r1"] = &probe{busy: true, l: &link{s: s, role: probeRole, state: ended}}
+	s.step(*s.cfg.KnownEndpoints)
+	s.probes["r1"] = &probe{pending: true, conn: &connection{balancer: s, role: probeRole, state: ended}}
 	if s.carryOut(core.ForgetServer{Server: "r1"}); s.core.Counters.ProbesFailed != 1 || len(s.probes) != 0 {
 		t.Fatalf("%+v", s.core.Counters)
 	}
@@ -351,7 +351,7 @@
 	_, _ = c.Write(make([]byte, 64<<20))
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
-	if n := len(s.queue.list); n > 2*readsAtOnce {
+	if n := len(s.queue.list); n > 2*maxReads {
 		t.Fatal(n, "events wait")
 	}
 }
@@ -363,7 +363,7 @@
 		t.Fatal(err)
 	}
 	good := strings.NewReplacer("$discovery", "127.0.0.1:1", "$r1", "127.0.0.1:2", "$r2", "127.0.0.1:3").Replace(string(body))
-	if c, err := ParseConfig([]byte(good), Beside{Name: "n9", Listen: "127.0.0.1:9"}); err != nil || c.Name != "n9" || c.Listen != "127.0.0.1:9" {
+	if c, err := ParseConfig([]byte(good), Overrides{Name: "n9", Listen: "127.0.0.1:9"}); err != nil || c.Name != "n9" || c.Listen != "127.0.0.1:9" {
 		t.Fatal(c, err)
 	}
 	for _, x := range []struct{ old, new, field string }{
@@ -377,7 +377,7 @@
 		{`"settings"`, `"set"`, "settings"},
 		{`{"name"`, `"name"`, "config"},
 	} {
-		_, err := ParseConfig([]byte(strings.Replace(good, x.old, x.new, 1)), Beside{})
+		_, err := ParseConfig([]byte(strings.Replace(good, x.old, x.new, 1)), Overrides{})
 		if err == nil || !strings.Contains(err.Error(), x.field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", x.field, err)
 		}
--- a/internal/proxy/probes.go
+++ b/internal/proxy/probes.go
@@ -11,15 +11,15 @@
 )
 
 type probe struct {
-	l    *link
-	addr string
-	busy bool
-	due  time.Time
-	in   platform.LineReader
+	conn     *connection
+	addr     string
+	pending  bool
+	deadline time.Time
+	reader   platform.LineReader
 }
 
 // probe asks for a load report, over the region's one connection for that.
-func (s *Server) probe(e core.Probe) {
+func (s *Balancer) probe(e core.Probe) {
 	p := s.probes[e.Server]
 	if p == nil {
 		p = &probe{}
@@ -28,39 +28,39 @@
 	if p.addr != e.Address {
 		p.drop()
 	}
-	p.busy, p.due, p.addr, p.in = true, time.Now().Add(e.Timeout), e.Address, platform.LineReader{}
-	if p.l == nil {
-		p.l = &link{s: s, role: probeRole, region: e.Server}
-		s.dial(p.l, e.Address, e.Timeout)
+	p.pending, p.deadline, p.addr, p.reader = true, time.Now().Add(e.Timeout), e.Address, platform.LineReader{}
+	if p.conn == nil {
+		p.conn = &connection{balancer: s, role: probeRole, server: e.Server}
+		s.dial(p.conn, e.Address, e.Timeout)
 		return
 	}
-	p.l.write(platform.Stats)
+	p.conn.write(platform.Stats)
 }
 
-func (s *Server) fromProbe(p *probe, l *link, e event) {
-	if p == nil || p.l != l {
+func (s *Balancer) handleProbeEvent(p *probe, l *connection, e event) {
+	if p == nil || p.conn != l {
 		return
 	}
 	switch e.kind {
-	case evConnected:
+	case eventConnected:
 		l.write(platform.Stats)
-	case evRefused:
-		s.probed(l.region, p, policy.ResultUnreachable, nil)
-	case evEnded, evBroken:
-		s.probed(l.region, p, policy.ResultReset, nil)
-	case evData:
-		s.probeAnswered(p, l, *e.data)
+	case eventDialFailed:
+		s.finishProbe(l.server, p, policy.ResultUnreachable, nil)
+	case eventEOF, eventReset:
+		s.finishProbe(l.server, p, policy.ResultReset, nil)
+	case eventData:
+		s.handleProbeAnswer(p, l, *e.data)
 	}
 }
 
-// probeAnswered reads a probe's answer. Bytes that belong to no probe would be taken for the next one's answer, and that one's
+// handleProbeAnswer reads a probe's answer. Bytes that belong to no probe would be taken for the next one's answer, and that one's
 // for the answer of the one after it: the connection on which they come is not used again.
-func (s *Server) probeAnswered(p *probe, l *link, data []byte) {
-	if !p.busy {
+func (s *Balancer) handleProbeAnswer(p *probe, l *connection, data []byte) {
+	if !p.pending {
 		p.drop()
 		return
 	}
-	data, first, done := p.in.Read(data)
+	data, first, done := p.reader.Read(data)
 	if !done {
 		return
 	}
@@ -69,29 +69,29 @@
 	}
 	switch line := data[:first]; platform.AnswerOf(line) {
 	case platform.PongBack:
-		s.probed(l.region, p, policy.ResultOK, platform.ParseStats(line))
+		s.finishProbe(l.server, p, policy.ResultOK, platform.ParseStats(line))
 	case platform.Busy:
-		s.probed(l.region, p, policy.ResultRejected, nil)
+		s.finishProbe(l.server, p, policy.ResultRejected, nil)
 	default:
-		s.probed(l.region, p, policy.ResultFailed, nil)
+		s.finishProbe(l.server, p, policy.ResultFailed, nil)
 	}
 }
 
 // drop ends the connection; the next probe opens another one.
 func (p *probe) drop() {
-	if p.l != nil {
-		p.l.drop()
-		p.l = nil
+	if p.conn != nil {
+		p.conn.drop()
+		p.conn = nil
 	}
 }
 
-// probed reports a probe's result. The connection stays only where it was answered in good order.
-func (s *Server) probed(region string, p *probe, result policy.Result, report *policy.LoadReport) {
+// finishProbe reports a probe's result. The connection stays only where it was answered in good order.
+func (s *Balancer) finishProbe(region string, p *probe, result policy.Result, report *policy.LoadReport) {
 	if result != policy.ResultOK {
 		p.drop()
 	}
-	if p.busy {
-		p.busy = false
+	if p.pending {
+		p.pending = false
 		s.step(core.ProbeFinished{Server: region, Result: result, Report: report})
 	}
 }
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	s := &Server{finishing: map[*link]struct{}{}, queue: queue{bell: make(chan struct{}, 1)}, log: log, said: logs.Limit(log, time.Second)}
+	s := &Balancer{finishing: map[*connection]struct{}{}, queue: eventQueue{wake: make(chan struct{}, 1)}, log: log, limitedLog: logs.Limit(log, time.Second)}
 	s.engine = nbio.NewEngine(nbio.Config{NPoller: 1, EpollMod: nbio.EPOLLET})
 	s.engine.OnRead(s.onRead)
 	s.engine.OnClose(func(c *nbio.Conn, _ error) { s.onClose(c) })
@@ -47,8 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &link{s: s, role: taskRole, c: c, state: live}
-	s.publish(c, k)
+	k := &connection{balancer: s, role: serverRole, conn: c, state: live}
+	s.attachSession(c, k)
 	if _, err := s.engine.AddConn(c); err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	}
 	addr := region.Addr().String()
 	text := strings.NewReplacer("$r1", addr, "$r2", addr, "$discovery", addr, `"safe"`, `"unsafe"`, `"probes":true`, `"probes":false`).Replace(string(body))
-	cfg, err := ParseConfig([]byte(text), Beside{})
+	cfg, err := ParseConfig([]byte(text), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,10 +87,10 @@
 		t.Fatal(err)
 	}
 	defer s.engine.Stop()
-	l := &link{s: s, role: terminalRole, state: ended}
-	s.accepted(l)
-	s.step(core.RequestReceived{Client: l.term.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
-	task := l.term.task
+	l := &connection{balancer: s, role: clientRole, state: ended}
+	s.handleAccepted(l)
+	s.step(core.RequestReceived{Client: l.client.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
+	task := l.client.server
 	if task == nil {
 		t.Fatal("not sent to a region")
 	}
@@ -111,7 +111,7 @@
 			t.Fatal("the reset was not met")
 		}
 	}
-	s.work()
+	s.handleEvents()
 	if n := s.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
 		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions", n.AttemptsUnreachable, n.AttemptsReset, n.Failed, n.Attempts)
 	}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -22,7 +22,7 @@
 // that nothing else ends an attempt.
 type triesLoop struct {
 	t         *testing.T
-	s         *Server
+	s         *Balancer
 	listeners []net.Listener  // two servers'
 	came      chan *triesPeer // attempts, as the servers accept them
 }
@@ -76,7 +76,7 @@
 	text = strings.NewReplacer(`"safe"`, `"`+semantics+`"`, `"probes":true`, `"probes":false`,
 		`"connect-timeout-ms":250.0`, fmt.Sprintf(`"connect-timeout-ms":%d`, triesConnect.Milliseconds()),
 		`"aim-ms":800.0`, fmt.Sprintf(`"aim-ms":%d`, triesAim.Milliseconds())).Replace(text)
-	cfg, err := ParseConfig([]byte(text), Beside{})
+	cfg, err := ParseConfig([]byte(text), Overrides{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -87,9 +87,9 @@
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() {
-		for _, x := range h.s.terminals {
-			if x.task != nil {
-				x.task.drop()
+		for _, x := range h.s.clients {
+			if x.server != nil {
+				x.server.drop()
 			}
 		}
 		_ = h.s.listener.Close()
@@ -102,7 +102,7 @@
 	for end := time.Now().Add(triesWait); !is(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
 			h.t.Fatalf("never came: %s; counters %+v, %+v; %d terminals, %d sockets", what, h.s.counters, h.s.core.Counters,
-				len(h.s.terminals), h.s.sockets.Load())
+				len(h.s.clients), h.s.sockets.Load())
 		}
 	}
 }
@@ -111,14 +111,16 @@
 func (h *triesLoop) turning(what string, is func() bool) {
 	h.t.Helper()
 	h.until(what, func() bool {
-		h.s.work()
+		h.s.handleEvents()
 		h.tick()
 		return is()
 	})
 }
 
 // later puts the clock forward, and by a tick more, which timers are rounded up to; nothing is told of it yet.
-func (h *triesLoop) later(d time.Duration) { h.s.cfg.Zero = h.s.cfg.Zero.Add(-d - core.TickInterval) }
+func (h *triesLoop) later(d time.Duration) {
+	h.s.cfg.StartOfClock = h.s.cfg.StartOfClock.Add(-d - core.TickInterval)
+}
 
 // tick has the timers fire that are due.
 func (h *triesLoop) tick() { h.s.step(core.Tick{}) }
@@ -173,7 +175,7 @@
 func (h *triesLoop) ask(id string, patience time.Duration) *triesPeer {
 	h.t.Helper()
 	client := h.client(fmt.Sprintf("OPEN %s k%s c=chat,d=%d\r\n", id, id, patience.Milliseconds()))
-	h.until("the request", func() bool { h.s.work(); return h.task(id) != nil })
+	h.until("the request", func() bool { h.s.handleEvents(); return h.task(id) != nil })
 	return client
 }
 
@@ -193,13 +195,13 @@
 // client would be sent off for saying nothing.
 func (h *triesLoop) taken(n int64) {
 	h.t.Helper()
-	h.until("a request", func() bool { h.s.work(); return h.s.core.Counters.Requests == n })
+	h.until("a request", func() bool { h.s.handleEvents(); return h.s.core.Counters.Requests == n })
 }
 
 // terminal finds a request at the balancer.
-func (h *triesLoop) terminal(id string) *terminal {
-	for _, x := range h.s.terminals {
-		if x.asked && x.open.ID == id {
+func (h *triesLoop) terminal(id string) *client {
+	for _, x := range h.s.clients {
+		if x.requestRead && x.request.ID == id {
 			return x
 		}
 	}
@@ -207,15 +209,15 @@
 }
 
 // task is the attempt that is out.
-func (h *triesLoop) task(id string) *link {
+func (h *triesLoop) task(id string) *connection {
 	if x := h.terminal(id); x != nil {
-		return x.task
+		return x.server
 	}
 	return nil
 }
 
 // reached waits, without turning the loop, until an attempt's connection is in a state.
-func (h *triesLoop) reached(l *link, want linkState) {
+func (h *triesLoop) reached(l *connection, want connectionState) {
 	h.t.Helper()
 	h.until("the connection's state", func() bool {
 		l.mu.Lock()
@@ -307,7 +309,7 @@
 			if x.tick {
 				h.tick()
 			}
-			h.s.work()
+			h.s.handleEvents()
 			if x.sent {
 				h.turning("the line", func() bool { server.read(); return bytes.HasSuffix(server.got, []byte("\r\n")) })
 				h.served(client, server, "1")
@@ -332,16 +334,16 @@
 		client := h.ask("1", time.Hour)
 		server := h.attempt()
 		server.send(t, "UP old\r\n")
-		h.until("UP in the queue", func() bool { return h.queued(evData) > 0 })
+		h.until("UP in the queue", func() bool { return h.queued(eventData) > 0 })
 		h.later(triesAim)
 		if !tick {
-			h.s.work()
+			h.s.handleEvents()
 			h.tick()
 			h.gets("the client", client, "UP old\r\n")
 			continue
 		}
 		h.tick()
-		h.s.work()
+		h.s.handleEvents()
 		h.served(client, h.attempt(), "new")
 	}
 }
@@ -395,23 +397,23 @@
 			h.reached(first, live)
 			server.reset()
 			h.reached(first, ended)
-			h.s.work()
+			h.s.handleEvents()
 		}, false},
 		{"after the line, unread", func(h *triesLoop) {
 			first, server := h.task("1"), h.accepted()
 			h.reached(first, live)
-			h.s.work() // the line is written
+			h.s.handleEvents() // the line is written
 			server.reset()
 			h.reached(first, ended)
-			h.s.work()
+			h.s.handleEvents()
 		}, true},
 		{"after the line", func(h *triesLoop) { h.attempt().reset() }, true},
 		{"ended after the line", func(h *triesLoop) { _ = h.attempt().conn.Close() }, true},
 		{"after the answer's first byte", func(h *triesLoop) {
 			server := h.attempt()
 			server.send(h.t, "U")
-			h.until("the byte in the queue", func() bool { return h.queued(evData) > 0 })
-			h.s.work()
+			h.until("the byte in the queue", func() bool { return h.queued(eventData) > 0 })
+			h.s.handleEvents()
 			server.reset()
 		}, true},
 		{"with half an answer, both in one turn", func(h *triesLoop) {
@@ -419,7 +421,7 @@
 			server.send(h.t, "UP 1")
 			server.reset()
 			h.reached(first, ended)
-			h.s.work()
+			h.s.handleEvents()
 		}, true},
 		{"long after", func(h *triesLoop) {
 			server := h.attempt()
@@ -489,7 +491,7 @@
 	second = h.accepted()
 	h.reached(h.task("1"), live)
 	h.later(window)
-	h.s.work()
+	h.s.handleEvents()
 	h.ends("the second server", second, "")
 	h.later(triesAim) // the module holds it until then, in case that it may be sent again
 	h.ends("the client", client, "BUSY*")
@@ -509,13 +511,13 @@
 
 // triesFill fills what the two systems keep for a connection that nobody reads, so that the line has to wait. They are full once
 // all that was sent has been acknowledged, more waits, and still nothing more is taken.
-func triesFill(h *triesLoop, l *link) (filled int) {
+func triesFill(h *triesLoop, l *connection) (filled int) {
 	h.t.Helper()
 	junk := bytes.Repeat([]byte("x"), 8<<10)
 	h.until("a full socket", func() (full bool) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		control(l.c, func(fd int) {
+		withDescriptor(l.conn, func(fd int) {
 			info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 			stands := err == nil && info.Unacked == 0 && info.Notsent_bytes > 0
 			n := 0
@@ -558,7 +560,7 @@
 			first, server := h.task("1"), h.accepted()
 			h.reached(first, live)
 			filled := triesFill(h, first)
-			h.s.work()
+			h.s.handleEvents()
 			if first.backlog() == 0 {
 				t.Fatal("the line didn't have to wait behind", filled, "bytes")
 			}
--- a/internal/proxy/revisions.go
+++ b/internal/proxy/revisions.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	todayEvery  = 200 * time.Millisecond // what a proposal is checked with is at most so old
-	leavePermit = 300 * time.Millisecond // to give the permit back at the end; it lapses by itself otherwise
-	operateWait = 2 * time.Second
-	mostHistory = 32 << 20 // bytes
+	environmentInterval = 200 * time.Millisecond // what a proposal is checked with is at most so old
+	leaveTimeout        = 300 * time.Millisecond // to give the permit back at the end; it lapses by itself otherwise
+	operateTimeout      = 2 * time.Second
+	maxHistoryBytes     = 32 << 20 // bytes
 )
 
 // Revisions is what the host is told, but for what the loop knows.
@@ -44,18 +44,18 @@
 func (c *Config) setRevisions(e *edgeconfig.Settings) error {
 	if e.Revisions == nil {
 		if e.Links != nil {
-			return &NoTable{}
+			return &MissingRevisions{}
 		}
 		return nil
 	}
 	x := e.Revisions
-	if x.HistoryBytes > mostHistory {
+	if x.HistoryBytes > maxHistoryBytes {
 		return &LongHistory{int64(x.HistoryBytes)}
 	}
 	if l := e.Links; l != nil && 4*l.Lease < x.Lease {
 		return &ShortLease{time.Duration(l.Lease), time.Duration(x.Lease)}
 	}
-	r := &Revisions{Links: e.Links, Host: lease.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), PredecessorEnded: c.Inherited == "",
+	r := &Revisions{Links: e.Links, Host: lease.Config{Name: c.Name, Generation: uint64(time.Now().UnixMilli()), PredecessorEnded: c.InheritedFD == "",
 		HoldOnPartition: x.OnCut == "hold", Lease: time.Duration(x.Lease), Deadline: time.Duration(x.Deadline), History: x.History, HistoryBytes: int64(x.HistoryBytes),
 		Log: lease.Log{Cluster: x.Cluster, Name: c.Name, Listen: x.Listen, Voters: x.Voters, Reach: x.Reach, Folder: x.Folder,
 			ReplaceAfter: time.Duration(x.ReplaceAfter), Seed: uint64(c.Core.Seed)}}}
@@ -74,23 +74,25 @@
 	return nil
 }
 
-// NoTable is the error that links are on, and no revision could say which.
-type NoTable struct{}
+// MissingRevisions is the error that links are on, and no revision could say which.
+type MissingRevisions struct{}
 
-func (*NoTable) Error() string {
+func (*MissingRevisions) Error() string {
 	return "links: there is no section revisions, whose table says which links there are"
 }
 
 // Hint is what an operator can do.
-func (*NoTable) Hint() string { return "add the section revisions, or leave links out" }
+func (*MissingRevisions) Hint() string { return "add the section revisions, or leave links out" }
 
-// NotHeld is the error that this program was built without the agreement.
-type NotHeld struct{}
+// RevisionsNotBuilt is the error that this program was built without the agreement.
+type RevisionsNotBuilt struct{}
 
-func (*NotHeld) Error() string { return "revisions: this program holds no agreement" }
+func (*RevisionsNotBuilt) Error() string { return "revisions: this program holds no agreement" }
 
 // Hint is what an operator can do.
-func (*NotHeld) Hint() string { return "start oatloft-revisions, or leave the section revisions out" }
+func (*RevisionsNotBuilt) Hint() string {
+	return "start oatloft-revisions, or leave the section revisions out"
+}
 
 // ShortLease is the error that parts of links would lapse between two renewals.
 type ShortLease struct{ Links, Revisions time.Duration }
@@ -108,7 +110,7 @@
 type LongHistory struct{ Bytes int64 }
 
 func (e *LongHistory) Error() string {
-	return fmt.Sprintf("revisions.history_bytes: %d is above %d: a voter that lags gets all of it in one message", e.Bytes, mostHistory)
+	return fmt.Sprintf("revisions.history_bytes: %d is above %d: a voter that lags gets all of it in one message", e.Bytes, maxHistoryBytes)
 }
 
 // Hint is what an operator can do.
@@ -116,18 +118,18 @@
 	return "set it to 32MiB or less; what is forgotten is said to be"
 }
 
-// CantChange is the error that a section of the edge file is another at a reload.
-type CantChange struct{ Section string }
+// ImmutableSetting is the error that a section of the edge file is another at a reload.
+type ImmutableSetting struct{ Section string }
 
-func (e *CantChange) Error() string { return e.Section + ": can't change while serving" }
+func (e *ImmutableSetting) Error() string { return e.Section + ": can't change while serving" }
 
 // Hint is what an operator can do.
-func (e *CantChange) Hint() string {
+func (e *ImmutableSetting) Hint() string {
 	return "restart the balancer, one after the other, to change this section"
 }
 
-// same tells that two say the same but for the generation, which is of the process.
-func (r *Revisions) same(o *Revisions) bool {
+// equal tells that two say the same but for the generation, which is of the process.
+func (r *Revisions) equal(o *Revisions) bool {
 	if r == nil || o == nil {
 		return r == o
 	}
@@ -139,38 +141,38 @@
 		x.ReplaceAfter == y.ReplaceAfter && slices.Equal(x.Candidates, y.Candidates)
 }
 
-// ruled is the loop's side of it.
-type ruled struct {
-	host  lease.Host
-	seq   uint64 // of the permit that the loop goes by ...
-	phase lease.Phase
-	at    *lease.Lease  // ... which is this one
-	plain policy.Config // of the settings, nothing laid over it
-	today atomic.Pointer[revision.Environment]
-	next  time.Time // when today is looked at again
-	list  []policy.Server
-	older bool           // the settings are others since today was made
-	full  map[string]int // zones behind full links, as the module was told
-	cut   int64          // newcomers turned away for want of a permit
+// revisionState is the loop's side of it.
+type revisionState struct {
+	host              lease.Host
+	seenSeq           uint64 // of the permit that the loop goes by ...
+	phase             lease.Phase
+	inForce           *lease.Lease  // ... which is this one
+	plain             policy.Config // of the settings, nothing laid over it
+	environment       atomic.Pointer[revision.Environment]
+	nextEnvironmentAt time.Time // when today is looked at again
+	environmentList   []policy.Server
+	environmentStale  bool           // the settings are others since today was made
+	saturatedZones    map[string]int // zones behind full links, as the module was told
+	rejected          int64          // newcomers turned away for want of a permit
 }
 
 // startRevisions joins the others. Until they have told what is in force nobody is taken.
-func (s *Server) startRevisions() (err error) {
-	r := &ruled{plain: s.cfg.Core.Policy, phase: lease.Learning}
+func (s *Balancer) startRevisions() (err error) {
+	r := &revisionState{plain: s.cfg.Core.Policy, phase: lease.Learning}
 	s.revisions = r
-	s.renewToday(time.Now())
+	s.renewEnvironment(time.Now())
 	cfg := s.cfg.Revisions.Host
-	cfg.Check = func(c *revision.Content) error { return revision.Check(c, *r.today.Load()) }
-	cfg.LeaseChanged = s.queue.ring
+	cfg.Check = func(c *revision.Content) error { return revision.Check(c, *r.environment.Load()) }
+	cfg.LeaseChanged = s.queue.signal
 	if e := s.cfg.Revisions.Links; e != nil { // two processes of a balancer, in an upgrade, are two that carry bytes
 		set := bandwidth.Settings{Lease: time.Duration(e.Lease), SafePart: e.SafePart, Holders: 2 * max(1, s.cfg.Core.Policy.Balancers)}
-		if s.links, err = newLinkage(s, set, int(e.Buffer)); err != nil {
+		if s.zoneLinks, err = newZoneLinks(s, set, int(e.Buffer)); err != nil {
 			return err
 		}
-		cfg.Bandwidth = s.links.part
+		cfg.Bandwidth = s.zoneLinks.part
 	}
 	if lease.Start == nil {
-		return &NotHeld{}
+		return &RevisionsNotBuilt{}
 	}
 	if r.host, err = lease.Start(cfg, s.log); err != nil {
 		return err
@@ -179,25 +181,25 @@
 	return nil
 }
 
-// heed takes up what the permit says now. It stands before every event, and not among an event's effects: what was decided is
+// applyLease takes up what the permit says now. It stands before every event, and not among an event's effects: what was decided is
 // carried out before another permit is said to be taken up. So a process that stood still finds its permit
 // lapsed before it sends anything.
-func (s *Server) heed(now time.Time) {
+func (s *Balancer) applyLease(now time.Time) {
 	r := s.revisions
 	p := r.host.Lease()
 	phase := p.Phase
 	if phase == lease.Active && !p.Allows(now) {
 		phase = lease.Expired
 	}
-	if p.Seq == r.seq && phase == r.phase {
+	if p.Seq == r.seenSeq && phase == r.phase {
 		return
 	}
-	another := phase == lease.Active && (r.at == nil || r.at.Hash != p.Hash)
-	moved := p.Seq != r.seq
+	another := phase == lease.Active && (r.inForce == nil || r.inForce.Hash != p.Hash)
+	moved := p.Seq != r.seenSeq
 	if phase == lease.Active {
-		r.at = p
+		r.inForce = p
 	}
-	r.seq, r.phase = p.Seq, phase // before the steps below, which come here again
+	r.seenSeq, r.phase = p.Seq, phase // before the steps below, which come here again
 	says := policy.LeaseExpired
 	switch phase {
 	case lease.Active:
@@ -206,7 +208,7 @@
 		says = policy.LeaseSuspended
 	}
 	if another {
-		s.underRevision()
+		s.applyRevision()
 	}
 	s.step(core.LeaseChanged{Lease: says})
 	if moved {
@@ -214,89 +216,89 @@
 	}
 }
 
-// underRevision lays the revision in force over the settings.
-func (s *Server) underRevision() {
+// applyRevision lays the revision in force over the settings.
+func (s *Balancer) applyRevision() {
 	cfg := s.cfg.Core
-	cfg.Policy = s.overlaid(cfg.Policy)
+	cfg.Policy = s.overlay(cfg.Policy)
 	s.step(core.ConfigChanged{Config: cfg})
-	s.setLinks(s.revisions.at.Content.Links)
+	s.setLinks(s.revisions.inForce.Content.Links)
 }
 
-// tellFull tells the module which zones are behind full links, once that is another than before.
-func (s *Server) tellFull() {
+// reportSaturatedLinks tells the module which zones are behind full links, once that is another than before.
+func (s *Balancer) reportSaturatedLinks() {
 	orders := map[string]int{}
-	for _, k := range s.overlaid(s.cfg.Core.Policy).Classes {
+	for _, k := range s.overlay(s.cfg.Core.Policy).Classes {
 		orders[k.Name] = k.PriorityRank
 	}
-	if full := s.links.full(orders); !maps.Equal(full, s.revisions.full) {
-		s.revisions.full = full
+	if full := s.zoneLinks.saturated(orders); !maps.Equal(full, s.revisions.saturatedZones) {
+		s.revisions.saturatedZones = full
 		s.step(core.FleetEvents{Events: []policy.Event{policy.SaturatedLinks{Zones: full}}})
 	}
 }
 
-// overlaid is what the module decides by under the revision in force.
-func (s *Server) overlaid(plain policy.Config) policy.Config {
-	if s.revisions == nil || s.revisions.at == nil {
+// overlay is what the module decides by under the revision in force.
+func (s *Balancer) overlay(plain policy.Config) policy.Config {
+	if s.revisions == nil || s.revisions.inForce == nil {
 		return plain
 	}
-	return revision.Overlay(plain, s.revisions.at.Content)
+	return revision.Overlay(plain, s.revisions.inForce.Content)
 }
 
-// mayPlace tells whether newcomers are taken; those who come between two revisions wait.
-func (s *Server) mayPlace() bool {
+// mayPlaceClients tells whether newcomers are taken; those who come between two revisions wait.
+func (s *Balancer) mayPlaceClients() bool {
 	return s.revisions == nil || s.revisions.phase == lease.Active || s.revisions.phase == lease.Suspended
 }
 
-// comeBack is when a terminal should come again that was turned away for want of a permit; 0 where none heeds it.
-func (s *Server) comeBack() time.Duration {
-	s.revisions.cut++
+// retryAfterNoLease is when a terminal should come again that was turned away for want of a permit; 0 where none heeds it.
+func (s *Balancer) retryAfterNoLease() time.Duration {
+	s.revisions.rejected++
 	return s.cfg.Core.Policy.MaxRetryAfter
 }
 
-// tellHost tells the figures that revisions are watched by, and renews what proposals are checked with.
-func (s *Server) tellHost(now time.Time) {
+// updateHost tells the figures that revisions are watched by, and renews what proposals are checked with.
+func (s *Balancer) updateHost(now time.Time) {
 	c := &s.core.Counters
-	s.revisions.host.SetTotals(c.Requests+s.revisions.cut, c.Rejected+s.revisions.cut, c.Failed, c.EstablishedLate)
-	s.renewToday(now)
+	s.revisions.host.SetTotals(c.Requests+s.revisions.rejected, c.Rejected+s.revisions.rejected, c.Failed, c.EstablishedLate)
+	s.renewEnvironment(now)
 }
 
-func (s *Server) renewToday(now time.Time) {
+func (s *Balancer) renewEnvironment(now time.Time) {
 	r := s.revisions
-	if now.Before(r.next) {
+	if now.Before(r.nextEnvironmentAt) {
 		return
 	}
-	r.next = now.Add(todayEvery)
-	if s.links != nil {
-		s.tellFull()
+	r.nextEnvironmentAt = now.Add(environmentInterval)
+	if s.zoneLinks != nil {
+		s.reportSaturatedLinks()
 	}
 	list := s.core.ListedServers()
-	if t := r.today.Load(); t != nil && t.HasList == s.core.HasEndpoints() && slices.Equal(list, r.list) && !r.older {
+	if t := r.environment.Load(); t != nil && t.HasList == s.core.HasEndpoints() && slices.Equal(list, r.environmentList) && !r.environmentStale {
 		return
 	}
-	r.list, r.older = list, false
+	r.environmentList, r.environmentStale = list, false
 	t := revision.NewEnvironment(s.cfg.Core.Policy, s.cfg.Revisions.Zones, list, s.core.HasEndpoints())
-	r.today.Store(&t)
+	r.environment.Store(&t)
 }
 
-// endRevisions gives the permit back: from here on nobody is placed.
-func (s *Server) endRevisions() {
+// closeRevisions gives the permit back: from here on nobody is placed.
+func (s *Balancer) closeRevisions() {
 	if s.revisions == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leavePermit)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	s.revisions.host.Acknowledge(math.MaxUint64) // the loop is over, and goes by nothing any more
 	s.revisions.host.Leave(ctx)
 	s.revisions.host.Close()
 }
 
-// revise answers an operator's call about revisions, on the caller's goroutine. The loop isn't asked: these calls are answered
+// handleRevisionCall answers an operator's call about revisions, on the caller's goroutine. The loop isn't asked: these calls are answered
 // also by a balancer that may place nobody.
-func (s *Server) revise(words string) management.Answer {
+func (s *Balancer) handleRevisionCall(words string) management.Answer {
 	if s.revisions == nil {
 		return refuse("revisions are off: the edge file has no such section", "add it and restart, or call a balancer that has it")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operateWait)
+	ctx, cancel := context.WithTimeout(context.Background(), operateTimeout)
 	defer cancel()
 	text, err := s.revisions.host.Operate(ctx, words)
 	if err != nil {
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -167,7 +167,7 @@
 
 func (p *play) listHolds(id string, want policy.ServerState) bool {
 	held := make(chan policy.ServerState, 1)
-	p.server.asks <- func() {
+	p.server.calls <- func() {
 		state := policy.Gone
 		for _, s := range p.server.core.ListedServers() {
 			if s.ID == id {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	restWait       = 500 * time.Millisecond // for clients that have got all and rest: they have to read, and end by themselves
-	takeInsAtATime = 256                    // others get their turn between
+	idleTimeout  = 500 * time.Millisecond // for clients that have got all and rest: they have to read, and end by themselves
+	maxAdoptions = 256                    // others get their turn between
 )
 
 // closing bounds the last phase of a server.
 type closing struct {
-	restBy time.Time // clients that only have to end by themselves are waited for until then
-	exitBy time.Time // the loop ends then, whatever is left
+	idleDeadline time.Time // clients that only have to end by themselves are waited for until then
+	deadline     time.Time // the loop ends then, whatever is left
 }
 
-// leave begins the shutdown. A listener that is the platform's is let go of at once: what waits in its queue, or comes, is
+// beginShutdown begins the shutdown. A listener that is the platform's is let go of at once: what waits in its queue, or comes, is
 // for the process that follows.
-func (s *Server) leave() {
-	if s.accepts = false; s.inherit != nil {
+func (s *Balancer) beginShutdown() {
+	if s.serving = false; s.inherited != nil {
 		_ = s.listener.Close()
 	}
-	s.step(core.ShutdownRequested{HandedOver: s.inherit != nil})
-	s.handOver()
-	s.sayLeaving()
+	s.step(core.ShutdownRequested{HandedOver: s.inherited != nil})
+	s.writeForSuccessor()
+	s.announceLeaving()
 }
 
-// close begins the last phase: nobody is owed anything now, and nobody more is to be picked up.
-func (s *Server) close(by time.Duration) {
-	s.exit = true
-	s.closing = closing{restBy: time.Now().Add(restWait + s.slack), exitBy: s.cfg.Zero.Add(by + s.slack)}
+// beginClosing begins the last phase: nobody is owed anything now, and nobody more is to be picked up.
+func (s *Balancer) beginClosing(by time.Duration) {
+	s.exiting = true
+	s.closing = closing{idleDeadline: time.Now().Add(idleTimeout + s.testSlack), deadline: s.cfg.StartOfClock.Add(by + s.testSlack)}
 	s.closeListener()
 }
 
 // closeListener closes the listener once nobody waits in its queue any more: the system resets those who do, and with them
 // a request that was taken. Where they are too many, or there
 // are too few descriptors for them, the rest follows at the next tick.
-func (s *Server) closeListener() {
-	if s.accepting.closed.Load() || s.inherit == nil && !s.takeInWaiting() {
+func (s *Balancer) closeListener() {
+	if s.acceptLoop.closed.Load() || s.inherited == nil && !s.acceptQueued() {
 		return
 	}
 	_ = s.listener.Close()
 }
 
-// takeInWaiting takes in who waits in the listener's queue, to be turned away as all that come now. It is false where
+// acceptQueued takes in who waits in the listener's queue, to be turned away as all that come now. It is false where
 // somebody is left in it.
-func (s *Server) takeInWaiting() bool {
-	g, ok := s.listener.(gate)
+func (s *Balancer) acceptQueued() bool {
+	g, ok := s.listener.(clientListener)
 	if !ok {
 		return true
 	}
@@ -69,11 +69,11 @@
 	if err != nil {
 		return true
 	}
-	for range takeInsAtATime {
+	for range maxAdoptions {
 		fd, err := acceptNow(raw)
 		switch {
 		case err == nil:
-			s.takeIn(fd)
+			s.adopt(fd)
 		case errors.Is(err, syscall.ECONNABORTED):
 		default:
 			return !noDescriptor(err)
@@ -97,39 +97,39 @@
 	return fd, err
 }
 
-// takeIn has a connection served as one that nbio's accept loop has taken.
-func (s *Server) takeIn(fd int) {
-	conn, err := asConn(fd)
+// adopt has a connection served as one that nbio's accept loop has taken.
+func (s *Balancer) adopt(fd int) {
+	conn, err := newConn(fd)
 	if err != nil {
-		refuseCurtly(fd)
+		rejectRaw(fd)
 		return
 	}
 	c, err := nbio.NBConn(conn)
 	if err != nil {
 		if tcp, ok := conn.(syscall.Conn); ok {
 			if raw, err := tcp.SyscallConn(); err == nil {
-				_ = raw.Control(func(fd uintptr) { answerCurtly(int(fd)) })
+				_ = raw.Control(func(fd uintptr) { answerRaw(int(fd)) })
 			}
 		}
 		_ = conn.Close()
 		return
 	}
-	l := &link{s: s, role: terminalRole, c: c, state: live, from: c.RemoteAddr()}
-	s.publish(c, l)
-	s.queue.post(event{kind: evOpened, link: l})
+	l := &connection{balancer: s, role: clientRole, conn: c, state: live, remoteAddr: c.RemoteAddr()}
+	s.attachSession(c, l)
+	s.queue.post(event{kind: eventAccepted, conn: l})
 	_, _ = s.engine.AddConn(c) // a failure closes c, and onClose tells of it
 }
 
-// refuseCurtly answers a connection for which there is no second descriptor, and closes it.
-func refuseCurtly(fd int) {
-	answerCurtly(fd)
+// rejectRaw answers a connection for which there is no second descriptor, and closes it.
+func rejectRaw(fd int) {
+	answerRaw(fd)
 	_ = syscall.Close(fd)
 }
 
-// answerCurtly reads away what has come, so that closing makes no reset of the answer.
-func answerCurtly(fd int) {
+// answerRaw reads away what has come, so that closing makes no reset of the answer.
+func answerRaw(fd int) {
 	var junk [readSize]byte
-	for range junkAtMost / readSize {
+	for range maxDiscarded / readSize {
 		if n, err := syscall.Read(fd, junk[:]); n <= 0 || err != nil {
 			break
 		}
@@ -137,20 +137,20 @@
 	_, _ = syscall.Write(fd, platform.AppendShort(nil, 0))
 }
 
-// closed tells that the loop may end: everybody who was taken in has got all that there is to get, or the time is up.
-func (s *Server) closed(now time.Time) bool {
+// mayExit tells that the loop may end: everybody who was taken in has got all that there is to get, or the time is up.
+func (s *Balancer) mayExit(now time.Time) bool {
 	switch {
-	case !s.exit:
+	case !s.exiting:
 		return false
-	case now.After(s.closing.exitBy):
+	case now.After(s.closing.deadline):
 		return true
-	case !s.accepting.isOver(), !s.queue.empty(): // somebody may have been taken in whom the loop hasn't heard of
+	case !s.acceptLoop.hasEnded(), !s.queue.empty(): // somebody may have been taken in whom the loop hasn't heard of
 		return false
-	case len(s.moving) > 0, s.door != nil && s.door.bidding():
+	case len(s.migrating) > 0, s.admission != nil && s.admission.hasGoodbyes():
 		return false
 	}
 	for l := range s.finishing {
-		if now.Before(s.closing.restBy) || l.backlog() > 0 {
+		if now.Before(s.closing.idleDeadline) || l.backlog() > 0 {
 			return false
 		}
 	}
@@ -159,26 +159,26 @@
 
 // Close lets go of all that Run leaves to the end of the process: sockets, and the goroutines that serve them. Who goes on
 // after Run calls it once Run has returned; what somebody is still owed then is lost.
-func (s *Server) Close() {
+func (s *Balancer) Close() {
 	_ = s.listener.Close()
-	for _, t := range s.terminals {
-		if t.task != nil {
-			t.task.drop()
+	for _, t := range s.clients {
+		if t.server != nil {
+			t.server.drop()
 		}
-		t.l.reset()
+		t.conn.reset()
 	}
 	for l := range s.finishing {
 		l.reset()
 	}
 	for _, p := range s.probes {
-		if p.l != nil {
-			p.l.drop()
+		if p.conn != nil {
+			p.conn.drop()
 		}
 	}
-	drop(&s.watch)
-	drop(&s.former)
+	dropWatch(&s.watch)
+	dropWatch(&s.previousWatch)
 	s.engine.Stop()
-	if s.door != nil {
-		s.door.close()
+	if s.admission != nil {
+		s.admission.close()
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := ParseConfig([]byte(p.vars.Replace(string(body))), Beside{})
+	cfg, err := ParseConfig([]byte(p.vars.Replace(string(body))), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	if p.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	p.server.slack = shutPatience
+	p.server.testSlack = shutPatience
 	p.server.engine.Listen = func(network, addr string) (net.Listener, error) {
 		b.hold.Listener, err = p.server.listen(network, addr)
 		return b.hold, err
@@ -174,15 +174,15 @@
 func notPassing(cfg *Config) { cfg.Core.PassThrough = false }
 
 // stop has the reducer's clock stand still: it takes no time from before its own.
-func (b *shutBed) stop(s *Server) { s.cfg.Zero = time.Now().Add(24*time.Hour - b.clock) }
+func (b *shutBed) stop(s *Balancer) { s.cfg.StartOfClock = time.Now().Add(24*time.Hour - b.clock) }
 
 // pass lets the reducer's time go by.
 func (b *shutBed) pass(d time.Duration) {
 	b.t.Helper()
-	b.onLoop(func(s *Server) {
+	b.onLoop(func(s *Balancer) {
 		for end := b.clock + d; b.clock < end; {
 			b.clock += core.TickInterval
-			s.cfg.Zero = time.Now().Add(-b.clock)
+			s.cfg.StartOfClock = time.Now().Add(-b.clock)
 			s.step(core.Tick{})
 		}
 		b.stop(s)
@@ -190,13 +190,13 @@
 }
 
 // onLoop runs f between two events.
-func (b *shutBed) onLoop(f func(s *Server)) {
+func (b *shutBed) onLoop(f func(s *Balancer)) {
 	b.t.Helper()
 	done := make(chan struct{})
 	select {
-	case b.server.asks <- func() { f(b.server); close(done) }:
+	case b.server.calls <- func() { f(b.server); close(done) }:
 		<-done
-	case <-b.server.over:
+	case <-b.server.loopEnded:
 		b.t.Fatal("the loop has ended")
 	case <-time.After(shutPatience):
 		b.t.Fatal("the loop takes no call")
@@ -204,10 +204,10 @@
 }
 
 // until waits for something that holds on the loop.
-func (b *shutBed) until(what string, holds func(s *Server) bool) {
+func (b *shutBed) until(what string, holds func(s *Balancer) bool) {
 	b.t.Helper()
 	for end, ok := time.Now().Add(shutPatience), false; !ok; time.Sleep(time.Millisecond) {
-		if b.onLoop(func(s *Server) { ok = holds(s) }); time.Now().After(end) {
+		if b.onLoop(func(s *Balancer) { ok = holds(s) }); time.Now().After(end) {
 			b.t.Fatal("in vain:", what)
 		}
 	}
@@ -217,7 +217,7 @@
 func (b *shutBed) leaves() {
 	b.t.Helper()
 	b.steps("leave")
-	b.until("draining", func(s *Server) bool { return s.core.Phase() == core.Draining })
+	b.until("draining", func(s *Balancer) bool { return s.core.Phase() == core.Draining })
 }
 
 // calls has as much time pass as it takes until discovery is called.
@@ -225,7 +225,7 @@
 	b.t.Helper()
 	for over := false; !over; {
 		b.pass(core.TickInterval)
-		b.onLoop(func(s *Server) { over = s.core.Counters.Watches > 0 })
+		b.onLoop(func(s *Balancer) { over = s.core.Counters.Watches > 0 })
 	}
 	b.steps("watch1 < GET *")
 }
@@ -235,7 +235,7 @@
 	b.t.Helper()
 	for over := false; !over; {
 		b.pass(core.TickInterval)
-		b.onLoop(func(s *Server) { over = s.exit })
+		b.onLoop(func(s *Balancer) { over = s.exiting })
 	}
 }
 
@@ -264,14 +264,14 @@
 func TestWhoWaitsInTheListenersQueueIsTurnedAway(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > PING", "a < PONG")
-	b.onLoop(func(s *Server) { s.sockets.Add(1 << 20) }) // the accept loop waits for descriptors, after one more accept at most
+	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) }) // the accept loop waits for descriptors, after one more accept at most
 	b.steps(`b >> "OPEN 1 k c=chat,d=60000\r\n"`, `c >> "OPEN 2 k c=cha"`, `d >> ""`)
 	b.leaves()
 	b.closes()
 	for _, who := range []string{"b", "c", "d", "a"} {
 		b.steps(who+" < BUSY", who+" < FIN", who+" FIN")
 	}
-	b.onLoop(func(s *Server) { s.sockets.Add(-1 << 20) })
+	b.onLoop(func(s *Balancer) { s.sockets.Add(-1 << 20) })
 	b.steps("ended")
 	b.nobodyAsked()
 }
@@ -287,7 +287,7 @@
 			b.leaves()
 			b.closes()
 			select { // the loop has had turns, and was not allowed to end
-			case <-b.server.over:
+			case <-b.server.loopEnded:
 				t.Error("ended while a connection was being taken in")
 			default:
 			}
@@ -304,10 +304,10 @@
 	b := newShutBed(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
 	b.leaves()
-	b.until("both are known", func(s *Server) bool { return len(s.terminals) == 2 })
-	b.onLoop(func(s *Server) { // nobody reads them
-		for _, t := range s.terminals {
-			t.l.pause()
+	b.until("both are known", func(s *Balancer) bool { return len(s.clients) == 2 })
+	b.onLoop(func(s *Balancer) { // nobody reads them
+		for _, t := range s.clients {
+			t.conn.pause()
 		}
 	})
 	b.steps("before > OPEN 1 k c=chat,d=60000")
@@ -323,10 +323,10 @@
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
-	b.until("the pieces are read", func(s *Server) bool {
+	b.until("the pieces are read", func(s *Balancer) bool {
 		n := 0
-		for _, t := range s.terminals {
-			if len(t.begun) > 0 {
+		for _, t := range s.clients {
+			if len(t.partialLine) > 0 {
 				n++
 			}
 		}
@@ -371,25 +371,25 @@
 	for _, passes := range []bool{true, false} {
 		for name, until := range map[string]func(b *shutBed){
 			"waits for room": func(b *shutBed) {
-				b.onLoop(func(s *Server) {
-					for i := range s.cfg.Known.Endpoints {
-						s.cfg.Known.Endpoints[i].State = 1 // draining
+				b.onLoop(func(s *Balancer) {
+					for i := range s.cfg.KnownEndpoints.Endpoints {
+						s.cfg.KnownEndpoints.Endpoints[i].State = 1 // draining
 					}
-					s.step(*s.cfg.Known)
+					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it is taken", func(s *Server) bool { return s.core.Unanswered() == 1 })
+				b.until("it is taken", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
 			},
 			"dialing": func(b *shutBed) {
 				full := shutFull(b.t)
-				b.onLoop(func(s *Server) {
-					for i := range s.cfg.Known.Endpoints {
-						s.cfg.Known.Endpoints[i].Address = full
+				b.onLoop(func(s *Balancer) {
+					for i := range s.cfg.KnownEndpoints.Endpoints {
+						s.cfg.KnownEndpoints.Endpoints[i].Address = full
 					}
-					s.step(*s.cfg.Known)
+					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it dials", func(s *Server) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
+				b.until("it dials", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
 			},
 			"sent":          func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
 			"half answered": func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`) },
@@ -419,22 +419,22 @@
 func TestHalfClosedClientsAreOverWithTheirAnswer(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
-	b.until("it has closed its sending", func(s *Server) bool {
-		for _, t := range s.terminals {
-			t.l.mu.Lock()
-			defer t.l.mu.Unlock()
-			return t.l.tail != nil
+	b.until("it has closed its sending", func(s *Balancer) bool {
+		for _, t := range s.clients {
+			t.conn.mu.Lock()
+			defer t.conn.mu.Unlock()
+			return t.conn.tail != nil
 		}
 		return false
 	})
-	b.onLoop(func(s *Server) {
-		for _, term := range s.terminals { // the answer, and no time for the end by force
+	b.onLoop(func(s *Balancer) {
+		for _, term := range s.clients { // the answer, and no time for the end by force
 			s.finalAnswer(term, []byte("BUSY\r\n"))
-			term.l.endBy = time.Now().Add(time.Hour)
+			term.conn.forceCloseAt = time.Now().Add(time.Hour)
 		}
 	})
 	b.steps("a < BUSY", "a < FIN")
-	b.until("it is over", func(s *Server) bool { return len(s.finishing) == 0 })
+	b.until("it is over", func(s *Balancer) bool { return len(s.finishing) == 0 })
 }
 
 // A configuration read anew right before SIGTERM, or right after it, counts while clients are still served: news come from
@@ -455,7 +455,7 @@
 			b.steps("watch2 < GET *", "task1 > UP 1", "a < UP 1", "a FIN", "task1 < FIN", "task1 FIN", "a < FIN")
 			b.closes()
 			b.steps("reload $discovery")
-			b.onLoop(func(s *Server) {
+			b.onLoop(func(s *Balancer) {
 				if s.counters.Reloads != 1 {
 					t.Error(s.counters.Reloads, "configurations were taken")
 				}
@@ -479,18 +479,18 @@
 func TestAcceptedConnectionsHoldNothingBack(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > PING", "a < PONG")
-	b.onLoop(func(s *Server) { s.sockets.Add(1 << 20) })
+	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) })
 	b.steps(`b >> ""`, `c >> ""`) // one by the accept that waited, perhaps
-	b.onLoop(func(s *Server) {
-		if !s.takeInWaiting() {
+	b.onLoop(func(s *Balancer) {
+		if !s.acceptQueued() {
 			t.Error("somebody is left in the queue")
 		}
 		s.sockets.Add(-1 << 20)
 	})
-	b.until("all are known", func(s *Server) bool { return len(s.terminals) == 3 })
-	b.onLoop(func(s *Server) {
-		for _, term := range s.terminals {
-			control(term.l.c, func(fd int) {
+	b.until("all are known", func(s *Balancer) bool { return len(s.clients) == 3 })
+	b.onLoop(func(s *Balancer) {
+		for _, term := range s.clients {
+			withDescriptor(term.conn.conn, func(fd int) {
 				if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 					t.Errorf("terminal %d: TCP_NODELAY %d, %v", term.handle, on, err)
 				}
@@ -520,7 +520,7 @@
 		if leaves {
 			b.leaves()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
-			b.until("nobody stands", func(s *Server) bool { return s.core.OpenRequests() == 0 })
+			b.until("nobody stands", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
 			b.closes()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
@@ -541,52 +541,52 @@
 // each reason to stay is met without the others.
 func TestReasonsToStay(t *testing.T) {
 	now := time.Now()
-	ready := func() *Server {
-		s := &Server{exit: true, closing: closing{restBy: now.Add(time.Second), exitBy: now.Add(2 * time.Second)},
-			accepting: acceptLoop{over: make(chan struct{})}, finishing: map[*link]struct{}{}, moving: map[*terminal]struct{}{}}
-		s.accepting.ended()
+	ready := func() *Balancer {
+		s := &Balancer{exiting: true, closing: closing{idleDeadline: now.Add(time.Second), deadline: now.Add(2 * time.Second)},
+			acceptLoop: acceptLoop{done: make(chan struct{})}, finishing: map[*connection]struct{}{}, migrating: map[*client]struct{}{}}
+		s.acceptLoop.finish()
 		return s
 	}
-	if !ready().closed(now) {
+	if !ready().mayExit(now) {
 		t.Fatal("it stays for nobody")
 	}
-	for name, stay := range map[string]func(s *Server) (until time.Duration){
-		"accept loop at work": func(s *Server) time.Duration {
-			s.accepting = acceptLoop{over: make(chan struct{})}
+	for name, stay := range map[string]func(s *Balancer) (until time.Duration){
+		"accept loop at work": func(s *Balancer) time.Duration {
+			s.acceptLoop = acceptLoop{done: make(chan struct{})}
 			return 2 * time.Second
 		},
-		"events unread": func(s *Server) time.Duration {
-			s.queue.list = []event{{kind: evOpened}}
+		"events unread": func(s *Balancer) time.Duration {
+			s.queue.list = []event{{kind: eventAccepted}}
 			return 2 * time.Second
 		},
-		"a client moves": func(s *Server) time.Duration {
-			s.moving[&terminal{}] = struct{}{}
+		"a client moves": func(s *Balancer) time.Duration {
+			s.migrating[&client{}] = struct{}{}
 			return 2 * time.Second
 		},
-		"bytes unwritten": func(s *Server) time.Duration {
-			l := &link{}
-			l.handed.Store(1)
+		"bytes unwritten": func(s *Balancer) time.Duration {
+			l := &connection{}
+			l.accepted.Store(1)
 			s.finishing[l] = struct{}{}
 			return 2 * time.Second
 		},
-		"a client that has to end": func(s *Server) time.Duration {
-			s.finishing[&link{}] = struct{}{}
+		"a client that has to end": func(s *Balancer) time.Duration {
+			s.finishing[&connection{}] = struct{}{}
 			return time.Second
 		},
-		"a refused client": func(s *Server) time.Duration {
-			s.door = &door{byes: make([]net.Conn, 1)}
+		"a refused client": func(s *Balancer) time.Duration {
+			s.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
 	} {
 		s := ready()
 		until := stay(s)
-		if s.closed(now) || s.closed(now.Add(until-time.Millisecond)) {
+		if s.mayExit(now) || s.mayExit(now.Add(until-time.Millisecond)) {
 			t.Error(name, "is no reason to stay")
 		}
-		if !s.closed(now.Add(until + time.Millisecond)) {
+		if !s.mayExit(now.Add(until + time.Millisecond)) {
 			t.Error(name, "holds it up for ever")
 		}
-		if s.exit = false; s.closed(now.Add(time.Hour)) {
+		if s.exiting = false; s.mayExit(now.Add(time.Hour)) {
 			t.Error(name, "ends though it serves")
 		}
 	}
--- a/internal/proxy/tasks.go
+++ b/internal/proxy/tasks.go
@@ -16,59 +16,59 @@
 	"oatloft/internal/platform"
 )
 
-// fromRegion reads a routed task's answer, and passes on what follows it.
-func (s *Server) fromRegion(t *terminal, l *link, e event) {
-	if t.task != l {
+// handleServerEvent reads a routed task's answer, and passes on what follows it.
+func (s *Balancer) handleServerEvent(t *client, l *connection, e event) {
+	if t.server != l {
 		return
 	}
 	switch e.kind {
-	case evConnected:
+	case eventConnected:
 		s.step(core.AttemptConnected{Client: t.handle, Attempt: l.attempt})
-	case evRefused:
-		t.task = nil
+	case eventDialFailed:
+		t.server = nil
 		s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: core.CloseRefused})
-	case evEnded, evBroken:
-		if s.isMoving(t) {
-			s.regionEndedMoving(t, e.kind)
+	case eventEOF, eventReset:
+		if s.isMigrating(t) {
+			s.serverEndedMigrating(t, e.kind)
 			return
 		}
 		how := core.CloseEOF
-		if e.kind == evBroken {
+		if e.kind == eventReset {
 			how = core.CloseReset
 		}
-		switch t.last {
+		switch t.lastServerWord {
 		case platform.Bye:
 			how = core.CloseFinished
 		case platform.MoveAway:
 			how = core.CloseMigrated
 		}
 		s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: how})
-	case evData:
-		if !t.up {
-			s.answered(t, l, *e.data)
+	case eventData:
+		if !t.established {
+			s.readAnswer(t, l, *e.data)
 			return
 		}
-		if s.links != nil && l.turned.Swap(false) {
+		if s.zoneLinks != nil && l.hadWaited.Swap(false) {
 			s.step(core.ServerDataQueued{Client: t.handle})
 		}
-		s.pass(t, *e.data)
+		s.forwardFromServer(t, *e.data)
 	}
 }
 
-// answered reads what comes before an attempt stands: its answer, which may come in pieces. All that isn't an answer by the
+// readAnswer reads what comes before an attempt stands: its answer, which may come in pieces. All that isn't an answer by the
 // protocol's form is an error of the server, which may have run the request; none of it reaches the client.
-func (s *Server) answered(t *terminal, l *link, data []byte) {
-	if s.links != nil {
-		s.links.cameFrom(t, l.region, len(data))
+func (s *Balancer) readAnswer(t *client, l *connection, data []byte) {
+	if s.zoneLinks != nil {
+		s.zoneLinks.countReceived(t, l.server, len(data))
 	}
-	data, first, done := t.answer.Read(data)
+	data, first, done := t.answerReader.Read(data)
 	if !done {
 		return
 	}
 	how := core.CloseFailed
 	switch platform.AnswerOf(data[:first]) {
 	case platform.Up:
-		s.stands(t, l, data, data[first:])
+		s.establish(t, l, data, data[first:])
 		return
 	case platform.Busy:
 		how = core.CloseRejected
@@ -80,106 +80,106 @@
 	s.step(core.AttemptClosed{Client: t.handle, Attempt: l.attempt, Reason: how})
 }
 
-// stands lets an attempt's connection belong to its server: data is its answer, with what came right behind it.
-func (s *Server) stands(t *terminal, l *link, data, behind []byte) {
-	t.up = true
-	if s.door != nil {
-		s.door.stood(t.l.ticket)
-	}
-	t.l.knows()
-	if s.links != nil {
-		s.links.attach(t)
-	}
-	seen := t.fromRegion.Read(behind)
-	t.last = seen.Last
+// establish lets an attempt's connection belong to its server: data is its answer, with what came right behind it.
+func (s *Balancer) establish(t *client, l *connection, data, behind []byte) {
+	t.established = true
+	if s.admission != nil {
+		s.admission.established(t.conn.ticket)
+	}
+	t.conn.markEstablished()
+	if s.zoneLinks != nil {
+		s.zoneLinks.attach(t)
+	}
+	seen := t.fromServer.Read(behind)
+	t.lastServerWord = seen.Last
 	s.step(core.AttemptAccepted{Client: t.handle, Attempt: l.attempt,
 		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told}})
 }
 
-// pass hands on a region's bytes. A terminal that is to be moved gets no byte behind the next line's end.
-func (s *Server) pass(t *terminal, data []byte) {
-	if s.isMoving(t) {
-		s.passRestOfLine(t, data)
+// forwardFromServer hands on a region's bytes. A terminal that is to be moved gets no byte behind the next line's end.
+func (s *Balancer) forwardFromServer(t *client, data []byte) {
+	if s.isMigrating(t) {
+		s.passRestOfAnswer(t, data)
 		return
 	}
-	seen := t.fromRegion.Read(data)
+	seen := t.fromServer.Read(data)
 	if seen.Lines > 0 {
-		t.last = seen.Last
+		t.lastServerWord = seen.Last
 	}
 	s.step(core.DataReceived{Client: t.handle, FromServer: true,
 		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told}})
 }
 
-// hurry has the region end its line soon, behind which the terminal is moved. The reducer knows of neither any more, so nobody else would have
+// finishServerLine has the region end its line soon, behind which the terminal is moved. The reducer knows of neither any more, so nobody else would have
 // the region read on where the terminal was full; and where a bounded link has let only a part of the terminal's last line through, the region may
 // answer the rest when it comes, and not before.
-func (s *Server) hurry(t *terminal) {
-	t.task.resume()
-	if s.links == nil {
+func (s *Balancer) finishServerLine(t *client) {
+	t.server.resume()
+	if s.zoneLinks == nil {
 		return
 	}
-	t.task.passBy(nil)
-	if !t.toRegion.Between() {
-		t.rest = t.l.hurried()
+	t.server.setQueue(nil)
+	if !t.toServer.Between() {
+		t.passingRestOfLine = t.conn.bypassQueue()
 	}
 }
 
-// restOfLine passes the end of a line that the region has the beginning of. It is counted as the link's debt.
-func (s *Server) restOfLine(t *terminal, data []byte) {
+// passRestOfRequest passes the end of a line that the region has the beginning of. It is counted as the link's debt.
+func (s *Balancer) passRestOfRequest(t *client, data []byte) {
 	i := bytes.IndexByte(data, '\n') + 1
-	if i > 0 || t.task == nil || t.task.backlog() > fullAt {
-		t.rest = false
-		t.l.pause()
+	if i > 0 || t.server == nil || t.server.backlog() > backpressureBytes {
+		t.passingRestOfLine = false
+		t.conn.pause()
 	}
 	if i > 0 {
 		data = data[:i]
 	}
-	if t.task != nil {
-		s.counters.BytesToRegions += int64(len(data))
-		t.task.write(data)
-		s.links.sentTo(t, t.task.region, len(data))
+	if t.server != nil {
+		s.counters.BytesToServers += int64(len(data))
+		t.server.write(data)
+		s.zoneLinks.countSent(t, t.server.server, len(data))
 	}
 }
 
-// flushed follows a link that has written all it was given.
-func (s *Server) flushed(l *link) {
-	t := l.term
+// handleFlushed follows a link that has written all it was given.
+func (s *Balancer) handleFlushed(l *connection) {
+	t := l.client
 	if t == nil {
 		return
 	}
-	if l.role == taskRole && t.task == l && !t.up {
+	if l.role == serverRole && t.server == l && !t.established {
 		s.step(core.RequestSent{Client: t.handle, Attempt: l.attempt})
 	}
-	s.flow(t)
+	s.updateBackpressure(t)
 }
 
-// flow stops the reading of a side while the way to the other is full.
-func (s *Server) flow(t *terminal) {
-	for i, l := range []*link{t.l, t.task} {
+// updateBackpressure stops the reading of a side while the way to the other is full.
+func (s *Balancer) updateBackpressure(t *client) {
+	for i, l := range []*connection{t.conn, t.server} {
 		if l == nil {
 			continue
 		}
 		switch b := l.backlog(); {
-		case !t.full[i] && b > fullAt:
-			t.full[i] = true
+		case !t.backpressure[i] && b > backpressureBytes:
+			t.backpressure[i] = true
 			l.flushed() // asks to be told when all has left
 			s.step(core.BackpressureChanged{Client: t.handle, ToServer: i == 1, Full: true})
-		case t.full[i] && b < roomAt:
-			t.full[i] = false
+		case t.backpressure[i] && b < resumeBytes:
+			t.backpressure[i] = false
 			s.step(core.BackpressureChanged{Client: t.handle, ToServer: i == 1})
 		}
 	}
 }
 
-// wait lets the gate know that the process has no descriptor left, and lets some time pass in which one may be
+// waitForDescriptor lets the gate know that the process has no descriptor left, and lets some time pass in which one may be
 // freed. It is false when the dialing's own time is over.
-func (s *Server) wait(ctx context.Context) bool {
-	s.door.starved(false)
-	s.said.Say(time.Now(), slog.LevelWarn, "dial", "a dial waits for a descriptor")
+func (s *Balancer) waitForDescriptor(ctx context.Context) bool {
+	s.admission.descriptorsExhausted(false)
+	s.limitedLog.Say(time.Now(), slog.LevelWarn, "dial", "a dial waits for a descriptor")
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(starvedWait):
+	case <-time.After(exhaustedRetry):
 		return true
 	}
 }
@@ -187,25 +187,25 @@
 // dial opens a link; an event tells what became of it. The standard library dials and nbio takes the
 // connection over: nbio's own DialAsync reads an address's first four bytes, which are zeros in the long
 // form that ResolveTCPAddr returns, and so connects to 0.0.0.0.
-func (s *Server) dial(l *link, addr string, timeout time.Duration) {
+func (s *Balancer) dial(l *connection, addr string, timeout time.Duration) {
 	// Where admission is configured, what a routed task needs was set aside when its transaction was picked up.
-	if s.door == nil && l.role != watchRole && !s.basic().MayOpen(int(s.sockets.Load())) { // news come even in a crowd
+	if s.admission == nil && l.role != watchRole && !s.basicLimits().MayOpen(int(s.sockets.Load())) { // news come even in a crowd
 		l.state = ended // nobody else knows it yet
-		s.queue.post(event{kind: evRefused, link: l})
+		s.queue.post(event{kind: eventDialFailed, conn: l})
 		return
 	}
 	s.sockets.Add(1)
-	if s.links != nil && l.role == taskRole {
-		s.links.begin(l)
+	if s.zoneLinks != nil && l.role == serverRole {
+		s.zoneLinks.shapeFromStart(l)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	l.cancel = cancel
 	go func() {
 		defer s.sockets.Add(-1)
 		defer cancel()
-		d := net.Dialer{Control: l.narrowed()}
+		d := net.Dialer{Control: l.dialControl()}
 		conn, err := d.DialContext(ctx, "tcp", addr)
-		for err != nil && noDescriptor(err) && s.door != nil && s.wait(ctx) {
+		for err != nil && noDescriptor(err) && s.admission != nil && s.waitForDescriptor(ctx) {
 			// Nothing has left for the region: this is the same attempt still.
 			conn, err = d.DialContext(ctx, "tcp", addr)
 		}
@@ -219,21 +219,21 @@
 		if err == nil {
 			if c, err = nbio.NBConn(conn); err != nil {
 				_ = conn.Close()
-				if s.door != nil && noDescriptor(err) {
-					s.door.starved(true)
+				if s.admission != nil && noDescriptor(err) {
+					s.admission.descriptorsExhausted(true)
 				}
 			}
 		}
 		if err != nil {
 			if l.state == dialing {
 				l.state = ended
-				s.queue.post(event{kind: evRefused, link: l})
+				s.queue.post(event{kind: eventDialFailed, conn: l})
 			}
 			return
 		}
-		l.c, l.state = c, live
-		s.publish(c, l)
-		s.queue.post(event{kind: evConnected, link: l})
+		l.conn, l.state = c, live
+		s.attachSession(c, l)
+		s.queue.post(event{kind: eventConnected, conn: l})
 		_, _ = s.engine.AddConn(c) // a failure closes c, and onClose tells of it
 	}()
 }
--- a/internal/proxy/together_test.go
+++ b/internal/proxy/together_test.go
@@ -17,7 +17,7 @@
 	}
 	defer w.Close()
 	parse := func(e *edgeconfig.Settings) (Config, error) {
-		c, err := ParseConfig(w.Config("n17", "127.8.9.9:9000", fake.Options{Sockets: 256, MemoryMB: 64, Discovery: w.Discovery.Addr, Balancers: 40}), Beside{})
+		c, err := ParseConfig(w.Config("n17", "127.8.9.9:9000", fake.Options{Sockets: 256, MemoryMB: 64, Discovery: w.Discovery.Addr, Balancers: 40}), Overrides{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,12 +28,12 @@
 			SignalEvery: edgeconfig.Duration(500 * time.Millisecond), SignalLife: edgeconfig.Duration(5 * time.Second), Subset: subset}
 	}
 	for _, e := range []*edgeconfig.Settings{nil, {}, {Peers: peers(0)}} {
-		if c, err := parse(e); err != nil || c.Numbered != nil || c.Peers != nil && c.Peers.Together.Enabled() {
+		if c, err := parse(e); err != nil || c.Numbered != nil || c.Peers != nil && c.Peers.Coordination.Enabled() {
 			t.Errorf("%+v: %+v, %v", e, c, err)
 		}
 	}
 	c, err := parse(&edgeconfig.Settings{Peers: peers(8)})
-	if err != nil || !c.Peers.Together.Enabled() || c.Peers.Together.SubsetSize != 8 || c.Peers.Together.Balancers != 40 || c.Peers.Together.Zone == "" {
+	if err != nil || !c.Peers.Coordination.Enabled() || c.Peers.Coordination.SubsetSize != 8 || c.Peers.Coordination.Balancers != 40 || c.Peers.Coordination.Zone == "" {
 		t.Errorf("%+v, %v", c.Peers, err)
 	}
 	c, err = parse(&edgeconfig.Settings{Numbered: &edgeconfig.Numbered{Number: -1, Subset: 6}})
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -15,28 +15,28 @@
 // tracing tells whether the trace is on, once for the whole run.
 func tracing(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (s *Server) say(kind string, attrs ...slog.Attr) {
+func (s *Balancer) trace(kind string, attrs ...slog.Attr) {
 	attrs = append(attrs, slog.Int64("us", time.Now().UnixMicro()))
 	s.log.LogAttrs(context.Background(), slog.LevelDebug, kind, attrs...)
 }
 
-func of(h core.Handle, attempt int) []slog.Attr {
+func attemptAttrs(h core.Handle, attempt int) []slog.Attr {
 	return []slog.Attr{slog.Uint64("of", uint64(h)), slog.Int("attempt", attempt)}
 }
 
-func (s *Server) traceEvent(ev core.Event) {
+func (s *Balancer) traceEvent(ev core.Event) {
 	switch ev := ev.(type) {
 	case core.RequestReceived:
-		s.say("opened", slog.Uint64("of", uint64(ev.Client)), slog.String("id", ev.ID), slog.String("key", ev.Key),
+		s.trace("opened", slog.Uint64("of", uint64(ev.Client)), slog.String("id", ev.ID), slog.String("key", ev.Key),
 			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.EstablishedAt != ""))
 	case core.ClientClosed:
-		s.say("terminal-ended", slog.Uint64("of", uint64(ev.Client)), slog.Int("how", int(ev.Reason)))
+		s.trace("terminal-ended", slog.Uint64("of", uint64(ev.Client)), slog.Int("how", int(ev.Reason)))
 	case core.AttemptConnected:
-		s.say("connected", of(ev.Client, ev.Attempt)...)
+		s.trace("connected", attemptAttrs(ev.Client, ev.Attempt)...)
 	case core.AttemptAccepted:
-		s.say("up", of(ev.Client, ev.Attempt)...)
+		s.trace("up", attemptAttrs(ev.Client, ev.Attempt)...)
 	case core.AttemptClosed:
-		s.say("task-ended", append(of(ev.Client, ev.Attempt), slog.Int("how", int(ev.Reason)))...)
+		s.trace("task-ended", append(attemptAttrs(ev.Client, ev.Attempt), slog.Int("how", int(ev.Reason)))...)
 	case core.EndpointsListed:
 		n, drained, gone := len(ev.Endpoints), 0, 0
 		for _, g := range ev.Endpoints {
@@ -50,38 +50,38 @@
 			if g.StartedAt > 0 {
 				warm = time.Now().Add(g.StartedAt + s.cfg.Core.Policy.WarmUpDuration - s.now()).UnixMicro()
 			}
-			s.say("region", slog.String("region", g.ID), slog.Int("state", int(g.State)), slog.Int64("warm", warm))
+			s.trace("region", slog.String("region", g.ID), slog.Int("state", int(g.State)), slog.Int64("warm", warm))
 		}
-		s.say("listed", slog.Int("kind", int(ev.Kind)), slog.Int("n", n), slog.Int("draining", drained), slog.Int("gone", gone))
+		s.trace("listed", slog.Int("kind", int(ev.Kind)), slog.Int("n", n), slog.Int("draining", drained), slog.Int("gone", gone))
 	case core.WatchClosed:
-		s.say("watch-ended")
+		s.trace("watch-ended")
 	case core.ProbeFinished:
 		x, held := -1.0, -1.0
 		if ev.Report != nil {
 			x, held = ev.Report.Load, ev.Report.InFlight
 		}
-		s.say("probed", slog.String("region", ev.Server), slog.Int("result", int(ev.Result)), slog.Float64("x", x),
+		s.trace("probed", slog.String("region", ev.Server), slog.Int("result", int(ev.Result)), slog.Float64("x", x),
 			slog.Float64("held", held))
 	}
 }
 
-func (s *Server) traceEffect(e core.Effect) {
+func (s *Balancer) traceEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Dial:
-		s.say("dial", append(of(e.Client, e.Attempt), slog.String("region", e.Server))...)
+		s.trace("dial", append(attemptAttrs(e.Client, e.Attempt), slog.String("region", e.Server))...)
 	case core.CloseAttempt:
-		s.say("drop", append(of(e.Client, e.Attempt), slog.String("why", e.Reason))...)
+		s.trace("drop", append(attemptAttrs(e.Client, e.Attempt), slog.String("why", e.Reason))...)
 	case core.Answer:
-		s.say("answer", slog.Uint64("of", uint64(e.Client)), slog.Bool("short", e.Rejected), slog.String("why", e.Reason))
+		s.trace("answer", slog.Uint64("of", uint64(e.Client)), slog.Bool("short", e.Rejected), slog.String("why", e.Reason))
 	case core.CloseClient:
-		s.say("end-terminal", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+		s.trace("end-terminal", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
 	case core.CloseServer:
-		s.say("end-region", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+		s.trace("end-region", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
 	case core.MigrateClient:
-		s.say("move", slog.Uint64("of", uint64(e.Client)), slog.String("why", e.Reason))
+		s.trace("move", slog.Uint64("of", uint64(e.Client)), slog.String("why", e.Reason))
 	case core.Probe:
-		s.say("probe", slog.String("region", e.Server), slog.Bool("dials", s.probes[e.Server] == nil || s.probes[e.Server].l == nil))
+		s.trace("probe", slog.String("region", e.Server), slog.Bool("dials", s.probes[e.Server] == nil || s.probes[e.Server].conn == nil))
 	case core.Watch:
-		s.say("watch", slog.Int64("seq", e.Version))
+		s.trace("watch", slog.Int64("seq", e.Version))
 	}
 }
--- a/internal/proxy/watches.go
+++ b/internal/proxy/watches.go
@@ -11,50 +11,50 @@
 	"oatloft/internal/platform"
 )
 
-// watchDial is when a dial to discovery stops by itself. The reducer gives the call up before.
-const watchDial = 2 * time.Second
+// watchDialTimeout is when a dial to discovery stops by itself. The reducer gives the call up before.
+const watchDialTimeout = 2 * time.Second
 
 // watch is a call to discovery that stays open.
 type watch struct {
-	l    *link
-	in   platform.WatchReader
-	seq  int64
-	sent bool // bytes of its answer have come
+	conn         *connection
+	reader       platform.WatchReader
+	version      int64
+	receivedData bool // bytes of its answer have come
 }
 
-func drop(w **watch) {
+func dropWatch(w **watch) {
 	if *w != nil {
-		(*w).l.drop()
+		(*w).conn.drop()
 		*w = nil
 	}
 }
 
-// callDiscovery begins the call for all changes after seq. The one before goes on until this one has answered, if it has
+// openWatch begins the call for all changes after seq. The one before goes on until this one has answered, if it has
 // brought anything.
-func (s *Server) callDiscovery(seq int64) {
-	if s.watch != nil && s.watch.sent {
-		drop(&s.former)
-		s.former, s.watch = s.watch, nil
+func (s *Balancer) openWatch(seq int64) {
+	if s.watch != nil && s.watch.receivedData {
+		dropWatch(&s.previousWatch)
+		s.previousWatch, s.watch = s.watch, nil
 	}
-	drop(&s.watch)
-	in := platform.WatchReader{Zero: s.cfg.Zero, Unread: s.unread}
-	s.watch = &watch{l: &link{s: s, role: watchRole}, in: in, seq: seq}
-	s.dial(s.watch.l, s.cfg.Discovery, watchDial)
+	dropWatch(&s.watch)
+	in := platform.WatchReader{Zero: s.cfg.StartOfClock, Unread: s.logUnreadable}
+	s.watch = &watch{conn: &connection{balancer: s, role: watchRole}, reader: in, version: seq}
+	s.dial(s.watch.conn, s.cfg.Discovery, watchDialTimeout)
 }
 
-func (s *Server) fromWatch(w *watch, e event) {
+func (s *Balancer) handleWatchEvent(w *watch, e event) {
 	switch e.kind {
-	case evConnected:
-		w.l.write(platform.AppendWatch(nil, s.cfg.Discovery, w.seq))
-	case evRefused, evEnded, evBroken:
+	case eventConnected:
+		w.conn.write(platform.AppendWatch(nil, s.cfg.Discovery, w.version))
+	case eventDialFailed, eventEOF, eventReset:
 		s.watch = nil
 		s.step(core.WatchClosed{})
-	case evData:
-		w.sent = true
+	case eventData:
+		w.receivedData = true
 		whole := false
-		err := w.in.Read(*e.data, func(list *core.EndpointsListed) {
+		err := w.reader.Read(*e.data, func(list *core.EndpointsListed) {
 			whole = true
-			drop(&s.former)
+			dropWatch(&s.previousWatch)
 			if list == nil {
 				s.step(core.WatchHeartbeat{})
 			} else {
@@ -64,8 +64,8 @@
 		switch {
 		case w != s.watch: // a list that it brought had the next call begin
 		case err != nil:
-			s.unread(err)
-			drop(&s.watch)
+			s.logUnreadable(err)
+			dropWatch(&s.watch)
 			s.step(core.WatchClosed{})
 		case !whole:
 			s.step(core.WatchDataReceived{})
@@ -73,15 +73,15 @@
 	}
 }
 
-// fromFormer takes what still comes by the watch that is to be followed. Its end is no loss of news: the
+// handlePreviousWatchEvent takes what still comes by the watch that is to be followed. Its end is no loss of news: the
 // reducer minds the one that follows.
-func (s *Server) fromFormer(e event) {
+func (s *Balancer) handlePreviousWatchEvent(e event) {
 	var err error
 	switch e.kind {
-	case evEnded, evBroken:
-		s.former = nil
-	case evData:
-		err = s.former.in.Read(*e.data, func(list *core.EndpointsListed) {
+	case eventEOF, eventReset:
+		s.previousWatch = nil
+	case eventData:
+		err = s.previousWatch.reader.Read(*e.data, func(list *core.EndpointsListed) {
 			if list != nil {
 				list.FromPreviousWatch = true
 				s.step(*list)
@@ -89,13 +89,13 @@
 		})
 	}
 	if err != nil {
-		s.unread(err)
-		drop(&s.former)
+		s.logUnreadable(err)
+		dropWatch(&s.previousWatch)
 	}
 }
 
-// unread logs what can't be read of discovery's answer.
-func (s *Server) unread(err error) {
-	s.said.Say(time.Now(), slog.LevelWarn, "discovery", "discovery's answer can't be used",
+// logUnreadable logs what can't be read of discovery's answer.
+func (s *Balancer) logUnreadable(err error) {
+	s.limitedLog.Say(time.Now(), slog.LevelWarn, "discovery", "discovery's answer can't be used",
 		slog.String("discovery", s.cfg.Discovery), slog.String("err", hint.Line(err)))
 }
--- a/internal/simulation/place.go
+++ b/internal/simulation/place.go
@@ -333,7 +333,7 @@
 	if first || p.D.Known {
 		known = p.whole()
 	}
-	cfg, err := proxy.ParseConfig(p.D.JSON(zone, p.rng.Uint64()>>2, known), proxy.Beside{})
+	cfg, err := proxy.ParseConfig(p.D.JSON(zone, p.rng.Uint64()>>2, known), proxy.Overrides{})
 	if err != nil {
 		return err
 	}
