--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// An answer that is none by the protocol fails a request that may have run, and nothing of it reaches the client, in whatever
-// pieces it comes.
+// An answer that is none by the protocol fails a request that may have run, and nothing of it reaches the client,
+// in whatever pieces it comes.
 func TestSpoiltAnswers(t *testing.T) {
 	long := strings.Repeat("x", platform.MaxLine)
 	for name, answer := range map[string]string{
@@ -77,7 +77,8 @@
 	}
 }
 
-// A server refuses and says UP, in one segment or later, when the next attempt is out: the client gets the next one's UP only.
+// A server refuses and says UP, in one segment or later, when the next attempt is out: the client gets the next
+// one's UP only.
 func TestSecondAnswerReachesNobody(t *testing.T) {
 	for name, second := range map[string]bool{"in one segment": false, "later": true} {
 		h := triesStart(t, "unsafe")
@@ -100,7 +101,8 @@
 	}
 }
 
-// A refusal, an error or half a line, with an end of either kind right behind: what was said counts, and half an answer is none.
+// A refusal, an error or half a line, with an end of either kind right behind: what was said counts, and half an
+// answer is none.
 func TestAnswersBrokenOff(t *testing.T) {
 	for _, x := range []struct {
 		answer string
@@ -202,8 +204,8 @@
 	}
 }
 
-// An answer that never ends is ended at its 4096th byte, and what the balancer reads of it meanwhile is bounded, also where its
-// loop doesn't turn.
+// An answer that never ends is ended at its 4096th byte, and what the balancer reads of it meanwhile is bounded,
+// also where its loop doesn't turn.
 func TestEndlessAnswerIsBounded(t *testing.T) {
 	h := triesStart(t, "unsafe")
 	client := h.ask("1", time.Hour)
@@ -227,7 +229,7 @@
 // probeOf has the balancer ask a server for its load, and returns the server's side once the question has come.
 func (h *triesLoop) probeOf(known *triesPeer) *triesPeer {
 	h.t.Helper()
-	h.s.probe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
+	h.s.startProbe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
 	return h.probeCame(known)
 }
 
@@ -272,8 +274,8 @@
 	}
 }
 
-// A probe's answer that comes twice, at once or later, or has more behind it, isn't taken for the next probe's: that one goes
-// over another connection.
+// A probe's answer that comes twice, at once or later, or has more behind it, isn't taken for the next probe's:
+// that one goes over another connection.
 func TestProbeAnsweredTwice(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for _, more := range []string{"PONG x0=0.9\r\n", "PO", "\r\n"} {
@@ -307,7 +309,7 @@
 	if at.pending || at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
 		t.Fatalf("%+v", at)
 	}
-	h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+	h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 	h.s.handleEvents()
 	if !at.pending {
 		t.Fatal("the late answer was taken for the next probe's")
@@ -328,20 +330,21 @@
 	}
 }
 
-// The server closes the resting connection as the next probe is begun, before or after the question is written: the probe ends at
-// once, its server isn't taken for one that says nothing, and the next probe goes over another connection.
+// The server closes the resting connection as the next probe is begun, before or after the question is written: the
+// probe ends at once, its server isn't taken for one that says nothing, and the next probe goes over another
+// connection.
 func TestProbeOnAConnectionThatEnds(t *testing.T) {
 	for _, met := range []bool{true, false} {
 		h := triesStart(t, "safe")
 		first := h.probeOf(nil)
 		at := h.answeredProbe(first, "PONG x0=0.5\r\n")
-		l := at.conn
+		conn := at.conn
 		if met {
 			_ = first.conn.Close()
-			h.reached(l, ended) // that it has ended waits in the queue
-			h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+			h.reached(conn, ended) // that it has ended waits in the queue
+			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 		} else {
-			h.s.probe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 			_ = first.conn.Close()
 		}
 		h.until("the probe's end", func() bool { h.s.handleEvents(); return !at.pending })
--- a/internal/proxy/client_leaves_test.go
+++ b/internal/proxy/client_leaves_test.go
@@ -15,8 +15,8 @@
 	"oatloft/policy"
 )
 
-// leavesPlay has a balancer whose waits are far longer than a client's grace: whatever ends a request early, it was its
-// client.
+// leavesPlay has a balancer whose waits are far longer than a client's grace: whatever ends a request early, it was
+// its client.
 func leavesPlay(t *testing.T, probes bool) *play {
 	t.Helper()
 	return patientPlay(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
@@ -66,7 +66,14 @@
 }
 
 // leavesList has discovery tell one server, in this state, and waits until the balancer has it.
-func leavesList(t *testing.T, p *play, d *patientDiscovery, seq int, addr, health string, state policy.ServerState) *patientDiscovery {
+func leavesList(
+	t *testing.T,
+	p *play,
+	d *patientDiscovery,
+	seq int,
+	addr, health string,
+	state policy.ServerState,
+) *patientDiscovery {
 	t.Helper()
 	list := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"own","dial":%q,"site":"a","class":"m","block":0,`+
 		`"health":%q,"share":1.0,"born_ms":0}]}`, seq, addr, health)
@@ -93,13 +100,19 @@
 	return c, x
 }
 
-// leavesBy has the client leave, and returns once the balancer has known it for longer than an attempt may still begin.
+// leavesBy has the client leave, and returns once the balancer has known it for longer than an attempt may still
+// begin.
 func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
 	t.Helper()
 	if reset {
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		idleEventually(t, p.server, "the client's reset", func() bool { return x.finished && p.server.core.OpenRequests() == 0 })
+		idleEventually(
+			t,
+			p.server,
+			"the client's reset",
+			func() bool { return x.finished && p.server.core.OpenRequests() == 0 },
+		)
 		return
 	}
 	_ = c.CloseWrite()
@@ -120,7 +133,8 @@
 	if reset {
 		return
 	}
-	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "BUSY") || strings.Count(string(got), "\n") != 1 || err != nil {
+	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "BUSY") || strings.Count(string(got), "\n") != 1 ||
+		err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
@@ -167,8 +181,8 @@
 	}
 }
 
-// leavesNothingSent tells that the request is over and no line went to a server for it. With the request over none can
-// follow.
+// leavesNothingSent tells that the request is over and no line went to a server for it. With the request over none
+// can follow.
 func leavesNothingSent(t *testing.T, p *play, v *leavesServer, tasks int64) {
 	t.Helper()
 	idleEventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Where lists are pushed, the platform's wire brings them, but sockets bring nothing unasked: such a balancer never asked, and
-// sent to draining regions for a whole day. What the agent has counts at once, so it asks as often as news may be late.
+// Where lists are pushed, the platform's wire brings them, but sockets bring nothing unasked: such a balancer never
+// asked, and sent to draining regions for a whole day. What the agent has counts at once, so it asks as often as
+// news may be late.
 func TestPushedListsAreAskedFor(t *testing.T) {
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -27,17 +28,17 @@
 	}
 }
 
-// Terminals may fill all descriptors but the reserve; the call to discovery is one of those that the reserve is for. It was refused
-// with the routed tasks, and a balancer in a crowd was deaf for as long.
+// Terminals may fill all descriptors but the reserve; the call to discovery is one of those that the reserve is
+// for. It was refused with the routed tasks, and a balancer in a crowd was deaf for as long.
 func TestWatchIsDialedInACrowd(t *testing.T) {
-	s := &Balancer{queue: eventQueue{wake: make(chan struct{}, 1)}}
-	s.descriptorLimit.Store(100)
-	s.sockets.Store(90)
+	b := &Balancer{queue: eventQueue{wake: make(chan struct{}, 1)}}
+	b.descriptorLimit.Store(100)
+	b.sockets.Store(90)
 	for role, dialed := range map[connectionRole]bool{watchRole: true, serverRole: false, probeRole: false} {
-		l := &connection{balancer: s, role: role}
-		s.dial(l, "127.0.0.1:1", time.Second)
-		if (l.cancel != nil) != dialed {
-			t.Errorf("role %d: dialed %v", role, l.cancel != nil)
+		conn := &connection{balancer: b, role: role}
+		b.dial(conn, "127.0.0.1:1", time.Second)
+		if (conn.cancel != nil) != dialed {
+			t.Errorf("role %d: dialed %v", role, conn.cancel != nil)
 		}
 	}
 }
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -1,5 +1,3 @@
-// The reducer's effects, carried out in order. This file must never add one of its own.
-
 package proxy
 
 import (
@@ -10,134 +8,133 @@
 	"oatloft/policy"
 )
 
-// step feeds the reducer and carries out its effects; effects that make events feed it again.
-func (s *Balancer) step(ev core.Event) {
-	if s.revisions != nil && len(s.effects) == 0 {
-		s.applyLease(time.Now())
+// step gives the reducer an event and carries out its effects, in their order. Effects that cause events call step
+// again.
+func (b *Balancer) step(ev core.Event) {
+	if b.revisions != nil && len(b.effects) == 0 {
+		b.applyLease(time.Now())
 	}
-	if s.tracing {
-		s.traceEvent(ev)
+	if b.tracing {
+		b.traceEvent(ev)
 	}
-	base := len(s.effects)
-	s.effects = s.core.Step(s.now(), ev, s.effects)
-	for i := base; i < len(s.effects); i++ {
-		e := s.effects[i]
-		s.effects[i] = nil
-		if s.tracing {
-			s.traceEffect(e)
+	base := len(b.effects)
+	b.effects = b.core.Step(b.now(), ev, b.effects)
+	for i := base; i < len(b.effects); i++ {
+		effect := b.effects[i]
+		b.effects[i] = nil
+		if b.tracing {
+			b.traceEffect(effect)
 		}
-		s.carryOut(e)
+		b.carryOut(effect)
 	}
-	s.effects = s.effects[:base]
+	b.effects = b.effects[:base]
 }
 
-func (s *Balancer) carryOut(e core.Effect) {
-	switch e := e.(type) {
+// carryOut carries out one effect. Effects for a client that is gone do nothing.
+func (b *Balancer) carryOut(effect core.Effect) {
+	switch e := effect.(type) {
+	case core.Probe:
+		b.startProbe(e)
+	case core.ForgetServer:
+		b.forgetServer(e.Server)
+	case core.Watch:
+		b.openWatch(e.Version)
+	case core.StopWatch:
+		dropWatch(&b.watch)
+	case core.Exit:
+		b.beginClosing(e.Deadline)
 	case core.Dial:
-		if t := s.clients[e.Client]; t != nil {
-			t.answerReader, t.lastServerWord, t.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
-			t.server = &connection{balancer: s, role: serverRole, client: t, attempt: e.Attempt, server: e.Server}
-			s.dial(t.server, e.Address, e.Timeout+dialMargin)
-		}
+		b.withClient(e.Client, func(c *client) { b.dialServer(c, e) })
 	case core.SendRequest:
-		if t := s.clients[e.Client]; t != nil && t.server != nil {
-			s.lineBuffer = t.request.AppendLine(s.lineBuffer[:0], e.TimeLeft)
-			whole := t.server.write(s.lineBuffer)
-			if s.zoneLinks != nil {
-				s.zoneLinks.countSent(t, t.server.server, len(s.lineBuffer))
-			}
-			if whole && t.server.flushed() { // else it broke before the line's last byte: it never ran
-				s.step(core.RequestSent{Client: e.Client, Attempt: e.Attempt})
-			}
-		}
+		b.withClient(e.Client, func(c *client) { b.sendRequest(c, e) })
 	case core.CloseAttempt:
-		if t := s.clients[e.Client]; t != nil && t.server != nil && t.server.attempt == e.Attempt {
-			t.server.drop()
-			t.server = nil
-		}
+		b.withClient(e.Client, func(c *client) { c.closeAttempt(e.Attempt) })
 	case core.Answer:
-		if t := s.clients[e.Client]; t != nil {
-			line := platform.Failed
-			if e.Rejected {
-				s.lineBuffer = platform.AppendShort(s.lineBuffer[:0], e.RetryAfter)
-				line = s.lineBuffer
-			}
-			s.finalAnswer(t, line)
-		}
+		b.withClient(e.Client, func(c *client) { b.answer(c, e) })
 	case core.Forward:
-		t := s.clients[e.Client]
-		if t == nil {
-			return
-		}
-		if e.ToServer {
-			s.counters.BytesToServers += int64(len(e.Data))
-			if t.server != nil {
-				t.server.write(e.Data)
-			}
-		} else {
-			s.counters.BytesToClients += int64(len(e.Data))
-			t.conn.write(e.Data)
-		}
-		s.updateBackpressure(t)
+		b.withClient(e.Client, func(c *client) { b.forward(c, e) })
 	case core.PauseReading:
-		t := s.clients[e.Client]
-		if t == nil {
-			return
-		}
-		l := t.conn
-		if e.OfServer {
-			l = t.server
-		}
-		if l != nil && e.On {
-			l.pause()
-		} else if l != nil {
-			l.resume()
-		}
+		b.withClient(e.Client, func(c *client) { c.pauseReading(e.OfServer, e.On) })
 	case core.CloseServer:
-		if t := s.clients[e.Client]; t != nil && t.server != nil {
-			if e.Reason == core.CloseReset {
-				t.server.reset()
-			} else {
-				t.server.fin(false)
-			}
-		}
+		b.withClient(e.Client, func(c *client) { c.closeServer(e.Reason) })
 	case core.CloseClient:
-		if t := s.clients[e.Client]; t != nil {
-			s.closeClient(t, e.Reason)
-			if t.server != nil {
-				t.server.drop()
-			}
-		}
+		b.withClient(e.Client, func(c *client) { b.closeBoth(c, e.Reason) })
 	case core.MigrateClient:
-		if t := s.clients[e.Client]; t != nil {
-			if t.fromServer.Between() {
-				s.sendMove(t)
-			} else {
-				t.migrateBy = time.Now().Add(migrateTimeout + s.testSlack)
-				s.migrating[t] = struct{}{}
-				if t.server != nil {
-					s.finishServerLine(t)
-				}
-			}
-		}
-	case core.Probe:
-		s.probe(e)
-	case core.ForgetServer:
-		if p := s.probes[e.Server]; p != nil {
-			if p.conn != nil {
-				p.conn.drop()
-				p.conn = nil
-			}
-			delete(s.probes, e.Server)
-			if p.pending { // nobody will answer it, and the module asks no second time before it has an answer
-				s.step(core.ProbeFinished{Server: e.Server, Result: policy.ResultUnreachable})
-			}
+		b.withClient(e.Client, b.migrate)
+	}
+}
+
+// withClient calls f with a client, unless it is gone.
+func (b *Balancer) withClient(handle core.Handle, f func(*client)) {
+	if c := b.clients[handle]; c != nil {
+		f(c)
+	}
+}
+
+// dialServer begins an attempt.
+func (b *Balancer) dialServer(c *client, e core.Dial) {
+	c.answerReader, c.lastServerWord, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
+	c.server = &connection{balancer: b, role: serverRole, client: c, attempt: e.Attempt, server: e.Server}
+	b.dial(c.server, e.Address, e.Timeout+dialMargin)
+}
+
+// sendRequest sends the request's line. The reducer learns that it was sent once the last byte has left: before
+// that the server cannot have run it.
+func (b *Balancer) sendRequest(c *client, e core.SendRequest) {
+	if c.server == nil {
+		return
+	}
+	b.lineBuffer = c.request.AppendLine(b.lineBuffer[:0], e.TimeLeft)
+	accepted := c.server.write(b.lineBuffer)
+	if b.zoneLinks != nil {
+		b.zoneLinks.countSent(c, c.server.server, len(b.lineBuffer))
+	}
+	if accepted && c.server.flushed() {
+		b.step(core.RequestSent{Client: e.Client, Attempt: e.Attempt})
+	}
+}
+
+// answer gives the client its final answer.
+func (b *Balancer) answer(c *client, e core.Answer) {
+	line := platform.Failed
+	if e.Rejected {
+		b.lineBuffer = platform.AppendShort(b.lineBuffer[:0], e.RetryAfter)
+		line = b.lineBuffer
+	}
+	b.finalAnswer(c, line)
+}
+
+// forward passes bytes on to the other side.
+func (b *Balancer) forward(c *client, e core.Forward) {
+	if e.ToServer {
+		b.counters.BytesToServers += int64(len(e.Data))
+		if c.server != nil {
+			c.server.write(e.Data)
 		}
-	case core.Watch:
-		s.openWatch(e.Version)
-	case core.StopWatch:
-		dropWatch(&s.watch)
-	case core.Exit:
-		s.beginClosing(e.Deadline)
+	} else {
+		b.counters.BytesToClients += int64(len(e.Data))
+		c.conn.write(e.Data)
+	}
+	b.updateBackpressure(c)
+}
+
+// closeBoth ends a client's connection and its server's.
+func (b *Balancer) closeBoth(c *client, reason core.CloseReason) {
+	b.closeClient(c, reason)
+	if c.server != nil {
+		c.server.drop()
+	}
+}
+
+// forgetServer ends the connection for probes of a server that is no longer listed.
+func (b *Balancer) forgetServer(server string) {
+	p := b.probes[server]
+	if p == nil {
+		return
+	}
+	p.drop()
+	delete(b.probes, server)
+	if p.pending { // nobody will answer it, and the reducer asks no second time before it has a result
+		b.step(core.ProbeFinished{Server: server, Result: policy.ResultUnreachable})
 	}
 }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -10,14 +10,14 @@
 
 // Operators' tools read the counters by these keys.
 func TestFormOfCounters(t *testing.T) {
-	s := &Balancer{}
-	golden.Fill(&s.counters)
-	body, err := json.Marshal(s.counters)
+	b := &Balancer{}
+	golden.Fill(&b.counters)
+	body, err := json.Marshal(b.counters)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "counters.json", body)
-	again := reflect.New(reflect.TypeOf(s.counters))
+	again := reflect.New(reflect.TypeOf(b.counters))
 	if err := json.Unmarshal(golden.Read(t, "counters.json"), again.Interface()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -17,11 +17,11 @@
 const idleLimit = 20 * time.Second
 
 // onServerLoop runs do on the server's loop, between two events.
-func onServerLoop(t *testing.T, s *Balancer, do func()) {
+func onServerLoop(t *testing.T, b *Balancer, do func()) {
 	t.Helper()
 	done := make(chan struct{})
 	select {
-	case s.calls <- func() { do(); close(done) }:
+	case b.calls <- func() { do(); close(done) }:
 		<-done
 	case <-time.After(idleLimit):
 		t.Fatal("the loop takes nothing")
@@ -29,11 +29,11 @@
 }
 
 // idleEventually waits until holds is true, which it asks on the server's loop.
-func idleEventually(t *testing.T, s *Balancer, what string, holds func() bool) {
+func idleEventually(t *testing.T, b *Balancer, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(idleLimit); ; time.Sleep(time.Millisecond) {
 		var ok bool
-		onServerLoop(t, s, func() { ok = holds() })
+		onServerLoop(t, b, func() { ok = holds() })
 		if ok {
 			return
 		}
@@ -112,12 +112,13 @@
 
 const idleCloseWait = 8
 
-// A client that has said nothing is sent off, and its request crosses the answer. It is read away: a close would reset
-// the connection, and the answer might be lost with it. So for both reasons to send it off, and also in pieces.
+// A client that has said nothing is sent off, and its request crosses the answer. It is read away: a close would
+// reset the connection, and the answer might be lost with it. So for both reasons to send it off, and also in
+// pieces.
 func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
-	for answer, sendOff := range map[string]func(s *Balancer, x *client){
-		"BUSY\r\n": func(s *Balancer, x *client) { s.step(core.DescriptorsScarce{Missing: 1}) },
-		"ERR\r\n":  func(s *Balancer, x *client) { s.step(core.InvalidRequest{Client: x.handle}) },
+	for answer, sendOff := range map[string]func(b *Balancer, x *client){
+		"BUSY\r\n": func(b *Balancer, x *client) { b.step(core.DescriptorsScarce{Missing: 1}) },
+		"ERR\r\n":  func(b *Balancer, x *client) { b.step(core.InvalidRequest{Client: x.handle}) },
 	} {
 		p := start(t, "")
 		c, x := idleClient(t, p)
@@ -155,11 +156,16 @@
 	if got, err := io.ReadAll(c); string(got) != "ERR\r\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
-	idleEventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 && x.conn.isDescriptorFreed() })
+	idleEventually(
+		t,
+		p.server,
+		"the descriptor free again",
+		func() bool { return len(p.server.finishing) == 0 && x.conn.isDescriptorFreed() },
+	)
 }
 
-// In a crowd of silent clients only so many are sent off as descriptors are short, though they hold theirs for a while
-// after that.
+// In a crowd of silent clients only so many are sent off as descriptors are short, though they hold theirs for a
+// while after that.
 func TestACrowdIsSentOffOnce(t *testing.T) {
 	p := start(t, "sockets 200") // crowded from 128 on; requests are refused from 153 on
 	const silent = 145
@@ -258,8 +264,8 @@
 		_ = c.Close()
 	}
 	idleEventually(t, p.server, "all gone", func() bool {
-		s := p.server
-		return s.counters.Accepted >= 40 && len(s.clients) == 0 && len(s.finishing) == 0 && s.sockets.Load() <= before+2
+		b := p.server
+		return b.counters.Accepted >= 40 && len(b.clients) == 0 && len(b.finishing) == 0 && b.sockets.Load() <= before+2
 	})
 }
 
@@ -281,8 +287,8 @@
 		defer func() { _ = c.Close() }()
 	}
 	idleEventually(t, p.server, "room again", func() bool {
-		s := p.server
-		return s.counters.Accepted == 250 && s.basicLimits().MayTake(int(s.sockets.Load())+8, false)
+		b := p.server
+		return b.counters.Accepted == 250 && b.basicLimits().MayTake(int(b.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 	idleEventually(t, p.server, "the end of all others", func() bool {
@@ -294,7 +300,7 @@
 // which is told once, and the next one goes over a connection of its own.
 func TestAnIdleProbeConnectionClosedAsStatsLeaves(t *testing.T) {
 	p, v := leavesPlay(t, true), newLeavesServer(t)
-	s := p.server
+	b := p.server
 	nextProbe := func() net.Conn {
 		t.Helper()
 		select {
@@ -308,31 +314,36 @@
 	answered := func(c net.Conn) {
 		t.Helper()
 		_, _ = io.WriteString(c, "PONG latency_ms=3.5,inflight=1,x0=0.1\r\n")
-		idleEventually(t, s, "the answer", func() bool { return !s.probes["own"].pending && s.probes["own"].conn != nil })
+		idleEventually(t, b, "the answer", func() bool { return !b.probes["own"].pending && b.probes["own"].conn != nil })
 	}
 	failed := func(times int64) {
 		t.Helper()
-		idleEventually(t, s, "the failure", func() bool { return !s.probes["own"].pending && s.core.Counters.ProbesFailed == times })
+		idleEventually(
+			t,
+			b,
+			"the failure",
+			func() bool { return !b.probes["own"].pending && b.core.Counters.ProbesFailed == times },
+		)
 	}
 	ask := core.Probe{Server: "own", Address: v.Addr().String(), Timeout: time.Minute}
 	leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
 	leavesRequest(t, p)
 	idle := nextProbe()
 	answered(idle)
-	onServerLoop(t, s, func() { // the end is read, and its event waits behind the probe
+	onServerLoop(t, b, func() { // the end is read, and its event waits behind the probe
 		_ = idle.Close()
-		l := s.probes["own"].conn
-		for end := time.Now().Add(idleLimit); !l.hasEnded() && time.Now().Before(end); {
+		conn := b.probes["own"].conn
+		for end := time.Now().Add(idleLimit); !conn.hasEnded() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		s.probe(ask)
+		b.startProbe(ask)
 	})
 	failed(1)
-	onServerLoop(t, s, func() { s.probe(ask) })
+	onServerLoop(t, b, func() { b.startProbe(ask) })
 	answered(nextProbe())
-	onServerLoop(t, s, func() { s.probe(ask) })
+	onServerLoop(t, b, func() { b.startProbe(ask) })
 	_ = nextProbe().Close() // it has read STATS
 	failed(2)
-	onServerLoop(t, s, func() { s.probe(ask) })
+	onServerLoop(t, b, func() { b.startProbe(ask) })
 	answered(nextProbe())
 }
--- /dev/null
+++ b/internal/proxy/inherited.go
@@ -0,0 +1,85 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"syscall"
+
+	"oatloft/internal/hint"
+)
+
+const inheritedHint = "see that what starts the balancer hands over the listening socket, " +
+	"and gives its number by PROXY_FD"
+
+// firstInheritedFD is the first descriptor that is not a standard stream.
+const firstInheritedFD = 3
+
+// takeInherited takes over the listening socket that the platform holds for all processes of this balancer. Each of
+// them closes it, and none shuts it down: what waits in its queue is the next one's then. The error is
+// *ListenFailed.
+func takeInherited(fd, addr string) (net.Listener, error) {
+	number, err := strconv.Atoi(fd)
+	if err != nil || number < firstInheritedFD {
+		return nil, &ListenFailed{
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: inheritedHint},
+		}
+	}
+	want, err := net.ResolveTCPAddr("tcp", addr)
+	if err != nil {
+		return nil, &ListenFailed{hint.Annotated{Where: "listen", Cause: err, Do: "give host:port"}}
+	}
+	if err := checkListening(number); err != nil {
+		return nil, err
+	}
+	f := os.NewFile(uintptr(number), "PROXY_FD")
+	defer func() { _ = f.Close() }() // the listener has a descriptor of its own
+	listener, err := net.FileListener(f)
+	if err != nil {
+		return nil, &ListenFailed{
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d", number), Cause: err, Do: inheritedHint},
+		}
+	}
+	if !listensOn(listener, want) {
+		_ = listener.Close()
+		return nil, &ListenFailed{
+			hint.Annotated{
+				Where: "PROXY_FD",
+				What:  fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", number, listener.Addr(), addr),
+				Do:    "set listen to the address of the socket that is handed over",
+			},
+		}
+	}
+	return listener, nil
+}
+
+// checkListening checks that a descriptor is a listening socket.
+func checkListening(fd int) error {
+	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	switch {
+	case errors.Is(err, syscall.EBADF):
+		return &ListenFailed{
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is not open", fd), Do: inheritedHint},
+		}
+	case err != nil:
+		return &ListenFailed{
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d is no socket", fd), Do: inheritedHint},
+		}
+	case listening == 0:
+		return &ListenFailed{
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("descriptor %d does not listen", fd), Do: inheritedHint},
+		}
+	}
+	return nil
+}
+
+// listensOn tells whether a listener has the wanted address. An address without IP is that of all interfaces.
+func listensOn(listener net.Listener, want *net.TCPAddr) bool {
+	has, ok := listener.Addr().(*net.TCPAddr)
+	if !ok || has.Port != want.Port {
+		return false
+	}
+	return has.IP.Equal(want.IP) || has.IP.IsUnspecified() && want.IP == nil
+}
--- /dev/null
+++ b/internal/proxy/link_scheduler.go
@@ -0,0 +1,77 @@
+package proxy
+
+import "time"
+
+const (
+	// maxReadsPerLink is how many turns of one link are given before another link has its own.
+	maxReadsPerLink = 64
+	// idlePause is the longest time between two looks at links that nothing waits for.
+	idlePause = time.Hour
+)
+
+// scheduledRead is a connection's turn to read.
+type scheduledRead struct {
+	conn  *connection
+	queue *bandwidthQueue
+	bytes int
+}
+
+// scheduleReads gives turns by the clock, on a goroutine of its own. It sleeps by a timer of the system's: the
+// runtime's may be up to a millisecond late, which is more than a turn.
+func (z *zoneLinks) scheduleReads() {
+	timer, alarm := time.NewTimer(idlePause), newSystemTimer()
+	defer timer.Stop()
+	defer alarm.close()
+	exact := alarm.onExpiry(z.signal)
+	var turns []scheduledRead
+	for {
+		next := idlePause
+		for _, link := range *z.all.Load() {
+			turns = link.scheduledReads(z.balancer.now, turns[:0])
+			z.readCount.Add(int64(len(turns)))
+			for i, t := range turns {
+				t.conn.readScheduled(t.queue, t.bytes)
+				turns[i] = scheduledRead{}
+			}
+			next = min(next, link.untilNextRead(z.balancer.now))
+		}
+		if !exact || !alarm.set(next) {
+			timer.Reset(next)
+		}
+		select {
+		case <-timer.C:
+		case <-z.wake:
+		case <-z.stop:
+			return
+		}
+	}
+}
+
+// scheduledReads appends the turns that are due.
+func (l *zoneLink) scheduledReads(clock func() time.Duration, turns []scheduledRead) []scheduledRead {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := clock()
+	for len(turns) < maxReadsPerLink {
+		conn, flow, n, ok := l.shaper.Next(now)
+		if !ok {
+			break
+		}
+		turns = append(turns, scheduledRead{conn, &bandwidthQueue{l, flow}, n})
+	}
+	return turns
+}
+
+func (l *zoneLink) untilNextRead(clock func() time.Duration) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.shaper.Soon(clock())
+}
+
+// signal wakes the goroutine that gives turns.
+func (z *zoneLinks) signal() {
+	select {
+	case z.wake <- struct{}{}:
+	default:
+	}
+}
--- a/internal/proxy/links_test.go
+++ b/internal/proxy/links_test.go
@@ -24,8 +24,9 @@
 	"oatloft/internal/revision"
 )
 
-// sites are two zones with a region each, and a balancer in the first. What the regions do hangs on the terminals' keys: "sink" reads
-// numbered lines and has each be the next, "echo" sends back what comes, "source" sends numbered lines.
+// sites are two zones with a region each, and a balancer in the first. What the regions do hangs on the terminals'
+// keys: "sink" reads numbered lines and has each be the next, "echo" sends back what comes, "source" sends numbered
+// lines.
 type sites struct {
 	t      testing.TB
 	server *Balancer
@@ -38,8 +39,8 @@
 	open   []net.Conn
 }
 
-// wire passes bytes at its rate, in the order of their coming, and takes a while for its length. What a connection has on it at one time is
-// bounded, as by TCP.
+// wire passes bytes at its rate, in the order of their coming, and takes a while for its length. What a connection
+// has on it at one time is bounded, as by TCP.
 type wire struct {
 	mu   sync.Mutex
 	rate float64
@@ -303,8 +304,8 @@
 		{Name: "chat", Priority: 1, MinShare: 0.3}, {Name: "bulk", Priority: 2, MinShare: 0.2}}}
 }
 
-// Bytes of terminals at full tilt pass a link at its rate and no faster, whole and in order; those of the first class and those that cross
-// no link aren't held up; and without the table they pass freely again.
+// Bytes of terminals at full tilt pass a link at its rate and no faster, whole and in order; those of the first
+// class and those that cross no link aren't held up; and without the table they pass freely again.
 func TestLinkHoldsBackTerminals(t *testing.T) {
 	w := newSites(t)
 	const rate = 300e3
@@ -339,11 +340,19 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%.0f bytes a second of %.0f, %v; a first class's message took %v at most, one that crosses no link %v", sum, rate, got, longest[0], longest[1])
+	t.Logf(
+		"%.0f bytes a second of %.0f, %v; a first class's message took %v at most, one that crosses no link %v",
+		sum,
+		rate,
+		got,
+		longest[0],
+		longest[1],
+	)
 	if sum > 1.05*rate || sum < 0.5*rate {
 		t.Errorf("%.0f bytes a second over a link of %.0f: %v", sum, rate, got)
 	}
-	if longest[0] > 400*time.Millisecond || longest[1] > 400*time.Millisecond { // bulk waits seconds for what its buffers hold
+	if longest[0] > 400*time.Millisecond ||
+		longest[1] > 400*time.Millisecond { // bulk waits seconds for what its buffers hold
 		t.Errorf("messages took %v", longest)
 	}
 	w.set()
@@ -380,7 +389,8 @@
 	time.Sleep(1200 * time.Millisecond) // until the buffers of the one that doesn't read are full
 	was, began := read.Load(), time.Now()
 	time.Sleep(1500 * time.Millisecond)
-	if sum := float64(read.Load()-was) / time.Since(began).Seconds(); sum > 1.1*rate || sum < 0.5*rate || wrong.Load() > 0 {
+	if sum := float64(read.Load()-was) / time.Since(began).Seconds(); sum > 1.1*rate || sum < 0.5*rate ||
+		wrong.Load() > 0 {
 		t.Errorf("%.0f bytes a second of %.0f, %d lines weren't the next", sum, rate, wrong.Load())
 	}
 }
@@ -441,8 +451,8 @@
 	}
 }
 
-// A region that has had a part of a terminal's line, and answers it piece by piece, has the rest when the terminal is to be moved: its line
-// ends, and MOVE comes behind it. At its turns the line would take 4 s.
+// A region that has had a part of a terminal's line, and answers it piece by piece, has the rest when the terminal
+// is to be moved: its line ends, and MOVE comes behind it. At its turns the line would take 4 s.
 func TestMovedInsideALineThatIsHeldBack(t *testing.T) {
 	w := newSites(t)
 	w.set(linkOf("a", "b", 2000), linkOf("b", "a", 2000))
@@ -460,8 +470,9 @@
 	}
 }
 
-// BenchmarkTopClassDelay tells how long messages of 400 bytes of the first class take there and back over a wire of 1 MB/s, alone and with
-// eight terminals of a bulk class at full tilt, with the link bounded and as it was before; the two sites 0 and 10 ms apart.
+// BenchmarkTopClassDelay tells how long messages of 400 bytes of the first class take there and back over a wire of
+// 1 MB/s, alone and with eight terminals of a bulk class at full tilt, with the link bounded and as it was before;
+// the two sites 0 and 10 ms apart.
 func BenchmarkTopClassDelay(b *testing.B) {
 	const rate = 1e6
 	for _, long := range []time.Duration{0, 10 * time.Millisecond} {
@@ -516,8 +527,8 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkLinkCost tells what bounded links cost set-ups and bulk that they don't bound, in turns: off, on without a link in the table, and
-// with one of 100 GB/s each way. Regions and terminals are in the same process.
+// BenchmarkLinkCost tells what bounded links cost set-ups and bulk that they don't bound, in turns: off, on without
+// a link in the table, and with one of 100 GB/s each way. Regions and terminals are in the same process.
 func BenchmarkLinkCost(b *testing.B) {
 	const turns, setups = 9, 200
 	names := []string{"off", "on, no link", "on, a wide link"}
@@ -572,7 +583,8 @@
 	}
 }
 
-// BenchmarkThinLink has 200 terminals at full tilt on a link of 20 kB/s: the part of it that is used, and how evenly the terminals had it.
+// BenchmarkThinLink has 200 terminals at full tilt on a link of 20 kB/s: the part of it that is used, and how
+// evenly the terminals had it.
 func BenchmarkThinLink(b *testing.B) {
 	const rate, seconds = 20e3, 20
 	w := newSites(b)
--- /dev/null
+++ b/internal/proxy/loop.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"oatloft/internal/admission"
+	"oatloft/internal/core"
+	"oatloft/policy"
+)
+
+const (
+	memoryCheckInterval = 250 * time.Millisecond
+	// stallThreshold is the time between two turns of the loop from which on this process is held to have stood still.
+	stallThreshold = 50 * time.Millisecond
+	// backlogTime is the time within which what came meanwhile is read.
+	backlogTime = time.Second
+)
+
+// loopState is what the loop keeps of its own time.
+type loopState struct {
+	nextFollowAt      time.Time
+	nextMemoryCheckAt time.Time
+}
+
+// runLoop is the loop: it runs until the balancer may exit, or ctx ends.
+func (b *Balancer) runLoop(ctx context.Context, leave, report <-chan struct{}, reload <-chan Config) error {
+	tick := time.NewTicker(core.TickInterval)
+	defer tick.Stop()
+	for !b.mayExit(time.Now()) {
+		select {
+		case <-b.queue.wake:
+		case <-tick.C:
+			b.step(core.Tick{})
+			b.handleTick(time.Now())
+		case call := <-b.calls:
+			call()
+		case <-leave:
+			leave = nil
+			b.beginShutdown()
+		case <-report:
+			b.Report()
+		case cfg := <-reload:
+			b.reload(cfg)
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		b.noteTurn(time.Now())
+		b.handleEvents()
+	}
+	return nil
+}
+
+// noteTurn notices if this process has stood still, or has had no processor.
+func (b *Balancer) noteTurn(now time.Time) {
+	if !b.lastTurnAt.IsZero() && now.Sub(b.lastTurnAt) > stallThreshold {
+		b.backloggedUntil = now.Add(backlogTime)
+	}
+	b.lastTurnAt = now
+}
+
+// handleEvents handles what the callbacks have posted so far. What comes meanwhile wakes the loop again, so that a
+// flood of events cannot keep the clock from ticking. Operators' calls do not queue behind the data's events.
+func (b *Balancer) handleEvents() {
+	batch, deferred := b.queue.take(b.batch)
+	b.batch = batch
+	for i, e := range batch {
+		select {
+		case call := <-b.calls:
+			call()
+		default:
+		}
+		b.handleEvent(e)
+		batch[i] = event{}
+	}
+	for _, conn := range deferred {
+		conn.resumeDeferred()
+	}
+	b.closeVictims()
+}
+
+func (b *Balancer) handleEvent(e event) {
+	conn := e.conn
+	switch e.kind {
+	case eventFlushed:
+		conn.onFlushed()
+		b.handleFlushed(conn)
+		return
+	case eventAccepted:
+		b.handleAccepted(conn)
+		return
+	case eventData:
+		conn.queuedEvents.Add(-1)
+		defer releaseBuffer(e.data)
+	}
+	switch conn.role {
+	case clientRole:
+		b.handleClientEvent(conn.client, e)
+	case serverRole:
+		b.handleServerEvent(conn.client, conn, e)
+	case probeRole:
+		b.handleProbeEvent(b.probes[conn.server], conn, e)
+	case watchRole:
+		b.handleDiscoveryEvent(conn, e)
+	}
+}
+
+// handleTick does what has to be done by the clock.
+func (b *Balancer) handleTick(now time.Time) {
+	if b.exiting {
+		b.closeListener()
+	}
+	if now.After(b.loop.nextFollowAt) {
+		b.loop.nextFollowAt = now.Add(followInterval)
+		b.readOtherProcess()
+	}
+	if b.peers != nil {
+		b.sendSignals(now)
+	}
+	if b.revisions != nil {
+		b.updateHost(now)
+	}
+	if b.zoneLinks != nil {
+		b.zoneLinks.handleTick(now)
+	}
+	if b.cfg.Numbered != nil {
+		b.updateNumbered()
+	}
+	b.expireProbes(now)
+	b.expireMigrations(now)
+	used := b.checkMemory(now)
+	b.collectClosed(now)
+	b.closeFinishing(now, b.checkDescriptors(used))
+}
+
+// checkMemory looks at the memory now and then, and returns what is used in bytes; 0 if it has not looked.
+func (b *Balancer) checkMemory(now time.Time) (used int64) {
+	if !now.After(b.loop.nextMemoryCheckAt) {
+		return 0
+	}
+	b.loop.nextMemoryCheckAt = now.Add(memoryCheckInterval)
+	used = int64(heapBytes())
+	b.exchangeUsage(used)
+	b.memoryScarce = b.basicLimits().MemoryShort(used+b.otherProcesses.Memory, int64(b.cfg.MemoryMB)<<20)
+	b.limitedLog.Flush(now)
+	return used
+}
+
+// checkDescriptors frees descriptors where they are scarce, and returns by how much sooner connections that finish
+// are closed.
+func (b *Balancer) checkDescriptors(usedMemory int64) (sooner time.Duration) {
+	if b.admission != nil {
+		if b.admission.tick(len(b.probes), usedMemory) {
+			return finishSooner
+		}
+		return 0
+	}
+	missing := b.basicLimits().Crowded(int(b.sockets.Load()) - len(b.finishing))
+	if missing <= 0 {
+		return 0
+	}
+	b.step(core.DescriptorsScarce{Missing: missing})
+	return finishSooner
+}
+
+// expireProbes ends probes that have had no answer in time.
+func (b *Balancer) expireProbes(now time.Time) {
+	for server, p := range b.probes {
+		if p.pending && now.After(p.deadline) {
+			b.finishProbe(server, p, policy.ResultTimedOut, nil)
+		}
+	}
+}
+
+// closeVictims closes the idle clients that admission has chosen.
+func (b *Balancer) closeVictims() {
+	if b.admission == nil {
+		return
+	}
+	known := func(ticket admission.Ticket) bool { return b.clientsByTicket[ticket] != nil }
+	b.victims = b.admission.victims(known, b.victims[:0])
+	for _, victim := range b.victims {
+		if c := b.clientsByTicket[victim.Ticket]; c != nil {
+			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.After})
+		}
+	}
+}
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -19,8 +19,8 @@
 	return patientPlay(t, "", func(cfg *Config) { cfg.Core.PassThrough = false })
 }
 
-// movesInsideALine brings a client up whose server has sent the beginning of a line, and has the balancer move it. The
-// move waits for the line's end then, for as long as the test likes.
+// movesInsideALine brings a client up whose server has sent the beginning of a line, and has the balancer move it.
+// The move waits for the line's end then, for as long as the test likes.
 func movesInsideALine(t *testing.T, begun string) (*play, *client) {
 	t.Helper()
 	p := movesPlay(t)
@@ -32,7 +32,7 @@
 	idleEventually(t, p.server, "the move", func() bool {
 		for x := range p.server.migrating {
 			moved = x
-			x.migrateBy = time.Now().Add(time.Hour)
+			x.migration.deadline = time.Now().Add(time.Hour)
 		}
 		return moved != nil
 	})
@@ -137,15 +137,15 @@
 		}
 	}()
 	idleEventually(t, p.server, "the pause", func() bool {
-		if x.restOfLineBytes > 1<<20 {
-			t.Error(x.restOfLineBytes, "bytes of one line passed")
+		if x.migration.passedBytes > 1<<20 {
+			t.Error(x.migration.passedBytes, "bytes of one line passed")
 			return true
 		}
 		x.server.mu.Lock()
 		defer x.server.mu.Unlock()
 		return x.server.paused
 	})
-	onServerLoop(t, p.server, func() { x.migrateBy = time.Now().Add(-time.Second) })
+	onServerLoop(t, p.server, func() { x.migration.deadline = time.Now().Add(-time.Second) })
 	idleEventually(t, p.server, "the cut", func() bool { return x.finished && len(p.server.migrating) == 0 })
 }
 
@@ -183,7 +183,16 @@
 		idleEventually(t, p.server, "the old one's end", func() bool {
 			return p.server.core.Counters.ClosedByClient+p.server.core.Counters.ClosedByServer == 1
 		})
-		playSteps(t, p, "task2 > UP 2", "b < UP 2", "b > to the server", "task2 < to the server", "task2 > to the client", "b < to the client")
+		playSteps(
+			t,
+			p,
+			"task2 > UP 2",
+			"b < UP 2",
+			"b > to the server",
+			"task2 < to the server",
+			"task2 > to the client",
+			"b < to the client",
+		)
 	}
 }
 
@@ -224,7 +233,17 @@
 // A server's reset reaches its client as a reset also where the client had closed its sending.
 func TestAResetReachesAHalfClosedClient(t *testing.T) {
 	p := patientPlay(t, "", nil)
-	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "a FIN", "task1 > UP 1", "a < UP 1", "task1 < FIN", "task1 RST")
+	playSteps(
+		t,
+		p,
+		"a > OPEN 1 k c=chat,d=20000",
+		"task1 < OPEN 1 *",
+		"a FIN",
+		"task1 > UP 1",
+		"a < UP 1",
+		"task1 < FIN",
+		"task1 RST",
+	)
 	movesEnd(t, p, "a", "", true)
 }
 
@@ -232,7 +251,16 @@
 // server has ended.
 func TestAHalfClosedClientThatNeverReadsIsLetGo(t *testing.T) {
 	p := patientPlay(t, "", nil)
-	playSteps(t, p, "narrow a 4096", "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "a FIN", "task1 > UP 1", "a < UP 1")
+	playSteps(
+		t,
+		p,
+		"narrow a 4096",
+		"a > OPEN 1 k c=chat,d=20000",
+		"task1 < OPEN 1 *",
+		"a FIN",
+		"task1 > UP 1",
+		"a < UP 1",
+	)
 	var x *client
 	onServerLoop(t, p.server, func() {
 		for _, x = range p.server.clients {
@@ -287,7 +315,7 @@
 		idleEventually(t, p.server, "its end", func() bool { return x.finished })
 	}
 	idleEventually(t, p.server, "nothing left of them", func() bool {
-		s := p.server // the watch, its dial and the regions' probes hold some descriptors
-		return len(s.clients) == 0 && s.core.OpenRequests() == 0 && len(s.finishing) == 0 && s.sockets.Load() < clients/2
+		b := p.server // the watch, its dial and the regions' probes hold some descriptors
+		return len(b.clients) == 0 && b.core.OpenRequests() == 0 && len(b.finishing) == 0 && b.sockets.Load() < clients/2
 	})
 }
--- /dev/null
+++ b/internal/proxy/parse_config.go
@@ -0,0 +1,217 @@
+package proxy
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"time"
+
+	"oatloft/internal/core"
+	"oatloft/internal/failpoint"
+	"oatloft/internal/hint"
+	"oatloft/internal/platform"
+	"oatloft/internal/settings"
+	"oatloft/policy"
+)
+
+const (
+	// minPollInterval is the least time between two calls to discovery.
+	minPollInterval = 100 * time.Millisecond
+	// probeTimeout bounds a load report.
+	probeTimeout = 300 * time.Millisecond
+	// clockSlack is the age of the balancer's clock at its start: a server that started within it has a positive time
+	// of start.
+	clockSlack = time.Hour
+	// failpointConnectTimeout is the connect timeout that a failpoint sets.
+	failpointConnectTimeout = 250 * time.Millisecond
+	seedBase                = 16
+)
+
+// configFile is the form of the configuration file.
+type configFile struct {
+	Name       string `json:"name"`
+	Listen     string `json:"listen"`
+	Discovery  string `json:"discovery"`
+	Management string `json:"management"`
+	Seed       string `json:"seed"`
+	Limits     struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// Overrides are settings from flags and the environment. Those that are not empty win over the configuration file.
+type Overrides struct{ Name, Listen, Discovery, Management, Inherited, State string }
+
+// LoadConfig reads the configuration file at path. The error is *UnreadableConfig, *ConfigError, or a part's own.
+func LoadConfig(path string, overrides Overrides) (Config, error) {
+	body, err := os.ReadFile(path)
+	if err != nil {
+		return Config{}, &UnreadableConfig{
+			hint.Annotated{
+				Where: "config",
+				Cause: err,
+				Do:    "see that --config (PROXY_CONFIG) names a file that this balancer may read",
+			},
+		}
+	}
+	return ParseConfig(body, overrides)
+}
+
+// ReloadConfig reads the configuration file again while the balancer serves. Discovery may have moved since the
+// start, so the file's address of it wins over the override.
+func ReloadConfig(path string, overrides Overrides) (Config, error) {
+	body, err := os.ReadFile(path)
+	if err != nil {
+		return Config{}, &UnreadableConfig{
+			hint.Annotated{
+				Where: "config",
+				Cause: err,
+				Do:    "put the file back; the old configuration holds until the next SIGHUP",
+			},
+		}
+	}
+	var file struct {
+		Discovery string `json:"discovery"`
+	}
+	_ = json.Unmarshal(body, &file) // ParseConfig returns the error
+	overrides.Discovery = cmp.Or(file.Discovery, overrides.Discovery)
+	return ParseConfig(body, overrides)
+}
+
+// ParseConfig reads a configuration. The error is *UnreadableConfig, *ConfigError, or a part's own.
+func ParseConfig(body []byte, overrides Overrides) (Config, error) {
+	var file configFile
+	if err := json.Unmarshal(body, &file); err != nil {
+		return Config{}, &UnreadableConfig{
+			hint.Annotated{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"},
+		}
+	}
+	c := Config{
+		Name:         cmp.Or(overrides.Name, file.Name),
+		Listen:       cmp.Or(overrides.Listen, file.Listen),
+		Discovery:    cmp.Or(overrides.Discovery, file.Discovery),
+		Management:   cmp.Or(overrides.Management, file.Management),
+		InheritedFD:  overrides.Inherited,
+		StateDir:     overrides.State,
+		MemoryMB:     file.Limits.MemoryMB,
+		Sockets:      file.Limits.Sockets,
+		Cores:        file.Limits.Cores,
+		StartOfClock: time.Now().Add(-clockSlack),
+	}
+	if err := c.validateAddresses(); err != nil {
+		return c, err
+	}
+	if c.MemoryMB < 0 || c.Sockets < 0 || c.Cores < 0 {
+		return c, &ConfigError{hint.Annotated{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
+	}
+	if err := c.setCore(file); err != nil {
+		return c, err
+	}
+	if isAbsent(file.Known) {
+		return c, nil
+	}
+	known, err := platform.ParseList(file.Known, c.StartOfClock)
+	if err != nil {
+		return c, &ConfigError{
+			hint.Annotated{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"},
+		}
+	}
+	known.Kind = policy.ListCached
+	c.KnownEndpoints = &known
+	return c, nil
+}
+
+// isAbsent tells whether an optional field of the file is missing or null.
+func isAbsent(field json.RawMessage) bool {
+	return len(field) == 0 || bytes.Equal(field, []byte("null"))
+}
+
+func (c *Config) validateAddresses() error {
+	for _, address := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if _, err := net.ResolveTCPAddr("tcp", address.value); err != nil || address.value == "" {
+			return &ConfigError{
+				hint.Annotated{
+					Where: address.field,
+					What:  fmt.Sprintf("%q is not host:port", address.value),
+					Do:    "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY",
+				},
+			}
+		}
+	}
+	if c.Management == "" {
+		return nil
+	}
+	if _, err := net.ResolveTCPAddr("tcp4", c.Management); err != nil || c.Management == c.Listen {
+		return &ConfigError{
+			hint.Annotated{
+				Where: "management",
+				What:  fmt.Sprintf("%q is not host:port of its own", c.Management),
+				Do:    "give it another port than listen, or leave it out",
+			},
+		}
+	}
+	return nil
+}
+
+// setCore takes the platform's settings.
+func (c *Config) setCore(file configFile) error {
+	seed, err := strconv.ParseUint(file.Seed, seedBase, 64)
+	if err != nil {
+		return &ConfigError{
+			hint.Annotated{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"},
+		}
+	}
+	if isAbsent(file.Settings) {
+		return &ConfigError{hint.Annotated{Where: "settings", What: "missing", Do: "add the platform's settings"}}
+	}
+	flat, err := settings.Flatten(file.Settings)
+	if err != nil {
+		return err
+	}
+	c.Core = core.Config{
+		Policy:         settings.Config(flat),
+		Seed:           int64(seed),
+		ConnectTimeout: flat.Millis("limits.connect-timeout-ms"),
+		PassThrough:    flat.Text("family-info.mode") == "pass",
+		ProbeTimeout:   probeTimeout,
+	}
+	if failpoint.On("fit-timeout") {
+		c.Core.ConnectTimeout = failpointConnectTimeout
+	}
+	c.setPolling(flat.Millis("rules.drain-grace-ms"))
+	for i := range c.Core.Policy.Classes {
+		giveUp := flat.Millis(fmt.Sprintf("classes.%d.give-up-ms", i))
+		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, giveUp)
+	}
+	if flat.Err != nil {
+		return &ConfigError{hint.Annotated{Where: "settings", Cause: flat.Err, Do: "mend the setting"}}
+	}
+	if c.Core.ConnectTimeout <= 0 {
+		return &ConfigError{
+			hint.Annotated{Where: "settings: limits.connect-timeout-ms", What: "missing", Do: "set a time above 0"},
+		}
+	}
+	_, err = core.New(c.Core)
+	return err
+}
+
+// setPolling has discovery polled where the settings have it push: what the agent has counts at once, so that it is
+// called as often as a change may be late.
+func (c *Config) setPolling(drainGrace time.Duration) {
+	p := &c.Core.Policy
+	if p.PollEndpointList {
+		return
+	}
+	p.PollEndpointList = true
+	if !failpoint.On("fit-push") {
+		p.PollInterval = max(drainGrace, minPollInterval)
+	}
+}
--- a/internal/proxy/play_test.go
+++ b/internal/proxy/play_test.go
@@ -322,36 +322,36 @@
 // A probe under way to a region that moves or goes is reported: the module would wait for it for ever.
 func TestForgottenProbeIsReported(t *testing.T) {
 	p := start(t, "")
-	s, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
+	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.step(*s.cfg.KnownEndpoints)
-	s.probes["r1"] = &probe{pending: true, conn: &connection{balancer: s, role: probeRole, state: ended}}
-	if s.carryOut(core.ForgetServer{Server: "r1"}); s.core.Counters.ProbesFailed != 1 || len(s.probes) != 0 {
-		t.Fatalf("%+v", s.core.Counters)
+	b.step(*b.cfg.KnownEndpoints)
+	b.probes["r1"] = &probe{pending: true, conn: &connection{balancer: b, role: probeRole, state: ended}}
+	if b.carryOut(core.ForgetServer{Server: "r1"}); b.core.Counters.ProbesFailed != 1 || len(b.probes) != 0 {
+		t.Fatalf("%+v", b.core.Counters)
 	}
 }
 
 // A terminal that sends without end can't fill the memory while the reducer's goroutine is busy.
 func TestReadingIsBounded(t *testing.T) {
 	p := start(t, "")
-	s, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
+	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Start(); err != nil { // and no Run: the reducer never gets its turn
+	if err := b.Start(); err != nil { // and no Run: the reducer never gets its turn
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", s.Addr())
+	c, err := net.Dial("tcp", b.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
 	_, _ = c.Write(make([]byte, 64<<20))
-	s.queue.mu.Lock()
-	defer s.queue.mu.Unlock()
-	if n := len(s.queue.list); n > 2*maxReads {
+	b.queue.mu.Lock()
+	defer b.queue.mu.Unlock()
+	if n := len(b.queue.list); n > 2*maxReads {
 		t.Fatal(n, "events wait")
 	}
 }
@@ -362,8 +362,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := strings.NewReplacer("$discovery", "127.0.0.1:1", "$r1", "127.0.0.1:2", "$r2", "127.0.0.1:3").Replace(string(body))
-	if c, err := ParseConfig([]byte(good), Overrides{Name: "n9", Listen: "127.0.0.1:9"}); err != nil || c.Name != "n9" || c.Listen != "127.0.0.1:9" {
+	good := strings.NewReplacer("$discovery", "127.0.0.1:1", "$r1", "127.0.0.1:2", "$r2", "127.0.0.1:3").
+		Replace(string(body))
+	if c, err := ParseConfig([]byte(good), Overrides{Name: "n9", Listen: "127.0.0.1:9"}); err != nil || c.Name != "n9" ||
+		c.Listen != "127.0.0.1:9" {
 		t.Fatal(c, err)
 	}
 	for _, x := range []struct{ old, new, field string }{
--- /dev/null
+++ b/internal/proxy/reload.go
@@ -0,0 +1,82 @@
+package proxy
+
+import (
+	"fmt"
+
+	"github.com/lesismal/nbio"
+
+	"oatloft/internal/core"
+	"oatloft/internal/hint"
+)
+
+// reload takes a configuration that was read again, whole or not at all. Connections, load reports and what is
+// known of the servers stay; the list in the file is older than what a watch has brought since.
+func (b *Balancer) reload(cfg Config) {
+	if b.exiting {
+		return // nothing is decided any more
+	}
+	if problem := b.cannotReload(cfg); problem != nil {
+		b.log.Error("not reloaded, the old configuration stays", "err", problem)
+		return
+	}
+	discoveryMoved := cfg.Discovery != b.cfg.Discovery
+	cfg.StartOfClock, cfg.Peers, cfg.Revisions = b.cfg.StartOfClock, b.cfg.Peers, b.cfg.Revisions
+	b.cfg = cfg
+	b.counters.Reloads++
+	b.descriptorLimit.Store(
+		min(b.availableDescriptors(cfg)-b.otherProcesses.Sockets, int64(nbio.MaxOpenFiles)-extraConnections/2),
+	)
+	cfg.SetLimits()
+	if b.admission != nil {
+		b.admission.setLimits(int(b.descriptorLimit.Load()), cfg.MemoryMB)
+	}
+	coreConfig := cfg.Core
+	coreConfig.Policy = b.overlay(coreConfig.Policy)
+	if b.revisions != nil {
+		b.revisions.environmentStale = true
+	}
+	b.step(core.ConfigChanged{Config: coreConfig, DiscoveryMoved: discoveryMoved})
+	if b.revisions != nil && b.revisions.inForce != nil {
+		b.setLinks(b.revisions.inForce.Content.Links) // tenants' shares may have changed
+	}
+	b.log.Info("reloaded", "discovery", cfg.Discovery)
+}
+
+// cannotReload returns why a configuration cannot be taken while serving: a text or an error, as it is logged.
+// Admission's settings are taken already if it is nil.
+func (b *Balancer) cannotReload(cfg Config) any {
+	if cfg.Listen != b.cfg.Listen {
+		return fmt.Sprintf("listen: can't change from %s to %s while serving", b.cfg.Listen, cfg.Listen)
+	}
+	if cfg.Management != b.cfg.Management {
+		return fmt.Sprintf("management: can't change from %q to %q while serving", b.cfg.Management, cfg.Management)
+	}
+	if err := b.reloadAdmission(cfg.Admission); err != nil {
+		return err
+	}
+	if !cfg.Peers.equal(b.cfg.Peers) {
+		return "peers: can't change while serving"
+	}
+	if !cfg.Revisions.equal(b.cfg.Revisions) {
+		return hint.Line(&ImmutableSetting{"revisions"})
+	}
+	return nil
+}
+
+// reloadAdmission takes new settings of admission. It cannot be switched on while serving: what was opened before
+// was never counted.
+func (b *Balancer) reloadAdmission(a *Admission) error {
+	switch {
+	case (a == nil) != (b.admission == nil):
+		return &ConfigError{
+			hint.Annotated{
+				Where: "admission",
+				What:  "can't be switched on or off while serving",
+				Do:    "restart the balancers, one after the other",
+			},
+		}
+	case a == nil:
+		return nil
+	}
+	return b.admission.reconfigure(*a)
+}
--- /dev/null
+++ b/internal/proxy/request.go
@@ -0,0 +1,124 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"oatloft/internal/admission"
+	"oatloft/internal/core"
+	"oatloft/internal/platform"
+)
+
+// readRequest reads the first line of a client, which may come in pieces, and pings before it.
+func (b *Balancer) readRequest(c *client, data []byte) {
+	if c.requestRead { // a client has to wait for its answer
+		b.rejectMalformed(c)
+		return
+	}
+	if len(c.partialLine) > 0 {
+		c.partialLine = append(c.partialLine, data...)
+		data = c.partialLine
+	}
+	for len(data) > 0 {
+		line, tooLong := platform.Cut(data)
+		switch {
+		case tooLong:
+			b.rejectMalformed(c)
+			return
+		case line == nil:
+			c.partialLine = append([]byte(nil), data...)
+			return
+		case platform.IsPing(line):
+			if !b.answerPing(c) {
+				return
+			}
+			data = data[len(line):]
+		default:
+			b.takeRequest(c, line, len(data) > len(line))
+			return
+		}
+	}
+	c.partialLine = nil
+}
+
+// answerPing answers a front end's health check. It is false if the client sends pings and reads none of the answers.
+func (b *Balancer) answerPing(c *client) bool {
+	b.counters.Pings++
+	if b.core.DrainRequested() || !b.mayPlaceClients() {
+		c.conn.write(platform.No)
+	} else {
+		c.conn.write(platform.Pong)
+	}
+	if c.conn.backlog() > backpressureBytes {
+		b.rejectMalformed(c)
+		return false
+	}
+	return true
+}
+
+// takeRequest takes a client's request, or rejects it. Nothing may follow the request's line before its answer.
+func (b *Balancer) takeRequest(c *client, line []byte, moreFollows bool) {
+	request, err := platform.ParseOpen(line)
+	if err != nil || moreFollows {
+		b.rejectMalformed(c)
+		return
+	}
+	b.counters.LinesIn++
+	c.partialLine, c.requestRead = nil, true
+	request.Keep()
+	request.Timeout = b.timeLeft(c, request.Timeout)
+	c.request = request
+	if verdict := b.admit(c); !verdict.OK() {
+		b.reject(c, verdict)
+		return
+	}
+	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedAt: request.At})
+}
+
+// admit tells whether a request may be taken. After the reducer has finished its last request none is; without a
+// lease only flows that are established already.
+func (b *Balancer) admit(c *client) admission.Verdict {
+	switch {
+	case b.exiting:
+		return admission.Verdict{Reason: admission.NoDescriptor}
+	case !b.mayPlaceClients() && c.request.At == "":
+		return admission.Verdict{Reason: admission.NoPermit, After: b.retryAfterNoLease()}
+	case b.admission != nil:
+		return b.admission.request(c.conn.ticket, c.request)
+	case !b.basicLimits().MayTake(int(b.sockets.Load()), b.memoryScarce):
+		return admission.Verdict{Reason: admission.NoDescriptor}
+	}
+	return admission.Verdict{}
+}
+
+func (b *Balancer) rejectMalformed(c *client) {
+	b.counters.Malformed++
+	c.requestRead = true
+	b.step(core.InvalidRequest{Client: c.handle})
+}
+
+// limitFirstBytes counts the bytes before a first line, and rejects a client whose address sends too many.
+func (b *Balancer) limitFirstBytes(c *client, n int) bool {
+	if b.admission == nil {
+		return false
+	}
+	verdict := b.admission.countBytes(c.conn.ticket, n)
+	if verdict.OK() {
+		return false
+	}
+	c.requestRead = true
+	b.reject(c, verdict)
+	return true
+}
+
+// reject answers a client whose request is not taken.
+func (b *Balancer) reject(c *client, verdict admission.Verdict) {
+	b.counters.Rejected++
+	c.finished = true
+	if b.admission != nil {
+		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
+			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.After))
+	}
+	b.step(core.ClientClosed{Client: c.handle})
+	b.finalAnswer(c, platform.AppendShort(nil, verdict.After))
+}
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -35,7 +35,12 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	s := &Balancer{finishing: map[*connection]struct{}{}, queue: eventQueue{wake: make(chan struct{}, 1)}, log: log, limitedLog: logs.Limit(log, time.Second)}
+	s := &Balancer{
+		finishing:  map[*connection]struct{}{},
+		queue:      eventQueue{wake: make(chan struct{}, 1)},
+		log:        log,
+		limitedLog: logs.Limit(log, time.Second),
+	}
 	s.engine = nbio.NewEngine(nbio.Config{NPoller: 1, EpollMod: nbio.EPOLLET})
 	s.engine.OnRead(s.onRead)
 	s.engine.OnClose(func(c *nbio.Conn, _ error) { s.onClose(c) })
@@ -61,8 +66,9 @@
 	}
 }
 
-// A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run twice goes on
-// to another region. It was taken for one that may have run where the poller met the reset before the line was written.
+// A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run
+// twice goes on to another region. It was taken for one that may have run where the poller met the reset before the
+// line was written.
 func TestResetBeforeTheLineNeverRan(t *testing.T) {
 	region, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
@@ -74,23 +80,29 @@
 		t.Fatal(err)
 	}
 	addr := region.Addr().String()
-	text := strings.NewReplacer("$r1", addr, "$r2", addr, "$discovery", addr, `"safe"`, `"unsafe"`, `"probes":true`, `"probes":false`).Replace(string(body))
+	text := strings.NewReplacer("$r1", addr, "$r2", addr, "$discovery", addr, `"safe"`, `"unsafe"`, `"probes":true`, `"probes":false`).
+		Replace(string(body))
 	cfg, err := ParseConfig([]byte(text), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(cfg, slog.New(slog.DiscardHandler))
+	b, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Start(); err != nil {
+	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer s.engine.Stop()
-	l := &connection{balancer: s, role: clientRole, state: ended}
-	s.handleAccepted(l)
-	s.step(core.RequestReceived{Client: l.client.handle, Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second}})
-	task := l.client.server
+	defer b.engine.Stop()
+	conn := &connection{balancer: b, role: clientRole, state: ended}
+	b.handleAccepted(conn)
+	b.step(
+		core.RequestReceived{
+			Client:  conn.client.handle,
+			Request: policy.Request{ID: "1", Key: "k", Class: "chat", Timeout: time.Second},
+		},
+	)
+	task := conn.client.server
 	if task == nil {
 		t.Fatal("not sent to a region")
 	}
@@ -111,8 +123,14 @@
 			t.Fatal("the reset was not met")
 		}
 	}
-	s.handleEvents()
-	if n := s.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
-		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions", n.AttemptsUnreachable, n.AttemptsReset, n.Failed, n.Attempts)
+	b.handleEvents()
+	if n := b.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
+		t.Fatalf(
+			"unreachable %d, reset %d, failed %d, sent to %d regions",
+			n.AttemptsUnreachable,
+			n.AttemptsReset,
+			n.Failed,
+			n.Attempts,
+		)
 	}
 }
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -17,9 +17,9 @@
 	"oatloft/internal/core"
 )
 
-// triesLoop is a balancer whose loop the test turns by hand, so that what the sockets tell and what the clock tells can be
-// handled in either order. Its clock runs by itself, and is put forward by the test; the times in its configuration are so long
-// that nothing else ends an attempt.
+// triesLoop is a balancer whose loop the test turns by hand, so that what the sockets tell and what the clock tells
+// can be handled in either order. Its clock runs by itself, and is put forward by the test; the times in its
+// configuration are so long that nothing else ends an attempt.
 type triesLoop struct {
 	t         *testing.T
 	s         *Balancer
@@ -65,7 +65,8 @@
 	return h
 }
 
-// startWith starts the balancer itself. changes are pairs of texts in the configuration; the first ones are done first.
+// startWith starts the balancer itself. changes are pairs of texts in the configuration; the first ones are done
+// first.
 func (h *triesLoop) startWith(semantics string, changes ...string) {
 	h.t.Helper()
 	body, err := os.ReadFile("testdata/config.json")
@@ -170,8 +171,8 @@
 	_ = p.conn.Close()
 }
 
-// ask has a client connect and send its first line, and turns the loop until an attempt's connection is up: that it is up waits
-// in the queue. No timer fires meanwhile, see taken.
+// ask has a client connect and send its first line, and turns the loop until an attempt's connection is up: that it
+// is up waits in the queue. No timer fires meanwhile, see taken.
 func (h *triesLoop) ask(id string, patience time.Duration) *triesPeer {
 	h.t.Helper()
 	client := h.client(fmt.Sprintf("OPEN %s k%s c=chat,d=%d\r\n", id, id, patience.Milliseconds()))
@@ -191,8 +192,8 @@
 	return client
 }
 
-// taken turns the loop until a request is taken, and has no timer fire: on a busy machine the line may be read so late that the
-// client would be sent off for saying nothing.
+// taken turns the loop until a request is taken, and has no timer fire: on a busy machine the line may be read so
+// late that the client would be sent off for saying nothing.
 func (h *triesLoop) taken(n int64) {
 	h.t.Helper()
 	h.until("a request", func() bool { h.s.handleEvents(); return h.s.core.Counters.Requests == n })
@@ -217,12 +218,12 @@
 }
 
 // reached waits, without turning the loop, until an attempt's connection is in a state.
-func (h *triesLoop) reached(l *connection, want connectionState) {
+func (h *triesLoop) reached(conn *connection, want connectionState) {
 	h.t.Helper()
 	h.until("the connection's state", func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.state == want
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return conn.state == want
 	})
 }
 
@@ -250,7 +251,10 @@
 			return false
 		}
 	})
-	h.turning("the attempt's line", func() bool { p.read(); return bytes.HasSuffix(p.got, []byte("\r\n")) || p.end != nil })
+	h.turning(
+		"the attempt's line",
+		func() bool { p.read(); return bytes.HasSuffix(p.got, []byte("\r\n")) || p.end != nil },
+	)
 	if !bytes.HasPrefix(p.got, []byte("OPEN ")) {
 		h.t.Fatalf("the attempt brought %q, %v", p.got, p.end)
 	}
@@ -261,7 +265,8 @@
 func (h *triesLoop) ends(who string, p *triesPeer, want string) {
 	h.t.Helper()
 	h.turning("the end of "+who, func() bool { p.read(); return p.end != nil })
-	if got := string(p.got); got != want && !strings.HasSuffix(want, "*") || !strings.HasPrefix(got, strings.TrimSuffix(want, "*")) {
+	if got := string(p.got); got != want && !strings.HasSuffix(want, "*") ||
+		!strings.HasPrefix(got, strings.TrimSuffix(want, "*")) {
 		h.t.Fatalf("%s got %q, want %q", who, got, want)
 	}
 }
@@ -282,8 +287,8 @@
 	h.gets("the client", client, "UP "+receipt+"\r\n")
 }
 
-// A connection comes up in the turn in which its attempt is given up. Nothing is sent on it, whichever is handled first, and its
-// descriptor is closed; the request goes on to the next attempt, or has its answer.
+// A connection comes up in the turn in which its attempt is given up. Nothing is sent on it, whichever is handled
+// first, and its descriptor is closed; the request goes on to the next attempt, or has its answer.
 func TestConnectionUpAsItsAttemptIsGivenUp(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -478,8 +483,8 @@
 	}
 }
 
-// The window for repeats ends while the next attempt's connection comes up: its line isn't sent. Nor does an attempt begin once
-// the window has ended.
+// The window for repeats ends while the next attempt's connection comes up: its line isn't sent. Nor does an
+// attempt begin once the window has ended.
 func TestWindowForRepeatsEnds(t *testing.T) {
 	const window = 40 * time.Second
 	keyed := fmt.Sprintf(`"keyed","key-ttl-ms":%d,"x":"`, window.Milliseconds())
@@ -509,15 +514,15 @@
 	}
 }
 
-// triesFill fills what the two systems keep for a connection that nobody reads, so that the line has to wait. They are full once
-// all that was sent has been acknowledged, more waits, and still nothing more is taken.
-func triesFill(h *triesLoop, l *connection) (filled int) {
+// triesFill fills what the two systems keep for a connection that nobody reads, so that the line has to wait. They
+// are full once all that was sent has been acknowledged, more waits, and still nothing more is taken.
+func triesFill(h *triesLoop, conn *connection) (filled int) {
 	h.t.Helper()
 	junk := bytes.Repeat([]byte("x"), 8<<10)
 	h.until("a full socket", func() (full bool) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		withDescriptor(l.conn, func(fd int) {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		withDescriptor(conn.conn, func(fd int) {
 			info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 			stands := err == nil && info.Unacked == 0 && info.Notsent_bytes > 0
 			n := 0
@@ -532,8 +537,8 @@
 	return filled
 }
 
-// The line waits for room in the socket, and the connection breaks, or the attempt's time ends: before the line's last byte has
-// left, the request has not run. After it, it may have.
+// The line waits for room in the socket, and the connection breaks, or the attempt's time ends: before the line's
+// last byte has left, the request has not run. After it, it may have.
 func TestLineThatWaitsInAFullSocket(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -574,7 +579,8 @@
 	}
 }
 
-// triesLate listens, and has its queue of connections filled, so that the next ones come up only when the test accepts.
+// triesLate listens, and has its queue of connections filled, so that the next ones come up only when the test
+// accepts.
 func triesLate(t *testing.T, ip byte) (addr string, accept func(*triesLoop)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -621,8 +627,8 @@
 	}
 }
 
-// Connections come up late, after the time for connecting: the attempts that were given up send nothing, and the one that is out
-// sends the one line.
+// Connections come up late, after the time for connecting: the attempts that were given up send nothing, and the
+// one that is out sends the one line.
 func TestConnectionsUpLate(t *testing.T) {
 	one, acceptOne := triesLate(t, 11)
 	two, acceptTwo := triesLate(t, 12)
--- /dev/null
+++ b/internal/proxy/server_connection.go
@@ -0,0 +1,107 @@
+package proxy
+
+import (
+	"oatloft/internal/core"
+	"oatloft/internal/platform"
+)
+
+// handleServerEvent takes what the connection of an attempt, or of a flow's server, brings.
+func (b *Balancer) handleServerEvent(c *client, conn *connection, e event) {
+	if c.server != conn {
+		return
+	}
+	switch e.kind {
+	case eventConnected:
+		b.step(core.AttemptConnected{Client: c.handle, Attempt: conn.attempt})
+	case eventDialFailed:
+		c.server = nil
+		b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: core.CloseRefused})
+	case eventEOF, eventReset:
+		b.handleServerEnd(c, conn, e.kind)
+	case eventData:
+		if !c.established {
+			b.readAnswer(c, conn, *e.data)
+			return
+		}
+		if b.zoneLinks != nil && conn.hadWaited.Swap(false) {
+			b.step(core.ServerDataQueued{Client: c.handle})
+		}
+		b.forwardFromServer(c, *e.data)
+	}
+}
+
+func (b *Balancer) handleServerEnd(c *client, conn *connection, kind eventKind) {
+	if b.isMigrating(c) {
+		b.endMigrating(c, closeReason(kind)) // the end of the line will not come
+		return
+	}
+	reason := closeReason(kind)
+	switch c.lastServerWord {
+	case platform.Bye:
+		reason = core.CloseFinished
+	case platform.MoveAway:
+		reason = core.CloseMigrated
+	}
+	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
+}
+
+// readAnswer reads an attempt's answer, which may come in pieces. What is no answer by the protocol is an error of
+// the server, which may have run the request; none of it reaches the client.
+func (b *Balancer) readAnswer(c *client, conn *connection, data []byte) {
+	if b.zoneLinks != nil {
+		b.zoneLinks.countReceived(c, conn.server, len(data))
+	}
+	data, first, complete := c.answerReader.Read(data)
+	if !complete {
+		return
+	}
+	reason := core.CloseFailed
+	switch platform.AnswerOf(data[:first]) {
+	case platform.Up:
+		b.establish(c, conn, data, data[first:])
+		return
+	case platform.Busy:
+		reason = core.CloseRejected
+	case platform.Bye:
+		reason = core.CloseFinished
+	case platform.MoveAway:
+		reason = core.CloseMigrated
+	}
+	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
+}
+
+// establish puts the flow on the attempt's server. data is the answer with what came right behind it.
+func (b *Balancer) establish(c *client, conn *connection, data, behind []byte) {
+	c.established = true
+	if b.admission != nil {
+		b.admission.established(c.conn.ticket)
+	}
+	c.conn.markEstablished()
+	if b.zoneLinks != nil {
+		b.zoneLinks.attach(c)
+	}
+	seen := c.fromServer.Read(behind)
+	c.lastServerWord = seen.Last
+	b.step(core.AttemptAccepted{
+		Client:  c.handle,
+		Attempt: conn.attempt,
+		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told},
+	})
+}
+
+// forwardFromServer forwards a server's bytes. A client that is to be migrated gets none behind the next line's end.
+func (b *Balancer) forwardFromServer(c *client, data []byte) {
+	if b.isMigrating(c) {
+		b.passRestOfAnswer(c, data)
+		return
+	}
+	seen := c.fromServer.Read(data)
+	if seen.Lines > 0 {
+		c.lastServerWord = seen.Last
+	}
+	b.step(core.DataReceived{
+		Client:     c.handle,
+		FromServer: true,
+		Payload:    core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told},
+	})
+}
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -27,8 +27,8 @@
 	listBusy  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// listStood adds up how long this process has stood still, which a busy machine may have it do for seconds: that isn't the
-// balancer's time.
+// listStood adds up how long this process has stood still, which a busy machine may have it do for seconds: that
+// isn't the balancer's time.
 var (
 	listStood  atomic.Int64
 	listStalls atomic.Int64 // how often for so long that the balancer could take a stand-in for silent
@@ -97,8 +97,8 @@
 	}
 }
 
-// listAnswer answers a call and waits for what it tells to be held. Where the machine had this test answer so late that
-// the call was given up, the next one is answered.
+// listAnswer answers a call and waits for what it tells to be held. Where the machine had this test answer so late
+// that the call was given up, the next one is answered.
 func (p *play) listAnswer(t *testing.T, c *listCall, text, id string, want policy.ServerState) *listCall {
 	t.Helper()
 	_, _ = io.WriteString(c.conn, text)
@@ -148,7 +148,10 @@
 	var hosts []string
 	for name, health := range map[string]string{"r1": r1, "r2": r2} {
 		if health != "" {
-			hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","health":%q,"share":1}`, name, p.regions[name].Addr(), health))
+			hosts = append(
+				hosts,
+				fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","health":%q,"share":1}`, name, p.regions[name].Addr(), health),
+			)
 		}
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`+"\n", seq, whole, strings.Join(hosts, ","))
@@ -224,8 +227,8 @@
 	}
 }
 
-// However many calls have failed, and in whatever way, the second one after discovery's return comes within the rule's time,
-// though the first one hangs. The settings would let the balancer ask once in two minutes.
+// However many calls have failed, and in whatever way, the second one after discovery's return comes within the
+// rule's time, though the first one hangs. The settings would let the balancer ask once in two minutes.
 func TestCallsFollowWithinTheRuleAfterFailures(t *testing.T) {
 	fails := map[string]func(t *testing.T, c *listCall){
 		"refused with 503": func(t *testing.T, c *listCall) { c.says(t, listBusy) },
@@ -255,8 +258,8 @@
 	}
 }
 
-// A list that comes slowly is waited for, over longer than a call may be silent, and is read though the next call has begun
-// meanwhile. One without end keeps nobody deaf: that next call is answered, and ends it.
+// A list that comes slowly is waited for, over longer than a call may be silent, and is read though the next call
+// has begun meanwhile. One without end keeps nobody deaf: that next call is answered, and ends it.
 func TestSlowListAndEndlessList(t *testing.T) {
 	for _, endless := range []bool{false, true} {
 		t.Run(fmt.Sprint("endless ", endless), func(t *testing.T) {
@@ -267,7 +270,8 @@
 	}
 }
 
-// listIsSlow plays one such list. It is false where this process stood still meanwhile: that is silence to the balancer.
+// listIsSlow plays one such list. It is false where this process stood still meanwhile: that is silence to the
+// balancer.
 func listIsSlow(t *testing.T, endless bool) bool {
 	t.Helper()
 	p := start(t, "")
@@ -330,7 +334,8 @@
 	p.listHas(t, "r2", policy.Gone)
 }
 
-// A watch that is reset, or ended behind a list's last brace, a last chunk, or between two chunks, right before a drain.
+// A watch that is reset, or ended behind a list's last brace, a last chunk, or between two chunks, right before a
+// drain.
 func TestWatchEndsRightBeforeADrain(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, p *play, c *listCall){
 		"reset": func(t *testing.T, p *play, c *listCall) {
@@ -362,8 +367,8 @@
 	}
 }
 
-// SIGHUP names another discovery. Until that one has answered, the old one's news count; what the new one says that is
-// older than those doesn't; and once it has answered, the old call is ended.
+// SIGHUP names another discovery. Until that one has answered, the old one's news count; what the new one says that
+// is older than those doesn't; and once it has answered, the old call is ended.
 func TestAnotherDiscovery(t *testing.T) {
 	for name, x := range map[string]func(t *testing.T, p *play, old, first *listCall) *listCall{
 		"answers at once": func(_ *testing.T, _ *play, _, first *listCall) *listCall { return first },
@@ -389,7 +394,13 @@
 		p := start(t, "") // one after the other: nbio keeps its limits in variables of its own
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			old := p.listAnswer(t, p.listNext(t), listHead+listChunk(p.listOf(8, true, "ready", "draining")), "r2", policy.Draining)
+			old := p.listAnswer(
+				t,
+				p.listNext(t),
+				listHead+listChunk(p.listOf(8, true, "ready", "draining")),
+				"r2",
+				policy.Draining,
+			)
 			quiet := old.beats()
 			cfg := p.server.cfg
 			cfg.Discovery = p.regions["moved"].Addr().String()
@@ -414,8 +425,8 @@
 	}
 }
 
-// Idle clients fill the descriptors while discovery is silent. The call is made all the same, and its news are heard; who is
-// turned away is answered, or not taken in at all, but never reset.
+// Idle clients fill the descriptors while discovery is silent. The call is made all the same, and its news are
+// heard; who is turned away is answered, or not taken in at all, but never reset.
 func TestCallIsMadeInACrowd(t *testing.T) {
 	p := start(t, "sockets 60")
 	first := p.listNext(t) // silent
--- /dev/null
+++ b/internal/proxy/shaping.go
@@ -0,0 +1,218 @@
+package proxy
+
+import (
+	"errors"
+	"syscall"
+)
+
+// exemptBytes is how much is read at a time of a connection that waits for no turn. It is counted later.
+const exemptBytes = 512
+
+// waitsForTurn tells whether the connection's bytes wait for their turn.
+func (c *connection) waitsForTurn() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.waitsIn != nil
+}
+
+// setQueue has the connection read by a queue's turns from now on; nil for freely. A turn that it waits for in the
+// queue before comes to nothing.
+func (c *connection) setQueue(queue *bandwidthQueue) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.queue == queue {
+		return
+	}
+	c.queue, c.waitsIn = queue, nil
+	c.readOn()
+}
+
+// readScheduled reads up to n bytes, or leaves them to others if the connection has no use for them.
+func (c *connection) readScheduled(queue *bandwidthQueue, n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.waitsIn == nil || c.waitsIn.flow != queue.flow {
+		queue.giveBack(n)
+		return
+	}
+	c.waitsIn = nil
+	c.hadWaited.Store(true)
+	switch {
+	case c.endedData != nil:
+		c.passEndedData(n)
+	case c.state != live || c.conn == nil || c.paused || c.starved:
+		queue.giveBack(n)
+	case c.balancer.queue.isLong():
+		queue.giveBack(n)
+		c.balancer.queue.deferRead(c)
+	default:
+		c.readShaped(false, n)
+	}
+}
+
+// readShaped reads what the link has room for; given bytes of it are the connection's already. With mu held.
+func (c *connection) readShaped(poller bool, given int) {
+	if poller && peerHasClosed(c.conn) {
+		c.readToEnd()
+		return
+	}
+	for reads := 0; reads < maxReads; reads++ {
+		size := given
+		given = 0
+		switch {
+		case c.exempt():
+			if reads > 0 {
+				c.balancer.queue.deferRead(c)
+				return
+			}
+			size = exemptBytes
+		case size == 0:
+			size = c.queue.take(c, readSize)
+			if size == 0 {
+				c.waitsIn = c.queue
+				return
+			}
+		}
+		if !c.readSome(size) {
+			return
+		}
+	}
+	c.balancer.queue.deferRead(c)
+}
+
+// readSome reads up to size bytes and gives back what it does not use. It is false if nothing is there, or an end
+// that the poller will meet.
+func (c *connection) readSome(size int) bool {
+	buf := buffers.Get().(*[]byte)
+	n, err := c.conn.Read((*buf)[:size])
+	if !c.exempt() {
+		c.queue.giveBack(size - max(n, 0))
+	}
+	if n > 0 {
+		*buf = (*buf)[:n]
+		c.postData(buf)
+		return true
+	}
+	releaseBuffer(buf)
+	return errors.Is(err, syscall.EINTR)
+}
+
+// exempt tells whether the connection waits for no turn: an attempt whose answer has not come, and a client whose
+// line has to end.
+func (c *connection) exempt() bool { return c.role == serverRole && !c.established || c.bypass }
+
+// bypassQueue has a connection read on without turns, little at a time. It is false if it crosses no bounded link.
+func (c *connection) bypassQueue() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.queue == nil {
+		return false
+	}
+	c.bypass, c.waitsIn, c.paused = true, nil, false
+	c.readOn()
+	return true
+}
+
+// endedData is what was read of a side that has ended: nbio closes the socket then, so that nothing can be left
+// there. It is no more than the system's buffer held, and is passed on by the queue's turns; the end comes behind
+// it.
+type endedData struct {
+	pieces []*[]byte
+	end    eventKind
+}
+
+// readToEnd reads a socket to its end, on the poller's goroutine. What a client has sent before a reset is dropped:
+// nobody waits for what would come of it. With mu held.
+func (c *connection) readToEnd() {
+	data := &endedData{end: eventEOF}
+	for data.readPiece(c) {
+	}
+	if data.end == eventReset && c.role == clientRole {
+		data.pieces = nil
+	}
+	c.endedData, c.waitsIn = data, nil
+	polled := c.conn
+	if data.end == eventReset || c.role != clientRole || !c.handOverToTail() {
+		c.state = ended
+		_ = polled.Close()
+	}
+	c.passEndedData(0)
+}
+
+// readPiece reads a piece. It is false at the end.
+func (d *endedData) readPiece(c *connection) bool {
+	buf := buffers.Get().(*[]byte)
+	n, err := c.conn.Read(*buf)
+	if n > 0 {
+		*buf = (*buf)[:n]
+		d.pieces = append(d.pieces, buf)
+		return true
+	}
+	releaseBuffer(buf)
+	switch {
+	case errors.Is(err, syscall.EINTR):
+		return true
+	case err != nil && !errors.Is(err, syscall.EAGAIN):
+		d.end = eventReset
+	}
+	return false
+}
+
+// passEndedData passes on what was read to the end as far as there is room; given bytes of it are the connection's
+// already. The end follows the last byte. With mu held.
+func (c *connection) passEndedData(given int) {
+	queue, data := c.queue, c.endedData
+	for len(data.pieces) > 0 {
+		if c.paused || c.starved || c.balancer.queue.isLong() {
+			if !c.paused && !c.starved {
+				c.balancer.queue.deferRead(c)
+			}
+			break
+		}
+		size := given
+		given = 0
+		free := queue == nil || c.exempt()
+		switch {
+		case queue == nil:
+			size = len(*data.pieces[0])
+		case free:
+			size = exemptBytes
+		case size == 0:
+			size = queue.take(c, len(*data.pieces[0]))
+			if size == 0 {
+				c.waitsIn = queue
+				return
+			}
+		}
+		buf := data.take(size)
+		if !free {
+			queue.giveBack(size - len(*buf))
+		}
+		c.postData(buf)
+		if free && queue != nil && len(data.pieces) > 0 {
+			c.balancer.queue.deferRead(c)
+			break
+		}
+	}
+	if given > 0 && queue != nil {
+		queue.giveBack(given)
+	}
+	if len(data.pieces) == 0 {
+		c.endedData = nil
+		c.balancer.queue.post(event{kind: data.end, conn: c})
+	}
+}
+
+// take returns up to size bytes of the first piece.
+func (d *endedData) take(size int) *[]byte {
+	first := d.pieces[0]
+	if size >= len(*first) {
+		d.pieces[0] = nil
+		d.pieces = d.pieces[1:]
+		return first
+	}
+	part := buffers.Get().(*[]byte)
+	*part = (*part)[:copy(*part, (*first)[:size])]
+	*first = (*first)[:copy(*first, (*first)[size:])]
+	return part
+}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -1,6 +1,3 @@
-// The end of a server: what is left to do at the sockets once the reducer has said that all is done, and when the loop may
-// end. This file must never let the loop end while somebody who was taken in has no answer and there is time to give it.
-
 package proxy
 
 import (
@@ -16,64 +13,60 @@
 )
 
 const (
-	idleTimeout  = 500 * time.Millisecond // for clients that have got all and rest: they have to read, and end by themselves
-	maxAdoptions = 256                    // others get their turn between
+	idleTimeout  = 500 * time.Millisecond // for clients that have got everything: they have to read it, and to end
+	maxAdoptions = 256                    // connections of the listener's queue at a time, before other events
 )
 
-// closing bounds the last phase of a server.
+// closing bounds the last phase of a balancer.
 type closing struct {
-	idleDeadline time.Time // clients that only have to end by themselves are waited for until then
+	idleDeadline time.Time // clients that only have to end are waited for until then
 	deadline     time.Time // the loop ends then, whatever is left
 }
 
-// beginShutdown begins the shutdown. A listener that is the platform's is let go of at once: what waits in its queue, or comes, is
-// for the process that follows.
-func (s *Balancer) beginShutdown() {
-	if s.serving = false; s.inherited != nil {
-		_ = s.listener.Close()
-	}
-	s.step(core.ShutdownRequested{HandedOver: s.inherited != nil})
-	s.writeForSuccessor()
-	s.announceLeaving()
+// beginShutdown begins the shutdown. A listener that is the platform's is closed at once: what waits in its queue,
+// or comes, is for the process that follows.
+func (b *Balancer) beginShutdown() {
+	b.serving = false
+	if b.inherited != nil {
+		_ = b.listener.Close()
+	}
+	b.step(core.ShutdownRequested{HandedOver: b.inherited != nil})
+	b.writeForSuccessor()
+	b.announceLeaving()
 }
 
-// beginClosing begins the last phase: nobody is owed anything now, and nobody more is to be picked up.
-func (s *Balancer) beginClosing(by time.Duration) {
-	s.exiting = true
-	s.closing = closing{idleDeadline: time.Now().Add(idleTimeout + s.testSlack), deadline: s.cfg.StartOfClock.Add(by + s.testSlack)}
-	s.closeListener()
+// beginClosing begins the last phase: no client waits for an answer, and no request is taken any more. deadline is
+// by the balancer's clock.
+func (b *Balancer) beginClosing(deadline time.Duration) {
+	b.exiting = true
+	b.closing = closing{
+		idleDeadline: time.Now().Add(idleTimeout + b.testSlack),
+		deadline:     b.cfg.StartOfClock.Add(deadline + b.testSlack),
+	}
+	b.closeListener()
 }
 
-// closeListener closes the listener once nobody waits in its queue any more: the system resets those who do, and with them
-// a request that was taken. Where they are too many, or there
-// are too few descriptors for them, the rest follows at the next tick.
-func (s *Balancer) closeListener() {
-	if s.acceptLoop.closed.Load() || s.inherited == nil && !s.acceptQueued() {
+// closeListener closes the listener once its queue is empty: the system would reset the connections in it, and with
+// them requests that were sent. If they are too many, or descriptors too few, the rest follows at the next tick.
+func (b *Balancer) closeListener() {
+	if b.acceptLoop.closed.Load() || b.inherited == nil && !b.acceptQueued() {
 		return
 	}
-	_ = s.listener.Close()
+	_ = b.listener.Close()
 }
 
-// acceptQueued takes in who waits in the listener's queue, to be turned away as all that come now. It is false where
-// somebody is left in it.
-func (s *Balancer) acceptQueued() bool {
-	g, ok := s.listener.(clientListener)
-	if !ok {
-		return true
-	}
-	l, ok := g.Listener.(syscall.Conn)
+// acceptQueued accepts the connections in the listener's queue, to be rejected as all that come now. It is false if
+// some are left.
+func (b *Balancer) acceptQueued() bool {
+	raw, ok := rawListener(b.listener)
 	if !ok {
 		return true
 	}
-	raw, err := l.SyscallConn()
-	if err != nil {
-		return true
-	}
 	for range maxAdoptions {
 		fd, err := acceptNow(raw)
 		switch {
 		case err == nil:
-			s.adopt(fd)
+			b.adopt(fd)
 		case errors.Is(err, syscall.ECONNABORTED):
 		default:
 			return !noDescriptor(err)
@@ -82,103 +75,106 @@
 	return false
 }
 
+func rawListener(listener net.Listener) (raw syscall.RawConn, ok bool) {
+	l, ok := listener.(clientListener)
+	if !ok {
+		return nil, false
+	}
+	conn, ok := l.Listener.(syscall.Conn)
+	if !ok {
+		return nil, false
+	}
+	raw, err := conn.SyscallConn()
+	return raw, err == nil
+}
+
 // acceptNow accepts a connection that waits, if there is one. The accept loop may wait for one meanwhile.
-func acceptNow(l syscall.RawConn) (fd int, err error) {
-	closed := l.Control(func(s uintptr) {
-		for {
-			if fd, _, err = syscall.Accept4(int(s), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC); !errors.Is(err, syscall.EINTR) {
-				return
-			}
-		}
-	})
+func acceptNow(listener syscall.RawConn) (fd int, err error) {
+	closed := listener.Control(func(s uintptr) { fd, _, err = accept4(int(s)) })
 	if closed != nil {
 		return 0, net.ErrClosed
 	}
 	return fd, err
 }
 
-// adopt has a connection served as one that nbio's accept loop has taken.
-func (s *Balancer) adopt(fd int) {
+// adopt has a connection served like one that nbio's accept loop has accepted.
+func (b *Balancer) adopt(fd int) {
 	conn, err := newConn(fd)
 	if err != nil {
 		rejectRaw(fd)
+		_ = syscall.Close(fd)
 		return
 	}
-	c, err := nbio.NBConn(conn)
+	polled, err := nbio.NBConn(conn)
 	if err != nil {
 		if tcp, ok := conn.(syscall.Conn); ok {
 			if raw, err := tcp.SyscallConn(); err == nil {
-				_ = raw.Control(func(fd uintptr) { answerRaw(int(fd)) })
+				_ = raw.Control(func(fd uintptr) { rejectRaw(int(fd)) })
 			}
 		}
 		_ = conn.Close()
 		return
 	}
-	l := &connection{balancer: s, role: clientRole, conn: c, state: live, remoteAddr: c.RemoteAddr()}
-	s.attachSession(c, l)
-	s.queue.post(event{kind: eventAccepted, conn: l})
-	_, _ = s.engine.AddConn(c) // a failure closes c, and onClose tells of it
+	c := &connection{balancer: b, role: clientRole, conn: polled, state: live, remoteAddr: polled.RemoteAddr()}
+	b.attachSession(polled, c)
+	b.queue.post(event{kind: eventAccepted, conn: c})
+	_, _ = b.engine.AddConn(polled) // a failure closes it, which onClose reports
 }
 
-// rejectRaw answers a connection for which there is no second descriptor, and closes it.
+// rejectRaw answers a connection for which there is no second descriptor. What has come is read first, so that
+// closing does not turn the answer into a reset.
 func rejectRaw(fd int) {
-	answerRaw(fd)
-	_ = syscall.Close(fd)
-}
-
-// answerRaw reads away what has come, so that closing makes no reset of the answer.
-func answerRaw(fd int) {
-	var junk [readSize]byte
+	var buffer [readSize]byte
 	for range maxDiscarded / readSize {
-		if n, err := syscall.Read(fd, junk[:]); n <= 0 || err != nil {
+		if n, err := syscall.Read(fd, buffer[:]); n <= 0 || err != nil {
 			break
 		}
 	}
 	_, _ = syscall.Write(fd, platform.AppendShort(nil, 0))
 }
 
-// mayExit tells that the loop may end: everybody who was taken in has got all that there is to get, or the time is up.
-func (s *Balancer) mayExit(now time.Time) bool {
+// mayExit tells whether the loop may end: all clients that were accepted have got everything, or the time is over.
+func (b *Balancer) mayExit(now time.Time) bool {
 	switch {
-	case !s.exiting:
+	case !b.exiting:
 		return false
-	case now.After(s.closing.deadline):
+	case now.After(b.closing.deadline):
 		return true
-	case !s.acceptLoop.hasEnded(), !s.queue.empty(): // somebody may have been taken in whom the loop hasn't heard of
+	case !b.acceptLoop.hasEnded(), !b.queue.empty(): // a connection may have been accepted that the loop does not know
 		return false
-	case len(s.migrating) > 0, s.admission != nil && s.admission.hasGoodbyes():
+	case len(b.migrating) > 0, b.admission != nil && b.admission.hasGoodbyes():
 		return false
 	}
-	for l := range s.finishing {
-		if now.Before(s.closing.idleDeadline) || l.backlog() > 0 {
+	for conn := range b.finishing {
+		if now.Before(b.closing.idleDeadline) || conn.backlog() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Close lets go of all that Run leaves to the end of the process: sockets, and the goroutines that serve them. Who goes on
-// after Run calls it once Run has returned; what somebody is still owed then is lost.
-func (s *Balancer) Close() {
-	_ = s.listener.Close()
-	for _, t := range s.clients {
-		if t.server != nil {
-			t.server.drop()
+// Close releases what Run leaves to the end of the process: sockets, and the goroutines that serve them. A program
+// that goes on after Run calls it; what clients have not received then is lost.
+func (b *Balancer) Close() {
+	_ = b.listener.Close()
+	for _, c := range b.clients {
+		if c.server != nil {
+			c.server.drop()
 		}
-		t.conn.reset()
+		c.conn.reset()
 	}
-	for l := range s.finishing {
-		l.reset()
+	for conn := range b.finishing {
+		conn.reset()
 	}
-	for _, p := range s.probes {
+	for _, p := range b.probes {
 		if p.conn != nil {
 			p.conn.drop()
 		}
 	}
-	dropWatch(&s.watch)
-	dropWatch(&s.previousWatch)
-	s.engine.Stop()
-	if s.admission != nil {
-		s.admission.close()
+	dropWatch(&b.watch)
+	dropWatch(&b.previousWatch)
+	b.engine.Stop()
+	if b.admission != nil {
+		b.admission.close()
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -264,7 +264,9 @@
 func TestWhoWaitsInTheListenersQueueIsTurnedAway(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > PING", "a < PONG")
-	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) }) // the accept loop waits for descriptors, after one more accept at most
+	b.onLoop(
+		func(s *Balancer) { s.sockets.Add(1 << 20) },
+	) // the accept loop waits for descriptors, after one more accept at most
 	b.steps(`b >> "OPEN 1 k c=chat,d=60000\r\n"`, `c >> "OPEN 2 k c=cha"`, `d >> ""`)
 	b.leaves()
 	b.closes()
@@ -298,16 +300,16 @@
 	}
 }
 
-// Who rests is told to come again when the balancer closes. A request that is in the socket by then, or comes after, is
-// read away: it is neither sent on nor does it make a reset of the answer.
+// Who rests is told to come again when the balancer closes. A request that is in the socket by then, or comes
+// after, is read away: it is neither sent on nor does it make a reset of the answer.
 func TestRequestsInTheMomentOfTheClosing(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
 	b.leaves()
 	b.until("both are known", func(s *Balancer) bool { return len(s.clients) == 2 })
 	b.onLoop(func(s *Balancer) { // nobody reads them
-		for _, t := range s.clients {
-			t.conn.pause()
+		for _, c := range s.clients {
+			c.conn.pause()
 		}
 	})
 	b.steps("before > OPEN 1 k c=chat,d=60000")
@@ -318,22 +320,31 @@
 	b.nobodyAsked()
 }
 
-// A request in pieces across SIGTERM is served where its end comes while clients are served, and told to come again where
-// it comes after.
+// A request in pieces across SIGTERM is served where its end comes while clients are served, and told to come again
+// where it comes after.
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
 	b.until("the pieces are read", func(s *Balancer) bool {
 		n := 0
-		for _, t := range s.clients {
-			if len(t.partialLine) > 0 {
+		for _, c := range s.clients {
+			if len(c.partialLine) > 0 {
 				n++
 			}
 		}
 		return n == 2
 	})
 	b.leaves()
-	b.steps(`a >> "at,d=60000\r\n"`, "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1", "a FIN", "task1 < FIN", "task1 FIN", "a < FIN")
+	b.steps(
+		`a >> "at,d=60000\r\n"`,
+		"task1 < OPEN 1 *",
+		"task1 > UP 1",
+		"a < UP 1",
+		"a FIN",
+		"task1 < FIN",
+		"task1 FIN",
+		"a < FIN",
+	)
 	b.closes()
 	b.steps("b < BUSY", `b >> "00\r\n"`, "b < FIN", "b FIN", "ended")
 	b.nobodyAsked()
@@ -366,7 +377,8 @@
 	return ""
 }
 
-// Whatever a request waits for at SIGTERM, it gets its one answer before SIGKILL may come, and nothing is sent on after it.
+// Whatever a request waits for at SIGTERM, it gets its one answer before SIGKILL may come, and nothing is sent on
+// after it.
 func TestRequestsUnderWayAtSIGTERMAreAnswered(t *testing.T) {
 	for _, passes := range []bool{true, false} {
 		for name, until := range map[string]func(b *shutBed){
@@ -420,10 +432,10 @@
 	b := newShutBed(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
 	b.until("it has closed its sending", func(s *Balancer) bool {
-		for _, t := range s.clients {
-			t.conn.mu.Lock()
-			defer t.conn.mu.Unlock()
-			return t.conn.tail != nil
+		for _, c := range s.clients {
+			c.conn.mu.Lock()
+			defer c.conn.mu.Unlock()
+			return c.conn.tail != nil
 		}
 		return false
 	})
@@ -437,8 +449,8 @@
 	b.until("it is over", func(s *Balancer) bool { return len(s.finishing) == 0 })
 }
 
-// A configuration read anew right before SIGTERM, or right after it, counts while clients are still served: news come from
-// where it says. One that comes when all is over changes nothing, and holds nobody up.
+// A configuration read anew right before SIGTERM, or right after it, counts while clients are still served: news
+// come from where it says. One that comes when all is over changes nothing, and holds nobody up.
 func TestReloadsAroundSIGTERM(t *testing.T) {
 	for _, first := range []string{"reload", "leave"} {
 		t.Run(first+" first", func(t *testing.T) {
@@ -508,8 +520,8 @@
 	return len(list)
 }
 
-// After a stop nothing is left of a server: no goroutine, no timer, no descriptor. It is stopped both ways, with connections in
-// all states.
+// After a stop nothing is left of a server: no goroutine, no timer, no descriptor. It is stopped both ways, with
+// connections in all states.
 func TestNothingIsLeftAfterAStop(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	play := func(t *testing.T, leaves bool) {
@@ -537,56 +549,63 @@
 	}
 }
 
-// The loop ends once nobody is left who may have to get something, and when its time is up. This is closed alone, so that
-// each reason to stay is met without the others.
+// The loop ends once nobody is left who may have to get something, and when its time is up. This is closed alone,
+// so that each reason to stay is met without the others.
 func TestReasonsToStay(t *testing.T) {
 	now := time.Now()
 	ready := func() *Balancer {
-		s := &Balancer{exiting: true, closing: closing{idleDeadline: now.Add(time.Second), deadline: now.Add(2 * time.Second)},
-			acceptLoop: acceptLoop{done: make(chan struct{})}, finishing: map[*connection]struct{}{}, migrating: map[*client]struct{}{}}
-		s.acceptLoop.finish()
-		return s
+		b := &Balancer{
+			exiting: true,
+			closing: closing{idleDeadline: now.Add(time.Second), deadline: now.Add(2 * time.Second)},
+			acceptLoop: acceptLoop{
+				done: make(chan struct{}),
+			},
+			finishing: map[*connection]struct{}{},
+			migrating: map[*client]struct{}{},
+		}
+		b.acceptLoop.finish()
+		return b
 	}
 	if !ready().mayExit(now) {
 		t.Fatal("it stays for nobody")
 	}
-	for name, stay := range map[string]func(s *Balancer) (until time.Duration){
-		"accept loop at work": func(s *Balancer) time.Duration {
-			s.acceptLoop = acceptLoop{done: make(chan struct{})}
+	for name, stay := range map[string]func(b *Balancer) (until time.Duration){
+		"accept loop at work": func(b *Balancer) time.Duration {
+			b.acceptLoop = acceptLoop{done: make(chan struct{})}
 			return 2 * time.Second
 		},
-		"events unread": func(s *Balancer) time.Duration {
-			s.queue.list = []event{{kind: eventAccepted}}
+		"events unread": func(b *Balancer) time.Duration {
+			b.queue.list = []event{{kind: eventAccepted}}
 			return 2 * time.Second
 		},
-		"a client moves": func(s *Balancer) time.Duration {
-			s.migrating[&client{}] = struct{}{}
+		"a client moves": func(b *Balancer) time.Duration {
+			b.migrating[&client{}] = struct{}{}
 			return 2 * time.Second
 		},
-		"bytes unwritten": func(s *Balancer) time.Duration {
-			l := &connection{}
-			l.accepted.Store(1)
-			s.finishing[l] = struct{}{}
+		"bytes unwritten": func(b *Balancer) time.Duration {
+			conn := &connection{}
+			conn.accepted.Store(1)
+			b.finishing[conn] = struct{}{}
 			return 2 * time.Second
 		},
-		"a client that has to end": func(s *Balancer) time.Duration {
-			s.finishing[&connection{}] = struct{}{}
+		"a client that has to end": func(b *Balancer) time.Duration {
+			b.finishing[&connection{}] = struct{}{}
 			return time.Second
 		},
-		"a refused client": func(s *Balancer) time.Duration {
-			s.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
+		"a refused client": func(b *Balancer) time.Duration {
+			b.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
 	} {
-		s := ready()
-		until := stay(s)
-		if s.mayExit(now) || s.mayExit(now.Add(until-time.Millisecond)) {
+		b := ready()
+		until := stay(b)
+		if b.mayExit(now) || b.mayExit(now.Add(until-time.Millisecond)) {
 			t.Error(name, "is no reason to stay")
 		}
-		if !s.mayExit(now.Add(until + time.Millisecond)) {
+		if !b.mayExit(now.Add(until + time.Millisecond)) {
 			t.Error(name, "holds it up for ever")
 		}
-		if s.exiting = false; s.mayExit(now.Add(time.Hour)) {
+		if b.exiting = false; b.mayExit(now.Add(time.Hour)) {
 			t.Error(name, "ends though it serves")
 		}
 	}
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -1,6 +1,3 @@
-// The trace: one line an event of the reducer and an effect of it, at log level debug, for counting over a whole
-// fleet afterwards (oatlab fleet reads it). It must never hold a terminal's bytes, and costs nothing while it is off.
-
 package proxy
 
 import (
@@ -12,76 +9,100 @@
 	"oatloft/policy"
 )
 
+// The trace is one log line for each event of the reducer and each effect, at level debug, by which a whole fleet
+// is counted afterwards (oatlab fleet reads it). It has no bytes of clients, and costs nothing while it is off. Its
+// words are read by programs and do not change.
+
 // tracing tells whether the trace is on, once for the whole run.
 func tracing(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (s *Balancer) trace(kind string, attrs ...slog.Attr) {
+func (b *Balancer) trace(kind string, attrs ...slog.Attr) {
 	attrs = append(attrs, slog.Int64("us", time.Now().UnixMicro()))
-	s.log.LogAttrs(context.Background(), slog.LevelDebug, kind, attrs...)
+	b.log.LogAttrs(context.Background(), slog.LevelDebug, kind, attrs...)
 }
 
-func attemptAttrs(h core.Handle, attempt int) []slog.Attr {
-	return []slog.Attr{slog.Uint64("of", uint64(h)), slog.Int("attempt", attempt)}
+func clientAttr(handle core.Handle) slog.Attr { return slog.Uint64("of", uint64(handle)) }
+
+func attemptAttrs(handle core.Handle, attempt int, more ...slog.Attr) []slog.Attr {
+	return append([]slog.Attr{clientAttr(handle), slog.Int("attempt", attempt)}, more...)
 }
 
-func (s *Balancer) traceEvent(ev core.Event) {
+func (b *Balancer) traceEvent(ev core.Event) {
 	switch ev := ev.(type) {
 	case core.RequestReceived:
-		s.trace("opened", slog.Uint64("of", uint64(ev.Client)), slog.String("id", ev.ID), slog.String("key", ev.Key),
+		b.trace("opened", clientAttr(ev.Client), slog.String("id", ev.ID), slog.String("key", ev.Key),
 			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.EstablishedAt != ""))
 	case core.ClientClosed:
-		s.trace("terminal-ended", slog.Uint64("of", uint64(ev.Client)), slog.Int("how", int(ev.Reason)))
+		b.trace("terminal-ended", clientAttr(ev.Client), slog.Int("how", int(ev.Reason)))
 	case core.AttemptConnected:
-		s.trace("connected", attemptAttrs(ev.Client, ev.Attempt)...)
+		b.trace("connected", attemptAttrs(ev.Client, ev.Attempt)...)
 	case core.AttemptAccepted:
-		s.trace("up", attemptAttrs(ev.Client, ev.Attempt)...)
+		b.trace("up", attemptAttrs(ev.Client, ev.Attempt)...)
 	case core.AttemptClosed:
-		s.trace("task-ended", append(attemptAttrs(ev.Client, ev.Attempt), slog.Int("how", int(ev.Reason)))...)
+		b.trace("task-ended", attemptAttrs(ev.Client, ev.Attempt, slog.Int("how", int(ev.Reason)))...)
 	case core.EndpointsListed:
-		n, drained, gone := len(ev.Endpoints), 0, 0
-		for _, g := range ev.Endpoints {
-			switch g.State {
-			case policy.Draining:
-				drained++
-			case policy.Gone:
-				gone++
-			}
-			warm := int64(0) // when it is warm at the latest; 0 for one that started long ago
-			if g.StartedAt > 0 {
-				warm = time.Now().Add(g.StartedAt + s.cfg.Core.Policy.WarmUpDuration - s.now()).UnixMicro()
-			}
-			s.trace("region", slog.String("region", g.ID), slog.Int("state", int(g.State)), slog.Int64("warm", warm))
-		}
-		s.trace("listed", slog.Int("kind", int(ev.Kind)), slog.Int("n", n), slog.Int("draining", drained), slog.Int("gone", gone))
+		b.traceList(ev)
 	case core.WatchClosed:
-		s.trace("watch-ended")
+		b.trace("watch-ended")
 	case core.ProbeFinished:
-		x, held := -1.0, -1.0
-		if ev.Report != nil {
-			x, held = ev.Report.Load, ev.Report.InFlight
+		b.traceProbe(ev)
+	}
+}
+
+// traceList traces a list and its servers. warm is when a server is warm at the latest; 0 for one that started long
+// ago.
+func (b *Balancer) traceList(list core.EndpointsListed) {
+	draining, gone := 0, 0
+	for _, endpoint := range list.Endpoints {
+		switch endpoint.State {
+		case policy.Draining:
+			draining++
+		case policy.Gone:
+			gone++
+		}
+		warm := int64(0)
+		if endpoint.StartedAt > 0 {
+			warm = time.Now().Add(endpoint.StartedAt + b.cfg.Core.Policy.WarmUpDuration - b.now()).UnixMicro()
 		}
-		s.trace("probed", slog.String("region", ev.Server), slog.Int("result", int(ev.Result)), slog.Float64("x", x),
-			slog.Float64("held", held))
+		b.trace(
+			"region",
+			slog.String("region", endpoint.ID),
+			slog.Int("state", int(endpoint.State)),
+			slog.Int64("warm", warm),
+		)
+	}
+	b.trace("listed", slog.Int("kind", int(list.Kind)), slog.Int("n", len(list.Endpoints)),
+		slog.Int("draining", draining), slog.Int("gone", gone))
+}
+
+// traceProbe traces a probe's result. The figures are -1 where there is no load report.
+func (b *Balancer) traceProbe(probe core.ProbeFinished) {
+	load, inFlight := -1.0, -1.0
+	if probe.Report != nil {
+		load, inFlight = probe.Report.Load, probe.Report.InFlight
 	}
+	b.trace("probed", slog.String("region", probe.Server), slog.Int("result", int(probe.Result)),
+		slog.Float64("x", load), slog.Float64("held", inFlight))
 }
 
-func (s *Balancer) traceEffect(e core.Effect) {
-	switch e := e.(type) {
+func (b *Balancer) traceEffect(effect core.Effect) {
+	switch e := effect.(type) {
 	case core.Dial:
-		s.trace("dial", append(attemptAttrs(e.Client, e.Attempt), slog.String("region", e.Server))...)
+		b.trace("dial", attemptAttrs(e.Client, e.Attempt, slog.String("region", e.Server))...)
 	case core.CloseAttempt:
-		s.trace("drop", append(attemptAttrs(e.Client, e.Attempt), slog.String("why", e.Reason))...)
+		b.trace("drop", attemptAttrs(e.Client, e.Attempt, slog.String("why", e.Reason))...)
 	case core.Answer:
-		s.trace("answer", slog.Uint64("of", uint64(e.Client)), slog.Bool("short", e.Rejected), slog.String("why", e.Reason))
+		b.trace("answer", clientAttr(e.Client), slog.Bool("short", e.Rejected), slog.String("why", e.Reason))
 	case core.CloseClient:
-		s.trace("end-terminal", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+		b.trace("end-terminal", clientAttr(e.Client), slog.Int("how", int(e.Reason)))
 	case core.CloseServer:
-		s.trace("end-region", slog.Uint64("of", uint64(e.Client)), slog.Int("how", int(e.Reason)))
+		b.trace("end-region", clientAttr(e.Client), slog.Int("how", int(e.Reason)))
 	case core.MigrateClient:
-		s.trace("move", slog.Uint64("of", uint64(e.Client)), slog.String("why", e.Reason))
+		b.trace("move", clientAttr(e.Client), slog.String("why", e.Reason))
 	case core.Probe:
-		s.trace("probe", slog.String("region", e.Server), slog.Bool("dials", s.probes[e.Server] == nil || s.probes[e.Server].conn == nil))
+		dials := b.probes[e.Server] == nil || b.probes[e.Server].conn == nil
+		b.trace("probe", slog.String("region", e.Server), slog.Bool("dials", dials))
 	case core.Watch:
-		s.trace("watch", slog.Int64("seq", e.Version))
+		b.trace("watch", slog.Int64("seq", e.Version))
 	}
 }
--- /dev/null
+++ b/internal/proxy/zone_link.go
@@ -0,0 +1,69 @@
+package proxy
+
+import (
+	"sync"
+
+	"oatloft/internal/bandwidth"
+	"oatloft/internal/revision"
+)
+
+// zoneLink is a bounded link in one direction. Its lock is held for moments, and nothing else is locked meanwhile.
+type zoneLink struct {
+	links  *zoneLinks
+	queues map[trafficKey]*bandwidthQueue // for the loop
+
+	mu     sync.Mutex
+	link   revision.Link
+	shaper *bandwidth.Shaper[*connection]
+}
+
+// trafficKey names whose bytes share a queue.
+type trafficKey struct{ class, tenant string }
+
+// bandwidthQueue is where the bytes of one class and tenant wait for a link.
+type bandwidthQueue struct {
+	link *zoneLink
+	flow *bandwidth.Flow[*connection]
+}
+
+// queueFor returns the queue of a client's class and tenant. Tenants that the settings do not name share one.
+func (l *zoneLink) queueFor(c *client) *bandwidthQueue {
+	key := trafficKey{c.request.Class, c.request.Tenant}
+	if _, ok := l.links.shares[key.tenant]; !ok {
+		key.tenant = ""
+	}
+	queue := l.queues[key]
+	if queue == nil {
+		l.mu.Lock()
+		queue = &bandwidthQueue{l, l.shaper.Flow(key.class, key.tenant)}
+		l.mu.Unlock()
+		l.queues[key] = queue
+	}
+	return queue
+}
+
+// take asks for a connection's turn to read up to most bytes. If it returns 0, the connection waits for its turn.
+func (q *bandwidthQueue) take(conn *connection, most int) int {
+	now := conn.balancer.now()
+	first := false
+	q.link.mu.Lock()
+	n := q.link.shaper.Take(now, q.flow, most)
+	if n == 0 {
+		q.link.shaper.Wait(now, q.flow, conn)
+		first = q.link.shaper.Waiting() == 1
+	}
+	q.link.mu.Unlock()
+	if first {
+		q.link.links.signal()
+	}
+	return n
+}
+
+// giveBack returns bytes of a turn that were not used.
+func (q *bandwidthQueue) giveBack(n int) {
+	if n > 0 {
+		q.link.mu.Lock()
+		q.link.shaper.Return(q.flow, n)
+		q.link.mu.Unlock()
+	}
+}
--- /dev/null
+++ b/internal/proxy/zone_links.go
@@ -0,0 +1,298 @@
+package proxy
+
+import (
+	"log/slog"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"oatloft/internal/bandwidth"
+	"oatloft/internal/core"
+	"oatloft/internal/revision"
+)
+
+// reportInterval is the time between two reports to the reducer of servers whose bytes wait for a turn.
+const reportInterval = 20 * time.Millisecond
+
+// zoneLinks shapes the traffic over bounded links between this balancer's zone and others. A connection that
+// crosses a link without room is left unread until its turn, so that its sender is held back by its own connection.
+// No byte is dropped, reordered, or copied that could stay in the socket, and one connection's waiting does not
+// hold up another's. internal/bandwidth decides whose turn it is. Where no link is bounded, each read costs one
+// comparison with nil.
+//
+// The fields belong to the loop, except for those that are atomic or channels, and part, which is safe for
+// concurrent use.
+type zoneLinks struct {
+	balancer      *Balancer
+	zone          string
+	receiveBuffer int // the system's, of a server's connection, in bytes
+	byZone        map[string]linkPair
+	shares        map[string]float64 // of tenants; replaced, never changed
+	nextReportAt  time.Time
+	part          *bandwidth.Part
+	all           atomic.Pointer[[]*zoneLink]
+	readCount     atomic.Int64
+	wake          chan struct{}
+	stop          chan struct{}
+	goroutines    sync.WaitGroup
+}
+
+// linkPair has the links with another zone; nil for those that are not bounded.
+type linkPair struct{ to, from *zoneLink }
+
+// bounded returns the links of a pair that are bounded.
+func (p linkPair) bounded() []*zoneLink {
+	return slices.DeleteFunc([]*zoneLink{p.to, p.from}, func(l *zoneLink) bool { return l == nil })
+}
+
+// newZoneLinks prepares for bounded links; there is none before setLinks.
+func newZoneLinks(b *Balancer, settings bandwidth.Settings, receiveBuffer int) (*zoneLinks, error) {
+	part, err := bandwidth.NewPart(settings)
+	if err != nil {
+		return nil, err
+	}
+	z := &zoneLinks{
+		balancer:      b,
+		zone:          b.cfg.Core.Policy.Zone,
+		receiveBuffer: receiveBuffer,
+		shares:        map[string]float64{},
+		part:          part,
+		wake:          make(chan struct{}, 1),
+		stop:          make(chan struct{}),
+	}
+	z.all.Store(new([]*zoneLink))
+	part.Bind(z.measure, z.applyGrants, func(err error) {
+		b.limitedLog.Say(time.Now(), slog.LevelWarn, "links", "links keep their safe parts", slog.Any("err", err))
+	})
+	z.goroutines.Go(z.scheduleReads)
+	return z, nil
+}
+
+func (z *zoneLinks) close() {
+	close(z.stop)
+	z.goroutines.Wait()
+}
+
+// setLinks takes the links of the revision in force. Connections that are established are shaped by them from now on.
+func (b *Balancer) setLinks(table []revision.Link) {
+	z := b.zoneLinks
+	if z == nil {
+		return
+	}
+	z.shares = b.tenantShares()
+	z.part.SetTable(table, z.shares)
+	before := *z.all.Load()
+	byZone, all := map[string]linkPair{}, make([]*zoneLink, 0, len(table))
+	for _, l := range table {
+		outward, inward := l.From == z.zone, l.To == z.zone
+		if outward == inward {
+			continue
+		}
+		link := z.newLink(l, before)
+		all = append(all, link)
+		if outward {
+			pair := byZone[l.To]
+			pair.to = link
+			byZone[l.To] = pair
+		} else {
+			pair := byZone[l.From]
+			pair.from = link
+			byZone[l.From] = pair
+		}
+	}
+	z.byZone = byZone
+	z.all.Store(&all)
+	for _, c := range b.clients {
+		if c.established {
+			z.attach(c)
+		}
+	}
+	z.signal()
+}
+
+// tenantShares returns the tenants' shares of links. A tenant without a quota has as much as the one with the
+// largest.
+func (b *Balancer) tenantShares() map[string]float64 {
+	tenants, largest := b.overlay(b.cfg.Core.Policy).Tenants, 0.0
+	for _, t := range tenants {
+		largest = max(largest, t.ConnectionQuota)
+	}
+	shares := make(map[string]float64, len(tenants))
+	for _, t := range tenants {
+		shares[t.Name] = t.ConnectionQuota
+		if t.ConnectionQuota == 0 {
+			shares[t.Name] = largest
+		}
+	}
+	return shares
+}
+
+// newLink returns the link of an entry: the one that was there before, with the new settings, or a new one.
+func (z *zoneLinks) newLink(entry revision.Link, before []*zoneLink) *zoneLink {
+	now := z.balancer.now()
+	link := &zoneLink{
+		links:  z,
+		shaper: bandwidth.NewShaper[*connection](now),
+		queues: map[trafficKey]*bandwidthQueue{},
+	}
+	same := func(l *zoneLink) bool { return l.link.From == entry.From && l.link.To == entry.To }
+	if i := slices.IndexFunc(before, same); i >= 0 {
+		link = before[i]
+	}
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	link.link = entry
+	link.shaper.SetLink(now, entry, z.part.Safe(entry.Bytes), z.shares)
+	return link
+}
+
+// attach has both sides of an established flow shaped by the links that they cross.
+func (z *zoneLinks) attach(c *client) {
+	var fromClient, fromServer *bandwidthQueue
+	if c.server != nil {
+		pair := z.byZone[z.balancer.core.ZoneOf(c.server.server)]
+		if pair.to != nil {
+			fromClient = pair.to.queueFor(c)
+		}
+		if pair.from != nil {
+			fromServer = pair.from.queueFor(c)
+		}
+		c.server.markEstablished()
+		c.server.setQueue(fromServer)
+	}
+	c.conn.setQueue(fromClient)
+}
+
+// handleTick tells the reducer which servers are not to blame for their silence: their bytes wait for a turn.
+func (z *zoneLinks) handleTick(now time.Time) {
+	if now.Before(z.nextReportAt) {
+		return
+	}
+	z.nextReportAt = now.Add(reportInterval)
+	if !z.anyWaitFromServers() {
+		return
+	}
+	for _, c := range z.balancer.clients {
+		if c.established && c.server != nil && c.server.waitsForTurn() {
+			z.balancer.step(core.ServerDataQueued{Client: c.handle})
+		}
+	}
+}
+
+func (z *zoneLinks) anyWaitFromServers() bool {
+	for _, pair := range z.byZone {
+		if pair.from == nil {
+			continue
+		}
+		pair.from.mu.Lock()
+		waiting := pair.from.shaper.Waiting()
+		pair.from.mu.Unlock()
+		if waiting > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// countSent counts bytes to a server that were sent without a turn.
+func (z *zoneLinks) countSent(c *client, server string, n int) {
+	z.count(z.byZone[z.balancer.core.ZoneOf(server)].to, c, n)
+}
+
+// countReceived counts bytes from a server that were read without a turn.
+func (z *zoneLinks) countReceived(c *client, server string, n int) {
+	z.count(z.byZone[z.balancer.core.ZoneOf(server)].from, c, n)
+}
+
+func (z *zoneLinks) count(link *zoneLink, c *client, n int) {
+	if link == nil {
+		return
+	}
+	queue := link.queueFor(c)
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	link.shaper.Owe(z.balancer.now(), queue.flow, n)
+}
+
+// shapeFromStart has an attempt's connection shaped before any other goroutine knows it. The system keeps little of
+// it unread: what it keeps has crossed the link already.
+func (z *zoneLinks) shapeFromStart(conn *connection) {
+	if link := z.byZone[z.balancer.core.ZoneOf(conn.server)].from; link != nil {
+		conn.queue, conn.receiveBuffer = link.queueFor(conn.client), z.receiveBuffer
+	}
+}
+
+// measure returns the links' demand since the last call.
+func (z *zoneLinks) measure() (list []bandwidth.Ask) {
+	now := z.balancer.now()
+	for _, link := range *z.all.Load() {
+		link.mu.Lock()
+		list = append(list, link.shaper.Wants(now))
+		link.mu.Unlock()
+	}
+	return list
+}
+
+// applyGrants takes what this balancer has been granted of the links.
+func (z *zoneLinks) applyGrants(grants []bandwidth.Grant, until time.Time) {
+	now := z.balancer.now()
+	expiry := until.Sub(z.balancer.cfg.StartOfClock)
+	for _, link := range *z.all.Load() {
+		link.mu.Lock()
+		for _, g := range grants {
+			if g.Link == bandwidth.Name(link.link.From, link.link.To) {
+				link.shaper.Lend(now, g, expiry)
+			}
+		}
+		link.mu.Unlock()
+	}
+	z.signal()
+}
+
+// saturated returns the zones behind a link that is full in either direction, with the last priority rank that
+// still gets through. ranks are those of the classes; 1 is the highest priority. For the loop.
+func (z *zoneLinks) saturated(ranks map[string]int) map[string]int {
+	lowest := 0
+	for _, rank := range ranks {
+		lowest = max(lowest, rank)
+	}
+	var zones map[string]int
+	for zone, pair := range z.byZone {
+		last, full := lowest, false
+		for _, link := range pair.bounded() {
+			link.mu.Lock()
+			for _, class := range link.shaper.Short() {
+				if rank, ok := ranks[class]; ok {
+					last, full = min(last, rank-1), true
+				}
+			}
+			link.mu.Unlock()
+		}
+		if full {
+			if zones == nil {
+				zones = map[string]int{}
+			}
+			zones[zone] = last
+		}
+	}
+	return zones
+}
+
+// linksReport is what the counters say of links.
+type linksReport struct {
+	ScheduledReads int64               `json:"turns"`
+	Unread         int64               `json:"unread"`
+	Links          []bandwidth.Figures `json:"links"`
+}
+
+func (z *zoneLinks) report() linksReport {
+	now := z.balancer.now()
+	report := linksReport{ScheduledReads: z.readCount.Load(), Unread: z.part.Unread(), Links: []bandwidth.Figures{}}
+	for _, link := range *z.all.Load() {
+		link.mu.Lock()
+		report.Links = append(report.Links, link.shaper.Figures(now))
+		link.mu.Unlock()
+	}
+	return report
+}
