--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -43,7 +43,11 @@
 			case *wire.Start:
 				b, err := policy.New(what.Config, what.Seed)
 				if err != nil {
-					return &broken{hint.Annotated{What: fmt.Sprintf("starting instance %d", e.Instance), Cause: err, Do: "see the settings that it was given"}}
+					return &broken{hint.Annotated{
+						What:  fmt.Sprintf("starting instance %d", e.Instance),
+						Cause: err,
+						Do:    "see the settings that it was given",
+					}}
 				}
 				instances[e.Instance] = b
 			case wire.Stop:
--- a/cmd/oatloft/restart_test.go
+++ b/cmd/oatloft/restart_test.go
@@ -30,7 +30,8 @@
 	return w, fake.Options{Sockets: 512, MemoryMB: 64}
 }
 
-// restartConfig writes a balancer's configuration, with known in place of what it would know of the regions ("" leaves it).
+// restartConfig writes a balancer's configuration, with known in place of what it would know of the regions (""
+// leaves it).
 func restartConfig(t *testing.T, w *fake.World, name string, o fake.Options, known string) fake.Launch {
 	t.Helper()
 	path, addr, err := w.WriteConfig(t.TempDir(), name, "127.8.5.1", o)
@@ -96,8 +97,8 @@
 	return l.Addr().String()
 }
 
-// A balancer is ready at once whatever discovery does, and serves by the list that it knows: Start fails where no PONG comes
-// within 10 s.
+// A balancer is ready at once whatever discovery does, and serves by the list that it knows: Start fails where no
+// PONG comes within 10 s.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	closed, err := net.Listen("tcp", "127.8.5.2:0")
@@ -240,8 +241,8 @@
 	return r
 }
 
-// Signals come in all orders, and more than once, while a request is out: it gets its one answer, and the process ends by
-// itself with 0. Each answer is given on cue, after the last signal.
+// Signals come in all orders, and more than once, while a request is out: it gets its one answer, and the process
+// ends by itself with 0. Each answer is given on cue, after the last signal.
 func TestSignalsWhileARequestIsOut(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGINT, syscall.SIGTERM},
--- a/internal/admission/basic.go
+++ b/internal/admission/basic.go
@@ -21,8 +21,8 @@
 // Crowded is how many silent terminals should be sent off, open being without those that were sent off already.
 func (b Basic) Crowded(open int) int { return max(0, open-(b.Limit-basicReserve-b.Limit/basicCrowd)) }
 
-// Lacking is how many descriptors should be freed at once, so that some are left for transactions while those who were
-// sent off end.
+// Lacking is how many descriptors should be freed at once, so that some are left for transactions while those who
+// were sent off end.
 func (b Basic) Lacking(open int) int {
 	return max(0, open-(b.Limit-basicReserve-b.Limit/(2*basicCrowd)))
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -135,7 +135,9 @@
 		{"come_back.most", c.ComeBack.Least >= 0 && c.ComeBack.Most >= c.ComeBack.Least},
 	} {
 		if !x.ok {
-			return &Unfit{hint.Annotated{Where: "admission." + x.name, What: "out of bounds", Do: "oatctl edge check names the bounds"}}
+			return &Unfit{
+				hint.Annotated{Where: "admission." + x.name, What: "out of bounds", Do: "oatctl edge check names the bounds"},
+			}
 		}
 	}
 	return nil
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -198,7 +198,8 @@
 	if err := cfg.check(); err != nil {
 		return err
 	}
-	if cfg.Address.Table != g.cfg.Address.Table || cfg.Network.Table != g.cfg.Network.Table || cfg.Reserve.Max != g.cfg.Reserve.Max {
+	if cfg.Address.Table != g.cfg.Address.Table || cfg.Network.Table != g.cfg.Network.Table ||
+		cfg.Reserve.Max != g.cfg.Reserve.Max {
 		return &CantChange{hint.Annotated{Where: "admission", What: "the sizes of tables can't change while serving",
 			Do: "restart the balancer to change address.table, network.table or reserve.max"}}
 	}
--- a/internal/admission/known.go
+++ b/internal/admission/known.go
@@ -111,7 +111,10 @@
 		}
 		r.last = now
 		k.unlink(i)
-		r.tenured = r.tenured || again && k.roomForTenure()
+		if again && !r.tenured {
+			k.makeRoomForTenure()
+			r.tenured = true
+		}
 		k.link(i)
 		return false
 	}
@@ -128,16 +131,16 @@
 	return true
 }
 
-// roomForTenure keeps a quarter of the places for those on probation.
-func (k *knownTable) roomForTenure() bool {
+// makeRoomForTenure keeps a quarter of the places for those on probation: the tenured client that has been unseen
+// longest goes back on probation.
+func (k *knownTable) makeRoomForTenure() {
 	if k.counts[1] < k.cfg.Max-k.cfg.Max/4 {
-		return true
+		return
 	}
 	i := k.first[1]
-	k.unlink(i) // the longest unseen goes back on probation
+	k.unlink(i)
 	k.list[i].tenured = false
 	k.link(i)
-	return true
 }
 
 func (k *knownTable) add(r record) {
@@ -251,7 +254,8 @@
 	nets, tenured := map[key]int{}, 0
 	for _, c := range list {
 		net := key{c.Net[0], c.Net[1]}
-		if c.Age < 0 || c.Age > k.cfg.RememberFor || len(keep) >= k.cfg.Max || nets[net] >= k.cfg.MaxPerNetwork || k.index[c.ID] != 0 {
+		if c.Age < 0 || c.Age > k.cfg.RememberFor || len(keep) >= k.cfg.Max || nets[net] >= k.cfg.MaxPerNetwork ||
+			k.index[c.ID] != 0 {
 			continue
 		}
 		if c.Tenured = c.Tenured && tenured < k.cfg.Max-k.cfg.Max/4; c.Tenured {
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -76,7 +76,11 @@
 
 // planned is the memory that all uses may come to need, in bytes.
 func (l *ledger) planned() int64 {
-	return l.memory.Base + int64(l.held[Silent]+l.held[Leaving])*l.memory.Silent + int64(l.held[Owed]+l.held[Standing])*l.memory.Transaction
+	return l.memory.Base + int64(
+		l.held[Silent]+l.held[Leaving],
+	)*l.memory.Silent + int64(
+		l.held[Owed]+l.held[Standing],
+	)*l.memory.Transaction
 }
 
 // memoryShort tells that another transaction's memory can't be set aside.
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -86,7 +86,12 @@
 )
 
 func newTable(size int, seed uint64) *table {
-	return &table{list: make([]entry, 1, min(size, 1024)+1), index: make(map[key]int32, min(size, 1024)), size: size, seed: seed}
+	return &table{
+		list:  make([]entry, 1, min(size, 1024)+1),
+		index: make(map[key]int32, min(size, 1024)),
+		size:  size,
+		seed:  seed,
+	}
 }
 
 func (t *table) cell(row int, k key) *time.Duration {
--- a/internal/clientstore/format.go
+++ b/internal/clientstore/format.go
@@ -60,7 +60,9 @@
 	}
 	body, trailer := file[:len(file)-pageBytes], file[len(file)-pageBytes:]
 	if string(trailer[:len(magic)]) != magic {
-		return 0, &DamagedFile{hint.Annotated{What: "not a file of known clients, or of another version", Do: damagedFileHint}}
+		return 0, &DamagedFile{
+			hint.Annotated{What: "not a file of known clients, or of another version", Do: damagedFileHint},
+		}
 	}
 	if checksum(body, trailer[:checksumAt]) != binary.BigEndian.Uint64(trailer[checksumAt:]) {
 		return 0, &DamagedFile{hint.Annotated{What: "damaged: the checksum doesn't fit", Do: damagedFileHint}}
--- a/internal/clientstore/load.go
+++ b/internal/clientstore/load.go
@@ -74,7 +74,9 @@
 			return err
 		}
 		if len(s.Clients) == count {
-			return &DamagedFile{hint.Annotated{What: fmt.Sprintf("more clients than the %d it tells", count), Do: damagedFileHint}}
+			return &DamagedFile{
+				hint.Annotated{What: fmt.Sprintf("more clients than the %d it tells", count), Do: damagedFileHint},
+			}
 		}
 		s.Clients = append(s.Clients, client)
 	}
--- a/internal/edgeconfig/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -1,6 +1,6 @@
-// Package edgeconfig reads the compiled form of our own settings, deploy/edge.cue. It owns the records and their units;
-// it must never fill in a default: those are the schema's (internal/edgeconfigcue), so that what a balancer runs on is
-// all written in the file that it was given.
+// Package edgeconfig reads the compiled form of our own settings, deploy/edge.cue. It owns the records and their
+// units; it must never fill in a default: those are the schema's (internal/edgeconfigcue), so that what a balancer
+// runs on is all written in the file that it was given.
 package edgeconfig
 
 import (
@@ -47,7 +47,7 @@
 	Lease        Duration          `json:"lease"`   // a permission to route newcomers lasts so long after it was asked for
 	OnCut        string            `json:"on_cut"`  // refuse, hold
 	Deadline     Duration          `json:"deadline"`
-	ReplaceAfter Duration          `json:"replace_after"` // a voter that is gone for so long loses its vote to another member; 0 for never
+	ReplaceAfter Duration          `json:"replace_after"` // a voter gone for so long loses its vote; 0 for never
 	History      int               `json:"history"`
 	HistoryBytes Size              `json:"history_bytes"`
 }
@@ -59,7 +59,8 @@
 	Addr string `json:"addr"`
 }
 
-// Links is the section of internal/bandwidth: bytes between zones, divided among the balancers. The table of links is a revision's.
+// Links is the section of internal/bandwidth: bytes between zones, divided among the balancers. The table of links
+// is a revision's.
 type Links struct {
 	SafePart float64  `json:"safe_part"` // of a link, for all balancers together, that each has its part of without asking
 	Lease    Duration `json:"lease"`     // of what is had beyond
@@ -91,19 +92,45 @@
 
 // Config is what the member is to know, for a balancer of this name. The generation is the host's.
 func (p *Peers) Config(name string) (membership.Config, error) {
-	c := membership.Config{Cluster: p.Cluster, Name: name, Addr: p.Advertise, Join: p.Join, Routes: p.Reach, PeerTimeout: time.Duration(p.SilentAfter),
-		MaxMembers: p.MaxMembers, SignalBytes: int(p.SignalBytes), Generation: 1}
+	c := membership.Config{
+		Cluster:     p.Cluster,
+		Name:        name,
+		Addr:        p.Advertise,
+		Join:        p.Join,
+		Routes:      p.Reach,
+		PeerTimeout: time.Duration(p.SilentAfter),
+		MaxMembers:  p.MaxMembers,
+		SignalBytes: int(p.SignalBytes),
+		Generation:  1,
+	}
 	if c.Addr == "" {
 		c.Addr = p.Listen
 	}
 	switch {
 	case p.SignalEvery < Duration(50*time.Millisecond):
-		return c, &Unfit{hint.Annotated{Where: "peers.signal_every", What: fmt.Sprintf("%v is under 50ms", time.Duration(p.SignalEvery)), Do: "set it to 50ms or more"}}
+		return c, &Unfit{
+			hint.Annotated{
+				Where: "peers.signal_every",
+				What:  fmt.Sprintf("%v is under 50ms", time.Duration(p.SignalEvery)),
+				Do:    "set it to 50ms or more",
+			},
+		}
 	case p.Subset < 0 || p.Subset > 128:
-		return c, &Unfit{hint.Annotated{Where: "peers.subset", What: fmt.Sprintf("%d is outside 0 to 128", p.Subset), Do: "set it to 1 to 128 regions, or to 0 for all"}}
+		return c, &Unfit{
+			hint.Annotated{
+				Where: "peers.subset",
+				What:  fmt.Sprintf("%d is outside 0 to 128", p.Subset),
+				Do:    "set it to 1 to 128 regions, or to 0 for all",
+			},
+		}
 	case p.SignalLife < 2*p.SignalEvery:
-		return c, &Unfit{hint.Annotated{Where: "peers.signal_life", What: fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
-			Do: "make it longer, or signal_every shorter"}}
+		return c, &Unfit{
+			hint.Annotated{
+				Where: "peers.signal_life",
+				What:  fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
+				Do:    "make it longer, or signal_every shorter",
+			},
+		}
 	}
 	return c, c.Validate()
 }
@@ -174,7 +201,12 @@
 func (d *Duration) UnmarshalText(b []byte) error {
 	x, err := time.ParseDuration(string(b))
 	if err != nil {
-		return &Unfit{hint.Annotated{What: fmt.Sprintf("%q is no time such as \"250ms\"", b), Do: "write a figure with its unit: ms, s, m, h"}}
+		return &Unfit{
+			hint.Annotated{
+				What: fmt.Sprintf("%q is no time such as \"250ms\"", b),
+				Do:   "write a figure with its unit: ms, s, m, h",
+			},
+		}
 	}
 	*d = Duration(x)
 	return nil
@@ -203,7 +235,12 @@
 			return nil
 		}
 	}
-	return &Unfit{hint.Annotated{What: fmt.Sprintf("%q is no size such as \"16KiB\"", b), Do: "write a whole figure with its unit: B, KiB, MiB, GiB"}}
+	return &Unfit{
+		hint.Annotated{
+			What: fmt.Sprintf("%q is no size such as \"16KiB\"", b),
+			Do:   "write a whole figure with its unit: B, KiB, MiB, GiB",
+		},
+	}
 }
 
 // MarshalText writes it.
@@ -220,7 +257,13 @@
 func Load(path string) (*Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &Unreadable{hint.Annotated{Where: "edge", Cause: err, Do: "see that --edge (PROXY_EDGE) names a file that this balancer may read"}}
+		return nil, &Unreadable{
+			hint.Annotated{
+				Where: "edge",
+				Cause: err,
+				Do:    "see that --edge (PROXY_EDGE) names a file that this balancer may read",
+			},
+		}
 	}
 	defer func() { _ = f.Close() }()
 	body := make([]byte, Most+1)
@@ -232,7 +275,9 @@
 		}
 	}
 	if n > Most {
-		return nil, &Unreadable{hint.Annotated{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", Most), Do: again}}
+		return nil, &Unreadable{
+			hint.Annotated{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", Most), Do: again},
+		}
 	}
 	s, err := Parse(body[:n])
 	if err != nil {
@@ -250,7 +295,9 @@
 		return nil, &Unreadable{hint.Annotated{What: "not in the compiled form", Cause: err, Do: again}}
 	}
 	if s.Form != Form {
-		return nil, &Unreadable{hint.Annotated{Where: "oatloft_edge", What: fmt.Sprintf("form %d; this program reads %d", s.Form, Form), Do: again}}
+		return nil, &Unreadable{
+			hint.Annotated{Where: "oatloft_edge", What: fmt.Sprintf("form %d; this program reads %d", s.Form, Form), Do: again},
+		}
 	}
 	if d.More() {
 		return nil, &Unreadable{hint.Annotated{What: "something follows the settings", Do: again}}
@@ -307,7 +354,11 @@
 	return ""
 }
 
-var identities = map[string]admission.Identity{"flow": admission.ByFlow, "tenant+flow": admission.ByTenantAndFlow, "address": admission.ByAddress}
+var identities = map[string]admission.Identity{
+	"flow":        admission.ByFlow,
+	"tenant+flow": admission.ByTenantAndFlow,
+	"address":     admission.ByAddress,
+}
 
 // Config is what the decision module is to know. Tenants, and whether clients heed advice, are not the edge
 // file's: the host adds them.
@@ -322,7 +373,8 @@
 			RememberFor: time.Duration(a.Reserve.RememberFor), Max: a.Reserve.Max, MaxPerNetwork: a.Reserve.MaxPerNetwork,
 			MaxPerClient: a.Reserve.MaxPerClient, MuteFor: time.Duration(a.Reserve.MuteFor)},
 		Descriptors: admission.Descriptors{SilentShare: a.Descriptors.SilentShare, Overhead: a.Descriptors.Overhead,
-			Tight: a.Descriptors.Tight, Short: a.Descriptors.Short, Full: a.Descriptors.Full, Hysteresis: a.Descriptors.Hysteresis},
+			Tight: a.Descriptors.Tight, Short: a.Descriptors.Short, Full: a.Descriptors.Full,
+			Hysteresis: a.Descriptors.Hysteresis},
 		Memory: admission.Memory{Base: int64(a.Memory.Base), Silent: int64(a.Memory.Silent),
 			Transaction: int64(a.Memory.Transaction), MaxShare: a.Memory.MaxShare},
 		ComeBack: admission.ComeBack{Advise: a.ComeBack.Advise, PerSecond: a.ComeBack.PerSecond,
@@ -330,15 +382,29 @@
 	}
 	var ok bool
 	if c.Reserve.Identity, ok = identities[a.Reserve.Identity]; !ok {
-		return c, &Unfit{hint.Annotated{Where: "admission.reserve.identity", What: fmt.Sprintf("%q is none of flow, tenant+flow, address", a.Reserve.Identity), Do: "set one of the three"}}
+		return c, &Unfit{
+			hint.Annotated{
+				Where: "admission.reserve.identity",
+				What:  fmt.Sprintf("%q is none of flow, tenant+flow, address", a.Reserve.Identity),
+				Do:    "set one of the three",
+			},
+		}
 	}
 	if a.Descriptors.GoodByes < 0 {
-		return c, &Unfit{hint.Annotated{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"}}
+		return c, &Unfit{
+			hint.Annotated{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"},
+		}
 	}
 	for i, text := range a.Address.Exempt {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			return c, &Unfit{hint.Annotated{Where: fmt.Sprintf("admission.address.exempt[%d]", i), What: fmt.Sprintf("%q is no network such as 10.0.0.0/8", text), Do: "write address/bits"}}
+			return c, &Unfit{
+				hint.Annotated{
+					Where: fmt.Sprintf("admission.address.exempt[%d]", i),
+					What:  fmt.Sprintf("%q is no network such as 10.0.0.0/8", text),
+					Do:    "write address/bits",
+				},
+			}
 		}
 		c.Exempt = append(c.Exempt, p.Masked())
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden compares what a test produces with a file that an earlier version of the program wrote, and fills values of
-// any type with distinct figures for such files. Only tests import it.
+// Package golden compares what a test produces with a file that an earlier version of the program wrote, and fills
+// values of any type with distinct figures for such files. Only tests import it.
 //
-// The files stand in testdata/golden beside the test. They hold forms that another process or a later version reads, so a
-// difference is a change of such a form and not a reason to write the file again. GOLDEN_UPDATE=1 writes files that are missing
-// and leaves the others alone.
+// The files stand in testdata/golden beside the test. They hold forms that another process or a later version
+// reads, so a difference is a change of such a form and not a reason to write the file again. GOLDEN_UPDATE=1
+// writes files that are missing and leaves the others alone.
 package golden
 
 import (
@@ -44,8 +44,8 @@
 	}
 }
 
-// JSON checks the JSON form of T: a value with every field set is written as the golden file has it, and that file is read and
-// written again to the same bytes.
+// JSON checks the JSON form of T: a value with every field set is written as the golden file has it, and that file
+// is read and written again to the same bytes.
 func JSON[T any](t testing.TB, name string) {
 	t.Helper()
 	var filled T
@@ -67,8 +67,8 @@
 	return append(body, '\n')
 }
 
-// Fill sets every exported field that v, a pointer, leads to: figures count up in the order of the fields, lists and maps get
-// one entry. Equal types are filled alike.
+// Fill sets every exported field that v, a pointer, leads to: figures count up in the order of the fields, lists
+// and maps get one entry. Equal types are filled alike.
 func Fill(v any) {
 	next := 0
 	fill(reflect.ValueOf(v).Elem(), &next)
--- a/internal/hint/hint.go
+++ b/internal/hint/hint.go
@@ -1,6 +1,7 @@
-// Package hint is the one form of errors that tell an operator what to do: what went wrong, where, the cause, and what can be
-// done about it. It owns how such an error reads in a log, at exit and in the answer to a call; it must never decide
-// anything. Each package keeps error types of its own, so that errors.As tells them apart, and embeds or returns the words here.
+// Package hint is the one form of errors that tell an operator what to do: what went wrong, where, the cause, and
+// what can be done about it. It owns how such an error reads in a log, at exit and in the answer to a call; it must
+// never decide anything. Each package keeps error types of its own, so that errors.As tells them apart, and embeds
+// or returns the words here.
 package hint
 
 import (
@@ -8,7 +9,8 @@
 	"syscall"
 )
 
-// Hinter is an error that says what an operator can do. Every error type of the packages that use this one is a Giver.
+// Hinter is an error that says what an operator can do. Every error type of the packages that use this one is a
+// Giver.
 type Hinter interface {
 	error
 	Hint() string // one sentence without its full stop, never empty
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -16,7 +16,8 @@
 // Unfit is a flag of the log that can't work.
 type Unfit struct{ hint.Annotated }
 
-// worded writes errors in their one form, with what an operator can do. A line without an error goes through as it is.
+// worded writes errors in their one form, with what an operator can do. A line without an error goes through as it
+// is.
 type worded struct{ slog.Handler }
 
 func (h worded) Handle(ctx context.Context, r slog.Record) error {
@@ -51,7 +52,13 @@
 func New(w io.Writer, format, level string) (*slog.Logger, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
-		return nil, &Unfit{hint.Annotated{Where: "log level", What: fmt.Sprintf("%q is none of debug, info, warn, error", level), Do: "set one of these"}}
+		return nil, &Unfit{
+			hint.Annotated{
+				Where: "log level",
+				What:  fmt.Sprintf("%q is none of debug, info, warn, error", level),
+				Do:    "set one of these",
+			},
+		}
 	}
 	opts := &slog.HandlerOptions{Level: l}
 	switch format {
@@ -60,7 +67,13 @@
 	case "json":
 		return slog.New(worded{slog.NewJSONHandler(w, opts)}), nil
 	}
-	return nil, &Unfit{hint.Annotated{Where: "log format", What: fmt.Sprintf("%q is neither text nor json", format), Do: "set one of the two"}}
+	return nil, &Unfit{
+		hint.Annotated{
+			Where: "log format",
+			What:  fmt.Sprintf("%q is neither text nor json", format),
+			Do:    "set one of the two",
+		},
+	}
 }
 
 // Limited writes one line a class and interval at most, with the number of those that it stands for, so that a
@@ -102,7 +115,11 @@
 	skipped := c.skipped
 	c.next, c.skipped = now.Add(l.every), 0
 	l.mu.Unlock()
-	l.log.LogAttrs(context.Background(), level, msg, append(attrs, slog.String("class", kind), slog.Int64("more", skipped))...)
+	l.log.LogAttrs(
+		context.Background(),
+		level,
+		msg,
+		append(attrs, slog.String("class", kind), slog.Int64("more", skipped))...)
 }
 
 // Flush writes a line for every class that still stands for some.
@@ -116,6 +133,12 @@
 	}
 	l.mu.Unlock()
 	for kind, n := range left {
-		l.log.LogAttrs(context.Background(), slog.LevelInfo, "not logged one by one", slog.String("class", kind), slog.Int64("more", n))
+		l.log.LogAttrs(
+			context.Background(),
+			slog.LevelInfo,
+			"not logged one by one",
+			slog.String("class", kind),
+			slog.Int64("more", n),
+		)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,6 +1,7 @@
-// Package program is the balancer's command line: it starts the program or checks what it would start
-// with. It must never hold anything of what the program does, nor import internal/revision/host: a program that holds it imports it by
-// itself (cmd/oatloft-revisions), and is taken in this one's place where the edge file has the section revisions.
+// Package program is the balancer's command line: it starts the program or checks what it would start with. It must
+// never hold anything of what the program does, nor import internal/revision/host: a program that holds it imports
+// it by itself (cmd/oatloft-revisions), and is taken in this one's place where the edge file has the section
+// revisions.
 package program
 
 import (
@@ -29,18 +30,25 @@
 }
 
 type source struct {
-	Config     string `help:"Configuration file (JSON)." env:"PROXY_CONFIG" required:"" type:"path"`
-	Name       string `help:"The balancer's name, in place of the configuration's." env:"PROXY_NAME"`
-	Listen     string `help:"Where terminals connect, host:port." env:"PROXY_LISTEN"`
-	Discovery  string `help:"Discovery's host:port." env:"PROXY_DISCOVERY"`
-	Management string `help:"Where operators call, host:port; nowhere if not given." env:"PROXY_MANAGEMENT"`
-	Inherited  string `name:"fd" help:"Descriptor of a listening socket held by the platform, taken in place of an own one." env:"PROXY_FD"`
-	State      string `help:"Directory for what one process leaves to the next." env:"TMPDIR" type:"path"`
-	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given." env:"PROXY_EDGE" type:"path"`
+	Config     string `help:"Configuration file (JSON)."                                                           env:"PROXY_CONFIG"     required:"" type:"path"`
+	Name       string `help:"The balancer's name, in place of the configuration's."                                env:"PROXY_NAME"`
+	Listen     string `help:"Where terminals connect, host:port."                                                  env:"PROXY_LISTEN"`
+	Discovery  string `help:"Discovery's host:port."                                                               env:"PROXY_DISCOVERY"`
+	Management string `help:"Where operators call, host:port; nowhere if not given."                               env:"PROXY_MANAGEMENT"`
+	Inherited  string `help:"Descriptor of a listening socket held by the platform, taken in place of an own one." env:"PROXY_FD"                                 name:"fd"`
+	State      string `help:"Directory for what one process leaves to the next."                                   env:"TMPDIR"                       type:"path"`
+	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given."         env:"PROXY_EDGE"                   type:"path"`
 }
 
 func (s source) beside() proxy.Overrides {
-	return proxy.Overrides{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, Management: s.Management, Inherited: s.Inherited, State: s.State}
+	return proxy.Overrides{
+		Name:       s.Name,
+		Listen:     s.Listen,
+		Discovery:  s.Discovery,
+		Management: s.Management,
+		Inherited:  s.Inherited,
+		State:      s.State,
+	}
 }
 
 func (s source) load() (proxy.Config, error) {
@@ -65,16 +73,17 @@
 
 type serve struct {
 	source
-	LogLevel  string `help:"From which level on lines are logged." enum:"debug,info,warn,error" default:"info"`
-	LogFormat string `help:"How lines are written on standard error." enum:"text,json" default:"text"`
+	LogLevel  string `help:"From which level on lines are logged."    enum:"debug,info,warn,error" default:"info"`
+	LogFormat string `help:"How lines are written on standard error." enum:"text,json"             default:"text"`
 }
 
 // Suffix is what the name of the program that holds the agreement has more than that of this one, in the same folder.
 const Suffix = "-revisions"
 
-// elsewhere goes on as the program beside this one where the edge file asks for what this one doesn't hold. It is the same process, with
-// the same descriptors: nothing has been opened yet, and no signal is caught. Who has no such section pays nothing for it: the agreement
-// is a third of the larger program, and a program's size is what most of its idle memory is.
+// elsewhere goes on as the program beside this one where the edge file asks for what this one doesn't hold. It is
+// the same process, with the same descriptors: nothing has been opened yet, and no signal is caught. Who has no
+// such section pays nothing for it: the agreement is a third of the larger program, and a program's size is what
+// most of its idle memory is.
 func (s *serve) elsewhere() error {
 	if s.Edge == "" || lease.Start != nil {
 		return nil
@@ -94,7 +103,8 @@
 // startedAs is the variable by which the one program tells the other what it was built from.
 const startedAs = "OATLOFT_BUILT"
 
-// together tells whether the program that started this one was built from the same sources: their edge files, folders and messages are.
+// together tells whether the program that started this one was built from the same sources: their edge files,
+// folders and messages are.
 func together() error {
 	if by, set := os.LookupEnv(startedAs); set && by != built() {
 		return &Apart{by, built()}
@@ -217,7 +227,13 @@
 func (version) Run() error {
 	line := built()
 	if line == "" {
-		return &unknown{hint.Annotated{Where: "version", What: "this program was built without its build information", Do: "build it in its repository by go build"}}
+		return &unknown{
+			hint.Annotated{
+				Where: "version",
+				What:  "this program was built without its build information",
+				Do:    "build it in its repository by go build",
+			},
+		}
 	}
 	fmt.Println("oatloft", line)
 	return nil
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -52,7 +52,9 @@
 }
 
 func (e Event) String() string {
-	return strings.TrimSpace(fmt.Sprintf("%10.3f ms  %-18v %s %s %s %s", float64(e.At)/1e6, e.Kind, e.ID, e.Region, e.Text, e.By))
+	return strings.TrimSpace(
+		fmt.Sprintf("%10.3f ms  %-18v %s %s %s %s", float64(e.At)/1e6, e.Kind, e.ID, e.Region, e.Text, e.By),
+	)
 }
 
 // Violation is one broken rule: the event that broke it, and what had happened to the same transaction or region.
@@ -108,7 +110,13 @@
 
 // New returns a checker.
 func New(l Limits) *Checker {
-	return &Checker{limits: l, byID: map[string]*transaction{}, told: map[[2]string]Event{}, counts: map[Kind]int{}, history: map[string][]Event{}}
+	return &Checker{
+		limits:  l,
+		byID:    map[string]*transaction{},
+		told:    map[[2]string]Event{},
+		counts:  map[Kind]int{},
+		history: map[string][]Event{},
+	}
 }
 
 // Add takes one event.
@@ -166,7 +174,12 @@
 		t.receipts[e.Text] = true
 	case Routed:
 		if told, ok := c.told[[2]string{e.By, e.Region}]; ok && e.At-told.At > c.limits.Grace+c.limits.Slack {
-			c.broken(fmt.Sprintf("something new %v after the region was told %s", (e.At-told.At).Round(time.Millisecond), told.Text), t, e, told)
+			c.broken(
+				fmt.Sprintf("something new %v after the region was told %s", (e.At-told.At).Round(time.Millisecond), told.Text),
+				t,
+				e,
+				told,
+			)
 			c.over(e.At - told.At - c.limits.Grace - c.limits.Slack)
 		}
 		if _, again := t.out[e.Region]; again {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,11 @@
 	"oatloft/policy"
 )
 
-var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
+var effects = map[string]policy.Idempotency{
+	"safe":   policy.Idempotent,
+	"keyed":  policy.IdempotentByKey,
+	"unsafe": policy.NotIdempotent,
+}
 
 var scopes = map[string]policy.KeyScope{
 	"all": policy.KeyScopeAll, "zone": policy.KeyScopeZone, "cell": policy.KeyScopeCell,
--- a/internal/testrun/knownred.go
+++ b/internal/testrun/knownred.go
@@ -85,7 +85,11 @@
 	}
 	switch {
 	case !knownRedTest.MatchString(red.test):
-		return knownRed{}, badLine(where, fmt.Sprintf("%q is no test's name", red.test), "name one test, without its subtests")
+		return knownRed{}, badLine(
+			where,
+			fmt.Sprintf("%q is no test's name", red.test),
+			"name one test, without its subtests",
+		)
 	case red.cause == "":
 		return knownRed{}, badLine(where, red.test+" has no cause", "say why it fails")
 	case !knownRedIssue.MatchString(red.issue):
--- a/internal/testrun/main.go
+++ b/internal/testrun/main.go
@@ -53,7 +53,7 @@
 
 func printKnownRed(out io.Writer, list []knownRed) {
 	for _, red := range list {
-		fmt.Fprintf(out, "known to fail, passed over: %s (%s, %s)\n", red.test, red.cause, red.issue)
+		_, _ = fmt.Fprintf(out, "known to fail, passed over: %s (%s, %s)\n", red.test, red.cause, red.issue)
 	}
 }
 
--- a/internal/testrun/report.go
+++ b/internal/testrun/report.go
@@ -56,14 +56,14 @@
 func (r *report) take(line string) {
 	var event testEvent
 	if json.Unmarshal([]byte(line), &event) != nil {
-		fmt.Fprint(r.out, line)
+		_, _ = fmt.Fprint(r.out, line) // nobody reads the report then
 		return
 	}
 	switch event.Action {
 	case "output":
 		r.output[event.Package] = append(r.output[event.Package], event.Output)
 	case "build-output":
-		fmt.Fprint(r.out, event.Output)
+		_, _ = fmt.Fprint(r.out, event.Output)
 	case "pass", "fail", "skip":
 		r.end(event)
 	}
@@ -85,7 +85,7 @@
 func (r *report) printPackage(name string, failed bool) {
 	for _, line := range joinLines(r.output[name]) {
 		if failed && !isProgress(line) || isClosing(line, name) {
-			fmt.Fprint(r.out, line)
+			_, _ = fmt.Fprint(r.out, line)
 		}
 	}
 }
@@ -131,8 +131,8 @@
 		}
 		return strings.Compare(a.pkg+a.test, b.pkg+b.test)
 	})
-	fmt.Fprintln(r.out, "slowest tests:")
+	_, _ = fmt.Fprintln(r.out, "slowest tests:")
 	for _, test := range r.tests[:min(slowestShown, len(r.tests))] {
-		fmt.Fprintf(r.out, "%8.2fs  %s  %s\n", test.seconds, test.test, test.pkg)
+		_, _ = fmt.Fprintf(r.out, "%8.2fs  %s  %s\n", test.seconds, test.test, test.pkg)
 	}
 }
