--- a/internal/apache/source.go
+++ b/internal/apache/source.go
@@ -2,6 +2,8 @@
 // and httpd's configuration. It owns the published formats and the account of what became of each directive; it must never pass anything over
 // without a row in that account, never guess at a value, and never read a file that it was not given.
 //
+// No program imports it yet: an importer of such installations is to be built on it.
+//
 // Formats: Apache Tomcat Connectors 1.2.50, reference guides of workers.properties and uriworkermap.properties; Apache
 // HTTP Server 2.4, configuration files and core.
 package apache
--- a/internal/coordination/coordinator_test.go
+++ b/internal/coordination/coordinator_test.go
@@ -65,7 +65,9 @@
 			m := Member{Name: s.parts[j].cfg.Name, Zone: s.parts[j].cfg.Zone}
 			if n := len(s.said[j]); n > 0 {
 				w := s.said[j][max(0, n-1-s.late)]
-				m.Reported, m.ExplorationSlots, m.SlotAge, m.Demand, m.ReferenceSize, m.Subset = true, w.ExplorationSlots, w.SlotAge, w.Demand, w.ReferenceSize, w.Subset
+				m.Reported, m.Subset = true, w.Subset
+				m.ExplorationSlots, m.SlotAge, m.Demand = w.ExplorationSlots, w.SlotAge, w.Demand
+				m.ReferenceSize = w.ReferenceSize
 				m.Readings = map[string]stagger.Report{}
 				for _, id := range w.Readings {
 					m.Readings[id] = s.read(j, id)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,8 +16,11 @@
 func TestMaintain(t *testing.T) {
 	dir := t.TempDir()
 	a, b := Open(dir, "n/1"), Open(dir, "n/1")
-	for i, err := range []error{a.SetMaintenance("x", true, Maintenance{KnownServers: []string{"x", "y"}}), b.SetMaintenance("y", true, Maintenance{}),
-		b.SetMaintenance("y", true, Maintenance{}), a.SetMaintenance("x", false, Maintenance{})} {
+	for i, err := range []error{
+		a.SetMaintenance("x", true, Maintenance{KnownServers: []string{"x", "y"}}),
+		b.SetMaintenance("y", true, Maintenance{}),
+		b.SetMaintenance("y", true, Maintenance{}), a.SetMaintenance("x", false, Maintenance{}),
+	} {
 		if err != nil {
 			t.Fatal(i, err)
 		}
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -11,8 +11,11 @@
 // Calls and answers have the words that operators and their scripts know.
 func TestFormOfCallsAndAnswers(t *testing.T) {
 	var out bytes.Buffer
-	for _, line := range []string{"status", "maint-on s-1", "maint-off s-1", "standby", "active", "peers", "peers x", "revision status", "maint-on", "status x",
-		"maint-on a b", "revision", "nothing", "", "stat\xffus"} {
+	for _, line := range []string{
+		"status", "maint-on s-1", "maint-off s-1", "standby", "active", "peers", "peers x", "revision status",
+		"maint-on", "status x",
+		"maint-on a b", "revision", "nothing", "", "stat\xffus",
+	} {
 		call, err := Parse([]byte(line))
 		fmt.Fprintf(&out, "%q: %d %v %q %v\n", line, call.Verb, call.Verb, call.Argument, err)
 	}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -270,7 +270,15 @@
 }
 
 func FuzzCall(f *testing.F) {
-	for _, s := range []string{"status\n", "maint-on s-1\r\n", "a\nb", "\x00", strings.Repeat("y", 600), "revision a  b\n", "peers b2\n"} {
+	for _, s := range []string{
+		"status\n",
+		"maint-on s-1\r\n",
+		"a\nb",
+		"\x00",
+		strings.Repeat("y", 600),
+		"revision a  b\n",
+		"peers b2\n",
+	} {
 		f.Add([]byte(s), true)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, ended bool) {
@@ -296,7 +304,10 @@
 // A tool's call tells yes, no and what is neither apart.
 func TestAsk(t *testing.T) {
 	s, _ := serve(t, nil)
-	for call, want := range map[string]Answer{"status": {true, "status "}, "maint-on": {false, "maint-on needs the id of a server; do: give the id, host in discovery's list"}} {
+	for call, want := range map[string]Answer{
+		"status":   {true, "status "},
+		"maint-on": {false, "maint-on needs the id of a server; do: give the id, host in discovery's list"},
+	} {
 		if a, err := Call(s.Addr(), call); err != nil || a != want {
 			t.Errorf("%s: %+v %v", call, a, err)
 		}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -15,7 +15,14 @@
 	filled.FormatVersion, filled.Kind, filled.From.State, filled.Members[0].State = FormatVersion, Gossip, Leaving, Suspect
 	for name, message := range map[string]Message{
 		"message-full.bin": filled,
-		"message-ping.bin": {FormatVersion: FormatVersion, Cluster: "c", From: Record{Name: "lb-1", Addr: "10.0.0.1:7000", Generation: 1 << 40}, Kind: Ping, Sequence: 9, Target: "lb-2"},
+		"message-ping.bin": {
+			FormatVersion: FormatVersion,
+			Cluster:       "c",
+			From:          Record{Name: "lb-1", Addr: "10.0.0.1:7000", Generation: 1 << 40},
+			Kind:          Ping,
+			Sequence:      9,
+			Target:        "lb-2",
+		},
 	} {
 		body, err := Encode(&message)
 		if err != nil {
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -272,7 +272,8 @@
 			g.Members = append(
 				g.Members,
 				membership.Record{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "127.8.0.2:1",
-					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))},
+					Generation: 7, Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "incarnation")),
+					State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))},
 			)
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "signals") {
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -107,7 +107,15 @@
 	for _, x := range []struct {
 		answer string
 		again  bool // for a request that may not be repeated once it may have run
-	}{{"BUSY\r\n", true}, {"BUSY 5 \r\n", true}, {"BUSY\r", false}, {"ERR\r\n", false}, {"UP 1\r", false}, {"U", false}, {"", false}} {
+	}{
+		{"BUSY\r\n", true},
+		{"BUSY 5 \r\n", true},
+		{"BUSY\r", false},
+		{"ERR\r\n", false},
+		{"UP 1\r", false},
+		{"U", false},
+		{"", false},
+	} {
 		for _, reset := range []bool{false, true} {
 			h := triesStart(t, "unsafe")
 			client := h.ask("1", time.Hour)
@@ -172,8 +180,9 @@
 
 // A side that doesn't read: what the balancer keeps for it is bounded, and all of it comes, in order, once it reads.
 func TestSlowSidesAreBounded(t *testing.T) {
-	const most = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer) // what may be read before the pause is heeded, and at an end
-	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18)              // 4 MiB
+	// What may be read before the pause is heeded, and at an end.
+	const most = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer)
+	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18) // 4 MiB
 	for _, slowClient := range []bool{true, false} {
 		h := triesStart(t, "unsafe")
 		client := h.ask("1", time.Hour)
@@ -321,7 +330,14 @@
 
 // A probe's answer that is spoilt or never ends fails the probe, ends the connection, and leaves nothing behind.
 func TestSpoiltProbeAnswers(t *testing.T) {
-	for _, answer := range []string{strings.Repeat("P", platform.MaxLine), "PONG x0=0.5\n", "PONG \x01\r\n", "NO\r\n", "ERR\r\n", "\r\n"} {
+	for _, answer := range []string{
+		strings.Repeat("P", platform.MaxLine),
+		"PONG x0=0.5\n",
+		"PONG \x01\r\n",
+		"NO\r\n",
+		"ERR\r\n",
+		"\r\n",
+	} {
 		h := triesStart(t, "safe")
 		at := h.answeredProbe(h.probeOf(nil), answer)
 		if at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -15,7 +15,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for mode, want := range map[string]time.Duration{"on_request": 400 * time.Millisecond, "pushed": 300 * time.Millisecond} {
+	for mode, want := range map[string]time.Duration{
+		"on_request": 400 * time.Millisecond,
+		"pushed":     300 * time.Millisecond,
+	} {
 		text := bytes.Replace(body, []byte(`"on_request"`), []byte(`"`+mode+`"`), 1)
 		text = bytes.Replace(text, []byte(`"ask-every-ms"`), []byte(`"drain-grace-ms": 300.0, "ask-every-ms"`), 1)
 		c, err := ParseConfig(text, Overrides{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -273,7 +273,8 @@
 // from what is known.
 func TestACrowdWhileDiscoveryIsDown(t *testing.T) {
 	p := patientPlay(t, "sockets 200", nil) // crowded from 128 on; nobody more is taken in from 177 on
-	go func() {                             // each call is reset; the port stays, since a server under test elsewhere could get its number
+	// Each call is reset; the port stays, since a server under test elsewhere could get its number.
+	go func() {
 		for call := range p.watches {
 			_ = call.conn.(*net.TCPConn).SetLinger(0)
 			_ = call.conn.Close()
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -91,7 +91,12 @@
 
 // A last word of the server that was under way as the move began is the last: no MOVE follows it.
 func TestNoMoveFollowsTheServersLastWord(t *testing.T) {
-	for begun, rest := range map[string]string{"BY": "E\r\n", "BYE inflight=1": "0,queue=2\r\n", "MOV": "E\r\n", "BYE\r": "\n"} {
+	for begun, rest := range map[string]string{
+		"BY":             "E\r\n",
+		"BYE inflight=1": "0,queue=2\r\n",
+		"MOV":            "E\r\n",
+		"BYE\r":          "\n",
+	} {
 		p, _ := movesInsideALine(t, begun)
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", rest))
 		movesEnd(t, p, "a", rest, false)
--- a/internal/proxy/play_test.go
+++ b/internal/proxy/play_test.go
@@ -196,101 +196,143 @@
 	}
 }
 
+// step plays one line of an exchange.
 func (p *play) step(line string) error {
 	words := strings.SplitN(line, " ", 3)
-	word, number := words[0], 0
+	number := 0
 	if len(words) > 1 {
 		number, _ = strconv.Atoi(words[len(words)-1])
 	}
-	switch word {
-	case "wait":
-		time.Sleep(time.Duration(number) * time.Millisecond)
-		return nil
-	case "by":
-		p.limit = time.Duration(number) * time.Millisecond
-		return nil
-	case "leave":
-		p.leave <- struct{}{}
-		return nil
-	case "reload":
-		cfg := p.server.cfg // only a reload changes it, and exchanges reload once
-		cfg.Discovery = words[1]
-		p.reload <- cfg
-		return nil
-	case "ended":
-		select {
-		case err := <-p.ended:
-			return err
-		case <-time.After(p.limit):
-			return errors.New("still there")
-		}
-	case "down":
-		return p.regions[words[1]].Close()
-	case "fill":
-		for i := range number {
-			if err := p.step(fmt.Sprintf("filler%d > PING", i)); err != nil {
-				return err
-			}
-		}
-		return p.step(fmt.Sprintf("filler%d < PONG", number-1))
+	if step := exchangeSteps[words[0]]; step != nil {
+		return step(p, words, number)
+	}
+	switch words[0] {
 	case "gone":
-		words = []string{words[1], word}
+		words = []string{words[1], words[0]}
 	case "nothing", "long", "chunk", "flood", "drain", "narrow":
-		words = []string{words[1], word, words[2]}
+		words = []string{words[1], words[0], words[2]}
 	}
 	who, err := p.peer(words[0])
 	if err != nil {
 		return err
 	}
-	text := strings.Join(words[2:], "")
-	switch words[1] {
-	case ">":
-		_, err = io.WriteString(who.conn, text+"\r\n")
-	case ">>":
-		if text, err = strconv.Unquote(text); err == nil {
+	step := peerSteps[words[1]]
+	if step == nil {
+		return errors.New("no such step")
+	}
+	return step(p, who, strings.Join(words[2:], ""), number)
+}
+
+// exchangeSteps are the steps of the exchange itself; number is the line's last word.
+var exchangeSteps map[string]func(p *play, words []string, number int) error
+
+func init() { // fill plays steps itself
+	exchangeSteps = map[string]func(p *play, words []string, number int) error{
+		"wait": func(_ *play, _ []string, number int) error {
+			time.Sleep(time.Duration(number) * time.Millisecond)
+			return nil
+		},
+		"by": func(p *play, _ []string, number int) error {
+			p.limit = time.Duration(number) * time.Millisecond
+			return nil
+		},
+		"leave": func(p *play, _ []string, _ int) error {
+			p.leave <- struct{}{}
+			return nil
+		},
+		"reload": func(p *play, words []string, _ int) error {
+			cfg := p.server.cfg // only a reload changes it, and exchanges reload once
+			cfg.Discovery = words[1]
+			p.reload <- cfg
+			return nil
+		},
+		"ended": func(p *play, _ []string, _ int) error {
+			select {
+			case err := <-p.ended:
+				return err
+			case <-time.After(p.limit):
+				return errors.New("still there")
+			}
+		},
+		"down": func(p *play, words []string, _ int) error { return p.regions[words[1]].Close() },
+		"fill": (*play).fill,
+	}
+}
+
+func (p *play) fill(_ []string, number int) error {
+	for i := range number {
+		if err := p.step(fmt.Sprintf("filler%d > PING", i)); err != nil {
+			return err
+		}
+	}
+	return p.step(fmt.Sprintf("filler%d < PONG", number-1))
+}
+
+// peerSteps are the steps of one side of the exchange; text is the line's rest, number its last word.
+var peerSteps = map[string]func(p *play, who *peer, text string, number int) error{
+	">": func(_ *play, who *peer, text string, _ int) error {
+		_, err := io.WriteString(who.conn, text+"\r\n")
+		return err
+	},
+	">>": func(_ *play, who *peer, text string, _ int) error {
+		text, err := strconv.Unquote(text)
+		if err == nil {
 			_, err = io.WriteString(who.conn, text)
 		}
-	case "chunk":
-		_, err = fmt.Fprintf(who.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
-	case "long":
-		_, err = io.WriteString(who.conn, strings.Repeat("x", number))
-	case "flood":
+		return err
+	},
+	"chunk": func(_ *play, who *peer, text string, _ int) error {
+		_, err := fmt.Fprintf(who.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
+		return err
+	},
+	"long": func(_ *play, who *peer, _ string, number int) error {
+		_, err := io.WriteString(who.conn, strings.Repeat("x", number))
+		return err
+	},
+	"flood": func(_ *play, who *peer, _ string, number int) error {
 		go func() {
 			for i := range number {
 				fmt.Fprintf(who.conn, "%0998d\r\n", i)
 			}
 		}()
-	case "narrow":
-		err = who.conn.(*net.TCPConn).SetReadBuffer(number)
-	case "drain":
+		return nil
+	},
+	"narrow": func(_ *play, who *peer, _ string, number int) error {
+		return who.conn.(*net.TCPConn).SetReadBuffer(number)
+	},
+	"drain": func(p *play, who *peer, _ string, number int) (err error) {
 		for i := 0; i < number && err == nil; i++ {
 			err = p.expect(who, fmt.Sprintf("%0998d", i))
 		}
-	case "gone":
-		_ = who.conn.SetWriteDeadline(time.Now().Add(time.Second))
-		for i := 0; i < 99 && err == nil; i++ {
-			_, err = who.conn.Write(make([]byte, 1<<20))
-		}
-		if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-			return fmt.Errorf("it sends on: %v", err)
-		}
-		err = nil
-	case "FIN":
-		err = who.conn.(*net.TCPConn).CloseWrite()
-	case "RST":
+		return err
+	},
+	"gone": (*play).gone,
+	"FIN": func(_ *play, who *peer, _ string, _ int) error {
+		return who.conn.(*net.TCPConn).CloseWrite()
+	},
+	"RST": func(_ *play, who *peer, _ string, _ int) error {
 		_ = who.conn.(*net.TCPConn).SetLinger(0)
-		err = who.conn.Close()
-	case "nothing":
+		return who.conn.Close()
+	},
+	"nothing": func(_ *play, who *peer, _ string, number int) error {
 		_ = who.conn.SetReadDeadline(time.Now().Add(time.Duration(number) * time.Millisecond))
-		if b, e := who.in.Peek(1); !errors.Is(e, os.ErrDeadlineExceeded) {
-			err = fmt.Errorf("got %q, %v", b, e)
+		if b, err := who.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+			return fmt.Errorf("got %q, %v", b, err)
 		}
-	case "<":
-		err = p.expect(who, text)
-	default:
-		err = errors.New("no such step")
+		return nil
+	},
+	"<": func(p *play, who *peer, text string, _ int) error { return p.expect(who, text) },
+}
+
+func (p *play) gone(who *peer, _ string, _ int) (err error) {
+	_ = who.conn.SetWriteDeadline(time.Now().Add(time.Second))
+	for i := 0; i < 99 && err == nil; i++ {
+		_, err = who.conn.Write(make([]byte, 1<<20))
 	}
-	return err
+	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		return fmt.Errorf("it sends on: %v", err)
+	}
+	return nil
 }
 
 func (p *play) expect(who *peer, text string) error {
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -66,23 +66,19 @@
 	}
 }
 
-// A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run
-// twice goes on to another region. It was taken for one that may have run where the poller met the reset before the
-// line was written.
-func TestResetBeforeTheLineNeverRan(t *testing.T) {
-	region, err := net.Listen("tcp", "127.8.1.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer region.Close()
+// unsafeBalancer starts a balancer without a loop, whose servers and discovery are all at one address, and for
+// which no request may be repeated.
+func unsafeBalancer(t *testing.T, addr string) *Balancer {
+	t.Helper()
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := region.Addr().String()
-	text := strings.NewReplacer("$r1", addr, "$r2", addr, "$discovery", addr, `"safe"`, `"unsafe"`, `"probes":true`, `"probes":false`).
-		Replace(string(body))
-	cfg, err := ParseConfig([]byte(text), Overrides{})
+	changes := []string{
+		"$r1", addr, "$r2", addr, "$discovery", addr,
+		`"safe"`, `"unsafe"`, `"probes":true`, `"probes":false`,
+	}
+	cfg, err := ParseConfig([]byte(strings.NewReplacer(changes...).Replace(string(body))), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +89,20 @@
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer b.engine.Stop()
+	t.Cleanup(b.engine.Stop)
+	return b
+}
+
+// A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run
+// twice goes on to another region. It was taken for one that may have run where the poller met the reset before the
+// line was written.
+func TestResetBeforeTheLineNeverRan(t *testing.T) {
+	region, err := net.Listen("tcp", "127.8.1.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer region.Close()
+	b := unsafeBalancer(t, region.Addr().String())
 	conn := &connection{balancer: b, role: clientRole, state: ended}
 	b.handleAccepted(conn)
 	b.step(
@@ -125,12 +134,7 @@
 	}
 	b.handleEvents()
 	if n := b.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
-		t.Fatalf(
-			"unreachable %d, reset %d, failed %d, sent to %d regions",
-			n.AttemptsUnreachable,
-			n.AttemptsReset,
-			n.Failed,
-			n.Attempts,
-		)
+		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions",
+			n.AttemptsUnreachable, n.AttemptsReset, n.Failed, n.Attempts)
 	}
 }
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -195,8 +195,10 @@
 		"accepted, never answered": func(*play) []string { return nil },
 		"head, no line":            func(*play) []string { return []string{listHead} },
 		"half a head":              func(*play) []string { return []string{listHead[:20]} },
-		"first line in mid-chunk":  func(p *play) []string { return []string{listHead, listChunk(p.listOf(8, true, "ready", "ready"))[:60]} },
-		"after an empty line":      func(*play) []string { return []string{listHead, listChunk("\n")} },
+		"first line in mid-chunk": func(p *play) []string {
+			return []string{listHead, listChunk(p.listOf(8, true, "ready", "ready"))[:60]}
+		},
+		"after an empty line": func(*play) []string { return []string{listHead, listChunk("\n")} },
 		"after a list": func(p *play) []string {
 			return []string{listHead, listChunk(p.listOf(8, true, "ready", "ready"))}
 		},
--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -76,6 +76,12 @@
 		rapid.Float64Range(0, 1).Draw(t, "cold"),
 	}
 	c.Migration.PerSecond = rapid.Float64Range(0, MaxMigrationsPerSecond).Draw(t, "moves")
+	c.Links = drawnLinks(t, some)
+	return c
+}
+
+// drawnLinks are links from zone nrb.
+func drawnLinks(t *rapid.T, some func(names []string, what string) []string) (links []Link) {
 	for _, to := range some(someZones[1:], "links") {
 		l := Link{From: "nrb", To: to, Bytes: rapid.Float64Range(1, MaxLinkBytes).Draw(t, "bytes")}
 		for _, n := range some(someClasses, "of link") {
@@ -89,9 +95,9 @@
 				},
 			)
 		}
-		c.Links = append(c.Links, l)
+		links = append(links, l)
 	}
-	return c
+	return links
 }
 
 // shuffled is c with every list in another order.
@@ -155,7 +161,10 @@
 			t.Errorf("%.60s: %v", text, err)
 		}
 	}
-	for _, text := range []string{`{"oatloft_revision":1}`, ` {"note":"note","oatloft_revision":1,"zones":[{"id":"id"},{"id":"id"}]} `} {
+	for _, text := range []string{
+		`{"oatloft_revision":1}`,
+		` {"note":"note","oatloft_revision":1,"zones":[{"id":"id"},{"id":"id"}]} `,
+	} {
 		if _, err := Decode([]byte(text)); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
@@ -350,34 +359,36 @@
 	}
 }
 
+// overlayBase has settings over which revisions are laid.
+func overlayBase() policy.Config {
+	return policy.Config{
+		Zone:                "nrb",
+		MaxAttempts:         6,
+		RetryRatio:          0.5,
+		MaxPendingAttempts:  9,
+		WarmUpBudgetShare:   0.3,
+		MigrationsPerSecond: 2,
+		Weights:             map[string]float64{"r3": 3},
+		Classes: []policy.Class{
+			{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 2},
+			{Name: "bulk", LatencyObjective: time.Minute},
+		},
+		Tenants: []policy.Tenant{{Name: "t1", ConnectionQuota: 100}, {Name: "t2"}},
+	}
+}
+
 // An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
 func TestOverlay(t *testing.T) {
-	base := func() policy.Config {
-		return policy.Config{
-			Zone:                "nrb",
-			MaxAttempts:         6,
-			RetryRatio:          0.5,
-			MaxPendingAttempts:  9,
-			WarmUpBudgetShare:   0.3,
-			MigrationsPerSecond: 2,
-			Weights:             map[string]float64{"r3": 3},
-			Classes: []policy.Class{
-				{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 2},
-				{Name: "bulk", LatencyObjective: time.Minute},
-			},
-			Tenants: []policy.Tenant{{Name: "t1", ConnectionQuota: 100}, {Name: "t2"}},
-		}
-	}
 	rapid.Check(t, func(t *rapid.T) {
-		b, c := base(), drawn(t)
-		if diff := cmp.Diff(base(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
+		b, c := overlayBase(), drawn(t)
+		if diff := cmp.Diff(overlayBase(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
 			t.Fatalf("an empty one changed %s", diff)
 		}
 		once := Overlay(b, c)
-		if !cmp.Equal(b, base()) {
+		if !cmp.Equal(b, overlayBase()) {
 			t.Fatal("the settings were written to")
 		}
-		if other := Overlay(base(), shuffled(c, 3)); !cmp.Equal(once, other) || !cmp.Equal(once, Overlay(once, c)) {
+		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(once, other) || !cmp.Equal(once, Overlay(once, c)) {
 			t.Fatal("the order of entries, or how often it is laid over, makes a difference")
 		}
 		if again := Overlay(once, &Content{Form: Form}); !cmp.Equal(once, again) {
@@ -387,8 +398,12 @@
 			t.Fatalf("%+v", once)
 		}
 	})
+}
+
+// Each field of a revision is laid over the settings' field.
+func TestOverlayOfEachField(t *testing.T) {
 	got := Overlay(
-		base(),
+		overlayBase(),
 		&Content{
 			Form:    Form,
 			Classes: []Class{{"bulk", 9, 2, 3, 4}, {"gold", 0, 0, 0, 1}, {Name: "lost", PriorityRank: 1}},
@@ -402,7 +417,7 @@
 			Migration: Migration{1},
 		},
 	)
-	want := base()
+	want := overlayBase()
 	want.Classes = []policy.Class{
 		{Name: "gold", LatencyObjective: time.Second, MessageLatencyObjective: 7, PriorityRank: 4, MaxAttempts: 1},
 		{Name: "bulk", LatencyObjective: 2, MessageLatencyObjective: 3, PriorityRank: 9, MaxAttempts: 4},
--- a/internal/revision/defects_test.go
+++ b/internal/revision/defects_test.go
@@ -18,8 +18,13 @@
 func TestDefects(t *testing.T) {
 	defer failpoint.Choose("")
 	from := *firstDefect
-	for _, name := range []string{"lease-from-answer", "renews-itself", "stopped-untaken", "leaves-untaken", "old-epoch", "stop-same-epoch", "no-margin", "new-leader-knows",
-		"lapse-uncondemned", "grant-while-stopped", "unconfirmed", "old-reign", "roster-unseen", "one-stopped", "majority", "key-unseen", "from-unseen", "unchecked"} {
+	for _, name := range []string{
+		"lease-from-answer", "renews-itself", "stopped-untaken", "leaves-untaken", "old-epoch",
+		"stop-same-epoch", "no-margin",
+		"new-leader-knows",
+		"lapse-uncondemned", "grant-while-stopped", "unconfirmed", "old-reign", "roster-unseen", "one-stopped",
+		"majority", "key-unseen", "from-unseen", "unchecked",
+	} {
 		if from != "" && name != from {
 			continue
 		}
--- a/internal/revision/golden_test.go
+++ b/internal/revision/golden_test.go
@@ -47,7 +47,15 @@
 func TestFormOfOrders(t *testing.T) {
 	out := ""
 	for _, o := range []Order{
-		{Verb: VerbPropose, Key: "k", Base: 3, GuardFor: time.Minute, Deadline: time.Second, By: "ann", Text: []byte(`{"oatloft_revision":1}`)},
+		{
+			Verb:     VerbPropose,
+			Key:      "k",
+			Base:     3,
+			GuardFor: time.Minute,
+			Deadline: time.Second,
+			By:       "ann",
+			Text:     []byte(`{"oatloft_revision":1}`),
+		},
 		{Verb: VerbPropose, Key: "k", Base: Latest, Text: []byte(`{}`)},
 		{Verb: VerbRollback, Key: "k", Base: Latest, Number: 2},
 		{Verb: VerbGet, Number: Latest},
--- a/internal/stagger/stagger_test.go
+++ b/internal/stagger/stagger_test.go
@@ -112,7 +112,12 @@
 	}{
 		{0, 1, 1, 0}, {500 * time.Millisecond, 10, 10, 0}, {time.Second, 10, 10, 10}, {2 * time.Second, 7, 10, 10},
 		{4 * time.Second, 7, 10, 10}, {5100 * time.Millisecond, 7, 10, 7}, {6 * time.Second, 20, 23, 20},
-		{7 * time.Second, 3, 23, 23}, {12 * time.Second, 3, 23, 23}, {13 * time.Second, 12, 23, 23}, {17 * time.Second, 12, 23, 12},
+		{7 * time.Second, 3, 23, 23}, {12 * time.Second, 3, 23, 23}, {13 * time.Second, 12, 23, 23}, {
+			17 * time.Second,
+			12,
+			23,
+			12,
+		},
 	} {
 		if got := look(step.at, step.present, step.known); got != step.want {
 			t.Errorf("at %v with %d of %d present: %d, not %d", step.at, step.present, step.known, got, step.want)
@@ -220,7 +225,8 @@
 	if v := trust.Combine(now, OwnReading{}, dead); !v.Unreachable || v.Usable {
 		t.Errorf("two of three get no answer: %+v", v)
 	}
-	if v := trust.Combine(now, OwnReading{}, []Report{{Reporter: "a", FailedProbes: 9}, honest[1], {Reporter: "c", Load: 0.7}}); v.Unreachable {
+	reports := []Report{{Reporter: "a", FailedProbes: 9}, honest[1], {Reporter: "c", Load: 0.7}}
+	if v := trust.Combine(now, OwnReading{}, reports); v.Unreachable {
 		t.Error("one member alone declares a region dead")
 	}
 }
--- a/internal/subset/changes_test.go
+++ b/internal/subset/changes_test.go
@@ -6,22 +6,20 @@
 )
 
 // Changes counts what differs between two plans in edges taken up and given up, and the least that any way from the
-// first to a balanced plan for these members and regions had to change.
+// first to a balanced plan for these members and servers had to change.
 func Changes(
 	before map[string][]string,
 	members []Member,
-	regions []Server,
+	servers []Server,
 	set Config,
 	after map[string][]string,
 ) (changed, least int) {
 	live := map[string]bool{}
-	for _, r := range regions {
+	for _, r := range servers {
 		live[r.ID] = true
 	}
-	there := map[string]bool{}
 	at, kept := map[string]int{}, 0
 	for _, m := range members {
-		there[m.Name] = true
 		now := map[string]bool{}
 		for _, id := range after[m.Name] {
 			now[id] = true
@@ -39,25 +37,34 @@
 		}
 		changed += len(now)
 	}
+	above, beyond, total := excess(before, members, servers, after, live, at)
+	gone := max(above, beyond)
+	return changed, gone + total - (kept - gone)
+}
+
+// excess counts what has to go: what servers have above their quotas, and members above their sizes; and all pairs
+// after.
+func excess(
+	before map[string][]string, members []Member, servers []Server, after map[string][]string,
+	live map[string]bool, at map[string]int,
+) (above, beyond, total int) {
 	// Each region has a quota, of which total%r are one higher: those that have most. What is above it has to go, what a
 	// member has above its size as well, and what is missing has to come.
-	total, counts := 0, []int{}
+	counts := []int{}
 	for _, m := range members {
 		total += len(after[m.Name])
 	}
-	for _, r := range regions {
+	for _, r := range servers {
 		counts = append(counts, at[r.ID])
 	}
 	slices.SortFunc(counts, func(a, b int) int { return cmp.Compare(b, a) })
-	above := 0
 	for n, c := range counts {
-		quota := total / len(regions)
-		if n < total%len(regions) {
+		quota := total / len(servers)
+		if n < total%len(servers) {
 			quota++
 		}
 		above += max(0, c-quota)
 	}
-	beyond := 0
 	for _, m := range members {
 		n := 0
 		for _, id := range before[m.Name] {
@@ -67,6 +74,5 @@
 		}
 		beyond += max(0, n-len(after[m.Name]))
 	}
-	gone := max(above, beyond)
-	return changed, gone + total - (kept - gone)
+	return above, beyond, total
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -200,7 +200,11 @@
 // One zone with two balancers and forty regions, and the reverse: the cover is even, and near ones come first as
 // far as that allows.
 func TestZonesOfUnequalSize(t *testing.T) {
-	for _, at := range []struct{ balancers, regions [2]int }{{[2]int{2, 20}, [2]int{40, 4}}, {[2]int{40, 4}, [2]int{2, 20}}, {[2]int{10, 10}, [2]int{10, 10}}} {
+	for _, at := range []struct{ balancers, regions [2]int }{
+		{[2]int{2, 20}, [2]int{40, 4}},
+		{[2]int{40, 4}, [2]int{2, 20}},
+		{[2]int{10, 10}, [2]int{10, 10}},
+	} {
 		var members []Member
 		var regions []Server
 		for z := range 2 {
@@ -260,7 +264,8 @@
 	return len(Candidates(m, l.subset, l.servers, l.widening.Step))
 }
 
-// The subset is full, then all servers are: a balancer looks further step by step, and comes back once there is capacity.
+// The subset is full, then all servers are: a balancer looks further step by step, and comes back once there is
+// capacity.
 func TestWidensAndNarrows(t *testing.T) {
 	l := &looker{
 		widening: Widening{WidenAfter: time.Second, NarrowAfter: 10 * time.Second},
