--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -626,12 +626,24 @@
 
 // Report is what an operator may see of the gate.
 type Report struct {
-	Level                                           string
-	Descriptors                                     map[string]int
-	Budget, Cut, Known, Addresses, Networks         int
-	Accepted, Requests, Promoted, Muted, Exhausted  int64
-	ByKnown, ByClaimants, Forgotten, Evicted, Turns int64
-	Refused                                         map[string]int64
+	Level       string           `json:"Level"`
+	Descriptors map[string]int   `json:"Descriptors"`
+	Budget      int              `json:"Budget"`
+	Cut         int              `json:"Cut"`
+	Known       int              `json:"Known"`
+	Addresses   int              `json:"Addresses"`
+	Networks    int              `json:"Networks"`
+	Accepted    int64            `json:"Accepted"`
+	Requests    int64            `json:"Requests"`
+	Promoted    int64            `json:"Promoted"`
+	Muted       int64            `json:"Muted"`
+	Exhausted   int64            `json:"Exhausted"`
+	ByKnown     int64            `json:"ByKnown"`
+	ByClaimants int64            `json:"ByClaimants"`
+	Forgotten   int64            `json:"Forgotten"`
+	Evicted     int64            `json:"Evicted"`
+	Turns       int64            `json:"Turns"`
+	Refused     map[string]int64 `json:"Refused"`
 }
 
 // Report sums up.
