--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -25,3 +25,6 @@
 		t.Errorf("%v: %s, want %s", err, got, body)
 	}
 }
+
+// Operators' tools read the figures of links by these keys.
+func TestFormOfLinksReport(t *testing.T) { golden.JSON[linksReport](t, "links-report.json") }
