--- a/internal/admission/basic.go
+++ b/internal/admission/basic.go
@@ -1,33 +1,35 @@
 package admission
 
-// Basic is what holds where no admission is configured: a count of descriptors and the process's memory, the same
-// for everybody. Its figures are in descriptors.
+// Basic holds the limits that apply where admission is not configured. They bound the process's descriptors and its
+// memory, and are the same for every client. Limit is the process's descriptor limit.
 type Basic struct{ Limit int }
 
 const (
-	basicReserve = 48 // kept for what is not a terminal or a routed task
-	basicCrowd   = 8  // the silent make room once less than this part of the limit is free
-	basicMemory  = 0.8
+	basicReservedDescriptors = 48  // descriptors reserved for everything but clients and attempts
+	basicFreeDivisor         = 8   // silent clients are closed once less than 1/8 of the limit is free beyond the reserve
+	basicMaxMemoryShare      = 0.8 // share of the memory limit above which requests are rejected
 )
 
-// MayOpen tells whether another connection may be taken in, or dialed, while so many are open.
-func (b Basic) MayOpen(open int) bool { return open <= b.Limit-basicReserve/2 }
+// MayOpen reports whether another connection may be accepted or dialed while open descriptors are in use.
+func (b Basic) MayOpen(open int) bool { return open <= b.Limit-basicReservedDescriptors/2 }
 
-// MayTake tells whether a transaction may be picked up.
+// MayTake reports whether a request may be admitted.
 func (b Basic) MayTake(open int, memoryShort bool) bool {
-	return !memoryShort && open <= b.Limit-basicReserve
+	return !memoryShort && open <= b.Limit-basicReservedDescriptors
 }
 
-// Crowded is how many silent terminals should be sent off, open being without those that were sent off already.
-func (b Basic) Crowded(open int) int { return max(0, open-(b.Limit-basicReserve-b.Limit/basicCrowd)) }
+// Crowded returns how many silent clients should be closed. open must not count clients that are being closed already.
+func (b Basic) Crowded(open int) int {
+	return max(0, open-(b.Limit-basicReservedDescriptors-b.Limit/basicFreeDivisor))
+}
 
-// Lacking is how many descriptors should be freed at once, so that some are left for transactions while those who
-// were sent off end.
+// Lacking returns how many descriptors should be freed at once, so that requests can still be admitted while the
+// clients that are being closed finish.
 func (b Basic) Lacking(open int) int {
-	return max(0, open-(b.Limit-basicReserve-b.Limit/(2*basicCrowd)))
+	return max(0, open-(b.Limit-basicReservedDescriptors-b.Limit/(2*basicFreeDivisor)))
 }
 
-// MemoryShort tells whether used bytes are too many of limit; a limit of 0 is none.
+// MemoryShort reports whether used bytes are too many for limit. A limit of 0 means no limit.
 func (b Basic) MemoryShort(used, limit int64) bool {
-	return limit > 0 && float64(used) > basicMemory*float64(limit)
+	return limit > 0 && float64(used) > basicMaxMemoryShare*float64(limit)
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -7,7 +7,7 @@
 	"oatloft/internal/hint"
 )
 
-// Config holds the settings of a gate. New checks it. All counts are of this balancer alone.
+// Config holds the settings of a Gate. New checks them. All counts apply to this balancer alone.
 type Config struct {
 	Address     Address
 	Network     Network
@@ -15,87 +15,87 @@
 	Descriptors Descriptors
 	Memory      Memory
 	ComeBack    ComeBack
-	Exempt      []netip.Prefix // networks without caps: fronts whose address stands for many clients
+	Exempt      []netip.Prefix // networks without caps, such as proxies that forward many clients from one address
 	Tenants     []Tenant
 }
 
-// Address holds the caps of one address: an IPv4 address, or an IPv6 prefix of Prefix6 bits.
+// Address holds the caps of one address, which is an IPv4 address or an IPv6 prefix of Prefix6 bits.
 type Address struct {
-	MaxConnections int           // held at once, of all uses
-	MaxSilent      int           // held at once that have not said what they want
-	NewPerSecond   float64       // new ones a second, on average ...
-	Burst          int           // ... and at once
-	MaxBytes       int           // sent by its silent ones together
-	ShortPatience  time.Duration // a silent one is sent off after this where descriptors are short
-	Prefix6        int
-	Table          int // addresses that are remembered at once
+	MaxConnections int           // open at once, for all uses
+	MaxSilent      int           // open at once that have not sent their first line
+	NewPerSecond   float64       // average rate of new connections, per second
+	Burst          int           // new connections allowed at once
+	MaxBytes       int           // received from all its silent connections together
+	ShortPatience  time.Duration // from level Short on, silent connections are closed after this time
+	Prefix6        int           // bits
+	Table          int           // addresses tracked at once
 }
 
-// Network holds the caps of a network of addresses, which may be one sender's.
+// Network holds the caps of a network, all of whose addresses may belong to one sender.
 type Network struct {
-	Prefix4, Prefix6 int
-	NewPerSecond     float64
-	Burst            int
-	MaxShare         float64 // of the transactions, for its strangers, once it is tight
-	Table            int
+	Prefix4, Prefix6 int     // bits
+	NewPerSecond     float64 // average rate of new connections, per second
+	Burst            int     // new connections allowed at once
+	MaxShare         float64 // of the request capacity, for its unknown clients, from level Tight on
+	Table            int     // networks tracked at once
 }
 
-// Identity says by what a client is known.
+// Identity selects what a known client is recognized by.
 type Identity uint8
 
 // The identities.
 const (
-	ByFlow Identity = iota // the flow's key
+	ByFlow Identity = iota // the flow key
 	ByTenantAndFlow
 	ByAddress
 )
 
-// Reserve holds what is kept for known clients.
+// Reserve holds the settings of the capacity that is reserved for known clients.
 type Reserve struct {
 	Identity      Identity
-	KnownShare    float64       // of the descriptors for transactions
-	StandFor      time.Duration // a client is known once a connection of it has stood for so long ...
-	RememberFor   time.Duration // ... until so long after it stood last
-	Max           int           // clients remembered
-	MaxPerNetwork int           // of these, from one network
-	MaxPerClient  int           // transactions at once that count as a known client's; further ones are a stranger's
-	MuteFor       time.Duration // a known client that turns noisy is a stranger for so long
+	KnownShare    float64       // of the descriptors for requests
+	StandFor      time.Duration // a client becomes known once a flow of it has been established for this long
+	RememberFor   time.Duration // it stays known until this long after its last established flow
+	Max           int           // known clients
+	MaxPerNetwork int           // known clients of one network
+	MaxPerClient  int           // requests at once that count as a known client's; more count as an unknown client's
+	MuteFor       time.Duration // a known client that exceeds its address's rate counts as unknown for this long
 }
 
-// Descriptors says how the ledger divides them.
+// Descriptors holds how the descriptors are divided, and the thresholds of the levels. Shares are of the budget.
 type Descriptors struct {
-	SilentShare float64 // set aside for terminals that have not said what they want
-	Overhead    int     // held by the process itself
-	Tight       float64 // the level rises where more than this share is held ...
+	SilentShare float64 // reserved for clients that have not sent their first line
+	Overhead    int     // descriptors that the process itself uses
+	Tight       float64 // the level rises once the share in use reaches the threshold of the next level
 	Short       float64
 	Full        float64
-	Hysteresis  float64 // ... and falls where less than the same share minus this is
+	Hysteresis  float64 // the level falls once the share in use is below its threshold minus this
 }
 
-// Memory says what a use of the ledger costs, in bytes of the process's memory.
+// Memory holds how much of the process's memory each use of a connection costs, in bytes.
 type Memory struct {
-	Base        int64 // the idle process
-	Silent      int64 // a terminal that has said nothing
-	Transaction int64 // a terminal, its routed task and what may wait between them
-	MaxShare    float64
+	Base        int64   // the idle process
+	Silent      int64   // a client that has not sent its first line
+	Transaction int64   // a client, its attempt and the data buffered between them
+	MaxShare    float64 // of the memory limit
 }
 
-// ComeBack says how refused clients are spread over time, where they heed advice at all.
+// ComeBack holds how the retries of refused clients are spread over time, for clients that honor a retry time.
 type ComeBack struct {
-	Advise      bool
-	PerSecond   float64
-	Least, Most time.Duration
+	Advise      bool          // send retry times at all
+	PerSecond   float64       // retries scheduled per second
+	Least, Most time.Duration // bounds of a retry time
 }
 
-// Tenant is one tenant's weight; 0 stands for no limit.
+// Tenant holds the weight of one tenant. A weight of 0 means no limit.
 type Tenant struct {
 	Name   string
 	Weight float64
 }
 
-// check names the first setting that cannot work.
-func (c Config) check() error {
-	for _, x := range []struct {
+// validate returns an error that names the first setting that is out of bounds.
+func (c Config) validate() error {
+	for _, setting := range []struct {
 		name string
 		ok   bool
 	}{
@@ -104,7 +104,7 @@
 		{"address.new_per_second", c.Address.NewPerSecond > 0},
 		{"address.burst", c.Address.Burst >= 1},
 		{"address.max_bytes", c.Address.MaxBytes >= 4096},
-		{"address.short_patience", c.Address.ShortPatience >= Youngest},
+		{"address.short_patience", c.Address.ShortPatience >= MinVictimAge},
 		{"address.prefix6", c.Address.Prefix6 >= 16 && c.Address.Prefix6 <= 128},
 		{"address.table", c.Address.Table >= 64 && c.Address.Table <= 1<<20},
 		{"network.prefix4", c.Network.Prefix4 >= 8 && c.Network.Prefix4 <= 32},
@@ -134,16 +134,17 @@
 		{"come_back.per_second", !c.ComeBack.Advise || c.ComeBack.PerSecond > 0},
 		{"come_back.most", c.ComeBack.Least >= 0 && c.ComeBack.Most >= c.ComeBack.Least},
 	} {
-		if !x.ok {
-			return &Unfit{
-				hint.Annotated{Where: "admission." + x.name, What: "out of bounds", Do: "oatctl edge check names the bounds"},
+		if !setting.ok {
+			return &InvalidSetting{
+				hint.Annotated{Where: "admission." + setting.name, What: "out of bounds",
+					Do: "run oatctl edge check to see the bounds"},
 			}
 		}
 	}
 	return nil
 }
 
-func (c *Config) exempt(a netip.Addr) bool {
+func (c *Config) isExempt(a netip.Addr) bool {
 	a = a.Unmap()
 	for _, p := range c.Exempt {
 		if p.Contains(a) {
@@ -153,8 +154,8 @@
 	return false
 }
 
-// keys are an address and its network as the tables know them.
-func (c *Config) keys(a netip.Addr) (addr, net key) {
+// tableKeys returns the table keys of an address and of its network.
+func (c *Config) tableKeys(a netip.Addr) (address, network key) {
 	a = a.Unmap()
 	if a.Is4() {
 		return keyOf(a, 32), keyOf(a, c.Network.Prefix4)
@@ -162,8 +163,9 @@
 	return keyOf(a, c.Address.Prefix6), keyOf(a, c.Network.Prefix6)
 }
 
-// Unfit is a setting of admission that can't work.
-type Unfit struct{ hint.Annotated }
+// InvalidSetting is the error for an invalid setting of admission.
+type InvalidSetting struct{ hint.Annotated }
 
-// CantChange is a setting of admission that is read at the start only. The old settings hold.
-type CantChange struct{ hint.Annotated }
+// ImmutableSetting is the error for a changed setting that is read at the start only. The previous settings stay in
+// force.
+type ImmutableSetting struct{ hint.Annotated }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,25 +1,25 @@
-// Package admission decides who is let in when descriptors, memory or patience run short. It owns the caps
-// per address and network, the reserve for known clients, the ledger of descriptors and memory, the levels,
-// the order of sacrifice and the advice when to come back. It is a state machine like policy: time and the
-// seed are arguments, and it must never read a clock, touch a socket or a file, start a goroutine, or choose
-// a region; that a transaction is let in says nothing about where it goes.
+// Package admission decides which connections and requests are admitted when descriptors or memory are scarce. It
+// contains the caps per address and network, the capacity reserved for known clients, the accounting of descriptors
+// and memory, the overload levels, the order in which load is shed, and the retry times given to refused clients.
+// It is a deterministic state machine like package policy: time and the seed are arguments, and it uses no clock,
+// socket, file or goroutine. It doesn't choose servers either; an admitted request may go to any of them.
 //
-// # The order of sacrifice
+// # Load shedding order
 //
 // Refused, from the first to the last:
 //
-//  1. at every level, an address or network beyond its own caps (connections, silent ones, new ones a second,
-//     bytes before a first line); networks that the operator exempts have no caps;
-//  2. from level Tight on, strangers of a network that holds more than its share;
-//  3. at every level, strangers who would take what is kept for known clients, then those who only name a known
-//     client's key from elsewhere (half of what is kept is open to them);
-//  4. from level Short on, strangers and claimants of tenants beyond their share;
-//  5. at level Full, all strangers and claimants, and known clients of tenants beyond their share;
-//  6. known clients, where nothing is left at all.
+//  1. at every level, clients of an address or network beyond its own caps (connections, silent connections, new
+//     connections per second, bytes before the first line); networks that the operator exempts have no caps;
+//  2. from level Tight on, unknown clients of a network that uses more than its share;
+//  3. at every level, unknown clients that would use the capacity reserved for known clients, then claimants, which
+//     present a known client's key from another network (half of the reserved capacity is open to them);
+//  4. from level Short on, unknown clients and claimants of tenants beyond their share;
+//  5. at level Full, all unknown clients and claimants, and known clients of tenants beyond their share;
+//  6. known clients, once nothing is left.
 //
-// Sent off to make room: terminals that have said nothing, those of the address with the most of them first and
-// the oldest of these first; none that is younger than Youngest. Never sent off: whoever waits for an answer,
-// and whoever stands.
+// A silent client is one that has not sent its first line. Silent clients are closed to free descriptors: first
+// those of the address that has the most of them, and of these the oldest. None is closed that is younger than
+// MinVictimAge. Clients with an unanswered request or an established flow are never closed.
 package admission
 
 import (
@@ -29,61 +29,64 @@
 	"oatloft/internal/hint"
 )
 
-// Ticket names one accepted connection from Accept to Closed; later it names nobody, whoever has its place then. The
-// zero Ticket is none.
+// Ticket identifies one accepted connection from Accept to Closed. It is invalid afterwards, even if its index is used
+// again for another connection. The zero Ticket means none.
 type Ticket uint64
 
-func (t Ticket) place() int32 { return int32(uint32(t)) }
+func (t Ticket) index() int32 { return int32(uint32(t)) }
 
-// Use is what a descriptor is held for.
+// Use is the purpose that a descriptor is used for.
 type Use uint8
 
-// The uses. A routed task's descriptor is set aside with the transaction's own: Owed and Standing count two.
+// The uses. An attempt's descriptor is reserved together with its client's: Unanswered and Established count two each.
 const (
-	Free     Use = iota
-	Silent       // a terminal that has not said what it wants
-	Owed         // its transaction was picked up and waits for its answer; its routed task is set aside
-	Standing     // up: terminal and region
-	Leaving      // answered or ended; the descriptor is still to be closed
-	Probe        // the host's own, set by Fixed
+	Free        Use = iota
+	Silent          // a client that has not sent its first line
+	Unanswered      // its request was admitted and not answered yet; a descriptor is reserved for its attempt
+	Established     // client and server are connected
+	Closing         // answered or ended; the descriptor is not closed yet
+	Probe           // this and the following uses are the caller's own, set by Fixed
 	Discovery
-	Spare // for answering when the process has none left, and for short good-byes
-	uses
+	Spare // for answering when the process has none left, and for closing refused connections gracefully
+	useCount
 )
 
+// String returns the name of the use in reports.
 func (u Use) String() string {
 	return [...]string{"free", "silent", "owed", "standing", "leaving", "probe", "discovery", "spare"}[u]
 }
 
-// weight is how many descriptors a terminal's use takes.
-var weight = [uses]int{Silent: 1, Owed: 2, Standing: 2, Leaving: 1}
+// descriptorsPerUse is the number of descriptors that a client takes in each use.
+var descriptorsPerUse = [useCount]int{Silent: 1, Unanswered: 2, Established: 2, Closing: 1}
 
-// Rank says how well a client is known.
+// Rank is how well a client is known.
 type Rank uint8
 
 // The ranks.
 const (
-	Stranger Rank = iota
-	Claimant      // names a known client's key from a network where that client was not seen
+	Unknown  Rank = iota
+	Claimant      // presents a known client's key from another network than that client's
 	Known
 )
 
+// String returns the name of the rank.
 func (r Rank) String() string { return [...]string{"stranger", "claimant", "known"}[r] }
 
-// Level says how short the balancer is.
+// Level is how scarce the balancer's descriptors and memory are.
 type Level uint8
 
 // The levels.
 const (
-	Calm Level = iota
+	Normal Level = iota
 	Tight
 	Short
 	Full
 )
 
+// String returns the name of the level in logs and reports.
 func (l Level) String() string { return [...]string{"calm", "tight", "short", "full"}[l] }
 
-// Reason says why somebody was refused or sent off.
+// Reason is why a client was refused or closed.
 type Reason uint8
 
 // The reasons.
@@ -95,112 +98,115 @@
 	AddressBytes
 	NetworkRate
 	NetworkShare
-	ReserveKept
+	ReservedForKnown
 	TenantShare
 	LevelFull
 	NoDescriptor
 	NoMemory
-	Exhaustion // the process had no descriptor left before the ledger knew
-	MadeRoom   // sent off
-	Impatience // sent off sooner than at a calm time
-	NoPermit   // no revision that this balancer may place by
-	reasons
+	Exhaustion       // the process had no descriptor left although the budget was not used up
+	Reclaimed        // closed while silent, to free its descriptor
+	FirstLineTimeout // closed after Address.ShortPatience because it was silent at level Short or above
+	NoPermit         // the balancer has no lease for a revision
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"admitted", "address_connections", "address_silent", "address_rate", "address_bytes",
-	"network_rate", "network_share", "reserve_kept", "tenant_share", "level_full", "no_descriptor", "no_memory",
-	"exhaustion", "made_room", "impatience", "no_permit"}
+var reasonNames = [reasonCount]string{"admitted", "address_connections", "address_silent", "address_rate",
+	"address_bytes", "network_rate", "network_share", "reserve_kept", "tenant_share", "level_full", "no_descriptor",
+	"no_memory", "exhaustion", "made_room", "impatience", "no_permit"}
 
+// String returns the name of the reason in logs and reports.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Verdict is a decision. After is when a refused client should come again, 0 where there is no advice.
+// Verdict is a decision. After is the time after which a refused client should retry, or 0 for no retry time.
 type Verdict struct {
 	Reason Reason
 	After  time.Duration
-	Curt   bool // it comes so often that its answer is all it gets: no waiting for it to end
+	Curt   bool // the address connects too often: close right after the answer, without waiting for the client to close
 }
 
-// OK tells that the client is let in.
+// OK reports whether the client is admitted.
 func (v Verdict) OK() bool { return v.Reason == Admitted }
 
-// Who is what a first line says of a client. None of it is proven.
+// Who is the identity that a client presents in its first line. It is not authenticated.
 type Who struct{ Key, Tenant string }
 
-// Times that are not for operators to set.
+// Constants that are not configurable.
 const (
-	Youngest   = 10 * time.Millisecond // nobody is sent off sooner: the line may be on its way
-	sweepEvery = 250 * time.Millisecond
-	cutFor     = 50 * time.Millisecond // exhaustion is met again so soon at the earliest
-	slack      = 8                     // descriptors beyond the budget, while those who were sent off are being closed
-	strikesMax = 64                    // refusals for rate, leaking at the address's own rate, that cost a client its rank
+	MinVictimAge    = 10 * time.Millisecond  // younger silent clients stay: their first line may be on the way
+	minTickInterval = 250 * time.Millisecond // Tick does nothing if called sooner
+	minCutInterval  = 50 * time.Millisecond  // minimum time between two cuts of the budget
+	victimSlack     = 8                      // descriptors beyond the budget for victims that are not closed yet
+	maxStrikes      = 64                     // rate refusals, draining at the address's rate, that make a client unknown
 )
 
-type ticket struct {
-	use        Use
-	rank       Rank
-	exempt     bool
-	victim     bool
-	peer, net  int32
-	prev, next int32  // of the same address's silent ones, oldest first
-	turn       uint32 // how often the place was taken
-	born       time.Duration
-	stood      time.Duration
-	bytes      int
-	key        uint64
-	tenant     int
-}
-
-// Counters tell what was decided since the start.
+// connection is the state of one accepted connection.
+type connection struct {
+	use              Use
+	rank             Rank
+	exempt           bool
+	victim           bool
+	address, network int32
+	prev, next       int32  // silent connections of the same address, oldest first
+	generation       uint32 // how often the index has been used
+	acceptedAt       time.Duration
+	establishedAt    time.Duration
+	bytes            int
+	identity         uint64
+	tenant           int
+}
+
+// Counters counts the decisions since the start.
 type Counters struct {
 	Accepted, Requests, ByKnown, ByClaimants, Promoted, Forgotten, Muted, Evicted, Exhausted, LevelChanges int64
-	Refused                                                                                                [reasons]int64
+
+	Refused [reasonCount]int64 // by reason
 }
 
-// Gate is the decision module. It is not safe for concurrent use.
+// Gate makes the admission decisions. It is not safe for concurrent use.
 type Gate struct {
 	Counters Counters
 
-	cfg     Config
-	now     time.Duration
-	rand    uint64
-	tickets []ticket
-	free    []int32
-	ledger  ledger
-	peers   *table // by address
-	nets    *table // by network
-	known   knownTable
-	tenants map[string]int
-	share   []float64 // of the transactions, by tenant
-	holds   [3][]int  // transactions by rank and tenant
-	silent  crowd
-	victims []Victim
-	leaving int // silent terminals that were sent off and are not closed yet
-	swept   time.Duration
-	advised time.Duration // come-back times are dealt out up to here
-}
-
-// New returns a gate, or an error that names the setting that can't work.
+	cfg            Config
+	now            time.Duration
+	randomState    uint64
+	connections    []connection
+	freeIndexes    []int32
+	ledger         ledger
+	addresses      *table
+	networks       *table
+	known          knownTable
+	tenants        map[string]int
+	share          []float64 // of the request capacity, by tenant
+	requests       [3][]int  // requests by rank and tenant
+	silent         silentByAddress
+	victims        []Victim
+	openVictims    int // victims that are not closed yet
+	lastTick       time.Duration
+	scheduledUntil time.Duration // retries are scheduled up to this time
+}
+
+// New returns a Gate, or an error that names the first invalid setting.
 func New(cfg Config, seed uint64) (*Gate, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	g := &Gate{rand: mix(seed, 0x9e3779b97f4a7c15), tickets: make([]ticket, 1, 1024)}
-	g.peers, g.nets = newTable(cfg.Address.Table, g.random()), newTable(cfg.Network.Table, g.random())
+	g := &Gate{randomState: mix(seed, 0x9e3779b97f4a7c15), connections: make([]connection, 1, 1024)}
+	g.addresses, g.networks = newTable(cfg.Address.Table, g.random()), newTable(cfg.Network.Table, g.random())
 	g.known.init(cfg.Reserve, g.random())
-	g.ledger.limit = 1 << 16 // until Limit is called
+	g.ledger.limit = 1 << 16 // descriptors, until Limit is called
 	g.apply(cfg)
 	return g, nil
 }
 
-// Reconfigure takes new settings, whole or not at all. What is held stays, whatever the new limits are. The
-// sizes of tables are those of the start.
+// Reconfigure applies all of the new settings or none. Admitted connections stay, even beyond the new limits. The
+// table sizes can't be changed.
 func (g *Gate) Reconfigure(cfg Config) error {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return err
 	}
 	if cfg.Address.Table != g.cfg.Address.Table || cfg.Network.Table != g.cfg.Network.Table ||
 		cfg.Reserve.Max != g.cfg.Reserve.Max {
-		return &CantChange{hint.Annotated{Where: "admission", What: "the sizes of tables can't change while serving",
+		return &ImmutableSetting{hint.Annotated{Where: "admission", What: "table sizes can't be changed while serving",
 			Do: "restart the balancer to change address.table, network.table or reserve.max"}}
 	}
 	g.apply(cfg)
@@ -208,7 +214,7 @@
 }
 
 func (g *Gate) apply(cfg Config) {
-	old := g.tenants
+	oldTenants := g.tenants
 	g.cfg, g.known.cfg = cfg, cfg.Reserve
 	g.tenants = make(map[string]int, len(cfg.Tenants))
 	sum := 0.0
@@ -216,12 +222,12 @@
 		sum += t.Weight
 	}
 	share := make([]float64, len(cfg.Tenants)+1)
-	var holds [3][]int
-	for rank := range holds {
-		holds[rank] = make([]int, len(cfg.Tenants)+1)
+	var requests [3][]int
+	for rank := range requests {
+		requests[rank] = make([]int, len(cfg.Tenants)+1)
 	}
 	for i, t := range cfg.Tenants {
-		g.tenants[t.Name] = i + 1 // 0 are all that nobody configured
+		g.tenants[t.Name] = i + 1 // 0 is for all tenants that are not configured
 		if share[i+1] = 1; sum > 0 && t.Weight > 0 {
 			share[i+1] = t.Weight / sum
 		}
@@ -229,114 +235,116 @@
 	if len(cfg.Tenants) == 0 {
 		share[0] = 1
 	}
-	moved := make([]int, len(g.share))
-	for name, i := range old {
-		moved[i] = g.tenants[name]
+	newIndex := make([]int, len(g.share))
+	for name, i := range oldTenants {
+		newIndex[i] = g.tenants[name]
 	}
-	for i := range g.tickets {
-		if t := &g.tickets[i]; t.use == Owed || t.use == Standing {
-			t.tenant = moved[t.tenant]
-			holds[t.rank][t.tenant]++
+	for i := range g.connections {
+		if t := &g.connections[i]; t.use == Unanswered || t.use == Established {
+			t.tenant = newIndex[t.tenant]
+			requests[t.rank][t.tenant]++
 		}
 	}
-	g.share, g.holds = share, holds
+	g.share, g.requests = share, requests
 	g.ledger.cfg = cfg.Descriptors
 	g.ledger.memory = cfg.Memory
-	g.ledger.reserve = cfg.Reserve.KnownShare
-	g.ledger.settle()
+	g.ledger.knownShare = cfg.Reserve.KnownShare
+	g.ledger.recompute()
 }
 
-// Limit sets how many descriptors the process may hold in all, and how much memory in bytes (0: not bounded).
+// Limit sets how many descriptors the process may use in all, and how much memory in bytes (0 for no limit).
 func (g *Gate) Limit(descriptors int, memory int64) {
-	g.ledger.limit, g.ledger.memLimit = descriptors, memory
-	g.ledger.settle()
-	// Entries that hold a connection are pinned: with a place for each, and as many again, a newcomer always
-	// finds one to evict.
-	g.peers.size = max(g.peers.size, 2*descriptors)
-	g.nets.size = max(g.nets.size, 2*descriptors)
-	g.ledger.relevel(g)
+	g.ledger.limit, g.ledger.memoryLimit = descriptors, memory
+	g.ledger.recompute()
+	// Entries with open connections are pinned. With one entry per descriptor, and as many again, there is always an
+	// entry to evict for a new address or network.
+	g.addresses.size = max(g.addresses.size, 2*descriptors)
+	g.networks.size = max(g.networks.size, 2*descriptors)
+	g.ledger.updateLevel(g)
 }
 
-// Fixed tells how many descriptors the host itself holds for a use of its own.
+// Fixed sets how many descriptors the caller uses for Probe, Discovery or Spare.
 func (g *Gate) Fixed(u Use, n int) {
-	g.ledger.held[u] = n
-	g.ledger.settle()
+	g.ledger.inUse[u] = n
+	g.ledger.recompute()
 }
 
-// Memory tells how much memory the process really holds, in bytes.
-func (g *Gate) Memory(used int64) { g.ledger.memUsed = used }
+// Memory sets the measured memory use of the process, in bytes.
+func (g *Gate) Memory(used int64) { g.ledger.memoryUsed = used }
 
-// Level is the present level.
+// Level returns the current level.
 func (g *Gate) Level() Level { return g.ledger.level }
 
-// Held is how many connections there are of a use.
-func (g *Gate) Held(u Use) int { return g.ledger.held[u] }
+// InUse returns how many descriptors or connections there are of a use.
+func (g *Gate) InUse(u Use) int { return g.ledger.inUse[u] }
 
-// Pressed tells that descriptors are short enough to end good-byes sooner.
+// Pressed reports whether the level is high enough to close finishing connections sooner.
 func (g *Gate) Pressed() bool { return g.ledger.level >= Tight }
 
-// Accept decides on a connection from addr before anything is read from it. A refused one has no ticket.
+// Accept decides on a connection from addr before anything is read from it. A refused connection gets no ticket.
 func (g *Gate) Accept(now time.Duration, addr netip.Addr) (Ticket, Verdict) {
-	g.tell(now)
-	a, n := g.cfg.keys(addr)
-	exempt := g.cfg.exempt(addr)
-	p := g.peers.touch(a, g.now)
-	q := g.nets.touch(n, g.now)
-	if p == 0 || q == 0 { // every entry is pinned; Limit sees to it that this can't be
+	g.setTime(now)
+	addrKey, netKey := g.cfg.tableKeys(addr)
+	exempt := g.cfg.isExempt(addr)
+	addrEntry := g.addresses.touch(addrKey, g.now)
+	netEntry := g.networks.touch(netKey, g.now)
+	if addrEntry == 0 || netEntry == 0 { // all entries pinned; Limit makes the tables large enough to rule this out
 		return g.refuse(NoDescriptor)
 	}
 	if !exempt {
 		c := &g.cfg.Address
-		switch peer := &g.peers.list[p]; {
-		case !g.peers.take(p, g.now, c.NewPerSecond, c.Burst):
-			peer.strike(g.now, c.NewPerSecond)
+		switch peer := &g.addresses.list[addrEntry]; {
+		case !g.addresses.allow(addrEntry, g.now, c.NewPerSecond, c.Burst):
+			peer.addStrike(g.now, c.NewPerSecond)
 			_, v := g.refuse(AddressRate)
-			v.Curt = peer.strikes(g.now, c.NewPerSecond) >= strikesMax
+			v.Curt = peer.strikeCount(g.now, c.NewPerSecond) >= maxStrikes
 			return 0, v
-		case int(peer.held) >= c.MaxConnections:
+		case int(peer.openConnections) >= c.MaxConnections:
 			return g.refuse(AddressConnections)
 		case int(peer.silent) >= c.MaxSilent:
 			return g.refuse(AddressSilent)
-		case !g.nets.take(q, g.now, g.cfg.Network.NewPerSecond, g.cfg.Network.Burst):
+		case !g.networks.allow(netEntry, g.now, g.cfg.Network.NewPerSecond, g.cfg.Network.Burst):
 			return g.refuse(NetworkRate)
 		}
 	}
 	if g.ledger.outOfMemory() {
 		return g.refuse(NoMemory)
 	}
-	// Who makes room still holds its descriptor until it is closed. Strangers that come faster than that is done are
-	// refused: they would else use up, in passing, what is kept for networks of known clients.
-	known := g.known.seenAt(n)
-	if g.ledger.over(1-slack) || !known && g.leaving >= slack || !g.ledger.mayBeSilent(known) && !g.makeRoom(exempt, p) {
+	// A victim uses its descriptor until it is closed. While many victims are not closed yet, connections from networks
+	// without known clients are refused: they would use up the descriptors reserved for networks of known clients.
+	known := g.known.hasNetwork(netKey)
+	if g.ledger.exceeds(1-victimSlack) || !known && g.openVictims >= victimSlack ||
+		!g.ledger.mayAccept(known) && !g.evictSilent(exempt, addrEntry) {
 		return g.refuse(NoDescriptor)
 	}
 	var i int32
-	if k := len(g.free); k > 0 {
-		i, g.free = g.free[k-1], g.free[:k-1]
+	if k := len(g.freeIndexes); k > 0 {
+		i, g.freeIndexes = g.freeIndexes[k-1], g.freeIndexes[:k-1]
 	} else {
-		i = int32(len(g.tickets))
-		g.tickets = append(g.tickets, ticket{})
+		i = int32(len(g.connections))
+		g.connections = append(g.connections, connection{})
 	}
-	g.tickets[i] = ticket{use: Silent, exempt: exempt, peer: p, net: q, born: g.now, turn: g.tickets[i].turn + 1}
-	g.peers.hold(p, 1)
-	g.nets.hold(q, 1)
+	g.connections[i] = connection{use: Silent, exempt: exempt, address: addrEntry, network: netEntry, acceptedAt: g.now,
+		generation: g.connections[i].generation + 1}
+	g.addresses.addConnections(addrEntry, 1)
+	g.networks.addConnections(netEntry, 1)
 	g.silent.add(g, i)
 	g.ledger.move(Free, Silent)
 	g.Counters.Accepted++
-	g.ledger.relevel(g)
-	return g.name(i), Verdict{}
+	g.ledger.updateLevel(g)
+	return g.ticketAt(i), Verdict{}
 }
 
-// Bytes tells that n bytes came from a terminal that is silent so far, in vain if not OK: its address keeps
-// more than it may, and this one is to be refused.
+// Bytes adds n bytes received from a silent client. If the verdict is not OK, the client's address exceeds MaxBytes,
+// and this client is to be refused.
 func (g *Gate) Bytes(now time.Duration, t Ticket, n int) Verdict {
-	g.tell(now)
-	x := g.at(t, Silent)
+	g.setTime(now)
+	x := g.lookupUse(t, Silent)
 	if x == nil {
 		return Verdict{}
 	}
 	x.bytes += n
-	peer := &g.peers.list[x.peer]
+	peer := &g.addresses.list[x.address]
 	peer.bytes += n
 	if !x.exempt && peer.bytes > g.cfg.Address.MaxBytes {
 		_, v := g.refuse(AddressBytes)
@@ -345,317 +353,322 @@
 	return Verdict{}
 }
 
-// Request decides on a silent terminal's first line. What the transaction needs is set aside if it is let in;
-// if not, the terminal is to be answered, and Answered to be called.
+// Request decides on a silent client's first line. If the request is admitted, its descriptors and memory are reserved.
+// If not, the caller must answer the client and call Answered.
 func (g *Gate) Request(now time.Duration, t Ticket, who Who) Verdict {
-	g.tell(now)
-	x := g.at(t, Silent)
+	g.setTime(now)
+	x := g.lookupUse(t, Silent)
 	if x == nil {
 		return Verdict{}
 	}
 	g.Counters.Requests++
-	net := g.nets.list[x.net].key
-	x.key = g.known.keyOf(g.cfg.Reserve.Identity, who, g.peers.list[x.peer].key)
-	x.rank = g.known.rank(x.key, net, g.now)
-	if x.rank != Stranger && g.peers.list[x.peer].strikes(g.now, g.cfg.Address.NewPerSecond) >= strikesMax && !x.exempt {
+	networkKey := g.networks.list[x.network].key
+	x.identity = g.known.keyOf(g.cfg.Reserve.Identity, who, g.addresses.list[x.address].key)
+	x.rank = g.known.rank(x.identity, networkKey, g.now)
+	if x.rank != Unknown && g.addresses.list[x.address].strikeCount(g.now, g.cfg.Address.NewPerSecond) >= maxStrikes &&
+		!x.exempt {
 		g.Counters.Muted++
-		g.known.mute(x.key, g.now)
-		x.rank = Stranger
+		g.known.mute(x.identity, g.now)
+		x.rank = Unknown
 	}
 	x.tenant = g.tenants[who.Tenant]
-	if r := g.judge(x, t.place()); r != Admitted {
+	if r := g.decide(x, t.index()); r != Admitted {
 		if x.rank != Known && !x.exempt && r != NoMemory && r != NoDescriptor {
-			// Whoever asks on and on for what there is not costs more than who is turned away at the door.
-			g.peers.charge(x.peer, g.now, g.cfg.Address.NewPerSecond, g.cfg.Address.Burst)
+			// A request that is refused after its first line costs more than a connection that is refused at Accept.
+			g.addresses.chargeRefused(x.address, g.now, g.cfg.Address.NewPerSecond, g.cfg.Address.Burst)
 		}
 		_, v := g.refuse(r)
 		return v
 	}
-	g.silent.remove(g, t.place())
-	g.ledger.move(Silent, Owed)
-	g.holds[x.rank][x.tenant]++
-	g.nets.list[x.net].served++
+	g.silent.remove(g, t.index())
+	g.ledger.move(Silent, Unanswered)
+	g.requests[x.rank][x.tenant]++
+	g.networks.list[x.network].admitted++
 	switch x.rank {
 	case Known:
 		g.Counters.ByKnown++
-		g.ledger.known++
+		g.ledger.knownRequests++
 	case Claimant:
 		g.Counters.ByClaimants++
-		g.ledger.known++
+		g.ledger.knownRequests++
 	}
-	g.known.use(x.key, x.rank, 1)
-	x.use = Owed
-	g.ledger.relevel(g)
+	g.known.addRequests(x.identity, x.rank, 1)
+	x.use = Unanswered
+	g.ledger.updateLevel(g)
 	return Verdict{}
 }
 
-// judge is the order of sacrifice for transactions.
-func (g *Gate) judge(x *ticket, i int32) Reason {
+// decide applies the load shedding order to a request.
+func (g *Gate) decide(x *connection, i int32) Reason {
 	l := &g.ledger
-	beyond := g.beyond(x)
+	exceedsShare := g.exceedsShare(x)
 	switch {
-	case l.outOfMemory() || l.memoryShort():
+	case l.outOfMemory() || l.memoryScarce():
 		return NoMemory
-	case x.rank == Stranger && !x.exempt && l.level >= Tight &&
-		float64(g.nets.list[x.net].served) >= max(1, g.cfg.Network.MaxShare*float64(l.transactions/2)):
+	case x.rank == Unknown && !x.exempt && l.level >= Tight &&
+		float64(g.networks.list[x.network].admitted) >= max(1, g.cfg.Network.MaxShare*float64(l.requestBudget/2)):
 		return NetworkShare
-	case l.level >= Short && beyond && x.rank != Known:
+	case l.level >= Short && exceedsShare && x.rank != Known:
 		return TenantShare
 	case l.level == Full && x.rank != Known:
 		return LevelFull
-	case l.level == Full && beyond:
+	case l.level == Full && exceedsShare:
 		return TenantShare
-	case !l.mayTake(x.rank):
-		if x.rank != Known && l.mayTake(Known) {
-			return ReserveKept
+	case !l.mayAdmit(x.rank):
+		if x.rank != Known && l.mayAdmit(Known) {
+			return ReservedForKnown
 		}
 		return NoDescriptor
-	case l.over(1-slack) || l.over(1) && !g.makeRoomFor(i):
+	case l.exceeds(1-victimSlack) || l.exceeds(1) && !g.evictSilentFor(i):
 		return NoDescriptor
 	}
 	return Admitted
 }
 
-// beyond tells that a tenant holds its share of the transactions. Only what known clients hold counts against those,
-// since anybody can name a tenant. A tenant that has the whole is never beyond it.
-func (g *Gate) beyond(x *ticket) bool {
-	n := g.holds[Known][x.tenant]
+// exceedsShare reports whether a tenant uses its whole share of the request capacity. For a known client, only requests
+// of known clients count, because any client can name any tenant. It is false for a tenant whose share is the whole
+// capacity.
+func (g *Gate) exceedsShare(x *connection) bool {
+	n := g.requests[Known][x.tenant]
 	if x.rank != Known {
-		n += g.holds[Stranger][x.tenant] + g.holds[Claimant][x.tenant]
+		n += g.requests[Unknown][x.tenant] + g.requests[Claimant][x.tenant]
 	}
 	share := g.share[x.tenant]
-	return share < 1 && float64(n) >= share*float64(g.ledger.transactions/2)
+	return share < 1 && float64(n) >= share*float64(g.ledger.requestBudget/2)
 }
 
-// Stood tells that a transaction is up.
+// Stood reports that a request's flow is established.
 func (g *Gate) Stood(now time.Duration, t Ticket) {
-	g.tell(now)
-	if x := g.at(t, Owed); x != nil {
-		x.use, x.stood = Standing, g.now
-		g.ledger.move(Owed, Standing)
+	g.setTime(now)
+	if x := g.lookupUse(t, Unanswered); x != nil {
+		x.use, x.establishedAt = Established, g.now
+		g.ledger.move(Unanswered, Established)
 	}
 }
 
-// Answered tells that a terminal got all it will get; its descriptor is yet to be closed. It may be told twice.
+// Answered reports that a client gets nothing more. Its descriptor is not closed yet. It may be called twice.
 func (g *Gate) Answered(now time.Duration, t Ticket) {
-	g.tell(now)
-	if x := g.ticket(t); x != nil {
-		g.answered(t, x)
-		g.ledger.relevel(g)
+	g.setTime(now)
+	if x := g.lookup(t); x != nil {
+		g.finish(t, x)
+		g.ledger.updateLevel(g)
 	}
 }
 
-func (g *Gate) answered(t Ticket, x *ticket) {
+func (g *Gate) finish(t Ticket, x *connection) {
 	switch x.use {
-	case Leaving:
+	case Closing:
 		return
 	case Silent:
-		g.silent.remove(g, t.place())
-	case Owed, Standing:
-		if x.use == Standing {
-			g.remember(x)
+		g.silent.remove(g, t.index())
+	case Unanswered, Established:
+		if x.use == Established {
+			g.promote(x)
 		}
-		g.holds[x.rank][x.tenant]--
-		g.nets.list[x.net].served--
-		if x.rank != Stranger {
-			g.ledger.known--
-			g.known.use(x.key, x.rank, -1)
+		g.requests[x.rank][x.tenant]--
+		g.networks.list[x.network].admitted--
+		if x.rank != Unknown {
+			g.ledger.knownRequests--
+			g.known.addRequests(x.identity, x.rank, -1)
 		}
 	}
-	g.ledger.move(x.use, Leaving)
-	x.use = Leaving
+	g.ledger.move(x.use, Closing)
+	x.use = Closing
 }
 
-// Closed tells that a terminal's descriptor is free again.
+// Closed reports that a client's descriptor is free again.
 func (g *Gate) Closed(now time.Duration, t Ticket) {
-	g.tell(now)
-	x := g.ticket(t)
+	g.setTime(now)
+	x := g.lookup(t)
 	if x == nil {
 		return
 	}
-	g.answered(t, x)
-	g.ledger.move(Leaving, Free)
+	g.finish(t, x)
+	g.ledger.move(Closing, Free)
 	if x.victim {
-		g.leaving--
+		g.openVictims--
 	}
-	g.peers.hold(x.peer, -1)
-	g.nets.hold(x.net, -1)
-	*x = ticket{turn: x.turn}
-	g.free = append(g.free, t.place())
-	g.ledger.relevel(g)
+	g.addresses.addConnections(x.address, -1)
+	g.networks.addConnections(x.network, -1)
+	*x = connection{generation: x.generation}
+	g.freeIndexes = append(g.freeIndexes, t.index())
+	g.ledger.updateLevel(g)
 }
 
-// Exhausted tells that the process was refused a descriptor though the ledger had one: something else holds
-// more than was thought. The limit is cut to what is held, and grows back slowly.
+// Exhausted reports that the process was refused a descriptor although the budget was not used up, because something
+// else uses more descriptors than assumed. The budget is cut to what is in use and grows back slowly.
 func (g *Gate) Exhausted(now time.Duration) {
-	g.tell(now)
+	g.setTime(now)
 	g.Counters.Exhausted++
-	g.ledger.cutBack(g.now)
-	g.makeRoom(true, 0)
-	g.ledger.relevel(g)
+	g.ledger.cutBudget(g.now)
+	g.evictSilent(true, 0)
+	g.ledger.updateLevel(g)
 }
 
-// Refusal counts a refusal that the host had to make without asking, and gives its advice.
+// Refusal counts a refusal that the caller decided by itself, and returns a verdict with its retry time.
 func (g *Gate) Refusal(now time.Duration, r Reason) Verdict {
-	g.tell(now)
+	g.setTime(now)
 	_, v := g.refuse(r)
 	return v
 }
 
-// Tick lets the time pass: clients become known, silent ones are sent off sooner where descriptors are short,
-// the levels fall. It is to be called some times a second at least.
+// Tick does the periodic work: it promotes clients to known ones, forgets clients, closes silent clients early from
+// level Short on, and lets the level fall. It should be called several times a second.
 func (g *Gate) Tick(now time.Duration) {
-	g.tell(now)
-	if g.now-g.swept < sweepEvery {
+	g.setTime(now)
+	if g.now-g.lastTick < minTickInterval {
 		return
 	}
-	g.swept = g.now
-	g.ledger.growBack()
-	g.ledger.relevel(g)
+	g.lastTick = g.now
+	g.ledger.restoreBudget()
+	g.ledger.updateLevel(g)
 	impatient := g.ledger.level >= Short
-	for i := 1; i < len(g.tickets); i++ {
-		switch x := &g.tickets[i]; {
-		case x.use == Standing:
-			g.remember(x)
-		case x.use == Silent && impatient && !x.victim && g.now-x.born >= g.cfg.Address.ShortPatience:
-			g.sendOff(int32(i), Impatience)
+	for i := 1; i < len(g.connections); i++ {
+		switch x := &g.connections[i]; {
+		case x.use == Established:
+			g.promote(x)
+		case x.use == Silent && impatient && !x.victim && g.now-x.acceptedAt >= g.cfg.Address.ShortPatience:
+			g.evict(int32(i), FirstLineTimeout)
 		}
 	}
 	g.Counters.Forgotten += g.known.expire(g.now)
 }
 
-// Victim is a silent terminal that is to be answered BUSY and closed now.
+// Victim is a silent client that the caller must answer with BUSY and close now.
 type Victim struct {
 	Ticket
-	After time.Duration // when it should come again, 0 where there is no advice
+	After time.Duration // time after which it should retry, or 0 for no retry time
 }
 
-// Victims returns those who are to make room; each is returned once. The slice is valid until the next call of
-// the gate.
+// Victims returns the silent clients to close; each is returned once. The slice is valid until the next call of a
+// method of the Gate.
 func (g *Gate) Victims() []Victim {
 	v := g.victims
 	g.victims = g.victims[:0]
 	return v
 }
 
-// remember makes a client known once it has stood for long enough, from its next connection on. Nobody becomes known
-// while it is tight: to stand and wait is then what a flood does. Nor does this connection change its rank: it took
-// a stranger's place, and to count it against the reserve would open the reserve's place to another stranger.
-func (g *Gate) remember(x *ticket) {
-	if g.now-x.stood < g.cfg.Reserve.StandFor || g.ledger.level >= Tight && !g.known.has(x.key) {
+// promote makes a client known, from its next connection on, once its flow has been established for long enough. No
+// client becomes known from level Tight on, because the clients of a flood keep their flows established too. The
+// connection itself keeps its rank: if it counted as a known client's from now on, the free part of the reserve would
+// shrink, and another unknown client could take its place.
+func (g *Gate) promote(x *connection) {
+	if g.now-x.establishedAt < g.cfg.Reserve.StandFor || g.ledger.level >= Tight && !g.known.contains(x.identity) {
 		return
 	}
-	if g.known.stood(x.key, g.nets.list[x.net].key, g.now, x.stood) {
+	if g.known.recordEstablished(x.identity, g.networks.list[x.network].key, g.now, x.establishedAt) {
 		g.Counters.Promoted++
 	}
 }
 
-// makeRoom chooses a silent terminal to be sent off. A newcomer of the address that has the most of them
-// makes room for nobody: it is refused itself.
-func (g *Gate) makeRoom(anybody bool, newcomer int32) bool {
-	i, ok := g.silent.worst(g)
-	if !ok || !anybody && g.tickets[i].peer == newcomer {
+// evictSilent chooses a silent client to close. If the new connection comes from the address that has the most silent
+// clients, none is closed, and the new connection is to be refused. anyAddress lifts this restriction.
+func (g *Gate) evictSilent(anyAddress bool, newAddress int32) bool {
+	i, ok := g.silent.victim(g)
+	if !ok || !anyAddress && g.connections[i].address == newAddress {
 		return false
 	}
-	g.sendOff(i, MadeRoom)
+	g.evict(i, Reclaimed)
 	return true
 }
 
-// makeRoomFor chooses one for a silent terminal whose transaction needs a descriptor more: anybody but itself.
-func (g *Gate) makeRoomFor(i int32) bool {
+// evictSilentFor chooses a silent client to close for another one whose request needs one more descriptor.
+func (g *Gate) evictSilentFor(i int32) bool {
 	g.silent.remove(g, i)
-	ok := g.makeRoom(true, 0)
+	ok := g.evictSilent(true, 0)
 	g.silent.add(g, i)
 	return ok
 }
 
-func (g *Gate) sendOff(i int32, why Reason) {
-	g.Counters.Refused[why]++
-	g.tickets[i].victim = true
-	g.leaving++
+func (g *Gate) evict(i int32, reason Reason) {
+	g.Counters.Refused[reason]++
+	g.connections[i].victim = true
+	g.openVictims++
 	g.silent.remove(g, i)
-	g.victims = append(g.victims, Victim{g.name(i), g.advice()})
+	g.victims = append(g.victims, Victim{g.ticketAt(i), g.retryAfter()})
 }
 
-func (g *Gate) name(i int32) Ticket { return Ticket(g.tickets[i].turn)<<32 | Ticket(uint32(i)) }
+func (g *Gate) ticketAt(i int32) Ticket {
+	return Ticket(g.connections[i].generation)<<32 | Ticket(uint32(i))
+}
 
-func (g *Gate) refuse(why Reason) (Ticket, Verdict) {
-	g.Counters.Refused[why]++
-	return 0, Verdict{Reason: why, After: g.advice()}
+func (g *Gate) refuse(reason Reason) (Ticket, Verdict) {
+	g.Counters.Refused[reason]++
+	return 0, Verdict{Reason: reason, After: g.retryAfter()}
 }
 
-// advice deals out times to come back at the rate that the operator thinks the balancer can bear, so that
-// those refused in one burst don't come again in another. Where the times run out it spreads by chance.
-func (g *Gate) advice() time.Duration {
+// retryAfter returns a retry time. Retries are scheduled at the configured rate, so that clients refused in one burst
+// don't retry in another. Once the schedule is full, retry times are random.
+func (g *Gate) retryAfter() time.Duration {
 	c := &g.cfg.ComeBack
 	if !c.Advise || c.PerSecond <= 0 {
 		return 0
 	}
 	step := time.Duration(float64(time.Second) / c.PerSecond)
 	first, last := g.now+c.Least, g.now+c.Most
-	g.advised = max(g.advised, first) + step
-	if g.advised > last {
-		g.advised = last // the schedule is full: anywhere in its later half
+	g.scheduledUntil = max(g.scheduledUntil, first) + step
+	if g.scheduledUntil > last {
+		g.scheduledUntil = last // the schedule is full: a random time in its later half
 		return c.Least + (c.Most-c.Least)/2 + time.Duration(g.random()%uint64((c.Most-c.Least)/2+1))
 	}
-	return g.advised - g.now + time.Duration(g.random()%uint64(step+1))
+	return g.scheduledUntil - g.now + time.Duration(g.random()%uint64(step+1))
 }
 
-// tell takes the time. It may stand still or go back, which is as if it stood still.
-func (g *Gate) tell(now time.Duration) { g.now = max(g.now, now) }
+// setTime sets the current time. A time before the current one is ignored.
+func (g *Gate) setTime(now time.Duration) { g.now = max(g.now, now) }
 
-func (g *Gate) ticket(t Ticket) *ticket {
-	i := t.place()
-	if i <= 0 || int(i) >= len(g.tickets) || g.tickets[i].use == Free || g.name(i) != t {
+func (g *Gate) lookup(t Ticket) *connection {
+	i := t.index()
+	if i <= 0 || int(i) >= len(g.connections) || g.connections[i].use == Free || g.ticketAt(i) != t {
 		return nil
 	}
-	return &g.tickets[i]
+	return &g.connections[i]
 }
 
-func (g *Gate) at(t Ticket, u Use) *ticket {
-	if x := g.ticket(t); x != nil && x.use == u {
+func (g *Gate) lookupUse(t Ticket, u Use) *connection {
+	if x := g.lookup(t); x != nil && x.use == u {
 		return x
 	}
 	return nil
 }
 
 func (g *Gate) random() uint64 {
-	g.rand += 0x9e3779b97f4a7c15
-	return mix(g.rand, 0xbf58476d1ce4e5b9)
+	g.randomState += 0x9e3779b97f4a7c15
+	return mix(g.randomState, 0xbf58476d1ce4e5b9)
 }
 
-// Report is what an operator may see of the gate.
+// Report is the state of the Gate as operators see it.
 type Report struct {
-	Level       string           `json:"Level"`
-	Descriptors map[string]int   `json:"Descriptors"`
-	Budget      int              `json:"Budget"`
-	Cut         int              `json:"Cut"`
-	Known       int              `json:"Known"`
-	Addresses   int              `json:"Addresses"`
-	Networks    int              `json:"Networks"`
-	Accepted    int64            `json:"Accepted"`
-	Requests    int64            `json:"Requests"`
-	Promoted    int64            `json:"Promoted"`
-	Muted       int64            `json:"Muted"`
-	Exhausted   int64            `json:"Exhausted"`
-	ByKnown     int64            `json:"ByKnown"`
-	ByClaimants int64            `json:"ByClaimants"`
-	Forgotten   int64            `json:"Forgotten"`
-	Evicted     int64            `json:"Evicted"`
-	Turns       int64            `json:"Turns"`
-	Refused     map[string]int64 `json:"Refused"`
-}
-
-// Report sums up.
+	Level        string           `json:"Level"`
+	Descriptors  map[string]int   `json:"Descriptors"`
+	Budget       int              `json:"Budget"`
+	Cut          int              `json:"Cut"`
+	Known        int              `json:"Known"`
+	Addresses    int              `json:"Addresses"`
+	Networks     int              `json:"Networks"`
+	Accepted     int64            `json:"Accepted"`
+	Requests     int64            `json:"Requests"`
+	Promoted     int64            `json:"Promoted"`
+	Muted        int64            `json:"Muted"`
+	Exhausted    int64            `json:"Exhausted"`
+	ByKnown      int64            `json:"ByKnown"`
+	ByClaimants  int64            `json:"ByClaimants"`
+	Forgotten    int64            `json:"Forgotten"`
+	Evicted      int64            `json:"Evicted"`
+	LevelChanges int64            `json:"Turns"`
+	Refused      map[string]int64 `json:"Refused"`
+}
+
+// Report returns the current state and counters.
 func (g *Gate) Report() Report {
 	c := &g.Counters
 	r := Report{Level: g.ledger.level.String(), Descriptors: map[string]int{}, Refused: map[string]int64{},
-		Budget: g.ledger.budget, Cut: g.ledger.cut, Known: len(g.known.index), Addresses: len(g.peers.index),
-		Networks: len(g.nets.index), Accepted: c.Accepted, Requests: c.Requests, Promoted: c.Promoted, Muted: c.Muted,
+		Budget: g.ledger.budget, Cut: g.ledger.cut, Known: len(g.known.index), Addresses: len(g.addresses.index),
+		Networks: len(g.networks.index), Accepted: c.Accepted, Requests: c.Requests, Promoted: c.Promoted, Muted: c.Muted,
 		Exhausted: c.Exhausted, ByKnown: c.ByKnown, ByClaimants: c.ByClaimants, Forgotten: c.Forgotten,
-		Evicted: g.peers.evicted + g.nets.evicted, Turns: c.LevelChanges}
-	for u := Silent; u < uses; u++ {
-		r.Descriptors[u.String()] = g.ledger.held[u]
+		Evicted: g.addresses.evicted + g.networks.evicted, LevelChanges: c.LevelChanges}
+	for u := Silent; u < useCount; u++ {
+		r.Descriptors[u.String()] = g.ledger.inUse[u]
 	}
 	for i, n := range c.Refused {
 		if n > 0 {
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -14,8 +14,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// small is a gate for tests: 100 descriptors' budget, 20 of them for the silent, 80 for 40 transactions.
-func small() Config {
+// testConfig returns a configuration for tests. With testLimit its budget is 100 descriptors: 20 for silent clients and
+// 80 for 40 requests.
+func testConfig() Config {
 	return Config{
 		Address: Address{MaxConnections: 16, MaxSilent: 8, NewPerSecond: 10, Burst: 20, MaxBytes: 16 << 10,
 			ShortPatience: 500 * time.Millisecond, Prefix6: 64, Table: 128},
@@ -29,16 +30,16 @@
 	}
 }
 
-const smallLimit = 100 + slack
+const testLimit = 100 + victimSlack
 
-// TestTranscripts plays testdata/*.txt: commands to a gate, and what it says. Terminals have names; a time in
-// ms stands before a command where time passes.
+// The files in testdata/transcripts contain commands to a gate and its output. Connections have names. Times are in
+// milliseconds.
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/transcripts", func(t *testing.T, path string) {
 		var g *Gate
 		var now time.Duration
 		names, tickets := map[Ticket]string{}, map[string]Ticket{}
-		say := func(b *strings.Builder, v Verdict) {
+		writeVerdict := func(b *strings.Builder, v Verdict) {
 			if v.OK() {
 				b.WriteString(" ok\n")
 			} else {
@@ -48,20 +49,22 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var b strings.Builder
 			if d.Cmd == "gate" {
-				cfg := small()
+				cfg := testConfig()
 				for _, a := range d.CmdArgs {
 					switch a.Key {
 					case "exempt":
 						cfg.Exempt = append(cfg.Exempt, netip.MustParsePrefix(a.Vals[0]))
 					case "identity":
-						cfg.Reserve.Identity = map[string]Identity{"flow": ByFlow, "tenant": ByTenantAndFlow, "address": ByAddress}[a.Vals[0]]
+						cfg.Reserve.Identity = map[string]Identity{
+							"flow": ByFlow, "tenant": ByTenantAndFlow, "address": ByAddress,
+						}[a.Vals[0]]
 					}
 				}
 				var err error
 				if g, err = New(cfg, 1); err != nil {
 					return err.Error()
 				}
-				g.Limit(smallLimit, 0)
+				g.Limit(testLimit, 0)
 				now = time.Second
 				names, tickets = map[Ticket]string{}, map[string]Ticket{}
 				return ""
@@ -94,7 +97,7 @@
 							names[tk], tickets[name] = name, tk
 						}
 						b.WriteString(name)
-						say(&b, v)
+						writeVerdict(&b, v)
 					}
 				case "request", "serve": // NAME KEY TENANT [COUNT]
 					for i := range max(1, num(4)) {
@@ -103,8 +106,8 @@
 							name += strconv.Itoa(i)
 						}
 						v := g.Request(now, tickets[name], who)
-						fmt.Fprintf(&b, "%s %v", name, g.tickets[tickets[name].place()].rank)
-						say(&b, v)
+						fmt.Fprintf(&b, "%s %v", name, g.connections[tickets[name].index()].rank)
+						writeVerdict(&b, v)
 						if v.OK() && f[0] == "serve" {
 							g.Stood(now, tickets[name])
 						} else if !v.OK() {
@@ -115,7 +118,7 @@
 					g.Stood(now, tickets[arg(1)])
 				case "bytes":
 					b.WriteString(arg(1))
-					say(&b, g.Bytes(now, tickets[arg(1)], num(2)))
+					writeVerdict(&b, g.Bytes(now, tickets[arg(1)], num(2)))
 				case "close": // NAME [COUNT]
 					for i := range max(1, num(2)) {
 						name := arg(1)
@@ -132,7 +135,7 @@
 				case "limit":
 					g.Limit(num(1), 0)
 				case "memory":
-					g.Limit(smallLimit, int64(num(1)))
+					g.Limit(testLimit, int64(num(1)))
 				case "exhausted":
 					g.Exhausted(now)
 				case "state":
@@ -142,20 +145,20 @@
 						g.Level(),
 						g.ledger.used(),
 						g.ledger.budget,
-						g.Held(Silent),
+						g.InUse(Silent),
 						len(g.known.index),
 					)
 				default:
 					t.Fatalf("%s: no such command %q", d.Pos, line)
 				}
 			}
-			return merge(b.String())
+			return mergeLines(b.String())
 		})
 	})
 }
 
-// merge shortens runs of lines that differ in their number only.
-func merge(text string) string {
+// mergeLines shortens runs of lines that differ only in their digits.
+func mergeLines(text string) string {
 	var out []string
 	var last string
 	count := 0
@@ -165,18 +168,18 @@
 		}
 	}
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
-		like := strings.Map(func(r rune) rune {
+		pattern := strings.Map(func(r rune) rune {
 			if r >= '0' && r <= '9' {
 				return -1
 			}
 			return r
 		}, line)
-		if like == last && line != "" {
+		if pattern == last && line != "" {
 			count++
 			continue
 		}
 		flush()
-		out, last, count = append(out, line), like, 1
+		out, last, count = append(out, line), pattern, 1
 	}
 	flush()
 	if text == "" {
@@ -185,9 +188,9 @@
 	return strings.Join(out, "\n") + "\n"
 }
 
-// A damaged setting is named by its field.
-func TestConfigNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+// The error for an invalid setting contains the name of its field.
+func TestInvalidSettingIsNamed(t *testing.T) {
+	for field, invalidate := range map[string]func(*Config){
 		"address.max_connections": func(c *Config) { c.Address.MaxConnections = 0 },
 		"address.new_per_second":  func(c *Config) { c.Address.NewPerSecond = 0 },
 		"network.max_share":       func(c *Config) { c.Network.MaxShare = 2 },
@@ -195,64 +198,64 @@
 		"descriptors.short":       func(c *Config) { c.Descriptors.Short = 0.1 },
 		"come_back.most":          func(c *Config) { c.ComeBack.Most = 0 },
 	} {
-		c := small()
-		spoil(&c)
+		c := testConfig()
+		invalidate(&c)
 		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), "admission."+field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
-// Once evicted, an address must not be free of its debt: whoever has more addresses than the table has places
-// could else connect as often as he likes.
-func TestEvictionKeepsDebts(t *testing.T) {
-	cfg := small()
+// An evicted address must keep its debt. Otherwise a client with more addresses than the table has entries could
+// connect at any rate.
+func TestEvictionKeepsDebt(t *testing.T) {
+	cfg := testConfig()
 	cfg.Network.Burst, cfg.Network.NewPerSecond = 1<<30, 1e9
 	g, _ := New(cfg, 1)
 	g.Limit(1<<20, 0)
-	const addresses, rounds = 1000, 40 // the table has 128 places
-	let := 0
+	const addresses, rounds = 1000, 40 // the table starts at 128 entries, and Limit makes it larger
+	admitted := 0
 	for range rounds {
 		for i := range addresses {
 			if tk, v := g.Accept(time.Second, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})); v.OK() {
 				g.Closed(time.Second, tk)
-				let++
+				admitted++
 			}
 		}
 	}
-	if most := addresses * cfg.Address.Burst; let > most || let < most/2 {
-		t.Fatalf("%d let in; %d addresses with bursts of %d", let, addresses, cfg.Address.Burst)
+	if most := addresses * cfg.Address.Burst; admitted > most || admitted < most/2 {
+		t.Fatalf("%d connections admitted from %d addresses with bursts of %d", admitted, addresses, cfg.Address.Burst)
 	}
-	// The error that the sketch states: with 384 debtors in it, 1 of 100 innocents is taken for one.
+	// The documented error of the sketch: with 384 evicted debts, 1 of 100 addresses without a debt is refused.
 	g, _ = New(cfg, 2)
 	g.Limit(1<<20, 0)
-	for i := range 384 { // those still in the table get into the sketch as the innocents come
+	for i := range 384 { // entries still in the table are evicted into the sketch by the following loop
 		for range cfg.Address.Burst {
 			tk, _ := g.Accept(time.Second, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}))
 			g.Closed(time.Second, tk)
 		}
 	}
-	wrong := 0
-	const innocents = 5000
-	for i := range innocents {
+	refused := 0
+	const debtFree = 5000
+	for i := range debtFree {
 		tk, v := g.Accept(time.Second, netip.AddrFrom4([4]byte{11, 1, byte(i >> 8), byte(i)}))
 		if g.Closed(time.Second, tk); !v.OK() {
-			wrong++
+			refused++
 		}
 	}
-	if wrong > innocents*2/100 {
-		t.Fatalf("%d of %d innocents refused", wrong, innocents)
+	if refused > debtFree*2/100 {
+		t.Fatalf("%d of %d addresses without a debt refused", refused, debtFree)
 	}
-	t.Logf("%d of %d innocents refused with 384 debtors in the sketch", wrong, innocents)
+	t.Logf("%d of %d addresses without a debt refused with 384 debts in the sketch", refused, debtFree)
 }
 
-// Strangers who stand once each can't push out clients that have stood again.
-func TestStrangersDontEvictTheTenured(t *testing.T) {
-	cfg := small()
+// Unknown clients that establish one flow each can't evict clients that have established flows repeatedly.
+func TestUnknownClientsDontEvictTenured(t *testing.T) {
+	cfg := testConfig()
 	g, _ := New(cfg, 1)
 	g.Limit(1<<20, 0)
 	now := time.Second
-	stand := func(addr netip.Addr, key string) {
+	establish := func(addr netip.Addr, key string) {
 		tk, _ := g.Accept(now, addr)
 		g.Request(now, tk, Who{Key: key})
 		g.Stood(now, tk)
@@ -262,47 +265,47 @@
 	regular := func(i int) netip.Addr { return netip.AddrFrom4([4]byte{192, 0, byte(i), 1}) }
 	for range 2 {
 		for i := range 30 {
-			stand(regular(i), fmt.Sprint("regular", i))
+			establish(regular(i), fmt.Sprint("regular", i))
 		}
 	}
 	for i := range 150 {
-		stand(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 1}), fmt.Sprint("crowd", i))
+		establish(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 1}), fmt.Sprint("crowd", i))
 	}
 	for i := range 30 {
 		tk, _ := g.Accept(now, regular(i))
 		g.Request(now, tk, Who{Key: fmt.Sprint("regular", i)})
-		if got := g.tickets[tk.place()].rank; got != Known {
-			t.Fatalf("regular %d is a %v", i, got)
+		if got := g.connections[tk.index()].rank; got != Known {
+			t.Fatalf("client %d that returned has rank %v", i, got)
 		}
 	}
 	if n := len(g.known.index); n > cfg.Reserve.Max {
-		t.Fatal(n, "known")
+		t.Fatal(n, "known clients")
 	}
 }
 
-// Those refused in one burst must not all be told the same time.
-func TestAdviceSpreads(t *testing.T) {
-	g, _ := New(small(), 1)
+// Clients refused in one burst must get different retry times.
+func TestRetryTimesAreSpread(t *testing.T) {
+	g, _ := New(testConfig(), 1)
 	g.Limit(0, 0)
 	c := g.cfg.ComeBack
-	var in [10]int
+	var counts [10]int
 	const n = 1000
 	for range n {
 		_, v := g.Accept(time.Second, netip.MustParseAddr("10.0.0.1"))
 		if v.OK() || v.After < c.Least || v.After > c.Most+time.Duration(float64(time.Second)/c.PerSecond) {
 			t.Fatal(v)
 		}
-		in[min(9, v.After*10/c.Most)]++
+		counts[min(9, v.After*10/c.Most)]++
 	}
-	for i := 6; i < 10; i++ { // the schedule holds 18; the rest falls anywhere in the later half
-		if in[i] < n/10 || in[i] > n/3 {
-			t.Fatal(in)
+	for i := 6; i < 10; i++ { // the schedule has 18 slots; the other times are random in its later half
+		if counts[i] < n/10 || counts[i] > n/3 {
+			t.Fatal(counts)
 		}
 	}
 }
 
-func TestRestoreKeepsTheBounds(t *testing.T) {
-	g, _ := New(small(), 1)
+func TestRestoreRespectsLimits(t *testing.T) {
+	g, _ := New(testConfig(), 1)
 	var list []KnownClient
 	for i := range 200 {
 		list = append(
@@ -317,34 +320,34 @@
 	}
 	list = append(list, KnownClient{ID: 999, Net: [2]uint64{9, 9}, Age: time.Hour})
 	n := g.Restore(time.Second, 7, list)
-	if n != 64 || len(g.known.index) != 64 || g.known.counts[1] > 48 {
-		t.Fatal(n, len(g.known.index), g.known.counts)
+	if n != 64 || len(g.known.index) != 64 || g.known.sizes[1] > 48 {
+		t.Fatal(n, len(g.known.index), g.known.sizes)
 	}
-	for net, k := range g.known.byNet {
+	for net, k := range g.known.perNetwork {
 		if int(k) > g.cfg.Reserve.MaxPerNetwork {
 			t.Fatal(net, k)
 		}
 	}
-	seed, back := g.KnownClients()
-	h, _ := New(small(), 2)
-	if seed != 7 || h.Restore(time.Second, seed, back) != n {
-		t.Fatal("what was listed can't be restored")
+	seed, listed := g.KnownClients()
+	h, _ := New(testConfig(), 2)
+	if seed != 7 || h.Restore(time.Second, seed, listed) != n {
+		t.Fatal("the list of known clients can't be restored")
 	}
-	_, again := h.KnownClients()
-	if fmt.Sprint(again) != fmt.Sprint(back) {
-		t.Fatal("restoring changed the list")
+	_, relisted := h.KnownClients()
+	if fmt.Sprint(relisted) != fmt.Sprint(listed) {
+		t.Fatal("the list of known clients changed when it was restored")
 	}
 }
 
 func BenchmarkAdmission(b *testing.B) {
-	cfg := small()
+	cfg := testConfig()
 	cfg.Address.Table, cfg.Network.Table, cfg.Reserve.Max = 8192, 2048, 4096
 	run := func(name string, addr func(i int) netip.Addr, limit int) {
 		b.Run(name, func(b *testing.B) {
 			g, _ := New(cfg, 1)
 			g.Limit(limit, 0)
 			now := time.Second
-			for i := range 20000 { // tables full
+			for i := range 20000 { // fills the tables
 				tk, _ := g.Accept(now, addr(i))
 				g.Closed(now, tk)
 				now += 100 * time.Microsecond
@@ -374,9 +377,9 @@
 	run("no-descriptors", func(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(i >> 4), byte(i), 1}) }, 10)
 }
 
-// BenchmarkMemory fills every table as deploy/edge.cue has them and reports what they hold.
+// BenchmarkMemory fills the tables, with the sizes of deploy/edge.cue, and reports their entries and memory use.
 func BenchmarkMemory(b *testing.B) {
-	cfg := small()
+	cfg := testConfig()
 	cfg.Address.Table, cfg.Network.Table, cfg.Reserve.Max, cfg.Reserve.MaxPerNetwork = 4096, 1024, 4096, 64
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -394,7 +397,7 @@
 				g.Request(now, tk, Who{Key: fmt.Sprint(i)})
 				g.Stood(now, tk)
 				now += cfg.Reserve.StandFor / 100
-				g.tickets[tk.place()].stood = now - cfg.Reserve.StandFor
+				g.connections[tk.index()].establishedAt = now - cfg.Reserve.StandFor
 				g.Closed(now, tk)
 			} else {
 				g.Closed(now, tk)
@@ -404,16 +407,16 @@
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "B-full")
 		b.ReportMetric(float64(len(g.known.index)), "known")
-		b.ReportMetric(float64(len(g.peers.index)), "addresses")
-		b.ReportMetric(float64(len(g.nets.index)), "networks")
+		b.ReportMetric(float64(len(g.addresses.index)), "addresses")
+		b.ReportMetric(float64(len(g.networks.index)), "networks")
 		runtime.KeepAlive(g)
 	}
 }
 
-// Whoever asks for a descriptor more is not itself the one that makes room for it, even where it is the oldest
-// silent one.
-func TestNobodyMakesRoomForItself(t *testing.T) {
-	cfg := small()
+// A client whose request needs one more descriptor is never chosen as the victim itself, even if it is the oldest
+// silent client.
+func TestRequesterIsNotVictim(t *testing.T) {
+	cfg := testConfig()
 	cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20
 	cfg.Reserve.StandFor = time.Millisecond
 	found := false
@@ -424,7 +427,7 @@
 			t.Fatal(err)
 		}
 		g.Limit(20+rng.IntN(20), 0)
-		now, owed := time.Second, map[Ticket]bool{}
+		now, requested := time.Second, map[Ticket]bool{}
 		var all []Ticket
 		for range 200 {
 			now += time.Duration(rng.IntN(200)) * time.Millisecond
@@ -436,8 +439,8 @@
 			case 3, 4:
 				if len(all) > 0 {
 					tk := all[rng.IntN(len(all))]
-					if !owed[tk] && g.Request(now, tk, Who{fmt.Sprint(rng.IntN(10)), "acme"}).OK() {
-						owed[tk] = true
+					if !requested[tk] && g.Request(now, tk, Who{fmt.Sprint(rng.IntN(10)), "acme"}).OK() {
+						requested[tk] = true
 						g.Stood(now, tk)
 					}
 				}
@@ -446,8 +449,8 @@
 			}
 			for _, v := range slices.Clone(g.Victims()) {
 				found = true
-				if owed[v.Ticket] {
-					t.Fatalf("seed %d: a terminal that was picked up is sent off", seed)
+				if requested[v.Ticket] {
+					t.Fatalf("seed %d: a client with an admitted request was chosen as a victim", seed)
 				}
 				g.Closed(now, v.Ticket)
 				all = slices.DeleteFunc(all, func(o Ticket) bool { return o == v.Ticket })
@@ -455,6 +458,6 @@
 		}
 	}
 	if !found {
-		t.Fatal("nobody had to make room")
+		t.Fatal("no client was chosen as a victim")
 	}
 }
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -6,5 +6,5 @@
 	"oatloft/internal/golden"
 )
 
-// Operators' tools read the report by these keys.
-func TestFormOfReport(t *testing.T) { golden.JSON[Report](t, "report.json") }
+// The JSON keys of the report are read by operators' tools.
+func TestReportJSON(t *testing.T) { golden.JSON[Report](t, "report.json") }
--- a/internal/admission/known.go
+++ b/internal/admission/known.go
@@ -8,40 +8,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// record is one known client. In the list it stands in one of two parts, each in the order of its last
-// standing: on probation after its first, tenured once it has stood again at least RememberFor/16 later.
-type record struct {
-	key        uint64
-	net        key
-	first      time.Duration // when it became known
-	last       time.Duration // when it was last seen standing
-	muted      time.Duration
-	using      [2]int32 // transactions at once: by claimants, by itself
-	tenured    bool
-	prev, next int32
+// clientRecord is one known client. It is in one of two segments, each ordered by establishedAt: on probation after its
+// first long established flow, and tenured after another one that began at least RememberFor/16 later.
+type clientRecord struct {
+	key            uint64
+	network        key
+	knownSince     time.Duration // when it became known
+	establishedAt  time.Duration // when it last had an established flow
+	mutedUntil     time.Duration // it counts as unknown until then
+	activeRequests [2]int32      // requests at once: by claimants, by the client itself
+	tenured        bool
+	prev, next     int32
 }
 
-// knownTable remembers clients in two parts. Newcomers evict each other only: who is tenured is evicted by others
-// who are, so a crowd of strangers that stand once, at the price of a descriptor for StandFor each, can't push
-// them out. One network gets MaxPerNetwork places.
+// knownTable holds the known clients, as a segmented LRU cache. New clients evict only clients on probation; a tenured
+// client goes back on probation only when another becomes tenured. So many clients that establish one flow each, at the
+// cost of a descriptor for StandFor, can't evict the tenured ones. One network gets at most MaxPerNetwork records.
 type knownTable struct {
-	cfg    Reserve
-	seed   uint64
-	list   []record
-	index  map[uint64]int32
-	byNet  map[key]int32
-	free   []int32
-	first  [2]int32
-	last   [2]int32
-	counts [2]int
+	cfg        Reserve
+	seed       uint64
+	records    []clientRecord
+	index      map[uint64]int32
+	perNetwork map[key]int32
+	free       []int32
+	head       [2]int32
+	tail       [2]int32
+	sizes      [2]int
 }
 
 func (k *knownTable) init(cfg Reserve, seed uint64) {
 	k.cfg, k.seed = cfg, seed
-	k.list, k.index, k.byNet = make([]record, 1), map[uint64]int32{}, map[key]int32{}
+	k.records, k.index, k.perNetwork = make([]clientRecord, 1), map[uint64]int32{}, map[key]int32{}
 }
 
-// keyOf is a client's identity as a number that outsiders can't choose.
+// keyOf returns a client's identity as a seeded hash, so that clients can't choose its value.
 func (k *knownTable) keyOf(by Identity, who Who, addr key) uint64 {
 	if by == ByAddress {
 		return mix(addr.hi^k.seed, addr.lo)
@@ -56,133 +56,134 @@
 	return d.Sum64()
 }
 
-func (k *knownTable) get(id uint64, now time.Duration) *record {
-	if i, ok := k.index[id]; ok && now-k.list[i].last <= k.cfg.RememberFor {
-		return &k.list[i]
+func (k *knownTable) lookup(id uint64, now time.Duration) *clientRecord {
+	if i, ok := k.index[id]; ok && now-k.records[i].establishedAt <= k.cfg.RememberFor {
+		return &k.records[i]
 	}
 	return nil
 }
 
-func (k *knownTable) has(id uint64) bool { return k.index[id] != 0 }
+func (k *knownTable) contains(id uint64) bool { return k.index[id] != 0 }
 
-// rank says what a client that presents this identity from this network counts as.
-func (k *knownTable) rank(id uint64, net key, now time.Duration) Rank {
-	r := k.get(id, now)
+// rank returns the rank of a client that presents this identity from this network.
+func (k *knownTable) rank(id uint64, network key, now time.Duration) Rank {
+	r := k.lookup(id, now)
 	switch {
-	case r == nil || r.muted > now:
-		return Stranger
-	case r.net != net && int(r.using[0]) < k.cfg.MaxPerClient:
+	case r == nil || r.mutedUntil > now:
+		return Unknown
+	case r.network != network && int(r.activeRequests[0]) < k.cfg.MaxPerClient:
 		return Claimant
-	case r.net == net && int(r.using[1]) < k.cfg.MaxPerClient: // claimants can't use these up
-		return Known
+	case r.network == network && int(r.activeRequests[1]) < k.cfg.MaxPerClient:
+		return Known // counted apart from Claimant, so that claimants can't use up a known client's requests
 	}
-	return Stranger
+	return Unknown
 }
 
-// seenAt tells that a known client was last seen in that network.
-func (k *knownTable) seenAt(net key) bool { return k.byNet[net] > 0 }
+// hasNetwork reports whether the network is that of any known client.
+func (k *knownTable) hasNetwork(network key) bool { return k.perNetwork[network] > 0 }
 
-func (k *knownTable) use(id uint64, as Rank, n int32) {
-	if i, ok := k.index[id]; ok && as != Stranger {
-		u := &k.list[i].using[as-Claimant]
+func (k *knownTable) addRequests(id uint64, as Rank, n int32) {
+	if i, ok := k.index[id]; ok && as != Unknown {
+		u := &k.records[i].activeRequests[as-Claimant]
 		*u = max(0, *u+n)
 	}
 }
 
 func (k *knownTable) mute(id uint64, now time.Duration) {
 	if i, ok := k.index[id]; ok {
-		k.list[i].muted = now + k.cfg.MuteFor
+		k.records[i].mutedUntil = now + k.cfg.MuteFor
 	}
 }
 
-// stood remembers that a client has stood, from since on. It tells whether the client is newly known.
-func (k *knownTable) stood(id uint64, net key, now, since time.Duration) bool {
+// recordEstablished records that a client has an established flow that began at the time since. It reports whether the
+// client became known by this call.
+func (k *knownTable) recordEstablished(id uint64, network key, now, since time.Duration) bool {
 	if i, ok := k.index[id]; ok {
-		r := &k.list[i]
-		again := since > r.first+k.cfg.RememberFor/16
-		if r.net != net && since > r.last {
-			// It has moved: no two networks count as its own, so that a thief's standing is its owner's loss
-			// for as long only as the owner doesn't stand again.
-			if k.byNet[net] < int32(k.cfg.MaxPerNetwork) {
-				k.leave(r.net)
-				k.byNet[net]++
-				r.net = net
+		r := &k.records[i]
+		again := since > r.knownSince+k.cfg.RememberFor/16
+		if r.network != network && since > r.establishedAt {
+			// The client changed its network. Only one network counts as its own, so if another client uses its key, the
+			// client loses its rank only until it establishes a flow again.
+			if k.perNetwork[network] < int32(k.cfg.MaxPerNetwork) {
+				k.releaseNetwork(r.network)
+				k.perNetwork[network]++
+				r.network = network
 			}
 		}
-		r.last = now
+		r.establishedAt = now
 		k.unlink(i)
 		if again && !r.tenured {
-			k.makeRoomForTenure()
+			k.limitTenured()
 			r.tenured = true
 		}
 		k.link(i)
 		return false
 	}
-	if k.byNet[net] >= int32(k.cfg.MaxPerNetwork) {
+	if k.perNetwork[network] >= int32(k.cfg.MaxPerNetwork) {
 		return false
 	}
 	if len(k.index) >= k.cfg.Max {
-		if k.first[0] == 0 {
+		if k.head[0] == 0 {
 			return false
 		}
-		k.drop(k.first[0])
+		k.remove(k.head[0])
 	}
-	k.add(record{key: id, net: net, first: now, last: now})
+	k.add(clientRecord{key: id, network: network, knownSince: now, establishedAt: now})
 	return true
 }
 
-// makeRoomForTenure keeps a quarter of the places for those on probation: the tenured client that has been unseen
-// longest goes back on probation.
-func (k *knownTable) makeRoomForTenure() {
-	if k.counts[1] < k.cfg.Max-k.cfg.Max/4 {
+// limitTenured keeps a quarter of the records for clients on probation. If the tenured segment is full, its least
+// recently established client goes back on probation.
+func (k *knownTable) limitTenured() {
+	if k.sizes[1] < k.cfg.Max-k.cfg.Max/4 {
 		return
 	}
-	i := k.first[1]
+	i := k.head[1]
 	k.unlink(i)
-	k.list[i].tenured = false
+	k.records[i].tenured = false
 	k.link(i)
 }
 
-func (k *knownTable) add(r record) {
+func (k *knownTable) add(r clientRecord) {
 	var i int32
 	if n := len(k.free); n > 0 {
 		i, k.free = k.free[n-1], k.free[:n-1]
-		k.list[i] = r
+		k.records[i] = r
 	} else {
-		i = int32(len(k.list))
-		k.list = append(k.list, r)
+		i = int32(len(k.records))
+		k.records = append(k.records, r)
 	}
 	k.index[r.key] = i
-	k.byNet[r.net]++
+	k.perNetwork[r.network]++
 	k.link(i)
 }
 
-func (k *knownTable) leave(net key) {
-	if k.byNet[net]--; k.byNet[net] <= 0 {
-		delete(k.byNet, net)
+func (k *knownTable) releaseNetwork(network key) {
+	if k.perNetwork[network]--; k.perNetwork[network] <= 0 {
+		delete(k.perNetwork, network)
 	}
 }
 
-func (k *knownTable) drop(i int32) {
+func (k *knownTable) remove(i int32) {
 	k.unlink(i)
-	delete(k.index, k.list[i].key)
-	k.leave(k.list[i].net)
-	k.list[i] = record{}
+	delete(k.index, k.records[i].key)
+	k.releaseNetwork(k.records[i].network)
+	k.records[i] = clientRecord{}
 	k.free = append(k.free, i)
 }
 
-// expire forgets who was not seen for too long.
+// expire removes clients that have had no established flow for RememberFor, and returns how many.
 func (k *knownTable) expire(now time.Duration) (n int64) {
-	for part := range k.first {
-		for i := k.first[part]; i != 0 && now-k.list[i].last > k.cfg.RememberFor; i = k.first[part] {
-			k.drop(i)
+	for segment := range k.head {
+		for i := k.head[segment]; i != 0 && now-k.records[i].establishedAt > k.cfg.RememberFor; i = k.head[segment] {
+			k.remove(i)
 			n++
 		}
 	}
 	return n
 }
 
-func part(r *record) int {
+func segment(r *clientRecord) int {
 	if r.tenured {
 		return 1
 	}
@@ -190,35 +191,35 @@
 }
 
 func (k *knownTable) link(i int32) {
-	r := &k.list[i]
-	p := part(r)
-	r.prev, r.next = k.last[p], 0
+	r := &k.records[i]
+	s := segment(r)
+	r.prev, r.next = k.tail[s], 0
 	if r.prev != 0 {
-		k.list[r.prev].next = i
+		k.records[r.prev].next = i
 	} else {
-		k.first[p] = i
+		k.head[s] = i
 	}
-	k.last[p] = i
-	k.counts[p]++
+	k.tail[s] = i
+	k.sizes[s]++
 }
 
 func (k *knownTable) unlink(i int32) {
-	r := &k.list[i]
-	p := part(r)
+	r := &k.records[i]
+	s := segment(r)
 	if r.prev != 0 {
-		k.list[r.prev].next = r.next
+		k.records[r.prev].next = r.next
 	} else {
-		k.first[p] = r.next
+		k.head[s] = r.next
 	}
 	if r.next != 0 {
-		k.list[r.next].prev = r.prev
+		k.records[r.next].prev = r.prev
 	} else {
-		k.last[p] = r.prev
+		k.tail[s] = r.prev
 	}
-	k.counts[p]--
+	k.sizes[s]--
 }
 
-// KnownClient is one known client in a form that may be kept. Age is how long ago it was last seen standing.
+// KnownClient is one known client in a form for storage. Age is the time since its last established flow.
 type KnownClient struct {
 	ID      uint64
 	Net     [2]uint64
@@ -226,47 +227,49 @@
 	Tenured bool
 }
 
-// KnownClients lists who is known, the longest unseen first, and the seed that the identities hang on.
+// KnownClients returns the known clients, the least recently established first, and the seed that their IDs depend on.
 func (g *Gate) KnownClients() (seed uint64, list []KnownClient) {
 	k := &g.known
-	for p := range k.first {
-		for i := k.first[p]; i != 0; i = k.list[i].next {
-			r := &k.list[i]
-			list = append(list, KnownClient{r.key, [2]uint64{r.net.hi, r.net.lo}, g.now - r.last, r.tenured})
+	for s := range k.head {
+		for i := k.head[s]; i != 0; i = k.records[i].next {
+			r := &k.records[i]
+			list = append(list, KnownClient{r.key, [2]uint64{r.network.hi, r.network.lo}, g.now - r.establishedAt, r.tenured})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b KnownClient) int { return cmp.Compare(b.Age, a.Age) })
 	return k.seed, list
 }
 
-// Restore takes up what KnownClients listed, before the first connection. It keeps to the bounds of the
-// settings, the most lately seen first, and returns how many it took.
+// Restore loads a list returned by KnownClients, and returns how many clients it loaded. It loads none once a
+// connection has been accepted or a client is known. Within the limits of the settings, the most recently established
+// clients are preferred.
 func (g *Gate) Restore(now time.Duration, seed uint64, list []KnownClient) int {
-	g.tell(now)
+	g.setTime(now)
 	k := &g.known
-	if len(g.tickets) > 1 || len(k.index) > 0 {
+	if len(g.connections) > 1 || len(k.index) > 0 {
 		return 0
 	}
 	k.seed = seed
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(a, b KnownClient) int { return cmp.Compare(a.Age, b.Age) })
 	keep := list[:0]
-	nets, tenured := map[key]int{}, 0
+	perNetwork, tenured := map[key]int{}, 0
 	for _, c := range list {
-		net := key{c.Net[0], c.Net[1]}
-		if c.Age < 0 || c.Age > k.cfg.RememberFor || len(keep) >= k.cfg.Max || nets[net] >= k.cfg.MaxPerNetwork ||
+		network := key{c.Net[0], c.Net[1]}
+		if c.Age < 0 || c.Age > k.cfg.RememberFor || len(keep) >= k.cfg.Max || perNetwork[network] >= k.cfg.MaxPerNetwork ||
 			k.index[c.ID] != 0 {
 			continue
 		}
 		if c.Tenured = c.Tenured && tenured < k.cfg.Max-k.cfg.Max/4; c.Tenured {
 			tenured++
 		}
-		nets[net]++
-		k.index[c.ID] = -1 // seen; add sets it
+		perNetwork[network]++
+		k.index[c.ID] = -1 // marks duplicates; add sets the index
 		keep = append(keep, c)
 	}
 	for _, c := range slices.Backward(keep) {
-		k.add(record{key: c.ID, net: key{c.Net[0], c.Net[1]}, first: g.now - c.Age, last: g.now - c.Age, tenured: c.Tenured})
+		k.add(clientRecord{key: c.ID, network: key{c.Net[0], c.Net[1]}, knownSince: g.now - c.Age,
+			establishedAt: g.now - c.Age, tenured: c.Tenured})
 	}
 	return len(keep)
 }
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -2,139 +2,142 @@
 
 import "time"
 
-// ledger keeps what is held, by use. Its budget is what the terminals and their routed tasks may hold
-// together: the process's limit less its own overhead, the host's fixed uses, the slack, and what exhaustion cut off.
+// ledger accounts for the descriptors and memory in use. Its budget is the number of descriptors that clients and their
+// attempts may use together: the process's limit minus the overhead, the caller's fixed uses, victimSlack, and the cut
+// made after descriptors ran out.
 type ledger struct {
-	cfg          Descriptors
-	memory       Memory
-	reserve      float64
-	limit        int
-	memLimit     int64
-	memUsed      int64
-	held         [uses]int
-	known        int // transactions that count against the reserve
-	budget       int
-	silentPart   int // of the budget, for those who have not said what they want
-	transactions int // of the budget, for the rest
-	cut          int
-	cutAt        time.Duration
-	level        Level
+	cfg           Descriptors
+	memory        Memory
+	knownShare    float64
+	limit         int
+	memoryLimit   int64 // bytes; 0 for no limit
+	memoryUsed    int64 // bytes, as measured
+	inUse         [useCount]int
+	knownRequests int // requests that count against the reserve
+	budget        int
+	silentBudget  int // of the budget, for silent clients
+	requestBudget int // of the budget, for requests
+	cut           int // descriptors taken off the budget
+	cutAt         time.Duration
+	level         Level
 }
 
-// settle divides the budget anew.
-func (l *ledger) settle() {
-	l.budget = max(0, l.limit-l.cfg.Overhead-l.held[Probe]-l.held[Discovery]-l.held[Spare]-slack-l.cut)
-	l.silentPart = max(min(8, l.budget/2), int(float64(l.budget)*l.cfg.SilentShare))
-	l.transactions = l.budget - l.silentPart
+// recompute recomputes the budget and its parts.
+func (l *ledger) recompute() {
+	l.budget = max(0, l.limit-l.cfg.Overhead-l.inUse[Probe]-l.inUse[Discovery]-l.inUse[Spare]-victimSlack-l.cut)
+	l.silentBudget = max(min(8, l.budget/2), int(float64(l.budget)*l.cfg.SilentShare))
+	l.requestBudget = l.budget - l.silentBudget
 }
 
 func (l *ledger) move(from, to Use) {
 	if from != Free {
-		l.held[from]--
+		l.inUse[from]--
 	}
 	if to != Free {
-		l.held[to]++
+		l.inUse[to]++
 	}
 }
 
-// used is what the terminals and their routed tasks hold or have set aside.
+// used returns how many descriptors clients and their attempts use or have reserved.
 func (l *ledger) used() int {
 	n := 0
-	for u := Silent; u <= Leaving; u++ {
-		n += l.held[u] * weight[u]
+	for u := Silent; u <= Closing; u++ {
+		n += l.inUse[u] * descriptorsPerUse[u]
 	}
 	return n
 }
 
-// over tells that n more don't fit.
-func (l *ledger) over(n int) bool { return l.used()+n > l.budget }
+// exceeds reports whether n more descriptors would exceed the budget.
+func (l *ledger) exceeds(n int) bool { return l.used()+n > l.budget }
 
-// mayBeSilent tells whether another terminal may come in. Those who have said nothing may use what nobody else
-// needs, but no transaction's last descriptors; the last of their own part is for networks of known clients.
-func (l *ledger) mayBeSilent(known bool) bool {
-	if l.over(1) {
+// mayAccept reports whether another silent client may be accepted. Silent clients may use free descriptors of the
+// requests' part, but not its last ones. The last quarter of their own part is for networks of known clients.
+func (l *ledger) mayAccept(known bool) bool {
+	if l.exceeds(1) {
 		return false
 	}
-	if known || l.held[Silent] < l.silentPart-l.silentPart/4 {
+	if known || l.inUse[Silent] < l.silentBudget-l.silentBudget/4 {
 		return true
 	}
-	return l.budget-l.used() > l.silentPart/2
+	return l.budget-l.used() > l.silentBudget/2
 }
 
-// mayTake tells whether a transaction of that rank has its two descriptors, one of which it holds already.
-func (l *ledger) mayTake(r Rank) bool {
-	left := l.transactions - 2*(l.held[Owed]+l.held[Standing])
-	kept := max(0, int(l.reserve*float64(l.transactions))-2*l.known)
+// mayAdmit reports whether two descriptors are left for a request of that rank. One of them is in use by its client.
+func (l *ledger) mayAdmit(r Rank) bool {
+	available := l.requestBudget - 2*(l.inUse[Unanswered]+l.inUse[Established])
+	reserved := max(0, int(l.knownShare*float64(l.requestBudget))-2*l.knownRequests)
 	switch r {
 	case Known:
-		kept = 0
+		reserved = 0
 	case Claimant:
-		kept /= 2
+		reserved /= 2
 	}
-	return left >= 2+kept
+	return available >= 2+reserved
 }
 
-// planned is the memory that all uses may come to need, in bytes.
-func (l *ledger) planned() int64 {
+// plannedMemory returns the memory that all current uses may need, in bytes.
+func (l *ledger) plannedMemory() int64 {
 	return l.memory.Base + int64(
-		l.held[Silent]+l.held[Leaving],
+		l.inUse[Silent]+l.inUse[Closing],
 	)*l.memory.Silent + int64(
-		l.held[Owed]+l.held[Standing],
+		l.inUse[Unanswered]+l.inUse[Established],
 	)*l.memory.Transaction
 }
 
-// memoryShort tells that another transaction's memory can't be set aside.
-func (l *ledger) memoryShort() bool {
-	return l.memLimit > 0 && float64(l.planned()+l.memory.Transaction) > l.memory.MaxShare*float64(l.memLimit)
+// memoryScarce reports whether the memory for another request can't be reserved.
+func (l *ledger) memoryScarce() bool {
+	return l.memoryLimit > 0 && float64(l.plannedMemory()+l.memory.Transaction) > l.memory.MaxShare*float64(l.memoryLimit)
 }
 
-// outOfMemory tells that the process really holds more than it should.
+// outOfMemory reports whether the measured memory use exceeds its limit.
 func (l *ledger) outOfMemory() bool {
-	return l.memLimit > 0 && float64(l.memUsed) > l.memory.MaxShare*float64(l.memLimit)
+	return l.memoryLimit > 0 && float64(l.memoryUsed) > l.memory.MaxShare*float64(l.memoryLimit)
 }
 
-// cutBack lowers the budget to what is held, since the process has no more.
-func (l *ledger) cutBack(now time.Duration) {
-	if l.cutAt != 0 && now-l.cutAt < cutFor {
+// cutBudget lowers the budget to two descriptors less than are in use, because the process got no more. It does so at
+// most once per minCutInterval.
+func (l *ledger) cutBudget(now time.Duration) {
+	if l.cutAt != 0 && now-l.cutAt < minCutInterval {
 		return
 	}
 	l.cutAt = now
 	l.cut += max(0, l.budget-l.used()) + 2
-	l.settle()
+	l.recompute()
 }
 
-// growBack gives a part of what was cut off back, at each sweep.
-func (l *ledger) growBack() {
+// restoreBudget returns 1/16 of the cut to the budget, and at least one descriptor. Tick calls it.
+func (l *ledger) restoreBudget() {
 	if l.cut > 0 {
 		l.cut -= max(1, l.cut/16)
-		l.settle()
+		l.recompute()
 	}
 }
 
-// fill is how much of the budget is held, 1 for all of it.
-func (l *ledger) fill() float64 {
+// utilization returns the share of the budget that is in use, 1 for all of it. It is the maximum of the shares of all
+// descriptors, of the descriptors for requests, and of the memory.
+func (l *ledger) utilization() float64 {
 	if l.budget <= 0 {
 		return 1
 	}
-	f := float64(l.used()) / float64(l.budget)
-	if l.transactions > 0 {
-		f = max(f, float64(2*(l.held[Owed]+l.held[Standing]))/float64(l.transactions))
+	share := float64(l.used()) / float64(l.budget)
+	if l.requestBudget > 0 {
+		share = max(share, float64(2*(l.inUse[Unanswered]+l.inUse[Established]))/float64(l.requestBudget))
 	}
-	if l.memLimit > 0 {
-		f = max(f, float64(max(l.memUsed, l.planned()))/(l.memory.MaxShare*float64(l.memLimit)))
+	if l.memoryLimit > 0 {
+		share = max(share, float64(max(l.memoryUsed, l.plannedMemory()))/(l.memory.MaxShare*float64(l.memoryLimit)))
 	}
-	return f
+	return share
 }
 
-// relevel lets the level rise at once and fall with hysteresis, one step a call.
-func (l *ledger) relevel(g *Gate) {
-	f := l.fill()
-	up, down := Calm, l.level
-	for i, at := range [...]float64{l.cfg.Tight, l.cfg.Short, l.cfg.Full} {
-		if f >= at {
+// updateLevel raises the level at once, and lowers it with hysteresis by one step per call.
+func (l *ledger) updateLevel(g *Gate) {
+	share := l.utilization()
+	up, down := Normal, l.level
+	for i, threshold := range [...]float64{l.cfg.Tight, l.cfg.Short, l.cfg.Full} {
+		if share >= threshold {
 			up = Level(i + 1)
 		}
-		if l.level == Level(i+1) && f < at-l.cfg.Hysteresis {
+		if l.level == Level(i+1) && share < threshold-l.cfg.Hysteresis {
 			down = Level(i)
 		}
 	}
--- a/internal/admission/reference_test.go
+++ b/internal/admission/reference_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// reference is the caps and the ledger written the slow way: a list of what there is, counted anew for every
-// question, and the rate as a list of payments that leaks. It knows nothing of levels, victims and known clients.
+// reference is a simple model of the caps and the ledger: it counts a list of connections for every query, and limits
+// the rate by a leaky bucket. It doesn't model levels, victims and known clients.
 type reference struct {
-	cfg   Config
-	list  map[Ticket]*refTicket
-	level map[netip.Addr]time.Duration // debt, as a bucket that leaks
-	at    map[netip.Addr]time.Duration
+	cfg         Config
+	connections map[Ticket]*refConnection
+	debt        map[netip.Addr]time.Duration // fill of the leaky bucket
+	updatedAt   map[netip.Addr]time.Duration // last update of the bucket
 }
 
-type refTicket struct {
+type refConnection struct {
 	addr netip.Addr
 	use  Use
 }
 
 func (r *reference) count(addr netip.Addr, use Use) (n int) {
-	for _, t := range r.list {
+	for _, t := range r.connections {
 		if (addr == netip.Addr{} || t.addr == addr) && (use == Free || t.use == use) {
 			n++
 		}
@@ -33,41 +33,41 @@
 }
 
 func (r *reference) used() (n int) {
-	for _, t := range r.list {
+	for _, t := range r.connections {
 		n++
-		if t.use == Owed || t.use == Standing {
+		if t.use == Unanswered || t.use == Established {
 			n++
 		}
 	}
 	return n
 }
 
-// pay tells whether the address's rate allows another connection.
-func (r *reference) pay(addr netip.Addr, now time.Duration) bool {
+// allow reports whether the address's rate allows another connection, and counts it if so.
+func (r *reference) allow(addr netip.Addr, now time.Duration) bool {
 	step := time.Duration(float64(time.Second) / r.cfg.Address.NewPerSecond)
-	level := max(0, r.level[addr]-(now-r.at[addr]))
-	r.at[addr] = now
-	if r.level[addr] = level; level+step > step*time.Duration(r.cfg.Address.Burst) {
+	level := max(0, r.debt[addr]-(now-r.updatedAt[addr]))
+	r.updatedAt[addr] = now
+	if r.debt[addr] = level; level+step > step*time.Duration(r.cfg.Address.Burst) {
 		return false
 	}
-	r.level[addr] += step
+	r.debt[addr] += step
 	return true
 }
 
-// charge adds three connections' worth, as far as there is room.
+// charge adds three connections to the address's bucket, up to the burst.
 func (r *reference) charge(addr netip.Addr, now time.Duration) {
 	step := time.Duration(float64(time.Second) / r.cfg.Address.NewPerSecond)
-	level := max(0, r.level[addr]-(now-r.at[addr]))
-	r.at[addr] = now
-	r.level[addr] = max(level, min(level+3*step, step*time.Duration(r.cfg.Address.Burst)))
+	level := max(0, r.debt[addr]-(now-r.updatedAt[addr]))
+	r.updatedAt[addr] = now
+	r.debt[addr] = max(level, min(level+3*step, step*time.Duration(r.cfg.Address.Burst)))
 }
 
-// Whatever happens, the gate keeps an address's caps exactly as the reference does, its ledger's sums are right,
-// and it never holds more than the budget and the slack.
-func TestAgainstReference(t *testing.T) {
+// With random operations, the gate applies an address's caps exactly as the reference does, its ledger's sums are
+// correct, and no more descriptors are in use than the budget and victimSlack.
+func TestGateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := small()
-		cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20 // the reference has no networks
+		cfg := testConfig()
+		cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20 // the reference doesn't model networks
 		cfg.Reserve.StandFor = time.Duration(rapid.IntRange(1, 4000).Draw(t, "stand")) * time.Millisecond
 		limit := rapid.IntRange(20, 300).Draw(t, "limit")
 		g, err := New(cfg, rapid.Uint64().Draw(t, "seed"))
@@ -76,10 +76,10 @@
 		}
 		g.Limit(limit, 0)
 		ref := &reference{
-			cfg:   cfg,
-			list:  map[Ticket]*refTicket{},
-			level: map[netip.Addr]time.Duration{},
-			at:    map[netip.Addr]time.Duration{},
+			cfg:         cfg,
+			connections: map[Ticket]*refConnection{},
+			debt:        map[netip.Addr]time.Duration{},
+			updatedAt:   map[netip.Addr]time.Duration{},
 		}
 		now := time.Second
 		var order []Ticket
@@ -89,9 +89,9 @@
 			}
 			return order[rapid.IntRange(0, len(order)-1).Draw(t, "which")]
 		}
-		end := func(tk Ticket) {
+		closeTicket := func(tk Ticket) {
 			g.Closed(now, tk)
-			delete(ref.list, tk)
+			delete(ref.connections, tk)
 			for i, o := range order {
 				if o == tk {
 					order = append(order[:i], order[i+1:]...)
@@ -107,8 +107,8 @@
 				)
 				for range rapid.IntRange(1, 12).Draw(t, "burst") {
 					want := Admitted
-					switch { // in the gate's order
-					case !ref.pay(addr, now):
+					switch { // in the order in which the gate checks
+					case !ref.allow(addr, now):
 						want = AddressRate
 					case ref.count(addr, Free) >= cfg.Address.MaxConnections:
 						want = AddressConnections
@@ -117,40 +117,41 @@
 					}
 					tk, v := g.Accept(now, addr)
 					if v.Reason != want && !(want == Admitted && v.Reason == NoDescriptor) {
-						t.Fatalf("%v: %v, the reference says %v", addr, v.Reason, want)
+						t.Fatalf("%v: %v, but the reference returns %v", addr, v.Reason, want)
 					}
 					if v.Reason == NoDescriptor && ref.used()+cfg.Address.MaxSilent < g.ledger.budget/3 {
-						t.Fatalf("refused with %d of %d held", ref.used(), g.ledger.budget)
+						t.Fatalf("refused with %d of %d descriptors in use", ref.used(), g.ledger.budget)
 					}
 					if v.OK() {
-						ref.list[tk] = &refTicket{addr: addr, use: Silent}
+						ref.connections[tk] = &refConnection{addr: addr, use: Silent}
 						order = append(order, tk)
 					}
 				}
 			case 3, 4, 5:
-				if tk := pick(); tk != 0 && ref.list[tk].use == Silent {
+				if tk := pick(); tk != 0 && ref.connections[tk].use == Silent {
 					v := g.Request(now, tk, Who{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key")), "acme"})
-					if ref.list[tk].use = Owed; !v.OK() {
-						ref.list[tk].use = Silent
-						if addr := ref.list[tk].addr; v.Reason != NoDescriptor && v.Reason != NoMemory && g.ticket(tk).rank != Known {
+					if ref.connections[tk].use = Unanswered; !v.OK() {
+						ref.connections[tk].use = Silent
+						if addr := ref.connections[tk].addr; v.Reason != NoDescriptor && v.Reason != NoMemory &&
+							g.lookup(tk).rank != Known {
 							ref.charge(addr, now)
 						}
-						end(tk)
+						closeTicket(tk)
 					}
 				}
 			case 6:
-				if tk := pick(); tk != 0 && ref.list[tk].use == Owed {
+				if tk := pick(); tk != 0 && ref.connections[tk].use == Unanswered {
 					g.Stood(now, tk)
-					ref.list[tk].use = Standing
+					ref.connections[tk].use = Established
 				}
 			case 7:
 				if tk := pick(); tk != 0 {
 					g.Answered(now, tk)
-					ref.list[tk].use = Leaving
+					ref.connections[tk].use = Closing
 				}
 			case 8:
 				if tk := pick(); tk != 0 {
-					end(tk)
+					closeTicket(tk)
 				}
 			case 9:
 				now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
@@ -158,70 +159,71 @@
 			}
 			for _, victim := range append([]Victim(nil), g.Victims()...) {
 				tk := victim.Ticket
-				if ref.list[tk].use != Silent {
-					t.Fatalf("a terminal that is %v was sent off", ref.list[tk].use)
+				if ref.connections[tk].use != Silent {
+					t.Fatalf("a client in use %v was chosen as a victim", ref.connections[tk].use)
 				}
-				end(tk)
+				closeTicket(tk)
 			}
 			if g.ledger.used() != ref.used() {
-				t.Fatalf("held %d, the reference says %d", g.ledger.used(), ref.used())
+				t.Fatalf("%d descriptors in use, but %d by the reference", g.ledger.used(), ref.used())
 			}
-			if ref.used() > max(0, g.ledger.budget)+slack {
-				t.Fatalf("%d held, of %d", ref.used(), g.ledger.budget)
+			if ref.used() > max(0, g.ledger.budget)+victimSlack {
+				t.Fatalf("%d descriptors in use with a budget of %d", ref.used(), g.ledger.budget)
 			}
-			for _, u := range []Use{Silent, Owed, Standing, Leaving} {
-				if g.Held(u) != ref.count(netip.Addr{}, u) {
-					t.Fatalf("%v: %d, the reference says %d", u, g.Held(u), ref.count(netip.Addr{}, u))
+			for _, u := range []Use{Silent, Unanswered, Established, Closing} {
+				if g.InUse(u) != ref.count(netip.Addr{}, u) {
+					t.Fatalf("%v: %d in use, but %d by the reference", u, g.InUse(u), ref.count(netip.Addr{}, u))
 				}
 			}
-			for i := range g.peers.list[1:] {
-				e := &g.peers.list[i+1]
-				if e.bytes != 0 || e.rank != min(e.silent, crowdMost) {
+			for i := range g.addresses.list[1:] {
+				e := &g.addresses.list[i+1]
+				if e.bytes != 0 || e.rank != min(e.silent, maxSilentRank) {
 					t.Fatalf("entry %+v", *e)
 				}
 			}
 		}
 		for len(order) > 0 {
-			end(order[0])
+			closeTicket(order[0])
 		}
-		if g.ledger.used() != 0 || g.ledger.known != 0 {
-			t.Fatalf("%d held, %d of known clients, with nobody there", g.ledger.used(), g.ledger.known)
+		if g.ledger.used() != 0 || g.ledger.knownRequests != 0 {
+			t.Fatalf("%d descriptors in use and %d known clients' requests without any connection",
+				g.ledger.used(), g.ledger.knownRequests)
 		}
-		if want := make([]int, 3); fmt.Sprint(g.holds) != fmt.Sprint([3][]int{want, want, want}) {
-			t.Fatalf("tenants hold %v", g.holds)
+		if want := make([]int, 3); fmt.Sprint(g.requests) != fmt.Sprint([3][]int{want, want, want}) {
+			t.Fatalf("requests of tenants without any connection: %v", g.requests)
 		}
 	})
 }
 
-// A small table admits no more of any address than one that remembers all, whatever the order, and a pinned
-// entry keeps its counts.
-func TestSmallTableIsNoWayRound(t *testing.T) {
+// With a small table, no address gets more connections admitted than with a table that never evicts, in any order of
+// connections.
+func TestSmallTableAdmitsNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := small()
+		cfg := testConfig()
 		cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20
 		large := cfg
 		large.Address.Table = 1 << 14
 		seed := rapid.Uint64().Draw(t, "seed")
 		tight, _ := New(cfg, seed)
 		wide, _ := New(large, seed)
-		tight.Limit(40, 0) // 128 places
+		tight.Limit(40, 0) // the table keeps its 128 entries
 		wide.Limit(1<<15, 0)
 		now := time.Second
-		let := map[netip.Addr][2]int{}
+		admitted := map[netip.Addr][2]int{}
 		for range rapid.IntRange(10, 60).Draw(t, "rounds") {
 			first, n := rapid.IntRange(0, 400).Draw(t, "first"), rapid.IntRange(1, 300).Draw(t, "n")
 			for i := range n {
 				addr := netip.AddrFrom4([4]byte{10, 1, byte((first + i) >> 8), byte(first + i)})
-				c := let[addr]
+				c := admitted[addr]
 				for k, g := range []*Gate{tight, wide} {
 					if tk, v := g.Accept(now, addr); v.OK() {
 						g.Closed(now, tk)
 						c[k]++
 					}
 				}
-				let[addr] = c
+				admitted[addr] = c
 				if c[0] > c[1] {
-					t.Fatalf("%v: %d let in, %d by the gate that remembers all", addr, c[0], c[1])
+					t.Fatalf("%v: %d admitted, but %d without eviction", addr, c[0], c[1])
 				}
 			}
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// key is an address or a network. IPv4 stands in its IPv6-mapped form, so the two never meet.
+// key is an address or a network. IPv4 is in its IPv6-mapped form, so that it can't collide with IPv6.
 type key struct{ hi, lo uint64 }
 
 func keyOf(a netip.Addr, prefix int) key {
@@ -22,67 +22,67 @@
 	return key{k.hi, k.lo &^ (1<<(128-prefix) - 1)}
 }
 
-// mix hashes two words; with an unknown seed in one of them nobody can aim at a cell from outside.
+// mix hashes two words. One of them contains a secret seed, so that clients can't choose the cell they hash to.
 func mix(a, b uint64) uint64 {
 	hi, lo := bits.Mul64(a^0xa0761d6478bd642f, b^0xe7037ed1a0b428db)
 	hi2, lo2 := bits.Mul64(hi^lo, 0x8ebc6af09c88c6e3)
 	return hi2 ^ lo2
 }
 
-// entry is what is remembered of one address or network. Its rate is kept by the virtual scheduling of
-// GCRA: debt is the time up to which its connections so far have been paid for.
+// entry is the state of one address or network. Its rate is limited by the virtual scheduling algorithm of GCRA: debt
+// is the theoretical arrival time of its next connection.
 type entry struct {
-	key        key
-	debt       time.Duration // absolute
-	struck     time.Duration // absolute; refusals for rate in the same form
-	held       int32         // connections; an entry that holds any is pinned
-	silent     int32
-	served     int32 // transactions
-	bytes      int
-	prev, next int32 // of those that hold none, the longest unused first
-	head, tail int32 // of its silent tickets
-	crowdPrev  int32
-	crowdNext  int32
-	rank       int32 // in crowd
+	key             key
+	debt            time.Duration // time since the start
+	strikeDebt      time.Duration // the same for refusals because of the rate
+	openConnections int32         // open connections; an entry that has any is pinned
+	silent          int32         // silent connections
+	admitted        int32         // admitted requests
+	bytes           int           // received from the silent connections
+	prev, next      int32         // entries without connections, least recently used first
+	head, tail      int32         // silent connections of the address, oldest first
+	rankPrev        int32
+	rankNext        int32
+	rank            int32 // in silentByAddress; 0 if not listed there
 }
 
-func (e *entry) strike(now time.Duration, rate float64) {
-	e.struck = max(e.struck, now) + perItem(rate)
+func (e *entry) addStrike(now time.Duration, rate float64) {
+	e.strikeDebt = max(e.strikeDebt, now) + emissionInterval(rate)
 }
 
-func (e *entry) strikes(now time.Duration, rate float64) int {
-	return int(max(0, e.struck-now) / perItem(rate))
+func (e *entry) strikeCount(now time.Duration, rate float64) int {
+	return int(max(0, e.strikeDebt-now) / emissionInterval(rate))
 }
 
-func perItem(rate float64) time.Duration {
+func emissionInterval(rate float64) time.Duration {
 	return max(1, time.Duration(float64(time.Second)/rate))
 }
 
-// table remembers a bounded number of addresses or networks. Entries that hold connections stay, and there are
-// no more of these than descriptors. Of the others the longest unused is given up for a newcomer; what it still
-// owes goes into the sketch, where the newcomer looks as well, so nobody gets rid of a debt by having himself
-// evicted, whatever the number of addresses.
+// table is an LRU table of a bounded number of addresses or networks. Entries with open connections are never evicted;
+// there are no more of them than descriptors. When another entry is evicted for a new one, its debt is stored in the
+// sketch, and the debt of each new entry is read from there. So an address can't lose its debt by being evicted,
+// however many addresses there are.
 //
-// The sketch has depth rows of width cells. A cell holds the latest time up to which anybody evicted into it has
-// paid, and wears off by itself; the smallest of an address's cells is its estimate. It is never too low. It is
-// too high only where other evicted debtors hit all depth cells: with d debtors that are still in debt it is so
-// for a share of at most (1-e^(-d/width))^depth of the innocent (d = 256: 0.2 %; 384: 1 %; 1,024: 16 %), and never by
-// more than the largest debt there is, the burst.
+// The sketch has sketchDepth rows of sketchWidth cells. A cell contains the latest debt of all entries evicted into it,
+// and expires when that time has passed. The smallest cell of a key is its estimate. It is never too low. It is too
+// high only if other evicted entries with debts share all cells of the key. With d such entries this affects at most
+// (1-e^(-d/sketchWidth))^sketchDepth of the keys without debt (d = 256: 0.2 %; 384: 1 %; 1,024: 16 %), and the error is
+// at most the largest possible debt, which is the burst.
 type table struct {
 	list    []entry
 	index   map[key]int32
 	free    []int32
 	size    int
-	first   int32 // idle, longest unused
-	last    int32
+	lruHead int32 // least recently used entry without connections
+	lruTail int32 // most recently used one
 	seed    uint64
-	sketch  [depth][width]time.Duration
+	sketch  [sketchDepth][sketchWidth]time.Duration
 	evicted int64
 }
 
 const (
-	depth = 4
-	width = 1024
+	sketchDepth = 4
+	sketchWidth = 1024
 )
 
 func newTable(size int, seed uint64) *table {
@@ -96,13 +96,14 @@
 
 func (t *table) cell(row int, k key) *time.Duration {
 	h := mix(k.hi^t.seed, k.lo+uint64(row)*0x9e3779b97f4a7c15)
-	return &t.sketch[row][h%width]
+	return &t.sketch[row][h%sketchWidth]
 }
 
-// touch finds a key's entry or makes one; 0 where all are pinned.
+// touch returns the index of a key's entry, and adds the entry if it is missing. It returns 0 if all entries are
+// pinned.
 func (t *table) touch(k key, now time.Duration) int32 {
 	if i, ok := t.index[k]; ok {
-		if t.list[i].held == 0 {
+		if t.list[i].openConnections == 0 {
 			t.unlink(i)
 			t.link(i)
 		}
@@ -116,14 +117,14 @@
 	case len(t.list) <= t.size:
 		i = int32(len(t.list))
 		t.list = append(t.list, entry{})
-	case t.first != 0:
-		i = t.first
+	case t.lruHead != 0:
+		i = t.lruHead
 		old := &t.list[i]
 		t.unlink(i)
 		delete(t.index, old.key)
 		t.evicted++
 		if old.debt > now {
-			for row := range depth {
+			for row := range sketchDepth {
 				c := t.cell(row, old.key)
 				*c = max(*c, old.debt)
 			}
@@ -132,7 +133,7 @@
 		return 0
 	}
 	debt := time.Duration(1<<63 - 1)
-	for row := range depth {
+	for row := range sketchDepth {
 		debt = min(debt, *t.cell(row, k))
 	}
 	t.list[i] = entry{key: k, debt: debt}
@@ -141,149 +142,152 @@
 	return i
 }
 
-// take pays for one connection, if the entry's debt allows that.
-func (t *table) take(i int32, now time.Duration, rate float64, burst int) bool {
+// allow adds one connection to the entry's debt if the burst allows it, and reports whether it does.
+func (t *table) allow(i int32, now time.Duration, rate float64, burst int) bool {
 	e := &t.list[i]
-	step := perItem(rate)
-	paid := max(e.debt, now) + step
-	if paid > now+time.Duration(burst)*step {
+	step := emissionInterval(rate)
+	newDebt := max(e.debt, now) + step
+	if newDebt > now+time.Duration(burst)*step {
 		return false
 	}
-	e.debt = paid
+	e.debt = newDebt
 	return true
 }
 
-// charge makes a connection that was let in and then refused cost as much as four.
-func (t *table) charge(i int32, now time.Duration, rate float64, burst int) {
+// chargeRefused adds three more connections to the entry's debt, up to the burst, so that a connection that was
+// accepted and then refused costs as much as four.
+func (t *table) chargeRefused(i int32, now time.Duration, rate float64, burst int) {
 	e := &t.list[i]
-	step := perItem(rate)
+	step := emissionInterval(rate)
 	e.debt = max(e.debt, min(max(e.debt, now)+3*step, now+time.Duration(burst)*step))
 }
 
-// hold pins an entry while it holds connections.
-func (t *table) hold(i int32, n int32) {
+// addConnections adds n to the entry's open connections. An entry is pinned while it has any.
+func (t *table) addConnections(i int32, n int32) {
 	e := &t.list[i]
-	was := e.held
-	e.held += n
+	was := e.openConnections
+	e.openConnections += n
 	switch {
-	case was == 0 && e.held > 0:
+	case was == 0 && e.openConnections > 0:
 		t.unlink(i)
-	case was > 0 && e.held == 0:
+	case was > 0 && e.openConnections == 0:
 		t.link(i)
 	}
 }
 
 func (t *table) link(i int32) {
 	e := &t.list[i]
-	e.prev, e.next = t.last, 0
-	if t.last != 0 {
-		t.list[t.last].next = i
+	e.prev, e.next = t.lruTail, 0
+	if t.lruTail != 0 {
+		t.list[t.lruTail].next = i
 	} else {
-		t.first = i
+		t.lruHead = i
 	}
-	t.last = i
+	t.lruTail = i
 }
 
 func (t *table) unlink(i int32) {
 	e := &t.list[i]
 	if e.prev != 0 {
 		t.list[e.prev].next = e.next
-	} else if t.first == i {
-		t.first = e.next
+	} else if t.lruHead == i {
+		t.lruHead = e.next
 	}
 	if e.next != 0 {
 		t.list[e.next].prev = e.prev
-	} else if t.last == i {
-		t.last = e.prev
+	} else if t.lruTail == i {
+		t.lruTail = e.prev
 	}
 	e.prev, e.next = 0, 0
 }
 
-// crowd orders the addresses by how many silent terminals they hold, so that the worst is found at once.
-type crowd struct{ first, last [crowdMost + 1]int32 }
+// silentByAddress lists the addresses by their number of silent clients, so that one with the most of them is found
+// without a search over all addresses.
+type silentByAddress struct{ first, last [maxSilentRank + 1]int32 }
 
-const crowdMost = 64 // from here on addresses are alike
+const maxSilentRank = 64 // silent clients; addresses with as many or more have the same rank
 
-// rank is an address's place. An exempt address stands for many clients: it counts as one with one.
-func (c *crowd) rank(e *entry, exempt bool) int32 {
+// rank returns an address's rank. An exempt address is used by many clients, so it ranks as an address with one client.
+func (c *silentByAddress) rank(e *entry, exempt bool) int32 {
 	if exempt && e.silent > 0 {
 		return 1
 	}
-	return min(e.silent, crowdMost)
+	return min(e.silent, maxSilentRank)
 }
 
-func (c *crowd) add(g *Gate, t int32) {
-	x := &g.tickets[t]
-	e := &g.peers.list[x.peer]
+func (c *silentByAddress) add(g *Gate, t int32) {
+	x := &g.connections[t]
+	e := &g.addresses.list[x.address]
 	x.prev, x.next = e.tail, 0
 	if e.tail != 0 {
-		g.tickets[e.tail].next = t
+		g.connections[e.tail].next = t
 	} else {
 		e.head = t
 	}
 	e.tail = t
 	e.silent++
-	c.place(g, x.peer, c.rank(e, x.exempt))
+	c.setRank(g, x.address, c.rank(e, x.exempt))
 }
 
-// remove takes a ticket out, also its bytes; it may be called again.
-func (c *crowd) remove(g *Gate, t int32) {
-	x := &g.tickets[t]
-	e := &g.peers.list[x.peer]
+// remove removes a ticket and its bytes from its address. It does nothing if the ticket was removed before.
+func (c *silentByAddress) remove(g *Gate, t int32) {
+	x := &g.connections[t]
+	e := &g.addresses.list[x.address]
 	if x.prev == 0 && e.head != t {
 		return
 	}
 	if x.prev != 0 {
-		g.tickets[x.prev].next = x.next
+		g.connections[x.prev].next = x.next
 	} else {
 		e.head = x.next
 	}
 	if x.next != 0 {
-		g.tickets[x.next].prev = x.prev
+		g.connections[x.next].prev = x.prev
 	} else {
 		e.tail = x.prev
 	}
 	x.prev, x.next = 0, 0
 	e.bytes -= x.bytes
 	e.silent--
-	c.place(g, x.peer, c.rank(e, x.exempt))
+	c.setRank(g, x.address, c.rank(e, x.exempt))
 }
 
-func (c *crowd) place(g *Gate, i int32, rank int32) {
-	list := g.peers.list
+func (c *silentByAddress) setRank(g *Gate, i int32, rank int32) {
+	list := g.addresses.list
 	e := &list[i]
 	if old := e.rank; old != 0 {
-		if e.crowdPrev != 0 {
-			list[e.crowdPrev].crowdNext = e.crowdNext
+		if e.rankPrev != 0 {
+			list[e.rankPrev].rankNext = e.rankNext
 		} else {
-			c.first[old] = e.crowdNext
+			c.first[old] = e.rankNext
 		}
-		if e.crowdNext != 0 {
-			list[e.crowdNext].crowdPrev = e.crowdPrev
+		if e.rankNext != 0 {
+			list[e.rankNext].rankPrev = e.rankPrev
 		} else {
-			c.last[old] = e.crowdPrev
+			c.last[old] = e.rankPrev
 		}
 	}
-	e.rank, e.crowdPrev, e.crowdNext = rank, 0, 0
+	e.rank, e.rankPrev, e.rankNext = rank, 0, 0
 	if rank == 0 {
 		return
 	}
-	e.crowdPrev = c.last[rank]
-	if e.crowdPrev != 0 {
-		list[e.crowdPrev].crowdNext = i
+	e.rankPrev = c.last[rank]
+	if e.rankPrev != 0 {
+		list[e.rankPrev].rankNext = i
 	} else {
 		c.first[rank] = i
 	}
 	c.last[rank] = i
 }
 
-// worst is the oldest silent terminal of the address that holds the most of them; where that one is too young,
-// of the next address: who changes his terminals quickly protects nobody else's.
-func (c *crowd) worst(g *Gate) (int32, bool) {
-	for rank := crowdMost; rank > 0; rank-- {
+// victim returns the oldest silent client of the address that has the most of them. If that client is younger than
+// MinVictimAge, it tries an address of the next rank, so that an address that replaces its connections quickly doesn't
+// protect those of others.
+func (c *silentByAddress) victim(g *Gate) (int32, bool) {
+	for rank := maxSilentRank; rank > 0; rank-- {
 		if i := c.first[rank]; i != 0 {
-			t := g.peers.list[i].head
-			if g.now-g.tickets[t].born >= Youngest {
+			t := g.addresses.list[i].head
+			if g.now-g.connections[t].acceptedAt >= MinVictimAge {
 				return t, true
 			}
 		}
