--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -213,7 +213,7 @@
 	cfg.Network.Burst, cfg.Network.NewPerSecond = 1<<30, 1e9
 	g, _ := New(cfg, 1)
 	g.Limit(1<<20, 0)
-	const addresses, rounds = 1000, 40 // the table starts at 128 entries, and Limit makes it larger
+	const addresses, rounds = 1000, 40 // the table starts at 128 entries; Limit raises its size to 2<<20
 	admitted := 0
 	for range rounds {
 		for i := range addresses {
@@ -229,7 +229,7 @@
 	// The documented error of the sketch: with 384 evicted debts, 1 of 100 addresses without a debt is refused.
 	g, _ = New(cfg, 2)
 	g.Limit(1<<20, 0)
-	for i := range 384 { // entries still in the table are evicted into the sketch by the following loop
+	for i := range 384 { // their debts are in the sketch only once the table has evicted them
 		for range cfg.Address.Burst {
 			tk, _ := g.Accept(time.Second, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}))
 			g.Closed(time.Second, tk)
--- a/internal/stagger/readings.go
+++ b/internal/stagger/readings.go
@@ -15,28 +15,28 @@
 	FailedProbes int // in a row
 }
 
-// OwnReading is this balancer's own last reading of a server; a zero At means none.
+// OwnReading is this balancer's own last reading of a server. A zero At means none.
 type OwnReading struct {
 	Load float64
 	At   time.Duration
 }
 
-// CombinedReading is what the reports of a server are worth together.
+// CombinedReading is the result of combining the reports of a server.
 type CombinedReading struct {
 	Load        float64
 	Age         time.Duration
-	Usable      bool // Load may be taken as a reading of that age
-	Unreachable bool // more than half of the reporters get no answer: this balancer should probe the server itself
+	Usable      bool // Load may be used as a reading of that age
+	Unreachable bool // more than half of the reporters get no answer, so this balancer should probe the server itself
 }
 
 const (
-	maxReportAge     = 2 * time.Second  // an older reading says less than a probe costs
-	maxOwnReadingAge = 10 * time.Second // an own reading can contradict a single report for so long
-	maxDisagreement  = 0.4              // of loads: twice the noise of reports and what a second brings
-	minUsual         = 3                // reports of which the middle one stands
+	maxReportAge     = 2 * time.Second  // older reports are not worth using instead of a probe
+	maxOwnReadingAge = 10 * time.Second // a single report is compared with an own reading up to this age
+	maxDisagreement  = 0.4              // load difference: twice the noise of reports, and the change in one second
+	minMedianReports = 3                // reports from which the median is used
 )
 
-// Trust tracks which members have reported what did not hold. The zero value is ready.
+// Trust tracks members whose reports contradicted this balancer's own readings. The zero value is ready to use.
 type Trust struct {
 	records map[string]*trustRecord
 }
@@ -47,12 +47,12 @@
 }
 
 const (
-	maxCheckAge      = time.Second // two readings of one server this close in time should agree
-	maxDisagreements = 3           // in a row, after which a member's reports ...
+	maxCheckAge      = time.Second // readings of one server within this time should agree
+	maxDisagreements = 3           // in a row, after which a member's reports are ignored for distrustTime
 	distrustTime     = 30 * time.Second
 )
 
-// Check compares reports of a server with an own reading of about the same time.
+// Check compares reports of a server with an own reading from about the same time.
 func (t *Trust) Check(now time.Duration, own OwnReading, reports []Report) {
 	if own.At == 0 || now-own.At > maxCheckAge {
 		return
@@ -88,13 +88,13 @@
 
 func agree(a, b float64) bool { return math.Abs(a-b) <= maxDisagreement }
 
-// Trusted tells whether a member's reports count.
+// Trusted reports whether a member's reports are used.
 func (t *Trust) Trusted(now time.Duration, name string) bool {
 	r := t.records[name]
 	return r == nil || now >= r.distrustedUpTo
 }
 
-// Forget drops the records of members that are no longer present.
+// Forget removes the records of members that are no longer present.
 func (t *Trust) Forget(present func(name string) bool) {
 	for name := range t.records {
 		if !present(name) {
@@ -103,14 +103,14 @@
 	}
 }
 
-// Combine weighs the reports of one server. Of three or more the middle one stands. Two have to agree, and the
-// higher one stands. A single one has to agree with an own reading, and the higher of both stands. What does not is
-// no reading: this balancer has to probe for itself.
+// Combine combines the reports of one server. It uses the median of three or more. Two reports must agree, and the
+// higher one is used. A single report must agree with an own reading, and the higher of both is used. Otherwise the
+// result is not usable, and this balancer has to probe the server itself.
 func (t *Trust) Combine(now time.Duration, own OwnReading, reports []Report) (combined CombinedReading) {
 	usable, failing, trusted := t.sort(now, reports)
 	combined.Unreachable = 2*failing > trusted && failing > 1
 	switch n := len(usable); {
-	case n >= minUsual:
+	case n >= minMedianReports:
 		combined.Load, combined.Usable = usable[n/2].Load, true
 	case n == 2:
 		combined.Load, combined.Usable = usable[1].Load, agree(usable[1].Load, usable[0].Load)
@@ -118,13 +118,13 @@
 		combined.Load, combined.Usable = max(usable[0].Load, own.Load), agree(usable[0].Load, own.Load)
 	}
 	for _, r := range usable {
-		combined.Age = max(combined.Age, r.Age) // as old as the oldest that it rests on
+		combined.Age = max(combined.Age, r.Age) // the age of the oldest usable report
 	}
 	return combined
 }
 
-// sort returns the usable reports by load, and counts those of members that get no answer, and all of trusted
-// members.
+// sort returns the usable reports ordered by load, the number of reporters that get no answer, and the number of all
+// reports of trusted members.
 func (t *Trust) sort(now time.Duration, reports []Report) (usable []Report, failing, trusted int) {
 	for _, r := range reports {
 		if !t.Trusted(now, r.Reporter) {
--- a/internal/stagger/share.go
+++ b/internal/stagger/share.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// FleetSize is the member list of one moment, in numbers.
+// FleetSize contains the sizes of the member list at one moment.
 type FleetSize struct {
 	Present  int  // this balancer and all members that are alive or leaving, not suspected
-	Known    int  // this balancer and all members not forgotten yet, including those held gone
+	Known    int  // this balancer and all members not forgotten yet, including those considered gone
 	Reported int  // the largest reference size that a present member has reported
-	Stale    bool // the view is old, or this member is not listed: nothing in it counts
+	Stale    bool // the view is old, or doesn't list this member: it counts as one with no member present
 }
 
-// BudgetShare says by how many a budget is divided that is bounded in sum, such as a server's warm-up budget. While
-// views differ the sum of all shares cannot be kept at one; it stays below 1.5 (docs/design/together.md).
+// BudgetShare computes the divisor of a budget that is bounded in sum over all balancers, such as a server's warm-up
+// budget. While views differ, the sum of all shares can exceed 1; it stays below 1.5 (docs/design/together.md).
 type BudgetShare struct {
-	Configured  int           // balancers by the settings
-	ShrinkDelay time.Duration // a smaller fleet counts once it has been smaller for so long
-	StartDelay  time.Duration // a new balancer takes nothing for so long: the others have to learn of it first
+	Configured  int           // number of balancers in the settings
+	ShrinkDelay time.Duration // the divisor shrinks once the fleet has been smaller for this long
+	StartDelay  time.Duration // a new balancer takes no share for this long, until the others have learned of it
 
 	started      time.Duration
 	hasStarted   bool
@@ -26,17 +26,17 @@
 	largestSince int           // the largest size since smallerSince
 }
 
-// referenceDelays is how long a reference size is remembered that nobody reports any more, in ShrinkDelays: members
+// referenceDelays is the number of ShrinkDelays for which a reference size is kept after it was last reported. Members
 // that are gone have been forgotten by then.
 const referenceDelays = 100
 
-// ReferenceSize returns the fleet's size against which a majority counts, to be reported to the others.
+// ReferenceSize returns the size of the fleet from which a majority is computed. It is reported to the other members.
 func (s *BudgetShare) ReferenceSize() int { return s.reference }
 
-// Update takes the fleet's size and returns the divisor; 0 while this balancer is to take nothing. The divisor
-// grows at once and shrinks late. A balancer that does not see more than half of the reference size takes the share
-// that it would have with all of them present. So of all groups that do not see each other, at most one takes a
-// full share in sum, and the others together take less than half.
+// Update takes the fleet's size and returns the divisor, or 0 while this balancer may not take a share. The divisor
+// grows at once and shrinks after ShrinkDelay. A balancer that sees at most half of the reference size takes the share
+// that it would have if all of the reference size were present. So of all partitions of the fleet, at most one takes
+// the whole budget, and the others together take less than half of it.
 func (s *BudgetShare) Update(now time.Duration, size FleetSize) int {
 	if !s.hasStarted {
 		s.hasStarted, s.started = true, now
@@ -48,7 +48,7 @@
 	return s.divisor
 }
 
-// targetDivisor returns the divisor by the sizes of this moment, and keeps the reference size.
+// targetDivisor returns the divisor for the current sizes, and updates the reference size.
 func (s *BudgetShare) targetDivisor(now time.Duration, size FleetSize) int {
 	present, known := size.Present, max(size.Known, size.Reported, size.Present)
 	if size.Stale {
@@ -64,7 +64,7 @@
 	return reference
 }
 
-// setDivisor lets the divisor grow at once and shrink late.
+// setDivisor raises the divisor at once, and lowers it after ShrinkDelay.
 func (s *BudgetShare) setDivisor(now time.Duration, target int) {
 	switch {
 	case target >= s.divisor:
--- a/internal/stagger/stagger_test.go
+++ b/internal/stagger/stagger_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// shareFleet is a fleet whose members divide a budget; each looks at what it sees with a lag.
+// shareFleet is a fleet whose members divide a budget. Each member sees the fleet's size with a lag.
 type shareFleet struct {
 	members []*shareMember
 	now     time.Duration
@@ -18,19 +18,19 @@
 
 type shareMember struct {
 	share *BudgetShare
-	group int // members see those of their group
+	group int // members see only members of their group
 	alive bool
-	sizes []FleetSize // that it has seen, latest last
+	sizes []FleetSize // sizes it has seen, oldest first
 }
 
-const maxLag = 8 // of the sizes that a member has seen
+const maxLag = 8 // steps
 
 func (f *shareFleet) start(i, group int) {
 	share := &BudgetShare{Configured: len(f.members), ShrinkDelay: 3 * time.Second, StartDelay: time.Second}
 	f.members[i] = &shareMember{share: share, group: group, alive: true}
 }
 
-// change cuts the fleet into groups, joins it, or ends or starts a member.
+// change partitions the fleet into groups, rejoins them, or stops or starts a member.
 func (f *shareFleet) change(t *rapid.T) {
 	last := len(f.members) - 1
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -50,7 +50,7 @@
 	}
 }
 
-// size is the fleet as member m sees it now.
+// size returns the fleet's size as member m sees it now.
 func (f *shareFleet) size(m *shareMember) (size FleetSize) {
 	for _, other := range f.members {
 		if other.group == m.group && other.alive {
@@ -62,7 +62,7 @@
 	return size
 }
 
-// step lets every member look, and returns the sum of the shares.
+// step updates every member and returns the sum of the shares.
 func (f *shareFleet) step(t *rapid.T) (total float64) {
 	f.now += 100 * time.Millisecond
 	for _, m := range f.members {
@@ -79,9 +79,9 @@
 	return total
 }
 
-// Groups of a fleet lose and find each other, members die and start again. Whatever happens, the shares that all
-// take together stay under 1.5.
-func TestSharesStayWithinTheSum(t *testing.T) {
+// While the fleet is partitioned and rejoined and members stop and start at random, the sum of all shares stays at most
+// 1.5.
+func TestSumOfSharesIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 24).Draw(t, "balancers")
 		f := &shareFleet{members: make([]*shareMember, n), now: time.Second}
@@ -92,17 +92,18 @@
 			f.change(t)
 			for range rapid.IntRange(1, 60).Draw(t, "for") {
 				if total := f.step(t); total > 1.5 {
-					t.Fatalf("at %v the shares add up to %.2f", f.now, total)
+					t.Fatalf("at %v the sum of the shares is %.2f", f.now, total)
 				}
 			}
 		}
 	})
 }
 
-// Seven in ten die at once: the others take their parts after the hold, and not sooner. More come: at once.
-func TestShareFollowsTheFleet(t *testing.T) {
+// When the fleet shrinks, the remaining members take the freed shares after ShrinkDelay and not sooner. When it grows,
+// the shares shrink at once.
+func TestShareFollowsFleetSize(t *testing.T) {
 	s := &BudgetShare{Configured: 4, ShrinkDelay: 3 * time.Second, StartDelay: time.Second}
-	look := func(at time.Duration, present, known int) int {
+	update := func(at time.Duration, present, known int) int {
 		return s.Update(at, FleetSize{Present: present, Known: known})
 	}
 	for _, step := range []struct {
@@ -112,26 +113,22 @@
 	}{
 		{0, 1, 1, 0}, {500 * time.Millisecond, 10, 10, 0}, {time.Second, 10, 10, 10}, {2 * time.Second, 7, 10, 10},
 		{4 * time.Second, 7, 10, 10}, {5100 * time.Millisecond, 7, 10, 7}, {6 * time.Second, 20, 23, 20},
-		{7 * time.Second, 3, 23, 23}, {12 * time.Second, 3, 23, 23}, {13 * time.Second, 12, 23, 23}, {
-			17 * time.Second,
-			12,
-			23,
-			12,
-		},
+		{7 * time.Second, 3, 23, 23}, {12 * time.Second, 3, 23, 23}, {13 * time.Second, 12, 23, 23},
+		{17 * time.Second, 12, 23, 12},
 	} {
-		if got := look(step.at, step.present, step.known); got != step.want {
-			t.Errorf("at %v with %d of %d present: %d, not %d", step.at, step.present, step.known, got, step.want)
+		if got := update(step.at, step.present, step.known); got != step.want {
+			t.Errorf("at %v with %d of %d present: divisor %d, want %d", step.at, step.present, step.known, got, step.want)
 		}
 	}
 	if got := s.Update(18*time.Second, FleetSize{Present: 12, Known: 23, Stale: true}); got != 23 {
-		t.Errorf("an old view divides by %d", got)
+		t.Errorf("a stale view gives divisor %d", got)
 	}
 }
 
-// Slots that begin together spread until all gaps are about the same.
-func TestSlotsSpread(t *testing.T) {
+// Slots that begin almost together are shifted until all gaps are about the same.
+func TestSlotsAreSpread(t *testing.T) {
 	const n, period = 12, 8 * time.Second
-	began := make([]time.Duration, n) // within the period
+	began := make([]time.Duration, n) // offset within the period
 	for i := range began {
 		began[i] = time.Duration(i*i) * time.Millisecond
 	}
@@ -164,23 +161,23 @@
 	}
 }
 
-func TestOneMemberMovesNoFigureFar(t *testing.T) {
+func TestSingleMemberHasLimitedInfluence(t *testing.T) {
 	if c := ResumedSlots(1, []int{100, 90, 1 << 40}); c != 100 {
-		t.Errorf("clock %d", c)
+		t.Errorf("a restarted balancer resumes with %d slots", c)
 	}
 	if c := ResumedSlots(60, []int{100, 90, 110}); c != 60 {
-		t.Errorf("a clock that goes on was set to %d", c)
+		t.Errorf("a balancer that was not restarted resumes with %d slots", c)
 	}
 	if s := TotalDemand(10, []float64{10, 12, math.MaxFloat64}, 0); s > 160 {
 		t.Errorf("demand %v", s)
 	}
-	if s := TotalDemand(1, []float64{100, 1, 1}, 0); s > 14 { // ten times the mean is believed
+	if s := TotalDemand(1, []float64{100, 1, 1}, 0); s > 14 { // one member counts for at most ten times the median
 		t.Errorf("demand %v", s)
 	}
 }
 
-// A member that says all regions are empty, or full, changes no verdict of three, is no reading where it stands
-// alone or against another, and is not heard once it was caught.
+// False loads of one member don't change the result of three reports, and are not usable without an agreeing report or
+// reading. After repeated disagreements the member's reports are ignored.
 func TestFalseReports(t *testing.T) {
 	var trust Trust
 	now := 100 * time.Second
@@ -188,30 +185,30 @@
 		{Reporter: "a", Load: 0.7, Age: time.Second},
 		{Reporter: "b", Load: 0.75, Age: 500 * time.Millisecond},
 	}
-	for _, lie := range []float64{0, 5} {
-		v := trust.Combine(now, OwnReading{}, append(slices.Clone(honest), Report{Reporter: "liar", Load: lie}))
+	for _, falseLoad := range []float64{0, 5} {
+		v := trust.Combine(now, OwnReading{}, append(slices.Clone(honest), Report{Reporter: "liar", Load: falseLoad}))
 		if !v.Usable || v.Load < 0.7 || v.Load > 0.75 || v.Age != time.Second {
-			t.Errorf("with %v told: %+v", lie, v)
+			t.Errorf("with false load %v: %+v", falseLoad, v)
 		}
 	}
-	lie := Report{Reporter: "liar", Load: 0}
-	if v := trust.Combine(now, OwnReading{}, []Report{honest[0], lie}); v.Usable {
-		t.Errorf("one word against another counts: %+v", v)
+	falseLoad := Report{Reporter: "liar", Load: 0}
+	if v := trust.Combine(now, OwnReading{}, []Report{honest[0], falseLoad}); v.Usable {
+		t.Errorf("two contradicting reports are usable: %+v", v)
 	}
-	if v := trust.Combine(now, OwnReading{}, []Report{lie}); v.Usable {
-		t.Errorf("one word alone counts: %+v", v)
+	if v := trust.Combine(now, OwnReading{}, []Report{falseLoad}); v.Usable {
+		t.Errorf("a single report is usable: %+v", v)
 	}
-	if v := trust.Combine(now, OwnReading{Load: 0.8, At: now - 5*time.Second}, []Report{lie}); v.Usable {
-		t.Errorf("one word against an own reading counts: %+v", v)
+	if v := trust.Combine(now, OwnReading{Load: 0.8, At: now - 5*time.Second}, []Report{falseLoad}); v.Usable {
+		t.Errorf("a single report that contradicts the own reading is usable: %+v", v)
 	}
 	if v := trust.Combine(now, OwnReading{Load: 0.6, At: now - 5*time.Second}, honest[:1]); !v.Usable || v.Load != 0.7 {
-		t.Errorf("one word that an own reading bears out: %+v", v)
+		t.Errorf("a single report that agrees with the own reading: %+v", v)
 	}
 	for range 3 {
-		trust.Check(now, OwnReading{Load: 0.7, At: now}, []Report{lie, honest[1]})
+		trust.Check(now, OwnReading{Load: 0.7, At: now}, []Report{falseLoad, honest[1]})
 	}
 	if trust.Trusted(now, "liar") || !trust.Trusted(now, "b") || !trust.Trusted(now+31*time.Second, "liar") {
-		t.Error("who was caught is heard, or who wasn't is not, or for ever")
+		t.Error("wrong members are trusted, or the distrust does not end")
 	}
 	old := []Report{
 		{Reporter: "a", Load: 0.1, Age: 5 * time.Second},
@@ -219,46 +216,46 @@
 		{Reporter: "c", Load: 0.1, Age: 5 * time.Second},
 	}
 	if v := trust.Combine(now, OwnReading{}, old); v.Usable {
-		t.Error("signals five seconds late count")
+		t.Error("reports with an age of five seconds are usable")
 	}
 	dead := []Report{{Reporter: "a", FailedProbes: 3}, {Reporter: "b", FailedProbes: 2}, {Reporter: "c", Load: 0.4}}
 	if v := trust.Combine(now, OwnReading{}, dead); !v.Unreachable || v.Usable {
-		t.Errorf("two of three get no answer: %+v", v)
+		t.Errorf("two of three reporters get no answer: %+v", v)
 	}
 	reports := []Report{{Reporter: "a", FailedProbes: 9}, honest[1], {Reporter: "c", Load: 0.7}}
 	if v := trust.Combine(now, OwnReading{}, reports); v.Unreachable {
-		t.Error("one member alone declares a region dead")
+		t.Error("a single member makes a server unreachable")
 	}
 }
 
-// Each region has three readers, and a member less moves only what that one had.
-func TestReadersStay(t *testing.T) {
+// Each server has three readers, and removing a member changes only its own assignments.
+func TestReaderAssignmentsAreStable(t *testing.T) {
 	var members []string
 	for i := range 40 {
 		members = append(members, fmt.Sprint("b", i))
 	}
-	tasks := map[string]int{}
+	assignments := map[string]int{}
 	for r := range 90 {
-		region := fmt.Sprint("r", r)
-		before := AssignReaders(region, members)
-		after := AssignReaders(region, members[1:])
+		server := fmt.Sprint("r", r)
+		before := AssignReaders(server, members)
+		after := AssignReaders(server, members[1:])
 		kept := 0
 		for _, m := range before {
-			if tasks[m]++; slices.Contains(after, m) {
+			if assignments[m]++; slices.Contains(after, m) {
 				kept++
 			}
 		}
 		if want := len(before) - map[bool]int{true: 1}[slices.Contains(before, members[0])]; kept != want ||
 			len(after) != ReadersPerServer {
-			t.Errorf("%s: %v, then %v", region, before, after)
+			t.Errorf("%s: %v, then %v", server, before, after)
 		}
 	}
-	for m, n := range tasks {
+	for m, n := range assignments {
 		if n > 18 {
-			t.Errorf("%s reads %d of 270", m, n)
+			t.Errorf("%s has %d of 270 assignments", m, n)
 		}
 	}
 	if p := Offset("b", []string{"a", "c", "d"}); p != 0.375 {
-		t.Errorf("turn %v", p)
+		t.Errorf("offset %v", p)
 	}
 }
--- a/internal/subset/changes_test.go
+++ b/internal/subset/changes_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Changes counts what differs between two plans in edges taken up and given up, and the least that any way from the
-// first to a balanced plan for these members and servers had to change.
+// Changes returns the number of pairs added and removed between two plans, and the minimum number that any change from
+// the first one to a balanced plan for these members and servers needs.
 func Changes(
 	before map[string][]string,
 	members []Member,
@@ -26,7 +26,7 @@
 		}
 		for _, id := range before[m.Name] {
 			if !live[id] {
-				continue // gone by itself
+				continue // the server was removed, which is no change by the plan
 			}
 			if kept++; now[id] {
 				delete(now, id)
@@ -42,14 +42,14 @@
 	return changed, gone + total - (kept - gone)
 }
 
-// excess counts what has to go: what servers have above their quotas, and members above their sizes; and all pairs
-// after.
+// excess returns the number of pairs of servers above their quotas, of members above their sizes, and of all pairs
+// after the change.
 func excess(
 	before map[string][]string, members []Member, servers []Server, after map[string][]string,
 	live map[string]bool, at map[string]int,
 ) (above, beyond, total int) {
-	// Each region has a quota, of which total%r are one higher: those that have most. What is above it has to go, what a
-	// member has above its size as well, and what is missing has to come.
+	// The quotas of total%len(servers) servers are one higher: of those with the most pairs. Pairs above a quota or above
+	// a member's size have to be removed, and missing pairs have to be added.
 	counts := []int{}
 	for _, m := range members {
 		total += len(after[m.Name])
--- a/internal/subset/number.go
+++ b/internal/subset/number.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// ForNumber returns the subset of one of count balancers that know each other by number alone, from 0. It follows
-// from the lists and from no earlier subsets: each begins with the servers that it ranks first, and the balance is
-// made from there.
+// ForNumber returns the subset of one of count balancers that are identified only by their numbers, from 0. It depends
+// on the lists only and not on earlier subsets: each balancer starts with the servers that it ranks first, and Plan
+// balances these subsets.
 func ForNumber(number, count int, zone func(number int) string, servers []Server, cfg Config) []string {
 	members := make([]Member, count)
 	for i := range members {
@@ -14,12 +14,12 @@
 	return Plan(members, servers, cfg)[numberName(number)]
 }
 
-// numberName is the name by which a number is ranked.
+// numberName returns the name for which the ranks of a numbered balancer are computed.
 func numberName(number int) string {
 	return string([]byte{byte(number >> 24), byte(number >> 16), byte(number >> 8), byte(number)})
 }
 
-// WithFirstByRank returns the members, each holding the servers that it ranks first, near ones before far ones.
+// WithFirstByRank returns the members with the servers that each prefers most as their current subsets.
 func WithFirstByRank(members []Member, servers []Server, cfg Config) []Member {
 	ranked := slices.Clone(members)
 	for i, m := range ranked {
--- a/internal/subset/plan.go
+++ b/internal/subset/plan.go
@@ -5,27 +5,29 @@
 	"slices"
 )
 
-// plan is the bookkeeping of one planning: which member holds which server, by their places in the sorted lists.
+// plan is the state of one call of Plan. Members and servers are identified by their indexes in the sorted lists. A
+// member holds a server if the server is in its subset.
 type plan struct {
 	members     []Member
 	servers     []Server
-	size        []int    // of each member's subset
-	quota       []int    // members that are to hold each server
+	size        []int    // subset size, by member
+	quota       []int    // planned number of members that hold it, by server
 	holds       [][]bool // by member and server
-	serverCount []int    // servers by member
-	holderCount []int    // members by server
-	closed      []bool   // members from which no chain of exchanges leads to a server with room
+	serverCount []int    // current subset size, by member
+	holderCount []int    // current number of members that hold it, by server
+	deadEnd     []bool   // by member: no augmenting path leads from it to a server below its quota
 }
 
-// Plan returns every member's subset by name: what each holds now, changed as little as the balance allows. The
-// order of the lists makes no difference. Members that hold nothing begin with the servers that they rank first.
+// Plan returns the subset of every member, by name. It changes the current subsets as little as the balance allows. The
+// result doesn't depend on the order of the lists. Members without a current subset get the servers that they rank
+// first.
 func Plan(members []Member, servers []Server, cfg Config) map[string][]string {
 	p := newPlan(members, servers)
 	if len(p.members) == 0 || len(p.servers) == 0 {
 		return map[string][]string{}
 	}
 	p.setSizes(cfg)
-	p.takeCurrent()
+	p.addCurrent()
 	p.setQuotas()
 	p.dropExcess()
 	p.fill()
@@ -46,7 +48,7 @@
 	return p
 }
 
-// subset lists the servers of member i.
+// subset returns the IDs of the servers that member i holds.
 func (p *plan) subset(i int) []string {
 	list := []string{}
 	for j, held := range p.holds[i] {
@@ -57,7 +59,7 @@
 	return list
 }
 
-// setSizes gives each member its subset's size: enough for every server to have its least number of balancers.
+// setSizes sets the subset size of each member, so that every server can have its minimum number of balancers.
 func (p *plan) setSizes(cfg Config) {
 	balancers, servers := len(p.members), len(p.servers)
 	minBalancers := min(max(cfg.MinBalancers, 1), balancers)
@@ -67,7 +69,7 @@
 		share := cmp.Or(max(0, m.TrafficShare), 1)
 		p.size[i] = min(servers, max(1, int(float64(size)*share+0.5)))
 	}
-	missing := minBalancers*servers - sum(p.size) // above 0 where small shares have made the sizes too small
+	missing := minBalancers*servers - sum(p.size) // positive if small traffic shares have made the sizes too small
 	for i := 0; missing > 0; i = (i + 1) % balancers {
 		if p.size[i] < servers {
 			p.size[i]++
@@ -76,8 +78,8 @@
 	}
 }
 
-// takeCurrent begins with what each member holds now.
-func (p *plan) takeCurrent() {
+// addCurrent initializes the plan with the current subsets.
+func (p *plan) addCurrent() {
 	index := make(map[string]int, len(p.servers))
 	for j, s := range p.servers {
 		index[s.ID] = j
@@ -89,14 +91,14 @@
 		p.holds[i] = make([]bool, len(p.servers))
 		for _, id := range m.Current {
 			if j, ok := index[id]; ok && !p.holds[i][j] {
-				p.give(i, j)
+				p.add(i, j)
 			}
 		}
 	}
 }
 
-// setQuotas divides the pairs evenly among the servers. Those that have most holders now get the remainder, because
-// then the least has to change.
+// setQuotas divides the pairs evenly among the servers. The servers with the most holders get the remainder, because
+// this needs the fewest changes.
 func (p *plan) setQuotas() {
 	total, servers := sum(p.size), len(p.servers)
 	p.quota = make([]int, servers)
@@ -118,22 +120,22 @@
 	}
 }
 
-// dropExcess takes away what is too much, first at members, then at servers.
+// dropExcess removes pairs beyond the subset sizes, and then pairs beyond the quotas.
 func (p *plan) dropExcess() {
 	for i := range p.members {
 		for p.serverCount[i] > p.size[i] {
-			p.take(i, p.leastNeeded(i))
+			p.remove(i, p.leastNeeded(i))
 		}
 	}
 	for j := range p.servers {
 		for p.holderCount[j] > p.quota[j] {
-			p.take(p.leastAttached(j), j)
+			p.remove(p.leastAttached(j), j)
 		}
 	}
 }
 
-// leastNeeded returns the server that member i gives up first: one that has too many holders, before one that has
-// just enough or too few, and among these the one that it prefers least.
+// leastNeeded returns the server that member i gives up first: one with more holders than its quota before one at its
+// quota, and that before one below its quota. Among equal ones it is the one that the member prefers least.
 func (p *plan) leastNeeded(i int) int {
 	best, most := -1, 0
 	for j := range p.servers {
@@ -148,18 +150,18 @@
 	return best
 }
 
-// leastAttached returns the holder of server j that gives it up first: a far one, then the last by rank.
+// leastAttached returns the holder of server j that gives it up first: one in another zone, then the last by rank.
 func (p *plan) leastAttached(j int) int {
 	best := -1
 	for i := range p.members {
-		if p.holds[i][j] && (best < 0 || p.givesUpBefore(i, best, j)) {
+		if p.holds[i][j] && (best < 0 || p.losesBefore(i, best, j)) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (p *plan) givesUpBefore(a, b, j int) bool {
+func (p *plan) losesBefore(a, b, j int) bool {
 	server := p.servers[j]
 	return cmp.Or(
 		compareNear(p.near(b, j), p.near(a, j)),
@@ -174,19 +176,19 @@
 
 func (p *plan) near(i, j int) bool { return p.members[i].Zone == p.servers[j].Zone }
 
-// needsHolder tells whether server j needs another holder.
+// needsHolder reports whether server j needs another holder.
 func (p *plan) needsHolder(j int) bool { return p.holderCount[j] < p.quota[j] }
 
-// lacks tells whether member i needs another server.
-func (p *plan) lacks(i int) bool { return p.serverCount[i] < p.size[i] }
+// needsServer reports whether member i needs another server.
+func (p *plan) needsServer(i int) bool { return p.serverCount[i] < p.size[i] }
 
-func (p *plan) take(i, j int) {
+func (p *plan) remove(i, j int) {
 	p.holds[i][j] = false
 	p.serverCount[i]--
 	p.holderCount[j]--
 }
 
-func (p *plan) give(i, j int) {
+func (p *plan) add(i, j int) {
 	p.holds[i][j] = true
 	p.serverCount[i]++
 	p.holderCount[j]++
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,9 +1,9 @@
-// Package subset chooses which servers a balancer looks at and places on by itself, so that the probes a server
-// receives follow from the subset's size and not from the number of balancers. Every server is looked at by the
-// same number of balancers, within one, and one balancer or server more or less changes as few pairs as possible.
+// Package subset chooses the servers that a balancer probes and sends requests to by itself, so that the number of
+// probes a server receives depends on the subset size and not on the number of balancers. The numbers of subsets that
+// servers are in differ by at most one, and adding or removing a balancer or server changes as few pairs as possible.
 //
-// The package is pure: lists in, lists out, the same for all who hold the same lists. It has no clock, socket or
-// state. No live server is left out of all subsets: one that nobody looks at would receive no requests.
+// All functions are deterministic: balancers with the same lists compute the same subsets. They use no clock, socket or
+// global state. Every live server is in some subset, because one in no subset would receive no requests.
 package subset
 
 import (
@@ -16,8 +16,8 @@
 type Member struct {
 	Name         string
 	Zone         string
-	TrafficShare float64  // of the traffic, relative to the mean; its subset is larger in proportion. 0 counts as 1
-	Current      []string // servers of its subset now, as it has announced them; nil for a new member
+	TrafficShare float64  // its traffic relative to the mean; the subset size is proportional to it. 0 counts as 1
+	Current      []string // IDs of the servers in its current subset, as announced by it; nil for a new member
 }
 
 // Server is a live server.
@@ -26,18 +26,19 @@
 	Zone string
 }
 
-// Config has the settings of a fleet. All its balancers must have the same.
+// Config holds the settings of a fleet. They must be the same in all its balancers.
 type Config struct {
-	Size         int // servers that a balancer with a traffic share of 1 looks at, at least
-	MinBalancers int // balancers that look at each server, at least, as far as there are so many
+	Size         int // minimum number of servers in the subset of a balancer with a traffic share of 1
+	MinBalancers int // minimum number of subsets that each server is in, if there are that many balancers
 }
 
-// Rank orders servers for a balancer, and balancers for a server: the same for all who ask, lower first.
+// Rank returns the preference of a balancer for a server, and of a server for a balancer. Lower ranks come first, and
+// all balancers compute the same ranks.
 func Rank(name, server string) uint64 {
 	return xxhash.Sum64String(name + "\x00" + server)
 }
 
-// compareNear orders what is near before what is far.
+// compareNear orders true, for the same zone, before false.
 func compareNear(a, b bool) int {
 	switch {
 	case a == b:
@@ -48,7 +49,7 @@
 	return 1
 }
 
-// comparePreference orders servers as a member prefers them: near ones first, then by rank.
+// comparePreference orders servers as a member prefers them: those of its zone first, then by rank.
 func comparePreference(m Member, a, b Server) int {
 	return cmp.Or(
 		compareNear(a.Zone == m.Zone, b.Zone == m.Zone),
--- a/internal/subset/widening.go
+++ b/internal/subset/widening.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// maxWidenings bounds the shift by which candidates grow.
+// maxWidenings limits the number of doublings in Candidates, and so the shift.
 const maxWidenings = 16
 
-// Observation is what a balancer knows of a server that it looks at.
+// Observation is the state of a server as seen by a balancer.
 type Observation struct {
 	ID          string
-	HasCapacity bool // new requests could go there: it is warm, below the load at which it is full, and answers
-	Failing     bool // it does not answer, or drains
+	HasCapacity bool // it can take new requests: it has warmed up, answers, and its load is below the limit
+	Failing     bool // it does not answer, or is draining
 }
 
-// Widening decides how far beyond its subset a balancer looks. At step 0 it looks at the subset; each further step
-// doubles the servers, in the order in which the balancer prefers them. It goes back the same way, a step at a
-// time.
+// Widening decides how many candidates beyond its subset a balancer uses. At step 0 the candidates are the subset. Each
+// further step doubles their number, in the balancer's order of preference. They are reduced in the same way, by one
+// step at a time.
 type Widening struct {
-	WidenAfter  time.Duration // one step wider after nothing has had capacity for so long
-	NarrowAfter time.Duration // one step back after the subset alone has had capacity for so long
+	WidenAfter  time.Duration // adds a step after no candidate has had capacity for this long
+	NarrowAfter time.Duration // removes a step after half of the subset has had capacity for this long
 	Step        int           // 0 for the subset alone
 
-	fullSince   time.Duration // nothing has had capacity since then; 0 if something has
-	enoughSince time.Duration // half of the subset has had capacity since then; 0 if it has not
-	steppedAt   time.Duration // the last step
+	fullSince   time.Duration // no candidate has had capacity since then; 0 if one has
+	enoughSince time.Duration // half of the subset has had capacity since then; 0 if less has
+	steppedAt   time.Duration // time of the last step
 }
 
-// Update takes the observations of the subset's servers and of all candidates, and whether this balancer has
-// rejected a request since the last update, and returns the step. A rejection widens at once: it costs more than
-// looking further.
+// Update takes the observations of the subset's servers and of all candidates, and whether this balancer has rejected
+// a request since the last update. It returns the step. A rejection adds a step at once, because it costs more than
+// probing more servers.
 func (w *Widening) Update(now time.Duration, subset, candidates []Observation, rejected bool) int {
 	if withCapacity(candidates) > 0 {
 		w.fullSince = 0
@@ -51,7 +51,7 @@
 	return w.Step
 }
 
-// withCapacity counts the servers that could take new requests.
+// withCapacity returns the number of servers that can take new requests.
 func withCapacity(list []Observation) (count int) {
 	for _, s := range list {
 		if s.HasCapacity && !s.Failing {
@@ -61,14 +61,14 @@
 	return count
 }
 
-// Limit takes back steps that would reach beyond all servers, so that the way back is no longer than the way there.
+// Limit removes steps beyond the one that includes all servers, so that narrowing doesn't take longer than widening.
 func (w *Widening) Limit(subsetSize, servers int) {
 	for w.Step > 0 && subsetSize<<(w.Step-1) >= servers {
 		w.Step--
 	}
 }
 
-// Candidates returns the servers that a balancer looks at in a step: the subset, and beyond it those that it prefers.
+// Candidates returns the servers that a balancer uses at a step: the subset, and of the others those it prefers most.
 func Candidates(m Member, subset []string, servers []Server, step int) []string {
 	if step <= 0 {
 		return subset
