--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -59,7 +59,7 @@
 	Max           int           // known clients
 	MaxPerNetwork int           // known clients of one network
 	MaxPerClient  int           // requests at once that count as a known client's; more count as an unknown client's
-	MuteFor       time.Duration // a known client that exceeds its address's rate counts as unknown for this long
+	MuteFor       time.Duration // a known client whose address exceeds its rate too often counts as unknown for this long
 }
 
 // Descriptors holds how the descriptors are divided, and the thresholds of the levels. Shares are of the budget.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -496,7 +496,7 @@
 }
 
 // Exhausted reports that the process was refused a descriptor although the budget was not used up, because something
-// else uses more descriptors than assumed. The budget is cut to what is in use and grows back slowly.
+// else uses more descriptors than assumed. The budget is cut to less than is in use and grows back slowly.
 func (g *Gate) Exhausted(now time.Duration) {
 	g.setTime(now)
 	g.Counters.Exhausted++
@@ -522,12 +522,12 @@
 	g.lastTick = g.now
 	g.ledger.restoreBudget()
 	g.ledger.updateLevel(g)
-	impatient := g.ledger.level >= Short
+	closeEarly := g.ledger.level >= Short
 	for i := 1; i < len(g.connections); i++ {
 		switch x := &g.connections[i]; {
 		case x.use == Established:
 			g.promote(x)
-		case x.use == Silent && impatient && !x.victim && g.now-x.acceptedAt >= g.cfg.Address.ShortPatience:
+		case x.use == Silent && closeEarly && !x.victim && g.now-x.acceptedAt >= g.cfg.Address.ShortPatience:
 			g.evict(int32(i), FirstLineTimeout)
 		}
 	}
