--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -7,33 +7,34 @@
 	"oatloft/policy"
 )
 
-// minTimeLeft is the least time that a request may tell the server, which counts whole milliseconds: with less it
-// would say that the client has no time left.
+// minTimeLeft is the shortest remaining time with which a request is sent. The server is given whole milliseconds, so
+// a shorter time would tell it that the client has no time left.
 const minTimeLeft = time.Millisecond
 
-// Reasons of a CloseAttempt or an Answer. Operators' tools count them by these texts.
+// Reasons of CloseAttempt and Answer. Operators' tools count them by these strings.
 const (
-	reasonConnectTimeout = "connect"  // its connection did not come up in time
-	reasonAttemptTimeout = "until"    // it timed out
-	reasonDeadline       = "deadline" // its client's time is over
-	reasonUnlisted       = "unlisted" // its server may not be used any more
-	reasonClientGone     = "client"   // its client has left
+	reasonConnectTimeout = "connect"  // the connection was not established in time
+	reasonAttemptTimeout = "until"    // the attempt timed out
+	reasonDeadline       = "deadline" // the request's deadline passed
+	reasonUnlisted       = "unlisted" // the server may no longer be used
+	reasonClientGone     = "client"   // the client disconnected
 	reasonKeyExpired     = "key"      // servers may have forgotten the idempotency key
-	reasonTooLate        = "late"     // too little time is left for the request
-	reasonServerClosed   = "ended"    // its server closed it
-	reasonNotPlaced      = "platform" // its server was named by the platform, and there is no other one
+	reasonTooLate        = "late"     // less than minTimeLeft remains
+	reasonServerClosed   = "ended"    // the server closed the connection
+	reasonNoOtherServer  = "platform" // the platform assigned the server, so no other one may be tried
 )
 
-// attempt is the latest attempt of a request. No two attempts of one request are pending at once.
+// attempt is the latest attempt of a request. A request has at most one pending attempt.
 type attempt struct {
 	number    int // -1 before the first
 	server    string
-	startedAt time.Duration // when its connection was dialed
-	sentAt    time.Duration // when the request began to leave
-	timeoutAt time.Duration // it is given up then
+	startedAt time.Duration // when the dial began
+	sentAt    time.Duration // when sending of the request began
+	timeoutAt time.Duration // the attempt is abandoned then
 }
 
-// pendingAttempt finds a request by its pending attempt; news of an earlier one concern nobody.
+// pendingAttempt returns the request whose current attempt has this number, or nil: events of earlier attempts are
+// ignored.
 func (r *Reducer) pendingAttempt(client Handle, number int) *request {
 	q := r.requests.byClient[client]
 	if q == nil || q.attempt.number != number || q.state == waiting {
@@ -42,8 +43,8 @@
 	return q
 }
 
-// sendAttempt carries out the module's Send, unless the server is gone, the attempt before is still pending, or no
-// time is left for it: then it has never run.
+// sendAttempt performs the module's Send. If the server is no longer listed, the previous attempt is still pending or
+// no time is left, it reports the attempt as unreachable instead: it has not run.
 func (r *Reducer) sendAttempt(action policy.Send) {
 	q := r.requests.byID[action.ID]
 	if q == nil {
@@ -68,9 +69,9 @@
 	r.dial(q, e, timeoutAt)
 }
 
-// dial opens an attempt's connection. The attempt is given up at timeoutAt, and before that if its connection is
-// not up within the settings' time. Connections from before the day began all come at once, and may take until
-// their deadline.
+// dial opens an attempt's connection. The attempt is abandoned at timeoutAt, or earlier if its connection is not
+// established within the configured time. Connections from before this process are all re-established at once, so
+// their dials may take until the request's deadline.
 func (r *Reducer) dial(q *request, e *endpoint, timeoutAt time.Duration) {
 	r.Counters.Attempts++
 	q.state = dialing
@@ -103,16 +104,16 @@
 	return timer{kind: kind, client: q.client, number: q.attempt.number}
 }
 
-// attemptConnected sends the request, unless something has happened while the connection came up that forbids it:
-// nothing has run yet.
+// attemptConnected sends the request, unless something that happened during the dial forbids it. The attempt has not
+// run in that case.
 func (r *Reducer) attemptConnected(event AttemptConnected) {
 	q := r.pendingAttempt(event.Client, event.Attempt)
 	if q == nil || q.state != dialing {
 		return
 	}
-	if reason := r.sendObstacle(q); reason != "" {
+	if reason := r.sendBlockReason(q); reason != "" {
 		r.Counters.AttemptsNotSent++
-		r.giveUpAttempt(q, policy.ResultUnreachable, reason)
+		r.abandonAttempt(q, policy.ResultUnreachable, reason)
 		return
 	}
 	q.state = sending
@@ -120,30 +121,30 @@
 	r.emit(SendRequest{Client: q.client, Attempt: q.attempt.number, TimeLeft: q.attempt.timeoutAt - r.now})
 }
 
-// sendObstacle names what forbids to send a request now, "" if nothing does.
-func (r *Reducer) sendObstacle(q *request) string {
+// sendBlockReason returns why a request must not be sent now, or "" if it may be.
+func (r *Reducer) sendBlockReason(q *request) string {
 	class := r.classes.byName[q.Class]
 	switch {
-	case q.isNew() && !r.mayStillUse(q):
+	case q.isNew() && !r.serverStillUsable(q):
 		return reasonUnlisted
-	case q.clientEndedAt > 0 && r.now > q.clientEndedAt+policy.DisconnectGrace:
+	case q.clientHalfClosedAt > 0 && r.now > q.clientHalfClosedAt+policy.DisconnectGrace:
 		return reasonClientGone
 	case class.Idempotency == policy.IdempotentByKey && q.mayHaveRunAt > 0 && r.now > q.mayHaveRunAt+class.KeyTTL:
-		return reasonKeyExpired // servers would take the repeat for a new request
-	case q.attempt.timeoutAt < r.now+minTimeLeft: // and the timer that tells so is not due yet
+		return reasonKeyExpired // servers would treat the repeat as a new request
+	case q.attempt.timeoutAt < r.now+minTimeLeft: // the timer has not fired yet
 		return reasonTooLate
 	}
 	return ""
 }
 
-// mayStillUse tells whether the server of a dialed attempt is still listed as live, and by the revision in force
-// still takes new requests.
-func (r *Reducer) mayStillUse(q *request) bool {
+// serverStillUsable reports whether the server of a dialed attempt is still listed as live, the lease is active, and
+// the current routing revision still gives the server new requests.
+func (r *Reducer) serverStillUsable(q *request) bool {
 	e := r.endpoints.byID[q.attempt.server]
 	return e != nil && e.State == policy.Live && r.lease == policy.LeaseActive && (q.MidFlow || !r.excludedByRevision(e))
 }
 
-// excludedByRevision tells that the revision in force gives a server, or its zone, the weight 0.
+// excludedByRevision reports whether the current routing revision gives the server or its zone the weight 0.
 func (r *Reducer) excludedByRevision(e *endpoint) bool {
 	for _, name := range []string{e.ID, "zone/" + e.Zone} {
 		if weight, named := r.config.Policy.Weights[name]; named && weight == 0 {
@@ -159,7 +160,7 @@
 	}
 }
 
-// attemptAccepted passes the server's answer on: the connection is established.
+// attemptAccepted forwards the server's answer; the connection is now established.
 func (r *Reducer) attemptAccepted(event AttemptAccepted) {
 	q := r.pendingAttempt(event.Client, event.Attempt)
 	if q == nil || q.state == established {
@@ -185,10 +186,10 @@
 		r.Counters.Adopted++
 		r.decide(policy.AdoptedConnection{Request: q.Request, Server: q.attempt.server})
 	}
-	if !r.requests.has(q) { // the module has migrated it
+	if !r.requests.has(q) { // the module migrated it
 		return
 	}
-	if q.clientEndedAt > 0 {
+	if q.clientHalfClosedAt > 0 {
 		r.emit(CloseServer{Client: q.client, Reason: CloseEOF})
 	}
 	r.reportLoad(q, event.Payload)
@@ -197,7 +198,7 @@
 	}
 }
 
-// attemptClosed follows an attempt that its server ended, or whose connection never came up.
+// attemptClosed handles an attempt that its server closed, or whose connection could not be established.
 func (r *Reducer) attemptClosed(event AttemptClosed) {
 	q := r.pendingAttempt(event.Client, event.Attempt)
 	switch {
@@ -205,12 +206,12 @@
 	case q.state == established:
 		r.closedByServer(q, event.Reason)
 	default:
-		r.giveUpAttempt(q, q.closedResult(event.Reason), reasonServerClosed)
+		r.abandonAttempt(q, q.closedResult(event.Reason), reasonServerClosed)
 	}
 }
 
-// closedResult is the result of a pending attempt that ended so. An attempt whose request had not left whole has
-// not run.
+// closedResult returns the result of a pending attempt that was closed for the given reason. An attempt whose request
+// was not sent completely has not run.
 func (q *request) closedResult(reason CloseReason) policy.Result {
 	switch reason {
 	case CloseRefused:
@@ -228,7 +229,7 @@
 	return policy.ResultReset
 }
 
-// timeoutResult is the result of a pending attempt whose time is over: one whose connection was not up has not run.
+// timeoutResult returns the result of a pending attempt that timed out. An attempt that was still dialing has not run.
 func (q *request) timeoutResult() policy.Result {
 	if q.state == dialing {
 		return policy.ResultUnreachable
@@ -238,25 +239,25 @@
 
 func (r *Reducer) connectTimedOut(t timer) {
 	if q := r.pendingAttempt(t.client, t.number); q != nil && q.state == dialing {
-		r.giveUpAttempt(q, policy.ResultUnreachable, reasonConnectTimeout)
+		r.abandonAttempt(q, policy.ResultUnreachable, reasonConnectTimeout)
 	}
 }
 
 func (r *Reducer) attemptTimedOut(t timer) {
 	if q := r.pendingAttempt(t.client, t.number); q != nil && q.state != established {
-		r.giveUpAttempt(q, q.timeoutResult(), reasonAttemptTimeout)
+		r.abandonAttempt(q, q.timeoutResult(), reasonAttemptTimeout)
 	}
 }
 
-// closePendingAttempt closes the connection of an attempt that is pending, without a result.
+// closePendingAttempt closes the connection of a pending attempt without recording a result.
 func (r *Reducer) closePendingAttempt(q *request) {
 	if q.state != waiting {
 		r.emit(CloseAttempt{Client: q.client, Attempt: q.attempt.number})
 	}
 }
 
-// giveUpAttempt closes a pending attempt and tells the module how it ended.
-func (r *Reducer) giveUpAttempt(q *request, result policy.Result, reason string) {
+// abandonAttempt closes a pending attempt and reports its result to the module.
+func (r *Reducer) abandonAttempt(q *request, result policy.Result, reason string) {
 	if !failpoint.On("task-kept") {
 		r.emit(CloseAttempt{Client: q.client, Attempt: q.attempt.number, Reason: reason})
 	}
@@ -265,9 +266,9 @@
 	if result.MayHaveRun() && q.mayHaveRunAt == 0 {
 		q.mayHaveRunAt = q.attempt.sentAt
 	}
-	if !q.isNew() { // the platform named its server, and the module does not know it
+	if !q.isNew() { // the platform assigned its server; the module does not know the request
 		r.Counters.Failed++
-		r.answer(q, Answer{Reason: reasonNotPlaced})
+		r.answer(q, Answer{Reason: reasonNoOtherServer})
 		return
 	}
 	r.decide(policy.AttemptEnded{ID: q.ID, Attempt: q.attempt.number, Server: q.attempt.server, Result: result})
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -6,34 +6,34 @@
 	"oatloft/policy"
 )
 
-// Handle names a client's connection for as long as it lives. The host assigns them.
+// Handle identifies a client's connection while it is open. The host assigns handles.
 type Handle uint32
 
-// Config is what the reducer needs to know beside the module's own settings.
+// Config holds the settings of the reducer and of the module.
 type Config struct {
 	Policy           policy.Config
-	Seed             int64         // of the module's random choices
-	ConnectTimeout   time.Duration // an attempt whose connection is not up by then never ran
+	Seed             int64         // seeds the module's random choices
+	ConnectTimeout   time.Duration // an attempt that is not connected by then has not run
 	ProbeTimeout     time.Duration
-	MaxClientTimeout time.Duration // the longest time that a class of clients waits for its answer
-	PassThrough      bool          // established connections go on elsewhere when this balancer leaves
+	MaxClientTimeout time.Duration // the longest time that clients of any class wait for an answer
+	PassThrough      bool          // established connections survive this balancer's shutdown on other balancers
 }
 
-// classTable holds the classes of the settings in force.
+// classTable holds the classes of the current settings.
 type classTable struct {
 	byName         map[string]policy.Class
-	delayThreshold time.Duration // message delays from here on are reported to the module; 0 for none
+	delayThreshold time.Duration // message delays above it are reported to the module; 0 for none
 }
 
-// delayShare is the share of the tightest message objective from which a delay is reported, as the platform's
-// settings ask.
-const delayShare = 3
+// delayThresholdDivisor divides the shortest message latency objective: longer message delays are reported to the
+// module, as the platform's settings require.
+const delayThresholdDivisor = 3
 
 func newClassTable(classes []policy.Class) classTable {
 	table := classTable{byName: make(map[string]policy.Class, len(classes))}
 	for _, class := range classes {
 		table.byName[class.Name] = class
-		threshold := class.MessageLatencyObjective / delayShare
+		threshold := class.MessageLatencyObjective / delayThresholdDivisor
 		if threshold > 0 && (table.delayThreshold == 0 || threshold < table.delayThreshold) {
 			table.delayThreshold = threshold
 		}
--- a/internal/core/connections.go
+++ b/internal/core/connections.go
@@ -6,35 +6,37 @@
 	"oatloft/policy"
 )
 
-// Times that the platform's rules set; the figures leave room for the way to the other side.
+// Time limits derived from the platform's rules, with a margin for the network delay to the peer.
 const (
-	// silenceLimit is when a connection that returns nothing from a running server has to be closed or migrated.
+	// silenceLimit is the time within which a connection without replies from its server must be closed or migrated.
 	silenceLimit = 7 * time.Second
-	// maxMigrationDelay is how long a client that is to be migrated waits for the end of its server's line; the host
-	// keeps to it.
+	// maxMigrationDelay is the longest time that the host delays a migration to reach the end of the server's current
+	// line.
 	maxMigrationDelay = time.Second
-	// silentAfter is when an established connection without a returned line counts as silent ...
+	// silentAfter is the time without a line from the server after which an established connection is silent,
+	// provided that a line has been unanswered for unansweredAfter.
 	silentAfter = silenceLimit - maxMigrationDelay - 2*checkInterval
-	// ... if a line has waited for its reply for unansweredAfter; clients send one every 2 s.
+	// unansweredAfter is how long a line must have been unanswered for silentAfter to apply; clients send one every
+	// 2 s.
 	unansweredAfter = 3 * time.Second
-	// delayReportInterval is how often a server's message delay is reported while it is long.
+	// delayReportInterval is the time between reports of a server's message delay while it is above the threshold.
 	delayReportInterval = time.Second
 )
 
-// Reasons of a MigrateClient beside the module's. Operators' tools count them by these texts.
+// Reasons of MigrateClient in addition to the module's. Operators' tools count migrations by these strings.
 const (
-	reasonUnanswered = "unanswered" // its server returns nothing
+	reasonUnanswered = "unanswered" // the server does not reply
 	reasonDrained    = "cleared"    // for maintenance or a drain
-	reasonShutdown   = "leaving"    // this process ends
+	reasonShutdown   = "leaving"    // the process shuts down
 )
 
-// traffic is what an established connection has exchanged.
+// traffic tracks the lines exchanged on an established connection.
 type traffic struct {
-	unansweredSince time.Duration // when the oldest line without a reply passed; 0 if there is none
-	lastLineAt      time.Duration // when the server returned its last line
+	unansweredSince time.Duration // when the oldest line without a reply was forwarded; 0 if there is none
+	lastLineAt      time.Duration // when the server sent its last line
 }
 
-// dataReceived hands bytes on at once, and learns from them how quickly the server replies.
+// dataReceived forwards bytes at once and measures the server's message delay.
 func (r *Reducer) dataReceived(event DataReceived) {
 	q := r.requests.established(event.Client)
 	if q == nil {
@@ -43,11 +45,11 @@
 	r.emit(Forward{Client: q.client, ToServer: !event.FromServer, Data: event.Data})
 	switch {
 	case event.FromServer:
-		if q.clientEndedAt > 0 { // half a connection, but an active one
-			q.clientEndedAt = r.now
+		if q.clientHalfClosedAt > 0 { // half-closed, but still active
+			q.clientHalfClosedAt = r.now
 		}
 		if event.Lines > 0 {
-			r.lineReturned(q)
+			r.serverLineReceived(q)
 		}
 		r.reportLoad(q, event.Payload)
 	case event.Lines > 0 && q.traffic.unansweredSince == 0:
@@ -55,8 +57,8 @@
 	}
 }
 
-// lineReturned notes that a server has replied on a connection.
-func (r *Reducer) lineReturned(q *request) {
+// serverLineReceived records that the server sent a line on a connection.
+func (r *Reducer) serverLineReceived(q *request) {
 	q.traffic.lastLineAt = r.now
 	since := q.traffic.unansweredSince
 	if e := r.endpoints.byID[q.attempt.server]; e != nil {
@@ -71,7 +73,7 @@
 	}
 }
 
-// reportLoad tells the module the load that a connection has told.
+// reportLoad reports the load from a connection's note to the module.
 func (r *Reducer) reportLoad(q *request, payload Payload) {
 	if payload.HasLoad {
 		r.Counters.LoadsReported++
@@ -79,16 +81,16 @@
 	}
 }
 
-// reportDelay tells the module of a message's delay as the platform's settings ask: once a second for a server
-// while it is above the threshold, and once more when it is back below.
+// reportDelay reports a message's delay to the module as the platform's settings require: once per server and second
+// while it is above the threshold, and once more when it has returned below.
 func (r *Reducer) reportDelay(q *request, delay time.Duration) {
 	e := r.endpoints.byID[q.attempt.server]
 	if e == nil || r.classes.delayThreshold == 0 {
 		return
 	}
 	long := delay > r.classes.delayThreshold
-	reportedLately := e.longDelay && r.now < e.delayReportedAt+delayReportInterval
-	if long && reportedLately || !long && !e.longDelay {
+	reportedRecently := e.longDelay && r.now < e.delayReportedAt+delayReportInterval
+	if long && reportedRecently || !long && !e.longDelay {
 		return
 	}
 	e.longDelay = long
@@ -103,7 +105,7 @@
 	}
 }
 
-// serverDataQueued keeps a server from being taken for silent while its data waits here.
+// serverDataQueued keeps a server from being treated as silent while its data is queued here.
 func (r *Reducer) serverDataQueued(event ServerDataQueued) {
 	q := r.requests.established(event.Client)
 	if q == nil {
@@ -115,14 +117,14 @@
 	}
 }
 
-// closedByServer ends an established connection that its server has closed.
+// closedByServer finishes an established connection that its server closed.
 func (r *Reducer) closedByServer(q *request, reason CloseReason) {
 	r.Counters.ClosedByServer++
 	result := policy.ResultReset
 	switch {
 	case reason == CloseFinished:
 		result = policy.ResultOK
-	case reason == CloseMigrated || q.clientEndedAt > 0:
+	case reason == CloseMigrated || q.clientHalfClosedAt > 0:
 		result = policy.ResultCanceled
 	}
 	if reason != CloseReset {
@@ -132,16 +134,16 @@
 	r.connectionClosed(q, result)
 }
 
-// checkConnection ends or migrates a connection that has fallen silent: a server's machine that vanished keeps its
-// connections open and says nothing. One that waits for a reply reports the delay so far, unless another client who
-// asked later was answered: then it is this connection alone.
+// checkConnection closes or migrates a connection that has fallen silent: when a server's machine is lost, its
+// connections stay open but carry no data. For a connection that awaits a reply it reports the delay so far, unless
+// the server has replied to a line sent later on another connection: then only this connection is affected.
 func (r *Reducer) checkConnection(q *request) {
 	if q.state != established {
 		return
 	}
-	if q.clientEndedAt > 0 && r.now-q.clientEndedAt > silentAfter {
+	if q.clientHalfClosedAt > 0 && r.now-q.clientHalfClosedAt > silentAfter {
 		r.emit(CloseClient{Client: q.client, Reason: CloseEOF})
-		r.abandon(q)
+		r.abandonRequest(q)
 		return
 	}
 	since := q.traffic.unansweredSince
@@ -151,21 +153,21 @@
 	delay := r.now - since
 	e := r.endpoints.byID[q.attempt.server]
 	if delay > unansweredAfter && r.now-q.traffic.lastLineAt > silentAfter {
-		r.Counters.MigratedOffSilent++
+		r.Counters.MigratedFromSilent++
 		r.migrate(q, reasonUnanswered)
 	} else if delay > r.classes.delayThreshold && e != nil && e.answeredUpTo <= since {
 		r.reportDelay(q, delay)
 	}
 }
 
-// migrateRequest carries out the module's Migrate.
+// migrateRequest performs the module's Migrate.
 func (r *Reducer) migrateRequest(action policy.Migrate) {
 	if q := r.requests.byID[action.ID]; q != nil && q.state == established {
 		r.migrate(q, action.Reason)
 	}
 }
 
-// migrate closes a connection politely; its client comes again.
+// migrate closes a connection with a request to the client to reconnect.
 func (r *Reducer) migrate(q *request, reason string) {
 	r.Counters.Migrated++
 	r.emit(MigrateClient{Client: q.client, Reason: reason})
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Effect is what the host has to carry out, in order: one of the types below.
+// Effect is an operation that the host performs, in the order of emission: one of the types below.
 type Effect interface{ effect() }
 
 // Effects on attempts.
 type (
-	// Dial opens an attempt's connection. That of the attempt before is closed already.
+	// Dial opens an attempt's connection. The previous attempt's connection is closed already.
 	Dial struct {
 		Client  Handle
 		Attempt int
 		Server  string
 		Address string
-		Timeout time.Duration // when the dialing stops by itself, should the reducer not stop it before
+		Timeout time.Duration // the host stops dialing after this time unless the reducer stops it earlier
 	}
-	// SendRequest passes the request on to the server, telling the time left.
+	// SendRequest forwards the request to the server with the time left until the attempt's timeout.
 	SendRequest struct {
 		Client   Handle
 		Attempt  int
 		TimeLeft time.Duration
 	}
-	// CloseAttempt closes an attempt's connection, or stops its dialing.
+	// CloseAttempt closes an attempt's connection, or cancels its dial.
 	CloseAttempt struct {
 		Client  Handle
 		Attempt int
 		Reason  string // for counting
 	}
-	// Probe asks a server for its load report.
+	// Probe requests a server's load report.
 	Probe struct {
 		Server  string
 		Address string
 		Timeout time.Duration
 	}
-	// ForgetServer releases what is kept for a server that is gone.
+	// ForgetServer releases the host's resources for a server that was removed or has another address.
 	ForgetServer struct{ Server string }
 )
 
 // Effects on clients and their connections.
 type (
-	// Answer is the final answer that is not a server's: rejected for lack of capacity, or failed.
+	// Answer sends the balancer's own final answer: rejected for lack of capacity, or failed.
 	Answer struct {
 		Client     Handle
 		Rejected   bool
-		RetryAfter time.Duration // 0 for no advice
+		RetryAfter time.Duration // hint when to retry; 0 for none
 		Reason     string        // for counting
 	}
 	// Forward writes bytes to one side of an established connection.
@@ -52,23 +52,23 @@
 		ToServer bool
 		Data     []byte
 	}
-	// PauseReading stops (On) or resumes the reading of one side.
+	// PauseReading pauses (On) or resumes reading from one side.
 	PauseReading struct {
 		Client   Handle
 		OfServer bool
 		On       bool
 	}
-	// CloseServer ends the server's side, after what is buffered if the reason is CloseEOF.
+	// CloseServer closes the server's side. With CloseEOF, buffered data is flushed first.
 	CloseServer struct {
 		Client Handle
 		Reason CloseReason
 	}
-	// CloseClient ends the client's side, after what is buffered if the reason is CloseEOF.
+	// CloseClient closes the client's side. With CloseEOF, buffered data is flushed first.
 	CloseClient struct {
 		Client Handle
 		Reason CloseReason
 	}
-	// MigrateClient sends the client away between two lines and closes both sides.
+	// MigrateClient asks the client to reconnect, at a line boundary, and closes both sides.
 	MigrateClient struct {
 		Client Handle
 		Reason string // for counting
@@ -77,12 +77,13 @@
 
 // Effects on discovery and the process.
 type (
-	// Watch asks discovery for all changes after Version; an earlier watch goes on until this one has answered.
+	// Watch requests all changes after Version from discovery. The previous watch stays open until this one is
+	// answered.
 	Watch struct{ Version int64 }
-	// StopWatch ends the watch.
+	// StopWatch closes the latest watch.
 	StopWatch struct{}
-	// Exit ends the program once the last answers have left, and at the deadline at the latest. No client is accepted
-	// any more.
+	// Exit ends the process once the last answers have been sent, at the deadline at the latest. The host accepts no
+	// more clients.
 	Exit struct{ Deadline time.Duration }
 )
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -9,27 +9,27 @@
 	"oatloft/policy"
 )
 
-// endpoint is a listed server with what this balancer has learnt of its message delay. Its State is what the module
-// is told: draining also where discovery says live, but operators have it in maintenance.
+// endpoint is a listed server with its observed message delay. Its State is the one reported to the module: draining
+// if discovery lists the server as live while operators have it in maintenance.
 type endpoint struct {
 	Endpoint
-	listedState     policy.ServerState // by discovery
+	listedState     policy.ServerState // as listed by discovery
 	longDelay       bool               // as last reported
 	delayReportedAt time.Duration
-	answeredUpTo    time.Duration // when the latest line passed that has been replied to
-	lastLineAt      time.Duration // when it returned a line on any established connection
+	answeredUpTo    time.Duration // when the most recent line that was replied to was forwarded
+	lastLineAt      time.Duration // when it last sent a line on any established connection
 	probedAt        time.Duration
 }
 
 // endpointTable holds the endpoint list.
 type endpointTable struct {
 	byID     map[string]*endpoint
-	received bool // a list has come, be it an old one
+	received bool // a list was received, possibly a cached one
 	version  int64
 	known    knownServers
 }
 
-// servers lists the servers as the module has them now, by id.
+// servers returns the servers as currently reported to the module, sorted by id.
 func (t *endpointTable) servers() []policy.Server {
 	list := make([]policy.Server, 0, len(t.byID))
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
@@ -38,13 +38,13 @@
 	return list
 }
 
-// HasEndpoints tells that an endpoint list has come, be it an old one.
+// HasEndpoints reports whether an endpoint list was received, possibly a cached one.
 func (r *Reducer) HasEndpoints() bool { return r.endpoints.received }
 
-// ListedServers returns the servers as the module has them now, by id.
+// ListedServers returns the servers as currently reported to the module, sorted by id.
 func (r *Reducer) ListedServers() []policy.Server { return r.endpoints.servers() }
 
-// ZoneOf returns the zone of a server, "" if it is not listed.
+// ZoneOf returns the zone of a server, or "" if it is not listed.
 func (r *Reducer) ZoneOf(id string) string {
 	if e := r.endpoints.byID[id]; e != nil {
 		return e.Zone
@@ -52,15 +52,15 @@
 	return ""
 }
 
-// endpointsListed applies an endpoint list, or the changes of one, and passes it to the module.
+// endpointsListed applies an endpoint list, or changes to it, and passes it to the module.
 func (r *Reducer) endpointsListed(event EndpointsListed) {
 	r.Counters.Lists++
 	r.endpoints.received = true
 	if event.Kind != policy.ListCached && !event.FromPreviousWatch {
 		r.watch.answered(r.now)
 	}
-	if r.overtaken(event) {
-		if !event.FromPreviousWatch { // nothing new, but an answer
+	if r.isOutdated(event) {
+		if !event.FromPreviousWatch { // nothing new, but the watch was answered
 			r.decide(policy.ServerList{Kind: policy.ListDelta})
 		}
 		return
@@ -70,32 +70,33 @@
 		r.endpoints.version = event.Version
 	}
 	servers := r.mergeEndpoints(event)
-	if event.FromPreviousWatch { // it says nothing of the watch that is to follow: that one may have failed
-		r.listAgain()
+	if event.FromPreviousWatch { // says nothing about the new watch, which may have failed
+		r.resendServerList()
 	} else {
 		r.decide(policy.ServerList{Kind: event.Kind, Servers: servers})
 	}
-	r.restoreReturned()
+	r.restoreReturningServers()
 	for _, q := range r.requests.sorted() {
 		if !q.isNew() {
-			r.returnToServer(q)
+			r.reestablish(q)
 		}
 	}
 }
 
-// overtaken tells of a list that is older than what is held, though its call was for newer: the call that it came
-// by named an earlier version, and the other one (the watch that this one follows, or the one that follows it) has
-// brought more meanwhile. What it says may be over, and nothing in it is missing here. A version below the one that
-// the call named is another matter: discovery counts from the start again.
-func (r *Reducer) overtaken(event EndpointsListed) bool {
+// isOutdated reports whether a list is older than the current state and has to be ignored: its watch was requested
+// from an earlier version, and the other one of two overlapping watches (the previous or its replacement) has
+// delivered later changes since. Its entries may no longer apply, and the current state includes all its changes. A
+// version lower than the one that the watch was requested from means instead that discovery has restarted its
+// version numbers, and is applied.
+func (r *Reducer) isOutdated(event EndpointsListed) bool {
 	if event.Kind == policy.ListCached || event.Version >= r.endpoints.version {
 		return false
 	}
 	return event.FromPreviousWatch || event.Version >= r.watch.fromVersion
 }
 
-// mergeEndpoints applies a list and returns its servers as the module is to see them. Entries that could not be
-// read stay as they are.
+// mergeEndpoints applies a list and returns its servers as they are to be reported to the module. Servers whose
+// entries could not be read stay as they are.
 func (r *Reducer) mergeEndpoints(event EndpointsListed) []policy.Server {
 	servers := make([]policy.Server, 0, len(event.Endpoints))
 	named := make(map[string]bool, len(event.Endpoints))
@@ -103,7 +104,7 @@
 		if failpoint.On("drain-unheard") && entry.State == policy.Draining {
 			entry.State = policy.Live
 		}
-		if failpoint.On("fit-zones") && r.endpoints.isZoneBeyond(3, entry.Zone) {
+		if failpoint.On("fit-zones") && r.endpoints.exceedsZoneLimit(3, entry.Zone) {
 			continue
 		}
 		servers = append(servers, r.mergeEndpoint(entry))
@@ -125,12 +126,12 @@
 	return servers
 }
 
-// mergeEndpoint applies one entry. One that starts in the future would be warming up until then, and longer: it
-// starts now.
+// mergeEndpoint applies one entry. A start time in the future is replaced by the current time, since the server
+// would otherwise be warming up until then and longer.
 func (r *Reducer) mergeEndpoint(entry Endpoint) policy.Server {
 	entry.StartedAt = min(entry.StartedAt, r.now)
 	listedState := entry.State
-	if listedState == policy.Live && r.maintenance.holds(entry.ID) {
+	if listedState == policy.Live && r.maintenance.excludes(entry.ID) {
 		entry.State = policy.Draining
 	}
 	r.endpoints.known.add(entry.ID)
@@ -149,13 +150,13 @@
 	return entry.Server
 }
 
-// isZoneBeyond tells of a zone that comes after as many others, for a failpoint that passes it over.
-func (t *endpointTable) isZoneBeyond(n int, zone string) bool {
+// exceedsZoneLimit reports whether a zone is new while limit others are known, for a failpoint that skips such zones.
+func (t *endpointTable) exceedsZoneLimit(limit int, zone string) bool {
 	zones := map[string]bool{}
 	for _, e := range t.byID {
 		zones[e.Zone] = true
 	}
-	return len(zones) >= n && !zones[zone]
+	return len(zones) >= limit && !zones[zone]
 }
 
 func (r *Reducer) forgetEndpoint(id string) {
@@ -165,13 +166,13 @@
 	}
 }
 
-// listAgain passes all servers to the module as they are now. The list is of the kind that says nothing of the
-// watch, which may be broken just now.
-func (r *Reducer) listAgain() {
+// resendServerList passes the current state of all servers to the module. The list has the cached kind, which implies
+// nothing about the watch, since that may be broken at present.
+func (r *Reducer) resendServerList() {
 	r.decide(policy.ServerList{Kind: policy.ListCached, Servers: r.endpoints.servers()})
 }
 
-// sendProbe carries out the module's Probe.
+// sendProbe performs the module's Probe.
 func (r *Reducer) sendProbe(action policy.Probe) {
 	r.Counters.Probes++
 	e := r.endpoints.byID[action.Server]
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -6,104 +6,105 @@
 	"oatloft/policy"
 )
 
-// Endpoint is a server as discovery lists it, with the address to dial.
+// Endpoint is a server's entry in the discovery list, with the address to dial.
 type Endpoint struct {
 	policy.Server
 	Address string
 }
 
-// CloseReason says how one side of a connection, or an attempt, came to its end.
+// CloseReason is why one side of a connection, or an attempt, was closed.
 type CloseReason int
 
-// The close reasons. The last four are closing lines that a server sent.
+// The close reasons. The last four stand for closing lines sent by a server.
 const (
-	CloseEOF     CloseReason = iota // the side closed its sending
-	CloseReset                      // the connection broke
-	CloseRefused                    // the connection never came up
-	CloseRejected
-	CloseFailed
-	CloseMigrated
-	CloseFinished
+	CloseEOF      CloseReason = iota // the side closed its sending direction
+	CloseReset                       // the connection was reset
+	CloseRefused                     // the connection could not be established
+	CloseRejected                    // the server rejected the request for lack of capacity
+	CloseFailed                      // the server failed the request
+	CloseMigrated                    // the server asked the client to reconnect elsewhere
+	CloseFinished                    // the connection ended normally
 )
 
-// Payload is a piece of a stream. Data is valid during the step only.
+// Payload is a chunk of a stream. Data is only valid during the step.
 type Payload struct {
 	Data        []byte
-	Lines       int         // ends of lines in Data, other than notes
-	HasLoad     bool        // Data holds a note of the connection's load
-	Load        float64     // of the last such note; 0 if it tells none
-	CloseReason CloseReason // of a closing line in Data: CloseFinished or CloseMigrated, otherwise CloseEOF
+	Lines       int         // line ends in Data, not counting load notes
+	HasLoad     bool        // Data contains a note of the connection's load
+	Load        float64     // value of the last such note; 0 if it has none
+	CloseReason CloseReason // CloseFinished or CloseMigrated for a closing line in Data, otherwise CloseEOF
 }
 
-// Event is what the host tells the reducer: one of the types below.
+// Event is an input from the host to the reducer: one of the types below.
 type Event interface{ event() }
 
 // Events of clients.
 type (
-	// ConnectionAccepted is a client that has sent no request yet.
+	// ConnectionAccepted reports a new client, which has sent no request yet.
 	ConnectionAccepted struct{ Client Handle }
-	// DescriptorsScarce tells that descriptors run short, and how many more should be free.
+	// DescriptorsScarce reports that file descriptors run short, and how many more should be free.
 	DescriptorsScarce struct{ Missing int }
-	// CloseIdle closes one client if it has sent no request so far.
+	// CloseIdle requests that one client be closed if it has sent no request so far.
 	CloseIdle struct {
 		Client     Handle
-		RetryAfter time.Duration // when it should come again; 0 if unknown
+		RetryAfter time.Duration // when it should reconnect; 0 if unknown
 	}
-	// RequestReceived is a client's request.
+	// RequestReceived reports a client's request.
 	RequestReceived struct {
 		Client Handle
 		policy.Request
-		EstablishedAt string // the server that held its connection before the day began; "" for a new request
+		EstablishedAt string // server with its connection from before this process; "" for a new request
 	}
-	// ClientClosed tells that a client closed its sending (CloseEOF) or broke.
+	// ClientClosed reports that a client closed its sending direction (CloseEOF) or that its connection broke.
 	ClientClosed struct {
 		Client Handle
 		Reason CloseReason
 	}
-	// InvalidRequest tells that a client sent what it must not: it gets one failed answer.
+	// InvalidRequest reports that a client violated the protocol. It is answered as failed, once.
 	InvalidRequest struct{ Client Handle }
-	// DataReceived brings bytes of an established connection, for the other side.
+	// DataReceived delivers bytes that one side of an established connection sent to the other.
 	DataReceived struct {
 		Client     Handle
 		FromServer bool
 		Payload
 	}
-	// BackpressureChanged tells that the way to one side is full, or has room again.
+	// BackpressureChanged reports that the send buffer towards one side is full, or has capacity again.
 	BackpressureChanged struct {
 		Client   Handle
 		ToServer bool
 		Full     bool
 	}
-	// ServerDataQueued tells that data of a server waits here for its turn on a link between zones: the server is not
-	// silent.
+	// ServerDataQueued reports that a server's data is queued here for capacity on a link between zones: the server
+	// is not silent.
 	ServerDataQueued struct{ Client Handle }
 )
 
-// Events of attempts. They concern the attempt of that number only.
+// Events of attempts. They are ignored unless Attempt is the request's current attempt.
 type (
-	// AttemptConnected tells that an attempt's connection is up, and nothing was sent on it yet.
+	// AttemptConnected reports that an attempt's connection is established, and nothing was sent on it yet.
 	AttemptConnected struct {
 		Client  Handle
 		Attempt int
 	}
-	// RequestSent tells that the request's last byte has left.
+	// RequestSent reports that the last byte of the request was sent.
 	RequestSent struct {
 		Client  Handle
 		Attempt int
 	}
-	// AttemptAccepted tells that the server took the request; the payload is its answer with what else came along.
+	// AttemptAccepted reports that the server accepted the request. The payload is its answer and any data that
+	// arrived with it.
 	AttemptAccepted struct {
 		Client  Handle
 		Attempt int
 		Payload
 	}
-	// AttemptClosed tells that the attempt's connection ended, or never came up.
+	// AttemptClosed reports that the attempt's connection was closed, or could not be established.
 	AttemptClosed struct {
 		Client  Handle
 		Attempt int
 		Reason  CloseReason
 	}
-	// ProbeFinished answers a Probe effect.
+	// ProbeFinished reports the result of a Probe effect.
 	ProbeFinished struct {
 		Server string
 		Result policy.Result
@@ -113,51 +114,51 @@
 
 // Events of discovery.
 type (
-	// EndpointsListed is an endpoint list, or changes to it.
+	// EndpointsListed delivers an endpoint list, or changes to it.
 	EndpointsListed struct {
 		Kind              policy.ListKind
 		Version           int64
 		Endpoints         []Endpoint
-		Malformed         []string // servers whose entries cannot be read: what is held of them stays
-		FromPreviousWatch bool     // it came by the watch that the latest one is to follow
+		Malformed         []string // servers with unreadable entries: their current entries stay
+		FromPreviousWatch bool     // it came from the watch that the latest one is to replace
 	}
-	// WatchDataReceived tells that bytes came by the watch which complete no list or line yet.
+	// WatchDataReceived reports bytes from the watch that do not complete a list or line yet.
 	WatchDataReceived struct{}
-	// WatchHeartbeat tells that discovery said that nothing has changed.
+	// WatchHeartbeat reports that discovery sent an empty line: nothing has changed.
 	WatchHeartbeat struct{}
-	// WatchClosed tells that the watch broke or never came up.
+	// WatchClosed reports that the watch broke or could not be established.
 	WatchClosed struct{}
 )
 
 // Events of operators, other processes and other balancers.
 type (
-	// ConfigChanged brings new settings.
+	// ConfigChanged delivers new settings.
 	ConfigChanged struct {
 		Config
-		DiscoveryMoved bool // discovery has another address from now on
+		DiscoveryMoved bool // discovery has a new address
 	}
-	// ShutdownRequested tells that the balancer is to leave (SIGTERM).
-	ShutdownRequested struct{ HandedOver bool } // another process takes new connections from now on
-	// MaintenanceSet tells that operators take a server out, or back.
+	// ShutdownRequested reports that the balancer is to shut down (SIGTERM).
+	ShutdownRequested struct{ HandedOver bool } // another process accepts new connections from now on
+	// MaintenanceSet reports that operators put a server into maintenance (On) or end it.
 	MaintenanceSet struct {
 		Server string
 		On     bool
 	}
-	// DrainSet tells that operators drain the balancer, or have it take clients again.
+	// DrainSet reports that operators drain the balancer (On) or end the drain.
 	DrainSet struct{ On bool }
-	// PredecessorState brings what an earlier process has left.
+	// PredecessorState delivers the state left by an earlier process of this balancer.
 	PredecessorState struct {
-		Servers []string          // that were listed at some time
-		Flows   map[string]string // server by the key of a flow that arrives here from now on
+		Servers []string          // listed by discovery at some time
+		Flows   map[string]string // server by flow key, for flows that may arrive here from now on
 	}
-	// OverlappingProcesses tells how many further processes place requests for this balancer.
+	// OverlappingProcesses reports how many other processes of this balancer place requests.
 	OverlappingProcesses struct{ Count int }
-	// FleetEvents brings what other balancers tell, as the module's events.
+	// FleetEvents delivers reports of other balancers, as events for the module.
 	FleetEvents struct{ Events []policy.Event }
-	// LeaseChanged tells whether new requests may be sent to servers now, where all balancers go by one routing
+	// LeaseChanged reports whether new requests may be sent to servers now, where all balancers follow one routing
 	// revision.
 	LeaseChanged struct{ Lease policy.LeaseState }
-	// Tick lets the time pass.
+	// Tick advances the time.
 	Tick struct{}
 )
 
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -6,5 +6,5 @@
 	"oatloft/internal/golden"
 )
 
-// Operators' tools read the counters by these keys.
-func TestFormOfCounters(t *testing.T) { golden.JSON[Counters](t, "counters.json") }
+// Operators' tools read the counters by these JSON keys.
+func TestCountersJSON(t *testing.T) { golden.JSON[Counters](t, "counters.json") }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	requestTimeout = 2 * time.Second       // a client has sent its request by then, or is answered that it failed
-	minIdleAge     = 10 * time.Millisecond // no client is closed sooner: its request may be on its way
+	requestTimeout = 2 * time.Second       // a client that sends no request within it is answered as failed
+	minIdleAge     = 10 * time.Millisecond // no client is closed sooner: its request may be in transit
 )
 
-// idleClients are the clients that have sent no request yet. Each holds a descriptor that another one may need.
+// idleClients tracks the clients that have sent no request yet. Each holds a descriptor that another client may need.
 type idleClients struct {
 	waiting  map[Handle]struct{}
-	arrivals []arrival // in the order of arrival, with some that have sent their request since
+	arrivals []arrival // oldest first; includes clients that have sent a request or closed since
 }
 
 type arrival struct {
@@ -23,17 +23,17 @@
 	c.arrivals = append(c.arrivals, arrival{client, now})
 }
 
-// remove tells whether the client was idle.
+// remove reports whether the client was idle.
 func (c *idleClients) remove(client Handle) bool {
 	_, idle := c.waiting[client]
 	delete(c.waiting, client)
 	return idle
 }
 
-// count is at least the number of idle clients.
+// count returns an upper bound of the number of idle clients.
 func (c *idleClients) count() int { return len(c.arrivals) }
 
-// takeOldest removes the clients that have been idle for longest: limit at most, and none younger than minAge.
+// takeOldest removes and returns the clients that have been idle longest, at most limit, none younger than minAge.
 func (c *idleClients) takeOldest(limit int, minAge, now time.Duration) []Handle {
 	var taken []Handle
 	for len(c.arrivals) > 0 && len(taken) < limit && now-c.arrivals[0].at >= minAge {
@@ -46,7 +46,7 @@
 	return taken
 }
 
-// closeIdle closes one client to make room.
+// closeIdle rejects one idle client to free its resources.
 func (r *Reducer) closeIdle(event CloseIdle) {
 	if r.idle.remove(event.Client) {
 		r.Counters.IdleClosed++
@@ -54,7 +54,7 @@
 	}
 }
 
-// closeOldestIdle answers the clients that have been idle for longest, and returns how many these are.
+// closeOldestIdle answers up to limit clients that have been idle longest, and returns their number.
 func (r *Reducer) closeOldestIdle(limit int, minAge time.Duration, rejected bool) int64 {
 	taken := r.idle.takeOldest(limit, minAge, r.now)
 	for _, client := range taken {
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// drainDelay is when a drain begins to migrate clients: the front sends nobody here 0.2 s after a no, and a client
-	// that is migrated sooner comes back.
+	// drainDelay is when a drain begins to migrate clients: the front end sends no clients here from 0.2 s after a
+	// negative answer to its check, and a client migrated earlier reconnects here.
 	drainDelay = 500 * time.Millisecond
-	// drainDuration is when all are migrated; a second later they must be.
+	// drainDuration is when a drain has migrated all clients, 1 s before the limit of the platform's rules.
 	drainDuration = 3 * time.Second
 )
 
-// maintenanceState is which servers operators have taken out.
+// maintenanceState holds the servers that operators have put into maintenance.
 type maintenanceState struct {
 	servers   map[string]bool
-	returning map[string]bool // taken back while they were not listed
+	returning map[string]bool // maintenance ended while they were not listed
 }
 
-// holds tells that a server is not to be used although discovery lists it as live.
-func (m *maintenanceState) holds(id string) bool { return m.servers[id] || m.returning[id] }
+// excludes reports whether a server must not be used although discovery lists it as live.
+func (m *maintenanceState) excludes(id string) bool { return m.servers[id] || m.returning[id] }
 
-// ServersInMaintenance names the servers that operators have taken out.
+// ServersInMaintenance returns the ids of the servers in maintenance, sorted.
 func (r *Reducer) ServersInMaintenance() []string {
 	return slices.Sorted(maps.Keys(r.maintenance.servers))
 }
 
-// DrainRequested tells that operators drain the balancer.
+// DrainRequested reports whether operators drain the balancer.
 func (r *Reducer) DrainRequested() bool { return r.draining }
 
-// setMaintenance has the module see a server drain, or be what discovery says again.
+// setMaintenance reports a server to the module as draining, or with the state listed by discovery again.
 func (r *Reducer) setMaintenance(event MaintenanceSet) {
 	m := &r.maintenance
 	if m.servers[event.Server] == event.On {
@@ -47,14 +47,14 @@
 	}
 	e := r.endpoints.byID[event.Server]
 	switch {
-	case e == nil && !event.On: // once listed, it comes back as others do, out of a drain
+	case e == nil && !event.On: // its drain ends when it is listed again
 		m.returning[event.Server] = true
 	case e != nil && e.listedState == policy.Live:
 		e.State = policy.Live
 		if event.On {
 			e.State = policy.Draining
 		}
-		r.listAgain()
+		r.resendServerList()
 	}
 	if event.On {
 		r.beginMigrations(event.Server, migrationWindow{from: r.now, until: r.now + migrationDuration})
@@ -63,8 +63,9 @@
 	}
 }
 
-// restoreReturned ends the drain of servers that were taken back while they were not listed, once they are.
-func (r *Reducer) restoreReturned() {
+// restoreReturningServers ends the drain of servers whose maintenance ended while they were not listed, once they are
+// listed.
+func (r *Reducer) restoreReturningServers() {
 	restored := false
 	for id := range r.maintenance.returning {
 		e := r.endpoints.byID[id]
@@ -78,11 +79,11 @@
 		}
 	}
 	if restored {
-		r.listAgain()
+		r.resendServerList()
 	}
 }
 
-// setDrain begins or ends the drain of the balancer. Where packets pass through, established connections stay.
+// setDrain begins or ends the drain of the balancer. In pass-through mode, established connections stay.
 func (r *Reducer) setDrain(on bool) {
 	if r.draining == on {
 		return
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -8,92 +8,93 @@
 	"oatloft/policy"
 )
 
-// Whatever discovery says of a region that is left out, and however often it is called out, it gets nothing until one
-// call takes it back; then discovery's word holds again, and the next newcomer goes there.
-func TestMaintain(t *testing.T) {
-	b := newBed(t, nil)
+// A server in maintenance gets no requests, whatever state discovery lists and however often maintenance is set, until
+// a single call ends it. Then discovery's state applies again, and the next new client is sent there.
+func TestMaintenance(t *testing.T) {
+	b := newTestbed(t, nil)
 	next := Handle(100)
-	used := func() bool {
+	isUsed := func() bool {
 		t.Helper()
 		for range 20 {
 			next++
-			if b.up(next) == "r1" {
+			if b.establish(next) == "r1" {
 				return true
 			}
-			b.pass(10 * time.Millisecond)
+			b.advance(10 * time.Millisecond)
 		}
 		return false
 	}
-	b.do(MaintenanceSet{"r1", true})
-	b.do(MaintenanceSet{"r1", true})
-	b.watch()
+	b.step(MaintenanceSet{"r1", true})
+	b.step(MaintenanceSet{"r1", true})
+	b.awaitWatch()
 	for seq, state := range []policy.ServerState{policy.Live, policy.Draining, policy.Live, policy.Gone, policy.Live} {
-		b.list(policy.ListDelta, int64(8+seq), state, "r1")
-		if used() {
-			t.Fatalf("used while left out, listed %v", state)
+		b.listEndpoints(policy.ListDelta, int64(8+seq), state, "r1")
+		if isUsed() {
+			t.Fatalf("used during maintenance, listed as %v", state)
 		}
 	}
-	b.list(policy.ListFull, 20, policy.Live, "r1", "r2")
-	if used() {
-		t.Fatal("used after a whole list")
+	b.listEndpoints(policy.ListFull, 20, policy.Live, "r1", "r2")
+	if isUsed() {
+		t.Fatal("used after a full list")
 	}
-	b.do(MaintenanceSet{"r1", false})
-	if next++; b.up(next) != "r1" {
-		t.Fatal("not the next newcomer's")
+	b.step(MaintenanceSet{"r1", false})
+	if next++; b.establish(next) != "r1" {
+		t.Fatal("the next new client was not sent to r1")
 	}
-	// Taken back while it is away: the same once it is listed.
-	b.do(MaintenanceSet{"r1", true})
-	b.list(policy.ListDelta, 21, policy.Gone, "r1")
-	b.do(MaintenanceSet{"r1", false})
-	if used() {
+	// Maintenance ends while the server isn't listed: the same applies once it is listed.
+	b.step(MaintenanceSet{"r1", true})
+	b.listEndpoints(policy.ListDelta, 21, policy.Gone, "r1")
+	b.step(MaintenanceSet{"r1", false})
+	if isUsed() {
 		t.Fatal("used while gone")
 	}
-	b.list(policy.ListDelta, 22, policy.Live, "r1")
-	if next++; b.up(next) != "r1" {
-		t.Fatal("not the next newcomer's after its return")
+	b.listEndpoints(policy.ListDelta, 22, policy.Live, "r1")
+	if next++; b.establish(next) != "r1" {
+		t.Fatal("the next new client was not sent to r1 after its return")
 	}
-	// Discovery drains it while it is left out: the call back doesn't overrule that.
-	b.do(MaintenanceSet{"r1", true})
-	b.list(policy.ListDelta, 23, policy.Draining, "r1")
-	b.do(MaintenanceSet{"r1", false})
-	if used() {
+	// Discovery drains the server during maintenance: ending maintenance doesn't override that.
+	b.step(MaintenanceSet{"r1", true})
+	b.listEndpoints(policy.ListDelta, 23, policy.Draining, "r1")
+	b.step(MaintenanceSet{"r1", false})
+	if isUsed() {
 		t.Fatal("used while discovery drains it")
 	}
 }
 
-// Those who stand at a region left out make way over the time set, not at once; who came up later goes as well.
-func TestMakeWay(t *testing.T) {
-	b := newBed(t, nil)
-	at := map[string]int{}
+// The connections of a server in maintenance are migrated gradually over migrationDuration, not all at once, and
+// connections to other servers stay.
+func TestMaintenanceMigratesGradually(t *testing.T) {
+	b := newTestbed(t, nil)
+	connections := map[string]int{}
 	for i := range 60 {
-		at[b.up(Handle(i+1))]++
+		connections[b.establish(Handle(i+1))]++
 	}
-	b.do(MaintenanceSet{"r1", true})
-	first := len(all[MigrateClient](b.pass(4 * migrationInterval)))
-	rest := len(all[MigrateClient](b.pass(migrationDuration)))
-	if at["r1"] < 10 || first == 0 || first > at["r1"]/2 || first+rest != at["r1"] {
-		t.Fatalf("%v stood, %d then %d moved", at, first, rest)
+	b.step(MaintenanceSet{"r1", true})
+	first := len(effectsOf[MigrateClient](b.advance(4 * migrationInterval)))
+	rest := len(effectsOf[MigrateClient](b.advance(migrationDuration)))
+	if connections["r1"] < 10 || first == 0 || first > connections["r1"]/2 || first+rest != connections["r1"] {
+		t.Fatalf("established: %v, migrated: %d, then %d", connections, first, rest)
 	}
-	if n := len(all[MigrateClient](b.pass(5 * time.Second))); n > 0 {
-		t.Fatal(n, "moved from elsewhere")
+	if n := len(effectsOf[MigrateClient](b.advance(5 * time.Second))); n > 0 {
+		t.Fatal(n, "migrated from other servers")
 	}
 }
 
-// What the process before has left is where its terminals go, once each, and no longer than it can tell anything.
-func TestLeft(t *testing.T) {
-	b := newBed(t, nil)
-	left := PredecessorState{Servers: []string{"old"}, Flows: map[string]string{}}
+// The predecessor's flows determine where its clients are sent, once each, and are forgotten after predecessorFlowTTL.
+func TestPredecessorFlows(t *testing.T) {
+	b := newTestbed(t, nil)
+	state := PredecessorState{Servers: []string{"old"}, Flows: map[string]string{}}
 	for i := range 40 {
-		left.Flows[fmt.Sprint("k", i)] = "r1"
+		state.Flows[fmt.Sprint("k", i)] = "r1"
 	}
-	b.do(left)
+	b.step(state)
 	if !b.r.IsKnownServer("old") || b.r.IsKnownServer("never") {
-		t.Fatal("ids that were listed before")
+		t.Fatal("servers that were listed before")
 	}
-	for i := range 10 { // fewer than the module sets up at once
-		d := find[Dial](
+	for i := range 10 { // fewer than the module places at once
+		d := single[Dial](
 			b,
-			b.do(
+			b.step(
 				RequestReceived{
 					Client:  Handle(i + 1),
 					Request: policy.Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "chat", Timeout: 2 * time.Second},
@@ -104,8 +105,8 @@
 			t.Fatalf("k%d went to %s", i, d.Server)
 		}
 	}
-	b.pass(predecessorFlowTTL + time.Second)
+	b.advance(predecessorFlowTTL + time.Second)
 	if b.r.predecessor.servers != nil {
-		t.Fatal("kept for good")
+		t.Fatal("the predecessor's flows were not forgotten")
 	}
 }
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -8,25 +8,26 @@
 
 const (
 	migrationInterval = 50 * time.Millisecond
-	// migrationDuration is within which a server's clients are migrated: all at once would be a wave.
+	// migrationDuration is the time over which a server's clients are migrated. Migrating all at once would cause a
+	// wave of simultaneous reconnections.
 	migrationDuration = 1500 * time.Millisecond
 )
 
 // allServers stands for every server in pacedMigrations.
 const allServers = ""
 
-// migrationWindow is a time within which established connections are migrated.
+// migrationWindow is the period during which established connections are migrated.
 type migrationWindow struct{ from, until time.Duration }
 
-// pacedMigrations are the migrations under way, by server or of allServers.
+// pacedMigrations holds the migrations in progress.
 type pacedMigrations struct {
-	windows  map[string]migrationWindow
+	windows  map[string]migrationWindow // by server, or allServers
 	timerSet bool
 }
 
 func (p *pacedMigrations) stop(server string) { delete(p.windows, server) }
 
-// beginMigrations begins to migrate a server's connections, or all.
+// beginMigrations starts to migrate the connections of a server, or of allServers.
 func (r *Reducer) beginMigrations(server string, window migrationWindow) {
 	r.migrations.windows[server] = window
 	if !r.migrations.timerSet {
@@ -35,8 +36,8 @@
 	}
 }
 
-// runMigrations does one step of all migrations. Once their time is over it goes on, less often, for connections
-// that are established later or arrive in mid-flow.
+// runMigrations performs one step of all migrations. After the end of their windows it continues at a longer interval,
+// for connections that are established later or arrive in mid-flow.
 func (r *Reducer) runMigrations() {
 	r.migrations.timerSet = len(r.migrations.windows) > 0
 	if !r.migrations.timerSet {
@@ -55,7 +56,7 @@
 	r.timers.set(r.now+next, timer{kind: migrationTimer})
 }
 
-// migrateStep migrates as many connections as have to go in this step for all to be gone in time.
+// migrateStep migrates the number of connections required in this step for all to be migrated by the window's end.
 func (r *Reducer) migrateStep(server string, window migrationWindow) {
 	affected := func(q *request) bool {
 		return r.requests.has(q) && q.state == established && (server == allServers || q.attempt.server == server)
@@ -68,15 +69,15 @@
 		}
 	}
 	steps := 1 + int(max(0, window.until-r.now)/migrationInterval)
-	left := (count + steps - 1) / steps
+	remaining := (count + steps - 1) / steps
 	for _, q := range all {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if affected(q) {
 			r.Counters.MigratedForDrain++
 			r.migrate(q, reasonDrained)
-			left--
+			remaining--
 		}
 	}
 }
--- a/internal/core/predecessor.go
+++ b/internal/core/predecessor.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	predecessorFlowTTL = 30 * time.Second // what an earlier process has left is forgotten then
+	predecessorFlowTTL = 30 * time.Second // flows of the predecessor are forgotten after it
 	maxKnownServers    = 4096
 )
 
-// predecessorFlows are the connections that an earlier process has left, which come here when its clients or their
-// packets do.
+// predecessorFlows holds the flows of connections that an earlier process had established and whose clients or
+// packets may arrive here.
 type predecessorFlows struct {
-	servers   map[string]string // by the flow's key
+	servers   map[string]string // by flow key
 	expiresAt time.Duration
 }
 
@@ -24,7 +24,7 @@
 	}
 }
 
-// predecessorState takes what an earlier process has left.
+// predecessorState records the state left by an earlier process.
 func (r *Reducer) predecessorState(event PredecessorState) {
 	r.endpoints.known.add(event.Servers...)
 	if len(event.Flows) > 0 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// takeOverFlow tells the module where a request's connection was established by an earlier process: it adds no load
-// there.
+// takeOverFlow reports to the module the server on which an earlier process had established a request's connection:
+// the request adds no load there.
 func (r *Reducer) takeOverFlow(q *request) {
 	server, ok := r.predecessor.servers[q.Key]
 	if !ok {
@@ -44,7 +44,7 @@
 	r.decide(policy.PredecessorFlow{Key: q.Key, Server: server})
 }
 
-// knownServers remembers the servers that were listed at some time, the latest of them.
+// knownServers remembers the servers that were ever listed, up to maxKnownServers; the oldest are evicted first.
 type knownServers struct {
 	ids   map[string]bool
 	order []string
@@ -67,10 +67,10 @@
 	}
 }
 
-// IsKnownServer tells whether a server was listed at some time, or is in maintenance.
+// IsKnownServer reports whether a server was ever listed, or is in maintenance.
 func (r *Reducer) IsKnownServer(id string) bool {
 	return r.endpoints.known.ids[id] || r.maintenance.servers[id]
 }
 
-// KnownServers names the servers that were listed at some time, in the order in which they were first.
+// KnownServers returns the ids of the servers that were ever listed, ordered by when they were first listed.
 func (r *Reducer) KnownServers() []string { return r.endpoints.known.order }
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -13,12 +13,12 @@
 	config   Config
 	classes  classTable
 	now      time.Duration
-	effects  []Effect // of the step under way
+	effects  []Effect // of the current step
 	timers   timerWheel
 	balancer *policy.Balancer
-	actions  []policy.Action // of the module's latest step, kept for its memory
-	pending  []policy.Event  // for the module, in order
-	deciding bool            // the module's events are being passed on
+	actions  []policy.Action // of the module's latest step; its memory is reused
+	pending  []policy.Event  // queued for the module, in order
+	deciding bool            // decide is passing events to the module
 
 	requests    requestTable
 	idle        idleClients
@@ -28,11 +28,11 @@
 	migrations  pacedMigrations
 	predecessor predecessorFlows
 	shutdown    shutdownState
-	draining    bool // at the operators' request
+	draining    bool // at operators' request
 	lease       policy.LeaseState
 }
 
-// New returns a reducer, or a *policy.ConfigError.
+// New returns a reducer. The error is *policy.ConfigError.
 func New(config Config) (*Reducer, error) {
 	balancer, err := policy.New(config.Policy, config.Seed)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}, nil
 }
 
-// Step takes one event and appends the effects it calls for.
+// Step processes one event and appends the resulting effects to effects.
 func (r *Reducer) Step(now time.Duration, event Event, effects []Effect) []Effect {
 	if r.now == 0 {
 		r.start(now, effects)
@@ -63,7 +63,7 @@
 	return effects
 }
 
-// start begins the timers, and the module with them: its first call for the endpoint list must not wait for a client.
+// start starts the timers and the module, whose first request for the endpoint list must not wait for a client.
 func (r *Reducer) start(now time.Duration, effects []Effect) {
 	r.timers.start(now)
 	r.timers.set(now+checkInterval, timer{kind: checkTimer})
@@ -97,7 +97,7 @@
 	}
 }
 
-// dispatchClient takes the events of clients, and tells whether this is one.
+// dispatchClient handles the events of clients and reports whether the event is one.
 func (r *Reducer) dispatchClient(event Event) bool {
 	switch event := event.(type) {
 	case ConnectionAccepted:
@@ -124,7 +124,7 @@
 	return true
 }
 
-// dispatchAttempt takes the events of attempts and probes, and tells whether this is one.
+// dispatchAttempt handles the events of attempts and probes and reports whether the event is one.
 func (r *Reducer) dispatchAttempt(event Event) bool {
 	switch event := event.(type) {
 	case AttemptConnected:
@@ -143,13 +143,13 @@
 	return true
 }
 
-// dispatchDiscovery takes the events of discovery, and tells whether this is one.
+// dispatchDiscovery handles the events of discovery and reports whether the event is one.
 func (r *Reducer) dispatchDiscovery(event Event) bool {
 	switch event := event.(type) {
 	case EndpointsListed:
 		r.endpointsListed(event)
 	case WatchDataReceived:
-		r.watch.lastDataAt = r.now
+		r.watch.lastPartialAt = r.now
 	case WatchHeartbeat:
 		r.watchHeartbeat()
 	case WatchClosed:
@@ -162,8 +162,8 @@
 
 func (r *Reducer) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
-// decide passes one event to the module and carries out its actions. Events that come of these wait for their turn:
-// the module is never entered twice.
+// decide passes one event to the module and performs its actions. Events that result from these are queued, so the
+// module is never re-entered.
 func (r *Reducer) decide(event policy.Event) {
 	r.pending = append(r.pending, event)
 	if r.deciding {
@@ -175,14 +175,14 @@
 		r.pending = r.pending[1:]
 		r.actions = r.balancer.Step(r.now, next, r.actions[:0])
 		for _, action := range r.actions {
-			r.carryOut(action)
+			r.perform(action)
 		}
 	}
 	r.pending, r.deciding = r.pending[:0], false
 }
 
-// carryOut turns one of the module's actions into effects.
-func (r *Reducer) carryOut(action policy.Action) {
+// perform turns one of the module's actions into effects.
+func (r *Reducer) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
 		r.sendAttempt(action)
@@ -215,7 +215,7 @@
 		r.timers.set(r.now+checkInterval, timer{kind: checkTimer})
 		r.check()
 	case watchTimer:
-		if t.number == r.watch.calls {
+		if t.number == r.watch.sequence {
 			r.checkWatch()
 		}
 	case migrationTimer:
@@ -225,7 +225,7 @@
 	}
 }
 
-// checkInterval is how often the reducer looks for clients, servers and watches that have fallen silent.
+// checkInterval is how often the reducer checks for idle clients, silent servers and silent watches.
 const checkInterval = 250 * time.Millisecond
 
 func (r *Reducer) check() {
@@ -237,7 +237,7 @@
 	r.checkWatch()
 }
 
-// configChanged takes new settings. Discovery is asked at once if it has moved.
+// configChanged applies new settings. It begins a new watch at once if discovery has a new address.
 func (r *Reducer) configChanged(event ConfigChanged) {
 	event.Policy.OverlappingProcesses = r.config.Policy.OverlappingProcesses
 	r.config = event.Config
@@ -259,7 +259,7 @@
 	}
 }
 
-// setOverlappingProcesses has the module share what it shares with other balancers once more.
+// setOverlappingProcesses has the module divide this balancer's share of the fleet's limits among its processes.
 func (r *Reducer) setOverlappingProcesses(count int) {
 	if r.config.Policy.OverlappingProcesses == count {
 		return
@@ -268,8 +268,8 @@
 	r.decide(policy.ConfigUpdate{Config: r.config.Policy})
 }
 
-// LoadReadings returns the load readings of all servers that this balancer has read itself or found silent, by id.
+// LoadReadings returns the load readings of all servers that this balancer has probed itself or found silent, by id.
 func (r *Reducer) LoadReadings() []policy.ServerReading { return r.balancer.LoadReadings() }
 
-// Activity is the module's own pace, which other balancers are told.
+// Activity returns the module's own activity, which is reported to other balancers.
 func (r *Reducer) Activity() policy.Activity { return r.balancer.Activity() }
--- a/internal/core/reducer_test.go
+++ b/internal/core/reducer_test.go
@@ -9,32 +9,32 @@
 	"oatloft/policy"
 )
 
-// bed drives a reducer by hand: time passes only when a test lets it.
-type bed struct {
+// testbed drives a reducer. Its clock advances only when a test advances it.
+type testbed struct {
 	t   *testing.T
 	r   *Reducer
 	now time.Duration
 }
 
-// newBed has a module that needs no probes and is told of regions r1 and r2; patience is the caller's.
-func newBed(t *testing.T, change func(*Config)) *bed {
+// newTestbed returns a testbed with a module that needs no probes, and with the servers r1 and r2 listed.
+func newTestbed(t *testing.T, configure func(*Config)) *testbed {
 	cfg := Config{ConnectTimeout: 250 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, PassThrough: true,
 		Policy: policy.Config{Zone: "a", Balancers: 1, MaxAttempts: 3, TimerResolution: 5 * time.Millisecond,
 			PollEndpointList: true, PollInterval: 10 * time.Second, Classes: []policy.Class{
 				{Name: "chat", LatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}}}}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	r, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, r: r, now: time.Hour}
-	b.list(policy.ListCached, 7, policy.Live, "r1", "r2")
+	b := &testbed{t: t, r: r, now: time.Hour}
+	b.listEndpoints(policy.ListCached, 7, policy.Live, "r1", "r2")
 	return b
 }
 
-func (b *bed) list(kind policy.ListKind, seq int64, state policy.ServerState, ids ...string) []Effect {
+func (b *testbed) listEndpoints(kind policy.ListKind, seq int64, state policy.ServerState, ids ...string) []Effect {
 	l := EndpointsListed{Kind: kind, Version: seq}
 	for _, id := range ids {
 		l.Endpoints = append(
@@ -42,22 +42,22 @@
 			Endpoint{Address: id + ":1", Server: policy.Server{ID: id, Zone: "a", Weight: 1, State: state}},
 		)
 	}
-	return b.do(l)
+	return b.step(l)
 }
 
-func (b *bed) do(ev Event) []Effect { return b.r.Step(b.now, ev, nil) }
+func (b *testbed) step(ev Event) []Effect { return b.r.Step(b.now, ev, nil) }
 
-// pass lets time go by, in the host's ticks.
-func (b *bed) pass(d time.Duration) (out []Effect) {
+// advance lets time pass in steps of the host's tick interval.
+func (b *testbed) advance(d time.Duration) (out []Effect) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
-		out = append(out, b.do(Tick{})...)
+		out = append(out, b.step(Tick{})...)
 	}
 	return out
 }
 
-func (b *bed) open(from Handle, d time.Duration) []Effect {
-	return b.do(
+func (b *testbed) request(from Handle, d time.Duration) []Effect {
+	return b.step(
 		RequestReceived{
 			Client:  from,
 			Request: policy.Request{ID: fmt.Sprint("id", from), Key: "k", Class: "chat", Timeout: d},
@@ -65,19 +65,19 @@
 	)
 }
 
-// up opens a transaction and brings it up; it returns its region.
-func (b *bed) up(from Handle) string {
-	d := find[Dial](b, b.open(from, 2*time.Second))
-	b.do(AttemptConnected{from, d.Attempt})
-	b.do(RequestSent{from, d.Attempt})
-	find[Forward](b, b.do(AttemptAccepted{Client: from, Attempt: d.Attempt, Payload: Payload{Data: []byte("UP\r\n")}}))
+// establish sends a request, establishes its connection and returns its server.
+func (b *testbed) establish(from Handle) string {
+	d := single[Dial](b, b.request(from, 2*time.Second))
+	b.step(AttemptConnected{from, d.Attempt})
+	b.step(RequestSent{from, d.Attempt})
+	single[Forward](b, b.step(AttemptAccepted{Client: from, Attempt: d.Attempt, Payload: Payload{Data: []byte("UP\r\n")}}))
 	return d.Server
 }
 
-// watch lets time pass until the module asks for the list.
-func (b *bed) watch() Watch {
+// awaitWatch advances the time until a watch begins.
+func (b *testbed) awaitWatch() Watch {
 	for range 1000 {
-		if w := all[Watch](b.pass(TickInterval)); len(w) > 0 {
+		if w := effectsOf[Watch](b.advance(TickInterval)); len(w) > 0 {
 			return w[0]
 		}
 	}
@@ -85,7 +85,7 @@
 	return Watch{}
 }
 
-func all[E Effect](effects []Effect) (found []E) {
+func effectsOf[E Effect](effects []Effect) (found []E) {
 	for _, e := range effects {
 		if e, ok := e.(E); ok {
 			found = append(found, e)
@@ -94,192 +94,194 @@
 	return found
 }
 
-// find returns the one effect of its kind.
-func find[E Effect](b *bed, effects []Effect) E {
+// single returns the only effect of its type and fails if there is another number of them.
+func single[E Effect](b *testbed, effects []Effect) E {
 	b.t.Helper()
-	found := all[E](effects)
+	found := effectsOf[E](effects)
 	if len(found) != 1 {
 		b.t.Fatalf("%d of %T in %+v", len(found), *new(E), effects)
 	}
 	return found[0]
 }
 
-func (b *bed) none(effects []Effect) {
+func (b *testbed) expectNone(effects []Effect) {
 	b.t.Helper()
 	effects = slices.DeleteFunc(effects, func(e Effect) bool { _, watch := e.(Watch); return watch })
 	if len(effects) > 0 {
-		b.t.Fatalf("unwanted: %+v", effects)
+		b.t.Fatalf("unexpected: %+v", effects)
 	}
 }
 
-// How a routed task ended decides whether it may have run. Each ending comes to a fresh one.
-func TestOutcomes(t *testing.T) {
+// The way in which an attempt ends determines the result under which it is counted.
+func TestAttemptResults(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		end  func(b *bed, d Dial)
-		of   func(c Counters) int64
+		name    string
+		end     func(b *testbed, d Dial)
+		counter func(c Counters) int64
 	}{
-		{"refused", func(b *bed, d Dial) {
-			b.do(AttemptClosed{1, d.Attempt, CloseRefused})
+		{"refused", func(b *testbed, d Dial) {
+			b.step(AttemptClosed{1, d.Attempt, CloseRefused})
 		}, func(c Counters) int64 { return c.AttemptsUnreachable }},
-		{"never up", func(b *bed, _ Dial) {
-			b.pass(260 * time.Millisecond)
+		{"connect timeout", func(b *testbed, _ Dial) {
+			b.advance(260 * time.Millisecond)
 		}, func(c Counters) int64 { return c.AttemptsUnreachable }},
-		{"broken before the line left", func(b *bed, d Dial) {
-			b.do(AttemptConnected{1, d.Attempt})
-			b.do(AttemptClosed{1, d.Attempt, CloseReset})
+		{"reset before the request was sent", func(b *testbed, d Dial) {
+			b.step(AttemptConnected{1, d.Attempt})
+			b.step(AttemptClosed{1, d.Attempt, CloseReset})
 		}, func(c Counters) int64 { return c.AttemptsUnreachable }},
-		{"broken after", func(b *bed, d Dial) {
-			b.do(AttemptConnected{1, d.Attempt})
-			b.do(RequestSent{1, d.Attempt})
-			b.do(AttemptClosed{1, d.Attempt, CloseEOF})
+		{"closed after the request was sent", func(b *testbed, d Dial) {
+			b.step(AttemptConnected{1, d.Attempt})
+			b.step(RequestSent{1, d.Attempt})
+			b.step(AttemptClosed{1, d.Attempt, CloseEOF})
 		}, func(c Counters) int64 { return c.AttemptsReset }},
-		{"turned away", func(b *bed, d Dial) {
-			b.do(AttemptConnected{1, d.Attempt})
-			b.do(RequestSent{1, d.Attempt})
-			b.do(AttemptClosed{1, d.Attempt, CloseRejected})
+		{"rejected", func(b *testbed, d Dial) {
+			b.step(AttemptConnected{1, d.Attempt})
+			b.step(RequestSent{1, d.Attempt})
+			b.step(AttemptClosed{1, d.Attempt, CloseRejected})
 		}, func(c Counters) int64 { return c.AttemptsRejected }},
-		{"no answer", func(b *bed, d Dial) {
-			b.do(AttemptConnected{1, d.Attempt})
-			b.do(RequestSent{1, d.Attempt})
-			b.pass(850 * time.Millisecond)
+		{"no answer", func(b *testbed, d Dial) {
+			b.step(AttemptConnected{1, d.Attempt})
+			b.step(RequestSent{1, d.Attempt})
+			b.advance(850 * time.Millisecond)
 		}, func(c Counters) int64 { return c.AttemptsTimedOut }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			b := newBed(t, nil)
-			d := find[Dial](b, b.open(1, 4*time.Second))
+			b := newTestbed(t, nil)
+			d := single[Dial](b, b.request(1, 4*time.Second))
 			x.end(b, d)
-			if c := b.r.Counters; x.of(c) < 1 ||
-				c.AttemptsUnreachable+c.AttemptsReset+c.AttemptsRejected+c.AttemptsTimedOut != x.of(c) {
+			if c := b.r.Counters; x.counter(c) < 1 ||
+				c.AttemptsUnreachable+c.AttemptsReset+c.AttemptsRejected+c.AttemptsTimedOut != x.counter(c) {
 				t.Fatalf("%+v", c)
 			}
 		})
 	}
 }
 
-// One routed task at a time: the one before is dropped before the next is dialed, and news of the old
-// one, which may still be on its way, changes nothing.
-func TestOneTaskAtATime(t *testing.T) {
-	b := newBed(t, nil)
-	first := find[Dial](b, b.open(1, 4*time.Second))
-	effects := b.pass(300 * time.Millisecond)
-	next := find[Dial](b, effects)
+// One attempt at a time: the previous one is closed before the next is dialed, and late events of the previous one
+// are ignored.
+func TestOneAttemptAtATime(t *testing.T) {
+	b := newTestbed(t, nil)
+	first := single[Dial](b, b.request(1, 4*time.Second))
+	effects := b.advance(300 * time.Millisecond)
+	next := single[Dial](b, effects)
 	closed := slices.Index(effects, Effect(CloseAttempt{1, first.Attempt, "connect"}))
 	if closed < 0 || closed > slices.Index(effects, Effect(next)) {
 		t.Fatalf("%+v", effects)
 	}
-	b.none(b.do(AttemptConnected{1, first.Attempt}))
-	b.none(b.do(AttemptClosed{1, first.Attempt, CloseReset}))
-	b.none(b.do(AttemptAccepted{Client: 1, Attempt: first.Attempt}))
-	find[SendRequest](b, b.do(AttemptConnected{1, next.Attempt}))
+	b.expectNone(b.step(AttemptConnected{1, first.Attempt}))
+	b.expectNone(b.step(AttemptClosed{1, first.Attempt, CloseReset}))
+	b.expectNone(b.step(AttemptAccepted{Client: 1, Attempt: first.Attempt}))
+	single[SendRequest](b, b.step(AttemptConnected{1, next.Attempt}))
 }
 
-// Whatever happens, one final answer: here nothing does, and then an UP and a reset come too late.
-func TestOneAnswerAtTheDeadline(t *testing.T) {
-	b := newBed(t, nil)
-	d := find[Dial](b, b.open(1, 400*time.Millisecond))
-	b.do(AttemptConnected{1, d.Attempt})
-	b.do(RequestSent{1, d.Attempt})
-	find[Answer](b, b.pass(400*time.Millisecond))
-	b.none(b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
-	b.none(b.do(AttemptClosed{1, d.Attempt, CloseReset}))
-	b.none(b.do(ClientClosed{1, CloseReset}))
-	b.none(b.pass(time.Second))
+// A request gets exactly one final answer: here the server doesn't answer in time, and then UP and resets arrive late.
+func TestOneAnswerAtDeadline(t *testing.T) {
+	b := newTestbed(t, nil)
+	d := single[Dial](b, b.request(1, 400*time.Millisecond))
+	b.step(AttemptConnected{1, d.Attempt})
+	b.step(RequestSent{1, d.Attempt})
+	single[Answer](b, b.advance(400*time.Millisecond))
+	b.expectNone(b.step(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
+	b.expectNone(b.step(AttemptClosed{1, d.Attempt, CloseReset}))
+	b.expectNone(b.step(ClientClosed{1, CloseReset}))
+	b.expectNone(b.advance(time.Second))
 	if b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
 		t.Fatal(b.r.Unanswered(), b.r.OpenRequests())
 	}
 }
 
-// A terminal's reset racing UP: whichever comes first, the region's connection ends and nothing is owed.
-func TestTerminalResetRacesUp(t *testing.T) {
-	for _, upFirst := range []bool{true, false} {
-		b := newBed(t, nil)
-		d := find[Dial](b, b.open(1, time.Second))
-		b.do(AttemptConnected{1, d.Attempt})
-		b.do(RequestSent{1, d.Attempt})
-		if upFirst {
-			b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt})
-			find[CloseServer](b, b.do(ClientClosed{1, CloseReset}))
+// A client's reset races UP: whichever comes first, the server's connection is closed and no answer is outstanding.
+func TestClientResetRacesAcceptance(t *testing.T) {
+	for _, acceptedFirst := range []bool{true, false} {
+		b := newTestbed(t, nil)
+		d := single[Dial](b, b.request(1, time.Second))
+		b.step(AttemptConnected{1, d.Attempt})
+		b.step(RequestSent{1, d.Attempt})
+		if acceptedFirst {
+			b.step(AttemptAccepted{Client: 1, Attempt: d.Attempt})
+			single[CloseServer](b, b.step(ClientClosed{1, CloseReset}))
 		} else {
-			find[CloseAttempt](b, b.do(ClientClosed{1, CloseReset}))
-			b.none(b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
+			single[CloseAttempt](b, b.step(ClientClosed{1, CloseReset}))
+			b.expectNone(b.step(AttemptAccepted{Client: 1, Attempt: d.Attempt}))
 		}
-		if b.none(b.pass(2 * time.Second)); b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
+		if b.expectNone(b.advance(2 * time.Second)); b.r.Unanswered() != 0 || b.r.OpenRequests() != 0 {
 			t.Fatal(b.r.Unanswered(), b.r.OpenRequests())
 		}
 	}
 }
 
-// A region told draining while the dial was under way gets no line, even if the module chose it before.
-func TestNothingSentToADrainingRegion(t *testing.T) {
+// A server that is listed as draining or gone during the dial is not sent the request, although the module chose it
+// before.
+func TestNoRequestSentToDrainingServer(t *testing.T) {
 	for _, state := range []policy.ServerState{policy.Draining, policy.Gone} {
-		b := newBed(t, nil)
-		d := find[Dial](b, b.open(1, 2*time.Second))
-		b.list(policy.ListDelta, 8, state, d.Server)
-		effects := b.do(AttemptConnected{1, d.Attempt})
-		if len(all[SendRequest](effects)) > 0 || find[Dial](b, effects).Server == d.Server {
+		b := newTestbed(t, nil)
+		d := single[Dial](b, b.request(1, 2*time.Second))
+		b.listEndpoints(policy.ListDelta, 8, state, d.Server)
+		effects := b.step(AttemptConnected{1, d.Attempt})
+		if len(effectsOf[SendRequest](effects)) > 0 || single[Dial](b, effects).Server == d.Server {
 			t.Fatalf("%+v", effects)
 		}
 	}
 }
 
+// A watch on which even the heartbeats have stopped is broken; the next one is requested from the latest version.
 func TestSilentWatch(t *testing.T) {
-	b := newBed(t, nil)
-	if w := b.watch(); w.Version != 7 {
+	b := newTestbed(t, nil)
+	if w := b.awaitWatch(); w.Version != 7 {
 		t.Fatal(w)
 	}
-	b.list(policy.ListDelta, 12, policy.Live, "r3")
+	b.listEndpoints(policy.ListDelta, 12, policy.Live, "r3")
 	for range 5 {
-		b.none(b.pass(2 * time.Second))
-		b.do(WatchHeartbeat{})
+		b.expectNone(b.advance(2 * time.Second))
+		b.step(WatchHeartbeat{})
 	}
-	find[StopWatch](b, b.pass(4400*time.Millisecond))
-	if w := b.watch(); w.Version != 12 {
+	single[StopWatch](b, b.advance(4400*time.Millisecond))
+	if w := b.awaitWatch(); w.Version != 12 {
 		t.Fatal(w)
 	}
-	// Neither does one that never answers hold up the next; the module's back-off sets the pace.
-	if n := len(all[Watch](b.pass(20 * time.Second))); n < 2 || n > 10 {
-		t.Fatal(n, "calls")
+	// A watch that is never answered doesn't block the next one; the module's backoff determines the interval.
+	if n := len(effectsOf[Watch](b.advance(20 * time.Second))); n < 2 || n > 10 {
+		t.Fatal(n, "watches")
 	}
 }
 
-// A call that is answered with nothing but an empty line stands: the module need not ask again.
-func TestNothingChanged(t *testing.T) {
-	b := newBed(t, nil)
-	b.watch()
+// A watch that is answered with a heartbeat only is established: the module begins no further one.
+func TestHeartbeatAnswersWatch(t *testing.T) {
+	b := newTestbed(t, nil)
+	b.awaitWatch()
 	for range 10 {
-		b.do(WatchHeartbeat{})
-		b.none(withoutWatch(b.pass(2 * time.Second)))
+		b.step(WatchHeartbeat{})
+		b.expectNone(withoutWatchEffects(b.advance(2 * time.Second)))
 	}
 	if b.r.Counters.Watches != 1 {
-		t.Fatal(b.r.Counters.Watches, "calls")
+		t.Fatal(b.r.Counters.Watches, "watches")
 	}
 }
 
-// A connection from before the run goes back, and is the module's from then on.
-func TestAdopted(t *testing.T) {
-	b := newBed(t, nil)
+// A connection from before this process returns to its server, and the module knows it from then on.
+func TestAdoptedConnection(t *testing.T) {
+	b := newTestbed(t, nil)
 	ev := RequestReceived{
 		Client:        1,
 		EstablishedAt: "r2",
 		Request:       policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second},
 	}
-	d := find[Dial](b, b.do(ev))
-	b.none(withoutWatch(b.pass(2 * time.Second))) // slow at the start of a run, when all come at once
-	if find[SendRequest](b, b.do(AttemptConnected{1, d.Attempt})); d.Server != "r2" || d.Timeout < 20*time.Second {
+	d := single[Dial](b, b.step(ev))
+	b.expectNone(withoutWatchEffects(b.advance(2 * time.Second))) // all are dialed at once, so dials may be slow
+	if single[SendRequest](b, b.step(AttemptConnected{1, d.Attempt})); d.Server != "r2" || d.Timeout < 20*time.Second {
 		t.Fatal(d)
 	}
-	b.do(AttemptAccepted{Client: 1, Attempt: d.Attempt})
+	b.step(AttemptAccepted{Client: 1, Attempt: d.Attempt})
 	if b.r.Counters.Adopted != 1 || b.r.Unanswered() != 0 {
 		t.Fatalf("%+v", b.r.Counters)
 	}
-	if e := find[CloseClient](b, b.do(AttemptClosed{1, d.Attempt, CloseReset})); e.Reason != CloseReset {
+	if e := single[CloseClient](b, b.step(AttemptClosed{1, d.Attempt, CloseReset})); e.Reason != CloseReset {
 		t.Fatal(e)
 	}
 }
 
-// withoutWatch leaves out the effects on discovery.
-func withoutWatch(effects []Effect) []Effect {
+// withoutWatchEffects returns the effects without those on discovery.
+func withoutWatchEffects(effects []Effect) []Effect {
 	return slices.DeleteFunc(effects, func(e Effect) bool {
 		switch e.(type) {
 		case Watch, StopWatch:
@@ -289,21 +291,21 @@
 	})
 }
 
-// A repeat of a keyed request counts as one only while its key is remembered: not when the decision was made in
-// time and the connection came up late.
-func TestNoRepeatOnceTheKeyIsForgotten(t *testing.T) {
+// Servers recognize a repeat of a request with an idempotency key only until the key expires: the repeat isn't sent
+// if the retry was decided in time but its connection was established too late.
+func TestNoRetryAfterKeyExpiry(t *testing.T) {
 	for late, sent := range map[time.Duration]int{20 * time.Millisecond: 1, 200 * time.Millisecond: 0} {
-		b := newBed(t, func(c *Config) {
+		b := newTestbed(t, func(c *Config) {
 			c.Policy.Classes[0].Idempotency, c.Policy.Classes[0].KeyTTL = policy.IdempotentByKey, time.Second
 		})
-		d := find[Dial](b, b.open(1, 4*time.Second))
-		find[SendRequest](b, b.do(AttemptConnected{1, d.Attempt}))
-		b.do(RequestSent{1, d.Attempt})
-		b.pass(700 * time.Millisecond) // the attempt's own time is 800 ms
+		d := single[Dial](b, b.request(1, 4*time.Second))
+		single[SendRequest](b, b.step(AttemptConnected{1, d.Attempt}))
+		b.step(RequestSent{1, d.Attempt})
+		b.advance(700 * time.Millisecond) // the attempt's timeout is 800 ms
 		b.now += 200 * time.Millisecond
-		d = find[Dial](b, b.do(AttemptClosed{1, d.Attempt, CloseReset}))
+		d = single[Dial](b, b.step(AttemptClosed{1, d.Attempt, CloseReset}))
 		b.now += late
-		if n := len(all[SendRequest](b.do(AttemptConnected{1, d.Attempt}))); n != sent {
+		if n := len(effectsOf[SendRequest](b.step(AttemptConnected{1, d.Attempt}))); n != sent {
 			t.Errorf("%v late: %d repeats", late, n)
 		}
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -8,41 +8,42 @@
 	"oatloft/policy"
 )
 
-// finalAnswerMargin is how long before the client gives up its final answer leaves.
+// finalAnswerMargin is how long before the client's timeout its final answer is sent.
 const finalAnswerMargin = 15 * time.Millisecond
 
-// requestState is how far a request has come.
+// requestState is the progress of a request.
 type requestState uint8
 
 const (
 	waiting     requestState = iota // no attempt is pending
-	dialing                         // an attempt's connection is coming up
-	sending                         // the request is on its way to the server
-	sent                            // the request has left; the server may have run it
-	established                     // bytes pass both ways
+	dialing                         // an attempt's connection is being established
+	sending                         // the request is being sent to the server
+	sent                            // the request was sent completely; the server may have run it
+	established                     // bytes are forwarded in both directions
 )
 
-// request is a client's request, from its arrival to the end of its connection.
+// request is a client's request, from its arrival until its connection is closed.
 type request struct {
 	policy.Request
-	client        Handle
-	establishedAt string // the server that held its connection before the day began; "" for a new request
-	state         requestState
-	deadline      time.Duration
-	clientEndedAt time.Duration // when the client closed its sending, or got something since; 0 if it has not
-	attempt       attempt
-	mayHaveRunAt  time.Duration // when the first attempt that may have run was sent; 0 if there is none
-	traffic       traffic
+	client             Handle
+	establishedServer  string // server with its connection from before this process; "" for a new request
+	state              requestState
+	deadline           time.Duration
+	clientHalfClosedAt time.Duration // or when data was last sent to the client after that; 0 if open
+	attempt            attempt
+	mayHaveRunAt       time.Duration // when the first attempt that may have run was sent; 0 for none
+	traffic            traffic
 }
 
-// isNew tells that the module places the request: it was not established before the day began.
-func (q *request) isNew() bool { return q.establishedAt == "" }
+// isNew reports whether the module selects the server: the request's connection was not established before this
+// process started.
+func (q *request) isNew() bool { return q.establishedServer == "" }
 
-// requestTable holds all requests that are not over.
+// requestTable holds all open requests.
 type requestTable struct {
 	byClient   map[Handle]*request
 	byID       map[string]*request
-	unanswered int // without their final answer
+	unanswered int // number of requests without a final answer
 }
 
 func (t *requestTable) add(q *request) {
@@ -58,7 +59,7 @@
 
 func (t *requestTable) has(q *request) bool { return t.byClient[q.client] == q }
 
-// sorted lists the requests by their handles: the same events must lead to the same effects.
+// sorted returns the requests ordered by handle, so that the same events always have the same effects.
 func (t *requestTable) sorted() []*request {
 	list := make([]*request, 0, len(t.byClient))
 	for _, q := range t.byClient {
@@ -68,7 +69,7 @@
 	return list
 }
 
-// established returns the client's connection, nil if it has none.
+// established returns the client's request if its connection is established, else nil.
 func (t *requestTable) established(client Handle) *request {
 	q := t.byClient[client]
 	if q == nil || q.state != established {
@@ -77,14 +78,14 @@
 	return q
 }
 
-// Unanswered is the number of requests without their final answer.
+// Unanswered returns the number of requests without a final answer.
 func (r *Reducer) Unanswered() int { return r.requests.unanswered }
 
-// OpenRequests is the number of requests that are not over, established ones among them.
+// OpenRequests returns the number of open requests, including those with an established connection.
 func (r *Reducer) OpenRequests() int { return len(r.requests.byClient) }
 
-// requestReceived takes a new request. What no server could use is answered as failed: a class that is not
-// configured, a second request of one client, an id that is in use here.
+// requestReceived handles a new request. A request that is invalid for any server is answered as failed: one with a
+// class that is not configured, a second one of the same client, or one with an id in use here.
 func (r *Reducer) requestReceived(event RequestReceived) {
 	r.idle.remove(event.Client)
 	r.Counters.Requests++
@@ -96,10 +97,10 @@
 		return
 	}
 	q := &request{
-		Request:       event.Request,
-		client:        event.Client,
-		establishedAt: event.EstablishedAt,
-		attempt:       attempt{number: -1},
+		Request:           event.Request,
+		client:            event.Client,
+		establishedServer: event.EstablishedAt,
+		attempt:           attempt{number: -1},
 	}
 	q.Timeout = r.limitTimeout(max(0, q.Timeout-finalAnswerMargin))
 	q.deadline = r.now + q.Timeout
@@ -110,25 +111,25 @@
 	}
 	r.takeOverFlow(q)
 	if !q.isNew() {
-		r.returnToServer(q)
+		r.reestablish(q)
 		return
 	}
 	r.decide(q.Request)
 }
 
-// returnToServer sends a connection to the server that held it before the day began, once that server is listed.
-// This is no decision: the platform names the server.
-func (r *Reducer) returnToServer(q *request) {
-	if e := r.endpoints.byID[q.establishedAt]; e != nil && q.state == waiting {
+// reestablish re-establishes a connection from before this process on the same server, once that is listed. The
+// module is not consulted: the platform assigns the server.
+func (r *Reducer) reestablish(q *request) {
+	if e := r.endpoints.byID[q.establishedServer]; e != nil && q.state == waiting {
 		r.dial(q, e, q.deadline)
 	}
 }
 
-// invalidRequest answers a client that sent what it must not.
+// invalidRequest answers a client that violated the protocol.
 func (r *Reducer) invalidRequest(event InvalidRequest) {
 	r.idle.remove(event.Client)
 	if q := r.requests.byClient[event.Client]; q != nil {
-		r.abandon(q)
+		r.abandonRequest(q)
 	} else {
 		r.Counters.Requests++
 	}
@@ -136,7 +137,8 @@
 	r.emit(Answer{Client: event.Client})
 }
 
-// clientClosed follows a client's end. One that only closed its sending still waits for its answer.
+// clientClosed handles the end of a client's connection. A client that closed only its sending direction still awaits
+// its answer.
 func (r *Reducer) clientClosed(event ClientClosed) {
 	r.idle.remove(event.Client)
 	q := r.requests.byClient[event.Client]
@@ -147,9 +149,9 @@
 	case event.Reason == CloseEOF && q.state == established:
 		r.Counters.ClosedByClient++
 		r.emit(CloseServer{Client: q.client, Reason: CloseEOF})
-		q.clientEndedAt = r.now
+		q.clientHalfClosedAt = r.now
 	case event.Reason == CloseEOF:
-		q.clientEndedAt = r.now
+		q.clientHalfClosedAt = r.now
 		if q.isNew() {
 			r.decide(policy.ClientDisconnected{ID: q.ID, HalfClosed: true})
 		}
@@ -158,13 +160,13 @@
 		r.emit(CloseServer{Client: q.client, Reason: CloseReset})
 		r.connectionClosed(q, policy.ResultCanceled)
 	default:
-		r.Counters.ClientsGone++
-		r.abandon(q)
+		r.Counters.ClientsDisconnected++
+		r.abandonRequest(q)
 	}
 }
 
-// abandon ends a request whose client no longer wants an answer, or gets it from elsewhere.
-func (r *Reducer) abandon(q *request) {
+// abandonRequest closes a request whose client no longer awaits an answer, or is answered by the caller.
+func (r *Reducer) abandonRequest(q *request) {
 	if q.state == established {
 		r.emit(CloseServer{Client: q.client, Reason: CloseEOF})
 		r.connectionClosed(q, policy.ResultCanceled)
@@ -175,7 +177,7 @@
 	r.finish(q, policy.ClientDisconnected{ID: q.ID})
 }
 
-// rejectRequest carries out the module's Reject.
+// rejectRequest performs the module's Reject.
 func (r *Reducer) rejectRequest(action policy.Reject) {
 	if q := r.requests.byID[action.ID]; q != nil && q.state != established {
 		r.Counters.Rejected++
@@ -183,7 +185,7 @@
 	}
 }
 
-// failRequest carries out the module's Fail.
+// failRequest performs the module's Fail.
 func (r *Reducer) failRequest(action policy.Fail) {
 	if q := r.requests.byID[action.ID]; q != nil && q.state != established {
 		r.Counters.Failed++
@@ -191,7 +193,7 @@
 	}
 }
 
-// answer gives the final answer of a request that the module has closed.
+// answer sends the final answer of a request that is finished for the module.
 func (r *Reducer) answer(q *request, answer Answer) {
 	r.closePendingAttempt(q)
 	r.requests.unanswered--
@@ -200,23 +202,23 @@
 	r.finish(q, nil)
 }
 
-// deadlinePassed makes sure of the final answer: the module is told of the time-out first, and if it still holds
-// the request then, the answer is that it failed.
+// deadlinePassed guarantees a final answer: it first reports the timeout of a pending attempt to the module, and if
+// the module does not answer the request, answers it as failed.
 func (r *Reducer) deadlinePassed(q *request) {
 	if q == nil || q.state == established || r.now < q.deadline {
 		return
 	}
 	if q.state != waiting {
-		r.giveUpAttempt(q, q.timeoutResult(), reasonDeadline)
+		r.abandonAttempt(q, q.timeoutResult(), reasonDeadline)
 	}
 	if r.requests.has(q) && q.state != established {
 		r.Counters.Failed++
 		r.emit(Answer{Client: q.client, Reason: reasonDeadline})
-		r.abandon(q)
+		r.abandonRequest(q)
 	}
 }
 
-// connectionClosed ends a request that was established.
+// connectionClosed finishes a request whose connection was established.
 func (r *Reducer) connectionClosed(q *request, result policy.Result) {
 	r.finish(q, policy.AttemptEnded{
 		ID:      q.ID,
@@ -227,7 +229,7 @@
 	})
 }
 
-// finish forgets a request and passes the event to the module if it is not nil and the module knows the request.
+// finish removes a request. It passes the event, if not nil, to the module if the module knows the request.
 func (r *Reducer) finish(q *request, event policy.Event) {
 	r.requests.remove(q)
 	if event != nil && (q.isNew() || q.state == established) {
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// Phase is how far a balancer has come on its way out. It only ever advances.
+// Phase is the stage of a balancer's shutdown. It only ever advances.
 type Phase uint8
 
 // The phases.
 const (
 	Serving  Phase = iota // no shutdown was requested
-	Draining              // clients are still accepted and served, or migrated
-	Closing               // no answer is owed any more: clients without a request are told to come again
+	Draining              // clients are still accepted, and served or migrated
+	Closing               // no request is unanswered; idle clients are told to reconnect
 )
 
-// Times that the platform's rules set. SIGKILL comes no sooner after SIGTERM than killDelay and the longest
-// deadline, of which no more than maxCountedTimeout counts; the figures leave room for the way to the other side.
+// Time limits derived from the platform's rules, with a margin for the network delay to the peer. SIGKILL comes no
+// sooner after SIGTERM than killDelay plus the longest client timeout, of which at most maxCountedTimeout counts.
 const (
-	minShutdown       = 800 * time.Millisecond // new clients still come for half of this
-	minHandedOver     = 150 * time.Millisecond // ... or not at all, and by then the other process has read where flows are
-	maxCountedTimeout = 3 * time.Second
-	killDelay         = 700 * time.Millisecond
-	answerMargin      = 200 * time.Millisecond // the last answer is given so long before SIGKILL may come ...
-	exitMargin        = 50 * time.Millisecond  // ... and the process has ended by itself so long before
-	maxPassThrough    = 10 * time.Second       // where packets pass through, for more connections to go on unbroken
-	lastBytesTimeout  = 100 * time.Millisecond // that the last bytes get to leave, however late it is
+	minShutdownDuration    = 800 * time.Millisecond // new clients still arrive for half of this time
+	minShutdownHandedOver  = 150 * time.Millisecond // after a handover: no new clients, and the flows have been read
+	maxCountedTimeout      = 3 * time.Second
+	killDelay              = 700 * time.Millisecond
+	answerMargin           = 200 * time.Millisecond // from the last answer to the earliest SIGKILL
+	exitMargin             = 50 * time.Millisecond  // from the process's own exit to the earliest SIGKILL
+	maxShutdownPassThrough = 10 * time.Second       // in pass-through mode, so that more connections survive
+	lastBytesTimeout       = 100 * time.Millisecond // always left for sending the last bytes, even after the limits
 )
 
-// shutdownState is the phase and the times that were fixed when the shutdown began. All are zero while serving.
+// shutdownState is the phase, and the times fixed when the shutdown began. All are zero while serving.
 type shutdownState struct {
 	phase          Phase
-	handedOver     bool          // another process accepts the clients that come
-	earliestExit   time.Duration // clients may still be on their way until then
-	answerDeadline time.Duration // all answers that are owed are given by then
-	closeDeadline  time.Duration // established connections are given up then
-	exitDeadline   time.Duration // the process ends by itself by then
+	handedOver     bool          // another process accepts new clients
+	earliestExit   time.Duration // clients may still arrive until then
+	answerDeadline time.Duration // all outstanding answers are sent by then
+	closeDeadline  time.Duration // established connections are abandoned then
+	exitDeadline   time.Duration // the process exits on its own by then
 }
 
-// newShutdown fixes the times of a shutdown that starts now, for clients that wait for longest at most.
-func newShutdown(now, longest time.Duration, handedOver, passThrough bool) shutdownState {
-	killed := now + min(maxCountedTimeout, longest) + killDelay
+// newShutdown fixes the times of a shutdown that starts now, with the longest client timeout of any class.
+func newShutdown(now, maxClientTimeout time.Duration, handedOver, passThrough bool) shutdownState {
+	killAt := now + min(maxCountedTimeout, maxClientTimeout) + killDelay
 	s := shutdownState{
 		phase:          Draining,
 		handedOver:     handedOver,
-		answerDeadline: killed - answerMargin,
-		closeDeadline:  killed - answerMargin,
-		exitDeadline:   killed - exitMargin,
+		answerDeadline: killAt - answerMargin,
+		closeDeadline:  killAt - answerMargin,
+		exitDeadline:   killAt - exitMargin,
 	}
-	s.earliestExit = min(now+minShutdown, s.closeDeadline)
+	s.earliestExit = min(now+minShutdownDuration, s.closeDeadline)
 	if handedOver {
-		s.earliestExit = now + minHandedOver
+		s.earliestExit = now + minShutdownHandedOver
 	}
 	if passThrough && !handedOver {
-		s.closeDeadline = now + maxPassThrough
+		s.closeDeadline = now + maxShutdownPassThrough
 	}
 	return s
 }
 
-// Phase is how far the balancer is on its way out.
+// Phase returns the phase of the balancer's shutdown.
 func (r *Reducer) Phase() Phase { return r.shutdown.phase }
 
-// ShuttingDown tells that the balancer is on its way out.
+// ShuttingDown reports whether the balancer is shutting down.
 func (r *Reducer) ShuttingDown() bool { return r.shutdown.phase != Serving }
 
-// beginShutdown begins the shutdown. A second request changes nothing.
+// beginShutdown begins the shutdown. Further requests have no effect.
 func (r *Reducer) beginShutdown(event ShutdownRequested) {
 	if r.ShuttingDown() {
 		return
@@ -76,13 +76,13 @@
 	r.timers.set(r.shutdown.earliestExit, timer{kind: shutdownTimer})
 }
 
-// shutdownBreaksConnections tells that a connection which is established now would be cut off by the end of this
-// process.
+// shutdownBreaksConnections reports whether the exit of this process will break connections that are established
+// now.
 func (r *Reducer) shutdownBreaksConnections() bool {
 	return r.ShuttingDown() && !r.shutdown.handedOver && !r.config.PassThrough
 }
 
-// limitTimeout is how long a request that comes now is served at most.
+// limitTimeout returns the timeout of a request received now, shortened to the answer deadline during a shutdown.
 func (r *Reducer) limitTimeout(timeout time.Duration) time.Duration {
 	if !r.ShuttingDown() {
 		return timeout
@@ -90,7 +90,7 @@
 	return min(timeout, max(0, r.shutdown.answerDeadline-r.now))
 }
 
-// migrateAll migrates all clients before the process would break their connections.
+// migrateAll migrates all clients before the exit of the process would break their connections.
 func (r *Reducer) migrateAll() {
 	for _, q := range r.requests.sorted() {
 		if q.state == established {
@@ -99,37 +99,38 @@
 	}
 }
 
-// advanceShutdown gives the answers whose time has come, and begins the closing once nobody needs this process.
-// While connections are established, other balancers may not be ready to take them, and they are served here.
+// advanceShutdown sends the outstanding answers at their deadline, and enters the Closing phase once this process
+// serves no clients. Established connections are served here until closeDeadline, since other balancers may not be
+// ready to take them over.
 func (r *Reducer) advanceShutdown() {
 	if r.requests.unanswered > 0 && r.now >= r.shutdown.answerDeadline {
 		r.answerAll()
 	}
-	if r.requests.unanswered > 0 || !r.nobodyLeft() && r.now < r.shutdown.closeDeadline {
+	if r.requests.unanswered > 0 || !r.servesNoClients() && r.now < r.shutdown.closeDeadline {
 		r.timers.set(r.now+TickInterval, timer{kind: shutdownTimer})
 		return
 	}
 	r.shutdown.phase = Closing
 	r.emit(Exit{Deadline: r.exitDeadline()})
-	// Idle clients may send a request in this very moment: none is left without an answer.
+	// Idle clients may be sending a request at this moment, so each is sent an answer.
 	r.Counters.IdleClosed += r.closeOldestIdle(r.idle.count(), 0, true)
 }
 
-// exitDeadline is when the process ends at the latest. The last bytes get some time in any case: where packets pass
-// through, and where this process got no processor in time, SIGKILL may come at any moment from now on, and
-// hurrying gains nothing.
+// exitDeadline returns when the process exits at the latest. At least lastBytesTimeout is left for the last bytes: in
+// pass-through mode, or if this process was not scheduled in time, SIGKILL may already be possible at any moment, and
+// exiting faster has no benefit.
 func (r *Reducer) exitDeadline() time.Duration {
 	return max(r.shutdown.exitDeadline, r.now+lastBytesTimeout)
 }
 
-// nobodyLeft tells that nobody needs this process any more. Where another process has the listener, clients that
-// have sent no request yet are served here too: they won't come again by themselves.
-func (r *Reducer) nobodyLeft() bool {
+// servesNoClients reports whether this process serves no clients any more. If another process has taken over the
+// listener, idle clients count as served too: they would not reconnect on their own.
+func (r *Reducer) servesNoClients() bool {
 	return len(r.requests.byClient) == 0 && (!r.shutdown.handedOver || len(r.idle.waiting) == 0)
 }
 
-// answerAll gives every answer that is owed now: the platform ends this process before all have waited as long as
-// they may.
+// answerAll sends all outstanding answers now, since the platform kills this process before the deadlines of all
+// requests have passed.
 func (r *Reducer) answerAll() {
 	for _, q := range r.requests.sorted() {
 		if r.requests.has(q) && q.state != established {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// TickInterval is how often the host should let the time pass.
+	// TickInterval is how often the host should send Tick.
 	TickInterval = 5 * time.Millisecond
 	wheelSlots   = 1024
 )
@@ -21,34 +21,34 @@
 	migrationTimer
 )
 
-// timer is what fires once. Whoever set one checks whether it still matters.
+// timer fires once. Its handler checks whether it still applies.
 type timer struct {
-	tick   int64 // at which it fires
+	tick   int64 // fires at this tick
 	kind   timerKind
-	client Handle // of connectTimer, attemptTimer, deadlineTimer
-	number int    // of the attempt, or of the call to discovery
-	token  string // of policyTimer
+	client Handle // for connectTimer, attemptTimer, deadlineTimer
+	number int    // attempt number, or of the watch for watchTimer
+	token  string // set by the module, for policyTimer
 }
 
-// timerWheel keeps the timers as coarse ticks. A timer cannot be stopped.
+// timerWheel is a hashed timing wheel with a resolution of TickInterval. A timer cannot be canceled.
 type timerWheel struct {
 	slots    [wheelSlots][]timer
-	lastTick int64 // that was fired
+	lastTick int64 // whose timers have been fired
 }
 
-// ticksUp is a time in ticks, rounded up.
-func ticksUp(t time.Duration) int64 { return int64((t + TickInterval - 1) / TickInterval) }
+// ceilTicks converts a time to ticks, rounded up.
+func ceilTicks(t time.Duration) int64 { return int64((t + TickInterval - 1) / TickInterval) }
 
 func (w *timerWheel) start(now time.Duration) { w.lastTick = int64(now / TickInterval) }
 
-// set adds a timer; it fires at the first tick at or after the time, and never in the tick being fired.
+// set adds a timer that fires at the first tick at or after the given time, but never in the tick being fired.
 func (w *timerWheel) set(at time.Duration, t timer) {
-	t.tick = max(ticksUp(at), w.lastTick+1)
+	t.tick = max(ceilTicks(at), w.lastTick+1)
 	slot := &w.slots[t.tick%wheelSlots]
 	*slot = append(*slot, t)
 }
 
-// advance fires all timers that are due. After a long sleep one round meets every slot.
+// advance fires all timers that are due. After a pause longer than one rotation, a single rotation visits every slot.
 func (w *timerWheel) advance(now time.Duration, fire func(timer)) {
 	tick := int64(now / TickInterval)
 	w.lastTick = max(w.lastTick, tick-wheelSlots)
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The wheel fires what is due, once, also after a sleep longer than a round and across rounds.
-func TestWheel(t *testing.T) {
+// The wheel fires each due timer once, also after a pause longer than a rotation and over several rotations.
+func TestTimerWheel(t *testing.T) {
 	var w timerWheel
 	var fired []string
 	fire := func(t timer) { fired = append(fired, t.token) }
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -6,63 +6,63 @@
 	"oatloft/policy"
 )
 
-// Times of the calls to discovery. The platform's protocol has a change count as notified updateDeadline after
-// discovery had it and could be reached, whatever failed in between, and an empty line come by a watch every
-// heartbeatInterval while nothing changes.
+// Time limits of watches. By the platform's protocol, a balancer is considered notified of a change updateDeadline
+// after discovery had the change and was reachable, regardless of failures in between, and discovery sends an empty
+// line on a watch every heartbeatInterval while nothing changes.
 const (
 	updateDeadline    = 6 * time.Second
 	heartbeatInterval = 2 * time.Second
-	// maxBackoff is when the module begins the next call after a failed one at the latest.
+	// maxBackoff is the module's longest delay between a failed watch and the next one.
 	maxBackoff = updateDeadline / 4
-	// unansweredLimit is how long a call that is not answered may bring no byte. Where one began just before discovery
-	// was back, its rest, the backoff after it and one more call that is not answered take three quarters of
-	// updateDeadline at the most.
-	unansweredLimit = updateDeadline / 4
-	// watchSilenceLimit is how long a watch that was answered may bring no byte: a heartbeat may come late by a third.
-	watchSilenceLimit = heartbeatInterval + 600*time.Millisecond
-	// listTimeout is how long a list, or the answer to a call, may take to be complete while bytes come. Then the next
-	// call begins beside it: a second remains for the answer to that one.
+	// watchAnswerTimeout is how long an unanswered watch may deliver no bytes. If a watch began just before discovery
+	// became reachable, its remaining time, the backoff after it and one more unanswered watch take at most three
+	// quarters of updateDeadline.
+	watchAnswerTimeout = updateDeadline / 4
+	// watchSilenceTimeout is how long an answered watch may deliver no bytes. A heartbeat may be late by about a third.
+	watchSilenceTimeout = heartbeatInterval + 600*time.Millisecond
+	// listTimeout is how long a list, or a watch's first answer, may take to be complete while bytes arrive. Then the
+	// next watch begins in parallel, with 1 s left for its answer.
 	listTimeout = updateDeadline - maxBackoff - time.Second
 )
 
-// watchState is the latest call to discovery.
+// watchState is the state of the latest watch.
 type watchState struct {
-	open           bool // the call is under way or answered
-	isAnswered     bool // a complete list or line has come by it
+	open           bool // the watch was requested and has not failed
+	isAnswered     bool // it has delivered a complete list or line
 	lastCompleteAt time.Duration
-	lastDataAt     time.Duration // when bytes came that complete nothing yet; 0 if none have
-	fromVersion    int64         // that the call named: it answers with what came after
-	calls          int
+	lastPartialAt  time.Duration // when it last delivered bytes that complete nothing yet; 0 if none have
+	fromVersion    int64         // the watch was requested for the changes after this version
+	sequence       int           // sequence number of the watch
 }
 
-// answered notes a complete list or line.
+// answered records that a complete list or line was received.
 func (w *watchState) answered(now time.Duration) {
 	w.open = true
 	w.isAnswered = true
 	w.lastCompleteAt = now
 }
 
-// subscribe carries out the module's Subscribe, unless a call is under way: its answer is the module's as well.
+// subscribe performs the module's Subscribe, unless a watch still awaits its answer, which serves the module as well.
 func (r *Reducer) subscribe() {
 	if !r.watch.open || r.watch.isAnswered {
 		r.beginWatch()
 	}
 }
 
-// beginWatch calls discovery for what has changed since the version held.
+// beginWatch requests the changes since the current version from discovery.
 func (r *Reducer) beginWatch() {
 	r.Counters.Watches++
 	r.watch = watchState{
 		open:           true,
 		lastCompleteAt: r.now,
 		fromVersion:    r.endpoints.version,
-		calls:          r.watch.calls + 1,
+		sequence:       r.watch.sequence + 1,
 	}
-	r.timers.set(r.now+unansweredLimit, timer{kind: watchTimer, number: r.watch.calls})
+	r.timers.set(r.now+watchAnswerTimeout, timer{kind: watchTimer, number: r.watch.sequence})
 	r.emit(Watch{Version: r.endpoints.version})
 }
 
-// watchHeartbeat takes the word that nothing has changed. As the first one by a call it is the answer.
+// watchHeartbeat handles a heartbeat. As the first message on a watch it counts as the watch's answer.
 func (r *Reducer) watchHeartbeat() {
 	first := !r.watch.open || !r.watch.isAnswered
 	r.watch.answered(r.now)
@@ -79,29 +79,29 @@
 	r.watchFailed()
 }
 
-// watchFailed has the module begin the next call. The one that stood counts as failed, whether or not it goes on.
+// watchFailed has the module begin the next watch. The current one counts as failed even if it stays open.
 func (r *Reducer) watchFailed() {
 	r.Counters.WatchesBroken++
 	r.watch.open = false
 	r.decide(policy.ServerList{Kind: policy.ListFailed})
 }
 
-// checkWatch ends a call by which nothing comes any more. One by which a list comes too slowly goes on beside the
-// next one, as the previous watch: otherwise a list that takes its time would never be had. A list without end
-// keeps nobody deaf this way.
+// checkWatch closes a silent watch. A watch that delivers a list too slowly counts as failed but stays open, as the
+// previous watch, in parallel with the next one: closing it would mean that a slow list is never received, while
+// waiting for it alone would let an endless list block all further updates.
 func (r *Reducer) checkWatch() {
 	w := &r.watch
 	if !w.open {
 		return
 	}
-	limit := unansweredLimit
+	limit := watchAnswerTimeout
 	if w.isAnswered {
-		limit = watchSilenceLimit
+		limit = watchSilenceTimeout
 	}
 	switch {
-	case r.now-max(w.lastCompleteAt, w.lastDataAt) >= limit:
+	case r.now-max(w.lastCompleteAt, w.lastPartialAt) >= limit:
 		r.watchClosed()
-	case w.lastDataAt > w.lastCompleteAt && r.now-w.lastCompleteAt >= listTimeout:
+	case w.lastPartialAt > w.lastCompleteAt && r.now-w.lastCompleteAt >= listTimeout:
 		r.watchFailed()
 	}
 }
