--- a/internal/clientstore/clientstore.go
+++ b/internal/clientstore/clientstore.go
@@ -1,12 +1,12 @@
-// Package clientstore keeps the known clients across a restart, in one file. It checks the file; who counts as
-// known is decided by internal/admission. A damaged or foreign file is refused with an error, and nothing of it is
+// Package clientstore persists the known clients across restarts in one file. It validates the file; package admission
+// decides which clients count as known. A damaged or foreign file is rejected with an error, and nothing from it is
 // used.
 //
-// The file is a bbolt database that is written whole beside its place, followed by a page of our own (the trailer)
-// with a checksum of all before it, and then renamed. So a reader finds a whole file or the one before, and bbolt
-// is given no page that is not as it was written: bbolt has checksums for its two head pages only, and would follow
-// a damaged pointer out of the file. The checksum is against damage, not against malice; the mode is 0600, and a
-// file that others may write is refused.
+// The file is a bbolt database followed by one additional page, the trailer, with a checksum of everything before it.
+// It is written to a temporary path and then renamed, so a reader finds either the complete new file or the previous
+// one. The checksum keeps corrupted pages from bbolt, which has checksums for its two meta pages only and would follow
+// a damaged pointer out of the file. It protects against corruption, not against tampering: the file mode is 0600, and
+// a file that is writable by others is rejected.
 package clientstore
 
 import (
@@ -19,46 +19,46 @@
 )
 
 const (
-	maxFileBytes = 64 << 20 // a larger file is not ours
+	maxFileBytes = 64 << 20 // a larger file was not written by Save
 	fileMode     = 0o600
 	dbTimeout    = time.Second
 )
 
 var bucketName = []byte("known")
 
-// Snapshot is what a file holds.
+// Snapshot is the content of a file.
 type Snapshot struct {
 	CreatedAt time.Time
 	Seed      uint64 // from which the clients' identities are derived
 	Clients   []admission.KnownClient
 }
 
-// DamagedFile is the error that a file is not what Save wrote. Nothing of it is used: clients that were known are
-// unknown at first.
+// DamagedFile is the error for a file that Save did not write. Nothing from it is used: clients known before start out
+// as unknown.
 type DamagedFile struct{ hint.Annotated }
 
-// WriteFailed is the error that the known clients cannot be kept.
+// WriteFailed is the error for known clients that could not be saved.
 type WriteFailed struct{ hint.Annotated }
 
-const damagedFileHint = "move the file away; one is written again, " +
-	"and clients are known again once they have stood for a while"
+const damagedFileHint = "move the file away; a new one is written, " +
+	"and clients become known again after their connections have been established for a while"
 
-// Save writes a snapshot to path, whole or not at all. The error is *WriteFailed.
+// Save writes a snapshot to path atomically. The error is *WriteFailed.
 func Save(path string, s Snapshot) error {
 	if err := save(path, s); err != nil {
 		return &WriteFailed{
 			hint.Annotated{
 				Where: path,
 				Cause: err,
-				Do:    "see that the folder of admission.reserve.snapshot.path is there and can be written",
+				Do:    "check that the directory of admission.reserve.snapshot.path exists and is writable",
 			},
 		}
 	}
 	return nil
 }
 
-// Load reads what Save wrote. A file that is not there is an empty snapshot. Ages count up to now; clients older
-// than maxAge are left out. The error is *DamagedFile.
+// Load reads a snapshot written by Save. A missing file is an empty snapshot. The clients' ages are advanced to now,
+// and clients older than maxAge are omitted. The error is *DamagedFile.
 func Load(path string, now time.Time, maxAge time.Duration) (Snapshot, error) {
 	s, err := load(path)
 	switch {
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// advance lets the clients grow older, and leaves out those older than maxAge.
+// advance increases the clients' ages and removes those older than maxAge.
 func (s *Snapshot) advance(elapsed, maxAge time.Duration) {
 	kept := s.Clients[:0]
 	for _, client := range s.Clients {
--- a/internal/clientstore/clientstore_test.go
+++ b/internal/clientstore/clientstore_test.go
@@ -12,7 +12,7 @@
 	"oatloft/internal/admission"
 )
 
-func sample(n int) Snapshot {
+func sampleSnapshot(n int) Snapshot {
 	s := Snapshot{CreatedAt: time.UnixMilli(1_800_000_000_000), Seed: 42}
 	for i := range n {
 		s.Clients = append(s.Clients, admission.KnownClient{ID: uint64(i) * 7919, Net: [2]uint64{1, uint64(i % 3)},
@@ -21,13 +21,14 @@
 	return s
 }
 
-func TestThereAndBack(t *testing.T) {
+// A saved snapshot is loaded unchanged, apart from the clients' ages.
+func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	if s, err := Load(path, time.Now(), time.Hour); err != nil || len(s.Clients) != 0 {
 		t.Fatal(s, err)
 	}
 	for _, n := range []int{0, 1, 4096} {
-		want := sample(n)
+		want := sampleSnapshot(n)
 		if err := Save(path, want); err != nil {
 			t.Fatal(err)
 		}
@@ -37,23 +38,25 @@
 			t.Fatal(n, err)
 		}
 	}
-	// Ages go on while nobody runs, and what got too old is left out; a clock set back makes nobody younger.
-	got, err := Load(path, sample(0).CreatedAt.Add(time.Hour), time.Hour+10*time.Second)
+	// Ages advance while no process runs, and clients that became too old are omitted. Setting the clock back makes no
+	// client younger.
+	got, err := Load(path, sampleSnapshot(0).CreatedAt.Add(time.Hour), time.Hour+10*time.Second)
 	if err != nil || len(got.Clients) != 10 || got.Clients[0].Age != time.Hour+10*time.Second {
 		t.Fatal(len(got.Clients), err)
 	}
-	if got, err = Load(path, sample(0).CreatedAt.Add(-time.Hour), 10*time.Second); err != nil || len(got.Clients) != 10 {
+	if got, err = Load(path, sampleSnapshot(0).CreatedAt.Add(-time.Hour), 10*time.Second); err != nil ||
+		len(got.Clients) != 10 {
 		t.Fatal(len(got.Clients), err)
 	}
-	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".known-*")); len(left) > 0 {
-		t.Fatal("left behind:", left)
+	if leftovers, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".known-*")); len(leftovers) > 0 {
+		t.Fatal("temporary files left:", leftovers)
 	}
 }
 
-// Whatever was done to the file, it is refused in one line.
-func TestDamage(t *testing.T) {
+// A file with any kind of damage is rejected with a one-line error.
+func TestDamagedFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
-	if err := Save(path, sample(200)); err != nil {
+	if err := Save(path, sampleSnapshot(200)); err != nil {
 		t.Fatal(err)
 	}
 	good, err := os.ReadFile(path)
@@ -68,20 +71,20 @@
 		"foreign": bytes.Repeat([]byte("x"), 4*pageBytes),
 		"version": other, "longer": append(bytes.Clone(good), make([]byte, pageBytes)...),
 	} {
-		refused(t, path, name, body)
+		expectRejected(t, path, name, body)
 	}
 	for at := 0; at < len(good); at += 61 {
 		body := bytes.Clone(good)
 		body[at] ^= 0x10
-		refused(t, path, fmt.Sprint("bit at ", at), body)
+		expectRejected(t, path, fmt.Sprint("bit at ", at), body)
 	}
-	// Well summed up, but no database; and one whose trailer tells of more than there is.
-	for name, x := range map[string]Snapshot{"no database": {}, "count": sample(3)} {
+	// Valid checksums, but no database, and a trailer with another number of clients than the database.
+	for name, x := range map[string]Snapshot{"no database": {}, "count": sampleSnapshot(3)} {
 		body := bytes.Repeat([]byte{7}, 8*pageBytes)
 		if name == "count" {
 			body = good[:len(good)-pageBytes]
 		}
-		refused(t, path, name, appendTrailer(bytes.Clone(body), body, x))
+		expectRejected(t, path, name, appendTrailer(bytes.Clone(body), body, x))
 	}
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
@@ -103,7 +106,7 @@
 	}
 }
 
-func refused(t *testing.T, path, name string, body []byte) {
+func expectRejected(t *testing.T, path, name string, body []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, body, 0o600); err != nil {
 		t.Fatal(err)
@@ -114,10 +117,10 @@
 	}
 }
 
-// No file makes Load panic, and none that isn't Save's own is taken.
+// No input makes the decoders panic, and no file other than the one that Save wrote passes the checks.
 func FuzzLoad(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "known")
-	if err := Save(path, sample(20)); err != nil {
+	if err := Save(path, sampleSnapshot(20)); err != nil {
 		f.Fatal(err)
 	}
 	good, err := os.ReadFile(path)
@@ -133,10 +136,10 @@
 			t.Fatal(n, "clients in", len(body), "bytes")
 		}
 		if c, err := parseClient(body); err == nil && !bytes.Equal(appendClient(nil, c), body) {
-			t.Fatal("a client changed")
+			t.Fatal("a client record changed when encoded again")
 		}
 		if _, err := s.checkTrailer(body); err == nil && !bytes.Equal(body, good) {
-			t.Fatal("a file that Save didn't write was taken")
+			t.Fatal("a file that Save didn't write was accepted")
 		}
 	})
 }
--- a/internal/clientstore/format.go
+++ b/internal/clientstore/format.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	pageBytes     = 4096 // of the database, and of the trailer
-	magic         = "oatloft known clients 1\n"
-	checksumAt    = pageBytes - 8 // in the trailer
-	clientBytes   = 33            // identity, network (2 x 8), age, tenure
+	pageBytes     = 4096                        // page size of the database, and size of the trailer
+	magic         = "oatloft known clients 1\n" // format name and version
+	checksumAt    = pageBytes - 8               // offset in the trailer, in bytes
+	clientBytes   = 33                          // id (8), network (2 x 8), age (8), tenure (1)
 	maxClientAge  = 10 * 365 * 24 * time.Hour
-	tenuredClient = 1
+	tenuredClient = 1 // value of the tenure byte
 )
 
-// Numbers of the trailer, of 8 bytes each, in this order behind the magic.
+// Indexes of the trailer's numbers, which follow the magic in this order, 8 bytes each.
 const (
 	trailerCreatedAt = iota // Unix milliseconds
 	trailerSeed
-	trailerCount // of clients
-	trailerBody  // bytes of the database
+	trailerCount // number of clients
+	trailerBody  // size of the database in bytes
 )
 
-// appendTrailer appends the page that closes the file: the magic, the numbers, and at its end the checksum of the
-// database and of the page so far.
+// appendTrailer appends the last page of the file: the magic, the numbers and, at its end, the checksum of the database
+// and of the page up to there.
 func appendTrailer(dst, body []byte, s Snapshot) []byte {
 	trailer := make([]byte, pageBytes)
 	n := copy(trailer, magic)
@@ -48,20 +48,20 @@
 func checksum(parts ...[]byte) uint64 {
 	digest := xxhash.New()
 	for _, part := range parts {
-		_, _ = digest.Write(part) // never fails
+		_, _ = digest.Write(part) // cannot fail
 	}
 	return digest.Sum64()
 }
 
-// checkTrailer reads the trailer of a file and returns the number of clients.
+// checkTrailer validates and reads the trailer of a file and returns the number of clients.
 func (s *Snapshot) checkTrailer(file []byte) (int, error) {
 	if len(file) < 2*pageBytes || len(file)%pageBytes != 0 {
-		return 0, &DamagedFile{hint.Annotated{What: "not a whole file of known clients", Do: damagedFileHint}}
+		return 0, &DamagedFile{hint.Annotated{What: "truncated: not a complete file of known clients", Do: damagedFileHint}}
 	}
 	body, trailer := file[:len(file)-pageBytes], file[len(file)-pageBytes:]
 	if string(trailer[:len(magic)]) != magic {
 		return 0, &DamagedFile{
-			hint.Annotated{What: "not a file of known clients, or of another version", Do: damagedFileHint},
+			hint.Annotated{What: "not a file of known clients, or one of another version", Do: damagedFileHint},
 		}
 	}
 	if checksum(body, trailer[:checksumAt]) != binary.BigEndian.Uint64(trailer[checksumAt:]) {
@@ -69,7 +69,7 @@
 	}
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(trailer[len(magic)+8*i:]) }
 	if number(trailerBody) != uint64(len(body)) || number(trailerCount) > uint64(len(body)/clientBytes) {
-		return 0, &DamagedFile{hint.Annotated{What: "damaged: its lengths don't fit", Do: damagedFileHint}}
+		return 0, &DamagedFile{hint.Annotated{What: "damaged: inconsistent lengths in the trailer", Do: damagedFileHint}}
 	}
 	s.CreatedAt, s.Seed = time.UnixMilli(int64(number(trailerCreatedAt))), number(trailerSeed)
 	return int(number(trailerCount)), nil
@@ -87,7 +87,7 @@
 
 func parseClient(b []byte) (c admission.KnownClient, err error) {
 	if len(b) != clientBytes || b[clientBytes-1] > tenuredClient {
-		return c, &DamagedFile{hint.Annotated{What: "holds a client in an unknown form", Do: damagedFileHint}}
+		return c, &DamagedFile{hint.Annotated{What: "contains a malformed client record", Do: damagedFileHint}}
 	}
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(b[8*i:]) }
 	c = admission.KnownClient{
@@ -97,7 +97,7 @@
 		Tenured: b[clientBytes-1] == tenuredClient,
 	}
 	if c.Age < 0 || c.Age > maxClientAge {
-		return c, &DamagedFile{hint.Annotated{What: "holds a client of an impossible age", Do: damagedFileHint}}
+		return c, &DamagedFile{hint.Annotated{What: "contains a client with an impossible age", Do: damagedFileHint}}
 	}
 	return c, nil
 }
--- a/internal/clientstore/golden_test.go
+++ b/internal/clientstore/golden_test.go
@@ -12,8 +12,8 @@
 	"oatloft/internal/golden"
 )
 
-// A file of an earlier version is read whole, and the same clients are written to the same bytes.
-func TestFormOfFile(t *testing.T) {
+// A file of an earlier version of the program is read completely, and the same clients result in the same bytes.
+func TestFileFormat(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
 	s := Snapshot{CreatedAt: at, Seed: 7, Clients: []admission.KnownClient{
 		{ID: 11, Net: [2]uint64{1, 2}, Age: time.Minute, Tenured: true}, {ID: 12, Net: [2]uint64{3, 1 << 63}, Age: 0}}}
--- a/internal/clientstore/load.go
+++ b/internal/clientstore/load.go
@@ -9,7 +9,7 @@
 	"oatloft/internal/hint"
 )
 
-// load reads a file. The error is os.ErrNotExist if there is none.
+// load reads a file. The error matches os.ErrNotExist if there is none.
 func load(path string) (s Snapshot, err error) {
 	if err := checkFile(path); err != nil {
 		return s, err
@@ -22,7 +22,7 @@
 	if err != nil {
 		return s, err
 	}
-	defer func() { // the checksum should let no damage through; bbolt panics if it does
+	defer func() { // bbolt panics on damage, should the checksum not have detected it
 		if x := recover(); x != nil {
 			s, err = Snapshot{}, &DamagedFile{
 				hint.Annotated{What: fmt.Sprintf("the database is damaged: %v", x), Do: damagedFileHint},
@@ -38,7 +38,7 @@
 	return s, err
 }
 
-// checkFile checks what can be said of a file before it is read.
+// checkFile validates a file's type, mode and size before it is read.
 func checkFile(path string) error {
 	info, err := os.Lstat(path)
 	switch {
@@ -46,26 +46,26 @@
 		return err
 	case !info.Mode().IsRegular():
 		return &DamagedFile{
-			hint.Annotated{What: "not a plain file", Do: "name a file of its own by admission.reserve.snapshot.path"},
+			hint.Annotated{What: "not a plain file", Do: "set admission.reserve.snapshot.path to a file used for nothing else"},
 		}
 	case info.Mode().Perm()&0o022 != 0:
 		return &DamagedFile{
 			hint.Annotated{
-				What: fmt.Sprintf("others may write it (mode %#o); 0600 is wanted", info.Mode().Perm()),
-				Do:   "look who wrote it, and chmod 600 if it is sound",
+				What: fmt.Sprintf("others may write it (mode %#o); mode 0600 is required", info.Mode().Perm()),
+				Do:   "find out who wrote it, and run chmod 600 on it if its content is sound",
 			},
 		}
 	case info.Size() > maxFileBytes:
-		return &DamagedFile{hint.Annotated{What: fmt.Sprintf("longer than %d bytes", maxFileBytes), Do: damagedFileHint}}
+		return &DamagedFile{hint.Annotated{What: fmt.Sprintf("larger than %d bytes", maxFileBytes), Do: damagedFileHint}}
 	}
 	return nil
 }
 
-// readClients reads the clients of the bucket, of which there have to be count.
+// readClients reads the clients from the bucket, which must contain exactly count.
 func (s *Snapshot) readClients(tx *bolt.Tx, count int) error {
 	bucket := tx.Bucket(bucketName)
 	if bucket == nil {
-		return &DamagedFile{hint.Annotated{What: "holds no clients' list", Do: damagedFileHint}}
+		return &DamagedFile{hint.Annotated{What: "contains no list of clients", Do: damagedFileHint}}
 	}
 	cursor := bucket.Cursor()
 	for key, value := cursor.First(); key != nil; key, value = cursor.Next() {
@@ -75,14 +75,14 @@
 		}
 		if len(s.Clients) == count {
 			return &DamagedFile{
-				hint.Annotated{What: fmt.Sprintf("more clients than the %d it tells", count), Do: damagedFileHint},
+				hint.Annotated{What: fmt.Sprintf("more clients than the %d in its trailer", count), Do: damagedFileHint},
 			}
 		}
 		s.Clients = append(s.Clients, client)
 	}
 	if len(s.Clients) != count {
 		return &DamagedFile{
-			hint.Annotated{What: fmt.Sprintf("%d clients of the %d it tells", len(s.Clients), count), Do: damagedFileHint},
+			hint.Annotated{What: fmt.Sprintf("%d clients, but %d in its trailer", len(s.Clients), count), Do: damagedFileHint},
 		}
 	}
 	return nil
--- a/internal/clientstore/save.go
+++ b/internal/clientstore/save.go
@@ -11,7 +11,7 @@
 	"oatloft/internal/hint"
 )
 
-// save writes the database in a temporary folder, appends the trailer, and renames the file.
+// save writes the database in a temporary directory, appends the trailer, and renames the file.
 func save(path string, s Snapshot) error {
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".known-*")
 	if err != nil {
@@ -41,13 +41,13 @@
 	return err
 }
 
-// putClients puts the clients into the bucket, by their place in the list.
+// putClients writes the clients to the bucket, with their index in the list as the key.
 func putClients(tx *bolt.Tx, s Snapshot) error {
 	bucket, err := tx.CreateBucket(bucketName)
 	if err != nil {
 		return err
 	}
-	bucket.FillPercent = 1 // keys come in order
+	bucket.FillPercent = 1 // keys are inserted in order
 	var key [8]byte
 	for i, client := range s.Clients {
 		binary.BigEndian.PutUint64(key[:], uint64(i))
@@ -72,8 +72,8 @@
 	if len(body)+pageBytes > maxFileBytes {
 		return &WriteFailed{
 			hint.Annotated{
-				What: fmt.Sprintf("%d clients don't fit into %d bytes", len(s.Clients), maxFileBytes),
-				Do:   "set admission.reserve.max lower",
+				What: fmt.Sprintf("%d clients do not fit into %d bytes", len(s.Clients), maxFileBytes),
+				Do:   "lower admission.reserve.max",
 			},
 		}
 	}
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,7 +1,7 @@
-// Package hotrestart keeps what one process of a balancer leaves to the next, in small files in a directory that
-// both see: which servers are in maintenance and, from a process that shuts down, which server each client's flow
-// is on. It also lets the processes of one balancer see each other while they overlap (Presence).
+// Package hotrestart passes state from one process of a balancer to the next, in small files in a shared directory:
+// which servers are in maintenance and, from a process that shuts down, the server of each client's flow. It also
+// lets the processes of one balancer see each other while they overlap (Presence).
 //
-// Two versions of the program may run at once. A file that is damaged, another balancer's or of a later version is
-// an error that its reader passes over, and no reason to stop. A file is replaced whole or not at all.
+// Two versions of the program may run at the same time. A file that is damaged, belongs to another balancer or has a
+// later version is reported as an error and ignored; it never stops a process. Files are replaced atomically.
 package hotrestart
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	form         = "oatloft" // in the files, and before their names
-	version      = 1
-	maxFileBytes = 8 << 20 // the directory counts as memory
-	lockTimeout  = 300 * time.Millisecond
-	lockRetry    = 2 * time.Millisecond
-	fileMode     = 0o600
+	formatName        = "oatloft" // identifies the format in the files, and prefixes their names
+	formatVersion     = 1         // of the format
+	maxFileBytes      = 8 << 20   // the directory's files count towards the memory limit
+	lockTimeout       = 300 * time.Millisecond
+	lockRetryInterval = 2 * time.Millisecond
+	fileMode          = 0o600
 )
 
 // Kinds of files.
@@ -32,17 +32,17 @@
 type Dir struct {
 	path     string
 	balancer string
-	seen     map[string]os.FileInfo // by kind, at the last call of changed
+	lastInfo map[string]os.FileInfo // by kind, as of the last call of changed
 }
 
-// Open names the directory. Nothing is written until there is something to keep.
+// Open returns the directory at path. Nothing is written until there is state to save.
 func Open(path, balancer string) *Dir {
-	return &Dir{path: path, balancer: balancer, seen: map[string]os.FileInfo{}}
+	return &Dir{path: path, balancer: balancer, lastInfo: map[string]os.FileInfo{}}
 }
 
-// envelope is the form of a file.
+// envelope is the encoding of a file.
 type envelope struct {
-	Form     string          `json:"form"`
+	Format   string          `json:"form"`
 	Version  int             `json:"version"`
 	Kind     string          `json:"kind"`
 	Balancer string          `json:"balancer"`
@@ -51,17 +51,17 @@
 	Body     json.RawMessage `json:"body"`
 }
 
-func (d *Dir) file(kind string) string { return d.name("-" + kind + ".json") }
+func (d *Dir) statePath(kind string) string { return d.filePath("-" + kind + ".json") }
 
 // name returns the path of one of the balancer's files.
-func (d *Dir) name(suffix string) string {
-	return filepath.Join(d.path, form+"-"+url.PathEscape(d.balancer)+suffix)
+func (d *Dir) filePath(suffix string) string {
+	return filepath.Join(d.path, formatName+"-"+url.PathEscape(d.balancer)+suffix)
 }
 
-// read reads a file's body and returns when it was written. The error is os.ErrNotExist if there is no file, else
-// *DamagedFile.
+// read decodes a file's body and returns when the file was written. The error matches os.ErrNotExist if there is no
+// file, and is *DamagedFile otherwise.
 func (d *Dir) read(kind string, body any) (time.Time, error) {
-	f, err := os.Open(d.file(kind))
+	f, err := os.Open(d.statePath(kind))
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -90,25 +90,27 @@
 	return d.decode(data, kind, body)
 }
 
-// decode checks a file's envelope, reads its body, and returns when it was written.
+// decode validates a file's envelope, decodes its body, and returns when the file was written.
 func (d *Dir) decode(data []byte, kind string, body any) (time.Time, error) {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
 		return time.Time{}, &DamagedFile{hint.Annotated{What: "damaged", Cause: err, Do: damagedFileHint}}
 	}
 	switch {
-	case e.Form != form || e.Kind != kind:
+	case e.Format != formatName || e.Kind != kind:
 		return time.Time{}, &DamagedFile{hint.Annotated{What: "not a file of this kind", Do: damagedFileHint}}
-	case e.Version > version || e.Version < 1:
+	case e.Version > formatVersion || e.Version < 1:
 		return time.Time{}, &DamagedFile{
-			hint.Annotated{What: fmt.Sprintf("version %d, this program reads %d", e.Version, version),
-				Do: "let it be: the process that wrote it is of a later version; it is written anew at the next change"},
+			hint.Annotated{What: fmt.Sprintf("version %d, but this program reads version %d", e.Version, formatVersion),
+				Do: "leave it in place: a process of a later version wrote it; it is rewritten at the next change"},
 		}
 	case e.Balancer != d.balancer:
-		return time.Time{}, &DamagedFile{hint.Annotated{What: fmt.Sprintf("balancer %q's, not %q's", e.Balancer, d.balancer),
-			Do: "give each balancer a directory or a name of its own ($TMPDIR, PROXY_NAME)"}}
+		return time.Time{}, &DamagedFile{
+			hint.Annotated{What: fmt.Sprintf("belongs to balancer %q, not to %q", e.Balancer, d.balancer),
+				Do: "give each balancer its own directory or name ($TMPDIR, PROXY_NAME)"},
+		}
 	case crc32.ChecksumIEEE(e.Body) != e.Sum:
-		return time.Time{}, &DamagedFile{hint.Annotated{What: "damaged: the checksum doesn't fit", Do: damagedFileHint}}
+		return time.Time{}, &DamagedFile{hint.Annotated{What: "damaged: the checksum does not match", Do: damagedFileHint}}
 	}
 	return time.UnixMilli(e.Written), json.Unmarshal(e.Body, body)
 }
@@ -122,10 +124,10 @@
 	if len(data) > maxFileBytes {
 		return &WriteFailed{
 			hint.Annotated{Where: "handover", What: fmt.Sprintf("%d bytes to write, more than %d", len(data), maxFileBytes),
-				Do: "end some of the maintenance; what stands is left to the next process only where it fits"},
+				Do: "end some of the maintenance; established flows are passed to the next process only if they fit"},
 		}
 	}
-	if err := d.replace(d.file(kind), data); err != nil {
+	if err := d.replace(d.statePath(kind), data); err != nil {
 		return &WriteFailed{hint.Annotated{Where: "handover", Cause: err, Do: makeWritableHint}}
 	}
 	return nil
@@ -137,8 +139,8 @@
 		return nil, err
 	}
 	return json.Marshal(envelope{
-		Form:     form,
-		Version:  version,
+		Format:   formatName,
+		Version:  formatVersion,
 		Kind:     kind,
 		Balancer: d.balancer,
 		Written:  time.Now().UnixMilli(),
@@ -147,9 +149,9 @@
 	})
 }
 
-// replace writes a temporary file, syncs it, and renames it.
+// replace writes a temporary file, syncs it, and renames it to path.
 func (d *Dir) replace(path string, data []byte) error {
-	f, err := os.CreateTemp(d.path, "."+form+"-*")
+	f, err := os.CreateTemp(d.path, "."+formatName+"-*")
 	if err != nil {
 		return err
 	}
@@ -167,13 +169,13 @@
 	return os.Rename(f.Name(), path)
 }
 
-// lock keeps the balancer's other processes from changing files meanwhile. The error is *WriteFailed.
+// lock keeps the balancer's other processes from changing files until unlock. The error is *WriteFailed.
 func (d *Dir) lock() (unlock func(), err error) {
-	f, err := os.OpenFile(d.name(".lock"), os.O_RDWR|os.O_CREATE, fileMode)
+	f, err := os.OpenFile(d.filePath(".lock"), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, &WriteFailed{hint.Annotated{Where: "handover", Cause: err, Do: makeWritableHint}}
 	}
-	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetry) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return func() { _ = f.Close() }, nil
@@ -182,20 +184,20 @@
 			_ = f.Close()
 			return nil, &WriteFailed{
 				hint.Annotated{Where: "handover: " + f.Name(), What: "locked by another process", Cause: err,
-					Do: "call again; if it stays, see which process of this balancer hangs"},
+					Do: "call again; if the error persists, check which process of this balancer hangs"},
 			}
 		}
 	}
 }
 
-// changed tells whether a file is another one than at the last call. A file that is gone has not changed: what it
-// held stays in force.
+// changed reports whether a file was replaced or modified since the last call. A removed file has not changed: its
+// content remains in effect.
 func (d *Dir) changed(kind string) bool {
-	info, err := os.Stat(d.file(kind))
+	info, err := os.Stat(d.statePath(kind))
 	if err != nil {
 		return false
 	}
-	old := d.seen[kind]
-	d.seen[kind] = info
+	old := d.lastInfo[kind]
+	d.lastInfo[kind] = info
 	return old == nil || !os.SameFile(old, info) || !old.ModTime().Equal(info.ModTime()) || old.Size() != info.Size()
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -15,8 +15,8 @@
 
 var writtenAt = regexp.MustCompile(`"written_ms":\d+`)
 
-// Files that an earlier version left are read, and what is written today has the same bytes but for the time.
-func TestFormsOfFiles(t *testing.T) {
+// Files written by an earlier version are read, and newly written files have the same bytes except for the time.
+func TestFileFormats(t *testing.T) {
 	m := Maintenance{Excluded: []string{"s-1", "s-2"}, KnownServers: []string{"s-1", "s-2", "s-3"}}
 	l := PredecessorState{KnownServers: []string{"s-1"}, FlowServers: map[string]string{"key-a": "s-1", "key-b": "s-3"}}
 	d := Open(t.TempDir(), "lb 1/a")
@@ -24,12 +24,12 @@
 		t.Fatal(err)
 	}
 	for _, kind := range []string{maintenanceKind, predecessorKind} {
-		body, err := os.ReadFile(d.file(kind))
+		body, err := os.ReadFile(d.statePath(kind))
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden.Check(t, kind+".json", writtenAt.ReplaceAll(body, []byte(`"written_ms":1700000000000`)))
-		if err := os.WriteFile(d.file(kind), golden.Read(t, kind+".json"), 0o600); err != nil {
+		if err := os.WriteFile(d.statePath(kind), golden.Read(t, kind+".json"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// The file by which processes see each other is read by one of another version while both run.
-func TestFormOfPresence(t *testing.T) {
+// A presence file may be read by a process of another version while both run.
+func TestPresenceFormat(t *testing.T) {
 	d := Open(t.TempDir(), "lb")
 	p, err := d.Register()
 	if err != nil {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// What one process writes the next one reads; both may change the file, and neither loses the other's call.
-func TestMaintain(t *testing.T) {
+// A process reads what another one wrote, and when both change the file, neither change is lost.
+func TestSetMaintenance(t *testing.T) {
 	dir := t.TempDir()
 	a, b := Open(dir, "n/1"), Open(dir, "n/1")
 	for i, err := range []error{
@@ -30,28 +30,28 @@
 		t.Fatal(m, err)
 	}
 	if !a.MaintenanceChanged() || a.MaintenanceChanged() {
-		t.Fatal("a change is seen once")
+		t.Fatal("a change is not reported exactly once")
 	}
 	if err := b.SetMaintenance("z", true, Maintenance{}); err != nil || !a.MaintenanceChanged() {
-		t.Fatal("the other's change is not seen", err)
+		t.Fatal("the other process's change is not reported", err)
 	}
 	if m, err := Open(dir, "n2").ReadMaintenance(); err != nil || len(m.Excluded) > 0 {
-		t.Fatal("another balancer's:", m, err)
+		t.Fatal("maintenance of another balancer:", m, err)
 	}
 	list, err := os.ReadDir(dir)
-	if err != nil || len(list) != 2 { // the file and the lock: nothing half written is left
+	if err != nil || len(list) != 2 { // the file and the lock, and no temporary file
 		t.Fatal(list, err)
 	}
 }
 
-// A file that can't be trusted is an error with its name, and an empty start; the next call writes a sound one.
-func TestBadFiles(t *testing.T) {
+// An invalid file results in an error with its path and in empty state; the next change writes a valid one.
+func TestInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	d := Open(dir, "n1")
 	if err := d.SetMaintenance("x", true, Maintenance{}); err != nil {
 		t.Fatal(err)
 	}
-	good, err := os.ReadFile(d.file(maintenanceKind))
+	good, err := os.ReadFile(d.statePath(maintenanceKind))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,11 +61,11 @@
 		"too new":   strings.Replace(string(good), `"version":1`, `"version":2`, 1),
 		"another's": strings.Replace(string(good), `"n1"`, `"n2"`, 1), "long": strings.Repeat(" ", maxFileBytes+1),
 	} {
-		if err := os.WriteFile(d.file(maintenanceKind), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(d.statePath(maintenanceKind), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if m, err := d.ReadMaintenance(); err == nil || len(m.Excluded) > 0 ||
-			!strings.Contains(err.Error(), d.file(maintenanceKind)) ||
+			!strings.Contains(err.Error(), d.statePath(maintenanceKind)) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v %v", name, m, err)
 		}
@@ -81,11 +81,11 @@
 	}
 }
 
-// What was left long ago tells nothing of today's connections.
-func TestLeft(t *testing.T) {
+// State that the predecessor wrote too long ago is ignored, since its connections may no longer exist.
+func TestReadPredecessor(t *testing.T) {
 	d := Open(t.TempDir(), "n1")
 	if _, ok, err := d.ReadPredecessor(time.Minute); ok || err != nil {
-		t.Fatal("nothing was left:", ok, err)
+		t.Fatal("state without a predecessor:", ok, err)
 	}
 	if err := d.WriteForSuccessor(PredecessorState{FlowServers: map[string]string{"k": "r"}}); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	}
 	time.Sleep(5 * time.Millisecond)
 	if _, ok, err := d.ReadPredecessor(time.Millisecond); ok || err != nil {
-		t.Fatal("it is too old:", ok, err)
+		t.Fatal("state that is too old:", ok, err)
 	}
 }
 
@@ -104,7 +104,7 @@
 	if err := d.SetMaintenance("x", true, Maintenance{}); err != nil {
 		f.Fatal(err)
 	}
-	good, _ := os.ReadFile(d.file(maintenanceKind))
+	good, _ := os.ReadFile(d.statePath(maintenanceKind))
 	f.Add(good)
 	for _, change := range [][2]string{{`"x"`, `"z"`}, {`"version":1`, `"version":2`}, {`"n1"`, `"n2"`}} {
 		f.Add([]byte(strings.Replace(string(good), change[0], change[1], 1)))
@@ -115,22 +115,22 @@
 		if _, err := d.decode(data, maintenanceKind, &m); err != nil {
 			return
 		}
-		// What passes is this balancer's, of this version, and what was summed up: read straight, by names.
+		// Accepted data is of this balancer and version and has a valid checksum, as decoded independently by key.
 		var e map[string]json.RawMessage
 		sum := func() string { return fmt.Sprint(crc32.ChecksumIEEE(e["body"])) }
 		if err := json.Unmarshal(data, &e); err == nil && len(e) == 7 &&
 			(string(e["version"]) != "1" || string(e["crc32"]) != sum() || string(e["balancer"]) != `"n1"`) {
-			t.Fatalf("%q passed", data)
+			t.Fatalf("%q was accepted", data)
 		}
 	})
 }
 
-// Processes of one balancer know of each other and of what each takes, for as long as they are there.
+// Processes of one balancer see each other and each other's usage while they are running.
 func TestPresence(t *testing.T) {
 	dir := t.TempDir()
 	a, err := Open(dir, "n1").Register()
 	if err != nil || len(a.Others()) > 0 {
-		t.Fatal("alone:", err, a.Others())
+		t.Fatal("others seen by the only process:", err, a.Others())
 	}
 	b, err := Open(dir, "n1").Register()
 	if err != nil {
@@ -150,6 +150,6 @@
 		t.Fatal("seen from the first:", o)
 	}
 	if a.Close(); len(b.Others()) > 0 {
-		t.Fatal("one that has ended is still there")
+		t.Fatal("a process that has ended is still seen")
 	}
 }
--- a/internal/hotrestart/maintenance.go
+++ b/internal/hotrestart/maintenance.go
@@ -12,7 +12,7 @@
 	KnownServers []string `json:"known"`
 }
 
-// ReadMaintenance reads which servers are in maintenance; none if there is no file. The error is *DamagedFile.
+// ReadMaintenance reads which servers are in maintenance; without a file, none are. The error is *DamagedFile.
 func (d *Dir) ReadMaintenance() (m Maintenance, err error) {
 	_, err = d.read(maintenanceKind, &m)
 	if errors.Is(err, os.ErrNotExist) {
@@ -24,9 +24,9 @@
 	return m, nil
 }
 
-// SetMaintenance puts a server into maintenance or takes it out, and returns once that is on disk. The file counts,
-// since another process may have changed it; current is what this process holds, for a file that cannot be read.
-// The error is *WriteFailed.
+// SetMaintenance puts a server into maintenance or takes it out, and returns once the change is on disk. It is applied
+// to the content of the file, since another process may have changed that; current is this process's own state, used
+// instead if the file cannot be read. The error is *WriteFailed.
 func (d *Dir) SetMaintenance(server string, on bool, current Maintenance) error {
 	unlock, err := d.lock()
 	if err != nil {
@@ -48,5 +48,5 @@
 	return d.write(maintenanceKind, m)
 }
 
-// MaintenanceChanged tells whether the file is another one than at the last call.
+// MaintenanceChanged reports whether the maintenance file has changed since the last call.
 func (d *Dir) MaintenanceChanged() bool { return d.changed(maintenanceKind) }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PredecessorState is what a process that shuts down knows: all servers that were listed and, by flow's key, the
-// server that the flow is on.
+// PredecessorState is the state of a process that shuts down: all servers that were ever listed and, by flow key, the
+// server of each flow.
 type PredecessorState struct {
 	KnownServers []string          `json:"known"`
 	FlowServers  map[string]string `json:"standing"`
@@ -16,9 +16,8 @@
 // WriteForSuccessor writes the state of a process that shuts down. The error is *WriteFailed.
 func (d *Dir) WriteForSuccessor(state PredecessorState) error { return d.write(predecessorKind, state) }
 
-// ReadPredecessor reads the state that the last process has left, unless that is longer ago than maxAge; ok is
-// false if there is none. A time in the future is of a clock that was wrong, and bounded alike. The error is
-// *DamagedFile.
+// ReadPredecessor reads the state written by the previous process, unless it is older than maxAge. ok is false if there
+// is none. A time in the future, from a wrong clock, may be at most maxAge ahead. The error is *DamagedFile.
 func (d *Dir) ReadPredecessor(maxAge time.Duration) (state PredecessorState, ok bool, err error) {
 	written, err := d.read(predecessorKind, &state)
 	switch {
@@ -32,5 +31,5 @@
 	return state, true, nil
 }
 
-// PredecessorChanged tells whether the file is another one than at the last call.
+// PredecessorChanged reports whether the predecessor file has changed since the last call.
 func (d *Dir) PredecessorChanged() bool { return d.changed(predecessorKind) }
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -9,29 +9,29 @@
 	"oatloft/internal/hint"
 )
 
-// maxProcesses is how many processes of one balancer are told apart. An upgrade has two, and three if the next
-// comes soon.
+// maxProcesses is the maximum number of processes of one balancer. An upgrade has two, or three if the next upgrade
+// follows soon.
 const maxProcesses = 4
 
-// Usage is what a process uses of what all processes of a balancer have together. Its fields are written to the
-// file in this order.
+// Usage is a process's use of the resources that all processes of a balancer share. Its fields are written to the file
+// in this order.
 type Usage struct {
 	Sockets      int64 // descriptors
 	Memory       int64 // bytes
-	ShuttingDown int64 // not 0: it places no new clients
+	ShuttingDown int64 // nonzero if it places no new clients
 }
 
-// Presence lets the processes of one balancer see each other. Each holds the lock of a file, which the system
-// releases however the process ends, and writes its usage there.
+// Presence lets the processes of one balancer see each other. Each process holds the lock of a file, which the
+// operating system releases however the process ends, and writes its usage to it.
 type Presence struct {
 	dir    *Dir
 	number int
 	file   *os.File
 }
 
-func (d *Dir) presenceFile(number int) string { return d.name(fmt.Sprintf("-%d.use", number)) }
+func (d *Dir) presenceFile(number int) string { return d.filePath(fmt.Sprintf("-%d.use", number)) }
 
-// Register takes the first file that no other process holds. The error is *WriteFailed or *TooManyProcesses.
+// Register locks the first file that no other process has locked. The error is *WriteFailed or *TooManyProcesses.
 func (d *Dir) Register() (*Presence, error) {
 	for number := range maxProcesses {
 		f, err := os.OpenFile(d.presenceFile(number), os.O_RDWR|os.O_CREATE, fileMode)
@@ -47,8 +47,8 @@
 	return nil, &TooManyProcesses{
 		hint.Annotated{
 			Where: "handover",
-			What:  fmt.Sprintf("%d processes of balancer %q are at work already", maxProcesses, d.balancer),
-			Do:    "end those that should have left; or give this balancer a name of its own",
+			What:  fmt.Sprintf("%d processes of balancer %q are running already", maxProcesses, d.balancer),
+			Do:    "end those that should have exited, or give this balancer its own name",
 		},
 	}
 }
@@ -76,8 +76,8 @@
 	return list
 }
 
-// readUsage reads the usage of a running process. A file whose lock can be shared is held by nobody: what it says
-// is of a process that has ended.
+// readUsage reads the usage of a running process. If a shared lock on the file can be obtained, no process holds the
+// file: its content is from a process that has ended.
 func readUsage(path string) (usage Usage, running bool) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 	data := make([]byte, binary.Size(usage))
 	if n, _ := f.ReadAt(data, 0); n == len(data) {
-		_, _ = binary.Decode(data, binary.LittleEndian, &usage) // cannot fail: the size fits
+		_, _ = binary.Decode(data, binary.LittleEndian, &usage) // cannot fail: the size matches
 	}
 	return usage, true
 }
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -8,31 +8,31 @@
 	"oatloft/internal/hint"
 )
 
-// MaxLine is how long a call may be, its line end included; MaxRevision is that for a call about revisions, which
-// may hold one.
 const (
-	MaxLine     = 512
+	// MaxLine is the maximum length of a call in bytes, including its line end.
+	MaxLine = 512
+	// MaxRevision is the maximum length in bytes of a call about revisions, which may contain a revision.
 	MaxRevision = 128 << 10
 )
 
-// revisionPrefix begins the line of a call about revisions.
+// revisionPrefix is the prefix of a call about revisions.
 const revisionPrefix = "revision "
 
-// Verb is what a call asks for.
+// Verb is the operation that a call requests.
 type Verb uint8
 
 // The verbs.
 const (
-	Status Verb = iota
-	StartMaintenance
-	EndMaintenance
-	Drain
-	Resume
-	Peers
-	Revision
+	Status           Verb = iota // returns the balancer's status
+	StartMaintenance             // puts a server into maintenance
+	EndMaintenance               // ends a server's maintenance
+	Drain                        // drains the balancer
+	Resume                       // ends the balancer's drain
+	Peers                        // returns the other balancers' status
+	Revision                     // manages routing revisions
 )
 
-// verbNames are the words of the protocol.
+// verbNames are the verbs as they appear in the protocol.
 var verbNames = []string{
 	Status:           "status",
 	StartMaintenance: "maint-on",
@@ -43,43 +43,43 @@
 	Revision:         "revision",
 }
 
-// String returns the name as it is logged and sent.
+// String returns the verb's name in logs and in the protocol.
 func (v Verb) String() string { return verbNames[v] }
 
-// needsServer tells whether the verb takes the id of a server.
+// needsServer reports whether the verb requires the id of a server.
 func (v Verb) needsServer() bool { return v == StartMaintenance || v == EndMaintenance }
 
-// Request is one call. Argument is the id of a server or a member where the verb takes one; of Revision it is all
-// that follows.
+// Request is a parsed call. Argument is the id of a server or a member if the verb takes one. For Revision it is the
+// rest of the line.
 type Request struct {
 	Verb     Verb
 	Argument string
 }
 
-// Answer is what a caller is told: yes or no, and a text.
+// Answer is the answer to a call: success or error, and a text.
 type Answer struct {
 	OK   bool
 	Text string
 }
 
-// Yes returns the answer that a call was done.
+// Yes returns the answer to a call that was carried out.
 func Yes(format string, args ...any) Answer { return Answer{true, fmt.Sprintf(format, args...)} }
 
-// No returns the answer that a call has changed nothing.
+// No returns the answer to a call that failed and changed nothing.
 func No(format string, args ...any) Answer { return Answer{false, fmt.Sprintf(format, args...)} }
 
-// The first words of an answer.
+// The protocol's fixed parts of an answer: its first word, and its end.
 const (
-	okSign    = "+OK"
-	errorSign = "-ERR"
-	lineEnd   = "\r\n"
+	okPrefix    = "+OK"
+	errorPrefix = "-ERR"
+	lineEnd     = "\r\n"
 )
 
-// Line returns the answer as it is sent: one line of printable ASCII, whatever its text.
+// Line returns the encoded answer: one line of printable ASCII, with other characters of the text replaced by spaces.
 func (a Answer) Line() []byte {
-	line := errorSign
+	line := errorPrefix
 	if a.OK {
-		line = okSign
+		line = okPrefix
 	}
 	text := strings.Map(func(c rune) rune {
 		if !isPrintable(c) {
@@ -95,20 +95,20 @@
 
 func isPrintable[T rune | byte](c T) bool { return c >= ' ' && c <= '~' }
 
-// IsRevisionCall tells whether the beginning of a line is that of a call about revisions.
+// IsRevisionCall reports whether a line, or the beginning of one, is a call about revisions.
 func IsRevisionCall(data []byte) bool { return bytes.HasPrefix(data, []byte(revisionPrefix)) }
 
-// MalformedCall is the error that a call cannot be read. Nothing has changed.
+// MalformedCall is the error for a call that cannot be parsed. Nothing was changed.
 type MalformedCall struct{ hint.Annotated }
 
 var (
-	errSeveralLines = &MalformedCall{hint.Annotated{What: "more than one line", Do: "make one call a connection"}}
-	errUnendedLine  = &MalformedCall{hint.Annotated{What: "line without its end", Do: "end the line"}}
+	errSeveralLines = &MalformedCall{hint.Annotated{What: "more than one line", Do: "make one call per connection"}}
+	errUnendedLine  = &MalformedCall{hint.Annotated{What: "line without its end", Do: "end the line with CR LF or LF"}}
 )
 
-// CutLine returns the call's line without its end once it is complete, or a *MalformedCall if it can no longer
-// become one. ended says that nothing more will come. Of several lines none is taken, since it is not known which
-// one is meant.
+// CutLine returns the call's line without its end once it is complete, or a *MalformedCall if the data cannot become a
+// valid call. ended reports that no more data will arrive. If there are several lines, none is accepted, since it is
+// unknown which one was intended.
 func CutLine(data []byte, ended bool) (line []byte, complete bool, err error) {
 	end := bytes.IndexByte(data, '\n')
 	limit := MaxLine
@@ -130,7 +130,7 @@
 	return bytes.TrimSuffix(data[:end], []byte("\r")), true, nil
 }
 
-// Parse reads a call's line. The error is *MalformedCall.
+// Parse parses a call's line. The error is *MalformedCall.
 func Parse(line []byte) (Request, error) {
 	for _, c := range line {
 		if !isPrintable(c) {
@@ -138,14 +138,14 @@
 		}
 	}
 	if IsRevisionCall(line) {
-		if order := strings.TrimSpace(string(line[len(revisionPrefix):])); order != "" {
-			return Request{Revision, order}, nil
+		if operation := strings.TrimSpace(string(line[len(revisionPrefix):])); operation != "" {
+			return Request{Revision, operation}, nil
 		}
 	}
 	words := strings.Fields(string(line))
 	if len(words) == 0 {
 		return Request{}, &MalformedCall{
-			hint.Annotated{What: "no call in the line; calls are " + strings.Join(verbNames, ", "), Do: "write one of these"},
+			hint.Annotated{What: "no call in the line; calls are " + strings.Join(verbNames, ", "), Do: "use one of these"},
 		}
 	}
 	for v, name := range verbNames {
@@ -156,12 +156,12 @@
 	return Request{}, &MalformedCall{
 		hint.Annotated{
 			What: fmt.Sprintf("unknown call %q; calls are %s", words[0], strings.Join(verbNames, ", ")),
-			Do:   "write one of these",
+			Do:   "use one of these",
 		},
 	}
 }
 
-// parseArguments reads what follows a verb.
+// parseArguments parses the arguments that follow a verb.
 func parseArguments(v Verb, arguments []string) (Request, error) {
 	if v == Revision {
 		return Request{}, &MalformedCall{
@@ -175,7 +175,7 @@
 			hint.Annotated{What: v.String() + " needs the id of a server", Do: "give the id, host in discovery's list"},
 		}
 	case takesOne && len(arguments) > 1:
-		return Request{}, &MalformedCall{hint.Annotated{What: v.String() + " takes one id only", Do: "make a call for each"}}
+		return Request{}, &MalformedCall{hint.Annotated{What: v.String() + " takes one id only", Do: "make one call per id"}}
 	case !takesOne && len(arguments) > 0:
 		return Request{}, &MalformedCall{
 			hint.Annotated{What: v.String() + " takes nothing more", Do: "leave out what follows it"},
--- a/internal/management/caller.go
+++ b/internal/management/caller.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	callTimeout   = 800 * time.Millisecond // a call that is not done by then is answered no: a second is promised
-	answerTimeout = 300 * time.Millisecond // a caller reads its answer within this
-	maxDiscarded  = 64 << 10               // bytes read behind a line, so that a reset does not take the answer with it
+	callTimeout   = 800 * time.Millisecond // a call not done by then fails: an answer is promised within 1 s
+	answerTimeout = 300 * time.Millisecond // for the caller to read its answer
+	maxDiscarded  = 64 << 10               // bytes read after a line, so that a reset does not discard the answer
 
-	revisionTurnTimeout   = 500 * time.Millisecond  // a call about revisions that has no turn by then is told so
+	revisionSlotTimeout   = 500 * time.Millisecond  // a call about revisions without a slot by then is rejected
 	revisionCallTimeout   = 2500 * time.Millisecond // in place of callTimeout
 	revisionAnswerTimeout = 2 * time.Second         // in place of answerTimeout
 )
 
-// caller is one connection.
+// caller is one operator connection.
 type caller struct {
 	conn        net.Conn
 	connectedAt time.Time
-	busy        bool          // its line is complete and not answered yet: it is not cut; guarded by the server's mu
-	cut         chan struct{} // closed once it is cut
+	busy        bool          // its call is complete and unanswered, so it is not evicted; guarded by the server's mu
+	evicted     chan struct{} // closed when the caller is evicted
 }
 
-// Busy is the error that as many calls about revisions are under way as may be. Nothing has changed.
+// Busy is the error for a call about revisions that exceeds the limit on concurrent ones. Nothing was changed.
 type Busy struct{ hint.Annotated }
 
 var errBusy error = &Busy{
 	hint.Annotated{What: "busy: other calls about revisions are under way, nothing changed", Do: "make the call again"},
 }
 
-// serve reads a caller's line, has it carried out, and answers.
+// serve reads a caller's line, carries out the call, and answers it.
 func (s *Server) serve(c *caller) {
 	defer s.remove(c)
 	reader := &lineReader{server: s, caller: c, data: make([]byte, 0, MaxLine)}
@@ -45,7 +45,7 @@
 	}
 	timeout, answerWithin := callTimeout, answerTimeout
 	if malformed == nil && IsRevisionCall(line) {
-		if !s.takeTurn(c, s.revisionCalls) {
+		if !s.acquireSlot(c, s.revisionCalls) {
 			return
 		}
 		defer func() { <-s.revisionCalls }()
@@ -58,8 +58,8 @@
 	s.answer(c, s.call(line, malformed, timeout), answerWithin)
 }
 
-// markBusy keeps a caller from being cut while its call is under way. It is false for one that was cut already:
-// what a caller will not hear of must not be done.
+// markBusy keeps a caller from being evicted while its call is in progress. It returns false if the caller was evicted
+// already: a call whose answer cannot be delivered must not be carried out.
 func (s *Server) markBusy(c *caller) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,20 +72,20 @@
 	return false
 }
 
-// takeTurn waits for a place in turns. It is false if there was none in time, which the caller is told, or if the
-// caller was cut.
-func (s *Server) takeTurn(c *caller, turns chan struct{}) bool {
+// acquireSlot waits for a free slot. It returns false if there was none in time, in which case it answers the caller,
+// or if the caller was evicted or the server closes.
+func (s *Server) acquireSlot(c *caller, slots chan struct{}) bool {
 	select {
-	case turns <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
 	default:
 	}
-	timer := time.NewTimer(revisionTurnTimeout)
+	timer := time.NewTimer(revisionSlotTimeout)
 	defer timer.Stop()
 	select {
-	case turns <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
-	case <-c.cut:
+	case <-c.evicted:
 	case <-s.closing:
 	case <-timer.C:
 		if s.markBusy(c) {
@@ -96,7 +96,7 @@
 	return false
 }
 
-// call has a line's call carried out within a time, and returns its answer.
+// call carries out a line's call within the timeout and returns its answer.
 func (s *Server) call(line []byte, malformed error, timeout time.Duration) Answer {
 	request, err := Request{}, malformed
 	if err == nil {
@@ -123,7 +123,7 @@
 	return answer
 }
 
-// expireOnClose gives a long call no more time than any other once the server closes. It returns when done is closed.
+// expireOnClose limits a long call to callTimeout once the server closes. It returns when done is closed.
 func (s *Server) expireOnClose(done <-chan struct{}, expire func()) {
 	select {
 	case <-done:
@@ -133,8 +133,8 @@
 	}
 }
 
-// answer writes the answer, and reads on until the caller has closed, so that a reset does not take the answer with
-// it.
+// answer writes the answer and then discards input until the caller closes, so that a reset does not discard the
+// answer.
 func (s *Server) answer(c *caller, a Answer, within time.Duration) {
 	if a.OK {
 		s.Counters.Yes.Add(1)
@@ -147,7 +147,7 @@
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(answerTimeout))
 	s.mu.Lock()
-	c.busy = false // it has its answer, and may be cut
+	c.busy = false // it has its answer, and may be evicted
 	s.mu.Unlock()
 	if t, ok := c.conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
--- a/internal/management/client.go
+++ b/internal/management/client.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	clientTimeout  = 3 * time.Second // a balancer answers within one
-	maxAnswerBytes = 4096
+	clientTimeout  = 3 * time.Second // a balancer answers within 1 s
+	maxAnswerBytes = 4096            // maximum length of an answer
 
-	revisionClientTimeout  = 6 * time.Second // for the call's turn, the call and its answer
+	revisionClientTimeout  = 6 * time.Second // for acquiring a slot, the call and its answer
 	maxRevisionAnswerBytes = MaxRevision + maxAnswerBytes
 )
 
-// NoAnswer is the error that no answer came to a call, or none of a balancer's. It is not known whether the call
-// was done.
+// NoAnswer is the error for a call without an answer, or without a valid answer of a balancer. It is unknown whether
+// the call was carried out.
 type NoAnswer struct{ hint.Annotated }
 
-const retryHint = "see that the balancer runs and that this is its second address (management); " +
-	"then call again: repeating does no harm"
+const retryHint = "check that the balancer is running and that this is its management address; " +
+	"then call again: repeating a call is safe"
 
-// Call makes one call at a balancer's address, for tools. The error is *NoAnswer.
+// Call makes one call to a balancer's management address. Tools use it. The error is *NoAnswer.
 func Call(addr, call string) (Answer, error) {
 	timeout, limit := clientTimeout, int64(maxAnswerBytes)
 	if IsRevisionCall([]byte(call)) {
@@ -42,12 +42,12 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(conn, limit))
 	line, complete := strings.CutSuffix(string(data), lineEnd)
-	sign, text, _ := strings.Cut(line, " ")
-	if !complete || sign != okSign && sign != errorSign {
+	prefix, text, _ := strings.Cut(line, " ")
+	if !complete || prefix != okPrefix && prefix != errorPrefix {
 		return Answer{}, &NoAnswer{
 			hint.Annotated{Where: addr, What: fmt.Sprintf("answered %.200q, which is neither +OK nor -ERR", data), Cause: err,
-				Do: "see that this is a balancer's second address (management), and call again: repeating does no harm"},
+				Do: "check that this is a balancer's management address, and call again: repeating a call is safe"},
 		}
 	}
-	return Answer{OK: sign == okSign, Text: text}, nil
+	return Answer{OK: prefix == okPrefix, Text: text}, nil
 }
--- a/internal/management/doc.go
+++ b/internal/management/doc.go
@@ -1,4 +1,4 @@
-// Package management is the protocol and the server of the address on which operators call a balancer: one line a
-// connection, one line back. It reads calls and writes answers, and knows nothing of what a call does: that is the
-// handler's.
+// Package management implements the protocol and the server for operators' calls to a balancer: each connection
+// carries one line with a call and one line with its answer. The package parses calls and writes answers; the handler
+// carries the calls out.
 package management
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -8,8 +8,8 @@
 	"oatloft/internal/golden"
 )
 
-// Calls and answers have the words that operators and their scripts know.
-func TestFormOfCallsAndAnswers(t *testing.T) {
+// Operators' scripts depend on the wording of calls and answers.
+func TestCallAndAnswerFormat(t *testing.T) {
 	var out bytes.Buffer
 	for _, line := range []string{
 		"status", "maint-on s-1", "maint-off s-1", "standby", "active", "peers", "peers x", "revision status",
--- a/internal/management/line_reader.go
+++ b/internal/management/line_reader.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// lineTimeout is the time after which a caller is cut whose line is not complete.
+// lineTimeout is the time after which a caller with an incomplete line is disconnected.
 const lineTimeout = 5 * time.Second
 
-// lineReader reads a caller's line. A line longer than MaxLine needs a turn, which release gives back.
+// lineReader reads a caller's line. A line longer than MaxLine requires a slot, which release returns.
 type lineReader struct {
 	server *Server
 	caller *caller
@@ -18,7 +18,7 @@
 	isLong bool
 }
 
-// read returns the caller's line, or why it is none. ok is false if there is nobody to answer.
+// read returns the caller's line, or why it is malformed. ok is false if no caller is left to be answered.
 func (r *lineReader) read() (line []byte, malformed error, ok bool) {
 	_ = r.caller.conn.SetReadDeadline(r.caller.connectedAt.Add(lineTimeout)) // fails only with the connection
 	for {
@@ -27,29 +27,29 @@
 		}
 		n, err := r.caller.conn.Read(r.data[len(r.data):cap(r.data)])
 		r.data = r.data[:len(r.data)+n]
-		if err == nil && r.surelyIncomplete(n) {
+		if err == nil && r.stillIncomplete(n) {
 			continue
 		}
 		line, complete, malformed := CutLine(r.data, err != nil)
 		switch {
 		case !complete && err == nil:
 			continue
-		case len(r.data) == 0 || err != nil && !errors.Is(err, io.EOF): // it left, broke, or took too long
+		case len(r.data) == 0 || err != nil && !errors.Is(err, io.EOF): // disconnected, reset or timed out
 			return nil, nil, false
 		}
 		return line, malformed, true
 	}
 }
 
-// surelyIncomplete tells of a long line to which n bytes were added, none of them its end, so that it isn't
-// searched again for each piece.
-func (r *lineReader) surelyIncomplete(n int) bool {
+// stillIncomplete reports whether a long line is incomplete because none of the last n bytes is a line end, so that the
+// whole line is not searched again for each chunk.
+func (r *lineReader) stillIncomplete(n int) bool {
 	return IsRevisionCall(r.data) && len(r.data) < MaxRevision && bytes.IndexByte(r.data[len(r.data)-n:], '\n') < 0
 }
 
-// grow makes room for a line of any length, once there is a turn for it.
+// grow enlarges the buffer to the maximum line length once a slot is available.
 func (r *lineReader) grow() bool {
-	if !r.server.takeTurn(r.caller, r.server.longLines) {
+	if !r.server.acquireSlot(r.caller, r.server.longLines) {
 		return false
 	}
 	r.isLong = true
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Every call gets one line, and what is wrong with it is said; nothing is done for a call that is not sound.
+// Every call is answered by one line, which states what is wrong with it. A malformed call is not carried out.
 func TestCalls(t *testing.T) {
 	for text, want := range map[string]string{
 		"status\n": "+OK status ", "status\r\n": "+OK status ", " maint-on  s-1 \r\n": "+OK maint-on s-1",
@@ -25,25 +25,25 @@
 		for size := 1; size <= len(text); size = size*2 + 1 {
 			s, done := serve(t, nil)
 			c := dial(t, s)
-			go writeInPieces(c, text, size)
+			go writeInChunks(c, text, size)
 			got, _ := io.ReadAll(c)
 			if strings.Contains(text, "\nstandby") && size < len(text) {
-				// In pieces the first line may be answered before the second is there.
+				// In chunks, the first line may be answered before the second one arrives.
 				want = ""
 			}
 			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") ||
 				bytes.Count(got, []byte("\n")) != 1 {
-				t.Errorf("%.30q in pieces of %d: %q, not %q", text, size, got, want)
+				t.Errorf("%.30q in chunks of %d: %q, want %q", text, size, got, want)
 			}
 			if n := len(done()); strings.HasPrefix(want, "-") && n > 0 {
-				t.Errorf("%.30q was done", text)
+				t.Errorf("%.30q was carried out", text)
 			}
 		}
 	}
 }
 
-// writeInPieces writes a text and ends the connection's sending side.
-func writeInPieces(c net.Conn, text string, size int) {
+// writeInChunks writes a text in chunks of size bytes and closes the sending direction of the connection.
+func writeInChunks(c net.Conn, text string, size int) {
 	for rest := text; len(rest) > 0; {
 		n := min(size, len(rest))
 		if _, err := io.WriteString(c, rest[:n]); err != nil {
@@ -57,11 +57,11 @@
 func serve(t *testing.T, stall chan struct{}) (*Server, func() []Request) {
 	t.Helper()
 	calls := make(chan Request, 1000)
-	s, err := Listen("127.0.0.1:0", func(c Request, over <-chan struct{}) Answer {
+	s, err := Listen("127.0.0.1:0", func(c Request, expired <-chan struct{}) Answer {
 		if stall != nil {
 			select {
 			case <-stall:
-			case <-over:
+			case <-expired:
 				return No("late")
 			}
 		}
@@ -92,7 +92,7 @@
 	return c
 }
 
-// Hundreds that connect and say nothing, before and after, keep no caller from its answer within a second.
+// Hundreds of silent callers that connect before and after a caller don't prevent its answer within 1 s.
 func TestSilentCallers(t *testing.T) {
 	s, _ := serve(t, nil)
 	for range 300 {
@@ -101,7 +101,7 @@
 	for i := range 5 {
 		began := time.Now()
 		c := dial(t, s)
-		_, _ = io.WriteString(c, "status\n") // at once: a busy machine may take minSilence for the others
+		_, _ = io.WriteString(c, "status\n") // at once: on a busy machine, connecting the others may take minSilence
 		for range 20 {
 			dial(t, s)
 		}
@@ -110,12 +110,12 @@
 		}
 	}
 	if s.Counters.Cut.Load() == 0 {
-		t.Fatal("nobody made room")
+		t.Fatal("no silent caller was evicted")
 	}
 }
 
-// A call that nobody takes up is answered no within a second, and is not done later.
-func TestLate(t *testing.T) {
+// A call that the handler does not carry out in time fails within 1 s, and is not carried out later.
+func TestCallTimeout(t *testing.T) {
 	stall := make(chan struct{})
 	s, done := serve(t, stall)
 	began := time.Now()
@@ -127,11 +127,11 @@
 	}
 	close(stall)
 	if len(done()) > 0 {
-		t.Fatal("done for a caller who was told no")
+		t.Fatal("a call that was answered as failed was carried out")
 	}
 }
 
-// A call about revisions may be long, and what follows its first word comes whole; it is the only one.
+// Only calls about revisions may be long. The rest of their line after the first word is passed on unchanged.
 func TestLongCalls(t *testing.T) {
 	s, done := serve(t, nil)
 	long := func(head string, n int) string { return head + strings.Repeat("x", n-len(head)-1) + "\n" }
@@ -152,33 +152,33 @@
 	} {
 		for _, size := range []int{511, 512, 1 << 20} {
 			c := dial(t, s)
-			go writeInPieces(c, text, size)
+			go writeInChunks(c, text, size)
 			got, err := io.ReadAll(c)
 			if strings.HasSuffix(text, "xstatus\n") && size < len(text) {
-				continue // the first line may be answered before the second is there
+				continue // the first line may be answered before the second one arrives
 			}
 			if !strings.HasPrefix(string(got), want) || !strings.HasSuffix(string(got), "\r\n") ||
 				want[0] == '+' && len(text) > 400 && len(got) != len(text)+len("+OK \r") {
-				t.Errorf("%.30q, %d bytes, in pieces of %d: %.80q %v, not %q", text, len(text), size, got, err, want)
+				t.Errorf("%.30q, %d bytes, in chunks of %d: %.80q %v, want %q", text, len(text), size, got, err, want)
 			}
 		}
 	}
 	for _, c := range done() {
 		if c.Verb != Revision || c.Argument == "" {
-			t.Errorf("%v %q was done", c.Verb, c.Argument)
+			t.Errorf("%v %q was carried out", c.Verb, c.Argument)
 		}
 	}
 }
 
-// However many calls about revisions there are, and however slowly their lines come, other calls keep their second,
-// and those for whom there is no turn are told so.
-func TestTurns(t *testing.T) {
+// However many calls about revisions there are and however slowly their lines arrive, other calls are answered within
+// 1 s, and calls about revisions without a free slot are answered as busy.
+func TestRevisionCallLimits(t *testing.T) {
 	stall := make(chan struct{})
-	s, err := Listen("127.0.0.1:0", func(c Request, over <-chan struct{}) Answer {
+	s, err := Listen("127.0.0.1:0", func(c Request, expired <-chan struct{}) Answer {
 		if c.Argument == "stall" {
 			select {
 			case <-stall:
-			case <-over:
+			case <-expired:
 				return No("late")
 			}
 		}
@@ -189,12 +189,12 @@
 	}
 	s.Serve()
 	defer s.Close()
-	longLinesOccupied(t, s)
-	turnsOccupied(t, s, stall)
+	occupyLongLines(t, s)
+	occupyRevisionCalls(t, s, stall)
 }
 
-// ask makes a call that has to be answered within a second.
-func ask(t *testing.T, s *Server, line, want string) {
+// callWithin1s makes a call that must be answered within 1 s.
+func callWithin1s(t *testing.T, s *Server, line, want string) {
 	t.Helper()
 	began := time.Now()
 	c := dial(t, s)
@@ -204,8 +204,8 @@
 	}
 }
 
-// longLinesOccupied has as many long lines come slowly as may be.
-func longLinesOccupied(t *testing.T, s *Server) {
+// occupyLongLines uses up all slots for long lines with incomplete lines.
+func occupyLongLines(t *testing.T, s *Server) {
 	t.Helper()
 	var slow []net.Conn
 	for range maxLongLines {
@@ -216,15 +216,15 @@
 	for len(s.longLines) < maxLongLines {
 		time.Sleep(time.Millisecond)
 	}
-	ask(t, s, "revision propose "+strings.Repeat("x", 2*MaxLine)+"\n", "-ERR busy")
-	ask(t, s, "revision status\n", "+OK revision")
+	callWithin1s(t, s, "revision propose "+strings.Repeat("x", 2*MaxLine)+"\n", "-ERR busy")
+	callWithin1s(t, s, "revision status\n", "+OK revision")
 	for _, c := range slow {
 		_ = c.Close()
 	}
 }
 
-// turnsOccupied has more calls about revisions stall than have a turn.
-func turnsOccupied(t *testing.T, s *Server, stall chan struct{}) {
+// occupyRevisionCalls stalls more calls about revisions than there are slots.
+func occupyRevisionCalls(t *testing.T, s *Server, stall chan struct{}) {
 	t.Helper()
 	var stalled []net.Conn
 	for range 2 * maxCallers {
@@ -236,8 +236,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	for range 3 {
-		ask(t, s, "status\n", "+OK status")
-		ask(t, s, "revision status\n", "-ERR busy")
+		callWithin1s(t, s, "status\n", "+OK status")
+		callWithin1s(t, s, "revision status\n", "-ERR busy")
 	}
 	close(stall)
 	done := 0
@@ -247,25 +247,25 @@
 		}
 	}
 	if done < maxRevisionCalls {
-		t.Fatalf("%d of %d that had their turn were answered", done, maxRevisionCalls)
+		t.Fatalf("%d of %d calls with a slot were answered", done, maxRevisionCalls)
 	}
-	ask(t, s, "revision status\n", "+OK revision")
+	callWithin1s(t, s, "revision status\n", "+OK revision")
 }
 
-// Such a call has more time than others, but not when the server closes.
-func TestRevisionEnds(t *testing.T) {
+// A call about revisions has more time than other calls, but not when the server closes.
+func TestRevisionCallTimeout(t *testing.T) {
 	s, _ := serve(t, make(chan struct{}))
 	c := dial(t, s)
 	_, _ = io.WriteString(c, "revision status\n")
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout + 200*time.Millisecond))
 	if n, err := c.Read(make([]byte, 9)); err == nil {
-		t.Fatalf("answered with %d bytes as early as any other", n)
+		t.Fatalf("answered with %d bytes before callTimeout had passed", n)
 	}
 	began := time.Now()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	go s.Close()
 	if got, _ := io.ReadAll(c); string(got) != "-ERR late\r\n" || time.Since(began) > callTimeout+500*time.Millisecond {
-		t.Fatalf("%q %v after the close", got, time.Since(began))
+		t.Fatalf("%q %v after Close", got, time.Since(began))
 	}
 }
 
@@ -282,8 +282,8 @@
 		f.Add([]byte(s), true)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, ended bool) {
-		line, whole, err := CutLine(data, ended)
-		if err != nil || !whole {
+		line, complete, err := CutLine(data, ended)
+		if err != nil || !complete {
 			return
 		}
 		c, err := Parse(line)
@@ -301,8 +301,8 @@
 	})
 }
 
-// A tool's call tells yes, no and what is neither apart.
-func TestAsk(t *testing.T) {
+// Call distinguishes successes, errors and invalid answers.
+func TestCall(t *testing.T) {
 	s, _ := serve(t, nil)
 	for call, want := range map[string]Answer{
 		"status":   {true, "status "},
@@ -329,6 +329,6 @@
 		}
 	}()
 	if a, err := Call(l.Addr().String(), "status"); err == nil {
-		t.Error("another service's answer passed as", a)
+		t.Error("another service's answer was accepted as", a)
 	}
 }
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	maxCallers = 16
-	// Descriptors is what a balancer has to keep free for this server: the listener, the callers, and one that is being
-	// turned away.
+	maxCallers = 16 // concurrent connections
+	// Descriptors is the number of file descriptors that a balancer has to reserve for this server: the listener, the
+	// callers, and one for a caller that awaits admission.
 	Descriptors = maxCallers + 2
-	// minSilence is how long a caller may be silent before it has to make room: its line may be on its way.
+	// minSilence is how long a caller may be silent before it may be evicted: its line may be in transit.
 	minSilence = 20 * time.Millisecond
-	// admitRetry is the time between two tries to accept or to admit a caller.
+	// admitRetry is the time between two attempts to accept or admit a caller.
 	admitRetry = 5 * time.Millisecond
 )
 
-// Limits of calls about revisions, which are longer and take longer. They never have more than some of the callers'
-// places, so that other calls keep their second. In memory they hold at most maxRevisionCalls answers and
-// maxLongLines lines.
+// Limits on calls about revisions, which are longer and take longer. They use only some of the callers' slots, so that
+// other calls are still answered within 1 s. Their memory use is at most maxRevisionCalls answers and maxLongLines
+// lines.
 const (
-	maxRevisionCalls = 6 // under way or being answered at once
-	maxLongLines     = 3 // of these, with a line longer than MaxLine, complete or not
+	maxRevisionCalls = 6 // concurrently in progress or being answered
+	maxLongLines     = 3 // concurrent lines longer than MaxLine, complete or not
 )
 
-// Counters count what callers did.
+// Counters counts calls, their answers (Yes, No), evicted callers (Cut) and calls that timed out (Late).
 type Counters struct{ Calls, Yes, No, Cut, Late atomic.Int64 }
 
-// Handler carries out a call. expired is closed when the caller's time is over; the handler has to return at once
-// then, with nothing changed. It may be called by several goroutines at once.
+// Handler carries out a call. expired is closed when the call times out; the handler must then return at once, without
+// having changed anything. It may be called concurrently.
 type Handler func(call Request, expired <-chan struct{}) Answer
 
-// Server accepts operators' callers, each in a goroutine of its own.
+// Server accepts operators' connections and serves each in its own goroutine.
 type Server struct {
 	Counters Counters
 
@@ -46,24 +46,24 @@
 	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
-	callers []*caller // the oldest first
+	callers []*caller // oldest first
 	closed  bool
 
-	revisionCalls chan struct{} // an element for each call about revisions
-	longLines     chan struct{} // an element for each long line
+	revisionCalls chan struct{} // holds an element for each call about revisions
+	longLines     chan struct{} // holds an element for each long line
 }
 
-// ListenFailed is the error that the address for operators' calls cannot be listened on.
+// ListenFailed is the error for a management address that cannot be listened on.
 type ListenFailed struct{ hint.Annotated }
 
-const otherAddressHint = "give an IPv4 address and port of this machine that nobody else has " +
+const addressHint = "set an IPv4 address and port of this machine that no other process uses " +
 	"(management, PROXY_MANAGEMENT)"
 
 // Listen opens the address. The error is *ListenFailed.
 func Listen(addr string, handle Handler) (*Server, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return nil, &ListenFailed{hint.Annotated{Where: "management", Cause: err, Do: otherAddressHint}}
+		return nil, &ListenFailed{hint.Annotated{Where: "management", Cause: err, Do: addressHint}}
 	}
 	return &Server{
 		listener:      listener,
@@ -74,8 +74,8 @@
 	}, nil
 }
 
-// CheckAddress tells whether an address can be listened on. One that is in use may be this balancer's, which serves
-// while its configuration is checked. The error is *ListenFailed.
+// CheckAddress checks that an address can be listened on. An address that is in use is accepted: it may be in use by
+// this balancer, which may be running while its configuration is checked. The error is *ListenFailed.
 func CheckAddress(addr string, inUse func(error) bool) error {
 	listener, err := net.Listen("tcp4", addr)
 	switch {
@@ -84,7 +84,7 @@
 	case inUse(err):
 		return nil
 	}
-	return &ListenFailed{hint.Annotated{Where: "management", Cause: err, Do: otherAddressHint}}
+	return &ListenFailed{hint.Annotated{Where: "management", Cause: err, Do: addressHint}}
 }
 
 // Addr returns the address that the server listens on.
@@ -98,7 +98,7 @@
 			switch {
 			case errors.Is(err, net.ErrClosed):
 				return
-			case err != nil: // no descriptor is free: the caller waits in the system's queue
+			case err != nil: // no descriptor is free: the caller waits in the listen backlog
 				time.Sleep(admitRetry)
 			default:
 				s.admit(conn)
@@ -107,7 +107,7 @@
 	})
 }
 
-// Close ends the server and waits for its goroutines. Callers whose calls are under way get their answers.
+// Close stops the server and waits for its goroutines. Calls in progress are still answered.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -124,15 +124,15 @@
 	s.goroutines.Wait()
 }
 
-// admit gives a caller a place. Where none is free, it waits until the one that has been silent longest may be cut.
+// admit adds a caller. If the limit is reached, it waits until the caller that has been silent longest may be evicted.
 func (s *Server) admit(conn net.Conn) {
-	c := &caller{conn: conn, connectedAt: time.Now(), cut: make(chan struct{})}
+	c := &caller{conn: conn, connectedAt: time.Now(), evicted: make(chan struct{})}
 	for !s.tryAdmit(c) {
 		time.Sleep(admitRetry)
 	}
 }
 
-// tryAdmit tells whether there is nothing more to do: the caller is served, or the server is closed.
+// tryAdmit reports whether admission is finished: the caller is being served, or the server is closed.
 func (s *Server) tryAdmit(c *caller) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 		return true
 	}
 	if len(s.callers) >= maxCallers {
-		s.cutSilent()
+		s.evictSilent()
 	}
 	if len(s.callers) >= maxCallers {
 		return false
@@ -151,20 +151,20 @@
 	return true
 }
 
-// cutSilent cuts the caller that has been silent longest, if one may be. With mu held.
-func (s *Server) cutSilent() {
+// evictSilent disconnects the caller that has been silent longest, if any may be evicted. The caller must hold mu.
+func (s *Server) evictSilent() {
 	for i, c := range s.callers {
 		if !c.busy && time.Since(c.connectedAt) >= minSilence {
 			s.callers = append(s.callers[:i], s.callers[i+1:]...)
 			s.Counters.Cut.Add(1)
-			close(c.cut)
+			close(c.evicted)
 			_ = c.conn.Close()
 			return
 		}
 	}
 }
 
-// remove gives a caller's place back.
+// remove closes a caller's connection and frees its slot.
 func (s *Server) remove(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +177,7 @@
 	_ = c.conn.Close()
 }
 
-// Report returns the counters as they are logged.
+// Report returns the counters by the names under which they are logged.
 func (s *Server) Report() map[string]int64 {
 	n := &s.Counters
 	return map[string]int64{
