--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -26,10 +26,10 @@
 type request struct {
 	policy.Request
 	client             Handle
-	establishedServer  string // server with its connection from before this process; "" for a new request
+	establishedServer  string // server of a connection from before this process; "" for a new request
 	state              requestState
 	deadline           time.Duration
-	clientHalfClosedAt time.Duration // or when data was last sent to the client after that; 0 if open
+	clientHalfClosedAt time.Duration // or time of the last data sent to the client after it; 0 if open
 	attempt            attempt
 	mayHaveRunAt       time.Duration // when the first attempt that may have run was sent; 0 for none
 	traffic            traffic
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -16,7 +16,7 @@
 // sooner after SIGTERM than killDelay plus the longest client timeout, of which at most maxCountedTimeout counts.
 const (
 	minShutdownDuration    = 800 * time.Millisecond // new clients still arrive for half of this time
-	minShutdownHandedOver  = 150 * time.Millisecond // after a handover: no new clients, and the flows have been read
+	minShutdownHandedOver  = 150 * time.Millisecond // after a handover: no clients arrive, and the flows are read
 	maxCountedTimeout      = 3 * time.Second
 	killDelay              = 700 * time.Millisecond
 	answerMargin           = 200 * time.Millisecond // from the last answer to the earliest SIGKILL
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -42,13 +42,13 @@
 
 // envelope is the encoding of a file.
 type envelope struct {
-	Format   string          `json:"form"`
-	Version  int             `json:"version"`
-	Kind     string          `json:"kind"`
-	Balancer string          `json:"balancer"`
-	Written  int64           `json:"written_ms"`
-	Sum      uint32          `json:"crc32"`
-	Body     json.RawMessage `json:"body"`
+	Format        string          `json:"form"`
+	Version       int             `json:"version"`
+	Kind          string          `json:"kind"`
+	Balancer      string          `json:"balancer"`
+	WrittenMillis int64           `json:"written_ms"`
+	Checksum      uint32          `json:"crc32"`
+	Body          json.RawMessage `json:"body"`
 }
 
 func (d *Dir) statePath(kind string) string { return d.filePath("-" + kind + ".json") }
@@ -109,10 +109,10 @@
 			hint.Annotated{What: fmt.Sprintf("belongs to balancer %q, not to %q", e.Balancer, d.balancer),
 				Do: "give each balancer its own directory or name ($TMPDIR, PROXY_NAME)"},
 		}
-	case crc32.ChecksumIEEE(e.Body) != e.Sum:
+	case crc32.ChecksumIEEE(e.Body) != e.Checksum:
 		return time.Time{}, &DamagedFile{hint.Annotated{What: "damaged: the checksum does not match", Do: damagedFileHint}}
 	}
-	return time.UnixMilli(e.Written), json.Unmarshal(e.Body, body)
+	return time.UnixMilli(e.WrittenMillis), json.Unmarshal(e.Body, body)
 }
 
 // write replaces a file. The error is *WriteFailed.
@@ -139,13 +139,13 @@
 		return nil, err
 	}
 	return json.Marshal(envelope{
-		Format:   formatName,
-		Version:  formatVersion,
-		Kind:     kind,
-		Balancer: d.balancer,
-		Written:  time.Now().UnixMilli(),
-		Sum:      crc32.ChecksumIEEE(data),
-		Body:     data,
+		Format:        formatName,
+		Version:       formatVersion,
+		Kind:          kind,
+		Balancer:      d.balancer,
+		WrittenMillis: time.Now().UnixMilli(),
+		Checksum:      crc32.ChecksumIEEE(data),
+		Body:          data,
 	})
 }
 
--- a/internal/management/caller.go
+++ b/internal/management/caller.go
@@ -43,19 +43,19 @@
 	if !ok {
 		return
 	}
-	timeout, answerWithin := callTimeout, answerTimeout
+	timeout, writeTimeout := callTimeout, answerTimeout
 	if malformed == nil && IsRevisionCall(line) {
 		if !s.acquireSlot(c, s.revisionCalls) {
 			return
 		}
 		defer func() { <-s.revisionCalls }()
-		timeout, answerWithin = revisionCallTimeout, revisionAnswerTimeout
+		timeout, writeTimeout = revisionCallTimeout, revisionAnswerTimeout
 	}
 	if !s.markBusy(c) {
 		return
 	}
 	s.Counters.Calls.Add(1)
-	s.answer(c, s.call(line, malformed, timeout), answerWithin)
+	s.answer(c, s.call(line, malformed, timeout), writeTimeout)
 }
 
 // markBusy keeps a caller from being evicted while its call is in progress. It returns false if the caller was evicted
@@ -135,13 +135,13 @@
 
 // answer writes the answer and then discards input until the caller closes, so that a reset does not discard the
 // answer.
-func (s *Server) answer(c *caller, a Answer, within time.Duration) {
+func (s *Server) answer(c *caller, a Answer, writeTimeout time.Duration) {
 	if a.OK {
 		s.Counters.Yes.Add(1)
 	} else {
 		s.Counters.No.Add(1)
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(within)) // fails only with the connection
+	_ = c.conn.SetDeadline(time.Now().Add(writeTimeout)) // fails only with the connection
 	if _, err := c.conn.Write(a.Line()); err != nil {
 		return
 	}
