--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Action is something the host has to do: one of the types below.
+// Action is an instruction to the host: one of the types below.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request; attempts count from 0.
+// Send starts the next attempt of a request. Attempts are numbered from 0.
 type Send struct {
 	ID        string
 	Server    string
-	TimeoutAt time.Duration // when the attempt times out, on the balancer's clock; 0 for the client's own timeout
+	TimeoutAt time.Duration // when the attempt times out, on the balancer's clock; 0: the client's own timeout applies
 }
 
-// Reject is the final answer that trying again is harmless.
+// Reject is a final answer that tells the client that a retry is safe.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0 for no advice
-	Reason     string        // one of the reasons below, for counting
+	RetryAfter time.Duration // 0 if no time is suggested
+	Reason     string        // one of the reasons below, for the counters
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is a final answer that does not say whether the request took effect.
 type Fail struct {
 	ID     string
-	Reason string // one of the reasons below, for counting
+	Reason string // one of the reasons below, for the counters
 }
 
-// Migrate closes an established connection politely; its client comes again as a new Request.
+// Migrate closes an established connection gracefully. The client is expected to reconnect with a new Request.
 type Migrate struct {
 	ID     string
-	Reason string // one of the reasons below, for counting
+	Reason string // one of the reasons below, for the counters
 }
 
-// Probe asks a server for its load report; a ProbeResult follows.
+// Probe requests the load report of a server. The host answers with a ProbeResult.
 type Probe struct{ Server string }
 
-// Subscribe asks discovery for the endpoint list and its changes from now on.
+// Subscribe requests the endpoint list from discovery, and all later changes to it.
 type Subscribe struct{}
 
-// SetTimer asks for a TimerFired with the token.
+// SetTimer requests a TimerFired event with the token.
 type SetTimer struct {
 	Token string
 	After time.Duration
 }
 
-// Reasons of a Reject or Fail. Operators' tools count them by these texts.
+// Reasons of a Reject or Fail. Operators' tools count them by these strings.
 const (
 	reasonUnknownClass    = "class"
 	reasonNoLease         = "permit"
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	newcomerLoadLimit  = 0.8  // servers above this load get no new requests
-	overQuotaLoadLimit = 0.6  // nor those above this one, of tenants over their quota and of the last class
-	stickyMissShare    = 0.4  // of the guesses in mid-flow that miss their server, as counted over whole fleets
-	minLoadStep        = 1e-6 // divisors stay finite where a connection adds no load
+	newcomerLoadLimit  = 0.8  // load above which a server gets no new requests
+	overQuotaLoadLimit = 0.6  // the same for tenants over their quota and for the class of the lowest priority
+	stickyMissShare    = 0.4  // fraction of mid-flow connections sent to a wrong server, over whole fleets
+	minLoadStep        = 1e-6 // load; keeps divisors positive where a connection adds no load
 )
 
-// admit tells whether a server has capacity for the request. All balancers see the same late report, so each admits
-// its share of what they all want to send before the load shows. The capacity of a warming server is shared by its
-// budget instead.
+// admit reports whether a server has capacity for the request. All balancers see the same delayed report, so each
+// admits its share of what all of them want to send before the load shows in a report. The capacity of a server that
+// is warming up is divided by its warm-up budget instead.
 func (b *Balancer) admit(s *server, r *request) bool {
 	if !b.config.ProbesEnabled {
 		return true
@@ -26,7 +26,8 @@
 	return b.warmUpCapacity(s) < 1 || b.winsShare(capacity)
 }
 
-// loadLimit is the load up to which servers admit the request: the last class in priority gives way first.
+// loadLimit returns the load up to which servers admit the request. The class of the lowest priority is rejected
+// first.
 func (b *Balancer) loadLimit(r *request) float64 {
 	if r.tenant.overQuota(b.config.Balancers) {
 		return overQuotaLoadLimit
@@ -35,15 +36,15 @@
 	return newcomerLoadLimit - rank*(newcomerLoadLimit-overQuotaLoadLimit)
 }
 
-// capacityLeft is how many connections of the request's class a server has capacity for until it is loaded to the
-// limit.
+// capacityLeft returns how many more connections of the request's class a server can take before its load reaches
+// the limit.
 func (b *Balancer) capacityLeft(s *server, r *request, limit float64) float64 {
 	return (limit - b.effectiveLoad(s, r)) / max(b.loadStep(s)*b.classLoads.weight(r.Class), minLoadStep)
 }
 
-// staysSticky tells whether a connection in mid-flow is sent to the server where it is likely to be established.
-// That adds no load if the guess is right; since some guesses miss, they share the capacity as new requests do, or
-// a wave of them would fill one server.
+// staysSticky reports whether a mid-flow connection is sent to the server where it is probably established. This
+// adds no load if the prediction is right. Because some predictions are wrong, mid-flow connections share the
+// capacity as new requests do; otherwise a burst of them would fill one server.
 func (b *Balancer) staysSticky(s *server) bool {
 	load := b.estimatedLoad(s)
 	if load >= 1 {
@@ -56,8 +57,9 @@
 	return b.winsShare(capacity)
 }
 
-// winsShare gives one placement its chance of the capacity that all balancers see. New requests are divided among the
-// servers that have some: those that look full get none, and their share goes to the others.
+// winsShare decides at random whether one placement gets part of the capacity that all balancers see. New requests
+// are divided among the servers that have capacity: servers that look full get none, and their share goes to the
+// others.
 func (b *Balancer) winsShare(capacity float64) bool {
 	b.demand.count(b.now)
 	servers := b.servers.count(func(s *server) bool {
@@ -66,7 +68,7 @@
 	return b.rng.Float64()*b.fleetDemand()/float64(max(1, servers))*b.reportLag().Seconds() < capacity
 }
 
-// demandRate is a running rate of placements, per second. It decays by a factor of e each second.
+// demandRate is a running rate of placements per second. It decays by a factor of e each second.
 type demandRate struct {
 	perSecond float64
 	updatedAt time.Duration
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Balancers that see the same late report with room for ten must not all send ten.
+// If many balancers see the same delayed report with capacity for ten connections, they must not send ten each.
 func TestRoomGoesByLot(t *testing.T) {
 	admitted := func(balancers int) int {
 		c := testConfig()
@@ -27,11 +27,11 @@
 	}
 	alone, many := admitted(1), admitted(50)
 	if many > alone/5 || alone == 0 {
-		t.Errorf("one balancer admitted %d, one of fifty %d", alone, many)
+		t.Errorf("a single balancer admitted %d requests, one of fifty balancers %d", alone, many)
 	}
 }
 
-// A server that had a second of work piled up read a load of 0.5 and took newcomers.
+// A server with a backlog of 1 s of work reported a load of 0.5 and was sent new requests.
 func TestNoNewcomersWhereMessagesAreLate(t *testing.T) {
 	r := newRig(t, testConfig(), servers(1)...)
 	r.open("old", "s00")
@@ -39,15 +39,15 @@
 	r.feed(MessageDelay{ID: "old", Server: "s00", Delay: time.Second})
 	r.request("x", "safe")
 	if _, sent := last[Send](r); sent {
-		t.Error("sent to a server that lags")
+		t.Error("sent to a server whose messages are late")
 	}
 	r.run(time.Second)
 	if _, ok := last[Reject](r); !ok {
-		t.Error("not refused before its aim had passed")
+		t.Error("not rejected when the latency objective had passed")
 	}
 }
 
-// A flood beyond a tenant's share is worth little and must leave room to the others.
+// Requests of a tenant over its quota have low priority and must leave capacity to other tenants.
 func TestTrafficBeyondAShareGivesWay(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "flood", ConnectionQuota: 10}, {Name: "calm", ConnectionQuota: 10}}
@@ -66,7 +66,7 @@
 	}
 }
 
-// A server run ten times slower empties, reads as empty, and was filled again every few seconds.
+// A server that ran ten times slower was evacuated, reported no load, and was filled again every few seconds.
 func TestOverloadIsRemembered(t *testing.T) {
 	admitted := func(overloads int) int {
 		r := newRig(t, testConfig(), servers(4)...)
@@ -88,12 +88,13 @@
 		return n
 	}
 	if fine, sick := admitted(0), admitted(4); sick > fine/2 || fine == 0 {
-		t.Errorf("%d newcomers without, %d after four overloads", fine, sick)
+		t.Errorf("admitted %d new requests without an overload, %d after four overloads", fine, sick)
 	}
 }
 
-// Classes are uneven: where one asks eight times another's load, a server with room for four mean connections
-// has none for eight of the heavy. Loads are told in any unit; idle connections tell nothing of their class.
+// Admission uses the loads that connections report, by class: if one class has eight times the load of another, a
+// server with capacity for four mean connections has none for eight of the heavier class. Loads are reported in any
+// unit, and idle connections do not count for their class.
 func TestNewcomersCountAsTheirClassTold(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	for i := range 40 {
@@ -108,22 +109,22 @@
 	}
 	if w, v := r.b.classLoads.weight("safe"), r.b.classLoads.weight("keyed"); math.Abs(w-16.0/9) > 0.1 ||
 		math.Abs(v-2.0/9) > 0.05 {
-		t.Fatalf("weights %v and %v, told were 16/9 and 2/9 of the mean", w, v)
+		t.Fatalf("weights %v and %v, want 16/9 and 2/9 of the mean as reported", w, v)
 	}
 	if w := r.b.classLoads.weight("unsafe"); w != 1 {
-		t.Errorf("a class that told nothing weighs %v", w)
+		t.Errorf("a class without reported loads has weight %v, want 1", w)
 	}
-	for _, s := range r.b.servers.sorted { // room for one mean connection and a half
+	for _, s := range r.b.servers.sorted { // capacity for 1.5 mean connections
 		s.reading.load, s.reading.known, s.reading.at, s.estimate.step, r.loads[s.ID] = 0.74, true, r.now, 0.04, 0.74
 	}
 	heavy := &request{Request: Request{Class: "safe"}, class: r.b.classes.byName["safe"]}
 	light := &request{Request: Request{Class: "keyed"}, class: r.b.classes.byName["keyed"]}
 	if s := r.b.servers.sorted[0]; r.b.admit(s, heavy) || !r.b.admit(s, light) {
-		t.Error("room for 1.5 mean connections: want none for a heavy one, some for a light one")
+		t.Error("with capacity for 1.5 mean connections, want a heavy one rejected and a light one admitted")
 	}
 }
 
-// A new configuration while the balancer serves: what stands goes on counting for its tenant.
+// After a change of the settings, established connections still count for their tenant.
 func TestSettingsAreTakenWhileServing(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	cfg := testConfig()
@@ -135,15 +136,15 @@
 	r.feed(ConfigUpdate{cfg})
 	if a := r.b.tenants["a"]; a.openConnections != 1 || a.ConnectionQuota != 20 || r.b.config.MaxAttempts != 1 ||
 		len(r.b.classes.byName) != 1 {
-		t.Errorf("%+v, %d attempts, %d classes", a, r.b.config.MaxAttempts, len(r.b.classes.byName))
+		t.Errorf("tenant %+v, limit of %d attempts, %d classes", a, r.b.config.MaxAttempts, len(r.b.classes.byName))
 	}
 	r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
 	if a := r.b.tenants["a"]; a.openConnections != 0 {
-		t.Errorf("%d open", a.openConnections)
+		t.Errorf("%d connections counted after the end of the only one", a.openConnections)
 	}
 	cfg.Balancers = 0
 	if r.feed(ConfigUpdate{cfg}); r.b.config.Balancers == 0 {
-		t.Error("settings that can't work were taken")
+		t.Error("invalid settings were applied")
 	}
 }
 
@@ -154,7 +155,7 @@
 	r.feed(ServerList{Kind: ListDelta, Servers: list[:2]})
 	for i := range 20 {
 		if s := r.connect(fmt.Sprint(i)); s != "s02" {
-			t.Fatalf("sent to %s", s)
+			t.Fatalf("sent to %s, want s02, the only live server", s)
 		}
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,10 +8,10 @@
 
 const (
 	tickToken       = "tick"
-	minTickInterval = 20 * time.Millisecond // waiting requests, servers and slots are looked at so often
+	minTickInterval = 20 * time.Millisecond // between two checks of waiting requests, servers and exploration slots
 )
 
-// Balancer decides for one balancer. It is not safe for concurrent use.
+// Balancer makes the decisions of one balancer process. It is not safe for concurrent use.
 type Balancer struct {
 	config       Config
 	classes      classIndex
@@ -21,12 +21,12 @@
 	started bool
 	now     time.Duration
 	rng     *rand.Rand
-	actions []Action // of the step under way
+	actions []Action // of the current step
 
 	servers          serverSet
 	requests         requestSet
-	migrations       map[string]migration // under way, by the client's key
-	groupConnections map[string]int       // established here, by group
+	migrations       map[string]migration // in progress, by the client's key
+	groupConnections map[string]int       // established through this balancer, by group
 	classLoads       classLoads
 
 	means       fleetMeans
@@ -39,10 +39,10 @@
 
 	fleet          FleetState
 	lease          LeaseState
-	saturatedLinks map[string]int // by zone, the last PriorityRank that is still sent there
+	saturatedLinks map[string]int // by zone, the highest PriorityRank that is still sent there
 }
 
-// New returns a balancer, or a *ConfigError. The seed determines its random choices.
+// New returns a balancer, or a *ConfigError if a setting is invalid. The seed determines all random choices.
 func New(config Config, seed int64) (*Balancer, error) {
 	b := &Balancer{
 		rng:              rand.New(rand.NewPCG(uint64(seed), 1)),
@@ -57,8 +57,9 @@
 	return b, b.configure(config)
 }
 
-// Step takes one event and appends the actions it calls for. Events that do not fit (the end of an unknown request,
-// a second request with a known id) change nothing; time that goes back stands still.
+// Step processes one event and appends the resulting actions to actions. Events that match no state (the end of an
+// unknown request, a second request with a known id) change nothing. If now is earlier than at the previous event,
+// the previous time is used.
 func (b *Balancer) Step(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = max(b.now, now), actions
 	if !b.started {
@@ -88,7 +89,7 @@
 	case ClientDisconnected:
 		b.clientDisconnected(event)
 	case ConfigUpdate:
-		_ = b.configure(event.Config) // the host had New check it, and reported what is wrong
+		_ = b.configure(event.Config) // the host has validated the settings with New and reported any error
 	case CandidateSubset:
 		b.setCandidates(event)
 	case FleetState:
@@ -103,8 +104,8 @@
 	return b.actions
 }
 
-// start spreads what would coincide if all balancers started together: polls of the endpoint list, and exploration
-// slots.
+// start staggers polls of the endpoint list and exploration slots, which would coincide if all balancers started
+// together.
 func (b *Balancer) start() {
 	b.started = true
 	b.discovery.backoff = b.initialPollBackoff()
@@ -113,7 +114,7 @@
 	b.act(SetTimer{tickToken, b.tickInterval})
 }
 
-// tick does what is due with time alone.
+// tick does the periodic work.
 func (b *Balancer) tick() {
 	b.act(SetTimer{tickToken, b.tickInterval})
 	for _, r := range slices.Clone(b.requests.waiting) {
@@ -131,8 +132,8 @@
 	}
 }
 
-// tickServer lets connections leave a server that takes no new ones, bit by bit so that they are no wave where they
-// go, and probes a server whose load should be known.
+// tickServer migrates connections away from a server that takes no new ones, and probes a server whose load should
+// be known. The migrations are spread over time, so that they cause no burst at the other servers.
 func (b *Balancer) tickServer(s *server) {
 	switch {
 	case s.State == Draining:
@@ -146,7 +147,7 @@
 
 func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
 
-// jitter returns a random time in [0, d).
+// jitter returns a random duration in [0, d).
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Idempotency says what happens when a request of a class is sent more than once.
+// Idempotency is the effect of sending a request of a class more than once.
 type Idempotency int
 
-// The kinds of idempotency.
+// Values of Idempotency.
 const (
-	Idempotent      Idempotency = iota // repeats do no harm
-	IdempotentByKey                    // servers of one KeyScope drop repeats, for the class's KeyTTL
+	Idempotent      Idempotency = iota // repeats are harmless
+	IdempotentByKey                    // servers of one KeyScope discard repeats during the class's KeyTTL
 	NotIdempotent                      // never repeated unless every earlier attempt is known not to have run
 )
 
-// KeyScope names the servers that drop each other's repeats of a request with an idempotency key.
+// KeyScope is the set of servers that discard each other's repeats of a request with an idempotency key.
 type KeyScope int
 
-// The scopes of an idempotency key.
+// Values of KeyScope.
 const (
 	KeyScopeAll  KeyScope = iota // all servers
 	KeyScopeZone                 // the servers of one zone
@@ -30,13 +30,13 @@
 // Class holds the settings of one class of requests.
 type Class struct {
 	Name                    string
-	LatencyObjective        time.Duration // within which a connection should be established
-	MessageLatencyObjective time.Duration // of one message on an established connection; 0 if unknown
+	LatencyObjective        time.Duration // for establishing a connection
+	MessageLatencyObjective time.Duration // for one message on an established connection; 0 if unknown
 	Idempotency             Idempotency
 	KeyScope                KeyScope
 	KeyTTL                  time.Duration // how long servers remember an idempotency key
-	PriorityRank            int           // 1 is served first when capacity is scarce, the highest rank last; 0 for none
-	MaxAttempts             int           // if less than Config.MaxAttempts; 0 for no limit of its own
+	PriorityRank            int           // when capacity is scarce, rank 1 goes first, the highest last; 0: no rank
+	MaxAttempts             int           // applies if below Config.MaxAttempts; 0 if the class has no limit
 }
 
 // Tenant holds one tenant's quota.
@@ -45,57 +45,57 @@
 	ConnectionQuota float64 // established connections over all balancers; 0 for no limit
 }
 
-// Config holds the settings of a balancer. New checks it.
+// Config holds the settings of a balancer. New validates it.
 type Config struct {
 	Zone            string // the balancer's own zone
-	Balancers       int    // in the fleet, this one included
+	Balancers       int    // in the fleet, including this one
 	Classes         []Class
 	Tenants         []Tenant
 	TimerResolution time.Duration // of the host's timers
 
 	MaxAttempts          int
 	ProbesEnabled        bool          // Probe actions are allowed
-	OverlappingProcesses int           // further processes that place for this balancer during an upgrade
-	MaxRetryAfter        time.Duration // of a Reject; 0 where clients are given no time
-	PollEndpointList     bool          // changes of the endpoint list come only to a subscriber
-	PollInterval         time.Duration // within which an unsubscribed balancer has to poll again
-	CrossZoneCost        float64       // of one crossing of zones, as a fraction of a request's worth
-
-	WarmUpInitialCapacity float64       // fraction of its capacity that a starting server has at least
-	WarmUpDuration        time.Duration // after which it has all of it
-	OverloadMultiple      float64       // a starting server fails when sent more than so many times its capacity
-	OverloadWindow        time.Duration // for this long
-	WarmUpBudgetShare     float64       // fraction of that bound which balancers use, in (0, 1]; 0 for the default
-
-	RetryRatio          float64            // retries at most, as a fraction of requests; 0 for no limit
-	MaxPendingAttempts  int                // attempts that may be pending at once; 0 for the default
-	Weights             map[string]float64 // by id, or "zone/" and a zone; 0: no new requests; 1 if not named
-	MigrationsPerSecond float64            // connections that leave a server of weight 0; 0: they stay
-
-	ExplorationDecay float64 // exponent of the exploration's decay, within [0.5, 1]; 0 for the default
-	MaxExploration   float64 // limit of the exploration probability, within (0, 0.5]; 0 for the default
+	OverlappingProcesses int           // additional processes that place requests for this balancer during an upgrade
+	MaxRetryAfter        time.Duration // of a Reject; 0 if rejections carry no retry time
+	PollEndpointList     bool          // changes of the endpoint list are sent to subscribers only
+	PollInterval         time.Duration // longest time that an unsubscribed balancer may go without polling
+	CrossZoneCost        float64       // of sending one request to another zone, as a fraction of the request's value
+
+	WarmUpInitialCapacity float64       // least fraction of its full capacity that a starting server has
+	WarmUpDuration        time.Duration // after which a starting server has its full capacity
+	OverloadMultiple      float64       // a starting server fails if it gets more than this many times its capacity
+	OverloadWindow        time.Duration // during this time
+	WarmUpBudgetShare     float64       // fraction of that bound that balancers use, in (0, 1]; 0 for the default
+
+	RetryRatio          float64            // maximum of retries, as a fraction of requests; 0 for no limit
+	MaxPendingAttempts  int                // limit of attempts pending at the same time; 0 for the default
+	Weights             map[string]float64 // by server ID or "zone/" + zone; 0: no new requests; 1 if absent
+	MigrationsPerSecond float64            // connections migrated away from a server of weight 0; 0: they stay
+
+	ExplorationDecay float64 // exponent of the decay of the exploration probability, in [0.5, 1]; 0 for the default
+	MaxExploration   float64 // limit of the exploration probability, in (0, 0.5]; 0 for the default
 }
 
-// Defaults of settings that deployments may leave out.
+// Defaults of optional settings.
 const (
-	defaultExplorationDecay   = 0.75 // mid-way in the range that the paper proves
-	defaultMaxExploration     = 0.05 // the design's limit for one slot
-	defaultWarmUpBudgetShare  = 0.6
-	defaultMaxPendingAttempts = 64
+	defaultExplorationDecay   = 0.75 // exponent; the middle of the range for which the paper has a proof
+	defaultMaxExploration     = 0.05 // probability in one slot, the limit that the design sets
+	defaultWarmUpBudgetShare  = 0.6  // fraction of the bound that a starting server can bear
+	defaultMaxPendingAttempts = 64   // attempts
 )
 
-// ConfigError is a setting with which no decision can be made.
+// ConfigError reports an invalid setting.
 type ConfigError struct{ Reason string }
 
-// Error names the setting.
+// Error returns the invalid setting and its value.
 func (e *ConfigError) Error() string { return "policy settings: " + e.Reason }
 
-// Hint is what an operator can do about it.
+// Hint returns what an operator can do about the error.
 func (e *ConfigError) Hint() string {
-	return "mend the platform's settings, or the revision in force, and start or reload"
+	return "correct the platform's settings or the active revision, then start or reload"
 }
 
-// withDefaults fills in what is zero.
+// withDefaults replaces zero values by defaults.
 func (c Config) withDefaults() Config {
 	c.ExplorationDecay = cmp.Or(c.ExplorationDecay, defaultExplorationDecay)
 	c.MaxExploration = cmp.Or(c.MaxExploration, defaultMaxExploration)
@@ -104,12 +104,12 @@
 	return c
 }
 
-// check names the first setting that cannot work, as a *ConfigError. Comparisons are negated so that NaN fails them.
+// check returns a *ConfigError for the first invalid setting. Comparisons are negated, so that NaN fails them.
 func (c Config) check() error {
 	shortest := min(c.TimerResolution, c.PollInterval, c.WarmUpDuration, c.OverloadWindow, c.MaxRetryAfter)
 	for _, class := range c.Classes {
 		if class.LatencyObjective <= 0 {
-			return &ConfigError{fmt.Sprintf("class %q: no aim", class.Name)}
+			return &ConfigError{fmt.Sprintf("class %q: no latency objective", class.Name)}
 		}
 		shortest = min(shortest, class.KeyTTL, class.MessageLatencyObjective)
 	}
@@ -119,17 +119,26 @@
 		reason string
 	}{
 		{len(c.Classes) == 0, "no classes"},
-		{shortest < 0, "a negative time"},
+		{shortest < 0, "a duration is negative"},
 		{!(decay >= 0.5 && decay <= 1), fmt.Sprintf("beta %v is outside [0.5, 1]", decay)},
 		{!(limit > 0 && limit <= 0.5), fmt.Sprintf("exploration cap %v is outside (0, 0.5]", limit)},
-		{c.Balancers < 1, fmt.Sprintf("%d balancers", c.Balancers)},
-		{c.MaxAttempts < 1, fmt.Sprintf("%d attempts allowed", c.MaxAttempts)},
-		{!isFraction(c.WarmUpInitialCapacity), fmt.Sprintf("cold share %v is outside [0, 1]", c.WarmUpInitialCapacity)},
-		{!(c.OverloadMultiple >= 0), fmt.Sprintf("fall multiple %v", c.OverloadMultiple)},
-		{!isFraction(c.WarmUpBudgetShare), fmt.Sprintf("part %v of the cold bound is outside [0, 1]", c.WarmUpBudgetShare)},
-		{!(min(c.RetryRatio, c.MigrationsPerSecond, float64(c.MaxPendingAttempts)) >= 0), "a negative budget"},
-		{!(c.CrossZoneCost >= 0), fmt.Sprintf("price of crossing zones %v", c.CrossZoneCost)},
-		{c.PollEndpointList && c.PollInterval == 0, "a list to be asked for, but no time to ask within"},
+		{c.Balancers < 1, fmt.Sprintf("number of balancers is %d, must be at least 1", c.Balancers)},
+		{c.MaxAttempts < 1, fmt.Sprintf("limit of attempts is %d, must be at least 1", c.MaxAttempts)},
+		{
+			!isFraction(c.WarmUpInitialCapacity),
+			fmt.Sprintf("warm-up initial capacity (cold-from) %v is outside [0, 1]", c.WarmUpInitialCapacity),
+		},
+		{
+			!(c.OverloadMultiple >= 0),
+			fmt.Sprintf("overload multiple (fall-multiple) is %v, must be at least 0", c.OverloadMultiple),
+		},
+		{!isFraction(c.WarmUpBudgetShare), fmt.Sprintf("warm-up budget share %v is outside [0, 1]", c.WarmUpBudgetShare)},
+		{
+			!(min(c.RetryRatio, c.MigrationsPerSecond, float64(c.MaxPendingAttempts)) >= 0),
+			"a budget (retry ratio, migrations per second or pending attempts) is negative",
+		},
+		{!(c.CrossZoneCost >= 0), fmt.Sprintf("cross-zone cost is %v, must be at least 0", c.CrossZoneCost)},
+		{c.PollEndpointList && c.PollInterval == 0, "the endpoint list has to be polled, but the poll interval is 0"},
 	} {
 		if rule.broken {
 			return &ConfigError{rule.reason}
@@ -140,7 +149,7 @@
 
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// configure takes settings. It changes nothing and returns a *ConfigError if one of them cannot work.
+// configure applies settings. If one of them is invalid, it returns a *ConfigError and changes nothing.
 func (b *Balancer) configure(config Config) error {
 	config = config.withDefaults()
 	if err := config.check(); err != nil {
@@ -156,15 +165,15 @@
 	return nil
 }
 
-// classIndex finds the classes of the settings in force by name.
+// classIndex holds the classes of the active settings by name.
 type classIndex struct {
 	byName           map[string]*Class
 	lowestPriority   int           // the highest PriorityRank
 	messageObjective time.Duration // the tightest MessageLatencyObjective; 0 if none is known
 }
 
-// indexClasses also limits each class's attempts by those of all. Requests that are under way keep the class that
-// they came with.
+// indexClasses builds the index, and limits each class's attempts to Config.MaxAttempts. Requests in progress keep
+// the class settings with which they arrived.
 func indexClasses(config Config) classIndex {
 	index := classIndex{byName: make(map[string]*Class, len(config.Classes))}
 	for i := range config.Classes {
@@ -180,19 +189,19 @@
 	return index
 }
 
-// tenantState is a tenant's quota and what this balancer holds for it.
+// tenantState is a tenant's quota and its number of connections through this balancer.
 type tenantState struct {
 	Tenant
 	openConnections int
 }
 
-// overQuota tells whether a tenant is well beyond its quota, assuming that all balancers hold as much for it as
-// this one.
+// overQuota reports whether a tenant exceeds its quota by more than a fifth, assuming that every balancer has as many
+// of its connections as this one.
 func (t *tenantState) overQuota(balancers int) bool {
 	return t != nil && t.ConnectionQuota > 0 && float64(t.openConnections*balancers) > 1.2*t.ConnectionQuota
 }
 
-// indexTenants keeps the counts of tenants that are still configured.
+// indexTenants returns the configured tenants by name, with the connection counts of those configured before.
 func indexTenants(tenants []Tenant, earlier map[string]*tenantState) map[string]*tenantState {
 	index := make(map[string]*tenantState, len(tenants))
 	for _, tenant := range tenants {
--- a/policy/digest_test.go
+++ b/policy/decisions_test.go
@@ -9,7 +9,8 @@
 	"oatloft/internal/golden"
 )
 
-// describeAction writes an action in words of this file alone, so that renaming a type or field changes nothing.
+// describeAction formats an action with words that only this file defines, so that the golden file does not depend on
+// the names of types and fields.
 func describeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
@@ -30,7 +31,7 @@
 	return fmt.Sprintf("unknown %T\n", a)
 }
 
-// Every decision of fifty random days is the one that was recorded: no refactoring may change one.
+// All decisions of fifty random simulations must equal the recorded ones, so that refactoring changes no decision.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	var out bytes.Buffer
 	for seed := range uint64(50) {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// updateDeadline is when a change counts as notified though it did not arrive, from the moment in which discovery
-// fell silent. The platform's protocol sets it.
+// updateDeadline is the time after the last message from discovery at which a change counts as notified even if it
+// was not received. The platform's protocol defines it.
 const updateDeadline = 6 * time.Second
 
-// discovery is the subscription to the endpoint list.
+// discovery is the state of the subscription to the endpoint list.
 type discovery struct {
 	subscribed bool
 	nextPollAt time.Duration
 	backoff    time.Duration
 }
 
-// initialPollBackoff is half of the longest wait before the first call that follows a broken subscription: however
-// long the settings let a balancer go without polling, two calls have to be possible before what was missed counts
-// as notified.
+// initialPollBackoff returns half of the longest wait before the first call after a broken subscription. Whatever
+// poll interval is configured, two calls must be possible before missed changes count as notified.
 func (b *Balancer) initialPollBackoff() time.Duration {
 	return min(b.config.PollInterval, updateDeadline) / 20
 }
 
-// pollIfNeeded subscribes where changes come to subscribers only, and the last call has had no answer for too long.
+// pollIfNeeded subscribes again if changes are sent to subscribers only and the last call went unanswered for too
+// long.
 func (b *Balancer) pollIfNeeded() {
 	if b.config.PollEndpointList && !b.discovery.subscribed && b.now >= b.discovery.nextPollAt {
 		b.act(Subscribe{})
@@ -28,8 +28,8 @@
 	}
 }
 
-// updateEndpoints follows discovery. Calls that fail together must not be repeated together, hence the staggered
-// backoff.
+// updateEndpoints applies a message from discovery. The backoff is staggered, because the calls of many balancers can
+// fail together and must not be repeated together.
 func (b *Balancer) updateEndpoints(list ServerList) {
 	d := &b.discovery
 	if list.Kind == ListFailed {
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that happened to the balancer: one of the types below.
+// Event is an input of the balancer: one of the types below.
 type Event interface{ event() }
 
 // Server is one entry of the endpoint list.
@@ -11,49 +11,49 @@
 	Zone      string
 	Cell      int
 	State     ServerState
-	Weight    float64       // registered size, only comparable with other servers' figures
-	StartedAt time.Duration // last start on the balancer's clock; 0 for long ago
+	Weight    float64       // registered size, meaningful only relative to other servers
+	StartedAt time.Duration // last start, on the balancer's clock; 0 if long ago
 }
 
-// ServerState is what discovery says of a server.
+// ServerState is the state of a server in the endpoint list.
 type ServerState int
 
-// The states of a listed server.
+// Values of ServerState.
 const (
 	Live ServerState = iota
 	Draining
 	Gone
 )
 
-// ListKind says how a ServerList relates to the list held.
+// ListKind is the relation of a ServerList to the balancer's current list.
 type ListKind int
 
-// The kinds of endpoint list.
+// Values of ListKind.
 const (
-	ListDelta  ListKind = iota // only what changed
-	ListFull                   // all servers; those missing are gone
-	ListCached                 // all servers as last known, maybe old
-	ListFailed                 // the subscription failed or broke; the old list stands
+	ListDelta  ListKind = iota // changed entries only
+	ListFull                   // all servers; missing ones are gone
+	ListCached                 // all servers as last known, possibly outdated
+	ListFailed                 // the subscription failed or broke; the current list stays
 )
 
-// ServerList brings what discovery knows of the servers.
+// ServerList is a message from discovery.
 type ServerList struct {
 	Kind    ListKind
 	Servers []Server
 }
 
-// LoadReport is a server's answer to a probe. Figures that it lacks are negative.
+// LoadReport is a server's answer to a probe. Missing figures are negative.
 type LoadReport struct {
-	Load           float64 // load asked for over what the server can do
-	Utilization    float64 // fraction of its cores at work
-	InFlight       float64 // requests it holds
+	Load           float64 // requested work divided by capacity
+	Utilization    float64 // fraction of the server's cores in use
+	InFlight       float64 // requests in flight
 	BacklogSeconds float64 // seconds of queued work
 }
 
-// Result tells how an attempt or a probe ended.
+// Result is the outcome of an attempt or a probe.
 type Result int
 
-// The results.
+// Values of Result.
 const (
 	ResultOK Result = iota
 	ResultFailed
@@ -70,28 +70,28 @@
 	return r != ResultRejected && r != ResultUnreachable && r != ResultSkipped
 }
 
-// Request is a client's request for a connection. The balancer owes it one final answer.
+// Request is a client's request for a connection. The balancer gives it exactly one final answer.
 type Request struct {
 	ID      string
-	Key     string // idempotency key, the same for every request of one client; may be empty
+	Key     string // idempotency key, the same for all requests of one client; may be empty
 	Group   string // connections of one group share work; may be empty
 	Class   string
 	Tenant  string
 	Timeout time.Duration // after which the client gives up
-	MidFlow bool          // an established connection whose packets now arrive here
+	MidFlow bool          // the connection was established by another process and its packets now arrive here
 }
 
-// AdoptedConnection is a connection that is established to Server when the balancer starts.
+// AdoptedConnection is a connection that is already established to Server when the balancer starts.
 type AdoptedConnection struct {
 	Request
 	Server string
 }
 
-// PredecessorFlow tells which server holds the connection of a key that another process carried, and whose packets
-// may arrive here.
+// PredecessorFlow names the server of a client's connection that another process established, and whose packets may
+// now arrive at this one.
 type PredecessorFlow struct{ Key, Server string }
 
-// AttemptEstablished tells that a connection is established; it ends with an AttemptEnded.
+// AttemptEstablished reports that an attempt has established a connection. An AttemptEnded reports its end.
 type AttemptEstablished struct {
 	ID      string
 	Attempt int
@@ -99,87 +99,89 @@
 	Latency time.Duration
 }
 
-// AttemptEnded ends an attempt, also one that had been established.
+// AttemptEnded reports the end of an attempt, or of the connection that it established.
 type AttemptEnded struct {
 	ID      string
 	Attempt int
 	Server  string
 	Result  Result
-	Final   bool // the request is closed, no further answer is owed
+	Final   bool // the request is closed and needs no further answer
 }
 
-// ConnectionLoad tells the load of an established connection, which has changed.
+// ConnectionLoad reports a change in the load of an established connection.
 type ConnectionLoad struct {
 	ID   string
-	Load float64 // work per second, in a unit that is the same for all; 0 or less if unknown
+	Load float64 // work per second, in the same unit for all connections; 0 or less if unknown
 }
 
-// MessageDelay tells how long a message now takes on the server of an established connection.
+// MessageDelay reports the current delay of messages at the server of an established connection.
 type MessageDelay struct {
 	ID     string
 	Server string
 	Delay  time.Duration
 }
 
-// ProbeResult answers a Probe.
+// ProbeResult is the result of a Probe.
 type ProbeResult struct {
 	Server       string
 	Result       Result
 	Report       *LoadReport // nil if there is none
-	ServerActive bool        // an established connection there returned something while the probe was pending
+	ServerActive bool        // an established connection received data from the server while the probe was pending
 }
 
-// ClientDisconnected tells that the client left. The request is closed, unless the client ended its own sending only
-// (HalfClosed): then it may still read its answer, which is owed, but no attempt begins for it after DisconnectGrace.
+// ClientDisconnected reports that the client has disconnected. The request is closed, unless the client has closed
+// only its sending side (HalfClosed). In that case it may still read an answer and must get one, but no attempt starts
+// after DisconnectGrace.
 type ClientDisconnected struct {
 	ID         string
 	HalfClosed bool
 }
 
-// DisconnectGrace is how long after a client has ended its sending an attempt may still begin.
+// DisconnectGrace is the time after a client has closed its sending side in which an attempt may still start.
 const DisconnectGrace = 80 * time.Millisecond
 
-// ConfigUpdate brings new settings, which New accepts. Requests, connections and what is known of servers stay.
+// ConfigUpdate replaces the settings with others that New accepts. Requests, connections and the state of servers are
+// kept.
 type ConfigUpdate struct{ Config }
 
-// CandidateSubset names the servers that new requests and explorers are sent to; none for all. Retries that found
-// no capacity among them look at all servers, and established connections stay.
+// CandidateSubset lists the servers to which new requests and exploring connections are sent; an empty list means all
+// servers. A request that finds no capacity among them tries all servers. Established connections stay.
 type CandidateSubset struct{ Servers []string }
 
-// PeerReading is the load of a server as another balancer has read it.
+// PeerReading is a reading of a server's load by another balancer.
 type PeerReading struct {
 	Server      string
 	Load        float64
 	Age         time.Duration
-	Unreachable bool // its probes get no answer; Load says nothing
+	Unreachable bool // probes of the server get no answer; Load has no meaning
 }
 
-// FleetState is what this balancer knows of the others. The zero value means that nothing is known: the settings'
-// figures hold.
+// FleetState describes the fleet of balancers. The zero value means that nothing is known, and the figures of the
+// settings are used.
 type FleetState struct {
-	BudgetDivisor    int           // balancers that divide a common limit; below 0: this one gets nothing of it
-	Demand           float64       // placements per second of all of them
-	ExplorationSlots int           // of all of them: this balancer goes on from there if it has had fewer
-	SlotShift        time.Duration // the next exploration slot begins so much later, or earlier if negative
-	StaggerOffset    float64       // its place among all, in (0, 1]
-	AssignedServers  []string      // that it probes for the others as well
+	BudgetDivisor    int           // number of balancers that divide a common limit; below 0: this one gets no share
+	Demand           float64       // placements per second by all balancers
+	ExplorationSlots int           // slot number of the fleet, adopted if it is higher than the balancer's own
+	SlotShift        time.Duration // delay of the next exploration slot; negative to start it earlier
+	StaggerOffset    float64       // position of this balancer among all, in (0, 1]
+	AssignedServers  []string      // servers that this balancer probes for the others as well
 }
 
-// LeaseState tells whether this balancer may place requests now, where all balancers go by one routing revision.
+// LeaseState is the state of the lease that lets this balancer place requests. All balancers use one routing revision.
 type LeaseState int
 
-// The states of the lease.
+// Values of LeaseState.
 const (
 	LeaseActive    LeaseState = iota
 	LeaseSuspended            // one revision ends and the next begins: requests wait
-	LeaseExpired              // the revision in force is not known here: requests are rejected at once
+	LeaseExpired              // this balancer does not know the active revision: requests are rejected at once
 )
 
-// SaturatedLinks names the zones to which this balancer's zone has no bandwidth left, each with the last
-// PriorityRank that is still sent there.
+// SaturatedLinks maps each zone to which this balancer's zone has no bandwidth left to the highest PriorityRank that is
+// still sent there.
 type SaturatedLinks struct{ Zones map[string]int }
 
-// TimerFired tells that a timer is due.
+// TimerFired reports that a timer has fired.
 type TimerFired struct{ Token string }
 
 func (ServerList) event()         {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"oatloft/policy"
 )
 
-// A host feeds events in, with the time, and carries out what comes back.
+// The host passes events with the current time to Step, and carries out the returned actions.
 func Example() {
 	b, err := policy.New(policy.Config{
 		Balancers:     1,
@@ -19,7 +19,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Second // any clock that only goes forward
+	now := time.Second // any monotonic clock
 	loads := map[string]float64{"10.0.0.1:80": 0.7, "10.0.0.2:80": 0.3}
 
 	events := []policy.Event{
@@ -31,15 +31,15 @@
 		events = events[1:]
 		for _, action := range b.Step(now, ev, nil) {
 			switch a := action.(type) {
-			case policy.Probe: // ask the server for its load; here the answer is at hand
+			case policy.Probe: // request the server's load report; here it is known
 				events = append(events, policy.ProbeResult{Server: a.Server, Report: &policy.LoadReport{
 					Load: loads[a.Server], Utilization: -1, InFlight: -1, BacklogSeconds: -1}})
-			case policy.Send: // open the connection and report what comes of it
+			case policy.Send: // open the connection and report the result
 				fmt.Println("send", a.ID, "to", a.Server)
 				events = append(events, policy.AttemptEstablished{ID: a.ID, Server: a.Server, Latency: 3 * time.Millisecond})
 			case policy.Reject, policy.Fail:
 				fmt.Println("final answer", a)
-			case policy.SetTimer: // after a.After, feed policy.Wake{Token: a.Token}
+			case policy.SetTimer: // after a.After, pass policy.TimerFired{Token: a.Token}
 			}
 		}
 	}
--- a/policy/exploration.go
+++ b/policy/exploration.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// minSlotLength bounds how often connections are migrated: a migration breaks a connection for about a second.
+// minSlotLength limits how often connections are migrated. A migration interrupts a connection for about 1 s.
 const minSlotLength = 8 * time.Second
 
-// exploration is the schedule by which established connections explore: they explore in one slot, and return or
-// stay in the next.
+// exploration is the schedule by which established connections explore other servers: they explore in one slot, and
+// return or stay in the next.
 type exploration struct {
-	slots      int  // begun so far
-	active     bool // connections explore in the slot under way
+	slots      int  // exploring slots started so far
+	active     bool // connections explore in the current slot
 	startedAt  time.Duration
 	nextSlotAt time.Duration
 }
 
 func (b *Balancer) slotLength() time.Duration { return max(minSlotLength, b.settleTime()) }
 
-// explorationProbability is the chance that a connection explores in this slot: t^-beta with a limit, t being the
-// slot's number (the paper's gamma).
+// explorationProbability returns the probability that a connection explores in this slot: t^-beta, where t is the
+// number of the slot, limited to Config.MaxExploration. The paper calls it gamma.
 func (b *Balancer) explorationProbability() float64 {
 	return min(b.config.MaxExploration, math.Pow(float64(max(b.exploration.slots, 1)), -b.config.ExplorationDecay))
 }
 
-// runSlot begins the next slot.
+// runSlot starts the next slot.
 func (b *Balancer) runSlot() {
 	e := &b.exploration
 	e.nextSlotAt = b.now + b.slotLength()
@@ -50,12 +50,13 @@
 	b.dropExpiredMigrations()
 }
 
-// mayExplore keeps connections where they are while set-ups are scarce, since each migration takes another one.
+// mayExplore reports whether a connection may explore. It may not while set-ups are scarce, because each migration
+// needs another set-up.
 func (b *Balancer) mayExplore(r *request) bool {
 	return !b.setupsScarce(r.class) && b.lease == LeaseActive && r.origin == nil && r.Key != ""
 }
 
-// randomOtherServer picks the server to explore, each with the same probability; nil if there is none.
+// randomOtherServer picks the server to explore with equal probabilities, or returns nil if there is none.
 func (b *Balancer) randomOtherServer(r *request) *server {
 	others := slices.DeleteFunc(slices.Clone(b.servers.sorted), func(s *server) bool {
 		return s == r.server || b.beyondSubset(s) || b.now < s.probe.ejectedUntil || !b.usable(s, r)
@@ -67,8 +68,8 @@
 	return others[i]
 }
 
-// returnOrStay sends a connection that has explored back, or lets it stay. A server that does not answer counts as
-// more loaded than the old one.
+// returnOrStay migrates a connection that has explored back to its earlier server, or lets it stay. A new server that
+// does not answer probes counts as more loaded than the earlier one.
 func (b *Balancer) returnOrStay(r *request, answered bool) {
 	origin := r.origin
 	r.origin = nil
@@ -78,8 +79,8 @@
 	}
 }
 
-// returnProbability is the chance that a connection which explored a server of load xj returns to where it had load
-// xi, for exploration probability gamma and n servers: Proposition 1 of the paper.
+// returnProbability returns the probability that a connection that explored a server of load xj returns to its
+// earlier server of load xi, for exploration probability gamma and n servers. It is Proposition 1 of the paper.
 func returnProbability(xi, xj, gamma float64, n int) float64 {
 	if xj >= xi || n < 2 || gamma <= 0 {
 		return 1
@@ -87,15 +88,15 @@
 	return max(0, 1-float64(n-1)/(float64(n)*gamma)*(1-xj/xi))
 }
 
-// Activity is what a balancer tells the others of its own pace.
+// Activity is the exploration schedule and the demand that a balancer reports to the others.
 type Activity struct {
-	ExplorationSlots int           // begun so far
-	SlotAge          time.Duration // since the last slot of exploring began
-	SlotPeriod       time.Duration // from one such slot to the next
+	ExplorationSlots int           // exploring slots started so far
+	SlotAge          time.Duration // since the last exploring slot started
+	SlotPeriod       time.Duration // from one exploring slot to the next
 	Demand           float64       // placements per second
 }
 
-// Activity returns this balancer's own pace, as of the latest event.
+// Activity returns this balancer's exploration schedule and demand, as of the latest event.
 func (b *Balancer) Activity() Activity {
 	return Activity{
 		ExplorationSlots: b.exploration.slots,
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// updateFleet takes what is known of the other balancers. The next exploration slot is never moved into the past,
-// nor further off than a slot is long.
+// updateFleet applies the state of the fleet. The next exploration slot is never moved into the past, nor postponed
+// to more than one slot length from now.
 func (b *Balancer) updateFleet(state FleetState) {
 	b.fleet = state
 	e := &b.exploration
@@ -18,7 +18,8 @@
 	b.markSubset()
 }
 
-// budgetDivisor is the number of balancers that divide a common limit; infinite if this one gets nothing of it.
+// budgetDivisor returns the number of balancers that divide a common limit, or infinity if this balancer gets no
+// share.
 func (b *Balancer) budgetDivisor() float64 {
 	if b.fleet.BudgetDivisor < 0 {
 		return math.Inf(1)
@@ -26,7 +27,8 @@
 	return float64(cmp.Or(b.fleet.BudgetDivisor, b.config.Balancers) * (1 + b.config.OverlappingProcesses))
 }
 
-// fleetDemand is how many placements per second all balancers make: as they report, or as if all were like this one.
+// fleetDemand returns the placements per second of all balancers: as they report, or else this balancer's own rate
+// times the number of balancers.
 func (b *Balancer) fleetDemand() float64 {
 	if b.fleet.Demand > 0 {
 		return max(b.demand.perSecond, b.fleet.Demand)
@@ -34,8 +36,8 @@
 	return b.demand.perSecond * float64(b.config.Balancers*(1+b.config.OverlappingProcesses))
 }
 
-// staggered is this balancer's place in a time in which all balancers do something once: its own offset, or a
-// random one.
+// staggered returns this balancer's point in a period d in which every balancer does something once: its assigned
+// offset, or a random one.
 func (b *Balancer) staggered(d time.Duration) time.Duration {
 	if b.fleet.StaggerOffset > 0 {
 		return time.Duration(b.fleet.StaggerOffset * float64(d))
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// sideBySide steps many balancers against one set of servers, whose reports are as old as late says.
+// sideBySide runs many balancers against one set of servers with delayed load reports.
 type sideBySide struct {
 	balancers  []*Balancer
 	held       map[string]float64
-	reported   []map[string]float64 // latest last, one a step
-	late       int                  // in steps
+	reported   []map[string]float64 // one entry for each step, the latest last
+	late       int                  // delay of the reports in steps
 	fill       float64              // connections that fill a server
 	peak       map[string]float64
 	probes     int
 	refused    int
 	again      []Request
-	dead       map[string]bool // they give the answer, and no report
+	dead       map[string]bool // servers whose probes end with answer, without a report
 	answer     Result
 	deadProbes int
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// A wave of newcomers meets eighty balancers that all read the same late reports, with room at three of ten servers.
-// None of the three may be filled beyond what it bears, and the room must be used.
+// A burst of new requests reaches eighty balancers that all get the same delayed reports, while three of ten servers
+// have capacity. None of the three may be overloaded, and their capacity must be used.
 func TestAWaveOverManyBalancersOverfillsNoServer(t *testing.T) {
 	held := map[string]float64{}
 	for i := range 10 {
@@ -118,17 +118,17 @@
 	placed := f.held["s0"] + f.held["s1"] + f.held["s2"] - 330
 	for id, x := range f.peak {
 		if x > 0.98 {
-			t.Errorf("%s was at %.2f", id, x)
+			t.Errorf("%s had a load of %.2f", id, x)
 		}
 	}
 	if placed < 100 {
-		t.Errorf("%.0f of 400 found the room for 150", placed)
+		t.Errorf("%.0f of 400 requests were placed, with capacity for 150", placed)
 	}
-	t.Logf("peaks %v, %.0f placed, %d refused, %d probes", f.peak, placed, f.refused, f.probes)
+	t.Logf("peaks %v, %.0f placed, %d rejected, %d probes", f.peak, placed, f.refused, f.probes)
 }
 
-// A server dies, or answers with errors, while it reads over, and discovery is seconds late with that. Eighty
-// balancers may look after it for their connections' sake, but not storm it.
+// A server whose last report shows overload stops answering, or answers with errors, and discovery notifies balancers
+// seconds later. Eighty balancers with connections to it may probe it, but must not overload it with probes.
 func TestADeadServerIsNotStormedByMany(t *testing.T) {
 	for _, answer := range []Result{ResultUnreachable, ResultFailed} {
 		held := map[string]float64{"s0": 230, "s1": 120, "s2": 120, "s3": 120}
@@ -165,12 +165,13 @@
 			f.note()
 		}
 		if perSecond := float64(f.deadProbes) / 80 / 3; perSecond > 3 {
-			t.Errorf("%.1f probes a second and balancer to a server that answers %d", perSecond, answer)
+			t.Errorf("%.1f probes per second and balancer to a server with probe result %d", perSecond, answer)
 		}
 	}
 }
 
-// Balancers that start together, as after a release, ask discovery spread over time, and so do those that failed.
+// Balancers that start together, as after a release, must spread their calls to discovery over time, and so must
+// balancers whose calls have failed.
 func TestManyThatStartTogetherAskDiscoverySpread(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 80
@@ -193,10 +194,10 @@
 	}
 	for tenth, n := range calls {
 		if n > 16 {
-			t.Errorf("%d of 80 asked in the tenth of a second %d", n, tenth)
+			t.Errorf("%d of 80 balancers called discovery in the same 0.1 s (interval %d)", n, tenth)
 		}
 	}
 	if len(calls) < 15 {
-		t.Errorf("asked in %d tenths of a second only", len(calls))
+		t.Errorf("calls in only %d intervals of 0.1 s, want at least 15", len(calls))
 	}
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -6,13 +6,13 @@
 
 const (
 	evacuationTarget = 0.8             // load that an evacuation leaves on a server
-	drainTime        = 2 * time.Second // within which a backlog, or the connections of a draining server, are gone
-	migrationExpiry  = 5 * time.Second // within which a migrated client is expected back
-	minDelayTarget   = 0.2             // load that an evacuation leaves at the longest delay
+	drainTime        = 2 * time.Second // in which a backlog is processed, or a draining server loses its connections
+	migrationExpiry  = 5 * time.Second // within which a migrated client is expected to reconnect
+	minDelayTarget   = 0.2             // load that an evacuation leaves if the message delay is longest
 )
 
-// migration says what a migration is for: its client goes to target, or anywhere but to avoid. One that explores
-// has the server that it left in origin, with the load it had there.
+// migration is the destination of a migrated client: it goes to target, or to any server except avoid. If the
+// connection explores, origin is the server that it left and originLoad the load there.
 type migration struct {
 	target     *server
 	origin     *server
@@ -21,7 +21,7 @@
 	expiresAt  time.Duration
 }
 
-// migrate closes a connection and remembers where its client is to go.
+// migrate closes a connection and records where its client goes when it reconnects.
 func (b *Balancer) migrate(r *request, m migration) {
 	r.migrating = true
 	m.expiresAt = b.now + migrationExpiry
@@ -48,15 +48,15 @@
 	return reasonEvacuate
 }
 
-// expectPredecessorFlow notes where a connection is established that another process carried, as if it had been
-// migrated there.
+// expectPredecessorFlow records the server of a connection that another process established, in the same way as for a
+// migration to that server.
 func (b *Balancer) expectPredecessorFlow(event PredecessorFlow) {
 	if s := b.servers.byID[event.Server]; s != nil {
 		b.migrations[event.Key] = migration{target: s, expiresAt: b.now + migrationExpiry}
 	}
 }
 
-// dropExpiredMigrations forgets the clients that went elsewhere.
+// dropExpiredMigrations deletes the records of clients that did not reconnect here in time.
 func (b *Balancer) dropExpiredMigrations() {
 	for key, m := range b.migrations {
 		if b.now >= m.expiresAt {
@@ -65,8 +65,8 @@
 	}
 }
 
-// evacuateIfFaulty moves connections off a server that is silent, overloaded or behind with its messages, faster
-// than exploration would and in proportion to the excess.
+// evacuateIfFaulty migrates connections away from a server that is unreachable, overloaded or late with its messages.
+// This is faster than exploration, and in proportion to the excess load.
 func (b *Balancer) evacuateIfFaulty(s *server) {
 	share := b.evacuationShare(s)
 	if share <= 0 || b.now < s.nextEvacuationAt || s.State == Draining {
@@ -77,8 +77,8 @@
 	b.migrateShare(s, share)
 }
 
-// evacuationShare is the share of its connections that a server should lose, 0 or less for none. What it has too
-// much goes only as far as others have capacity, unless it does not answer or is beyond its own.
+// evacuationShare returns the fraction of its connections that a server should lose, 0 or less for none. The excess is
+// limited to the spare capacity of the other servers, unless the server does not answer or its load exceeds 1.
 func (b *Balancer) evacuationShare(s *server) float64 {
 	share := 0.0
 	overloaded := s.reading.overloadedSince > 0 && b.now-s.reading.overloadedSince >= minReportLag
@@ -94,7 +94,8 @@
 	return share
 }
 
-// evacuationTargetLoad is lower the longer messages take, so that the backlog drains.
+// evacuationTargetLoad returns the load that an evacuation leaves on a server. It is lower the longer messages take, so
+// that the backlog drains.
 func (b *Balancer) evacuationTargetLoad(s *server) float64 {
 	if b.now-s.delay.at >= delayMemory {
 		return evacuationTarget
@@ -102,8 +103,8 @@
 	return min(evacuationTarget, max(minDelayTarget, 1-s.delay.value.Seconds()/drainTime.Seconds()))
 }
 
-// spareShare is the share of what is too much at some servers that others have capacity for. That of warming
-// servers waits for their budget and does not count.
+// spareShare returns the fraction of the excess load of some servers for which the others have capacity. The capacity
+// of warming servers does not count, because it is available only as their warm-up budget allows.
 func (b *Balancer) spareShare() float64 {
 	spare, excess := 0.0, 0.0
 	for _, s := range b.servers.sorted {
@@ -115,7 +116,7 @@
 	return min(1, spare/max(excess, minLoadStep))
 }
 
-// migrateShare moves a share of a server's connections elsewhere, at random.
+// migrateShare migrates a random fraction of a server's connections to other servers.
 func (b *Balancer) migrateShare(s *server, share float64) {
 	for _, r := range b.requests.established {
 		if r.server == s && !r.migrating && r.origin == nil && b.rng.Float64() < share {
--- a/policy/migration_test.go
+++ b/policy/migration_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Overload made set-ups slow, and slow set-ups once kept connections from leaving overloaded servers.
+// Overload makes set-ups slow, and slow set-ups used to prevent migrations away from overloaded servers.
 func TestEscapeFromOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		load      float64
 		delay     time.Duration
-		low, high int // connections of 100 that leave
+		low, high int // bounds for the number of migrations of 100 connections
 	}{
-		"overloaded":          {load: 1.5, low: 32, high: 62}, // down to 0.8 of 1.5: 47 leave
+		"overloaded":          {load: 1.5, low: 32, high: 62}, // from 1.5 to 0.8: 47 are migrated
 		"fine":                {load: 0.9, low: 0, high: 0},
-		"behind with a lot":   {load: 0.9, delay: time.Second, low: 30, high: 60}, // down to 0.5 of 0.9
-		"behind with nothing": {load: 0.9, delay: 50 * ms, low: 0, high: 0},
+		"with a long backlog": {load: 0.9, delay: time.Second, low: 30, high: 60}, // from 0.9 to 0.5
+		"with no backlog":     {load: 0.9, delay: 50 * ms, low: 0, high: 0},
 	} {
 		r := newRig(t, testConfig(), servers(4)...)
 		for i := range 100 {
@@ -29,20 +29,20 @@
 		} else {
 			r.b.ensureReading(r.b.servers.byID["s00"], nil)
 			r.feed(ProbeResult{Server: "s00", Report: report(c.load, -1)})
-			if n := len(all[Migrate](r)); n > 0 { // it may be noise, or a wave of set-ups that is over soon
-				t.Errorf("%s: %d left by a single reading", name, n)
+			if n := len(all[Migrate](r)); n > 0 { // one reading can be noise, or a short burst of set-ups
+				t.Errorf("%s: %d migrated after a single reading", name, n)
 			}
 			r.run(time.Second)
 		}
 		if n := len(all[Migrate](r)); n < c.low || n > c.high {
-			t.Errorf("%s: %d of 100 left, want %d to %d", name, n, c.low, c.high)
+			t.Errorf("%s: %d of 100 migrated, want %d to %d", name, n, c.low, c.high)
 		}
 		moved := len(all[Migrate](r))
 		r.feed(
 			ProbeResult{Server: "s00", Report: report(c.load, -1)},
 		)
 		if n := len(all[Migrate](r)); n != moved {
-			t.Errorf("%s: %d more left before the first escape could show", name, n-moved)
+			t.Errorf("%s: %d more migrated before the effect of the first evacuation could show", name, n-moved)
 		}
 	}
 }
@@ -53,13 +53,13 @@
 		r.open(fmt.Sprint(i), "s00")
 	}
 	r.mute["s00"] = ResultTimedOut
-	r.run(25 * time.Second) // nothing points at it but the regular check
+	r.run(25 * time.Second) // only the regular probes can show the fault
 	if n := len(all[Migrate](r)); n < 10 {
-		t.Errorf("%d of 10 left", n)
+		t.Errorf("%d of 10 migrated", n)
 	}
 }
 
-// When most servers look silent the cause lies elsewhere, and moving everybody would only do harm.
+// If most servers look unreachable, the fault is not in the servers, and migrating all connections would do harm.
 func TestNobodyIsMovedWhenMostServersLookSilent(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	for i := range 40 {
@@ -74,12 +74,12 @@
 		r.b.actions = nil
 		r.b.evacuateIfFaulty(s)
 		if len(r.b.actions) > 0 {
-			t.Errorf("%d left %s", len(r.b.actions), s.ID)
+			t.Errorf("%d connections migrated away from %s", len(r.b.actions), s.ID)
 		}
 	}
 }
 
-// The mechanism itself: an explorer goes to its drawn server, and comes back where that is no better.
+// A connection that explores goes to the chosen server, and returns if that server is no better.
 func TestExploreAndGoBack(t *testing.T) {
 	for name, c := range map[string]struct {
 		there float64
@@ -92,25 +92,25 @@
 		r.open("x", "s00")
 		for i := 0; len(all[Migrate](r)) == 0; i++ {
 			if r.run(time.Second); i > 300 {
-				t.Fatal("never explored")
+				t.Fatal("no exploration within 300 s")
 			}
 		}
 		r.feed(AttemptEnded{ID: "x", Server: "s00", Result: ResultCanceled, Final: true})
 		r.feed(Request{ID: "y", Key: "kx", Class: "safe", Timeout: 2 * time.Second})
 		if s, _ := last[Send](r); s.ID != "y" || s.Server != "s01" {
-			t.Fatalf("%s: the explorer went to %q", name, s.Server)
+			t.Fatalf("%s: explored %q, want s01", name, s.Server)
 		}
 		r.feed(AttemptEstablished{ID: "y", Server: "s01"})
 		r.log = nil
 		r.run(r.b.slotLength() + 100*ms)
 		if got := len(all[Migrate](r)) > 0; got != c.back {
-			t.Errorf("%s: went back: %v", name, got)
+			t.Errorf("%s: returned: %v, want %v", name, got, c.back)
 		}
 		if c.back {
 			r.feed(AttemptEnded{ID: "y", Server: "s01", Result: ResultCanceled, Final: true})
 			r.feed(Request{ID: "z", Key: "kx", Class: "safe", Timeout: 2 * time.Second})
 			if s, _ := last[Send](r); s.ID != "z" || s.Server != "s00" {
-				t.Errorf("came back to %q", s.Server)
+				t.Errorf("returned to %q, want s00", s.Server)
 			}
 		}
 	}
@@ -129,13 +129,13 @@
 	s, _ := last[Send](r)
 	r.feed(AttemptEnded{ID: "y", Server: s.Server, Result: ResultRejected})
 	if s, _ := last[Send](r); s.Server != "s00" {
-		t.Errorf("placed on %q in place of its old server", s.Server)
+		t.Errorf("sent to %q instead of the earlier server", s.Server)
 	}
 }
 
-// Draining servers of the second deployment keep their connections until they stop, and then reset them: 53 of 150
-// came again within a second, and found no room for 1.8 s. Nobody else sends them off before; all at once is a wave
-// too.
+// In the second deployment, draining servers keep their connections until they stop, and then reset them: 53 of 150
+// clients reconnected within 1 s and found no capacity for 1.8 s. Only the balancer can migrate the connections before
+// that, and it must spread the migrations over time, because migrating all at once causes the same burst.
 func TestConnectionsLeaveADrainingServerOneByOne(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	for i := range 60 {
@@ -157,6 +157,6 @@
 		moved[m.ID] = true
 	}
 	if len(moved) != 60 || moved["elsewhere"] || most > 15 {
-		t.Errorf("%d of 60 moved, up to %d in 100 ms", len(moved), most)
+		t.Errorf("%d of 60 migrated, up to %d in 100 ms", len(moved), most)
 	}
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -34,8 +34,8 @@
 	return ids
 }
 
-// Only candidates are drawn, for newcomers and explorers alike; where none of them is live all servers count, and
-// with an empty list all count again.
+// Only candidates are sampled, both for new requests and for exploration. If no candidate is live, or the list of
+// candidates is empty, all servers are considered.
 func TestOnlyCandidatesAreDrawn(t *testing.T) {
 	b, now := listed(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5", "s9"}}, nil)
@@ -53,17 +53,17 @@
 		return drawn
 	}
 	if got := ask(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
-		t.Errorf("drawn: %v", got)
+		t.Errorf("sampled: %v, want the three candidates", got)
 	}
 	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes.byName["safe"], mayHaveRunAt: -1}
 	r.server = b.servers.byID["s3"]
 	for range 100 {
 		if s := b.randomOtherServer(r); s.ID != "s5" && s.ID != "s9" {
-			t.Fatalf("explores at %s", s.ID)
+			t.Fatalf("explores %s, which is no other candidate", s.ID)
 		}
 	}
 	if b.subsetSize() != 3 {
-		t.Errorf("the ratio rule counts %d servers", b.subsetSize())
+		t.Errorf("the subset has %d servers, want 3", b.subsetSize())
 	}
 	var change []Server
 	for _, id := range []string{"s3", "s5", "s9"} {
@@ -71,16 +71,16 @@
 	}
 	b.Step(now, ServerList{Kind: ListDelta, Servers: change}, nil)
 	if got := ask(60); len(got) != 7 {
-		t.Errorf("with all candidates draining, drawn: %v", got)
+		t.Errorf("with all candidates draining, sampled: %v", got)
 	}
 	b.Step(now, CandidateSubset{}, nil)
 	if b.subsetSize() != 10 {
-		t.Errorf("with no candidates named, %d of 10 are looked at", b.subsetSize())
+		t.Errorf("without candidates, %d of 10 servers are considered", b.subsetSize())
 	}
 }
 
-// What others read stands in for an own probe, the longer the more room it tells of; it is not told on as an own
-// reading, and what is older than the own one changes nothing.
+// Another balancer's reading replaces a probe, for longer the more free capacity it shows. It is not reported as this
+// balancer's own reading, and a reading older than its own has no effect.
 func TestOthersReadingsSaveProbes(t *testing.T) {
 	b, now := listed(t, 2, nil)
 	come := func(id string) []string {
@@ -91,10 +91,10 @@
 	}
 	now += time.Second
 	if got := come("a"); len(got) != 0 {
-		t.Errorf("with room told of 1.3 s ago, asked %v", got)
+		t.Errorf("with free capacity reported 1.3 s ago, probed %v", got)
 	}
 	for _, reading := range b.LoadReadings() {
-		t.Errorf("%s at %v told on", reading.Server, reading.Load)
+		t.Errorf("reading of %s with load %v reported as an own one", reading.Server, reading.Load)
 	}
 	now += 10 * time.Second
 	for _, id := range []string{"s0", "s1"} {
@@ -102,7 +102,7 @@
 	}
 	now += time.Second
 	if got := come("b"); len(got) != 2 {
-		t.Errorf("near full, asked %v", got)
+		t.Errorf("with servers near full, probed %v", got)
 	}
 	b.Step(
 		now,
@@ -111,18 +111,18 @@
 	)
 	b.Step(now, PeerReading{Server: "s0", Load: 0.1, Age: 50 * time.Millisecond}, nil)
 	if x := b.servers.byID["s0"].reading.load; x != 0.5 {
-		t.Errorf("an older reading of others took the place of the own one: %v", x)
+		t.Errorf("an older reading of another balancer replaced the own one: %v", x)
 	}
 	now += 10 * time.Second
 	if got := probesOf(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
-		t.Errorf("told that s0 is dead, asked %v", got)
+		t.Errorf("after a report that s0 is unreachable, probed %v", got)
 	}
 	if s := b.servers.byID["s0"]; s.probe.failures != 0 || s.probe.ejectedUntil != 0 {
-		t.Error("others' word alone ended a server")
+		t.Error("a server was ejected on another balancer's report alone")
 	}
 }
 
-// Who reads a server for the others reads it, own connections or not.
+// A balancer that is assigned a server probes it for the others, also without connections to it.
 func TestDutyIsDone(t *testing.T) {
 	b, now := listed(t, 3, nil)
 	b.Step(now, FleetState{AssignedServers: []string{"s1"}}, nil)
@@ -131,7 +131,7 @@
 		now += 20 * time.Millisecond
 		for _, id := range probesOf(b.Step(now, TimerFired{"tick"}, nil)) {
 			if id != "s1" {
-				t.Fatalf("asked %s", id)
+				t.Fatalf("probed %s, want s1 only", id)
 			}
 			asked++
 			b.Step(
@@ -142,11 +142,12 @@
 		}
 	}
 	if asked < 10 || asked > 13 {
-		t.Errorf("asked %d times in ten seconds, not once in 0.8 s", asked)
+		t.Errorf("%d probes in 10 s, want one every 0.8 s", asked)
 	}
 }
 
-// The cold budget is divided by those who share it: none of it below 0, the settings' part at 0.
+// The warm-up budget is divided by FleetState.BudgetDivisor: below 0 this balancer gets no share, at 0 the number of
+// balancers in the settings applies.
 func TestColdBudgetIsShared(t *testing.T) {
 	sends := func(f FleetState) float64 {
 		b, now := listed(t, 1, func(c *Config) {
@@ -171,35 +172,36 @@
 	}
 	alone, five := sends(FleetState{}), sends(FleetState{BudgetDivisor: 5})
 	if none := sends(FleetState{BudgetDivisor: -1}); none != 0 {
-		t.Errorf("who is to take none may send %v", none)
+		t.Errorf("without a share of the budget, %v requests are allowed", none)
 	}
 	if five < 1.9*alone || five > 2.1*alone {
-		t.Errorf("a fifth is %v where a tenth is %v", five, alone)
+		t.Errorf("a fifth of the budget is %v, a tenth is %v", five, alone)
 	}
 }
 
-// A restarted balancer goes on with the fleet's clock, and a slot is moved, never into the past nor out of reach.
+// A restarted balancer continues with the slot number of the fleet. A shift of the next slot never moves it into the
+// past, nor by more than a slot length.
 func TestClockAndSlotsFollowTheFleet(t *testing.T) {
 	b, now := listed(t, 3, nil)
 	b.Step(now, TimerFired{"tick"}, nil)
 	b.Step(now, FleetState{ExplorationSlots: 40}, nil)
 	if b.Activity().ExplorationSlots != 40 {
-		t.Errorf("clock %d", b.Activity().ExplorationSlots)
+		t.Errorf("slot number %d, want 40", b.Activity().ExplorationSlots)
 	}
 	b.Step(now, FleetState{ExplorationSlots: 7}, nil)
 	if b.Activity().ExplorationSlots != 40 {
-		t.Errorf("the clock went back to %d", b.Activity().ExplorationSlots)
+		t.Errorf("the slot number went back to %d", b.Activity().ExplorationSlots)
 	}
 	for _, nudge := range []time.Duration{-time.Hour, time.Hour} {
 		was := b.exploration.nextSlotAt
 		b.Step(now, FleetState{SlotShift: nudge}, nil)
 		if b.exploration.nextSlotAt <= now || b.exploration.nextSlotAt > max(was, now+b.slotLength()) {
-			t.Errorf("moved by %v the next slot is in %v", nudge, b.exploration.nextSlotAt-now)
+			t.Errorf("after a shift of %v the next slot starts in %v", nudge, b.exploration.nextSlotAt-now)
 		}
 	}
 }
 
-// Whoever finds no room among the candidates twice looks at all servers, before it would be refused.
+// A request that twice finds no capacity among the candidates tries all servers before it is rejected.
 func TestFullCandidatesRefuseNobody(t *testing.T) {
 	b, now := listed(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5"}}, nil)
@@ -217,7 +219,7 @@
 			case Send:
 				sent = a.Server
 			case Reject:
-				t.Fatal("refused beside eight empty servers")
+				t.Fatal("rejected although eight servers have capacity")
 			}
 		}
 	}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	crossZoneFactor  = 2.0                    // load that counts as bad as a crossing of zones, over the crossing's cost
-	tieMargin        = 0.15                   // loads this close are equal: the server sampled first takes the request
-	resampleInterval = 100 * time.Millisecond // after which a waiting request samples again, with half of it as a minimum
+	crossZoneFactor  = 2.0                    // load per unit of cross-zone cost that outweighs using another zone
+	tieMargin        = 0.15                   // smaller differences of load count as a tie: the first sampled server wins
+	resampleInterval = 100 * time.Millisecond // mean time until a waiting request samples again; the minimum is half
 )
 
-// receive takes a new request. The client of a migrated connection goes to the server that the migration meant. A
-// server that is back from draining takes the next new request: far away or warming up, it would hardly be sampled
-// at thin traffic.
+// receive accepts a new request. The client of a migrated connection goes to the server that the migration chose. A
+// server that is live again after draining gets the next new request: in another zone or warming up, it would rarely
+// be sampled under light traffic.
 func (b *Balancer) receive(q Request) {
 	if b.requests.byID[q.ID] != nil {
 		return
 	}
 	class := b.classes.byName[q.Class]
-	if class == nil { // its idempotency is unknown, but nothing was sent
+	if class == nil { // the idempotency is unknown, but nothing has been sent, so a retry is safe
 		b.act(Reject{ID: q.ID, Reason: reasonUnknownClass})
 		return
 	}
@@ -35,8 +35,8 @@
 	b.place(r)
 }
 
-// place looks for a server: the one that is meant for the request, or the better of two that it samples once their
-// loads are known.
+// place chooses a server: the target of the request's migration, or the better of two sampled servers once their loads
+// are known.
 func (b *Balancer) place(r *request) {
 	b.requests.enqueue(r)
 	switch {
@@ -59,15 +59,15 @@
 	}
 }
 
-// chooseWhenRead chooses unless a sampled server still owes the answer to a probe.
+// chooseWhenRead chooses a server unless a probe of a sampled server is pending.
 func (b *Balancer) chooseWhenRead(r *request) {
 	if !slices.ContainsFunc(r.sampled, func(s *server) bool { return s.probe.pending }) {
 		b.choose(r)
 	}
 }
 
-// choose sends the request to the better of its sampled servers, lets it wait while they are full, and gives it up
-// before its wait is in vain.
+// choose sends the request to the better of its sampled servers. While they are full, the request waits. It gets its
+// final answer when no attempt can succeed in time any more.
 func (b *Balancer) choose(r *request) {
 	sticky := r.MidFlow && len(r.sampled) > 0 && b.staysSticky(r.sampled[0])
 	best := b.bestSampled(r, sticky)
@@ -86,8 +86,8 @@
 	}
 }
 
-// bestSampled returns the least loaded sampled server that may be used, nil if there is none. A sticky request
-// takes the first.
+// bestSampled returns the usable sampled server with the lowest cost, or nil if there is none. A sticky request takes
+// the first usable one.
 func (b *Balancer) bestSampled(r *request, sticky bool) *server {
 	var best *server
 	for _, s := range r.sampled {
@@ -100,7 +100,7 @@
 	return best
 }
 
-// placementCost is the load that the request would find at a server, with what the crossing of zones costs.
+// placementCost returns the effective load of a server for the request, plus the cost of using another zone.
 func (b *Balancer) placementCost(s *server, r *request) float64 {
 	cost := b.effectiveLoad(s, r)
 	if s.Zone != b.config.Zone {
@@ -109,8 +109,8 @@
 	return cost
 }
 
-// usable tells whether the request may be sent to a server at all: rules first, then what the revision in force and
-// saturated links leave out. A connection in mid-flow goes on where it is established.
+// usable reports whether the rules allow sending the request to a server. The active revision and saturated links
+// exclude servers for new requests only: a mid-flow connection continues where it is established.
 func (b *Balancer) usable(s *server, r *request) bool {
 	lastRank, saturated := b.saturatedLinks[s.Zone]
 	open := r.MidFlow || s.sampleWeight > 0 && (!saturated || r.class.PriorityRank <= lastRank)
@@ -135,12 +135,12 @@
 	r.attempts++
 	b.setups.pending++
 	weight := b.classLoads.weight(r.Class)
-	s.warmUp.tokens -= weight // has no effect on a server that has warmed up
+	s.warmUp.tokens -= weight // not used once the server has warmed up
 	s.estimate.placed += b.loadStep(s) * weight
 	b.act(Send{r.ID, s.ID, b.attemptTimeout(r)})
 }
 
-// attemptEstablished counts a connection that is established.
+// attemptEstablished records that a connection has been established.
 func (b *Balancer) attemptEstablished(event AttemptEstablished) {
 	r := b.requests.byID[event.ID]
 	if r == nil || !r.attemptPending || event.Attempt != r.attempts-1 {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Day wide: in a zone with one region every newcomer was offered that one and a far one, and half took the far
-// one for being a little less loaded, at the price of crossing zones for as long as they lived.
+// In a zone with one server, every new request sampled that server and one in another zone. Half of them took the
+// other one because its load was a little lower, and paid the cross-zone cost for the lifetime of the connection.
 func TestLightLoadIsNoReasonToCross(t *testing.T) {
 	list := servers(3)
 	list[1].Zone, list[2].Zone = "b", "c"
@@ -19,19 +19,20 @@
 	}{{0.5, true}, {0.78, false}} {
 		r := newRig(t, c, list...)
 		r.loads["s00"], r.loads["s01"], r.loads["s02"] = x.own, 0.1, 0.1
-		r.rif["s00"] = 500 // one more makes no difference
+		r.rif["s00"] = 500 // one more connection adds almost no load
 		r.request("x", "safe")
 		if s, ok := last[Send](r); !ok || x.home != (s.Server == "s00") {
-			t.Errorf("own at %v: %v", x.own, s)
+			t.Errorf("with load %v in the own zone: sent to %v", x.own, s)
 		}
 	}
 }
 
-// Where each server that holds some of a group works for the whole of it (three mean connections on the second
-// deployment), fresh later draws spread a group whose first two servers were full over all servers.
+// Each server with connections of a group does work for the whole group (as much as three mean connections in the
+// second deployment). When the first two servers of a group were full, later samples were independent, and the group
+// was spread over all servers. All balancers must sample the servers of a group in the same order.
 func TestAGroupSpillsInOneOrderAtEveryBalancer(t *testing.T) {
 	one, other := newRig(t, testConfig(), servers(12)...), newRig(t, testConfig(), servers(12)...)
-	other.b.rng.Uint64() // another random state, as another balancer has
+	other.b.rng.Uint64() // balancers have different random states
 	for g := range 20 {
 		r := &request{
 			Request:      Request{Group: fmt.Sprint("g", g), Key: "k"},
@@ -45,19 +46,20 @@
 			here, there := one.b.sample(r), other.b.sample(&q)
 			for i, s := range here {
 				if s.ID != there[i].ID {
-					t.Fatalf("group %d draws %s here and %s there, draw %d", g, s.ID, there[i].ID, draw)
+					t.Fatalf("group %d, sample %d: %s at one balancer, %s at the other", g, draw, s.ID, there[i].ID)
 				}
 				met[s.ID] = true
 			}
 		}
 		if len(met) != 6 {
-			t.Errorf("group %d met %d servers in four draws, want the first six of its order", g, len(met))
+			t.Errorf("group %d: %d servers in four samples, want the first six of its order", g, len(met))
 		}
 	}
 }
 
-// A group's member that finds no room where its group stands may open it elsewhere, but only where there is
-// room for more than itself: an overloaded day spread every group over all servers, a tie each time.
+// A request whose group is established on a full server may open the group on another server, but only if that has
+// spare capacity for more than the request. Otherwise overload spread every group over all servers, because their
+// loads were tied each time.
 func TestAGroupOpensElsewhereOnlyIntoRoom(t *testing.T) {
 	for _, c := range []struct {
 		here, there float64 // loads of the server with the group, and of the other one
@@ -76,50 +78,58 @@
 		r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
 		r.run(300 * ms)
 		if s, _ := last[Send](r); s.Server != c.sent {
-			t.Errorf("group's server at %v, the other at %v: sent to %q, want %q", c.here, c.there, s.Server, c.sent)
+			t.Errorf(
+				"load %v at the group's server, %v at the other: sent to %q, want %q",
+				c.here,
+				c.there,
+				s.Server,
+				c.sent,
+			)
 		}
 		for i := range 8 {
 			r.feed(ClientDisconnected{ID: fmt.Sprint(i)})
 		}
 		if n := r.b.servers.byID["s00"].groupConnections["g"]; c.sent != "s00" && n != 0 {
-			t.Errorf("%d of the group left when all are gone", n)
+			t.Errorf("%d connections of the group counted after all have ended", n)
 		}
 	}
 }
 
-// One of 300 balancers holds few connections, and none of most groups: what it doesn't know of stands nowhere for
-// it, or nearly every newcomer would find servers a tie fuller than they are (calm+mass 0.92 to 0.85).
+// One of 300 balancers has few connections, and none of most groups. It must treat an unknown group as established
+// nowhere; otherwise the tie margin would be added to the load of the servers for nearly every new request (one score
+// fell from 0.92 to 0.85).
 func TestAGroupThatIsNotKnownHereOpensAnywhere(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.7, 0.7
 	for i := range 3 {
 		r.feed(
 			AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i)}, Server: "s00"},
-		) // of no class: passed over
-		r.open(fmt.Sprint("o", i), "s00") // of no group
+		) // without a class: ignored
+		r.open(fmt.Sprint("o", i), "s00") // without a group
 	}
 	r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
 	r.run(300 * ms)
 	if _, sent := last[Send](r); !sent {
-		t.Error("held, though both have room and the group is not known to stand anywhere")
+		t.Error("queued, although both servers have capacity and the group is not known to be established anywhere")
 	}
 	for i := range 3 {
 		r.feed(ClientDisconnected{ID: fmt.Sprint("o", i)})
 	}
 	r.feed(Request{ID: "y", Key: "y", Class: "safe", Timeout: 2 * time.Second})
 	if s := r.b.servers.byID["s00"]; len(s.groupConnections) > 1 || r.b.groupConnections[""] != 0 {
-		t.Errorf("kept: %v and %v", s.groupConnections, r.b.groupConnections)
+		t.Errorf("entries of ended connections remain: %v and %v", s.groupConnections, r.b.groupConnections)
 	}
 }
 
-// Incident i6519c4: balancers restarted, and thousands of open connections reached others in mid-flow.
+// Incident i6519c4: balancers restarted, and the packets of thousands of established connections reached other
+// balancers, which have to find the servers of these connections.
 func TestAnotherBalancerFindsTheHolder(t *testing.T) {
 	one, two := newRig(t, testConfig(), servers(20)...), newRig(t, testConfig(), servers(20)...)
-	two.b.rng.Uint64() // another balancer has another random source
+	two.b.rng.Uint64() // balancers have different random states
 	found := 0
 	for i := range 100 {
 		for _, s := range one.b.servers.sorted {
-			one.loads[s.ID] = 0.3 + float64((i*7+int(s.idHash%13))%13)/100 // equal within noise
+			one.loads[s.ID] = 0.3 + float64((i*7+int(s.idHash%13))%13)/100 // equal except for noise
 		}
 		id := fmt.Sprint(i)
 		holder := one.connect(id)
@@ -132,12 +142,13 @@
 		two.run(time.Second)
 	}
 	if found < 90 {
-		t.Errorf("%d of 100 went to their holder", found)
+		t.Errorf("%d of 100 were sent to the server of their connection", found)
 	}
 }
 
-// Day reload: all connections in mid-flow of a balancer elsewhere, 420, went to the two regions of the zone of
-// the one that got them, which were at 1.3 of what they can do then. They stood in other zones.
+// When a balancer in another zone reloaded, all its 420 connections arrived mid-flow at one balancer, which sent them
+// to the two servers of its own zone. Their load rose to 1.3, although the connections were established in other
+// zones.
 func TestMidFlowIsNotHeapedUp(t *testing.T) {
 	list := servers(6)
 	for i := 2; i < 6; i++ {
@@ -159,21 +170,21 @@
 		r.run(500 * ms)
 	}
 	if n := sent["s00"] + sent["s01"]; n == 0 || n > 40 {
-		t.Errorf("%d of 60 went to the own zone: %v", n, sent)
+		t.Errorf("%d of 60 were sent to the own zone: %v", n, sent)
 	}
 	for _, s := range list {
 		r.loads[s.ID] = 1.2
 	}
-	r.run(10 * time.Second) // readings that never change are trusted for long
+	r.run(10 * time.Second) // readings that never change stay fresh for long
 	r.log = nil
 	r.feed(Request{ID: "x", Key: "kx", Class: "safe", Timeout: time.Second, MidFlow: true})
 	if s, ok := last[Send](r); ok {
-		t.Errorf("%v, which is full", s)
+		t.Errorf("sent to a full server: %v", s)
 	}
 }
 
-// Where a zone has many balancers, those that are left get the connections of those that stopped: they look for
-// each where another balancer of the zone would have put it first.
+// In a zone with many balancers, the remaining ones receive the connections of those that stopped. They must first try
+// the server that another balancer of the zone would have sampled first.
 func TestMidFlowIsLookedForInTheOwnZone(t *testing.T) {
 	list := servers(9)
 	for i := range list {
@@ -194,13 +205,13 @@
 			}
 		}
 		if found < k.least || found > k.most {
-			t.Errorf("%d balancers: %d of 200 were looked for where they were put", k.balancers, found)
+			t.Errorf("%d balancers: %d of 200 first samples agree", k.balancers, found)
 		}
 	}
 }
 
-// When most balancers stop, the others get their connections in mid-flow within a second, and each that is sent
-// where it didn't stand is one more there: a server near full takes its part of them only.
+// When most balancers stop, the others receive the packets of their connections within 1 s. Each connection that is
+// sent to a wrong server adds load there, so a server near full may admit only its share of them.
 func TestAWaveInMidFlowFillsNoServer(t *testing.T) {
 	sent := func(x float64) int {
 		c := testConfig()
@@ -221,13 +232,13 @@
 				r.feed(ClientDisconnected{ID: id})
 			}
 			for _, s := range r.b.servers.sorted {
-				s.estimate.placed = 0 // the others' placements are no more known than one's own here
+				s.estimate.placed = 0 // other balancers' placements are unknown, so the own ones are ignored too
 			}
 			r.run(50 * ms)
 		}
 		return n
 	}
 	if low, high := sent(0.3), sent(0.85); low < 30 || high > low/2 || high == 0 {
-		t.Errorf("of 40 in mid-flow %d were kept at a load of 0.3, %d at 0.85", low, high)
+		t.Errorf("of 40 mid-flow connections %d were sent at a load of 0.3, %d at 0.85", low, high)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -48,14 +48,14 @@
 	}
 }
 
-// rig drives one balancer and answers its probes with set loads.
+// rig runs one balancer and answers its probes with configured loads.
 type rig struct {
 	t     *testing.T
 	b     *Balancer
 	now   time.Duration
 	loads map[string]float64
 	rif   map[string]float64
-	mute  map[string]Result // probes of these servers end so
+	mute  map[string]Result // results of probes that return no report
 	log   []Action
 	wakes []time.Duration
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// run lets time pass.
+// run advances the time and fires the timers that are due.
 func (r *rig) run(d time.Duration) {
 	end := r.now + d
 	for len(r.wakes) > 0 && r.wakes[0] <= end {
@@ -115,7 +115,7 @@
 	r.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
 }
 
-// connect opens a connection on whatever server it is sent to, and returns that server.
+// connect requests a connection, establishes it on the server to which it is sent, and returns that server.
 func (r *rig) connect(id string) string {
 	r.t.Helper()
 	r.request(id, "safe")
@@ -152,9 +152,8 @@
 	return list[len(list)-1], true
 }
 
-// TestReturnProbability has its values worked by hand from Proposition 1: with n = 10 and gamma = 0.05
-// the middle branch is 1 - 9/(10*0.05) * (1 - xj/xi) = 1 - 18*(1 - xj/xi), and it ends at
-// xj/xi = 1 - 10*0.05/9 = 0.9444.
+// TestReturnProbability uses values calculated by hand from Proposition 1: with n = 10 and gamma = 0.05 the middle
+// branch is 1 - 9/(10*0.05) * (1 - xj/xi) = 1 - 18*(1 - xj/xi), and it ends at xj/xi = 1 - 10*0.05/9 = 0.9444.
 func TestReturnProbability(t *testing.T) {
 	for _, c := range []struct {
 		xi, xj, gamma float64
@@ -208,10 +207,10 @@
 		"balancers":    func(c *Config) { c.Balancers = 0 },
 		"attempts":     func(c *Config) { c.MaxAttempts = 0 },
 		"negative":     func(c *Config) { c.WarmUpDuration = -1 },
-		"cold share":   func(c *Config) { c.WarmUpInitialCapacity = 2 },
-		"no aim":       func(c *Config) { c.Classes[0].LatencyObjective = 0 },
-		"ask within":   func(c *Config) { c.PollEndpointList = true },
-		"negative aim": func(c *Config) { c.Classes[0].MessageLatencyObjective = -1 },
+		"warm-up":      func(c *Config) { c.WarmUpInitialCapacity = 2 },
+		"latency":      func(c *Config) { c.Classes[0].LatencyObjective = 0 },
+		"poll":         func(c *Config) { c.PollEndpointList = true },
+		"negative one": func(c *Config) { c.Classes[0].MessageLatencyObjective = -1 },
 	} {
 		c := testConfig()
 		change(&c)
@@ -228,17 +227,18 @@
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		if got := r.connect(id); got != "s01" {
-			t.Fatalf("request %s went to %s, which has the higher load", id, got)
+			t.Fatalf("request %s was sent to %s, which has the higher load", id, got)
 		}
 	}
 	r.loads["s00"], r.loads["s01"] = 0.1, 0.5
 	r.run(3 * time.Second)
 	if got := r.connect("later"); got != "s00" {
-		t.Errorf("went to %s after the loads had changed", got)
+		t.Errorf("sent to %s after the loads had changed", got)
 	}
 }
 
-// Outcomes of a first attempt, and what each kind of request may get next.
+// For each result of a first attempt and each idempotency, checks whether the request is sent again, rejected or
+// failed.
 func TestOutcomesAndEffects(t *testing.T) {
 	const again, refuse, fail = "send", "refuse", "fail"
 	for _, c := range []struct {
@@ -286,7 +286,7 @@
 		if c.result.MayHaveRun() && c.want == again {
 			x, y := r.b.servers.byID[first.Server], r.b.servers.byID[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
-				t.Errorf("%s: repeated out of its scope", c.class)
+				t.Errorf("%s: repeated outside its key scope", c.class)
 			}
 		}
 	}
@@ -303,8 +303,8 @@
 	if sent := all[Send](r); len(sent) > 0 {
 		t.Errorf("sent again %d times", len(sent))
 	}
-	if refused := all[Reject](r); len(refused) != 1 { // every server drops its repeats for the client too
-		t.Errorf("%d refusals", len(refused))
+	if refused := all[Reject](r); len(refused) != 1 { // servers discard repeats by the client as well
+		t.Errorf("%d rejections, want 1", len(refused))
 	}
 }
 
@@ -319,7 +319,7 @@
 	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
 	r.run(2 * time.Second)
 	if len(all[Reject](r)) != 0 || len(all[Fail](r)) != 1 || len(all[Send](r)) != 1 {
-		t.Errorf("%d sends, %d refusals, %d failures", len(all[Send](r)), len(all[Reject](r)), len(all[Fail](r)))
+		t.Errorf("%d sends, %d rejections, %d failures", len(all[Send](r)), len(all[Reject](r)), len(all[Fail](r)))
 	}
 }
 
@@ -337,9 +337,9 @@
 	r.feed(ProbeResult{Server: "nowhere"})
 	r.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
 	if len(r.log) > 0 {
-		t.Errorf("actions %v", r.log)
+		t.Errorf("unexpected actions %v", r.log)
 	}
-	r.now -= time.Minute // time stands still then
+	r.now -= time.Minute // the balancer keeps using the previous time
 	r.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
 	if _, ok := last[Reject](r); !ok {
 		t.Error("a request of an unknown class got no answer")
@@ -361,7 +361,7 @@
 		before := len(all[Subscribe](r))
 		r.run(10 * time.Second)
 		if len(all[Subscribe](r)) == before {
-			t.Fatal("silent for longer than the time to ask within")
+			t.Fatal("no call for longer than the poll interval")
 		}
 		r.feed(ServerList{Kind: ListFailed})
 	}
@@ -376,7 +376,8 @@
 	}
 }
 
-// Operators read which files decide in the deploy file, and a reader meets no long file or line.
+// The deploy file must name every file with decision logic, because operators look there. Also limits the length of
+// files and lines.
 func TestDeployFileNamesEveryDecision(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -393,7 +394,7 @@
 		}
 		named := strings.Contains(string(deploy), strconv.Quote("policy/"+name))
 		if declares := slices.Contains(declarations, name); named == declares {
-			t.Errorf("%s holds decisions: %v, named in the deploy file: %v", name, !declares, named)
+			t.Errorf("%s has decision logic: %v, named in the deploy file: %v", name, !declares, named)
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -411,7 +412,7 @@
 	}
 }
 
-// report is a load report with a load and a number of requests only.
+// report returns a load report with a load and a number of requests in flight only.
 func report(load, inFlight float64) *LoadReport {
 	return &LoadReport{Load: load, Utilization: -1, InFlight: inFlight, BacklogSeconds: -1}
 }
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	overloadedLoad    = 0.95                    // a server above this load is watched, and evacuated if it stays there
-	delayMemory       = 1500 * time.Millisecond // while messages are late, their delay is told once a second
-	maxProbeInterval  = 10 * time.Second        // of servers with connections from here
+	overloadedLoad    = 0.95                    // a server above this load is monitored, and evacuated if it stays there
+	delayMemory       = 1500 * time.Millisecond // validity of a message delay; late messages are reported once a second
+	maxProbeInterval  = 10 * time.Second        // for servers with connections from this balancer
 	ejectionStep      = 500 * time.Millisecond  // by which each failed probe lengthens the ejection, with jitter
 	maxEjectionSteps  = 8
-	faultyAfterFailed = 1 // a server is faulty after more failed probes in a row
+	faultyAfterFailed = 1 // consecutive failed probes; a server with more of them is faulty
 )
 
-// reading is a server's load as last read, by this balancer or by another one.
+// reading is the latest reading of a server's load, by this balancer or by another one.
 type reading struct {
 	load            float64
 	known           bool
 	at              time.Duration
 	overloadedSince time.Duration // 0 if it is not above overloadedLoad
-	grace           time.Duration // another balancer's reading is good for so much longer than an own one
-	peerAt          time.Duration // when the latest reading of another balancer was taken
-	own             float64       // latest own reading, which is what others are told
+	grace           time.Duration // time for which another balancer's reading stays fresh longer than an own reading
+	peerAt          time.Duration // when the latest reading of another balancer was received
+	own             float64       // latest reading of this balancer, which is reported to the others
 	ownAt           time.Duration
 }
 
-// set takes a load that was read at a time.
+// set records a load that was read at the given time.
 func (r *reading) set(load float64, at time.Duration) {
 	r.load = load
 	r.known = true
 	r.at = at
 }
 
-// probeState is the probing of a server, and its ejection as an outlier.
+// probeState is the state of a server's probes, and of its ejection as an outlier.
 type probeState struct {
 	pending      bool
 	sentAt       time.Duration
-	waiters      []*request    // for the pending probe
-	failures     int           // probes without an answer, in a row
-	ejectedUntil time.Duration // not sampled before this
+	waiters      []*request    // requests that wait for the pending probe
+	failures     int           // consecutive probes without an answer
+	ejectedUntil time.Duration // the server is not sampled before this time
 }
 
 // recovered ends the ejection of a server that has answered.
@@ -50,7 +50,7 @@
 	p.ejectedUntil = 0
 }
 
-// delayState is what a message lately took at a server, or the backlog that it reported.
+// delayState is the latest message delay at a server, or the backlog that the server reported.
 type delayState struct {
 	value time.Duration
 	at    time.Duration
@@ -61,23 +61,23 @@
 	d.at = now
 }
 
-// exceeds tells that messages lately took longer than the objective: a backlog has to drain first. An objective of
-// 0 is unknown.
+// exceeds reports whether recent messages took longer than the objective. If so, the server has to process a backlog
+// first. An objective of 0 is unknown.
 func (d *delayState) exceeds(objective, now time.Duration) bool {
 	return objective > 0 && d.value > objective && now-d.at < delayMemory
 }
 
-// faulty tells that a server does not answer.
+// faulty reports whether a server does not answer probes.
 func (s *server) faulty() bool { return s.probe.failures > faultyAfterFailed }
 
-// mostServersFaulty tells that so many servers look faulty that the fault lies elsewhere.
+// mostServersFaulty reports whether so many servers look faulty that the fault is probably not in the servers.
 func (b *Balancer) mostServersFaulty() bool {
 	return 2*b.servers.count((*server).faulty) > len(b.servers.sorted)
 }
 
-// needsProbe tells that a server should be read though no new request asks for it: for other balancers, or because
-// it holds connections from here. At thin traffic nothing else reads it, and the closer to full it was, the sooner
-// it can be overloaded.
+// needsProbe reports whether a server should be probed although no new request needs a reading: for other balancers,
+// or because this balancer has connections to it. Under light traffic nothing else probes it, and the closer to full
+// it was, the sooner it can be overloaded.
 func (b *Balancer) needsProbe(s *server) bool {
 	if s.assigned && b.now-s.probe.sentAt > b.reportLag() {
 		return true
@@ -86,9 +86,9 @@
 	return s.openConnections > 0 && b.now-max(s.probe.sentAt, s.reading.peerAt) > interval
 }
 
-// ensureReading returns true if there is a fresh reading of a server. Otherwise it sends a probe, unless one is
-// pending, and has the request wait for it if it is not nil. An answer that told nothing counts as fresh too:
-// errors must bring no more probes.
+// ensureReading reports whether there is a fresh reading of a server. If not, it sends a probe unless one is pending,
+// and registers the request, if not nil, to wait for it. A recent answer without a load counts as fresh too, because
+// errors must not cause additional probes.
 func (b *Balancer) ensureReading(s *server, r *request) bool {
 	freshSince := b.now - b.reportLag()/2
 	readingFresh := s.reading.known && s.reading.at >= freshSince-s.reading.grace
@@ -107,28 +107,28 @@
 	return false
 }
 
-// probeAgain discards the reading of a server that may be faulty, and probes it at once.
+// probeAgain discards the reading of a server that may be faulty, and probes the server at once.
 func (b *Balancer) probeAgain(s *server) {
 	s.reading.known = false
 	s.probe.sentAt = -b.reportLag()
 	b.ensureReading(s, nil)
 }
 
-// probeFinished takes a reading, or the lack of one.
+// probeFinished processes the result of a probe.
 func (b *Balancer) probeFinished(result ProbeResult) {
 	s := b.servers.byID[result.Server]
 	if s == nil {
 		return
 	}
 	s.probe.pending = false
-	if result.Result != ResultOK { // otherwise a server that is gone would be probed at each tick
+	if result.Result != ResultOK { // otherwise a server that is down would be probed at every tick
 		s.reading.overloadedSince = 0
 	}
 	unanswered := result.Result == ResultTimedOut || result.Result == ResultUnreachable
 	switch {
 	case result.Result == ResultOK && result.Report != nil:
 		b.takeReport(s, *result.Report)
-	case unanswered && !result.ServerActive: // an active server has only a slow path
+	case unanswered && !result.ServerActive: // if the server is active, only the path of the probe is slow
 		b.probeFailed(s)
 	}
 	waiters := s.probe.waiters
@@ -139,8 +139,8 @@
 	b.evacuateIfFaulty(s)
 }
 
-// probeFailed ejects a server for a while. One failure can be chance, but where connections are at stake it is
-// probed again at once.
+// probeFailed ejects a server for some time. A single failure can be chance; if the server has connections from this
+// balancer, it is probed again at once.
 func (b *Balancer) probeFailed(s *server) {
 	s.probe.failures++
 	s.probe.ejectedUntil = b.now + b.jitter(time.Duration(min(s.probe.failures, maxEjectionSteps))*ejectionStep)
@@ -149,7 +149,7 @@
 	}
 }
 
-// takeReport takes a server's own load report.
+// takeReport applies a server's load report.
 func (b *Balancer) takeReport(s *server, report LoadReport) {
 	load := b.reportedLoad(report, s.Weight)
 	if s.reading.known {
@@ -174,14 +174,14 @@
 	b.means.load += 0.05 * (load - b.means.load)
 }
 
-// shownShare is the share of the placed load that does not show in a reading of that time.
+// shownShare returns the fraction of the placed load that does not show yet in a reading taken at the given time.
 func (b *Balancer) shownShare(s *server, at time.Duration) float64 {
 	return math.Exp(-(at - s.reading.at).Seconds() / b.reportLag().Seconds())
 }
 
-// takePeerReading takes another balancer's reading with its age. The more capacity that server has left, the longer
-// the reading is as good as an own one: what is sent meanwhile matters less. A server that is unreachable to others
-// is probed, whatever is known of it.
+// takePeerReading applies another balancer's reading. The more free capacity the server has, the longer the reading
+// stays fresh, because the requests sent since then matter less. A server that other balancers report as unreachable
+// is probed at once, whatever its last reading.
 func (b *Balancer) takePeerReading(event PeerReading) {
 	s := b.servers.byID[event.Server]
 	if s == nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// takeMessageDelay takes what a message took on an established connection.
+// takeMessageDelay records the delay of a message on an established connection.
 func (b *Balancer) takeMessageDelay(event MessageDelay) {
 	s := b.servers.byID[event.Server]
 	if s == nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// resumeAfterProbe goes on with a request that waited for the reading of a server.
+// resumeAfterProbe continues a request that waited for the reading of a server.
 func (b *Balancer) resumeAfterProbe(r *request, s *server, answered bool) {
 	waits := b.requests.byID[r.ID] == r && !r.attemptPending && !r.migrating && (!r.established || r.server == s)
 	switch {
@@ -230,16 +230,16 @@
 	}
 }
 
-// ServerReading is a server's load as this balancer itself has read it.
+// ServerReading is this balancer's own reading of a server's load.
 type ServerReading struct {
 	Server       string
 	Load         float64
-	At           time.Duration // 0 if it was never read
-	FailedProbes int           // probes without an answer, in a row
+	At           time.Duration // 0 if the load was never read
+	FailedProbes int           // consecutive probes without an answer
 }
 
-// LoadReadings returns the readings of all servers that this balancer has read itself or found silent, by id.
-// Readings of other balancers are not among them.
+// LoadReadings returns, sorted by id, this balancer's own readings of all servers that it has read or that have failed
+// probes. Readings of other balancers are not included.
 func (b *Balancer) LoadReadings() []ServerReading {
 	var readings []ServerReading
 	for _, s := range b.servers.sorted {
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A refuge whose report trailed by two seconds took twenty connections a second.
+// A server with free capacity and reports delayed by 2 s was sent 20 connections per second, because the load placed
+// by the balancer itself was dropped too early.
 func TestOwnPlacementsOutlastAReport(t *testing.T) {
 	r := newRig(t, testConfig(), servers(1)...)
 	s := r.b.servers.byID["s00"]
@@ -15,16 +16,17 @@
 	r.b.now += 300 * ms
 	r.b.takeReport(s, LoadReport{Load: 0.21, InFlight: 10, BacklogSeconds: -1})
 	if s.estimate.placed < 0.25 {
-		t.Errorf("%v of 0.4 is left after 300 ms", s.estimate.placed)
+		t.Errorf("%v of the placed load of 0.4 is left after 300 ms", s.estimate.placed)
 	}
 	r.b.now += 20 * time.Second
 	r.b.takeReport(s, LoadReport{Load: 0.6, InFlight: 10, BacklogSeconds: -1})
 	if s.estimate.placed > 0.01 {
-		t.Errorf("%v of 0.4 is left after 20 s", s.estimate.placed)
+		t.Errorf("%v of the placed load of 0.4 is left after 20 s", s.estimate.placed)
 	}
 }
 
-// A third of all probes was turned away: late messages and checks in step asked for too many.
+// A third of all probes was rejected for lack of capacity, because late messages and synchronized checks caused too
+// many.
 func TestProbesFollowTraffic(t *testing.T) {
 	r := newRig(t, testConfig(), servers(40)...)
 	for i := range 20 {
@@ -47,7 +49,8 @@
 	}
 }
 
-// One probe without an answer can be chance; the next must not wait for the next check.
+// A single probe without an answer can be chance. The server must be probed again at once, not at the next regular
+// check.
 func TestSecondLookAtOnce(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	r.open("x", "s00")
@@ -56,12 +59,13 @@
 	r.b.ensureReading(r.b.servers.byID["s00"], nil)
 	r.feed(ProbeResult{Server: "s00", Result: ResultTimedOut})
 	if n := len(all[Migrate](r)); n != 1 {
-		t.Errorf("%d of 1 left after a probe and a second look", n)
+		t.Errorf("%d migrations of 1 connection after two failed probes", n)
 	}
 }
 
-// Day reload: a region that had lost its connections was held for full by a reading of 0.7 s before, though
-// regions report five times a second, while everybody came again and was refused elsewhere.
+// After a reload, a server that had lost its connections was considered full because of a reading from 0.7 s before,
+// although servers report five times per second. Meanwhile the clients reconnected and were rejected for lack of
+// capacity at other servers.
 func TestReadingsAreNotTrustedForLong(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.9, 0.9
@@ -71,21 +75,21 @@
 	r.log = nil
 	r.request("y", "safe")
 	if s, ok := last[Send](r); !ok || s.Server != "s00" {
-		t.Errorf("%v in place of a send to the region that has room again", r.log)
+		t.Errorf("actions %v, want a send to the server that has capacity again", r.log)
 	}
-	s := r.b.servers.byID["s00"] // and what was placed before counts twice no longer than it takes to show
+	s := r.b.servers.byID["s00"] // the placed load must not be counted any longer than it takes to show in reports
 	s.estimate.placed = 0.4
 	for range 8 {
 		r.run(200 * ms)
 		r.feed(ProbeResult{Server: "s00", Report: &LoadReport{Load: 0.5, InFlight: -1}})
 	}
 	if s.estimate.placed > 0.1 {
-		t.Errorf("%v still counts beside what is reported", s.estimate.placed)
+		t.Errorf("a placed load of %v still counts in addition to the reported load", s.estimate.placed)
 	}
 }
 
-// At thin traffic no newcomer reads a server for seconds. One that was near full is read for its connections' sake,
-// and left when it stays over while others have room.
+// Under light traffic no new request causes a probe for seconds. A server near full must be probed because of its
+// connections, and be evacuated if it stays overloaded while others have capacity.
 func TestServersNearFullAreWatched(t *testing.T) {
 	for _, others := range []float64{0.5, 0.85} {
 		r := newRig(t, testConfig(), servers(4)...)
@@ -98,20 +102,20 @@
 			r.open(fmt.Sprint(i), "s00")
 		}
 		r.b.takeReport(r.b.servers.byID["s00"], LoadReport{Load: 0.85, Utilization: -1, InFlight: 160, BacklogSeconds: -1})
-		r.b.exploration.nextSlotAt = r.now + time.Hour // nothing but the watch reads
+		r.b.exploration.nextSlotAt = r.now + time.Hour // no exploration, so that only the regular probes run
 		r.loads["s00"] = 0.97
 		r.run(5 * time.Second)
 		n := len(all[Migrate](r))
 		if others < newcomerLoadLimit && (n < 3 || n > 25) {
-			t.Errorf("%d of 61 left where others have room", n)
+			t.Errorf("%d of 61 migrated while other servers have capacity", n)
 		} else if others > newcomerLoadLimit && n > 0 {
-			t.Errorf("%d were sent away where nobody has room", n)
+			t.Errorf("%d migrated while no server has capacity", n)
 		}
 	}
 }
 
-// Reports that tell only how many connections a server holds say nothing of what it can hold: a hundred each
-// (the figure that stood for full) refused everybody where machines hold more.
+// Reports with only a number of connections do not show how many a server can hold. A fixed figure of 100 for a full
+// server rejected all requests where servers can hold more, so the numbers are only compared with each other.
 func TestReportsWithoutALoadOnlyCompare(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	held := map[string]float64{"s00": 240, "s01": 250, "s02": 260, "s03": 700}
@@ -134,13 +138,13 @@
 		r.now += 50 * ms
 	}
 	if n := sent["s00"] + sent["s01"] + sent["s02"]; n < 50 || sent["s03"] > 0 {
-		t.Errorf("sent %v: want nearly all 60 to the three even ones, none to the one with thrice as many", sent)
+		t.Errorf("sent %v: want nearly all 60 to the three similar servers, none to the one with three times as many", sent)
 	}
 }
 
-// A server whose work piles up reads ten times over with few connections: that says how slow it is, not what a
-// connection weighs. Held for its weight it poisoned the others' mean, and so the cold ones' budgets, and it kept
-// the server empty when it was well again.
+// A server with a backlog reports ten times its capacity with few connections. This load shows how slow the server is,
+// not the work of a connection. Used as a load step, it distorted the mean of all servers, and with it the warm-up
+// budgets, and it kept the server empty after it had recovered.
 func TestAHangTellsNothingOfWeights(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	for _, s := range r.b.servers.sorted {
@@ -154,7 +158,7 @@
 	r.loads["s00"], r.rif["s00"] = 9, 3
 	r.run(10 * time.Second)
 	if got := r.b.means.step; got > 0.015 {
-		t.Errorf("the mean connection adds %.3f, it is 0.010", got)
+		t.Errorf("the load step of a mean connection is %.3f, want 0.010", got)
 	}
 	r.loads["s00"], r.rif["s00"] = 0, 0
 	r.b.takeReport(s, LoadReport{Load: 0, Utilization: -1, InFlight: 0, BacklogSeconds: -1})
@@ -162,7 +166,7 @@
 		s,
 	)/(1+s.estimate.penalty) < 5 {
 		t.Errorf(
-			"well again and empty it has room for %.1f: step %.3f, doubt %.1f",
+			"recovered and empty, the server has capacity for %.1f: step %.3f, penalty %.1f",
 			(newcomerLoadLimit-s.reading.load)/r.b.loadStep(s)/(1+s.estimate.penalty),
 			r.b.loadStep(s),
 			s.estimate.penalty,
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// shouldReject tells that a waiting request should be given up now: no worth is left after its latency objective.
+// shouldReject reports whether a waiting request should get its final answer now. A connection established after the
+// latency objective has no value.
 func (b *Balancer) shouldReject(r *request) bool {
 	return b.lease == LeaseExpired || b.now >= r.receivedAt+r.class.LatencyObjective || b.overdue(r)
 }
 
-// answerFinally closes a request that has no attempt pending. It is rejected where another try is harmless, and
-// failed otherwise.
+// answerFinally closes a request that has no pending attempt. The request is rejected if a retry is safe, and failed
+// otherwise.
 func (b *Balancer) answerFinally(r *request) {
 	class := r.class
 	harmless := r.mayHaveRunAt < 0 ||
@@ -23,7 +24,7 @@
 	b.forget(r)
 }
 
-// rejectionReason names what kept a request from being placed.
+// rejectionReason returns the reason for which a request was not placed.
 func (b *Balancer) rejectionReason(r *request) string {
 	switch {
 	case b.lease != LeaseActive:
@@ -42,14 +43,14 @@
 	return b.nearestObstacle(r)
 }
 
-// obstacles are the reasons for which a server did not take a request, in the order in which they are looked at.
+// obstacles lists the reasons for which a server is not used for a request, in the order of the checks.
 var obstacles = []string{
 	reasonBeyondSubset, reasonAlreadyTried, reasonEjected, reasonMessageDelay,
 	reasonServerFull, reasonOverloadPenalty, reasonWarmUpBudget, reasonRandomChoice,
 }
 
-// nearestObstacle is the reason of the server that came nearest to taking a request, of those it sampled, or else
-// of all.
+// nearestObstacle returns the reason of the server that passed the most checks, among the sampled servers or else among
+// all.
 func (b *Balancer) nearestObstacle(r *request) string {
 	nearest := -1
 	for _, s := range b.servers.sorted {
@@ -64,8 +65,8 @@
 	return obstacles[nearest]
 }
 
-// obstacle is the index of what kept a server from taking a request. It refills the warm-up budget of every server
-// that it looks at.
+// obstacle returns the index in obstacles of the first check that a server fails for a request. As a side effect it
+// refills the server's warm-up budget.
 func (b *Balancer) obstacle(s *server, r *request) int {
 	budgetSpent := b.warmUpCapacity(s) < 1 && b.refillWarmUpBudget(s) < 1
 	capacity := b.capacityLeft(s, r, newcomerLoadLimit)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -8,38 +8,38 @@
 // request is a client's request, from its arrival to the end of its connection.
 type request struct {
 	Request
-	migration  // that brought it here
+	migration  // that caused this request
 	class      *Class
 	tenant     *tenantState // nil if its tenant has no quota
 	receivedAt time.Duration
-	deadline   time.Duration // of its final answer
+	deadline   time.Duration // for its final answer
 
-	// The latest attempt.
+	// Latest attempt.
 	attempts       int
 	attemptPending bool // not established yet
 	attemptSentAt  time.Duration
 	server         *server // of the latest attempt, or of the connection
 
-	// What earlier attempts have left behind.
+	// Results of earlier attempts.
 	mayHaveRunAt time.Duration // when the first attempt that may have run was sent; -1 if there is none
 	mayHaveRunOn *server
 	failedSetups int
 
-	// While it waits for a server.
+	// State while waiting for a server.
 	samples         int       // taken so far
 	sampled         []*server // latest sample, waiting for readings
 	nextPlacementAt time.Duration
 
-	// Once it is established.
+	// State once established.
 	established       bool
-	migrating         bool // the client was told to come again
+	migrating         bool // the host was instructed to close the connection, so that the client reconnects
 	explorationTarget *server
 }
 
 // requestSet holds all requests that are not closed.
 type requestSet struct {
 	byID        map[string]*request
-	waiting     []*request // no attempt is pending; in the order of arrival
+	waiting     []*request // requests without a pending attempt, in the order of arrival
 	established []*request // in the order of establishment
 }
 
@@ -69,7 +69,7 @@
 	return r
 }
 
-// adopt takes over a connection that was established before this balancer started.
+// adopt registers a connection that was established before this balancer started.
 func (b *Balancer) adopt(a AdoptedConnection) {
 	class, s := b.classes.byName[a.Class], b.servers.byID[a.Server]
 	if class == nil || s == nil || b.requests.byID[a.ID] != nil {
@@ -80,7 +80,7 @@
 	b.establish(r)
 }
 
-// establish counts a request's connection.
+// establish marks a request as established and counts its connection.
 func (b *Balancer) establish(r *request) {
 	r.established = true
 	b.requests.established = append(b.requests.established, r)
@@ -94,7 +94,7 @@
 	}
 }
 
-// forget drops a request that is closed, with its attempt or connection.
+// forget removes a closed request, together with its attempt or connection.
 func (b *Balancer) forget(r *request) {
 	delete(b.requests.byID, r.ID)
 	b.requests.dequeue(r)
@@ -112,7 +112,7 @@
 	r.server.openConnections--
 	for _, groups := range []map[string]int{r.server.groupConnections, b.groupConnections} {
 		groups[r.Group]--
-		if groups[r.Group] <= 0 { // also the entry of connections that belong to no group
+		if groups[r.Group] <= 0 { // this also deletes the entry of connections that belong to no group
 			delete(groups, r.Group)
 		}
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// clientDisconnected closes a request whose client has gone. For one that only ended its sending, no attempt begins
-// after a grace.
+// clientDisconnected closes the request of a client that has disconnected. If the client has closed only its sending
+// side, no attempt starts after DisconnectGrace.
 func (b *Balancer) clientDisconnected(event ClientDisconnected) {
 	r := b.requests.byID[event.ID]
 	switch {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	maxRetryTokens   = 16.0 // of a retry budget that was not used
-	deadlineTicks    = 3    // an attempt that starts so many ticks before the deadline would end too late
-	slowSetupsFactor = 4    // an attempt may take so many times the mean set-up
+	maxRetryTokens   = 16.0 // limit of unused retries in the budget
+	deadlineTicks    = 3    // an attempt that starts this many ticks before the deadline would end too late
+	slowSetupsFactor = 4    // an attempt may take this many times the mean set-up time
 )
 
-// retryBudget limits the retries of all requests together.
+// retryBudget limits the total number of retries of all requests.
 type retryBudget struct{ tokens float64 }
 
-// refill adds what a new request allows.
+// refill adds the retries that one new request allows.
 func (b *retryBudget) refill(ratio float64) { b.tokens = min(maxRetryTokens, b.tokens+ratio) }
 
 func (b *retryBudget) spend() { b.tokens-- }
 
-// retriesSpent tells that the request may not be tried again for want of a common budget.
+// retriesSpent reports whether the request may not be retried because the common retry budget is used up.
 func (b *Balancer) retriesSpent(r *request) bool {
 	return b.config.RetryRatio > 0 && b.retries.tokens < 1 && r.attempts > 0
 }
 
-// exhausted tells that a request gets no further attempt: for its deadline, their number, the common budget, or
-// since one that must not be repeated may have run.
+// exhausted reports whether a request gets no further attempt, because of its deadline, the limit of attempts or the
+// common retry budget, or because it must not be repeated and an attempt may have run.
 func (b *Balancer) exhausted(r *request) bool {
 	return b.retriesSpent(r) ||
 		b.overdue(r) ||
@@ -30,11 +30,11 @@
 		r.mayHaveRunAt >= 0 && r.class.Idempotency == NotIdempotent
 }
 
-// overdue tells that an attempt could end too late for an answer in time.
+// overdue reports whether a new attempt could end too late for an answer before the deadline.
 func (b *Balancer) overdue(r *request) bool { return b.now >= r.deadline-deadlineTicks*b.tickInterval }
 
-// mayRepeat tells whether a request may be sent to a server as far as repeats are concerned: one that may have run
-// goes only where the repeat does no harm.
+// mayRepeat reports whether sending the request to a server is safe with regard to repeats: a request that may have run
+// is sent only where a repeat is harmless.
 func (b *Balancer) mayRepeat(s *server, r *request) bool {
 	class := r.class
 	if r.mayHaveRunAt < 0 || class.Idempotency == Idempotent {
@@ -45,7 +45,7 @@
 		b.now-r.mayHaveRunAt <= class.KeyTTL
 }
 
-// shared tells whether two servers drop each other's repeats.
+// shared reports whether two servers discard each other's repeats.
 func (k KeyScope) shared(a, b *server) bool {
 	switch k {
 	case KeyScopeZone:
@@ -56,8 +56,8 @@
 	return true
 }
 
-// attemptTimeout is when an attempt that starts now times out, 0 for the client's own deadline. One attempt should
-// leave time for another, unless set-ups take long everywhere.
+// attemptTimeout returns the time at which an attempt that starts now times out, or 0 for the client's own deadline. An
+// attempt should leave time for another one, unless set-ups are slow at all servers.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	objective := r.class.LatencyObjective
 	timeout := b.now + max(objective, time.Duration(slowSetupsFactor*b.setups.meanMillis)*time.Millisecond)
@@ -67,8 +67,8 @@
 	return timeout
 }
 
-// attemptEnded closes an established request, or looks for another server. A request that explored returns to its
-// earlier server, since a failed attempt counts as a load above the old one.
+// attemptEnded closes an established request, or places one that is not established again. A request that explored
+// returns to its earlier server, because a failed attempt counts as a higher load than the earlier server's.
 func (b *Balancer) attemptEnded(event AttemptEnded) {
 	r := b.requests.byID[event.ID]
 	if r == nil || event.Attempt != r.attempts-1 || !r.attemptPending && !r.established {
@@ -92,8 +92,8 @@
 	b.place(r)
 }
 
-// countEndedAttempt tells the set-up limiter of an attempt that was not established. A time-out counts with the
-// latency objective, and the server's probe will tell whether it is this server or all.
+// countEndedAttempt reports an attempt that was not established to the set-up limiter. A time-out counts with the
+// latency objective as its duration, and triggers a probe, which shows whether only this server has a fault or all do.
 func (b *Balancer) countEndedAttempt(r *request, result Result) {
 	took := time.Duration(b.setups.meanMillis) * time.Millisecond
 	if result == ResultTimedOut || result == ResultUnreachable {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Incident rules-3: a retry sent 60 ms before the deadline ended after it, and no answer was in time.
+// Incident rules-3: a retry sent 60 ms before the deadline ended after the deadline, so the client got no answer in
+// time.
 func TestNoAttemptCloseToTheDeadline(t *testing.T) {
 	r := newRig(t, testConfig(), servers(4)...)
 	r.request("x", "safe")
@@ -15,14 +16,14 @@
 	r.log = nil
 	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultFailed})
 	if len(r.log) != 1 {
-		t.Fatalf("actions %v", r.log)
+		t.Fatalf("actions %v, want a final answer only", r.log)
 	}
 	if _, ok := r.log[0].(Reject); !ok {
-		t.Errorf("%T in place of the final answer", r.log[0])
+		t.Errorf("%T instead of the final answer", r.log[0])
 	}
 }
 
-// A session store in trouble answered nine set-ups in ten with an error, each of which came again at once.
+// A faulty session store answered nine of ten set-ups with an error, and each of them was retried at once.
 func TestErrorsAtManyServersSlowSetUpsDown(t *testing.T) {
 	r := newRig(t, testConfig(), servers(10)...)
 	sent := 0
@@ -43,10 +44,10 @@
 		t.Errorf("%d sends in 200 ms while every set-up fails", sent)
 	}
 	if r.b.setups.limit > 4 {
-		t.Errorf("%v set-ups may still be under way", r.b.setups.limit)
+		t.Errorf("%v set-ups may still be pending", r.b.setups.limit)
 	}
 	if r.b.mayExplore(&request{Request: Request{Key: "k"}, class: r.b.classes.byName["safe"]}) {
-		t.Error("connections would still be broken to explore")
+		t.Error("connections may still be migrated to explore")
 	}
 }
 
@@ -59,12 +60,12 @@
 		r.b.countEndedAttempt(&request{server: bad, class: r.b.classes.byName["safe"]}, ResultFailed)
 	}
 	if r.b.setups.limit < window {
-		t.Errorf("the window fell from %v to %v", window, r.b.setups.limit)
+		t.Errorf("the limit fell from %v to %v", window, r.b.setups.limit)
 	}
 }
 
-// Day rude: lines that no region can use are answered with an error by each. Eight of them among sound ones
-// cut the window of set-ups to one and made everybody wait.
+// Invalid requests are answered with an error by every server. Eight of them among valid ones reduced the limit of
+// pending set-ups to 1 and made all clients wait.
 func TestUnusableRequestsDontSlowOthersDown(t *testing.T) {
 	r := newRig(t, testConfig(), servers(5)...)
 	for i := range 40 {
@@ -84,13 +85,13 @@
 			}
 		}
 		if r.b.setups.limit < 8 || r.b.setups.pausedUntil > r.now {
-			t.Fatalf("after %d requests the window is %v", i+1, r.b.setups.limit)
+			t.Fatalf("after %d requests the limit is %v", i+1, r.b.setups.limit)
 		}
 	}
 }
 
-// Clients that came again in a wave were refused after 0.75 of the time in which they want to stand, and came
-// again at once, while regions had room or were about to report it.
+// Clients that reconnected in a burst were rejected after 0.75 of the latency objective and reconnected at once, while
+// servers had capacity or were about to report it.
 func TestHeldUntilTheAim(t *testing.T) {
 	r := newRig(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.95, 0.95
@@ -101,7 +102,7 @@
 	r.loads["s00"] = 0.2
 	r.run(105 * ms)
 	if s, ok := last[Send](r); !ok || s.Server != "s00" {
-		t.Errorf("%v in place of a send where there is room", r.log)
+		t.Errorf("actions %v, want a send to the server with capacity", r.log)
 	}
 	r.loads["s00"] = 0.95
 	r.run(2 * time.Second)
@@ -109,6 +110,6 @@
 	r.request("y", "safe")
 	r.run(510 * ms)
 	if _, ok := last[Reject](r); !ok {
-		t.Errorf("%v in place of a refusal at the aim", r.log)
+		t.Errorf("actions %v, want a rejection at the latency objective", r.log)
 	}
 }
--- a/policy/revised_test.go
+++ b/policy/revision_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// asks has n newcomers of a class ask, answers all probes with the same load, and counts where they were sent. Each
-// leaves at once; refused tells how many got their final answer.
+// asks sends n new requests of a class, answers all probes with load x, and counts the attempts at each server. Each
+// client disconnects at once. It also returns the number of rejections.
 func asks(b *Balancer, now time.Duration, n int, class string, x float64) (at map[string]int, refused int) {
 	at = map[string]int{}
 	for i := range n {
@@ -29,8 +29,8 @@
 	return at, refused
 }
 
-// Guards: a region or zone of weight 0 takes nothing new, a weight draws by as much, and a connection in mid-flow
-// still goes where it stands.
+// A server or zone of weight 0 gets no new requests, a server of a lower weight is sampled less in proportion, and a
+// mid-flow connection is still sent to its server.
 func TestRevisionsLeaveOutAndWeigh(t *testing.T) {
 	b, now := listed(t, 6, func(c *Config) { c.Weights = map[string]float64{"s1": 0, "s2": 0.05} })
 	at, _ := asks(b, now, 400, "safe", 0.2)
@@ -43,19 +43,20 @@
 		mayHaveRunAt: -1,
 	}
 	if !b.usable(b.servers.byID["s1"], r) {
-		t.Error("a connection in mid-flow can't stay where it stands")
+		t.Error("a mid-flow connection can't continue on a server of weight 0")
 	}
 	if r.MidFlow = false; b.usable(b.servers.byID["s1"], r) {
-		t.Error("a newcomer may go where nothing new goes")
+		t.Error("a server of weight 0 is usable for a new request")
 	}
 	zone, _ := listed(t, 6, func(c *Config) { c.Weights = map[string]float64{"zone/a": 0} })
 	if at, _ := asks(zone, now, 50, "safe", 0.2); len(at) > 0 {
-		t.Errorf("sent into a zone that is left out: %v", at)
+		t.Errorf("sent to a zone of weight 0: %v", at)
 	}
 }
 
-// Guards: between two revisions nothing is placed and nobody is refused before the aim; without a permit all who
-// wait are refused at once, and with one again they are placed.
+// While the lease is suspended between two revisions, nothing is placed and nothing is rejected before the latency
+// objective. When the lease has expired, all waiting requests are rejected at once; when it is active again, requests
+// are placed.
 func TestNothingIsPlacedWithoutAPermit(t *testing.T) {
 	b, now := listed(t, 4, nil)
 	b.Step(now, LeaseSuspended, nil)
@@ -65,7 +66,7 @@
 	for _, a := range out {
 		switch a.(type) {
 		case Send, Reject, Fail:
-			t.Fatalf("between two revisions: %#v", a)
+			t.Fatalf("with a suspended lease: %#v", a)
 		}
 	}
 	out = b.Step(now+60*time.Millisecond, LeaseExpired, nil)
@@ -76,16 +77,16 @@
 		}
 	}
 	if refused != 1 {
-		t.Errorf("refused %d times", refused)
+		t.Errorf("rejected %d times, want once", refused)
 	}
 	b.Step(now+time.Second, LeaseActive, nil)
 	if at, _ := asks(b, now+time.Second, 20, "safe", 0.2); len(at) == 0 {
-		t.Error("nobody was placed with a permit")
+		t.Error("nothing was placed with an active lease")
 	}
 }
 
-// Guards: where room is scarce the class of the last order gives way first, and a full link lets only the first
-// orders through.
+// If capacity is scarce, the class of the lowest priority is rejected first, and a saturated link admits only the
+// highest priorities.
 func TestOrdersOfClasses(t *testing.T) {
 	b, now := listed(t, 4, func(c *Config) {
 		c.Classes = []Class{
@@ -96,17 +97,17 @@
 	first, _ := asks(b, now, 100, "first", 0.72)
 	last, _ := asks(b, now+2000*time.Second, 100, "last", 0.72)
 	if len(first) == 0 || len(last) > 0 {
-		t.Errorf("at 0.72 of their load, sent of the first class: %v, of the last: %v", first, last)
+		t.Errorf("at a load of 0.72, sent of the first class: %v, of the last: %v", first, last)
 	}
 	b.Step(now+4000*time.Second, SaturatedLinks{Zones: map[string]int{"a": 1}}, nil)
 	first, _ = asks(b, now+4000*time.Second, 50, "first", 0.2)
 	last, _ = asks(b, now+6000*time.Second, 50, "last", 0.2)
 	if len(first) == 0 || len(last) > 0 {
-		t.Errorf("over a full link: %v, %v", first, last)
+		t.Errorf("over a saturated link, sent of the first class: %v, of the last: %v", first, last)
 	}
 }
 
-// Guards: further attempts of all requests keep to their budget, and a class to its own bound.
+// The retries of all requests respect the retry budget, and the attempts of a class respect its own limit.
 func TestBudgetsOfAttempts(t *testing.T) {
 	tries := func(change func(c *Config)) (n int) {
 		b, now := listed(t, 8, change)
@@ -131,11 +132,11 @@
 	budget := tries(func(c *Config) { c.RetryRatio = 0.1 })
 	own := tries(func(c *Config) { c.Classes[0].MaxAttempts = 1 })
 	if free < 300 || budget > 200+int(maxRetryTokens)+21 || own != 200 {
-		t.Errorf("attempts: %d without a budget, %d with a tenth, %d with one a request", free, budget, own)
+		t.Errorf("attempts: %d without a budget, %d with a ratio of 0.1, %d with one per request", free, budget, own)
 	}
 }
 
-// Guards: connections that stand where nothing new goes leave at the rate that the revision says, or stay.
+// Connections established on a server of weight 0 are migrated at the rate of the revision, or stay if the rate is 0.
 func TestStandingConnectionsLeaveAtARate(t *testing.T) {
 	for _, moves := range []float64{0, 5} {
 		b, now := listed(t, 4, nil)
@@ -154,7 +155,7 @@
 			}
 		}
 		if moves == 0 && n > 3 || moves > 0 && (n < 8 || n > 36) {
-			t.Errorf("%v a second: %d moved in 4 s", moves, n)
+			t.Errorf("at %v migrations per second: %d in 4 s", moves, n)
 		}
 	}
 }
--- a/policy/sampling.go
+++ b/policy/sampling.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	crossZoneSamplingFactor   = 40.0 // exponent by which other zones are sampled less, over the cost of a crossing
+	crossZoneSamplingFactor   = 40.0 // exponent per unit of cross-zone cost by which other zones are sampled less
 	manyBalancersPerZone      = 4
-	samplesInSubset           = 2 // a request that found no capacity so often looks beyond the subset
+	samplesInSubset           = 2 // samples without capacity after which a request considers servers beyond the subset
 	sampledServersPerDecision = 2
 )
 
-// sample picks two usable servers at random, with less weight for those of other zones and those that warm up.
+// sample picks two usable servers at random, with less weight for those in other zones and those warming up.
 //
-// The samples of a group, and the first one of a key, follow from that group or key alone: a balancer that gets a
-// connection in mid-flow may find its server, which another balancer chose. What a group's first two servers have
-// no capacity for goes on to the next ones in the same order.
+// All samples of a group, and the first sample of a key, depend only on that group or key. A balancer that receives a
+// mid-flow connection can thus find the server that another balancer chose for it. If the first two servers of a group
+// have no capacity, the next two in the same order are sampled.
 func (b *Balancer) sample(r *request) []*server {
 	r.samples++
 	salt := b.sampleSalt(r)
 	candidates := b.sampleCandidates(r)
 	preferOwnZone := r.samples == 1 && (!r.MidFlow || b.zonesHaveManyBalancers())
 	for _, s := range candidates {
-		// Only few balancers may send to a warming server at any time, so that each of these samples it sooner.
+		// Only few balancers have budget for a warming server at any time, so each of those samples it more often.
 		weight := s.sampleWeight * b.warmUpCapacity(s) / b.sendProbability(s)
 		if preferOwnZone && s.Zone != b.config.Zone {
 			weight *= math.Exp(-crossZoneSamplingFactor * b.config.CrossZoneCost)
@@ -47,7 +47,7 @@
 	return hashText(cmp.Or(r.Group, r.Key))
 }
 
-// sampleCandidates lists the servers that may be sampled. Ejected servers are among them while most servers look
+// sampleCandidates returns the servers that may be sampled. Ejected servers are included while most servers look
 // faulty.
 func (b *Balancer) sampleCandidates(r *request) []*server {
 	ignoreEjection := b.mostServersFaulty()
@@ -59,9 +59,9 @@
 	})
 }
 
-// zonesHaveManyBalancers tells that a zone has enough balancers for some to be left when others stop. Then
-// connections in mid-flow come from a balancer of this one's zone, which sampled as this one does; otherwise their
-// zone is unknown.
+// zonesHaveManyBalancers reports whether a zone has so many balancers that some remain when others stop. If so,
+// mid-flow connections come from a balancer of the own zone, which sampled in the same way; otherwise their zone is
+// unknown.
 func (b *Balancer) zonesHaveManyBalancers() bool {
 	zones := map[string]bool{b.config.Zone: true}
 	for _, s := range b.servers.sorted {
@@ -70,8 +70,8 @@
 	return b.config.Balancers >= manyBalancersPerZone*len(zones)
 }
 
-// uniform turns a sum of hashes into a number that is uniform in (0, 1). The mixing steps are those of the
-// SplitMix64 generator.
+// uniform maps a sum of hashes to a uniformly distributed number in (0, 1), with the mixing steps of the SplitMix64
+// generator.
 func uniform(x uint64) float64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// server is an entry of the endpoint list with what this balancer knows of it.
+// server is an entry of the endpoint list, together with this balancer's state for it.
 type server struct {
 	Server
 	idHash       uint64
-	sampleRank   float64 // in the sample being taken
-	sampleWeight float64 // by the revision in force; 0 takes no new requests
-	excluded     bool    // not one of the candidates
-	assigned     bool    // this balancer probes it for the others as well
+	sampleRank   float64 // in the current sample
+	sampleWeight float64 // in the active revision; a server of weight 0 gets no new requests
+	excluded     bool    // not in the candidate subset
+	assigned     bool    // this balancer probes the server for the others as well
 
 	openConnections  int
 	groupConnections map[string]int // by group
@@ -24,17 +24,17 @@
 	probe            probeState
 	delay            delayState
 	warmUp           warmUpState
-	nextEvacuationAt time.Duration // the effect of the last evacuation has to show first
+	nextEvacuationAt time.Duration // no evacuation before this, so that the effect of the previous one shows first
 }
 
 // serverSet holds the servers of the endpoint list.
 type serverSet struct {
 	byID     map[string]*server
 	sorted   []*server // by id
-	restored []*server // live again after draining, and not sent to since
+	restored []*server // live again after draining, without a new request since
 }
 
-// count returns how many servers satisfy the condition.
+// count returns the number of servers that satisfy the condition.
 func (s *serverSet) count(condition func(*server) bool) (n int) {
 	for _, server := range s.sorted {
 		if condition(server) {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// get returns the server of an entry, which it adds if it is new.
+// get returns the server of an entry, and adds it if it is new.
 func (s *serverSet) get(entry Server) *server {
 	known := s.byID[entry.ID]
 	if known == nil {
@@ -55,7 +55,7 @@
 	return known
 }
 
-// removeGone drops servers that are gone, and restores the order.
+// removeGone removes servers in state Gone, and sorts the rest.
 func (s *serverSet) removeGone() {
 	for _, server := range s.sorted {
 		if server.State == Gone {
@@ -67,7 +67,7 @@
 	slices.SortFunc(s.sorted, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// mergeServers applies an endpoint list, or the changes of one.
+// mergeServers applies an endpoint list or a delta.
 func (b *Balancer) mergeServers(list ServerList) {
 	listed := make(map[string]bool, len(list.Servers))
 	for _, entry := range list.Servers {
--- a/policy/random_test.go
+++ b/policy/simulation_rules_test.go
@@ -18,7 +18,7 @@
 			}
 		}
 		if sends < 100 {
-			t.Errorf("seed %d: only %d sends, the day tests nothing", seed, sends)
+			t.Errorf("seed %d: only %d attempts, too few for the test", seed, sends)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -26,7 +26,7 @@
 	}
 }
 
-// Whatever other balancers say, true or not, and however often: the rules hold, and requests get their answers.
+// The rules hold and requests get their answers whatever other balancers report, right or wrong, and however often.
 func TestRulesHoldWhateverOthersSay(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newWorld(t, seed, 30)
--- a/policy/world_test.go
+++ b/policy/simulation_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// due is an event of the random world, at its time.
+// due is a scheduled event of the simulation.
 type due struct {
 	at  time.Duration
 	seq int
@@ -32,7 +32,7 @@
 	return last
 }
 
-// ledger is what the world knows of a request.
+// ledger is the simulation's record of a request.
 type ledger struct {
 	class    Class
 	deadline time.Duration
@@ -40,21 +40,21 @@
 	onServer string
 	attempts int
 	ran      []string      // servers on which an attempt may have run
-	ranAt    time.Duration // send of the first of these
+	ranAt    time.Duration // when the first of these was sent
 	sentAt   time.Duration
 	answered bool
 	stands   bool
 }
 
-// coldSend is a send to a cold server, with the rate of sends that its reports then spoke for.
+// coldSend is an attempt sent to a warming server, with the rate of requests that its reports allowed then.
 type coldSend struct {
 	at       time.Duration
 	capacity float64
 }
 
-// world feeds one balancer with legal events at random and checks the rules from the outside.
+// world passes random valid events to one balancer and checks its actions against the rules.
 type world struct {
-	others   bool // they say things
+	others   bool // random events from other balancers are added
 	t        interface{ Errorf(string, ...any) }
 	rng      *rand.Rand
 	cfg      Config
@@ -63,21 +63,21 @@
 	q        queue
 	seq      int
 	requests map[string]*ledger
-	state    map[string]Server        // as the balancer was told
-	toldAt   map[string]time.Duration // of draining or gone
+	state    map[string]Server        // by id, as last sent to the balancer
+	toldAt   map[string]time.Duration // when the balancer was notified that the server is draining or gone
 	coldSent map[string][]coldSend
 	actions  []Action
 	broken   int
-	life     time.Duration                     // of a connection, at most
-	groups   int                               // that connections belong to
-	grace    time.Duration                     // after a draining server was told, in which sends still may reach it
-	news     time.Duration                     // after which what discovery tells is told on (a deliberate break)
-	report   func(x, held float64) *LoadReport // the fields that reports have here
-	loads    float64                           // highest X that servers report
-	truth    map[*LoadReport]float64           // X of the reports under way
-	reads    map[string]float64                // X of the latest report
-	over     int                               // sends of newcomers to a server that reads overloaded
-	goaway   bool                              // draining servers send their connections away
+	life     time.Duration                     // maximum lifetime of a connection
+	groups   int                               // number of connection groups
+	grace    time.Duration                     // after a notification of draining, in which attempts may still be sent
+	news     time.Duration                     // delay of endpoint list updates (fault injection)
+	report   func(x, held float64) *LoadReport // builds the load reports
+	loads    float64                           // highest load that servers report, if above 1.2
+	truth    map[*LoadReport]float64           // loads of the reports in flight
+	reads    map[string]float64                // load of the latest report
+	over     int                               // attempts sent to a server whose latest report shows overload
+	goaway   bool                              // draining servers close their connections
 	sends    int
 }
 
@@ -96,7 +96,7 @@
 	return time.Duration(low+w.rng.IntN(high-low)) * ms
 }
 
-const slack = 16 * ms // a final answer may come this much after the deadline
+const slack = 16 * ms // a final answer may be this late after the deadline
 
 func newWorld(t *testing.T, seed uint64, seconds int) *world {
 	cfg := testConfig()
@@ -113,8 +113,8 @@
 	return worldOf(t, cfg, b, seed, seconds, 60)
 }
 
-// worldOf lets a balancer live under settings, which need not be those that it was told. Requests are up to gap
-// milliseconds apart.
+// worldOf returns a simulation of a balancer under the given settings, which may differ from the balancer's own.
+// Requests are up to gap milliseconds apart.
 func worldOf(t interface{ Errorf(string, ...any) }, cfg Config, b *Balancer, seed uint64, seconds, gap int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, b: b, now: time.Hour,
 		requests: map[string]*ledger{}, state: map[string]Server{}, toldAt: map[string]time.Duration{},
@@ -141,7 +141,7 @@
 	return w
 }
 
-// zoned are servers of two zones, each with both cells. A server never changes its zone.
+// zoned returns n servers in two zones, each with both cells. A server never changes its zone.
 func zoned(n int) []Server {
 	list := servers(n)
 	for i := range list {
@@ -150,7 +150,7 @@
 	return list
 }
 
-// change is a random event about the list.
+// change returns a random event of the endpoint list.
 func (w *world) change() Event {
 	if w.rng.IntN(4) == 0 {
 		return ServerList{Kind: ListFailed}
@@ -160,7 +160,7 @@
 		if w.rng.IntN(4) == 0 {
 			s.State = ServerState(w.rng.IntN(3))
 			if s.State == Live && w.rng.IntN(2) == 0 {
-				s.StartedAt = -1 // now, see step
+				s.StartedAt = -1 // replaced by the current time when the event is delivered
 			}
 			l.Servers = append(l.Servers, s)
 		}
@@ -188,13 +188,13 @@
 	}
 	for id, r := range w.requests {
 		if !r.answered && !r.stands {
-			w.fault("%s never got an answer", id)
+			w.fault("%s got no answer", id)
 		}
 	}
 }
 
-// said is anything that other balancers may tell, true or not. Sharers are as many as the settings' balancers at
-// the least: the sum of all parts is not this module's to keep.
+// said returns a random event from other balancers, right or wrong. BudgetDivisor is at least the number of balancers
+// in the settings, because this package does not guarantee the sum over all balancers.
 func (w *world) said() Event {
 	ids := []string{"nobody"}
 	for id := range w.state {
@@ -230,7 +230,7 @@
 	}
 }
 
-// before keeps the world's own account of an event, and drops events that are out of date.
+// before updates the simulation's records for an event, and reports false for events that must not be delivered.
 func (w *world) before(ev Event) (Event, bool) {
 	switch ev := ev.(type) {
 	case TimerFired:
@@ -258,7 +258,7 @@
 			s := &ev.Servers[i]
 			if s.StartedAt < 0 {
 				s.StartedAt = w.now
-				delete(w.coldSent, s.ID) // a new start, a new budget
+				delete(w.coldSent, s.ID) // each start has its own budget
 			}
 			if s.State == Live {
 				delete(w.toldAt, s.ID)
@@ -292,10 +292,10 @@
 	return ev, true
 }
 
-// lateList is a list whose news reach the balancer late.
+// lateList is a list whose delivery to the balancer was delayed.
 type lateList struct{ ServerList }
 
-// sendAway has a draining server end its connections.
+// sendAway closes the connections of a draining server.
 func (w *world) sendAway(server string) {
 	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 		if r := w.requests[id]; r.stands && !r.answered && r.onServer == server {
@@ -321,7 +321,7 @@
 func (w *world) overdue() {
 	for id, r := range w.requests {
 		if !r.answered && !r.stands && w.now > r.deadline+slack {
-			w.fault("%s (%s) got no answer in its time", id, r.class.Name)
+			w.fault("%s (%s) got no answer before its deadline", id, r.class.Name)
 			r.answered = true
 		}
 	}
@@ -337,10 +337,10 @@
 		r := w.requests[a.ID]
 		k := r.class
 		if len(r.ran) > 0 && k.Idempotency != Idempotent && (k.Idempotency != IdempotentByKey || k.KeyScope != KeyScopeAll) {
-			w.fault("%s (%s) refused though it may have run", a.ID, k.Name)
+			w.fault("%s (%s) rejected although it may have run", a.ID, k.Name)
 		}
 		if a.RetryAfter > w.cfg.MaxRetryAfter {
-			w.fault("%s is to stay away for %v, longer than %v", a.ID, a.RetryAfter, w.cfg.MaxRetryAfter)
+			w.fault("%s rejected with a retry time of %v, more than %v", a.ID, a.RetryAfter, w.cfg.MaxRetryAfter)
 		}
 		w.final(a.ID)
 	case Fail:
@@ -348,12 +348,12 @@
 	case Migrate:
 		r := w.requests[a.ID]
 		if !r.stands || r.answered {
-			w.fault("%s moved though it does not stand", a.ID)
+			w.fault("%s migrated although it is not established", a.ID)
 		}
 		w.after(0, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: r.onServer, Result: ResultCanceled})
 	case Probe:
 		if !w.cfg.ProbesEnabled {
-			w.fault("probe where none is allowed")
+			w.fault("probe of %s although probes are disabled", a.Server)
 		}
 		if w.rng.IntN(6) == 0 {
 			w.after(w.millis(1, 300), ProbeResult{Server: a.Server, Result: Result(1 + w.rng.IntN(5))})
@@ -372,7 +372,7 @@
 		w.fault("%s answered twice", id)
 	}
 	if r.out {
-		w.fault("%s answered with an attempt out", id)
+		w.fault("%s answered while an attempt is pending", id)
 	}
 	r.answered = true
 }
@@ -384,16 +384,16 @@
 	case r.answered || r.stands:
 		w.fault("%s sent after its final answer", a.ID)
 	case r.out:
-		w.fault("%s sent with an attempt out", a.ID)
+		w.fault("%s sent while an attempt is pending", a.ID)
 	case r.attempts >= w.cfg.MaxAttempts:
-		w.fault("%s sent too often", a.ID)
+		w.fault("%s sent more than %d times", a.ID, w.cfg.MaxAttempts)
 	case !listed:
-		w.fault("%s sent to %s, which no list has named", a.ID, a.Server)
+		w.fault("%s sent to %s, which is in no list", a.ID, a.Server)
 	case len(r.ran) > 0 && !w.mayRepeat(r, s):
 		w.fault("%s (%s) repeated at %s after %v", a.ID, r.class.Name, a.Server, r.ran)
 	}
 	if told, bad := w.toldAt[a.Server]; bad && w.now > told+w.grace {
-		w.fault("%s sent to %s, told to drain at %v", a.ID, a.Server, told)
+		w.fault("%s sent to %s, reported as draining or gone at %v", a.ID, a.Server, told)
 	}
 	w.cold(s)
 	if w.sends++; w.reads[a.Server] > 1 {
@@ -431,8 +431,8 @@
 	return s.Cell == first.Cell
 }
 
-// cold checks the budget of a server that just started: a server that no report has told of holds at
-// most 1000 connections here, the figure the balancer falls back to.
+// cold checks the warm-up budget of a server. A server without reports holds at most 1000 connections here, which is
+// the balancer's default.
 func (w *world) cold(s Server) {
 	if s.StartedAt == 0 || w.now-s.StartedAt > w.cfg.WarmUpDuration {
 		return
@@ -442,15 +442,15 @@
 	for _, c := range w.coldSent[s.ID] {
 		if c.at > w.now-w.cfg.OverloadWindow {
 			recent = append(recent, c)
-			capacity = max(capacity, c.capacity) // random reports let it jump
+			capacity = max(capacity, c.capacity) // random reports cause jumps
 		}
 	}
 	w.coldSent[s.ID] = recent
-	// The step is of what the server can do now: no further part for its warmth.
-	// A balancer's part and one more, or what all could send like this one without the server's fall.
+	// The load step is relative to the current capacity, so the warm-up fraction is not applied again.
+	// The bound is a balancer's share plus one request, or an equal share of what the server bears.
 	n, all := w.cfg.OverloadMultiple*capacity*w.cfg.OverloadWindow.Seconds(), float64(w.cfg.Balancers)
 	bound := max(n/all+1, (n+2*math.Sqrt(n)+2)/all)
 	if float64(len(recent)) > bound {
-		w.fault("%d sends to cold %s within %v, at most %.1f are its part", len(recent), s.ID, w.cfg.OverloadWindow, bound)
+		w.fault("%d requests to warming %s within %v, its share is %.1f", len(recent), s.ID, w.cfg.OverloadWindow, bound)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	minWarmUpCapacity  = 1e-3 // figures stay finite where a server that starts can do nothing
+	minWarmUpCapacity  = 1e-3 // of the full capacity; keeps figures finite if a server has no capacity when it starts
 	minSendProbability = 1e-3
-	minBudgetedStep    = 1e-3 // load steps below this are not believed of a starting server
-	overloadSlack      = 2.0  // of a budget of N, a starting server bears N + 2 sqrt(N) + 2
+	minBudgetedStep    = 1e-3 // load; lower load steps are implausible for a starting server
+	overloadSlack      = 2.0  // with a budget of N, a starting server bears N + 2 sqrt(N) + 2
 )
 
 // warmUpState is a server's slow start.
@@ -17,12 +17,12 @@
 	since           time.Duration // when the server started; 0 if it has warmed up
 	tokens          float64       // requests of mean work that this balancer may send
 	refilledAt      time.Duration
-	maxWeight       float64 // of a class whose requests the budget allows
-	sendProbability float64 // fraction of the time in which so small a budget allows a request
+	maxWeight       float64 // highest class weight that the budget allows
+	sendProbability float64 // fraction of the time in which a budget of this size allows a request
 }
 
-// startWarmUp begins a server's slow start. Its budget starts at a random level: one request can be more than this
-// balancer's share, and all balancers would spend theirs at the same moment.
+// startWarmUp starts the slow start of a server. The budget starts at a random level, because one request can exceed
+// this balancer's share, and otherwise all balancers would spend their budgets at the same moment.
 func (b *Balancer) startWarmUp(s *server, since time.Duration) {
 	s.warmUp.since = since
 	s.warmUp.tokens = b.rng.Float64()
@@ -30,8 +30,8 @@
 	s.reading.known = false
 }
 
-// warmUpCapacity is the fraction of its capacity that a server has now at least. Its start may be told ahead of the
-// present time.
+// warmUpCapacity returns the least fraction of its full capacity that a server has now. The reported start can be
+// later than the current time.
 func (b *Balancer) warmUpCapacity(s *server) float64 {
 	if s.warmUp.since == 0 || b.now-s.warmUp.since >= b.config.WarmUpDuration {
 		return 1
@@ -41,8 +41,9 @@
 	return max(minWarmUpCapacity, initial+(1-initial)*elapsed)
 }
 
-// withinWarmUpBudget tells whether a server is warm, or this balancer's budget for it allows the request. Heavy
-// classes go elsewhere while the budget is small: all balancers may send one at once.
+// withinWarmUpBudget reports whether a server has warmed up, or this balancer's budget for it allows the request.
+// Classes of high weight are sent to other servers while the budget is small, because all balancers may send such a
+// request at the same time.
 func (b *Balancer) withinWarmUpBudget(s *server, r *request) bool {
 	if b.warmUpCapacity(s) >= 1 {
 		return true
@@ -50,15 +51,15 @@
 	return b.refillWarmUpBudget(s) >= 1 && b.classLoads.weight(r.Class) <= s.warmUp.maxWeight
 }
 
-// refillWarmUpBudget returns the requests of mean work that this balancer may send to a starting server: its share
-// of what that bears. What was not used lapses, since otherwise all balancers would save up a request and send it
-// at once.
+// refillWarmUpBudget refills and returns the number of requests of mean work that this balancer may send to a starting
+// server, which is its share of what the server bears. Unused budget expires, because otherwise all balancers would
+// save up a request and send it at the same time.
 //
-// Of a budget of N per window the server bears N + 2 sqrt(N) + 2. The slack is left to chance, unless it is enough
-// for whole requests of each balancer. Of all balancers together these are n, the solution of n + 0.75 sqrt(n) + 1
-// = N + 2 sqrt(N) + 2: 0.75 sqrt(n) is for uneven work, and one request for a balancer that nobody counts. A
-// balancer saves up to 1 + R/4 and refills R per window, so that R = 0.79 times its share of n keeps it at that
-// many whole requests.
+// With a budget of N per window the server bears N + 2 sqrt(N) + 2. The slack above N is reserved for random
+// variation, unless it is enough for whole requests of each balancer. All balancers together may then send n requests,
+// where n is the solution of n + 0.75 sqrt(n) + 1 = N + 2 sqrt(N) + 2: 0.75 sqrt(n) allows for uneven work, and 1 for
+// a request from a balancer that is not counted. A balancer saves up to 1 + R/4 and refills R per window, so R = 0.79
+// times its share of n limits it to that number of whole requests.
 func (b *Balancer) refillWarmUpBudget(s *server) float64 {
 	window := max(b.config.OverloadWindow, b.tickInterval).Seconds()
 	sharers := b.budgetDivisor()
@@ -78,8 +79,8 @@
 	return w.tokens
 }
 
-// sendProbability is the fraction of the time in which this balancer's budget allows a request to a server, 1 for a
-// warm one.
+// sendProbability returns the fraction of the time in which this balancer's budget allows a request to a server, or 1
+// if the server has warmed up.
 func (b *Balancer) sendProbability(s *server) float64 {
 	if b.warmUpCapacity(s) >= 1 {
 		return 1
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A cold server reads empty; a fleet's newcomers would push it over.
+// A starting server reports no load, and the new requests of the whole fleet would overload it.
 func TestColdServerGetsItsBudget(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 20
@@ -29,13 +29,13 @@
 		}
 		r.feed(ClientDisconnected{ID: id})
 	}
-	// In 3 s all balancers may send at most 3 * 0.51 * 50/10 * 3 = 23, this one a twentieth of it.
+	// In 3 s all balancers may send at most 3 * 0.51 * 50/10 * 3 = 23 requests, and this one 1/20 of that.
 	if sent > 2 {
-		t.Errorf("%d connections within 3 s of the start", sent)
+		t.Errorf("%d connections within 3 s of the start, want at most 2", sent)
 	}
 }
 
-// Sends to a cold server that nobody wanted lapse: saved up by eighty balancers, they would all come at once.
+// Unused warm-up budget expires. If eighty balancers saved it up, they would all send at the same time.
 func TestUnusedColdSendsLapse(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 80
@@ -56,14 +56,14 @@
 			ready++
 		}
 	}
-	// A balancer's part is 0.6*3*0.51*50/10/80 = 0.057 sends a second; a quarter of 3 s of that is 0.043.
+	// A balancer's share is 0.6*3*0.51*50/10/80 = 0.057 requests per second; a quarter of that in 3 s is 0.043.
 	if ready == 0 || ready > 40 {
-		t.Errorf("%d of 400 balancers could send at once after 3 idle seconds", ready)
+		t.Errorf("%d of 400 balancers could send at once after 3 s without requests", ready)
 	}
 }
 
-// A balancer that holds nothing yet must not take a cold server for one that few connections fill: it would not
-// send there for want of budget, so never read it, and so never learn better.
+// A balancer without connections must not assume that few connections fill a starting server. Otherwise it would have
+// no budget for the server, so it would never probe it and never correct the estimate.
 func TestAColdServerIsJudgedByTheOthers(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 80
@@ -77,15 +77,16 @@
 	}
 	cold := r.b.servers.byID["s02"]
 	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); math.Abs(got/want-1) > 0.1 {
-		t.Errorf("one connection adds %.4f to a cold server, by the others' reports it is %.4f", got, want)
+		t.Errorf("the load step of a warming server is %.4f, by the other servers' reports it is %.4f", got, want)
 	}
-	r.b.takeReport(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three large ones
+	r.b.takeReport(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
 	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); got > 1.4*want {
-		t.Errorf("three connections made it %.4f", got)
+		t.Errorf("three connections changed the load step to %.4f, want about %.4f", got, want)
 	}
 }
 
-// In an upgrade two processes send to a cold server for one balancer: each takes half of its part.
+// During an upgrade two processes send to a starting server for one balancer. Each must use half of the balancer's
+// share.
 func TestColdBudgetIsSharedBesides(t *testing.T) {
 	sent := func(beside int) (n int) {
 		b, err := New(
@@ -132,6 +133,6 @@
 	}
 	alone, both := sent(0), sent(1)
 	if alone < 4 || both > alone*2/3 {
-		t.Fatalf("%d alone, %d for each of two", alone, both)
+		t.Fatalf("%d requests by a single process, %d by each of two", alone, both)
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// zoneWeightPrefix begins the name of a zone in Config.Weights.
+// zoneWeightPrefix is the prefix of zone names in Config.Weights.
 const zoneWeightPrefix = "zone/"
 
-// subset is the part of the servers that this balancer looks at.
+// subset is the set of servers that this balancer considers.
 type subset struct {
-	candidates map[string]bool // nil for all
-	disabled   bool            // no candidate is live and warm: all servers count
+	candidates map[string]bool // by id; nil for all servers
+	disabled   bool            // no candidate is live and warmed up: all servers are considered
 }
 
 func (b *Balancer) setCandidates(event CandidateSubset) {
@@ -22,7 +22,7 @@
 	b.markSubset()
 }
 
-// markSubset notes at each server whether it is a candidate, whether this balancer probes it for others, and its
+// markSubset records for each server whether it is a candidate, whether this balancer probes it for others, and its
 // weight.
 func (b *Balancer) markSubset() {
 	b.subset.disabled = true
@@ -36,7 +36,7 @@
 	}
 }
 
-// configuredWeight is a server's own weight times its zone's.
+// configuredWeight returns the product of the configured weights of a server and of its zone.
 func (b *Balancer) configuredWeight(s *server) float64 {
 	weight := 1.0
 	for _, name := range []string{s.ID, zoneWeightPrefix + s.Zone} {
@@ -49,7 +49,7 @@
 
 func (b *Balancer) beyondSubset(s *server) bool { return s.excluded && !b.subset.disabled }
 
-// subsetSize is the number of servers that connections are migrated between.
+// subsetSize returns the number of servers between which connections are migrated.
 func (b *Balancer) subsetSize() int {
 	return b.servers.count(func(s *server) bool { return !b.beyondSubset(s) })
 }
--- a/policy/cold_fleet_test.go
+++ b/policy/warmup_fleet_test.go
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// coldFleet is a deployment in which one server starts cold under traffic. What balancers are told stands in Config.
+// coldFleet is a deployment in which one server starts under traffic. Config holds the settings of the balancers.
 type coldFleet struct {
 	Config
-	balancers   int           // as they are, whatever the settings say
-	warm        int           // servers that are warm
+	balancers   int           // actual number, which may differ from the settings
+	warm        int           // servers that have warmed up
 	fill        float64       // mean connections that fill a warm server
 	load        float64       // of the warm servers before the start
-	rate        float64       // newcomers a second, at all balancers together
-	burst       float64       // factor on the rate from the start on
-	uneven      float64       // work of a connection: coefficient of variation of its lognormal part
-	classWork   []float64     // work by class, in its order; a mean of 1 over all requests is made of it
-	tellsLoad   bool          // connections tell their work
-	noise       float64       // relative error of a report's load
-	uncounted   bool          // reports tell no connections
-	late        time.Duration // news of the list come so much later at some
-	returns     bool          // the server is listed before, vanishes, and comes back cold
-	crashes     bool          // the cold server crashes once more after 2 s, and is back after 1 s
-	restarts    float64       // part of the balancers that restart at each of three times while the server is cold
-	repeats     bool          // each second the list is told again, whole
-	reloads     bool          // each second the settings are told again
-	jitterStart time.Duration // the start is told with an error of up to this much, anew in each list
-	skewed      bool          // one balancer has a third of the traffic
-	shortLives  time.Duration // mean life of a connection, 20 s if 0
+	rate        float64       // new requests per second at all balancers
+	burst       float64       // factor on the rate after the start
+	uneven      float64       // coefficient of variation of the lognormal factor in a connection's work
+	classWork   []float64     // relative work by class, scaled to a mean of 1 over all requests
+	tellsLoad   bool          // connections report their load
+	noise       float64       // relative error of the load in reports
+	uncounted   bool          // reports carry no number of connections
+	late        time.Duration // longest delay of endpoint list updates, random for each balancer
+	returns     bool          // the server is listed before, goes down, and starts again
+	crashes     bool          // the starting server crashes again after 2 s, and starts 1 s later
+	restarts    float64       // fraction of balancers that restart at each of three times during the warm-up
+	repeats     bool          // the full list is sent again every second
+	reloads     bool          // the settings are sent again every second
+	jitterStart time.Duration // largest error of the reported start, random in each list
+	skewed      bool          // one balancer gets a third of the requests
+	shortLives  time.Duration // mean lifetime of a connection; 0 for 20 s
 }
 
-// coldResult is what a play came to.
+// coldResult is the result of a simulation.
 type coldResult struct {
-	fell   bool    // more than the bound, two thirds of it from balancers that had been told
-	peak   float64 // most work in a window, over the bound
-	served float64 // work that the cold server was sent, over what the whole budget allows
+	fell   bool    // the bound was exceeded, with over 2/3 of it sent by balancers that were notified of the start
+	peak   float64 // highest work in a window, divided by the bound
+	served float64 // work sent to the warming server, divided by the total budget
 	sends  int
 }
 
-// coldSendMade is one send to the cold server.
+// coldSendMade is one attempt sent to the warming server.
 type coldSendMade struct {
 	at   time.Duration
 	work float64
-	told bool
+	told bool // the balancer had been notified of the latest start
 }
 
 // standing is one connection at a server.
@@ -59,17 +59,17 @@
 	closed bool
 }
 
-// coldPlay is a coldFleet at work.
+// coldPlay is a running simulation of a coldFleet.
 type coldPlay struct {
 	coldFleet
 	t        testing.TB
 	rng      *rand.Rand
 	now      time.Duration
 	all      []*Balancer
-	told     []time.Duration // when each balancer learns of the latest news
-	knows    []bool          // it has been told of the latest start
-	born     time.Duration   // of the cold server; 0 while it is down or warm
-	listed   Server          // the cold server's entry, as discovery has it
+	told     []time.Duration // when each balancer receives the latest list update; 0 if it has
+	knows    []bool          // whether each balancer has been notified of the latest start
+	born     time.Duration   // start of the warming server; 0 while it is down
+	listed   Server          // current entry of the warming server in discovery
 	isListed bool
 	held     map[string]float64
 	count    map[string]int
@@ -78,12 +78,12 @@
 	ids      int
 	meanWork float64
 	result   coldResult
-	allowed  float64 // budget so far
+	allowed  float64 // total budget up to now, as work
 }
 
 const coldStart = 4 * time.Second
 
-// play runs the fleet for the seed from before the cold start until the server is warm, or 12 s.
+// play simulates the fleet for a seed from before the start of the server until it has warmed up, at most 12 s.
 func (f coldFleet) play(t testing.TB, seed uint64) coldResult {
 	p := &coldPlay{
 		coldFleet: f,
@@ -127,7 +127,7 @@
 	return p.result
 }
 
-// trouble brings what happens at this time since the beginning.
+// trouble injects the faults due at this time since the beginning.
 func (p *coldPlay) trouble(at time.Duration, step int) {
 	each := func(d time.Duration) bool { return step%int(d/(20*time.Millisecond)) == 0 }
 	switch {
@@ -169,7 +169,7 @@
 	p.list(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: p.now})
 }
 
-// list has discovery tell the cold server's entry: each balancer hears it at its own time.
+// list publishes the warming server's entry. Each balancer receives it after its own random delay.
 func (p *coldPlay) list(s Server) {
 	p.listed, p.isListed = s, s.ID != ""
 	for i := range p.told {
@@ -203,7 +203,7 @@
 	p.feed(i, p.whole())
 }
 
-// restart ends a balancer, with its connections, and starts it anew.
+// restart stops a balancer, which ends its connections, and starts it again.
 func (p *coldPlay) restart(i int) {
 	for _, s := range p.stands {
 		if s.by == i && !s.closed {
@@ -215,7 +215,7 @@
 
 func (p *coldPlay) class() int { return p.rng.IntN(max(1, len(p.classWork))) }
 
-// work draws a connection's.
+// work generates the work of a connection of a class.
 func (p *coldPlay) work(class int) float64 {
 	w := 1.0
 	if len(p.classWork) > 0 {
@@ -280,7 +280,7 @@
 	return p.fill
 }
 
-// bears is the budget of the cold server for one window.
+// bears returns the work that the warming server bears in one window.
 func (p *coldPlay) bears() float64 {
 	return p.OverloadMultiple * p.can("cold") / p.WarmUpDuration.Seconds() * p.OverloadWindow.Seconds()
 }
@@ -337,7 +337,7 @@
 	p.tells(s)
 }
 
-// judge holds a send to the cold server's bound.
+// judge checks an attempt sent to the warming server against the server's bound.
 func (p *coldPlay) judge(by int, work float64) {
 	p.sent = slices.DeleteFunc(
 		p.sent,
@@ -358,7 +358,7 @@
 	p.result.fell = p.result.fell || sum > bound && told > sum*2/3
 }
 
-// step lets 20 ms pass: news, newcomers, ends and timers.
+// step simulates 20 ms: list updates, ends of connections, new requests and timers.
 func (p *coldPlay) step(at time.Duration) {
 	if p.born > 0 {
 		p.allowed += p.bears() / p.OverloadWindow.Seconds() * 0.02
@@ -404,8 +404,8 @@
 	return n
 }
 
-// coldSettings are those of a place whose cold servers bear budget connections of mean work in a window when they
-// start.
+// coldSettings returns settings under which a starting server bears budget connections of mean work in the first
+// window.
 func coldSettings(balancers int, fill, share, budget float64, window time.Duration) Config {
 	c := testConfig()
 	c.Balancers = balancers
--- a/policy/cold_test.go
+++ b/policy/warmup_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// thinFleet is many balancers with little traffic each, and servers whose connections stay.
+// thinFleet is many balancers with light traffic each, and servers whose connections never end.
 type thinFleet struct {
 	config    Config
 	fill      float64 // connections that fill a warm server
@@ -38,7 +38,7 @@
 	return f
 }
 
-// capacity is how many connections a server holds now.
+// capacity returns the number of connections that fill a server now.
 func (f *thinFleet) capacity(server string) float64 {
 	if server != "cold" {
 		return f.fill
@@ -62,7 +62,7 @@
 	}
 }
 
-// run lets each balancer get one request a second.
+// run simulates a duration in which each balancer receives one request per second.
 func (f *thinFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.rounds++ {
 		f.now += 20 * time.Millisecond
@@ -76,8 +76,9 @@
 	}
 }
 
-// Two hundred balancers with one newcomer a second each, and one cold server of twenty: its part of the bound is
-// used, though each balancer may send there for a small part of the time only, and it is kept.
+// Two hundred balancers with one new request per second each, and one starting server beside twenty warm ones: the
+// warm-up budget must be used, although each balancer may send there for a small fraction of the time only, and must
+// not be exceeded.
 func TestColdServersAreUsedAtThinTraffic(t *testing.T) {
 	const fill = 100.0
 	c := testConfig()
@@ -94,8 +95,8 @@
 		f.feed(b, ServerList{Kind: ListFull, Servers: f.list})
 	}
 	f.run(3 * time.Second)
-	// In three seconds the budget is 0.6 of 4 times what it can do, over its cold time, of which it can do a third to
-	// a half.
+	// The budget for 3 s is 0.6 of 4 times the capacity, spread over the warm-up of 8.6 s. In this time the server has
+	// a third to a half of its full capacity.
 	meanCapacity := c.WarmUpInitialCapacity + (1-c.WarmUpInitialCapacity)*3/8.6/2
 	budget := defaultWarmUpBudgetShare * c.OverloadMultiple * fill * meanCapacity * 3 / 8.6
 	t.Logf("%.0f sent of a budget of %.0f", f.sentCold, budget)
@@ -104,9 +105,9 @@
 	}
 }
 
-// Where no report tells how many connections a server holds, or nothing may be probed, a cold server's budget rests
-// on a guess from the own connections. That guess is of a warm server, and of one in the middle of its load where
-// no load is known.
+// If reports carry no number of connections, or probes are disabled, the warm-up budget depends on a load step
+// estimated from the balancer's own connections. The estimate has to assume a warm server, at half of the load limit
+// if no load is known.
 func TestColdServersStandWhereNoReportCounts(t *testing.T) {
 	const fill, each = 50.0, 20
 	for name, probes := range map[string]bool{"no counts": true, "no probes": false} {
@@ -157,13 +158,14 @@
 		window := c.OverloadWindow.Seconds() / c.WarmUpDuration.Seconds()
 		bears := c.OverloadMultiple * fill * (c.WarmUpInitialCapacity + 0.125) * window
 		if most := bears + 2*math.Sqrt(bears) + 2; float64(sent) > most {
-			t.Errorf("%s: %d sent to a cold server within %v, it falls at %.1f", name, sent, c.OverloadWindow, most)
+			t.Errorf("%s: %d sent to a warming server within %v, it bears %.1f", name, sent, c.OverloadWindow, most)
 		}
 	}
 }
 
-// Three balancers, a cold server that a few connections fill, and newcomers without end: the bound leaves three sends
-// more than its rate, which is most of what there is here. They are used, and the bound is kept.
+// Three balancers, a warming server that a few connections fill, and an unlimited number of new requests: the bound
+// allows three requests above its rate, which is most of the budget here. They must be used, and the bound must not be
+// exceeded.
 func TestAFewBalancersUseTheColdBound(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 3
@@ -210,15 +212,15 @@
 	}
 	window := c.OverloadWindow.Seconds() / c.WarmUpDuration.Seconds()
 	rate := c.OverloadMultiple * fill * c.WarmUpInitialCapacity * window // when it starts
-	t.Logf("%d sent, at most %d in %v; the rate alone is %.1f at the start", len(sent), most, c.OverloadWindow, rate)
+	t.Logf("%d sent, at most %d in %v; the rate is %.1f at the start", len(sent), most, c.OverloadWindow, rate)
 	bound := rate*(c.WarmUpInitialCapacity+0.4*(1-c.WarmUpInitialCapacity))/c.WarmUpInitialCapacity + overloadSlack
 	if float64(most) > bound || len(sent) < 26 {
 		t.Errorf("%d sent, at most %d in %v", len(sent), most, c.OverloadWindow)
 	}
 }
 
-// coldPlaces are fleets of m balancers under a burst, by what is unusual there. A window of the cold server's bound
-// is 2 s.
+// coldPlaces returns fleets of m balancers under a burst, by the unusual condition in each. The overload window of the
+// warming server is 2 s.
 func coldPlaces(m int, budget float64) map[string]coldFleet {
 	plain := coldFleet{
 		Config:    coldSettings(m, 60, 0.34, budget, 2*time.Second),
@@ -232,18 +234,18 @@
 	places := map[string]coldFleet{}
 	for name, change := range map[string]func(f *coldFleet){
 		"a burst":                  func(*coldFleet) {},
-		"thin traffic":             func(f *coldFleet) { f.rate, f.burst = 4, 1.5 },
+		"light traffic":            func(f *coldFleet) { f.rate, f.burst = 4, 1.5 },
 		"one balancer has a third": func(f *coldFleet) { f.skewed = true },
 		"noisy reports":            func(f *coldFleet) { f.noise = 0.2 },
-		"reports count nothing":    func(f *coldFleet) { f.uncounted = true },
-		"comes back, crashes cold": func(f *coldFleet) { f.returns, f.crashes = true, true },
-		"lists late":               func(f *coldFleet) { f.returns, f.crashes, f.late = true, true, time.Second },
+		"reports without counts":   func(f *coldFleet) { f.uncounted = true },
+		"restart and crash":        func(f *coldFleet) { f.returns, f.crashes = true, true },
+		"delayed lists":            func(f *coldFleet) { f.returns, f.crashes, f.late = true, true, time.Second },
 		"balancers restart":        func(f *coldFleet) { f.restarts = 0.5 },
-		"lists repeated":           func(f *coldFleet) { f.repeats = true },
-		"the start moves a little": func(f *coldFleet) { f.repeats, f.jitterStart = true, 2*ms },
-		"settings read again":      func(f *coldFleet) { f.reloads = true },
-		"short lives":              func(f *coldFleet) { f.rate, f.shortLives = 60, 3*time.Second },
-		"settings name more":       func(f *coldFleet) { f.Balancers += max(1, m/4) },
+		"repeated lists":           func(f *coldFleet) { f.repeats = true },
+		"start time with jitter":   func(f *coldFleet) { f.repeats, f.jitterStart = true, 2*ms },
+		"settings reloaded":        func(f *coldFleet) { f.reloads = true },
+		"short-lived connections":  func(f *coldFleet) { f.rate, f.shortLives = 60, 3*time.Second },
+		"too many in the settings": func(f *coldFleet) { f.Balancers += max(1, m/4) },
 	} {
 		f := plain
 		change(&f)
@@ -252,8 +254,8 @@
 	return places
 }
 
-// Whatever is unusual at a place, the sum over all balancers keeps to what a cold server bears, where work is even:
-// each balancer alone, with one, few or many of them, from a budget of under one send to one of many.
+// With connections of equal work, all balancers together must not send more than a warming server bears, under any of
+// the unusual conditions, with one, few or many balancers, and with budgets from less than one request to many.
 func TestColdBoundHoldsForTheWholeFleet(t *testing.T) {
 	for _, m := range []int{1, 4, 25} {
 		for _, budget := range []float64{0.3, 1, 4, 15} {
@@ -267,15 +269,15 @@
 					}
 				}
 				if sends == 0 {
-					t.Errorf("%d balancers, budget %.1f, %s: nothing was sent to the cold server", m, budget, name)
+					t.Errorf("%d balancers, budget %.1f, %s: nothing was sent to the warming server", m, budget, name)
 				}
 			}
 		}
 	}
 }
 
-// Classes whose connections tell very different loads: a heavy one costs as much of a cold server's budget as its
-// work, and goes elsewhere while few sends are all that the budget holds. The budget is still used.
+// Classes whose connections report very different loads: a heavy request takes as much of the warm-up budget as its
+// work, and goes to other servers while the budget allows only few requests. The budget must still be used.
 func TestHeavyClassesKeepToTheColdBound(t *testing.T) {
 	for _, m := range []int{1, 2, 3, 5} {
 		for _, budget := range []float64{1, 3, 6} {
@@ -291,21 +293,21 @@
 				}
 			}
 			if fell > 0 {
-				t.Errorf("%d balancers, budget %.1f: the server falls in %d of %d", m, budget, fell, seeds)
+				t.Errorf("%d balancers, budget %.1f: the server is overloaded in %d of %d runs", m, budget, fell, seeds)
 			}
 			if served < 0.3 {
-				t.Errorf("%d balancers, budget %.1f: %.2f of the budget is used", m, budget, served)
+				t.Errorf("%d balancers, budget %.1f: only %.2f of the budget is used", m, budget, served)
 			}
 		}
 	}
 }
 
-// mostInAWindow is the most sends that one balancer makes to a cold server within FallTime, with newcomers without
-// end.
+// mostInAWindow returns the highest number of requests that one balancer sends to a warming server within
+// Config.OverloadWindow, with an unlimited number of new requests.
 func mostInAWindow(t *testing.T, c Config, fleet FleetState, budget float64) int {
 	t.Helper()
 	const fill = 1000.0
-	c.WarmUpInitialCapacity = 1 // it stays as it is while it counts as cold
+	c.WarmUpInitialCapacity = 1 // the capacity stays the same during the warm-up
 	c.WarmUpDuration = time.Minute
 	c.OverloadWindow = 2 * time.Second
 	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / c.OverloadWindow.Seconds() / fill
@@ -320,7 +322,7 @@
 		b.Step(time.Hour, ServerList{Kind: ListFull, Servers: list}, nil)
 		b.Step(time.Hour, fleet, nil)
 		b.means.step = 1 / fill
-		b.config.WarmUpInitialCapacity = 0.999999 // a part of 1 is warm
+		b.config.WarmUpInitialCapacity = 0.999999 // a server with a capacity of 1 counts as warmed up
 		sent := []time.Duration{}
 		for at := time.Duration(0); at < 20*time.Second; at += 20 * ms {
 			for id := fmt.Sprint(at, " "); ; id += "+" {
@@ -353,15 +355,16 @@
 	return most
 }
 
-// keepsToSlack tells whether so many sends of m balancers in a window keep to a cold server's bound: either each
-// sends its part of the rate, at a random phase, or the sum with a reserve for uneven work and one send beside is
-// within the part of the budget N that is used and the 2 x root of N + 2 that the bound leaves beside it.
+// keepsToSlack reports whether the sum of the requests that m balancers send in a window respects a warming server's
+// bound. Either each balancer sends its share of the rate, at a random phase; or the sum, with a reserve for uneven
+// work and one more request, is at most the used share of the budget N plus the slack of 2 sqrt(N) + 2.
 func keepsToSlack(m int, sum, part float64) bool {
 	rate := float64(m) * math.Floor(1.25*part/float64(m)+1)
 	return sum <= rate || sum+0.75*math.Sqrt(sum)+1 <= part+2*math.Sqrt(part/defaultWarmUpBudgetShare)+2
 }
 
-// Where the slack of the bound is handed out in whole sends, all that may be sent in one window keeps to it.
+// If the slack of the bound is divided among the balancers in whole requests, all requests in one window together must
+// respect the bound.
 func TestWholeSendsKeepToTheSlack(t *testing.T) {
 	handedOut := 0
 	for _, m := range []int{1, 2, 3, 4} {
@@ -370,7 +373,7 @@
 			c.Balancers = m
 			sum, part := float64(m*mostInAWindow(t, c, FleetState{}, n)), defaultWarmUpBudgetShare*n
 			if !keepsToSlack(m, sum, part) {
-				t.Errorf("%d balancers, budget %.1f: %.0f sends in a window", m, n, sum)
+				t.Errorf("%d balancers, budget %.1f: %.0f requests in a window", m, n, sum)
 			}
 			if sum > part {
 				handedOut++
@@ -378,12 +381,12 @@
 		}
 	}
 	if handedOut < 12 {
-		t.Errorf("slack was handed out in %d cases only", handedOut)
+		t.Errorf("the slack was used in only %d cases, want at least 12", handedOut)
 	}
 }
 
-// Where fewer balancers share than the settings name, whole sends are dealt to those that share, and to no more
-// than these.
+// If the number of balancers that divide the budget differs from the settings, whole requests are divided among
+// exactly those balancers.
 func TestSharersKeepToTheSlack(t *testing.T) {
 	for _, sharers := range []int{1, 2, 3, 5, 9} {
 		for _, n := range []float64{0.3, 1, 2, 3.5, 5, 12, 30} {
@@ -391,18 +394,18 @@
 			c.Balancers = 4
 			sum, part := float64(sharers*mostInAWindow(t, c, FleetState{BudgetDivisor: sharers}, n)), defaultWarmUpBudgetShare*n
 			if !keepsToSlack(sharers, sum, part) {
-				t.Errorf("%d of 4 share, budget %.1f: %.0f sends in a window", sharers, n, sum)
+				t.Errorf("%d balancers share, 4 in the settings, budget %.1f: %.0f requests in a window", sharers, n, sum)
 			}
 		}
 	}
 }
 
-// A start that is told ahead of the balancer's clock, or a server that can do nothing when it starts: the budget is
-// that of the start, and it is there once the server does something.
+// If the reported start is later than the balancer's clock, or the server has no capacity when it starts, the budget
+// is that of the start, and it becomes available once the server has capacity.
 func TestColdBudgetAtAndBeforeTheStart(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.34} {
 		for _, ahead := range []time.Duration{0, ms, 500 * ms, 5 * time.Second} {
-			for _, meanStep := range []float64{0, 1.0 / 60} { // nothing is known, or the warm ones are
+			for _, meanStep := range []float64{0, 1.0 / 60} { // unknown, or known from the warm servers
 				c := testConfig()
 				c.WarmUpInitialCapacity = share
 				c.WarmUpDuration = 10 * time.Second
@@ -439,7 +442,7 @@
 				windows := ahead.Seconds()/c.OverloadWindow.Seconds() + 1
 				if most := windows * (n + 2*math.Sqrt(n) + 2); float64(sent[false]) > most {
 					t.Errorf(
-						"part %v, told %v ahead, step %v: %d sends before it started, at most %.1f are borne",
+						"initial capacity %v, reported %v ahead, step %v: %d requests before the start, the server bears %.1f",
 						share,
 						ahead,
 						meanStep,
@@ -448,7 +451,13 @@
 					)
 				}
 				if sent[true] < 5 {
-					t.Errorf("part %v, told %v ahead, step %v: %d sends after the start", share, ahead, meanStep, sent[true])
+					t.Errorf(
+						"initial capacity %v, reported %v ahead, step %v: %d requests after the start, want at least 5",
+						share,
+						ahead,
+						meanStep,
+						sent[true],
+					)
 				}
 			}
 		}
