--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	newcomerLoadLimit  = 0.8  // load above which a server gets no new requests
-	overQuotaLoadLimit = 0.6  // the same for tenants over their quota and for the class of the lowest priority
-	stickyMissShare    = 0.4  // fraction of mid-flow connections sent to a wrong server, over whole fleets
-	minLoadStep        = 1e-6 // load; keeps divisors positive where a connection adds no load
+	newRequestLoadLimit = 0.8  // load above which a server gets no new requests
+	overQuotaLoadLimit  = 0.6  // the same for tenants over their quota and for the class of the lowest priority
+	stickyMissShare     = 0.4  // fraction of mid-flow connections sent to a wrong server, over whole fleets
+	minLoadStep         = 1e-6 // load; keeps divisors positive where a connection adds no load
 )
 
 // admit reports whether a server has capacity for the request. All balancers see the same delayed report, so each
@@ -23,7 +23,7 @@
 	if capacity < 1 || s.delay.exceeds(r.class.MessageLatencyObjective, b.now) {
 		return false
 	}
-	return b.warmUpCapacity(s) < 1 || b.winsShare(capacity)
+	return b.warmUpCapacity(s) < 1 || b.admitAtRandom(capacity)
 }
 
 // loadLimit returns the load up to which servers admit the request. The class of the lowest priority is rejected
@@ -32,8 +32,8 @@
 	if r.tenant.overQuota(b.config.Balancers) {
 		return overQuotaLoadLimit
 	}
-	rank := float64(max(0, r.class.PriorityRank-1)) / float64(max(1, b.classes.lowestPriority))
-	return newcomerLoadLimit - rank*(newcomerLoadLimit-overQuotaLoadLimit)
+	rank := float64(max(0, r.class.PriorityRank-1)) / float64(max(1, b.classes.highestRank))
+	return newRequestLoadLimit - rank*(newRequestLoadLimit-overQuotaLoadLimit)
 }
 
 // capacityLeft returns how many more connections of the request's class a server can take before its load reaches
@@ -54,16 +54,16 @@
 		return true
 	}
 	capacity := (overloadedLoad - load) / max(b.loadStep(s), minLoadStep) / stickyMissShare
-	return b.winsShare(capacity)
+	return b.admitAtRandom(capacity)
 }
 
-// winsShare decides at random whether one placement gets part of the capacity that all balancers see. New requests
+// admitAtRandom decides at random whether one placement gets part of the capacity that all balancers see. New requests
 // are divided among the servers that have capacity: servers that look full get none, and their share goes to the
 // others.
-func (b *Balancer) winsShare(capacity float64) bool {
-	b.demand.count(b.now)
+func (b *Balancer) admitAtRandom(capacity float64) bool {
+	b.demand.add(b.now)
 	servers := b.servers.count(func(s *server) bool {
-		return s.State == Live && b.warmUpCapacity(s) >= 1 && b.estimatedLoad(s) < newcomerLoadLimit
+		return s.State == Live && b.warmUpCapacity(s) >= 1 && b.estimatedLoad(s) < newRequestLoadLimit
 	})
 	return b.rng.Float64()*b.fleetDemand()/float64(max(1, servers))*b.reportLag().Seconds() < capacity
 }
@@ -74,7 +74,7 @@
 	updatedAt time.Duration
 }
 
-func (d *demandRate) count(now time.Duration) {
+func (d *demandRate) add(now time.Duration) {
 	d.perSecond = 1 + d.at(now)
 	d.updatedAt = now
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -8,11 +8,11 @@
 )
 
 // If many balancers see the same delayed report with capacity for ten connections, they must not send ten each.
-func TestRoomGoesByLot(t *testing.T) {
+func TestCapacityIsDividedAmongBalancers(t *testing.T) {
 	admitted := func(balancers int) int {
 		c := testConfig()
 		c.Balancers = balancers
-		r := newRig(t, c, servers(2)...)
+		r := newHarness(t, c, servers(2)...)
 		n := 0
 		for i := range 200 {
 			s := r.b.servers.byID["s00"]
@@ -25,58 +25,58 @@
 		}
 		return n
 	}
-	alone, many := admitted(1), admitted(50)
-	if many > alone/5 || alone == 0 {
-		t.Errorf("a single balancer admitted %d requests, one of fifty balancers %d", alone, many)
+	alone, oneOfFifty := admitted(1), admitted(50)
+	if oneOfFifty > alone/5 || alone == 0 {
+		t.Errorf("a single balancer admitted %d requests, one of fifty balancers %d", alone, oneOfFifty)
 	}
 }
 
 // A server with a backlog of 1 s of work reported a load of 0.5 and was sent new requests.
-func TestNoNewcomersWhereMessagesAreLate(t *testing.T) {
-	r := newRig(t, testConfig(), servers(1)...)
-	r.open("old", "s00")
+func TestNoNewRequestsWhileMessagesAreLate(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(1)...)
+	r.adopt("old", "s00")
 	r.loads["s00"] = 0.3
 	r.feed(MessageDelay{ID: "old", Server: "s00", Delay: time.Second})
 	r.request("x", "safe")
-	if _, sent := last[Send](r); sent {
+	if _, sent := lastAction[Send](r); sent {
 		t.Error("sent to a server whose messages are late")
 	}
-	r.run(time.Second)
-	if _, ok := last[Reject](r); !ok {
+	r.advance(time.Second)
+	if _, ok := lastAction[Reject](r); !ok {
 		t.Error("not rejected when the latency objective had passed")
 	}
 }
 
 // Requests of a tenant over its quota have low priority and must leave capacity to other tenants.
-func TestTrafficBeyondAShareGivesWay(t *testing.T) {
+func TestTenantOverQuotaIsRejectedFirst(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "flood", ConnectionQuota: 10}, {Name: "calm", ConnectionQuota: 10}}
 	for tenant, want := range map[string]bool{"flood": false, "calm": true} {
-		r := newRig(t, c, servers(2)...)
+		r := newHarness(t, c, servers(2)...)
 		for i := range 30 {
 			r.feed(AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Class: "safe", Tenant: "flood"}, Server: "s00"})
 		}
 		r.loads["s00"], r.loads["s01"] = 0.68, 0.68
-		r.rif["s00"], r.rif["s01"] = 60, 60
+		r.inFlight["s00"], r.inFlight["s01"] = 60, 60
 		r.feed(Request{ID: "x", Class: "safe", Tenant: tenant, Timeout: time.Second})
-		r.run(time.Second)
-		if _, sent := last[Send](r); sent != want {
+		r.advance(time.Second)
+		if _, sent := lastAction[Send](r); sent != want {
 			t.Errorf("%s: sent %v", tenant, sent)
 		}
 	}
 }
 
 // A server that ran ten times slower was evacuated, reported no load, and was filled again every few seconds.
-func TestOverloadIsRemembered(t *testing.T) {
+func TestRepeatedOverloadReducesAdmission(t *testing.T) {
 	admitted := func(overloads int) int {
-		r := newRig(t, testConfig(), servers(4)...)
+		r := newHarness(t, testConfig(), servers(4)...)
 		s := r.b.servers.byID["s00"]
 		for range overloads {
-			r.b.takeReport(s, LoadReport{Load: 3, InFlight: -1, BacklogSeconds: -1})
+			r.b.applyReport(s, LoadReport{Load: 3, InFlight: -1, BacklogSeconds: -1})
 			r.b.evacuateIfFaulty(s)
 			r.b.now += r.b.settleTime()
 		}
-		r.b.takeReport(s, LoadReport{Load: 0.2, InFlight: -1, BacklogSeconds: -1})
+		r.b.applyReport(s, LoadReport{Load: 0.2, InFlight: -1, BacklogSeconds: -1})
 		n := 0
 		for range 400 {
 			r.b.now += 5 * ms
@@ -87,16 +87,16 @@
 		}
 		return n
 	}
-	if fine, sick := admitted(0), admitted(4); sick > fine/2 || fine == 0 {
-		t.Errorf("admitted %d new requests without an overload, %d after four overloads", fine, sick)
+	if without, after := admitted(0), admitted(4); after > without/2 || without == 0 {
+		t.Errorf("admitted %d new requests without an overload, %d after four overloads", without, after)
 	}
 }
 
 // Admission uses the loads that connections report, by class: if one class has eight times the load of another, a
 // server with capacity for four mean connections has none for eight of the heavier class. Loads are reported in any
 // unit, and idle connections do not count for their class.
-func TestNewcomersCountAsTheirClassTold(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
+func TestAdmissionUsesReportedClassLoads(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(2)...)
 	for i := range 40 {
 		class, load := "safe", 800e3
 		if i%2 == 0 {
@@ -125,8 +125,8 @@
 }
 
 // After a change of the settings, established connections still count for their tenant.
-func TestSettingsAreTakenWhileServing(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
+func TestConfigUpdateKeepsConnectionCounts(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(2)...)
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a", ConnectionQuota: 10}}
 	r.feed(ConfigUpdate{cfg})
@@ -148,8 +148,8 @@
 	}
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) {
-	r := newRig(t, testConfig(), servers(3)...)
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(3)...)
 	list := servers(3)
 	list[0].State, list[1].State = Draining, Gone
 	r.feed(ServerList{Kind: ListDelta, Servers: list[:2]})
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -69,7 +69,7 @@
 	case ServerList:
 		b.updateEndpoints(event)
 	case Request:
-		b.receive(event)
+		b.receiveRequest(event)
 	case AdoptedConnection:
 		b.adopt(event)
 	case PredecessorFlow:
@@ -79,13 +79,13 @@
 	case AttemptEnded:
 		b.attemptEnded(event)
 	case ConnectionLoad:
-		b.takeConnectionLoad(event)
+		b.recordConnectionLoad(event)
 	case MessageDelay:
-		b.takeMessageDelay(event)
+		b.recordMessageDelay(event)
 	case ProbeResult:
 		b.probeFinished(event)
 	case PeerReading:
-		b.takePeerReading(event)
+		b.applyPeerReading(event)
 	case ClientDisconnected:
 		b.clientDisconnected(event)
 	case ConfigUpdate:
@@ -111,12 +111,12 @@
 	b.discovery.backoff = b.initialPollBackoff()
 	b.discovery.nextPollAt = b.now + b.staggered(5*b.initialPollBackoff())
 	b.exploration.nextSlotAt = b.now + b.jitter(2*b.slotLength())
-	b.act(SetTimer{tickToken, b.tickInterval})
+	b.emit(SetTimer{tickToken, b.tickInterval})
 }
 
 // tick does the periodic work.
 func (b *Balancer) tick() {
-	b.act(SetTimer{tickToken, b.tickInterval})
+	b.emit(SetTimer{tickToken, b.tickInterval})
 	for _, r := range slices.Clone(b.requests.waiting) {
 		stillWaiting := b.requests.byID[r.ID] == r && !r.attemptPending
 		if stillWaiting && (b.now >= r.nextPlacementAt || b.shouldReject(r)) {
@@ -128,7 +128,7 @@
 		b.tickServer(s)
 	}
 	if b.now >= b.exploration.nextSlotAt {
-		b.runSlot()
+		b.startSlot()
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
 // jitter returns a random duration in [0, d).
 func (b *Balancer) jitter(d time.Duration) time.Duration {
--- a/policy/config.go
+++ b/policy/config.go
@@ -104,14 +104,14 @@
 	return c
 }
 
-// check returns a *ConfigError for the first invalid setting. Comparisons are negated, so that NaN fails them.
-func (c Config) check() error {
-	shortest := min(c.TimerResolution, c.PollInterval, c.WarmUpDuration, c.OverloadWindow, c.MaxRetryAfter)
+// validate returns a *ConfigError for the first invalid setting. Comparisons are negated, so that NaN fails them.
+func (c Config) validate() error {
+	minDuration := min(c.TimerResolution, c.PollInterval, c.WarmUpDuration, c.OverloadWindow, c.MaxRetryAfter)
 	for _, class := range c.Classes {
 		if class.LatencyObjective <= 0 {
 			return &ConfigError{fmt.Sprintf("class %q: no latency objective", class.Name)}
 		}
-		shortest = min(shortest, class.KeyTTL, class.MessageLatencyObjective)
+		minDuration = min(minDuration, class.KeyTTL, class.MessageLatencyObjective)
 	}
 	decay, limit := c.ExplorationDecay, c.MaxExploration
 	for _, rule := range []struct {
@@ -119,7 +119,7 @@
 		reason string
 	}{
 		{len(c.Classes) == 0, "no classes"},
-		{shortest < 0, "a duration is negative"},
+		{minDuration < 0, "a duration is negative"},
 		{!(decay >= 0.5 && decay <= 1), fmt.Sprintf("beta %v is outside [0.5, 1]", decay)},
 		{!(limit > 0 && limit <= 0.5), fmt.Sprintf("exploration cap %v is outside (0, 0.5]", limit)},
 		{c.Balancers < 1, fmt.Sprintf("number of balancers is %d, must be at least 1", c.Balancers)},
@@ -152,7 +152,7 @@
 // configure applies settings. If one of them is invalid, it returns a *ConfigError and changes nothing.
 func (b *Balancer) configure(config Config) error {
 	config = config.withDefaults()
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return err
 	}
 	config.Classes = slices.Clone(config.Classes)
@@ -168,7 +168,7 @@
 // classIndex holds the classes of the active settings by name.
 type classIndex struct {
 	byName           map[string]*Class
-	lowestPriority   int           // the highest PriorityRank
+	highestRank      int           // the highest PriorityRank
 	messageObjective time.Duration // the tightest MessageLatencyObjective; 0 if none is known
 }
 
@@ -180,7 +180,7 @@
 		class := &config.Classes[i]
 		class.MaxAttempts = min(cmp.Or(class.MaxAttempts, config.MaxAttempts), config.MaxAttempts)
 		index.byName[class.Name] = class
-		index.lowestPriority = max(index.lowestPriority, class.PriorityRank)
+		index.highestRank = max(index.highestRank, class.PriorityRank)
 		objective := class.MessageLatencyObjective
 		if index.messageObjective == 0 || objective > 0 && objective < index.messageObjective {
 			index.messageObjective = objective
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -32,11 +32,11 @@
 }
 
 // All decisions of fifty random simulations must equal the recorded ones, so that refactoring changes no decision.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecording(t *testing.T) {
 	var out bytes.Buffer
 	for seed := range uint64(50) {
-		w := newWorld(t, seed, 20)
-		w.others = seed%2 == 1
+		w := newSimulation(t, seed, 20)
+		w.peersActive = seed%2 == 1
 		w.run()
 		sum := sha256.New()
 		for _, a := range w.actions {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -23,7 +23,7 @@
 // long.
 func (b *Balancer) pollIfNeeded() {
 	if b.config.PollEndpointList && !b.discovery.subscribed && b.now >= b.discovery.nextPollAt {
-		b.act(Subscribe{})
+		b.emit(Subscribe{})
 		b.discovery.nextPollAt = b.now + min(b.config.PollInterval, updateDeadline)/2
 	}
 }
--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -12,7 +12,7 @@
 	maxRenewalAge    = 2 * time.Second
 	penaltyDecay     = 8 * time.Second // time in which a penalty falls by a factor of e
 	priorConnections = 10.0            // connections at a warming server that weigh as much as the others' load steps
-	maxGuessedStep   = 0.2             // load
+	maxFallbackStep  = 0.2             // load
 	minLoadSamples   = 8               // loads vary: the mean of this many is off by at most a half
 	maxLoadSamples   = 200             // the mean follows changes within this many samples
 )
@@ -32,8 +32,8 @@
 	renewalAge  time.Duration // a reading older than this has probably been renewed
 }
 
-// learnRenewal adapts the estimated age at which reports renew. An unchanged report was requested too early.
-func (m *fleetMeans) learnRenewal(unchanged bool) {
+// adaptRenewalAge adapts the estimated age at which reports renew. An unchanged report was requested too early.
+func (m *fleetMeans) adaptRenewalAge(unchanged bool) {
 	m.renewalAge = max(minRenewalAge, m.renewalAge*98/100)
 	if unchanged {
 		m.renewalAge = min(maxRenewalAge, m.renewalAge*112/100)
@@ -74,26 +74,26 @@
 	capacity := b.warmUpCapacity(s)
 	typicalLoad := b.means.load
 	if capacity < 1 { // the warm-up budget cannot be computed from a load of 0
-		typicalLoad = max(typicalLoad, newcomerLoadLimit/2)
+		typicalLoad = max(typicalLoad, newRequestLoadLimit/2)
 	}
-	guess := typicalLoad * float64(len(b.servers.sorted)) / float64(b.config.Balancers*max(1, len(b.requests.established)))
-	return cmp.Or(s.estimate.step, b.means.step/capacity, min(maxGuessedStep, guess)/capacity)
+	fallback := typicalLoad * float64(len(b.servers.sorted)) / float64(b.config.Balancers*max(1, len(b.requests.established)))
+	return cmp.Or(s.estimate.step, b.means.step/capacity, min(maxFallbackStep, fallback)/capacity)
 }
 
-// learnStep updates the load step from a load report. Reports are noisy, and those with few connections carry little
+// updateLoadStep updates the load step from a load report. Reports are noisy, and those with few connections carry little
 // information.
-func (b *Balancer) learnStep(s *server, load, inFlight float64) {
+func (b *Balancer) updateLoadStep(s *server, load, inFlight float64) {
 	capacity := b.warmUpCapacity(s)
-	telling := inFlight >= 3 && load > 0.02
+	significant := inFlight >= 3 && load > 0.02
 	switch {
-	case telling && capacity >= 1:
+	case significant && capacity >= 1:
 		s.estimate.step = cmp.Or(s.estimate.step, load/inFlight)/2 + load/inFlight/2
 		if load <= 1 { // a higher load measures how slow this server is, not the work of a connection
 			b.means.step = 0.95*cmp.Or(b.means.step, s.estimate.step) + 0.05*s.estimate.step
 		}
 	case inFlight >= 0 && inFlight < 3 && capacity >= 1: // an almost empty server may no longer be slow
 		s.estimate.step = 0
-	case telling:
+	case significant:
 		prior := cmp.Or(b.means.step/capacity, load/inFlight)
 		s.estimate.step = (load + priorConnections*prior) / (inFlight + priorConnections)
 	}
@@ -112,7 +112,7 @@
 	connections := max(0, report.InFlight) / max(weight, minLoadStep)
 	b.means.connections += 0.05 * (connections - cmp.Or(b.means.connections, connections))
 	b.means.connections = cmp.Or(b.means.connections, connections)
-	return newcomerLoadLimit / 2 * connections / max(b.means.connections, 1)
+	return newRequestLoadLimit / 2 * connections / max(b.means.connections, 1)
 }
 
 // runningMean is a mean in which recent samples keep a minimum weight, so that it follows changes.
@@ -150,9 +150,9 @@
 	return 1
 }
 
-// takeConnectionLoad records the reported load of a connection. An idle connection is left out, because it gives no
+// recordConnectionLoad records the reported load of a connection. An idle connection is left out, because it gives no
 // information on its load when it is active.
-func (b *Balancer) takeConnectionLoad(event ConnectionLoad) {
+func (b *Balancer) recordConnectionLoad(event ConnectionLoad) {
 	r := b.requests.byID[event.ID]
 	if r != nil && r.established && event.Load > 0 {
 		b.classLoads.add(r.Class, event.Load)
--- a/policy/exploration.go
+++ b/policy/exploration.go
@@ -12,10 +12,10 @@
 // exploration is the schedule by which established connections explore other servers: they explore in one slot, and
 // return or stay in the next.
 type exploration struct {
-	slots      int  // exploring slots started so far
-	active     bool // connections explore in the current slot
-	startedAt  time.Duration
-	nextSlotAt time.Duration
+	startedSlots int  // exploring slots started so far
+	active       bool // connections explore in the current slot
+	startedAt    time.Duration
+	nextSlotAt   time.Duration
 }
 
 func (b *Balancer) slotLength() time.Duration { return max(minSlotLength, b.settleTime()) }
@@ -23,16 +23,16 @@
 // explorationProbability returns the probability that a connection explores in this slot: t^-beta, where t is the
 // number of the slot, limited to Config.MaxExploration. The paper calls it gamma.
 func (b *Balancer) explorationProbability() float64 {
-	return min(b.config.MaxExploration, math.Pow(float64(max(b.exploration.slots, 1)), -b.config.ExplorationDecay))
+	return min(b.config.MaxExploration, math.Pow(float64(max(b.exploration.startedSlots, 1)), -b.config.ExplorationDecay))
 }
 
-// runSlot starts the next slot.
-func (b *Balancer) runSlot() {
+// startSlot starts the next slot.
+func (b *Balancer) startSlot() {
 	e := &b.exploration
 	e.nextSlotAt = b.now + b.slotLength()
 	e.active = !e.active
 	if e.active {
-		e.slots++
+		e.startedSlots++
 		e.startedAt = b.now
 	}
 	for _, r := range slices.Clone(b.requests.established) {
@@ -42,8 +42,8 @@
 		if e.active && b.mayExplore(r) && b.rng.Float64() < b.explorationProbability() {
 			r.explorationTarget = b.randomOtherServer(r)
 		}
-		decides := r.explorationTarget != nil || !e.active && r.origin != nil
-		if decides && b.ensureReading(r.server, r) {
+		needsDecision := r.explorationTarget != nil || !e.active && r.origin != nil
+		if needsDecision && b.ensureReading(r.server, r) {
 			b.resumeAfterProbe(r, r.server, true)
 		}
 	}
@@ -99,7 +99,7 @@
 // Activity returns this balancer's exploration schedule and demand, as of the latest event.
 func (b *Balancer) Activity() Activity {
 	return Activity{
-		ExplorationSlots: b.exploration.slots,
+		ExplorationSlots: b.exploration.startedSlots,
 		SlotAge:          b.now - b.exploration.startedAt,
 		SlotPeriod:       2 * b.slotLength(),
 		Demand:           b.demand.at(b.now),
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -11,9 +11,9 @@
 func (b *Balancer) updateFleet(state FleetState) {
 	b.fleet = state
 	e := &b.exploration
-	e.slots = max(e.slots, state.ExplorationSlots)
-	if left := e.nextSlotAt - b.now; left > 0 {
-		e.nextSlotAt = b.now + min(max(left+state.SlotShift, b.tickInterval), max(left, b.slotLength()))
+	e.startedSlots = max(e.startedSlots, state.ExplorationSlots)
+	if remaining := e.nextSlotAt - b.now; remaining > 0 {
+		e.nextSlotAt = b.now + min(max(remaining+state.SlotShift, b.tickInterval), max(remaining, b.slotLength()))
 	}
 	b.markSubset()
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -28,7 +28,7 @@
 	if r.Key != "" {
 		b.migrations[r.Key] = m
 	}
-	b.act(Migrate{r.ID, migrationReason(r, m)})
+	b.emit(Migrate{r.ID, migrationReason(r, m)})
 }
 
 func migrationReason(r *request, m migration) string {
@@ -89,7 +89,7 @@
 		share = 1 - b.evacuationTargetLoad(s)/s.reading.load
 	}
 	if !s.faulty() && s.reading.load <= 1 {
-		share *= b.spareShare()
+		share *= b.spareCapacityShare()
 	}
 	return share
 }
@@ -103,13 +103,13 @@
 	return min(evacuationTarget, max(minDelayTarget, 1-s.delay.value.Seconds()/drainTime.Seconds()))
 }
 
-// spareShare returns the fraction of the excess load of some servers for which the others have capacity. The capacity
+// spareCapacityShare returns the fraction of the excess load of some servers for which the others have capacity. The capacity
 // of warming servers does not count, because it is available only as their warm-up budget allows.
-func (b *Balancer) spareShare() float64 {
+func (b *Balancer) spareCapacityShare() float64 {
 	spare, excess := 0.0, 0.0
 	for _, s := range b.servers.sorted {
 		if b.warmUpCapacity(s) >= 1 {
-			spare += max(0, newcomerLoadLimit-b.estimatedLoad(s))
+			spare += max(0, newRequestLoadLimit-b.estimatedLoad(s))
 		}
 		excess += max(0, b.estimatedLoad(s)-evacuationTarget)
 	}
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func listed(t *testing.T, n int, change func(c *Config)) (*Balancer, time.Duration) {
+func newListedBalancer(t *testing.T, n int, change func(c *Config)) (*Balancer, time.Duration) {
 	t.Helper()
 	c := testConfig()
 	c.Balancers = 10
@@ -25,7 +25,7 @@
 	return b, time.Hour
 }
 
-func probesOf(actions []Action) (ids []string) {
+func probedServers(actions []Action) (ids []string) {
 	for _, a := range actions {
 		if p, ok := a.(Probe); ok {
 			ids = append(ids, p.Server)
@@ -36,23 +36,23 @@
 
 // Only candidates are sampled, both for new requests and for exploration. If no candidate is live, or the list of
 // candidates is empty, all servers are considered.
-func TestOnlyCandidatesAreDrawn(t *testing.T) {
-	b, now := listed(t, 10, nil)
+func TestOnlyCandidatesAreSampled(t *testing.T) {
+	b, now := newListedBalancer(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5", "s9"}}, nil)
-	ask := func(n int) map[string]bool {
-		drawn := map[string]bool{}
+	sampledBy := func(n int) map[string]bool {
+		sampled := map[string]bool{}
 		for i := range n {
 			now += 10 * time.Second
 			q := Request{ID: fmt.Sprint(now, i), Key: fmt.Sprint(now), Class: "safe", Timeout: time.Second}
-			for _, id := range probesOf(b.Step(now, q, nil)) {
-				drawn[id] = true
+			for _, id := range probedServers(b.Step(now, q, nil)) {
+				sampled[id] = true
 				b.Step(now, ProbeResult{Server: id, Result: ResultFailed}, nil)
 			}
 			b.Step(now, ClientDisconnected{ID: q.ID}, nil)
 		}
-		return drawn
+		return sampled
 	}
-	if got := ask(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
+	if got := sampledBy(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
 		t.Errorf("sampled: %v, want the three candidates", got)
 	}
 	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes.byName["safe"], mayHaveRunAt: -1}
@@ -70,7 +70,7 @@
 		change = append(change, Server{ID: id, Zone: "a", Weight: 1, State: Draining})
 	}
 	b.Step(now, ServerList{Kind: ListDelta, Servers: change}, nil)
-	if got := ask(60); len(got) != 7 {
+	if got := sampledBy(60); len(got) != 7 {
 		t.Errorf("with all candidates draining, sampled: %v", got)
 	}
 	b.Step(now, CandidateSubset{}, nil)
@@ -81,16 +81,16 @@
 
 // Another balancer's reading replaces a probe, for longer the more free capacity it shows. It is not reported as this
 // balancer's own reading, and a reading older than its own has no effect.
-func TestOthersReadingsSaveProbes(t *testing.T) {
-	b, now := listed(t, 2, nil)
-	come := func(id string) []string {
-		return probesOf(b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil))
+func TestPeerReadingsSaveProbes(t *testing.T) {
+	b, now := newListedBalancer(t, 2, nil)
+	request := func(id string) []string {
+		return probedServers(b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil))
 	}
 	for _, id := range []string{"s0", "s1"} {
 		b.Step(now, PeerReading{Server: id, Load: 0.2, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
-	if got := come("a"); len(got) != 0 {
+	if got := request("a"); len(got) != 0 {
 		t.Errorf("with free capacity reported 1.3 s ago, probed %v", got)
 	}
 	for _, reading := range b.LoadReadings() {
@@ -101,7 +101,7 @@
 		b.Step(now, PeerReading{Server: id, Load: 0.78, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
-	if got := come("b"); len(got) != 2 {
+	if got := request("b"); len(got) != 2 {
 		t.Errorf("with servers near full, probed %v", got)
 	}
 	b.Step(
@@ -114,7 +114,7 @@
 		t.Errorf("an older reading of another balancer replaced the own one: %v", x)
 	}
 	now += 10 * time.Second
-	if got := probesOf(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
+	if got := probedServers(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
 		t.Errorf("after a report that s0 is unreachable, probed %v", got)
 	}
 	if s := b.servers.byID["s0"]; s.probe.failures != 0 || s.probe.ejectedUntil != 0 {
@@ -123,17 +123,17 @@
 }
 
 // A balancer that is assigned a server probes it for the others, also without connections to it.
-func TestDutyIsDone(t *testing.T) {
-	b, now := listed(t, 3, nil)
+func TestAssignedServersAreProbed(t *testing.T) {
+	b, now := newListedBalancer(t, 3, nil)
 	b.Step(now, FleetState{AssignedServers: []string{"s1"}}, nil)
-	asked := 0
+	probes := 0
 	for range 500 { // ten seconds
 		now += 20 * time.Millisecond
-		for _, id := range probesOf(b.Step(now, TimerFired{"tick"}, nil)) {
+		for _, id := range probedServers(b.Step(now, TimerFired{"tick"}, nil)) {
 			if id != "s1" {
 				t.Fatalf("probed %s, want s1 only", id)
 			}
-			asked++
+			probes++
 			b.Step(
 				now,
 				ProbeResult{Server: id, Report: report(0.3, 9)},
@@ -141,16 +141,16 @@
 			)
 		}
 	}
-	if asked < 10 || asked > 13 {
-		t.Errorf("%d probes in 10 s, want one every 0.8 s", asked)
+	if probes < 10 || probes > 13 {
+		t.Errorf("%d probes in 10 s, want one every 0.8 s", probes)
 	}
 }
 
 // The warm-up budget is divided by FleetState.BudgetDivisor: below 0 this balancer gets no share, at 0 the number of
 // balancers in the settings applies.
-func TestColdBudgetIsShared(t *testing.T) {
+func TestWarmUpBudgetIsDividedAmongBalancers(t *testing.T) {
 	sends := func(f FleetState) float64 {
-		b, now := listed(t, 1, func(c *Config) {
+		b, now := newListedBalancer(t, 1, func(c *Config) {
 			c.WarmUpInitialCapacity = 0.3
 			c.WarmUpDuration = 10 * time.Second
 			c.OverloadMultiple = 4
@@ -170,19 +170,19 @@
 		}
 		return total + max(0, s.warmUp.tokens)
 	}
-	alone, five := sends(FleetState{}), sends(FleetState{BudgetDivisor: 5})
+	tenth, fifth := sends(FleetState{}), sends(FleetState{BudgetDivisor: 5})
 	if none := sends(FleetState{BudgetDivisor: -1}); none != 0 {
 		t.Errorf("without a share of the budget, %v requests are allowed", none)
 	}
-	if five < 1.9*alone || five > 2.1*alone {
-		t.Errorf("a fifth of the budget is %v, a tenth is %v", five, alone)
+	if fifth < 1.9*tenth || fifth > 2.1*tenth {
+		t.Errorf("a fifth of the budget is %v, a tenth is %v", fifth, tenth)
 	}
 }
 
 // A restarted balancer continues with the slot number of the fleet. A shift of the next slot never moves it into the
 // past, nor by more than a slot length.
-func TestClockAndSlotsFollowTheFleet(t *testing.T) {
-	b, now := listed(t, 3, nil)
+func TestExplorationSlotsFollowTheFleet(t *testing.T) {
+	b, now := newListedBalancer(t, 3, nil)
 	b.Step(now, TimerFired{"tick"}, nil)
 	b.Step(now, FleetState{ExplorationSlots: 40}, nil)
 	if b.Activity().ExplorationSlots != 40 {
@@ -192,18 +192,18 @@
 	if b.Activity().ExplorationSlots != 40 {
 		t.Errorf("the slot number went back to %d", b.Activity().ExplorationSlots)
 	}
-	for _, nudge := range []time.Duration{-time.Hour, time.Hour} {
-		was := b.exploration.nextSlotAt
-		b.Step(now, FleetState{SlotShift: nudge}, nil)
-		if b.exploration.nextSlotAt <= now || b.exploration.nextSlotAt > max(was, now+b.slotLength()) {
-			t.Errorf("after a shift of %v the next slot starts in %v", nudge, b.exploration.nextSlotAt-now)
+	for _, shift := range []time.Duration{-time.Hour, time.Hour} {
+		before := b.exploration.nextSlotAt
+		b.Step(now, FleetState{SlotShift: shift}, nil)
+		if b.exploration.nextSlotAt <= now || b.exploration.nextSlotAt > max(before, now+b.slotLength()) {
+			t.Errorf("after a shift of %v the next slot starts in %v", shift, b.exploration.nextSlotAt-now)
 		}
 	}
 }
 
 // A request that twice finds no capacity among the candidates tries all servers before it is rejected.
-func TestFullCandidatesRefuseNobody(t *testing.T) {
-	b, now := listed(t, 10, nil)
+func TestFullCandidatesCauseNoRejection(t *testing.T) {
+	b, now := newListedBalancer(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5"}}, nil)
 	sent := ""
 	var feed func(ev Event)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -11,16 +11,16 @@
 	resampleInterval = 100 * time.Millisecond // mean time until a waiting request samples again; the minimum is half
 )
 
-// receive accepts a new request. The client of a migrated connection goes to the server that the migration chose. A
+// receiveRequest accepts a new request. The client of a migrated connection goes to the server that the migration chose. A
 // server that is live again after draining gets the next new request: in another zone or warming up, it would rarely
 // be sampled under light traffic.
-func (b *Balancer) receive(q Request) {
+func (b *Balancer) receiveRequest(q Request) {
 	if b.requests.byID[q.ID] != nil {
 		return
 	}
 	class := b.classes.byName[q.Class]
 	if class == nil { // the idempotency is unknown, but nothing has been sent, so a retry is safe
-		b.act(Reject{ID: q.ID, Reason: reasonUnknownClass})
+		b.emit(Reject{ID: q.ID, Reason: reasonUnknownClass})
 		return
 	}
 	r := b.newRequest(q, class)
@@ -41,7 +41,7 @@
 	b.requests.enqueue(r)
 	switch {
 	case b.exhausted(r) || !b.maySetUp() && b.shouldReject(r):
-		b.answerFinally(r)
+		b.rejectOrFail(r)
 	case !b.maySetUp():
 		r.sampled = nil
 		r.nextPlacementAt = b.now + b.tickInterval
@@ -54,13 +54,13 @@
 			b.ensureReading(s, r)
 		}
 		if len(r.sampled) > 0 {
-			b.chooseWhenRead(r)
+			b.chooseIfReadingsComplete(r)
 		}
 	}
 }
 
-// chooseWhenRead chooses a server unless a probe of a sampled server is pending.
-func (b *Balancer) chooseWhenRead(r *request) {
+// chooseIfReadingsComplete chooses a server unless a probe of a sampled server is pending.
+func (b *Balancer) chooseIfReadingsComplete(r *request) {
 	if !slices.ContainsFunc(r.sampled, func(s *server) bool { return s.probe.pending }) {
 		b.choose(r)
 	}
@@ -72,12 +72,12 @@
 	sticky := r.MidFlow && len(r.sampled) > 0 && b.staysSticky(r.sampled[0])
 	best := b.bestSampled(r, sticky)
 	switch {
-	case b.overdue(r):
-		b.answerFinally(r)
+	case b.tooLateForAttempt(r):
+		b.rejectOrFail(r)
 	case best != nil && (sticky || b.admit(best, r)):
 		b.send(r, best)
 	case b.shouldReject(r):
-		b.answerFinally(r)
+		b.rejectOrFail(r)
 	case r.sampled == nil || b.now >= r.nextPlacementAt:
 		b.place(r)
 	default:
@@ -92,8 +92,8 @@
 	var best *server
 	for _, s := range r.sampled {
 		better := best == nil || !sticky && b.placementCost(s, r)+tieMargin < b.placementCost(best, r)
-		silent := s.probe.pending && s.probe.failures > 0 && len(r.sampled) > 1
-		if better && !silent && b.usable(s, r) {
+		unresponsive := s.probe.pending && s.probe.failures > 0 && len(r.sampled) > 1
+		if better && !unresponsive && b.usable(s, r) {
 			best = s
 		}
 	}
@@ -137,7 +137,7 @@
 	weight := b.classLoads.weight(r.Class)
 	s.warmUp.tokens -= weight // not used once the server has warmed up
 	s.estimate.placed += b.loadStep(s) * weight
-	b.act(Send{r.ID, s.ID, b.attemptTimeout(r)})
+	b.emit(Send{r.ID, s.ID, b.attemptTimeout(r)})
 }
 
 // attemptEstablished records that a connection has been established.
@@ -146,8 +146,8 @@
 	if r == nil || !r.attemptPending || event.Attempt != r.attempts-1 {
 		return
 	}
-	r.server.probe.recovered()
+	r.server.probe.reset()
 	r.attemptPending = false
-	b.setups.succeeded(event.Latency, float64(b.config.MaxPendingAttempts))
+	b.setups.recordSuccess(event.Latency, float64(b.config.MaxPendingAttempts))
 	b.establish(r)
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -8,7 +8,7 @@
 
 // In a zone with one server, every new request sampled that server and one in another zone. Half of them took the
 // other one because its load was a little lower, and paid the cross-zone cost for the lifetime of the connection.
-func TestLightLoadIsNoReasonToCross(t *testing.T) {
+func TestLightLoadStaysInOwnZone(t *testing.T) {
 	list := servers(3)
 	list[1].Zone, list[2].Zone = "b", "c"
 	c := testConfig()
@@ -17,11 +17,11 @@
 		own  float64
 		home bool
 	}{{0.5, true}, {0.78, false}} {
-		r := newRig(t, c, list...)
+		r := newHarness(t, c, list...)
 		r.loads["s00"], r.loads["s01"], r.loads["s02"] = x.own, 0.1, 0.1
-		r.rif["s00"] = 500 // one more connection adds almost no load
+		r.inFlight["s00"] = 500 // one more connection adds almost no load
 		r.request("x", "safe")
-		if s, ok := last[Send](r); !ok || x.home != (s.Server == "s00") {
+		if s, ok := lastAction[Send](r); !ok || x.home != (s.Server == "s00") {
 			t.Errorf("with load %v in the own zone: sent to %v", x.own, s)
 		}
 	}
@@ -30,8 +30,8 @@
 // Each server with connections of a group does work for the whole group (as much as three mean connections in the
 // second deployment). When the first two servers of a group were full, later samples were independent, and the group
 // was spread over all servers. All balancers must sample the servers of a group in the same order.
-func TestAGroupSpillsInOneOrderAtEveryBalancer(t *testing.T) {
-	one, other := newRig(t, testConfig(), servers(12)...), newRig(t, testConfig(), servers(12)...)
+func TestGroupServersHaveOneOrderAtAllBalancers(t *testing.T) {
+	one, other := newHarness(t, testConfig(), servers(12)...), newHarness(t, testConfig(), servers(12)...)
 	other.b.rng.Uint64() // balancers have different random states
 	for g := range 20 {
 		r := &request{
@@ -41,18 +41,18 @@
 		}
 		q := *r
 		q.Key = "another member's"
-		met := map[string]bool{}
-		for draw := range 4 {
+		seen := map[string]bool{}
+		for sample := range 4 {
 			here, there := one.b.sample(r), other.b.sample(&q)
 			for i, s := range here {
 				if s.ID != there[i].ID {
-					t.Fatalf("group %d, sample %d: %s at one balancer, %s at the other", g, draw, s.ID, there[i].ID)
+					t.Fatalf("group %d, sample %d: %s at one balancer, %s at the other", g, sample, s.ID, there[i].ID)
 				}
-				met[s.ID] = true
+				seen[s.ID] = true
 			}
 		}
-		if len(met) != 6 {
-			t.Errorf("group %d: %d servers in four samples, want the first six of its order", g, len(met))
+		if len(seen) != 6 {
+			t.Errorf("group %d: %d servers in four samples, want the first six of its order", g, len(seen))
 		}
 	}
 }
@@ -60,12 +60,12 @@
 // A request whose group is established on a full server may open the group on another server, but only if that has
 // spare capacity for more than the request. Otherwise overload spread every group over all servers, because their
 // loads were tied each time.
-func TestAGroupOpensElsewhereOnlyIntoRoom(t *testing.T) {
+func TestGroupNeedsSpareCapacityAtAnotherServer(t *testing.T) {
 	for _, c := range []struct {
 		here, there float64 // loads of the server with the group, and of the other one
 		sent        string
 	}{{0.5, 0.6, "s00"}, {0.7, 0.75, "s00"}, {0.9, 0.7, ""}, {0.9, 0.3, "s01"}, {0.7, 0.2, "s01"}} {
-		r := newRig(t, testConfig(), servers(2)...)
+		r := newHarness(t, testConfig(), servers(2)...)
 		r.loads["s00"], r.loads["s01"] = c.here, c.there
 		for i := range 8 {
 			r.feed(
@@ -76,8 +76,8 @@
 			)
 		}
 		r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
-		r.run(300 * ms)
-		if s, _ := last[Send](r); s.Server != c.sent {
+		r.advance(300 * ms)
+		if s, _ := lastAction[Send](r); s.Server != c.sent {
 			t.Errorf(
 				"load %v at the group's server, %v at the other: sent to %q, want %q",
 				c.here,
@@ -98,18 +98,18 @@
 // One of 300 balancers has few connections, and none of most groups. It must treat an unknown group as established
 // nowhere; otherwise the tie margin would be added to the load of the servers for nearly every new request (one score
 // fell from 0.92 to 0.85).
-func TestAGroupThatIsNotKnownHereOpensAnywhere(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
+func TestUnknownGroupIsPlacedAnywhere(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.7, 0.7
 	for i := range 3 {
 		r.feed(
 			AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i)}, Server: "s00"},
 		) // without a class: ignored
-		r.open(fmt.Sprint("o", i), "s00") // without a group
+		r.adopt(fmt.Sprint("o", i), "s00") // without a group
 	}
 	r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
-	r.run(300 * ms)
-	if _, sent := last[Send](r); !sent {
+	r.advance(300 * ms)
+	if _, sent := lastAction[Send](r); !sent {
 		t.Error("queued, although both servers have capacity and the group is not known to be established anywhere")
 	}
 	for i := range 3 {
@@ -123,8 +123,8 @@
 
 // Incident i6519c4: balancers restarted, and the packets of thousands of established connections reached other
 // balancers, which have to find the servers of these connections.
-func TestAnotherBalancerFindsTheHolder(t *testing.T) {
-	one, two := newRig(t, testConfig(), servers(20)...), newRig(t, testConfig(), servers(20)...)
+func TestAnotherBalancerFindsTheServer(t *testing.T) {
+	one, two := newHarness(t, testConfig(), servers(20)...), newHarness(t, testConfig(), servers(20)...)
 	two.b.rng.Uint64() // balancers have different random states
 	found := 0
 	for i := range 100 {
@@ -132,14 +132,14 @@
 			one.loads[s.ID] = 0.3 + float64((i*7+int(s.idHash%13))%13)/100 // equal except for noise
 		}
 		id := fmt.Sprint(i)
-		holder := one.connect(id)
-		one.run(1500 * ms)
+		server := one.connect(id)
+		one.advance(1500 * ms)
 		two.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: time.Second, MidFlow: true})
-		if s, ok := last[Send](two); ok && s.ID == id && s.Server == holder {
+		if s, ok := lastAction[Send](two); ok && s.ID == id && s.Server == server {
 			found++
 		}
 		two.feed(ClientDisconnected{ID: id})
-		two.run(time.Second)
+		two.advance(time.Second)
 	}
 	if found < 90 {
 		t.Errorf("%d of 100 were sent to the server of their connection", found)
@@ -149,25 +149,25 @@
 // When a balancer in another zone reloaded, all its 420 connections arrived mid-flow at one balancer, which sent them
 // to the two servers of its own zone. Their load rose to 1.3, although the connections were established in other
 // zones.
-func TestMidFlowIsNotHeapedUp(t *testing.T) {
+func TestMidFlowConnectionsAreSpreadOverZones(t *testing.T) {
 	list := servers(6)
 	for i := 2; i < 6; i++ {
 		list[i].Zone = "b"
 	}
 	c := testConfig()
 	c.CrossZoneCost = 0.16
-	r := newRig(t, c, list...)
+	r := newHarness(t, c, list...)
 	for _, s := range list {
 		r.loads[s.ID] = 0.5
 	}
 	sent := map[string]int{}
 	for i := range 60 {
 		r.feed(Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "safe", Timeout: time.Second, MidFlow: true})
-		if s, ok := last[Send](r); ok && s.ID == fmt.Sprint(i) {
+		if s, ok := lastAction[Send](r); ok && s.ID == fmt.Sprint(i) {
 			sent[s.Server]++
 			r.feed(AttemptEstablished{ID: s.ID, Server: s.Server})
 		}
-		r.run(500 * ms)
+		r.advance(500 * ms)
 	}
 	if n := sent["s00"] + sent["s01"]; n == 0 || n > 40 {
 		t.Errorf("%d of 60 were sent to the own zone: %v", n, sent)
@@ -175,17 +175,17 @@
 	for _, s := range list {
 		r.loads[s.ID] = 1.2
 	}
-	r.run(10 * time.Second) // readings that never change stay fresh for long
-	r.log = nil
+	r.advance(10 * time.Second) // readings that never change stay fresh for long
+	r.actions = nil
 	r.feed(Request{ID: "x", Key: "kx", Class: "safe", Timeout: time.Second, MidFlow: true})
-	if s, ok := last[Send](r); ok {
+	if s, ok := lastAction[Send](r); ok {
 		t.Errorf("sent to a full server: %v", s)
 	}
 }
 
 // In a zone with many balancers, the remaining ones receive the connections of those that stopped. They must first try
 // the server that another balancer of the zone would have sampled first.
-func TestMidFlowIsLookedForInTheOwnZone(t *testing.T) {
+func TestMidFlowConnectionsTryTheOwnZoneFirst(t *testing.T) {
 	list := servers(9)
 	for i := range list {
 		list[i].Zone = string(rune('a' + i%3))
@@ -194,7 +194,7 @@
 		c := testConfig()
 		c.Balancers = k.balancers
 		c.CrossZoneCost = 0.16
-		r := newRig(t, c, list...)
+		r := newHarness(t, c, list...)
 		found := 0
 		for i := range 200 {
 			key := fmt.Sprint("key", i)
@@ -212,19 +212,19 @@
 
 // When most balancers stop, the others receive the packets of their connections within 1 s. Each connection that is
 // sent to a wrong server adds load there, so a server near full may admit only its share of them.
-func TestAWaveInMidFlowFillsNoServer(t *testing.T) {
+func TestMidFlowBurstOverloadsNoServer(t *testing.T) {
 	sent := func(x float64) int {
 		c := testConfig()
 		c.Balancers = 80
-		r := newRig(t, c, servers(3)...)
+		r := newHarness(t, c, servers(3)...)
 		for _, s := range r.b.servers.sorted {
-			r.loads[s.ID], r.rif[s.ID] = x, 250*x
+			r.loads[s.ID], r.inFlight[s.ID] = x, 250*x
 		}
 		n := 0
 		for i := range 40 { // in two seconds
 			id := fmt.Sprint(i)
 			r.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: 2 * time.Second, MidFlow: true})
-			if s, ok := last[Send](r); ok && s.ID == id {
+			if s, ok := lastAction[Send](r); ok && s.ID == id {
 				n++
 				r.feed(AttemptEstablished{ID: id, Server: s.Server})
 				r.feed(AttemptEnded{ID: id, Final: true})
@@ -234,7 +234,7 @@
 			for _, s := range r.b.servers.sorted {
 				s.estimate.placed = 0 // other balancers' placements are unknown, so the own ones are ignored too
 			}
-			r.run(50 * ms)
+			r.advance(50 * ms)
 		}
 		return n
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -48,26 +48,26 @@
 	}
 }
 
-// rig runs one balancer and answers its probes with configured loads.
-type rig struct {
-	t     *testing.T
-	b     *Balancer
-	now   time.Duration
-	loads map[string]float64
-	rif   map[string]float64
-	mute  map[string]Result // results of probes that return no report
-	log   []Action
-	wakes []time.Duration
+// harness runs one balancer and answers its probes with configured loads.
+type harness struct {
+	t            *testing.T
+	b            *Balancer
+	now          time.Duration
+	loads        map[string]float64
+	inFlight     map[string]float64
+	probeResults map[string]Result // results of probes that return no report
+	actions      []Action
+	timers       []time.Duration
 }
 
-func newRig(t *testing.T, c Config, servers ...Server) *rig {
+func newHarness(t *testing.T, c Config, servers ...Server) *harness {
 	t.Helper()
 	b, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Hour, loads: map[string]float64{}, rif: map[string]float64{},
-		mute: map[string]Result{}}
+	r := &harness{t: t, b: b, now: time.Hour, loads: map[string]float64{}, inFlight: map[string]float64{},
+		probeResults: map[string]Result{}}
 	r.feed(ServerList{Kind: ListFull, Servers: servers})
 	return r
 }
@@ -80,62 +80,62 @@
 	return list
 }
 
-func (r *rig) feed(ev Event) {
+func (r *harness) feed(ev Event) {
 	for _, a := range r.b.Step(r.now, ev, nil) {
-		r.log = append(r.log, a)
+		r.actions = append(r.actions, a)
 		switch a := a.(type) {
 		case SetTimer:
-			r.wakes = append(r.wakes, r.now+a.After)
+			r.timers = append(r.timers, r.now+a.After)
 		case Probe:
-			if res, bad := r.mute[a.Server]; bad {
-				r.feed(ProbeResult{Server: a.Server, Result: res})
+			if result, fails := r.probeResults[a.Server]; fails {
+				r.feed(ProbeResult{Server: a.Server, Result: result})
 				continue
 			}
-			rif := r.rif[a.Server]
-			if rif == 0 {
-				rif = -1
+			inFlight := r.inFlight[a.Server]
+			if inFlight == 0 {
+				inFlight = -1
 			}
-			r.feed(ProbeResult{Server: a.Server, Report: report(r.loads[a.Server], rif)})
+			r.feed(ProbeResult{Server: a.Server, Report: report(r.loads[a.Server], inFlight)})
 		}
 	}
 }
 
-// run advances the time and fires the timers that are due.
-func (r *rig) run(d time.Duration) {
+// advance advances the time and fires the timers that are due.
+func (r *harness) advance(d time.Duration) {
 	end := r.now + d
-	for len(r.wakes) > 0 && r.wakes[0] <= end {
-		r.now = r.wakes[0]
-		r.wakes = r.wakes[1:]
+	for len(r.timers) > 0 && r.timers[0] <= end {
+		r.now = r.timers[0]
+		r.timers = r.timers[1:]
 		r.feed(TimerFired{"tick"})
 	}
 	r.now = end
 }
 
-func (r *rig) request(id, class string) {
+func (r *harness) request(id, class string) {
 	r.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
 }
 
 // connect requests a connection, establishes it on the server to which it is sent, and returns that server.
-func (r *rig) connect(id string) string {
+func (r *harness) connect(id string) string {
 	r.t.Helper()
 	r.request(id, "safe")
 	for range 30 {
-		if s, ok := last[Send](r); ok && s.ID == id {
+		if s, ok := lastAction[Send](r); ok && s.ID == id {
 			r.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
 			return s.Server
 		}
-		r.run(20 * ms)
+		r.advance(20 * ms)
 	}
 	r.t.Fatalf("%s was not sent", id)
 	return ""
 }
 
-func (r *rig) open(id, server string) {
+func (r *harness) adopt(id, server string) {
 	r.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
 }
 
-func all[T Action](r *rig) (list []T) {
-	for _, a := range r.log {
+func actionsOf[T Action](r *harness) (list []T) {
+	for _, a := range r.actions {
 		if a, ok := a.(T); ok {
 			list = append(list, a)
 		}
@@ -143,8 +143,8 @@
 	return list
 }
 
-func last[T Action](r *rig) (T, bool) {
-	list := all[T](r)
+func lastAction[T Action](r *harness) (T, bool) {
+	list := actionsOf[T](r)
 	if len(list) == 0 {
 		var none T
 		return none, false
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestGammaIsCappedAndDecays(t *testing.T) {
+func TestExplorationProbabilityIsLimitedAndDecays(t *testing.T) {
 	for _, c := range []struct {
 		beta float64
 		t    int
@@ -191,14 +191,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.exploration.slots = c.t
+		b.exploration.startedSlots = c.t
 		if got := b.explorationProbability(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("beta %v, slot %d: %v, want %v", c.beta, c.t, got, c.want)
 		}
 	}
 }
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"no classes":   func(c *Config) { c.Classes = nil },
 		"beta":         func(c *Config) { c.ExplorationDecay = 0.4 },
@@ -221,8 +221,8 @@
 	}
 }
 
-func TestBetterOfTwo(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
+func TestLessLoadedOfTwoServersIsChosen(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.6, 0.2
 	for i := range 8 {
 		id := fmt.Sprint(i)
@@ -231,7 +231,7 @@
 		}
 	}
 	r.loads["s00"], r.loads["s01"] = 0.1, 0.5
-	r.run(3 * time.Second)
+	r.advance(3 * time.Second)
 	if got := r.connect("later"); got != "s00" {
 		t.Errorf("sent to %s after the loads had changed", got)
 	}
@@ -239,8 +239,8 @@
 
 // For each result of a first attempt and each idempotency, checks whether the request is sent again, rejected or
 // failed.
-func TestOutcomesAndEffects(t *testing.T) {
-	const again, refuse, fail = "send", "refuse", "fail"
+func TestNextActionAfterAttempt(t *testing.T) {
+	const again, reject, fail = "send", "refuse", "fail"
 	for _, c := range []struct {
 		class  string
 		result Result
@@ -258,23 +258,23 @@
 	} {
 		list := servers(6)
 		list[0].Zone, list[1].Zone = "b", "b"
-		r := newRig(t, testConfig(), list...)
+		r := newHarness(t, testConfig(), list...)
 		r.request("x", c.class)
-		first, ok := last[Send](r)
+		first, ok := lastAction[Send](r)
 		if !ok {
 			t.Fatalf("%s: no first send", c.class)
 		}
-		r.run(50 * ms)
-		r.log = nil
+		r.advance(50 * ms)
+		r.actions = nil
 		r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
-		r.run(300 * ms)
+		r.advance(300 * ms)
 		got := "nothing"
-		for _, a := range r.log {
+		for _, a := range r.actions {
 			switch a.(type) {
 			case Send:
 				got = again
 			case Reject:
-				got = refuse
+				got = reject
 			case Fail:
 				got = fail
 			}
@@ -282,7 +282,7 @@
 		if got != c.want {
 			t.Errorf("%s after result %d: %s, want %s", c.class, c.result, got, c.want)
 		}
-		second, _ := last[Send](r)
+		second, _ := lastAction[Send](r)
 		if c.result.MayHaveRun() && c.want == again {
 			x, y := r.b.servers.byID[first.Server], r.b.servers.byID[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
@@ -292,41 +292,41 @@
 	}
 }
 
-func TestKeyedRequestIsNotRepeatedAfterItsTime(t *testing.T) {
-	r := newRig(t, testConfig(), servers(6)...)
+func TestKeyedRequestIsNotRepeatedAfterKeyTTL(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(6)...)
 	r.request("x", "keyed")
-	first, _ := last[Send](r)
-	r.run(900 * ms) // the key is remembered for 800 ms from the send
-	r.log = nil
+	first, _ := lastAction[Send](r)
+	r.advance(900 * ms) // the key is remembered for 800 ms from the send
+	r.actions = nil
 	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.run(2 * time.Second)
-	if sent := all[Send](r); len(sent) > 0 {
+	r.advance(2 * time.Second)
+	if sent := actionsOf[Send](r); len(sent) > 0 {
 		t.Errorf("sent again %d times", len(sent))
 	}
-	if refused := all[Reject](r); len(refused) != 1 { // servers discard repeats by the client as well
-		t.Errorf("%d rejections, want 1", len(refused))
+	if rejected := actionsOf[Reject](r); len(rejected) != 1 { // servers discard repeats by the client as well
+		t.Errorf("%d rejections, want 1", len(rejected))
 	}
 }
 
-func TestScopedRequestThatMayHaveRunIsNotRefused(t *testing.T) {
+func TestScopedRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	list := servers(3)
 	for i := range list {
 		list[i].Zone = string(rune('a' + i))
 	}
-	r := newRig(t, testConfig(), list...)
+	r := newHarness(t, testConfig(), list...)
 	r.request("x", "zone")
-	first, _ := last[Send](r)
+	first, _ := lastAction[Send](r)
 	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.run(2 * time.Second)
-	if len(all[Reject](r)) != 0 || len(all[Fail](r)) != 1 || len(all[Send](r)) != 1 {
-		t.Errorf("%d sends, %d rejections, %d failures", len(all[Send](r)), len(all[Reject](r)), len(all[Fail](r)))
+	r.advance(2 * time.Second)
+	if len(actionsOf[Reject](r)) != 0 || len(actionsOf[Fail](r)) != 1 || len(actionsOf[Send](r)) != 1 {
+		t.Errorf("%d sends, %d rejections, %d failures", len(actionsOf[Send](r)), len(actionsOf[Reject](r)), len(actionsOf[Fail](r)))
 	}
 }
 
-func TestEventsThatDoNotFit(t *testing.T) {
-	r := newRig(t, testConfig(), servers(3)...)
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(3)...)
 	r.connect("a")
-	r.log = nil
+	r.actions = nil
 	r.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
 	r.feed(AttemptEstablished{ID: "nobody"})
 	r.feed(AttemptEstablished{ID: "a", Server: "s00"})
@@ -336,49 +336,49 @@
 	r.feed(ClientDisconnected{ID: "nobody"})
 	r.feed(ProbeResult{Server: "nowhere"})
 	r.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
-	if len(r.log) > 0 {
-		t.Errorf("unexpected actions %v", r.log)
+	if len(r.actions) > 0 {
+		t.Errorf("unexpected actions %v", r.actions)
 	}
 	r.now -= time.Minute // the balancer keeps using the previous time
 	r.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
-	if _, ok := last[Reject](r); !ok {
+	if _, ok := lastAction[Reject](r); !ok {
 		t.Error("a request of an unknown class got no answer")
 	}
 	r.request("c", "safe")
-	if s, _ := last[Send](r); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
+	if s, _ := lastAction[Send](r); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
 		t.Errorf("a time-out in the past: %v", s.TimeoutAt)
 	}
 }
 
-func TestListFailuresAreAskedAgainInTime(t *testing.T) {
+func TestFailedSubscriptionIsRetriedInTime(t *testing.T) {
 	c := testConfig()
 	c.PollEndpointList = true
 	c.PollInterval = 10 * time.Second
-	r := newRig(t, c)
+	r := newHarness(t, c)
 	r.feed(ServerList{Kind: ListFailed})
-	r.log = nil
+	r.actions = nil
 	for range 10 {
-		before := len(all[Subscribe](r))
-		r.run(10 * time.Second)
-		if len(all[Subscribe](r)) == before {
+		before := len(actionsOf[Subscribe](r))
+		r.advance(10 * time.Second)
+		if len(actionsOf[Subscribe](r)) == before {
 			t.Fatal("no call for longer than the poll interval")
 		}
 		r.feed(ServerList{Kind: ListFailed})
 	}
-	if n := len(all[Subscribe](r)); n > 60 {
+	if n := len(actionsOf[Subscribe](r)); n > 60 {
 		t.Errorf("%d calls in 100 s", n)
 	}
 	r.feed(ServerList{Kind: ListFull, Servers: servers(2)})
-	r.log = nil
-	r.run(time.Minute)
-	if n := len(all[Subscribe](r)); n > 0 {
+	r.actions = nil
+	r.advance(time.Minute)
+	if n := len(actionsOf[Subscribe](r)); n > 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
 }
 
 // The deploy file must name every file with decision logic, because operators look there. Also limits the length of
 // files and lines.
-func TestDeployFileNamesEveryDecision(t *testing.T) {
+func TestDeployFileListsDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -22,14 +22,14 @@
 	known           bool
 	at              time.Duration
 	overloadedSince time.Duration // 0 if it is not above overloadedLoad
-	grace           time.Duration // time for which another balancer's reading stays fresh longer than an own reading
+	extraValidity   time.Duration // time for which another balancer's reading stays fresh longer than an own reading
 	peerAt          time.Duration // when the latest reading of another balancer was received
-	own             float64       // latest reading of this balancer, which is reported to the others
+	ownLoad         float64       // latest reading of this balancer, which is reported to the others
 	ownAt           time.Duration
 }
 
-// set records a load that was read at the given time.
-func (r *reading) set(load float64, at time.Duration) {
+// record records a load that was read at the given time.
+func (r *reading) record(load float64, at time.Duration) {
 	r.load = load
 	r.known = true
 	r.at = at
@@ -44,8 +44,8 @@
 	ejectedUntil time.Duration // the server is not sampled before this time
 }
 
-// recovered ends the ejection of a server that has answered.
-func (p *probeState) recovered() {
+// reset ends the ejection of a server that has answered.
+func (p *probeState) reset() {
 	p.failures = 0
 	p.ejectedUntil = 0
 }
@@ -56,7 +56,7 @@
 	at    time.Duration
 }
 
-func (d *delayState) set(value, now time.Duration) {
+func (d *delayState) record(value, now time.Duration) {
 	d.value = value
 	d.at = now
 }
@@ -91,7 +91,7 @@
 // errors must not cause additional probes.
 func (b *Balancer) ensureReading(s *server, r *request) bool {
 	freshSince := b.now - b.reportLag()/2
-	readingFresh := s.reading.known && s.reading.at >= freshSince-s.reading.grace
+	readingFresh := s.reading.known && s.reading.at >= freshSince-s.reading.extraValidity
 	answerFresh := !s.probe.pending && s.probe.sentAt >= freshSince
 	if readingFresh || answerFresh || !b.config.ProbesEnabled || s.State == Gone {
 		return true
@@ -102,13 +102,13 @@
 	if !s.probe.pending {
 		s.probe.pending = true
 		s.probe.sentAt = b.now
-		b.act(Probe{s.ID})
+		b.emit(Probe{s.ID})
 	}
 	return false
 }
 
-// probeAgain discards the reading of a server that may be faulty, and probes the server at once.
-func (b *Balancer) probeAgain(s *server) {
+// reprobe discards the reading of a server that may be faulty, and probes the server at once.
+func (b *Balancer) reprobe(s *server) {
 	s.reading.known = false
 	s.probe.sentAt = -b.reportLag()
 	b.ensureReading(s, nil)
@@ -127,7 +127,7 @@
 	unanswered := result.Result == ResultTimedOut || result.Result == ResultUnreachable
 	switch {
 	case result.Result == ResultOK && result.Report != nil:
-		b.takeReport(s, *result.Report)
+		b.applyReport(s, *result.Report)
 	case unanswered && !result.ServerActive: // if the server is active, only the path of the probe is slow
 		b.probeFailed(s)
 	}
@@ -145,44 +145,44 @@
 	s.probe.failures++
 	s.probe.ejectedUntil = b.now + b.jitter(time.Duration(min(s.probe.failures, maxEjectionSteps))*ejectionStep)
 	if s.probe.failures == 1 && s.openConnections > 0 {
-		b.probeAgain(s)
+		b.reprobe(s)
 	}
 }
 
-// takeReport applies a server's load report.
-func (b *Balancer) takeReport(s *server, report LoadReport) {
+// applyReport applies a server's load report.
+func (b *Balancer) applyReport(s *server, report LoadReport) {
 	load := b.reportedLoad(report, s.Weight)
 	if s.reading.known {
-		b.means.learnRenewal(load == s.reading.load)
-		s.estimate.placed *= b.shownShare(s, b.now)
+		b.means.adaptRenewalAge(load == s.reading.load)
+		s.estimate.placed *= b.hiddenShare(s, b.now)
 	}
-	s.probe.recovered()
+	s.probe.reset()
 	s.estimate.penalty *= math.Exp(-(b.now - s.reading.at).Seconds() / penaltyDecay.Seconds())
-	s.reading.own = load
+	s.reading.ownLoad = load
 	s.reading.ownAt = b.now
-	s.reading.grace = 0
-	s.reading.set(load, b.now)
+	s.reading.extraValidity = 0
+	s.reading.record(load, b.now)
 	if load > overloadedLoad {
 		s.reading.overloadedSince = cmp.Or(s.reading.overloadedSince, b.now)
 	} else {
 		s.reading.overloadedSince = 0
 	}
 	if report.BacklogSeconds > 0 {
-		s.delay.set(time.Duration(report.BacklogSeconds*float64(time.Second)), b.now)
+		s.delay.record(time.Duration(report.BacklogSeconds*float64(time.Second)), b.now)
 	}
-	b.learnStep(s, load, report.InFlight)
+	b.updateLoadStep(s, load, report.InFlight)
 	b.means.load += 0.05 * (load - b.means.load)
 }
 
-// shownShare returns the fraction of the placed load that does not show yet in a reading taken at the given time.
-func (b *Balancer) shownShare(s *server, at time.Duration) float64 {
+// hiddenShare returns the fraction of the placed load that does not show yet in a reading taken at the given time.
+func (b *Balancer) hiddenShare(s *server, at time.Duration) float64 {
 	return math.Exp(-(at - s.reading.at).Seconds() / b.reportLag().Seconds())
 }
 
-// takePeerReading applies another balancer's reading. The more free capacity the server has, the longer the reading
+// applyPeerReading applies another balancer's reading. The more free capacity the server has, the longer the reading
 // stays fresh, because the requests sent since then matter less. A server that other balancers report as unreachable
 // is probed at once, whatever its last reading.
-func (b *Balancer) takePeerReading(event PeerReading) {
+func (b *Balancer) applyPeerReading(event PeerReading) {
 	s := b.servers.byID[event.Server]
 	if s == nil {
 		return
@@ -190,22 +190,22 @@
 	readAt := b.now - event.Age
 	switch {
 	case event.Unreachable && s.probe.failures == 0:
-		b.probeAgain(s)
+		b.reprobe(s)
 	case !event.Unreachable && readAt > s.reading.at:
-		s.estimate.placed *= b.shownShare(s, readAt)
-		s.reading.set(event.Load, readAt)
+		s.estimate.placed *= b.hiddenShare(s, readAt)
+		s.reading.record(event.Load, readAt)
 		s.reading.peerAt = b.now
-		s.reading.grace = time.Duration(max(0, newcomerLoadLimit-event.Load) / newcomerLoadLimit * float64(minSettleTime))
+		s.reading.extraValidity = time.Duration(max(0, newRequestLoadLimit-event.Load) / newRequestLoadLimit * float64(minSettleTime))
 	}
 }
 
-// takeMessageDelay records the delay of a message on an established connection.
-func (b *Balancer) takeMessageDelay(event MessageDelay) {
+// recordMessageDelay records the delay of a message on an established connection.
+func (b *Balancer) recordMessageDelay(event MessageDelay) {
 	s := b.servers.byID[event.Server]
 	if s == nil {
 		return
 	}
-	s.delay.set(event.Delay, b.now)
+	s.delay.record(event.Delay, b.now)
 	if s.delay.exceeds(b.classes.messageObjective, b.now) {
 		b.ensureReading(s, nil)
 	}
@@ -218,7 +218,7 @@
 	case !waits:
 	case !r.established:
 		if slices.Contains(r.sampled, s) {
-			b.chooseWhenRead(r)
+			b.chooseIfReadingsComplete(r)
 		}
 	case r.explorationTarget != nil:
 		if answered {
@@ -244,7 +244,7 @@
 	var readings []ServerReading
 	for _, s := range b.servers.sorted {
 		if s.reading.ownAt > 0 || s.probe.failures > 0 {
-			readings = append(readings, ServerReading{s.ID, s.reading.own, s.reading.ownAt, s.probe.failures})
+			readings = append(readings, ServerReading{s.ID, s.reading.ownLoad, s.reading.ownAt, s.probe.failures})
 		}
 	}
 	return readings
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -5,21 +5,21 @@
 // shouldReject reports whether a waiting request should get its final answer now. A connection established after the
 // latency objective has no value.
 func (b *Balancer) shouldReject(r *request) bool {
-	return b.lease == LeaseExpired || b.now >= r.receivedAt+r.class.LatencyObjective || b.overdue(r)
+	return b.lease == LeaseExpired || b.now >= r.receivedAt+r.class.LatencyObjective || b.tooLateForAttempt(r)
 }
 
-// answerFinally closes a request that has no pending attempt. The request is rejected if a retry is safe, and failed
+// rejectOrFail closes a request that has no pending attempt. The request is rejected if a retry is safe, and failed
 // otherwise.
-func (b *Balancer) answerFinally(r *request) {
+func (b *Balancer) rejectOrFail(r *request) {
 	class := r.class
-	harmless := r.mayHaveRunAt < 0 ||
+	retrySafe := r.mayHaveRunAt < 0 ||
 		class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
-	if harmless {
+	if retrySafe {
 		retryAfter := b.config.MaxRetryAfter/2 + b.jitter(b.config.MaxRetryAfter/2)
-		b.act(Reject{r.ID, retryAfter, b.rejectionReason(r)})
+		b.emit(Reject{r.ID, retryAfter, b.rejectionReason(r)})
 	} else {
-		b.act(Fail{r.ID, b.rejectionReason(r)})
+		b.emit(Fail{r.ID, b.rejectionReason(r)})
 	}
 	b.forget(r)
 }
@@ -57,7 +57,7 @@
 		if s.State != Live || s.sampleWeight == 0 || len(r.sampled) > 0 && !slices.Contains(r.sampled, s) {
 			continue
 		}
-		nearest = max(nearest, b.obstacle(s, r))
+		nearest = max(nearest, b.obstacleIndex(s, r))
 	}
 	if nearest < 0 {
 		return reasonNoServer
@@ -65,11 +65,11 @@
 	return obstacles[nearest]
 }
 
-// obstacle returns the index in obstacles of the first check that a server fails for a request. As a side effect it
+// obstacleIndex returns the index in obstacles of the first check that a server fails for a request. As a side effect it
 // refills the server's warm-up budget.
-func (b *Balancer) obstacle(s *server, r *request) int {
+func (b *Balancer) obstacleIndex(s *server, r *request) int {
 	budgetSpent := b.warmUpCapacity(s) < 1 && b.refillWarmUpBudget(s) < 1
-	capacity := b.capacityLeft(s, r, newcomerLoadLimit)
+	capacity := b.capacityLeft(s, r, newRequestLoadLimit)
 	return slices.Index([]bool{
 		b.beyondSubset(s),
 		s == r.avoid,
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -43,7 +43,7 @@
 	established []*request // in the order of establishment
 }
 
-func without(list []*request, r *request) []*request {
+func removeRequest(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(other *request) bool { return other == r })
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s *requestSet) dequeue(r *request) { s.waiting = without(s.waiting, r) }
+func (s *requestSet) dequeue(r *request) { s.waiting = removeRequest(s.waiting, r) }
 
 func (b *Balancer) newRequest(q Request, class *Class) *request {
 	r := &request{
@@ -108,7 +108,7 @@
 }
 
 func (b *Balancer) forgetConnection(r *request) {
-	b.requests.established = without(b.requests.established, r)
+	b.requests.established = removeRequest(b.requests.established, r)
 	r.server.openConnections--
 	for _, groups := range []map[string]int{r.server.groupConnections, b.groupConnections} {
 		groups[r.Group]--
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -25,13 +25,15 @@
 // common retry budget, or because it must not be repeated and an attempt may have run.
 func (b *Balancer) exhausted(r *request) bool {
 	return b.retriesSpent(r) ||
-		b.overdue(r) ||
+		b.tooLateForAttempt(r) ||
 		r.attempts >= r.class.MaxAttempts ||
 		r.mayHaveRunAt >= 0 && r.class.Idempotency == NotIdempotent
 }
 
-// overdue reports whether a new attempt could end too late for an answer before the deadline.
-func (b *Balancer) overdue(r *request) bool { return b.now >= r.deadline-deadlineTicks*b.tickInterval }
+// tooLateForAttempt reports whether a new attempt could end too late for an answer before the deadline.
+func (b *Balancer) tooLateForAttempt(r *request) bool {
+	return b.now >= r.deadline-deadlineTicks*b.tickInterval
+}
 
 // mayRepeat reports whether sending the request to a server is safe with regard to repeats: a request that may have run
 // is sent only where a repeat is harmless.
@@ -41,12 +43,12 @@
 		return true
 	}
 	return class.Idempotency == IdempotentByKey &&
-		class.KeyScope.shared(s, r.mayHaveRunOn) &&
+		class.KeyScope.sharedBy(s, r.mayHaveRunOn) &&
 		b.now-r.mayHaveRunAt <= class.KeyTTL
 }
 
-// shared reports whether two servers discard each other's repeats.
-func (k KeyScope) shared(a, b *server) bool {
+// sharedBy reports whether two servers discard each other's repeats.
+func (k KeyScope) sharedBy(a, b *server) bool {
 	switch k {
 	case KeyScopeZone:
 		return a.Zone == b.Zone
@@ -78,7 +80,7 @@
 		b.forget(r)
 		return
 	}
-	b.countEndedAttempt(r, event.Result)
+	b.recordFailedAttempt(r, event.Result)
 	if event.Result.MayHaveRun() && r.mayHaveRunAt < 0 {
 		r.mayHaveRunAt = r.attemptSentAt
 		r.mayHaveRunOn = r.server
@@ -92,19 +94,19 @@
 	b.place(r)
 }
 
-// countEndedAttempt reports an attempt that was not established to the set-up limiter. A time-out counts with the
+// recordFailedAttempt reports an attempt that was not established to the set-up limiter. A time-out counts with the
 // latency objective as its duration, and triggers a probe, which shows whether only this server has a fault or all do.
-func (b *Balancer) countEndedAttempt(r *request, result Result) {
-	took := time.Duration(b.setups.meanMillis) * time.Millisecond
+func (b *Balancer) recordFailedAttempt(r *request, result Result) {
+	duration := time.Duration(b.setups.meanMillis) * time.Millisecond
 	if result == ResultTimedOut || result == ResultUnreachable {
-		took = r.class.LatencyObjective
+		duration = r.class.LatencyObjective
 		b.ensureReading(r.server, nil)
 	}
 	r.attemptPending = false
 	if result != ResultTimedOut && result != ResultFailed {
-		b.setups.succeeded(took, float64(b.config.MaxPendingAttempts))
+		b.setups.recordSuccess(duration, float64(b.config.MaxPendingAttempts))
 		return
 	}
 	r.failedSetups++
-	b.setups.failed(setupFailure{server: r.server, took: took, firstOfRequest: r.failedSetups == 1}, b.now, b.jitter)
+	b.setups.recordFailure(setupFailure{server: r.server, duration: duration, firstOfRequest: r.failedSetups == 1}, b.now, b.jitter)
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,27 +9,27 @@
 // Incident rules-3: a retry sent 60 ms before the deadline ended after the deadline, so the client got no answer in
 // time.
 func TestNoAttemptCloseToTheDeadline(t *testing.T) {
-	r := newRig(t, testConfig(), servers(4)...)
+	r := newHarness(t, testConfig(), servers(4)...)
 	r.request("x", "safe")
-	first, _ := last[Send](r)
-	r.run(1980 * ms)
-	r.log = nil
+	first, _ := lastAction[Send](r)
+	r.advance(1980 * ms)
+	r.actions = nil
 	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultFailed})
-	if len(r.log) != 1 {
-		t.Fatalf("actions %v, want a final answer only", r.log)
+	if len(r.actions) != 1 {
+		t.Fatalf("actions %v, want a final answer only", r.actions)
 	}
-	if _, ok := r.log[0].(Reject); !ok {
-		t.Errorf("%T instead of the final answer", r.log[0])
+	if _, ok := r.actions[0].(Reject); !ok {
+		t.Errorf("%T instead of the final answer", r.actions[0])
 	}
 }
 
 // A faulty session store answered nine of ten set-ups with an error, and each of them was retried at once.
-func TestErrorsAtManyServersSlowSetUpsDown(t *testing.T) {
-	r := newRig(t, testConfig(), servers(10)...)
+func TestErrorsAtManyServersReduceSetups(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(10)...)
 	sent := 0
 	for i := range 40 {
 		r.request(fmt.Sprint(i), "safe")
-		for _, a := range r.log {
+		for _, a := range r.actions {
 			if s, ok := a.(Send); ok {
 				sent++
 				r.feed(
@@ -37,8 +37,8 @@
 				)
 			}
 		}
-		r.log = nil
-		r.run(5 * ms)
+		r.actions = nil
+		r.advance(5 * ms)
 	}
 	if sent > 40 {
 		t.Errorf("%d sends in 200 ms while every set-up fails", sent)
@@ -51,33 +51,33 @@
 	}
 }
 
-func TestErrorsAtOneServerLeaveTheOthersAlone(t *testing.T) {
-	r := newRig(t, testConfig(), servers(10)...)
-	window := r.b.setups.limit
-	bad := r.b.servers.sorted[0]
+func TestErrorsAtOneServerKeepTheLimit(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(10)...)
+	limit := r.b.setups.limit
+	faulty := r.b.servers.sorted[0]
 	for range 20 {
 		r.b.setups.pending++
-		r.b.countEndedAttempt(&request{server: bad, class: r.b.classes.byName["safe"]}, ResultFailed)
+		r.b.recordFailedAttempt(&request{server: faulty, class: r.b.classes.byName["safe"]}, ResultFailed)
 	}
-	if r.b.setups.limit < window {
-		t.Errorf("the limit fell from %v to %v", window, r.b.setups.limit)
+	if r.b.setups.limit < limit {
+		t.Errorf("the limit fell from %v to %v", limit, r.b.setups.limit)
 	}
 }
 
 // Invalid requests are answered with an error by every server. Eight of them among valid ones reduced the limit of
 // pending set-ups to 1 and made all clients wait.
-func TestUnusableRequestsDontSlowOthersDown(t *testing.T) {
-	r := newRig(t, testConfig(), servers(5)...)
+func TestInvalidRequestsKeepTheLimit(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(5)...)
 	for i := range 40 {
 		id := fmt.Sprint(i)
 		r.request(id, "safe")
 		for try := 0; r.b.requests.byID[id] != nil && !r.b.requests.byID[id].established && try < 9; try++ {
-			s, ok := last[Send](r)
+			s, ok := lastAction[Send](r)
 			if !ok || s.ID != id {
-				r.run(20 * ms)
+				r.advance(20 * ms)
 				continue
 			}
-			r.log = nil
+			r.actions = nil
 			if attempt := r.b.requests.byID[id].attempts - 1; i%5 == 4 {
 				r.feed(AttemptEnded{ID: id, Attempt: attempt, Server: s.Server, Result: ResultFailed})
 			} else {
@@ -92,24 +92,24 @@
 
 // Clients that reconnected in a burst were rejected after 0.75 of the latency objective and reconnected at once, while
 // servers had capacity or were about to report it.
-func TestHeldUntilTheAim(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
+func TestRequestsWaitUntilTheLatencyObjective(t *testing.T) {
+	r := newHarness(t, testConfig(), servers(2)...)
 	r.loads["s00"], r.loads["s01"] = 0.95, 0.95
 	for i := range 9 {
 		r.request(fmt.Sprint(i), "safe")
 	}
-	r.run(390 * ms)
+	r.advance(390 * ms)
 	r.loads["s00"] = 0.2
-	r.run(105 * ms)
-	if s, ok := last[Send](r); !ok || s.Server != "s00" {
-		t.Errorf("actions %v, want a send to the server with capacity", r.log)
+	r.advance(105 * ms)
+	if s, ok := lastAction[Send](r); !ok || s.Server != "s00" {
+		t.Errorf("actions %v, want a send to the server with capacity", r.actions)
 	}
 	r.loads["s00"] = 0.95
-	r.run(2 * time.Second)
-	r.log = nil
+	r.advance(2 * time.Second)
+	r.actions = nil
 	r.request("y", "safe")
-	r.run(510 * ms)
-	if _, ok := last[Reject](r); !ok {
-		t.Errorf("actions %v, want a rejection at the latency objective", r.log)
+	r.advance(510 * ms)
+	if _, ok := lastAction[Reject](r); !ok {
+		t.Errorf("actions %v, want a rejection at the latency objective", r.actions)
 	}
 }
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -44,8 +44,8 @@
 	return n
 }
 
-// get returns the server of an entry, and adds it if it is new.
-func (s *serverSet) get(entry Server) *server {
+// getOrAdd returns the server of an entry, and adds it if it is new.
+func (s *serverSet) getOrAdd(entry Server) *server {
 	known := s.byID[entry.ID]
 	if known == nil {
 		known = &server{idHash: hashText(entry.ID), groupConnections: map[string]int{}}
@@ -72,7 +72,7 @@
 	listed := make(map[string]bool, len(list.Servers))
 	for _, entry := range list.Servers {
 		listed[entry.ID] = true
-		s := b.servers.get(entry)
+		s := b.servers.getOrAdd(entry)
 		if s.State == Draining && entry.State == Live {
 			b.servers.restored = append(b.servers.restored, s)
 		}
--- a/policy/setuplimit.go
+++ b/policy/setuplimit.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	initialSetupLimit  = 16                     // pending attempts
-	minSetupLimit      = 1.0 / 16               // pending attempts
-	highFailureRate    = 0.25                   // of requests; above it, failures are not due to single requests' content
-	minCutInterval     = 100                    // milliseconds between two reductions of the limit
-	setupPauseUnit     = 100 * time.Millisecond // longest pause after a reduction, at a limit of 1
-	setupMeanWeight    = 0.1                    // of the latest set-up in the running means
-	scarceSetupsFactor = 2                      // set-ups are scarce once they take 1/2 of the latency objective
+	initialSetupLimit    = 16                     // pending attempts
+	minSetupLimit        = 1.0 / 16               // pending attempts
+	highFailureRate      = 0.25                   // of requests; above it, failures are not due to single requests' content
+	minCutIntervalMillis = 100                    // milliseconds between two reductions of the limit
+	setupPauseUnit       = 100 * time.Millisecond // longest pause after a reduction, at a limit of 1
+	setupMeanWeight      = 0.1                    // of the latest set-up in the running means
+	scarceSetupsFactor   = 2                      // set-ups are scarce once they take 1/2 of the latency objective
 )
 
 // setupLimiter limits the number of attempts pending at the same time. A resource that all set-ups share (a session
@@ -28,33 +28,33 @@
 // setupFailure is a failed set-up.
 type setupFailure struct {
 	server         *server
-	took           time.Duration
+	duration       time.Duration
 	firstOfRequest bool // only the first is counted: a request that fails everywhere may itself be the cause
 }
 
-func (l *setupLimiter) ended(took time.Duration) {
+func (l *setupLimiter) recordEnd(duration time.Duration) {
 	l.pending--
-	l.meanMillis += setupMeanWeight * (float64(took.Milliseconds()) - l.meanMillis)
+	l.meanMillis += setupMeanWeight * (float64(duration.Milliseconds()) - l.meanMillis)
 }
 
-// succeeded counts a set-up that succeeded, or whose failure was due to the content of its request.
-func (l *setupLimiter) succeeded(took time.Duration, maxLimit float64) {
-	l.ended(took)
+// recordSuccess counts a set-up that succeeded, or whose failure was due to the content of its request.
+func (l *setupLimiter) recordSuccess(duration time.Duration, maxLimit float64) {
+	l.recordEnd(duration)
 	l.limit = min(maxLimit, l.limit+min(l.limit, 1/l.limit))
 	l.failureRate -= setupMeanWeight * l.failureRate
 }
 
-// failed counts a failed set-up. Failures at one server give no information on the others, so only two failures at
+// recordFailure counts a failed set-up. Failures at one server give no information on the others, so only two failures at
 // different servers reduce the limit.
-func (l *setupLimiter) failed(failure setupFailure, now time.Duration, jitter func(time.Duration) time.Duration) {
-	l.ended(failure.took)
+func (l *setupLimiter) recordFailure(failure setupFailure, now time.Duration, jitter func(time.Duration) time.Duration) {
+	l.recordEnd(failure.duration)
 	if failure.firstOfRequest {
 		l.failureRate += setupMeanWeight * (1 - l.failureRate)
 	}
-	elsewhere := l.lastFailedOn != nil && failure.server != l.lastFailedOn
-	if elsewhere && now >= l.nextCutAt && l.failureRate > highFailureRate {
+	differentServer := l.lastFailedOn != nil && failure.server != l.lastFailedOn
+	if differentServer && now >= l.nextCutAt && l.failureRate > highFailureRate {
 		l.limit = max(minSetupLimit, min(l.limit, float64(l.pending+1))/2)
-		l.nextCutAt = now + time.Duration(max(minCutInterval, l.meanMillis))*time.Millisecond
+		l.nextCutAt = now + time.Duration(max(minCutIntervalMillis, l.meanMillis))*time.Millisecond
 		l.pausedUntil = now + jitter(time.Duration(float64(setupPauseUnit)/l.limit))
 	}
 	l.lastFailedOn = failure.server
--- a/policy/simulation_rules_test.go
+++ b/policy/simulation_rules_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldInRandomSimulations(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, 30)
+		w := newSimulation(t, seed, 30)
 		w.run()
 		sends := 0
 		for _, a := range w.actions {
@@ -27,10 +27,10 @@
 }
 
 // The rules hold and requests get their answers whatever other balancers report, right or wrong, and however often.
-func TestRulesHoldWhateverOthersSay(t *testing.T) {
+func TestRulesHoldWithAnyPeerEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, 30)
-		w.others = true
+		w := newSimulation(t, seed, 30)
+		w.peersActive = true
 		w.run()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -40,7 +40,7 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(4) {
-		one, two := newWorld(t, seed, 20), newWorld(t, seed, 20)
+		one, two := newSimulation(t, seed, 20), newSimulation(t, seed, 20)
 		one.run()
 		two.run()
 		if diff := cmp.Diff(one.actions, two.actions, cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -62,13 +62,13 @@
 // times its share of n limits it to that number of whole requests.
 func (b *Balancer) refillWarmUpBudget(s *server) float64 {
 	window := max(b.config.OverloadWindow, b.tickInterval).Seconds()
-	sharers := b.budgetDivisor()
+	divisor := b.budgetDivisor()
 	budgetShare := b.config.WarmUpBudgetShare
 	step := max(b.loadStep(s), minBudgetedStep)
 	budget := budgetShare * b.config.OverloadMultiple / step / b.config.WarmUpDuration.Seconds() * window
 	bound := budget + overloadSlack*(1+math.Sqrt(budget/budgetShare)) - 1
 	root := (math.Sqrt(0.5625+4*max(0, bound)) - 0.75) / 2
-	rate := max(budget/sharers, 0.79*math.Floor(root*root/sharers)) / window
+	rate := max(budget/divisor, 0.79*math.Floor(root*root/divisor)) / window
 
 	w := &s.warmUp
 	w.tokens += rate * (b.now - w.refilledAt).Seconds()
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,20 +8,20 @@
 )
 
 // A starting server reports no load, and the new requests of the whole fleet would overload it.
-func TestColdServerGetsItsBudget(t *testing.T) {
+func TestStartingServerGetsItsBudget(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 20
 	list := servers(2)
 	list[1].StartedAt = time.Hour
-	r := newRig(t, c, list...)
-	r.loads["s00"], r.rif["s00"] = 0.6, 30 // 50 connections fill a server
-	r.b.takeReport(r.b.servers.byID["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
+	r := newHarness(t, c, list...)
+	r.loads["s00"], r.inFlight["s00"] = 0.6, 30 // 50 connections fill a server
+	r.b.applyReport(r.b.servers.byID["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
 	sent := 0
 	for i := range 300 {
 		id := fmt.Sprint(i)
 		r.request(id, "safe")
-		r.run(10 * ms)
-		if s, ok := last[Send](r); ok && s.ID == id {
+		r.advance(10 * ms)
+		if s, ok := lastAction[Send](r); ok && s.ID == id {
 			if s.Server == "s01" {
 				sent++
 			}
@@ -36,7 +36,7 @@
 }
 
 // Unused warm-up budget expires. If eighty balancers saved it up, they would all send at the same time.
-func TestUnusedColdSendsLapse(t *testing.T) {
+func TestUnusedWarmUpBudgetExpires(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 80
 	c.OverloadWindow = 3 * time.Second
@@ -64,31 +64,31 @@
 
 // A balancer without connections must not assume that few connections fill a starting server. Otherwise it would have
 // no budget for the server, so it would never probe it and never correct the estimate.
-func TestAColdServerIsJudgedByTheOthers(t *testing.T) {
+func TestLoadStepOfStartingServerComesFromOthers(t *testing.T) {
 	c := testConfig()
 	c.Balancers = 80
 	list := servers(3)
 	list[2].StartedAt = time.Hour
-	r := newRig(t, c, list...)
+	r := newHarness(t, c, list...)
 	for _, id := range []string{"s00", "s01"} {
 		for range 20 {
-			r.b.takeReport(r.b.servers.byID[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
+			r.b.applyReport(r.b.servers.byID[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
 		}
 	}
-	cold := r.b.servers.byID["s02"]
-	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); math.Abs(got/want-1) > 0.1 {
+	warming := r.b.servers.byID["s02"]
+	if got, want := r.b.loadStep(warming), 0.005/r.b.warmUpCapacity(warming); math.Abs(got/want-1) > 0.1 {
 		t.Errorf("the load step of a warming server is %.4f, by the other servers' reports it is %.4f", got, want)
 	}
-	r.b.takeReport(cold, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
-	if got, want := r.b.loadStep(cold), 0.005/r.b.warmUpCapacity(cold); got > 1.4*want {
+	r.b.applyReport(warming, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
+	if got, want := r.b.loadStep(warming), 0.005/r.b.warmUpCapacity(warming); got > 1.4*want {
 		t.Errorf("three connections changed the load step to %.4f, want about %.4f", got, want)
 	}
 }
 
 // During an upgrade two processes send to a starting server for one balancer. Each must use half of the balancer's
 // share.
-func TestColdBudgetIsSharedBesides(t *testing.T) {
-	sent := func(beside int) (n int) {
+func TestWarmUpBudgetIsDividedBetweenProcesses(t *testing.T) {
+	sent := func(overlapping int) (n int) {
 		b, err := New(
 			Config{
 				Zone:                  "a",
@@ -96,7 +96,7 @@
 				MaxAttempts:           2,
 				ProbesEnabled:         true,
 				PollEndpointList:      true,
-				OverlappingProcesses:  beside,
+				OverlappingProcesses:  overlapping,
 				PollInterval:          10 * time.Second,
 				WarmUpInitialCapacity: 0.4,
 				WarmUpDuration:        8 * time.Second,
@@ -113,19 +113,19 @@
 		b.Step(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "s", Zone: "a", Weight: 1, StartedAt: now}}}, nil)
 		for i := range 400 {
 			now += 10 * time.Millisecond
-			out := b.Step(
+			actions := b.Step(
 				now,
 				Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Class: "chat", Timeout: 700 * time.Millisecond},
 				nil,
 			)
-			out = b.Step(now, TimerFired{Token: "tick"}, out)
-			for j := 0; j < len(out); j++ {
-				switch a := out[j].(type) {
+			actions = b.Step(now, TimerFired{Token: "tick"}, actions)
+			for j := 0; j < len(actions); j++ {
+				switch a := actions[j].(type) {
 				case Probe:
-					out = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: report(0.2, 20)}, out)
+					actions = b.Step(now, ProbeResult{Server: a.Server, Result: ResultOK, Report: report(0.2, 20)}, actions)
 				case Send:
 					n++
-					out = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, out)
+					actions = b.Step(now, AttemptEstablished{ID: a.ID, Server: a.Server}, actions)
 				}
 			}
 		}
--- a/policy/warmup_fleet_test.go
+++ b/policy/warmup_fleet_test.go
@@ -9,89 +9,89 @@
 	"time"
 )
 
-// coldFleet is a deployment in which one server starts under traffic. Config holds the settings of the balancers.
-type coldFleet struct {
+// warmUpFleet is a deployment in which one server starts under traffic. Config holds the settings of the balancers.
+type warmUpFleet struct {
 	Config
-	balancers   int           // actual number, which may differ from the settings
-	warm        int           // servers that have warmed up
-	fill        float64       // mean connections that fill a warm server
-	load        float64       // of the warm servers before the start
-	rate        float64       // new requests per second at all balancers
-	burst       float64       // factor on the rate after the start
-	uneven      float64       // coefficient of variation of the lognormal factor in a connection's work
-	classWork   []float64     // relative work by class, scaled to a mean of 1 over all requests
-	tellsLoad   bool          // connections report their load
-	noise       float64       // relative error of the load in reports
-	uncounted   bool          // reports carry no number of connections
-	late        time.Duration // longest delay of endpoint list updates, random for each balancer
-	returns     bool          // the server is listed before, goes down, and starts again
-	crashes     bool          // the starting server crashes again after 2 s, and starts 1 s later
-	restarts    float64       // fraction of balancers that restart at each of three times during the warm-up
-	repeats     bool          // the full list is sent again every second
-	reloads     bool          // the settings are sent again every second
-	jitterStart time.Duration // largest error of the reported start, random in each list
-	skewed      bool          // one balancer gets a third of the requests
-	shortLives  time.Duration // mean lifetime of a connection; 0 for 20 s
+	balancers       int           // actual number, which may differ from the settings
+	warmServers     int           // servers that have warmed up
+	fullConnections float64       // mean connections that fill a warm server
+	initialLoad     float64       // of the warm servers before the start
+	requestRate     float64       // new requests per second at all balancers
+	burstFactor     float64       // factor on the rate after the start
+	workVariation   float64       // coefficient of variation of the lognormal factor in a connection's work
+	classWork       []float64     // relative work by class, scaled to a mean of 1 over all requests
+	reportsLoad     bool          // connections report their load
+	reportNoise     float64       // relative error of the load in reports
+	withoutCounts   bool          // reports carry no number of connections
+	maxListDelay    time.Duration // longest delay of endpoint list updates, random for each balancer
+	listedBefore    bool          // the server is listed before, goes down, and starts again
+	crashes         bool          // the starting server crashes again after 2 s, and starts 1 s later
+	restartShare    float64       // fraction of balancers that restart at each of three times during the warm-up
+	repeatsList     bool          // the full list is sent again every second
+	reloadsConfig   bool          // the settings are sent again every second
+	startJitter     time.Duration // largest error of the reported start, random in each list
+	skewed          bool          // one balancer gets a third of the requests
+	meanLifetime    time.Duration // mean lifetime of a connection; 0 for 20 s
 }
 
-// coldResult is the result of a simulation.
-type coldResult struct {
-	fell   bool    // the bound was exceeded, with over 2/3 of it sent by balancers that were notified of the start
-	peak   float64 // highest work in a window, divided by the bound
-	served float64 // work sent to the warming server, divided by the total budget
-	sends  int
+// warmUpResult is the result of a simulation.
+type warmUpResult struct {
+	overloaded bool    // the bound was exceeded, with over 2/3 of it sent by balancers that were notified of the start
+	peakRatio  float64 // highest work in a window, divided by the bound
+	budgetUsed float64 // work sent to the warming server, divided by the total budget
+	attempts   int
 }
 
-// coldSendMade is one attempt sent to the warming server.
-type coldSendMade struct {
-	at   time.Duration
-	work float64
-	told bool // the balancer had been notified of the latest start
+// sentWork is one attempt sent to the warming server.
+type sentWork struct {
+	at       time.Duration
+	work     float64
+	notified bool // the balancer had been notified of the latest start
 }
 
-// standing is one connection at a server.
-type standing struct {
-	by     int
-	id     string
-	on     string
-	work   float64
-	ends   time.Duration
-	closed bool
+// simulatedConnection is one connection at a server.
+type simulatedConnection struct {
+	balancer int
+	id       string
+	server   string
+	work     float64
+	endsAt   time.Duration
+	closed   bool
 }
 
-// coldPlay is a running simulation of a coldFleet.
-type coldPlay struct {
-	coldFleet
-	t        testing.TB
-	rng      *rand.Rand
-	now      time.Duration
-	all      []*Balancer
-	told     []time.Duration // when each balancer receives the latest list update; 0 if it has
-	knows    []bool          // whether each balancer has been notified of the latest start
-	born     time.Duration   // start of the warming server; 0 while it is down
-	listed   Server          // current entry of the warming server in discovery
-	isListed bool
-	held     map[string]float64
-	count    map[string]int
-	stands   []*standing
-	sent     []coldSendMade
-	ids      int
-	meanWork float64
-	result   coldResult
-	allowed  float64 // total budget up to now, as work
+// warmUpSimulation is a running simulation of a warmUpFleet.
+type warmUpSimulation struct {
+	warmUpFleet
+	t                testing.TB
+	rng              *rand.Rand
+	now              time.Duration
+	balancersRunning []*Balancer
+	updateDueAt      []time.Duration // when each balancer receives the latest list update; 0 if it has
+	notified         []bool          // whether each balancer has been notified of the latest start
+	startedAt        time.Duration   // start of the warming server; 0 while it is down
+	listedEntry      Server          // current entry of the warming server in discovery
+	isListed         bool
+	workByServer     map[string]float64
+	connectionCount  map[string]int
+	connections      []*simulatedConnection
+	recentAttempts   []sentWork
+	lastID           int
+	meanWork         float64
+	result           warmUpResult
+	totalBudget      float64 // total budget up to now, as work
 }
 
-const coldStart = 4 * time.Second
+const serverStartAt = 4 * time.Second
 
-// play simulates the fleet for a seed from before the start of the server until it has warmed up, at most 12 s.
-func (f coldFleet) play(t testing.TB, seed uint64) coldResult {
-	p := &coldPlay{
-		coldFleet: f,
-		t:         t,
-		rng:       rand.New(rand.NewPCG(seed, 11)),
-		now:       time.Hour,
-		held:      map[string]float64{},
-		count:     map[string]int{},
+// simulate simulates the fleet for a seed from before the start of the server until it has warmed up, at most 12 s.
+func (f warmUpFleet) simulate(t testing.TB, seed uint64) warmUpResult {
+	p := &warmUpSimulation{
+		warmUpFleet:     f,
+		t:               t,
+		rng:             rand.New(rand.NewPCG(seed, 11)),
+		now:             time.Hour,
+		workByServer:    map[string]float64{},
+		connectionCount: map[string]int{},
 	}
 	p.meanWork = 1
 	if len(f.classWork) > 0 {
@@ -100,318 +100,318 @@
 			p.meanWork += w / float64(len(f.classWork))
 		}
 	}
-	if p.shortLives == 0 {
-		p.shortLives = 20 * time.Second
+	if p.meanLifetime == 0 {
+		p.meanLifetime = 20 * time.Second
 	}
-	p.told, p.knows = make([]time.Duration, f.balancers), make([]bool, f.balancers)
+	p.updateDueAt, p.notified = make([]time.Duration, f.balancers), make([]bool, f.balancers)
 	for i := range f.balancers {
-		p.all = append(p.all, nil)
-		p.start(i)
+		p.balancersRunning = append(p.balancersRunning, nil)
+		p.startBalancer(i)
 	}
-	for i := range int(f.load * f.fill * float64(f.warm)) {
-		by, class := p.rng.IntN(f.balancers), p.class()
-		s := p.stand(by, fmt.Sprint("before", i), fmt.Sprintf("s%02d", i%f.warm), class)
-		p.feed(by, AdoptedConnection{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.on})
-		p.tells(s)
+	for i := range int(f.initialLoad * f.fullConnections * float64(f.warmServers)) {
+		balancer, class := p.rng.IntN(f.balancers), p.randomClass()
+		s := p.addConnection(balancer, fmt.Sprint("before", i), fmt.Sprintf("s%02d", i%f.warmServers), class)
+		p.feed(balancer, AdoptedConnection{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.server})
+		p.reportLoad(s)
 	}
-	if f.returns {
-		p.list(Server{ID: "cold", Zone: "a", Weight: 1})
+	if f.listedBefore {
+		p.publish(Server{ID: "cold", Zone: "a", Weight: 1})
 	}
-	began, until := p.now, p.now+coldStart+min(f.WarmUpDuration, 12*time.Second)
+	began, until := p.now, p.now+serverStartAt+min(f.WarmUpDuration, 12*time.Second)
 	for step := 1; p.now < until; step++ {
 		p.now += 20 * time.Millisecond
-		p.trouble(p.now-began, step)
+		p.injectFaults(p.now-began, step)
 		p.step(p.now - began)
 	}
-	p.result.served /= max(1e-9, p.allowed)
+	p.result.budgetUsed /= max(1e-9, p.totalBudget)
 	return p.result
 }
 
-// trouble injects the faults due at this time since the beginning.
-func (p *coldPlay) trouble(at time.Duration, step int) {
-	each := func(d time.Duration) bool { return step%int(d/(20*time.Millisecond)) == 0 }
+// injectFaults injects the faults due at this time since the beginning.
+func (p *warmUpSimulation) injectFaults(at time.Duration, step int) {
+	every := func(d time.Duration) bool { return step%int(d/(20*time.Millisecond)) == 0 }
 	switch {
-	case p.returns && at == coldStart-time.Second:
-		p.down()
-	case at == coldStart:
-		p.up()
-	case p.crashes && at == coldStart+2*time.Second:
-		p.down()
-	case p.crashes && at == coldStart+3*time.Second:
-		p.up()
-	case p.restarts > 0 && at > coldStart && each(1500*time.Millisecond) && at < coldStart+5*time.Second:
-		for i := range p.all {
-			if p.rng.Float64() < p.restarts {
-				p.restart(i)
+	case p.listedBefore && at == serverStartAt-time.Second:
+		p.stopServer()
+	case at == serverStartAt:
+		p.startServer()
+	case p.crashes && at == serverStartAt+2*time.Second:
+		p.stopServer()
+	case p.crashes && at == serverStartAt+3*time.Second:
+		p.startServer()
+	case p.restartShare > 0 && at > serverStartAt && every(1500*time.Millisecond) && at < serverStartAt+5*time.Second:
+		for i := range p.balancersRunning {
+			if p.rng.Float64() < p.restartShare {
+				p.restartBalancer(i)
 			}
 		}
-	case p.reloads && each(time.Second):
-		for i := range p.all {
-			p.feed(i, ConfigUpdate{p.all[i].config})
+	case p.reloadsConfig && every(time.Second):
+		for i := range p.balancersRunning {
+			p.feed(i, ConfigUpdate{p.balancersRunning[i].config})
 		}
-	case p.repeats && each(time.Second):
-		p.list(p.listed)
+	case p.repeatsList && every(time.Second):
+		p.publish(p.listedEntry)
 	}
 }
 
-func (p *coldPlay) down() {
-	p.born = 0
-	for _, s := range p.stands {
-		if s.on == "cold" {
-			p.end(s, ResultReset)
+func (p *warmUpSimulation) stopServer() {
+	p.startedAt = 0
+	for _, s := range p.connections {
+		if s.server == "cold" {
+			p.endConnection(s, ResultReset)
 		}
 	}
 }
 
-func (p *coldPlay) up() {
-	p.born = p.now
-	clear(p.knows)
-	p.list(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: p.now})
+func (p *warmUpSimulation) startServer() {
+	p.startedAt = p.now
+	clear(p.notified)
+	p.publish(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: p.now})
 }
 
-// list publishes the warming server's entry. Each balancer receives it after its own random delay.
-func (p *coldPlay) list(s Server) {
-	p.listed, p.isListed = s, s.ID != ""
-	for i := range p.told {
-		p.told[i] = p.now + time.Duration(p.rng.Float64()*float64(p.late))
+// publish publishes the warming server's entry. Each balancer receives it after its own random delay.
+func (p *warmUpSimulation) publish(s Server) {
+	p.listedEntry, p.isListed = s, s.ID != ""
+	for i := range p.updateDueAt {
+		p.updateDueAt[i] = p.now + time.Duration(p.rng.Float64()*float64(p.maxListDelay))
 	}
 }
 
-func (p *coldPlay) entry() Server {
-	s := p.listed
+func (p *warmUpSimulation) entryWithJitter() Server {
+	s := p.listedEntry
 	if s.StartedAt > 0 {
-		s.StartedAt += time.Duration((2*p.rng.Float64() - 1) * float64(p.jitterStart))
+		s.StartedAt += time.Duration((2*p.rng.Float64() - 1) * float64(p.startJitter))
 	}
 	return s
 }
 
-func (p *coldPlay) whole() ServerList {
-	l := ServerList{Kind: ListFull, Servers: servers(p.warm)}
+func (p *warmUpSimulation) fullList() ServerList {
+	l := ServerList{Kind: ListFull, Servers: servers(p.warmServers)}
 	if p.isListed {
-		l.Servers = append(l.Servers, p.entry())
+		l.Servers = append(l.Servers, p.entryWithJitter())
 	}
 	return l
 }
 
-func (p *coldPlay) start(i int) {
+func (p *warmUpSimulation) startBalancer(i int) {
 	b, err := New(p.Config, int64(p.rng.Uint64()>>1))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.all[i] = b
-	p.knows[i] = p.listed.StartedAt > 0 || p.knows[i]
-	p.feed(i, p.whole())
+	p.balancersRunning[i] = b
+	p.notified[i] = p.listedEntry.StartedAt > 0 || p.notified[i]
+	p.feed(i, p.fullList())
 }
 
-// restart stops a balancer, which ends its connections, and starts it again.
-func (p *coldPlay) restart(i int) {
-	for _, s := range p.stands {
-		if s.by == i && !s.closed {
-			p.leaves(s)
+// restartBalancer stops a balancer, which ends its connections, and starts it again.
+func (p *warmUpSimulation) restartBalancer(i int) {
+	for _, s := range p.connections {
+		if s.balancer == i && !s.closed {
+			p.removeConnection(s)
 		}
 	}
-	p.start(i)
+	p.startBalancer(i)
 }
 
-func (p *coldPlay) class() int { return p.rng.IntN(max(1, len(p.classWork))) }
+func (p *warmUpSimulation) randomClass() int { return p.rng.IntN(max(1, len(p.classWork))) }
 
-// work generates the work of a connection of a class.
-func (p *coldPlay) work(class int) float64 {
+// randomWork generates the work of a connection of a class.
+func (p *warmUpSimulation) randomWork(class int) float64 {
 	w := 1.0
 	if len(p.classWork) > 0 {
 		w = p.classWork[class] / p.meanWork
 	}
-	if p.uneven > 0 {
-		v := math.Log(1 + p.uneven*p.uneven)
+	if p.workVariation > 0 {
+		v := math.Log(1 + p.workVariation*p.workVariation)
 		w *= math.Exp(p.rng.NormFloat64()*math.Sqrt(v) - v/2)
 	}
 	return w
 }
 
-func (p *coldPlay) stand(by int, id, on string, class int) *standing {
-	s := &standing{
-		by:   by,
-		id:   id,
-		on:   on,
-		work: p.work(class),
-		ends: p.now + time.Duration(p.rng.ExpFloat64()*float64(p.shortLives)),
-	}
-	p.held[on] += s.work
-	p.count[on]++
-	p.stands = append(p.stands, s)
+func (p *warmUpSimulation) addConnection(balancer int, id, server string, class int) *simulatedConnection {
+	s := &simulatedConnection{
+		balancer: balancer,
+		id:       id,
+		server:   server,
+		work:     p.randomWork(class),
+		endsAt:   p.now + time.Duration(p.rng.ExpFloat64()*float64(p.meanLifetime)),
+	}
+	p.workByServer[server] += s.work
+	p.connectionCount[server]++
+	p.connections = append(p.connections, s)
 	return s
 }
 
-func (p *coldPlay) tells(s *standing) {
-	if p.tellsLoad {
-		p.feed(s.by, ConnectionLoad{ID: s.id, Load: s.work})
+func (p *warmUpSimulation) reportLoad(s *simulatedConnection) {
+	if p.reportsLoad {
+		p.feed(s.balancer, ConnectionLoad{ID: s.id, Load: s.work})
 	}
 }
 
-func (p *coldPlay) leaves(s *standing) {
+func (p *warmUpSimulation) removeConnection(s *simulatedConnection) {
 	if !s.closed {
 		s.closed = true
-		p.held[s.on] -= s.work
-		p.count[s.on]--
+		p.workByServer[s.server] -= s.work
+		p.connectionCount[s.server]--
 	}
 }
 
-func (p *coldPlay) end(s *standing, how Result) {
+func (p *warmUpSimulation) endConnection(s *simulatedConnection, result Result) {
 	if !s.closed {
-		p.leaves(s)
-		p.feed(s.by, AttemptEnded{ID: s.id, Server: s.on, Result: how, Final: true})
+		p.removeConnection(s)
+		p.feed(s.balancer, AttemptEnded{ID: s.id, Server: s.server, Result: result, Final: true})
 	}
 }
 
-func (p *coldPlay) ramp() float64 {
-	if p.born == 0 {
+func (p *warmUpSimulation) warmUpFraction() float64 {
+	if p.startedAt == 0 {
 		return 1
 	}
 	return min(
 		1,
-		p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.born)/float64(max(1, p.WarmUpDuration)),
+		p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.startedAt)/float64(max(1, p.WarmUpDuration)),
 	)
 }
 
-func (p *coldPlay) can(server string) float64 {
+func (p *warmUpSimulation) capacity(server string) float64 {
 	if server == "cold" {
-		return p.fill * p.ramp()
+		return p.fullConnections * p.warmUpFraction()
 	}
-	return p.fill
+	return p.fullConnections
 }
 
-// bears returns the work that the warming server bears in one window.
-func (p *coldPlay) bears() float64 {
-	return p.OverloadMultiple * p.can("cold") / p.WarmUpDuration.Seconds() * p.OverloadWindow.Seconds()
+// windowCapacity returns the work that the warming server bears in one window.
+func (p *warmUpSimulation) windowCapacity() float64 {
+	return p.OverloadMultiple * p.capacity("cold") / p.WarmUpDuration.Seconds() * p.OverloadWindow.Seconds()
 }
 
-func (p *coldPlay) feed(by int, ev Event) {
-	for _, a := range p.all[by].Step(p.now, ev, nil) {
+func (p *warmUpSimulation) feed(i int, ev Event) {
+	for _, a := range p.balancersRunning[i].Step(p.now, ev, nil) {
 		switch a := a.(type) {
 		case Probe:
-			p.probe(by, a.Server)
+			p.answerProbe(i, a.Server)
 		case Send:
-			p.send(by, a)
+			p.handleSend(i, a)
 		case Migrate:
-			for _, s := range p.stands {
-				if s.by == by && s.id == a.ID {
-					p.end(s, ResultCanceled)
+			for _, s := range p.connections {
+				if s.balancer == i && s.id == a.ID {
+					p.endConnection(s, ResultCanceled)
 				}
 			}
 		}
 	}
 }
 
-func (p *coldPlay) probe(by int, server string) {
-	if server == "cold" && p.born == 0 && !(p.returns && p.now < time.Hour+coldStart-time.Second) {
-		p.feed(by, ProbeResult{Server: server, Result: ResultUnreachable})
+func (p *warmUpSimulation) answerProbe(i int, server string) {
+	if server == "cold" && p.startedAt == 0 && !(p.listedBefore && p.now < time.Hour+serverStartAt-time.Second) {
+		p.feed(i, ProbeResult{Server: server, Result: ResultUnreachable})
 		return
 	}
-	x := max(0, p.held[server]/p.can(server)*(1+p.noise*p.rng.NormFloat64()))
-	r := report(x, float64(p.count[server]))
-	if p.uncounted {
+	x := max(0, p.workByServer[server]/p.capacity(server)*(1+p.reportNoise*p.rng.NormFloat64()))
+	r := report(x, float64(p.connectionCount[server]))
+	if p.withoutCounts {
 		r.InFlight = -1
 	}
-	p.feed(by, ProbeResult{Server: server, Report: r})
+	p.feed(i, ProbeResult{Server: server, Report: r})
 }
 
-func (p *coldPlay) send(by int, a Send) {
-	b := p.all[by]
+func (p *warmUpSimulation) handleSend(i int, a Send) {
+	b := p.balancersRunning[i]
 	attempt := b.requests.byID[a.ID].attempts - 1
 	class := slices.IndexFunc(p.Classes, func(k Class) bool { return k.Name == b.requests.byID[a.ID].Class })
-	isDown := a.Server == "cold" && p.born == 0 && !(p.returns && p.now < time.Hour+coldStart-time.Second)
+	isDown := a.Server == "cold" && p.startedAt == 0 && !(p.listedBefore && p.now < time.Hour+serverStartAt-time.Second)
 	if isDown {
-		p.feed(by, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
+		p.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
 		return
 	}
-	s := p.stand(by, a.ID, a.Server, class)
-	if a.Server == "cold" && p.born > 0 && p.now-p.born < p.WarmUpDuration-p.jitterStart {
-		p.judge(by, s.work)
+	s := p.addConnection(i, a.ID, a.Server, class)
+	if a.Server == "cold" && p.startedAt > 0 && p.now-p.startedAt < p.WarmUpDuration-p.startJitter {
+		p.checkBound(i, s.work)
 	}
-	if p.held[a.Server] > 1.3*p.can(a.Server) {
-		p.leaves(s)
-		p.feed(by, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultRejected})
+	if p.workByServer[a.Server] > 1.3*p.capacity(a.Server) {
+		p.removeConnection(s)
+		p.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultRejected})
 		return
 	}
-	p.feed(by, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
-	p.tells(s)
+	p.feed(i, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
+	p.reportLoad(s)
 }
 
-// judge checks an attempt sent to the warming server against the server's bound.
-func (p *coldPlay) judge(by int, work float64) {
-	p.sent = slices.DeleteFunc(
-		p.sent,
-		func(s coldSendMade) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.born },
+// checkBound checks an attempt sent to the warming server against the server's bound.
+func (p *warmUpSimulation) checkBound(i int, work float64) {
+	p.recentAttempts = slices.DeleteFunc(
+		p.recentAttempts,
+		func(s sentWork) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.startedAt },
 	)
-	p.sent = append(p.sent, coldSendMade{p.now, work, p.knows[by]})
-	sum, told := 0.0, 0.0
-	for _, s := range p.sent {
-		if sum += s.work; s.told {
-			told += s.work
+	p.recentAttempts = append(p.recentAttempts, sentWork{p.now, work, p.notified[i]})
+	sum, notified := 0.0, 0.0
+	for _, s := range p.recentAttempts {
+		if sum += s.work; s.notified {
+			notified += s.work
 		}
 	}
-	n := p.bears()
-	bound := n + 2*math.Sqrt(n) + 2
-	p.result.sends++
-	p.result.served += work
-	p.result.peak = max(p.result.peak, sum/bound)
-	p.result.fell = p.result.fell || sum > bound && told > sum*2/3
+	budget := p.windowCapacity()
+	bound := budget + 2*math.Sqrt(budget) + 2
+	p.result.attempts++
+	p.result.budgetUsed += work
+	p.result.peakRatio = max(p.result.peakRatio, sum/bound)
+	p.result.overloaded = p.result.overloaded || sum > bound && notified > sum*2/3
 }
 
 // step simulates 20 ms: list updates, ends of connections, new requests and timers.
-func (p *coldPlay) step(at time.Duration) {
-	if p.born > 0 {
-		p.allowed += p.bears() / p.OverloadWindow.Seconds() * 0.02
-	}
-	for i, when := range p.told {
-		if when > 0 && p.now >= when {
-			p.told[i], p.knows[i] = 0, p.born > 0
-			l := p.whole()
-			if !p.repeats {
-				l = ServerList{Kind: ListDelta, Servers: []Server{p.entry()}}
+func (p *warmUpSimulation) step(at time.Duration) {
+	if p.startedAt > 0 {
+		p.totalBudget += p.windowCapacity() / p.OverloadWindow.Seconds() * 0.02
+	}
+	for i, dueAt := range p.updateDueAt {
+		if dueAt > 0 && p.now >= dueAt {
+			p.updateDueAt[i], p.notified[i] = 0, p.startedAt > 0
+			l := p.fullList()
+			if !p.repeatsList {
+				l = ServerList{Kind: ListDelta, Servers: []Server{p.entryWithJitter()}}
 			}
 			p.feed(i, l)
 		}
 	}
-	for _, s := range p.stands {
-		if p.now >= s.ends {
-			p.end(s, ResultOK)
+	for _, s := range p.connections {
+		if p.now >= s.endsAt {
+			p.endConnection(s, ResultOK)
 		}
 	}
-	p.stands = slices.DeleteFunc(p.stands, func(s *standing) bool { return s.closed })
-	rate := p.rate * 0.02
-	if at >= coldStart && p.burst > 0 {
-		rate *= p.burst
+	p.connections = slices.DeleteFunc(p.connections, func(s *simulatedConnection) bool { return s.closed })
+	rate := p.requestRate * 0.02
+	if at >= serverStartAt && p.burstFactor > 0 {
+		rate *= p.burstFactor
 	}
 	for range poisson(p.rng, rate) {
-		by := p.rng.IntN(p.balancers)
+		i := p.rng.IntN(p.balancers)
 		if p.skewed && p.rng.IntN(3) == 0 {
-			by = 0
+			i = 0
 		}
-		p.ids++
-		id := fmt.Sprint("r", p.ids)
-		p.feed(by, Request{ID: id, Key: id, Class: p.Classes[p.class()].Name, Timeout: time.Second})
+		p.lastID++
+		id := fmt.Sprint("r", p.lastID)
+		p.feed(i, Request{ID: id, Key: id, Class: p.Classes[p.randomClass()].Name, Timeout: time.Second})
 	}
-	for i := range p.all {
+	for i := range p.balancersRunning {
 		p.feed(i, TimerFired{"tick"})
 	}
 }
 
 func poisson(rng *rand.Rand, mean float64) (n int) {
-	for left := rng.ExpFloat64(); left < mean; left += rng.ExpFloat64() {
+	for sum := rng.ExpFloat64(); sum < mean; sum += rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// coldSettings returns settings under which a starting server bears budget connections of mean work in the first
+// warmUpConfig returns settings under which a starting server bears budget connections of mean work in the first
 // window.
-func coldSettings(balancers int, fill, share, budget float64, window time.Duration) Config {
+func warmUpConfig(balancers int, fullConnections, initialCapacity, budget float64, window time.Duration) Config {
 	c := testConfig()
 	c.Balancers = balancers
-	c.WarmUpInitialCapacity = share
+	c.WarmUpInitialCapacity = initialCapacity
 	c.WarmUpDuration = 10 * time.Second
 	c.OverloadWindow = window
-	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() / (fill * max(share, 0.05))
+	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() / (fullConnections * max(initialCapacity, 0.05))
 	return c
 }
