--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -35,14 +35,14 @@
 func TestDecisionsMatchRecording(t *testing.T) {
 	var out bytes.Buffer
 	for seed := range uint64(50) {
-		w := newSimulation(t, seed, 20)
-		w.peersActive = seed%2 == 1
-		w.run()
+		sim := newSimulation(t, seed, 20)
+		sim.peersActive = seed%2 == 1
+		sim.run()
 		sum := sha256.New()
-		for _, a := range w.actions {
+		for _, a := range sim.actions {
 			fmt.Fprint(sum, describeAction(a))
 		}
-		fmt.Fprintf(&out, "%d %d %x\n", seed, len(w.actions), sum.Sum(nil))
+		fmt.Fprintf(&out, "%d %d %x\n", seed, len(sim.actions), sum.Sum(nil))
 	}
 	golden.Check(t, "decisions.txt", out.Bytes())
 }
--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -76,12 +76,13 @@
 	if capacity < 1 { // the warm-up budget cannot be computed from a load of 0
 		typicalLoad = max(typicalLoad, newRequestLoadLimit/2)
 	}
-	fallback := typicalLoad * float64(len(b.servers.sorted)) / float64(b.config.Balancers*max(1, len(b.requests.established)))
+	fallback := typicalLoad * float64(len(b.servers.sorted)) /
+		float64(b.config.Balancers*max(1, len(b.requests.established)))
 	return cmp.Or(s.estimate.step, b.means.step/capacity, min(maxFallbackStep, fallback)/capacity)
 }
 
-// updateLoadStep updates the load step from a load report. Reports are noisy, and those with few connections carry little
-// information.
+// updateLoadStep updates the load step from a load report. Reports are noisy, and those with few connections carry
+// little information.
 func (b *Balancer) updateLoadStep(s *server, load, inFlight float64) {
 	capacity := b.warmUpCapacity(s)
 	significant := inFlight >= 3 && load > 0.02
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -19,16 +19,26 @@
 	probes          int
 	rejections      int
 	reconnects      []Request
-	failedServers   map[string]bool // servers whose probes end with answer, without a report
+	failedServers   map[string]bool // servers whose probes end with failedResult, without a report
 	failedResult    Result
 	failedProbes    int
 }
 
 const stepInterval = 20 * time.Millisecond
 
-func newSimulatedFleet(t *testing.T, balancers, reportDelay int, fullConnections float64, connections map[string]float64) *simulatedFleet {
+func newSimulatedFleet(
+	t *testing.T,
+	balancers, reportDelay int,
+	fullConnections float64,
+	connections map[string]float64,
+) *simulatedFleet {
 	t.Helper()
-	f := &simulatedFleet{connections: connections, reportDelay: reportDelay, fullConnections: fullConnections, peakLoad: map[string]float64{}}
+	f := &simulatedFleet{
+		connections:     connections,
+		reportDelay:     reportDelay,
+		fullConnections: fullConnections,
+		peakLoad:        map[string]float64{},
+	}
 	var list []Server
 	for id := range connections {
 		list = append(list, Server{ID: id, Zone: "a", Weight: 1})
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -103,8 +103,8 @@
 	return min(evacuationTarget, max(minDelayTarget, 1-s.delay.value.Seconds()/drainTime.Seconds()))
 }
 
-// spareCapacityShare returns the fraction of the excess load of some servers for which the others have capacity. The capacity
-// of warming servers does not count, because it is available only as their warm-up budget allows.
+// spareCapacityShare returns the fraction of the excess load of some servers for which the others have capacity. The
+// capacity of warming servers does not count, because it is available only as their warm-up budget allows.
 func (b *Balancer) spareCapacityShare() float64 {
 	spare, excess := 0.0, 0.0
 	for _, s := range b.servers.sorted {
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -114,7 +114,8 @@
 		t.Errorf("an older reading of another balancer replaced the own one: %v", x)
 	}
 	now += 10 * time.Second
-	if got := probedServers(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 || got[0] != "s0" {
+	if got := probedServers(b.Step(now, PeerReading{Server: "s0", Unreachable: true}, nil)); len(got) != 1 ||
+		got[0] != "s0" {
 		t.Errorf("after a report that s0 is unreachable, probed %v", got)
 	}
 	if s := b.servers.byID["s0"]; s.probe.failures != 0 || s.probe.ejectedUntil != 0 {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -11,9 +11,9 @@
 	resampleInterval = 100 * time.Millisecond // mean time until a waiting request samples again; the minimum is half
 )
 
-// receiveRequest accepts a new request. The client of a migrated connection goes to the server that the migration chose. A
-// server that is live again after draining gets the next new request: in another zone or warming up, it would rarely
-// be sampled under light traffic.
+// receiveRequest accepts a new request. The client of a migrated connection goes to the server that the migration
+// chose. A server that is live again after draining gets the next new request: in another zone or warming up, it would
+// rarely be sampled under light traffic.
 func (b *Balancer) receiveRequest(q Request) {
 	if b.requests.byID[q.ID] != nil {
 		return
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -17,11 +17,11 @@
 		own  float64
 		home bool
 	}{{0.5, true}, {0.78, false}} {
-		r := newHarness(t, c, list...)
-		r.loads["s00"], r.loads["s01"], r.loads["s02"] = x.own, 0.1, 0.1
-		r.inFlight["s00"] = 500 // one more connection adds almost no load
-		r.request("x", "safe")
-		if s, ok := lastAction[Send](r); !ok || x.home != (s.Server == "s00") {
+		h := newHarness(t, c, list...)
+		h.loads["s00"], h.loads["s01"], h.loads["s02"] = x.own, 0.1, 0.1
+		h.inFlight["s00"] = 500 // one more connection adds almost no load
+		h.request("x", "safe")
+		if s, ok := lastAction[Send](h); !ok || x.home != (s.Server == "s00") {
 			t.Errorf("with load %v in the own zone: sent to %v", x.own, s)
 		}
 	}
@@ -65,19 +65,19 @@
 		here, there float64 // loads of the server with the group, and of the other one
 		sent        string
 	}{{0.5, 0.6, "s00"}, {0.7, 0.75, "s00"}, {0.9, 0.7, ""}, {0.9, 0.3, "s01"}, {0.7, 0.2, "s01"}} {
-		r := newHarness(t, testConfig(), servers(2)...)
-		r.loads["s00"], r.loads["s01"] = c.here, c.there
+		h := newHarness(t, testConfig(), servers(2)...)
+		h.loads["s00"], h.loads["s01"] = c.here, c.there
 		for i := range 8 {
-			r.feed(
+			h.feed(
 				AdoptedConnection{
 					Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i), Group: "g", Class: "safe"},
 					Server:  "s00",
 				},
 			)
 		}
-		r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
-		r.advance(300 * ms)
-		if s, _ := lastAction[Send](r); s.Server != c.sent {
+		h.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
+		h.advance(300 * ms)
+		if s, _ := lastAction[Send](h); s.Server != c.sent {
 			t.Errorf(
 				"load %v at the group's server, %v at the other: sent to %q, want %q",
 				c.here,
@@ -87,9 +87,9 @@
 			)
 		}
 		for i := range 8 {
-			r.feed(ClientDisconnected{ID: fmt.Sprint(i)})
+			h.feed(ClientDisconnected{ID: fmt.Sprint(i)})
 		}
-		if n := r.b.servers.byID["s00"].groupConnections["g"]; c.sent != "s00" && n != 0 {
+		if n := h.b.servers.byID["s00"].groupConnections["g"]; c.sent != "s00" && n != 0 {
 			t.Errorf("%d connections of the group counted after all have ended", n)
 		}
 	}
@@ -99,25 +99,25 @@
 // nowhere; otherwise the tie margin would be added to the load of the servers for nearly every new request (one score
 // fell from 0.92 to 0.85).
 func TestUnknownGroupIsPlacedAnywhere(t *testing.T) {
-	r := newHarness(t, testConfig(), servers(2)...)
-	r.loads["s00"], r.loads["s01"] = 0.7, 0.7
+	h := newHarness(t, testConfig(), servers(2)...)
+	h.loads["s00"], h.loads["s01"] = 0.7, 0.7
 	for i := range 3 {
-		r.feed(
+		h.feed(
 			AdoptedConnection{Request: Request{ID: fmt.Sprint(i), Key: fmt.Sprint(i)}, Server: "s00"},
 		) // without a class: ignored
-		r.adopt(fmt.Sprint("o", i), "s00") // without a group
+		h.adopt(fmt.Sprint("o", i), "s00") // without a group
 	}
-	r.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
-	r.advance(300 * ms)
-	if _, sent := lastAction[Send](r); !sent {
+	h.feed(Request{ID: "x", Key: "x", Group: "g", Class: "safe", Timeout: 2 * time.Second})
+	h.advance(300 * ms)
+	if _, sent := lastAction[Send](h); !sent {
 		t.Error("queued, although both servers have capacity and the group is not known to be established anywhere")
 	}
 	for i := range 3 {
-		r.feed(ClientDisconnected{ID: fmt.Sprint("o", i)})
+		h.feed(ClientDisconnected{ID: fmt.Sprint("o", i)})
 	}
-	r.feed(Request{ID: "y", Key: "y", Class: "safe", Timeout: 2 * time.Second})
-	if s := r.b.servers.byID["s00"]; len(s.groupConnections) > 1 || r.b.groupConnections[""] != 0 {
-		t.Errorf("entries of ended connections remain: %v and %v", s.groupConnections, r.b.groupConnections)
+	h.feed(Request{ID: "y", Key: "y", Class: "safe", Timeout: 2 * time.Second})
+	if s := h.b.servers.byID["s00"]; len(s.groupConnections) > 1 || h.b.groupConnections[""] != 0 {
+		t.Errorf("entries of ended connections remain: %v and %v", s.groupConnections, h.b.groupConnections)
 	}
 }
 
@@ -156,29 +156,29 @@
 	}
 	c := testConfig()
 	c.CrossZoneCost = 0.16
-	r := newHarness(t, c, list...)
+	h := newHarness(t, c, list...)
 	for _, s := range list {
-		r.loads[s.ID] = 0.5
+		h.loads[s.ID] = 0.5
 	}
 	sent := map[string]int{}
 	for i := range 60 {
-		r.feed(Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "safe", Timeout: time.Second, MidFlow: true})
-		if s, ok := lastAction[Send](r); ok && s.ID == fmt.Sprint(i) {
+		h.feed(Request{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i), Class: "safe", Timeout: time.Second, MidFlow: true})
+		if s, ok := lastAction[Send](h); ok && s.ID == fmt.Sprint(i) {
 			sent[s.Server]++
-			r.feed(AttemptEstablished{ID: s.ID, Server: s.Server})
+			h.feed(AttemptEstablished{ID: s.ID, Server: s.Server})
 		}
-		r.advance(500 * ms)
+		h.advance(500 * ms)
 	}
 	if n := sent["s00"] + sent["s01"]; n == 0 || n > 40 {
 		t.Errorf("%d of 60 were sent to the own zone: %v", n, sent)
 	}
 	for _, s := range list {
-		r.loads[s.ID] = 1.2
+		h.loads[s.ID] = 1.2
 	}
-	r.advance(10 * time.Second) // readings that never change stay fresh for long
-	r.actions = nil
-	r.feed(Request{ID: "x", Key: "kx", Class: "safe", Timeout: time.Second, MidFlow: true})
-	if s, ok := lastAction[Send](r); ok {
+	h.advance(10 * time.Second) // readings that never change stay fresh for long
+	h.actions = nil
+	h.feed(Request{ID: "x", Key: "kx", Class: "safe", Timeout: time.Second, MidFlow: true})
+	if s, ok := lastAction[Send](h); ok {
 		t.Errorf("sent to a full server: %v", s)
 	}
 }
@@ -194,12 +194,12 @@
 		c := testConfig()
 		c.Balancers = k.balancers
 		c.CrossZoneCost = 0.16
-		r := newHarness(t, c, list...)
+		h := newHarness(t, c, list...)
 		found := 0
 		for i := range 200 {
 			key := fmt.Sprint("key", i)
-			first := r.b.sample(&request{Request: Request{Key: key}, class: r.b.classes.byName["safe"]})
-			mid := r.b.sample(&request{Request: Request{Key: key, MidFlow: true}, class: r.b.classes.byName["safe"]})
+			first := h.b.sample(&request{Request: Request{Key: key}, class: h.b.classes.byName["safe"]})
+			mid := h.b.sample(&request{Request: Request{Key: key, MidFlow: true}, class: h.b.classes.byName["safe"]})
 			if first[0] == mid[0] {
 				found++
 			}
@@ -216,25 +216,25 @@
 	sent := func(x float64) int {
 		c := testConfig()
 		c.Balancers = 80
-		r := newHarness(t, c, servers(3)...)
-		for _, s := range r.b.servers.sorted {
-			r.loads[s.ID], r.inFlight[s.ID] = x, 250*x
+		h := newHarness(t, c, servers(3)...)
+		for _, s := range h.b.servers.sorted {
+			h.loads[s.ID], h.inFlight[s.ID] = x, 250*x
 		}
 		n := 0
 		for i := range 40 { // in two seconds
 			id := fmt.Sprint(i)
-			r.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: 2 * time.Second, MidFlow: true})
-			if s, ok := lastAction[Send](r); ok && s.ID == id {
+			h.feed(Request{ID: id, Key: "k" + id, Class: "safe", Timeout: 2 * time.Second, MidFlow: true})
+			if s, ok := lastAction[Send](h); ok && s.ID == id {
 				n++
-				r.feed(AttemptEstablished{ID: id, Server: s.Server})
-				r.feed(AttemptEnded{ID: id, Final: true})
+				h.feed(AttemptEstablished{ID: id, Server: s.Server})
+				h.feed(AttemptEnded{ID: id, Final: true})
 			} else {
-				r.feed(ClientDisconnected{ID: id})
+				h.feed(ClientDisconnected{ID: id})
 			}
-			for _, s := range r.b.servers.sorted {
+			for _, s := range h.b.servers.sorted {
 				s.estimate.placed = 0 // other balancers' placements are unknown, so the own ones are ignored too
 			}
-			r.advance(50 * ms)
+			h.advance(50 * ms)
 		}
 		return n
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -66,10 +66,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, b: b, now: time.Hour, loads: map[string]float64{}, inFlight: map[string]float64{},
+	h := &harness{t: t, b: b, now: time.Hour, loads: map[string]float64{}, inFlight: map[string]float64{},
 		probeResults: map[string]Result{}}
-	r.feed(ServerList{Kind: ListFull, Servers: servers})
-	return r
+	h.feed(ServerList{Kind: ListFull, Servers: servers})
+	return h
 }
 
 func servers(n int) []Server {
@@ -80,62 +80,62 @@
 	return list
 }
 
-func (r *harness) feed(ev Event) {
-	for _, a := range r.b.Step(r.now, ev, nil) {
-		r.actions = append(r.actions, a)
+func (h *harness) feed(ev Event) {
+	for _, a := range h.b.Step(h.now, ev, nil) {
+		h.actions = append(h.actions, a)
 		switch a := a.(type) {
 		case SetTimer:
-			r.timers = append(r.timers, r.now+a.After)
+			h.timers = append(h.timers, h.now+a.After)
 		case Probe:
-			if result, fails := r.probeResults[a.Server]; fails {
-				r.feed(ProbeResult{Server: a.Server, Result: result})
+			if result, fails := h.probeResults[a.Server]; fails {
+				h.feed(ProbeResult{Server: a.Server, Result: result})
 				continue
 			}
-			inFlight := r.inFlight[a.Server]
+			inFlight := h.inFlight[a.Server]
 			if inFlight == 0 {
 				inFlight = -1
 			}
-			r.feed(ProbeResult{Server: a.Server, Report: report(r.loads[a.Server], inFlight)})
+			h.feed(ProbeResult{Server: a.Server, Report: report(h.loads[a.Server], inFlight)})
 		}
 	}
 }
 
-// advance advances the time and fires the timers that are due.
-func (r *harness) advance(d time.Duration) {
-	end := r.now + d
-	for len(r.timers) > 0 && r.timers[0] <= end {
-		r.now = r.timers[0]
-		r.timers = r.timers[1:]
-		r.feed(TimerFired{"tick"})
+// advance moves the time forward and fires the timers that are due.
+func (h *harness) advance(d time.Duration) {
+	end := h.now + d
+	for len(h.timers) > 0 && h.timers[0] <= end {
+		h.now = h.timers[0]
+		h.timers = h.timers[1:]
+		h.feed(TimerFired{"tick"})
 	}
-	r.now = end
+	h.now = end
 }
 
-func (r *harness) request(id, class string) {
-	r.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
+func (h *harness) request(id, class string) {
+	h.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
 }
 
 // connect requests a connection, establishes it on the server to which it is sent, and returns that server.
-func (r *harness) connect(id string) string {
-	r.t.Helper()
-	r.request(id, "safe")
+func (h *harness) connect(id string) string {
+	h.t.Helper()
+	h.request(id, "safe")
 	for range 30 {
-		if s, ok := lastAction[Send](r); ok && s.ID == id {
-			r.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
+		if s, ok := lastAction[Send](h); ok && s.ID == id {
+			h.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
 			return s.Server
 		}
-		r.advance(20 * ms)
+		h.advance(20 * ms)
 	}
-	r.t.Fatalf("%s was not sent", id)
+	h.t.Fatalf("%s was not sent", id)
 	return ""
 }
 
-func (r *harness) adopt(id, server string) {
-	r.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
+func (h *harness) adopt(id, server string) {
+	h.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
 }
 
-func actionsOf[T Action](r *harness) (list []T) {
-	for _, a := range r.actions {
+func actionsOf[T Action](h *harness) (list []T) {
+	for _, a := range h.actions {
 		if a, ok := a.(T); ok {
 			list = append(list, a)
 		}
@@ -143,8 +143,8 @@
 	return list
 }
 
-func lastAction[T Action](r *harness) (T, bool) {
-	list := actionsOf[T](r)
+func lastAction[T Action](h *harness) (T, bool) {
+	list := actionsOf[T](h)
 	if len(list) == 0 {
 		var none T
 		return none, false
@@ -222,17 +222,17 @@
 }
 
 func TestLessLoadedOfTwoServersIsChosen(t *testing.T) {
-	r := newHarness(t, testConfig(), servers(2)...)
-	r.loads["s00"], r.loads["s01"] = 0.6, 0.2
+	h := newHarness(t, testConfig(), servers(2)...)
+	h.loads["s00"], h.loads["s01"] = 0.6, 0.2
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		if got := r.connect(id); got != "s01" {
+		if got := h.connect(id); got != "s01" {
 			t.Fatalf("request %s was sent to %s, which has the higher load", id, got)
 		}
 	}
-	r.loads["s00"], r.loads["s01"] = 0.1, 0.5
-	r.advance(3 * time.Second)
-	if got := r.connect("later"); got != "s00" {
+	h.loads["s00"], h.loads["s01"] = 0.1, 0.5
+	h.advance(3 * time.Second)
+	if got := h.connect("later"); got != "s00" {
 		t.Errorf("sent to %s after the loads had changed", got)
 	}
 }
@@ -258,18 +258,18 @@
 	} {
 		list := servers(6)
 		list[0].Zone, list[1].Zone = "b", "b"
-		r := newHarness(t, testConfig(), list...)
-		r.request("x", c.class)
-		first, ok := lastAction[Send](r)
+		h := newHarness(t, testConfig(), list...)
+		h.request("x", c.class)
+		first, ok := lastAction[Send](h)
 		if !ok {
 			t.Fatalf("%s: no first send", c.class)
 		}
-		r.advance(50 * ms)
-		r.actions = nil
-		r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
-		r.advance(300 * ms)
+		h.advance(50 * ms)
+		h.actions = nil
+		h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
+		h.advance(300 * ms)
 		got := "nothing"
-		for _, a := range r.actions {
+		for _, a := range h.actions {
 			switch a.(type) {
 			case Send:
 				got = again
@@ -282,9 +282,9 @@
 		if got != c.want {
 			t.Errorf("%s after result %d: %s, want %s", c.class, c.result, got, c.want)
 		}
-		second, _ := lastAction[Send](r)
+		second, _ := lastAction[Send](h)
 		if c.result.MayHaveRun() && c.want == again {
-			x, y := r.b.servers.byID[first.Server], r.b.servers.byID[second.Server]
+			x, y := h.b.servers.byID[first.Server], h.b.servers.byID[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
 				t.Errorf("%s: repeated outside its key scope", c.class)
 			}
@@ -293,17 +293,17 @@
 }
 
 func TestKeyedRequestIsNotRepeatedAfterKeyTTL(t *testing.T) {
-	r := newHarness(t, testConfig(), servers(6)...)
-	r.request("x", "keyed")
-	first, _ := lastAction[Send](r)
-	r.advance(900 * ms) // the key is remembered for 800 ms from the send
-	r.actions = nil
-	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.advance(2 * time.Second)
-	if sent := actionsOf[Send](r); len(sent) > 0 {
+	h := newHarness(t, testConfig(), servers(6)...)
+	h.request("x", "keyed")
+	first, _ := lastAction[Send](h)
+	h.advance(900 * ms) // the key is remembered for 800 ms from the send
+	h.actions = nil
+	h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
+	h.advance(2 * time.Second)
+	if sent := actionsOf[Send](h); len(sent) > 0 {
 		t.Errorf("sent again %d times", len(sent))
 	}
-	if rejected := actionsOf[Reject](r); len(rejected) != 1 { // servers discard repeats by the client as well
+	if rejected := actionsOf[Reject](h); len(rejected) != 1 { // servers discard repeats by the client as well
 		t.Errorf("%d rejections, want 1", len(rejected))
 	}
 }
@@ -313,39 +313,44 @@
 	for i := range list {
 		list[i].Zone = string(rune('a' + i))
 	}
-	r := newHarness(t, testConfig(), list...)
-	r.request("x", "zone")
-	first, _ := lastAction[Send](r)
-	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.advance(2 * time.Second)
-	if len(actionsOf[Reject](r)) != 0 || len(actionsOf[Fail](r)) != 1 || len(actionsOf[Send](r)) != 1 {
-		t.Errorf("%d sends, %d rejections, %d failures", len(actionsOf[Send](r)), len(actionsOf[Reject](r)), len(actionsOf[Fail](r)))
+	h := newHarness(t, testConfig(), list...)
+	h.request("x", "zone")
+	first, _ := lastAction[Send](h)
+	h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
+	h.advance(2 * time.Second)
+	if len(actionsOf[Reject](h)) != 0 || len(actionsOf[Fail](h)) != 1 || len(actionsOf[Send](h)) != 1 {
+		t.Errorf(
+			"%d sends, %d rejections, %d failures",
+			len(actionsOf[Send](h)),
+			len(actionsOf[Reject](h)),
+			len(actionsOf[Fail](h)),
+		)
 	}
 }
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	r := newHarness(t, testConfig(), servers(3)...)
-	r.connect("a")
-	r.actions = nil
-	r.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
-	r.feed(AttemptEstablished{ID: "nobody"})
-	r.feed(AttemptEstablished{ID: "a", Server: "s00"})
-	r.feed(AttemptEnded{ID: "a", Attempt: 7, Result: ResultFailed})
-	r.feed(Request{ID: "a", Class: "safe", Timeout: time.Second}) // a second request with a known id
-	r.feed(Request{ID: "a", Class: "no such class", Timeout: time.Second})
-	r.feed(ClientDisconnected{ID: "nobody"})
-	r.feed(ProbeResult{Server: "nowhere"})
-	r.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
-	if len(r.actions) > 0 {
-		t.Errorf("unexpected actions %v", r.actions)
+	h := newHarness(t, testConfig(), servers(3)...)
+	h.connect("a")
+	h.actions = nil
+	h.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
+	h.feed(AttemptEstablished{ID: "nobody"})
+	h.feed(AttemptEstablished{ID: "a", Server: "s00"})
+	h.feed(AttemptEnded{ID: "a", Attempt: 7, Result: ResultFailed})
+	h.feed(Request{ID: "a", Class: "safe", Timeout: time.Second}) // a second request with a known id
+	h.feed(Request{ID: "a", Class: "no such class", Timeout: time.Second})
+	h.feed(ClientDisconnected{ID: "nobody"})
+	h.feed(ProbeResult{Server: "nowhere"})
+	h.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
+	if len(h.actions) > 0 {
+		t.Errorf("unexpected actions %v", h.actions)
 	}
-	r.now -= time.Minute // the balancer keeps using the previous time
-	r.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
-	if _, ok := lastAction[Reject](r); !ok {
+	h.now -= time.Minute // the balancer keeps using the previous time
+	h.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
+	if _, ok := lastAction[Reject](h); !ok {
 		t.Error("a request of an unknown class got no answer")
 	}
-	r.request("c", "safe")
-	if s, _ := lastAction[Send](r); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
+	h.request("c", "safe")
+	if s, _ := lastAction[Send](h); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
 		t.Errorf("a time-out in the past: %v", s.TimeoutAt)
 	}
 }
@@ -354,24 +359,24 @@
 	c := testConfig()
 	c.PollEndpointList = true
 	c.PollInterval = 10 * time.Second
-	r := newHarness(t, c)
-	r.feed(ServerList{Kind: ListFailed})
-	r.actions = nil
+	h := newHarness(t, c)
+	h.feed(ServerList{Kind: ListFailed})
+	h.actions = nil
 	for range 10 {
-		before := len(actionsOf[Subscribe](r))
-		r.advance(10 * time.Second)
-		if len(actionsOf[Subscribe](r)) == before {
+		before := len(actionsOf[Subscribe](h))
+		h.advance(10 * time.Second)
+		if len(actionsOf[Subscribe](h)) == before {
 			t.Fatal("no call for longer than the poll interval")
 		}
-		r.feed(ServerList{Kind: ListFailed})
+		h.feed(ServerList{Kind: ListFailed})
 	}
-	if n := len(actionsOf[Subscribe](r)); n > 60 {
+	if n := len(actionsOf[Subscribe](h)); n > 60 {
 		t.Errorf("%d calls in 100 s", n)
 	}
-	r.feed(ServerList{Kind: ListFull, Servers: servers(2)})
-	r.actions = nil
-	r.advance(time.Minute)
-	if n := len(actionsOf[Subscribe](r)); n > 0 {
+	h.feed(ServerList{Kind: ListFull, Servers: servers(2)})
+	h.actions = nil
+	h.advance(time.Minute)
+	if n := len(actionsOf[Subscribe](h)); n > 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
 }
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -195,7 +195,9 @@
 		s.estimate.placed *= b.hiddenShare(s, readAt)
 		s.reading.record(event.Load, readAt)
 		s.reading.peerAt = b.now
-		s.reading.extraValidity = time.Duration(max(0, newRequestLoadLimit-event.Load) / newRequestLoadLimit * float64(minSettleTime))
+		s.reading.extraValidity = time.Duration(
+			max(0, newRequestLoadLimit-event.Load) / newRequestLoadLimit * float64(minSettleTime),
+		)
 	}
 }
 
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -65,8 +65,8 @@
 	return obstacles[nearest]
 }
 
-// obstacleIndex returns the index in obstacles of the first check that a server fails for a request. As a side effect it
-// refills the server's warm-up budget.
+// obstacleIndex returns the index in obstacles of the first check that a server fails for a request. As a side effect
+// it refills the server's warm-up budget.
 func (b *Balancer) obstacleIndex(s *server, r *request) int {
 	budgetSpent := b.warmUpCapacity(s) < 1 && b.refillWarmUpBudget(s) < 1
 	capacity := b.capacityLeft(s, r, newRequestLoadLimit)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -108,5 +108,9 @@
 		return
 	}
 	r.failedSetups++
-	b.setups.recordFailure(setupFailure{server: r.server, duration: duration, firstOfRequest: r.failedSetups == 1}, b.now, b.jitter)
+	b.setups.recordFailure(
+		setupFailure{server: r.server, duration: duration, firstOfRequest: r.failedSetups == 1},
+		b.now,
+		b.jitter,
+	)
 }
--- a/policy/revision_test.go
+++ b/policy/revision_test.go
@@ -6,9 +6,15 @@
 	"time"
 )
 
-// placeRequests sends n new requests of a class, answers all probes with load x, and counts the attempts at each server. Each
-// client disconnects at once. It also returns the number of rejections.
-func placeRequests(b *Balancer, now time.Duration, n int, class string, load float64) (attempts map[string]int, rejections int) {
+// placeRequests sends n new requests of a class, answers all probes with load x, and counts the attempts at each
+// server. Each client disconnects at once. It also returns the number of rejections.
+func placeRequests(
+	b *Balancer,
+	now time.Duration,
+	n int,
+	class string,
+	load float64,
+) (attempts map[string]int, rejections int) {
 	attempts = map[string]int{}
 	for i := range n {
 		now += 10 * time.Second
@@ -122,7 +128,11 @@
 				case Send:
 					n++
 					r := b.requests.byID[a.ID]
-					actions = b.Step(now, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Result: ResultRejected}, actions)
+					actions = b.Step(
+						now,
+						AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Result: ResultRejected},
+						actions,
+					)
 				}
 			}
 		}
@@ -132,7 +142,12 @@
 	budget := attempts(func(c *Config) { c.RetryRatio = 0.1 })
 	onePerRequest := attempts(func(c *Config) { c.Classes[0].MaxAttempts = 1 })
 	if unlimited < 300 || budget > 200+int(maxRetryTokens)+21 || onePerRequest != 200 {
-		t.Errorf("attempts: %d without a budget, %d with a ratio of 0.1, %d with one per request", unlimited, budget, onePerRequest)
+		t.Errorf(
+			"attempts: %d without a budget, %d with a ratio of 0.1, %d with one per request",
+			unlimited,
+			budget,
+			onePerRequest,
+		)
 	}
 }
 
--- a/policy/setuplimit.go
+++ b/policy/setuplimit.go
@@ -5,7 +5,7 @@
 const (
 	initialSetupLimit    = 16                     // pending attempts
 	minSetupLimit        = 1.0 / 16               // pending attempts
-	highFailureRate      = 0.25                   // of requests; above it, failures are not due to single requests' content
+	highFailureRate      = 0.25                   // of requests; above it, the content of requests is not the cause
 	minCutIntervalMillis = 100                    // milliseconds between two reductions of the limit
 	setupPauseUnit       = 100 * time.Millisecond // longest pause after a reduction, at a limit of 1
 	setupMeanWeight      = 0.1                    // of the latest set-up in the running means
@@ -44,9 +44,13 @@
 	l.failureRate -= setupMeanWeight * l.failureRate
 }
 
-// recordFailure counts a failed set-up. Failures at one server give no information on the others, so only two failures at
-// different servers reduce the limit.
-func (l *setupLimiter) recordFailure(failure setupFailure, now time.Duration, jitter func(time.Duration) time.Duration) {
+// recordFailure counts a failed set-up. Failures at one server give no information on the others, so only two failures
+// at different servers reduce the limit.
+func (l *setupLimiter) recordFailure(
+	failure setupFailure,
+	now time.Duration,
+	jitter func(time.Duration) time.Duration,
+) {
 	l.recordEnd(failure.duration)
 	if failure.firstOfRequest {
 		l.failureRate += setupMeanWeight * (1 - l.failureRate)
--- a/policy/simulation_rules_test.go
+++ b/policy/simulation_rules_test.go
@@ -9,10 +9,10 @@
 
 func TestRulesHoldInRandomSimulations(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newSimulation(t, seed, 30)
-		w.run()
+		sim := newSimulation(t, seed, 30)
+		sim.run()
 		sends := 0
-		for _, a := range w.actions {
+		for _, a := range sim.actions {
 			if _, ok := a.(Send); ok {
 				sends++
 			}
@@ -29,9 +29,9 @@
 // The rules hold and requests get their answers whatever other balancers report, right or wrong, and however often.
 func TestRulesHoldWithAnyPeerEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newSimulation(t, seed, 30)
-		w.peersActive = true
-		w.run()
+		sim := newSimulation(t, seed, 30)
+		sim.peersActive = true
+		sim.run()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -18,6 +18,7 @@
 	event Event
 }
 
+// eventQueue is a heap of events, ordered by time and then by sequence number.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -57,7 +58,7 @@
 	peersActive         bool // random events from other balancers are added
 	t                   interface{ Errorf(string, ...any) }
 	rng                 *rand.Rand
-	cfg                 Config
+	config              Config
 	b                   *Balancer
 	now                 time.Duration
 	events              eventQueue
@@ -68,32 +69,32 @@
 	warmUpAttempts      map[string][]warmUpAttempt
 	actions             []Action
 	violations          int
-	maxLifetime         time.Duration                     // maximum lifetime of a connection
-	groups              int                               // number of connection groups
-	drainGrace          time.Duration                     // after a notification of draining, in which attempts may still be sent
-	updateDelay         time.Duration                     // delay of endpoint list updates (fault injection)
-	newReport           func(x, held float64) *LoadReport // builds the load reports
-	maxReportedLoad     float64                           // highest load that servers report, if above 1.2
-	pendingLoads        map[*LoadReport]float64           // loads of the reports in flight
-	lastLoads           map[string]float64                // load of the latest report
-	overloadedAttempts  int                               // attempts sent to a server whose latest report shows overload
-	serversCloseOnDrain bool                              // draining servers close their connections
+	maxLifetime         time.Duration                            // maximum lifetime of a connection
+	groups              int                                      // number of connection groups
+	drainGrace          time.Duration                            // for attempts after a notification of draining
+	updateDelay         time.Duration                            // delay of endpoint list updates (fault injection)
+	newReport           func(load, inFlight float64) *LoadReport // builds the load reports
+	maxReportedLoad     float64                                  // highest load that servers report, if above 1.2
+	pendingLoads        map[*LoadReport]float64                  // loads of the reports in flight
+	lastLoads           map[string]float64                       // load of the latest report
+	overloadedAttempts  int                                      // attempts sent to a server whose latest report shows overload
+	serversCloseOnDrain bool                                     // draining servers close their connections
 	attempts            int
 }
 
-func (w *simulation) schedule(d time.Duration, ev Event) {
-	w.seq++
-	heap.Push(&w.events, scheduledEvent{w.now + d, w.seq, ev})
+func (sim *simulation) schedule(d time.Duration, ev Event) {
+	sim.seq++
+	heap.Push(&sim.events, scheduledEvent{sim.now + d, sim.seq, ev})
 }
 
-func (w *simulation) violation(format string, args ...any) {
-	if w.violations++; w.violations < 5 {
-		w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	if sim.violations++; sim.violations < 5 {
+		sim.t.Errorf("at %v: %s", sim.now, fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *simulation) randomMillis(low, high int) time.Duration {
-	return time.Duration(low+w.rng.IntN(high-low)) * ms
+func (sim *simulation) randomMillis(low, high int) time.Duration {
+	return time.Duration(low+sim.rng.IntN(high-low)) * ms
 }
 
 const answerTolerance = 16 * ms // a final answer may be this late after the deadline
@@ -113,32 +114,38 @@
 	return newSimulationOf(t, cfg, b, seed, seconds, 60)
 }
 
-// newSimulationOf returns a simulation of a balancer under the given settings, which may differ from the balancer's own.
-// Requests are up to gap milliseconds apart.
-func newSimulationOf(t interface{ Errorf(string, ...any) }, cfg Config, b *Balancer, seed uint64, seconds, gap int) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, b: b, now: time.Hour,
+// newSimulationOf returns a simulation of a balancer under the given settings, which may differ from the balancer's
+// own. Requests are up to gap milliseconds apart.
+func newSimulationOf(
+	t interface{ Errorf(string, ...any) },
+	cfg Config,
+	b *Balancer,
+	seed uint64,
+	seconds, gap int,
+) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), config: cfg, b: b, now: time.Hour,
 		requests: map[string]*requestRecord{}, servers: map[string]Server{}, drainNotifiedAt: map[string]time.Duration{},
 		warmUpAttempts: map[string][]warmUpAttempt{}, maxLifetime: 20 * time.Second, lastLoads: map[string]float64{},
 		pendingLoads: map[*LoadReport]float64{}, groups: 5, newReport: report}
-	w.schedule(0, ServerList{Kind: ListCached, Servers: zonedServers(8)})
+	sim.schedule(0, ServerList{Kind: ListCached, Servers: zonedServers(8)})
 	end := time.Duration(seconds) * time.Second
-	for at := time.Duration(0); at < end; at += w.randomMillis(1, gap) {
-		k := cfg.Classes[w.rng.IntN(len(cfg.Classes))]
-		id := fmt.Sprintf("r%d-%d", seed, w.seq)
-		q := Request{ID: id, Key: fmt.Sprint("key", w.rng.IntN(300)), Class: k.Name, MidFlow: w.rng.IntN(20) == 0,
-			Timeout: w.randomMillis(5, 3000)}
-		if w.rng.IntN(4) == 0 {
-			q.Group = fmt.Sprint("group", w.rng.IntN(w.groups))
+	for at := time.Duration(0); at < end; at += sim.randomMillis(1, gap) {
+		k := cfg.Classes[sim.rng.IntN(len(cfg.Classes))]
+		id := fmt.Sprintf("r%d-%d", seed, sim.seq)
+		q := Request{ID: id, Key: fmt.Sprint("key", sim.rng.IntN(300)), Class: k.Name, MidFlow: sim.rng.IntN(20) == 0,
+			Timeout: sim.randomMillis(5, 3000)}
+		if sim.rng.IntN(4) == 0 {
+			q.Group = fmt.Sprint("group", sim.rng.IntN(sim.groups))
 		}
-		if w.rng.IntN(3) == 0 {
+		if sim.rng.IntN(3) == 0 {
 			q.Tenant = "t"
 		}
-		w.schedule(at, q)
+		sim.schedule(at, q)
 	}
-	for at := time.Second; at < end; at += w.randomMillis(300, 3000) {
-		w.schedule(at, w.randomListEvent())
+	for at := time.Second; at < end; at += sim.randomMillis(300, 3000) {
+		sim.schedule(at, sim.randomListEvent())
 	}
-	return w
+	return sim
 }
 
 // zonedServers returns n servers in two zones, each with both cells. A server never changes its zone.
@@ -151,15 +158,15 @@
 }
 
 // randomListEvent returns a random event of the endpoint list.
-func (w *simulation) randomListEvent() Event {
-	if w.rng.IntN(4) == 0 {
+func (sim *simulation) randomListEvent() Event {
+	if sim.rng.IntN(4) == 0 {
 		return ServerList{Kind: ListFailed}
 	}
 	l := ServerList{Kind: ListDelta}
 	for _, s := range zonedServers(12) {
-		if w.rng.IntN(4) == 0 {
-			s.State = ServerState(w.rng.IntN(3))
-			if s.State == Live && w.rng.IntN(2) == 0 {
+		if sim.rng.IntN(4) == 0 {
+			s.State = ServerState(sim.rng.IntN(3))
+			if s.State == Live && sim.rng.IntN(2) == 0 {
 				s.StartedAt = -1 // replaced by the current time when the event is delivered
 			}
 			l.Servers = append(l.Servers, s)
@@ -168,113 +175,113 @@
 	return l
 }
 
-func (w *simulation) run() {
-	for len(w.events) > 0 {
-		d := heap.Pop(&w.events).(scheduledEvent)
-		w.now = d.at
-		if w.peersActive && w.rng.IntN(8) == 0 {
-			for _, a := range w.b.Step(w.now, w.randomPeerEvent(), nil) {
-				w.actions = append(w.actions, a)
-				w.handleAction(a)
+func (sim *simulation) run() {
+	for len(sim.events) > 0 {
+		d := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = d.at
+		if sim.peersActive && sim.rng.IntN(8) == 0 {
+			for _, a := range sim.b.Step(sim.now, sim.randomPeerEvent(), nil) {
+				sim.actions = append(sim.actions, a)
+				sim.handleAction(a)
 			}
 		}
-		if ev, ok := w.recordEvent(d.event); ok {
-			for _, a := range w.b.Step(w.now, ev, nil) {
-				w.actions = append(w.actions, a)
-				w.handleAction(a)
+		if ev, ok := sim.recordEvent(d.event); ok {
+			for _, a := range sim.b.Step(sim.now, ev, nil) {
+				sim.actions = append(sim.actions, a)
+				sim.handleAction(a)
 			}
 		}
-		w.checkDeadlines()
+		sim.checkDeadlines()
 	}
-	for id, r := range w.requests {
+	for id, r := range sim.requests {
 		if !r.answered && !r.established {
-			w.violation("%s got no answer", id)
+			sim.violation("%s got no answer", id)
 		}
 	}
 }
 
-// randomPeerEvent returns a random event from other balancers, right or wrong. BudgetDivisor is at least the number of balancers
-// in the settings, because this package does not guarantee the sum over all balancers.
-func (w *simulation) randomPeerEvent() Event {
+// randomPeerEvent returns a random event from other balancers, right or wrong. BudgetDivisor is at least the number of
+// balancers in the settings, because this package does not guarantee the sum over all balancers.
+func (sim *simulation) randomPeerEvent() Event {
 	ids := []string{"nobody"}
-	for id := range w.servers {
+	for id := range sim.servers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	randomServers := func() (list []string) {
 		for _, id := range ids {
-			if w.rng.IntN(3) == 0 {
+			if sim.rng.IntN(3) == 0 {
 				list = append(list, id)
 			}
 		}
 		return list
 	}
-	switch w.rng.IntN(3) {
+	switch sim.rng.IntN(3) {
 	case 0:
 		return CandidateSubset{Servers: randomServers()}
 	case 1:
 		return PeerReading{
-			Server:      ids[w.rng.IntN(len(ids))],
-			Load:        3 * w.rng.Float64(),
-			Age:         w.randomMillis(0, 6000),
-			Unreachable: w.rng.IntN(8) == 0,
+			Server:      ids[sim.rng.IntN(len(ids))],
+			Load:        3 * sim.rng.Float64(),
+			Age:         sim.randomMillis(0, 6000),
+			Unreachable: sim.rng.IntN(8) == 0,
 		}
 	}
 	return FleetState{
-		BudgetDivisor:    []int{-1, 0, w.cfg.Balancers, 3 * w.cfg.Balancers}[w.rng.IntN(4)],
-		Demand:           1e4 * w.rng.Float64(),
-		ExplorationSlots: w.rng.IntN(1 << 20),
-		SlotShift:        w.randomMillis(0, 60000) - 30*time.Second,
-		StaggerOffset:    w.rng.Float64(),
+		BudgetDivisor:    []int{-1, 0, sim.config.Balancers, 3 * sim.config.Balancers}[sim.rng.IntN(4)],
+		Demand:           1e4 * sim.rng.Float64(),
+		ExplorationSlots: sim.rng.IntN(1 << 20),
+		SlotShift:        sim.randomMillis(0, 60000) - 30*time.Second,
+		StaggerOffset:    sim.rng.Float64(),
 		AssignedServers:  randomServers(),
 	}
 }
 
 // recordEvent updates the simulation's records for an event, and reports false for events that must not be delivered.
-func (w *simulation) recordEvent(ev Event) (Event, bool) {
+func (sim *simulation) recordEvent(ev Event) (Event, bool) {
 	switch ev := ev.(type) {
 	case TimerFired:
-		return ev, w.now < 2*time.Hour && w.pending()
+		return ev, sim.now < 2*time.Hour && sim.pending()
 	case Request:
-		r := &requestRecord{deadline: w.now + ev.Timeout}
-		for _, k := range w.cfg.Classes {
+		r := &requestRecord{deadline: sim.now + ev.Timeout}
+		for _, k := range sim.config.Classes {
 			if k.Name == ev.Class {
 				r.class = k
 			}
 		}
-		w.requests[ev.ID] = r
+		sim.requests[ev.ID] = r
 	case ProbeResult:
 		if ev.Report != nil {
-			w.lastLoads[ev.Server] = w.pendingLoads[ev.Report]
-			delete(w.pendingLoads, ev.Report)
+			sim.lastLoads[ev.Server] = sim.pendingLoads[ev.Report]
+			delete(sim.pendingLoads, ev.Report)
 		}
 	case delayedList:
 		return ev.ServerList, true
 	case ServerList:
-		if w.updateDelay > 0 {
-			w.schedule(w.updateDelay, delayedList{ev})
+		if sim.updateDelay > 0 {
+			sim.schedule(sim.updateDelay, delayedList{ev})
 		}
 		for i := range ev.Servers {
 			s := &ev.Servers[i]
 			if s.StartedAt < 0 {
-				s.StartedAt = w.now
-				delete(w.warmUpAttempts, s.ID) // each start has its own budget
+				s.StartedAt = sim.now
+				delete(sim.warmUpAttempts, s.ID) // each start has its own budget
 			}
 			if s.State == Live {
-				delete(w.drainNotifiedAt, s.ID)
-			} else if _, notified := w.drainNotifiedAt[s.ID]; !notified {
-				w.drainNotifiedAt[s.ID] = w.now
+				delete(sim.drainNotifiedAt, s.ID)
+			} else if _, notified := sim.drainNotifiedAt[s.ID]; !notified {
+				sim.drainNotifiedAt[s.ID] = sim.now
 			}
-			w.servers[s.ID] = *s
-			if w.serversCloseOnDrain && s.State != Live {
-				w.closeConnections(s.ID)
+			sim.servers[s.ID] = *s
+			if sim.serversCloseOnDrain && s.State != Live {
+				sim.closeConnections(s.ID)
 			}
 		}
-		return ev, w.updateDelay == 0
+		return ev, sim.updateDelay == 0
 	case AttemptEstablished:
-		w.requests[ev.ID].established = true
+		sim.requests[ev.ID].established = true
 	case AttemptEnded:
-		r := w.requests[ev.ID]
+		r := sim.requests[ev.ID]
 		r.attemptPending = false
 		if r.established || r.answered {
 			r.answered = true
@@ -296,21 +303,24 @@
 type delayedList struct{ ServerList }
 
 // closeConnections closes the connections of a draining server.
-func (w *simulation) closeConnections(server string) {
-	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
-		if r := w.requests[id]; r.established && !r.answered && r.server == server {
-			w.schedule(w.randomMillis(1, 500), AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: server, Result: ResultCanceled})
+func (sim *simulation) closeConnections(server string) {
+	for _, id := range slices.Sorted(maps.Keys(sim.requests)) {
+		if r := sim.requests[id]; r.established && !r.answered && r.server == server {
+			sim.schedule(
+				sim.randomMillis(1, 500),
+				AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: server, Result: ResultCanceled},
+			)
 		}
 	}
 }
 
-func (w *simulation) pending() bool {
-	for _, d := range w.events {
+func (sim *simulation) pending() bool {
+	for _, d := range sim.events {
 		if _, ok := d.event.(TimerFired); !ok {
 			return true
 		}
 	}
-	for _, r := range w.requests {
+	for _, r := range sim.requests {
 		if !r.answered && !r.established {
 			return true
 		}
@@ -318,110 +328,114 @@
 	return false
 }
 
-func (w *simulation) checkDeadlines() {
-	for id, r := range w.requests {
-		if !r.answered && !r.established && w.now > r.deadline+answerTolerance {
-			w.violation("%s (%s) got no answer before its deadline", id, r.class.Name)
+func (sim *simulation) checkDeadlines() {
+	for id, r := range sim.requests {
+		if !r.answered && !r.established && sim.now > r.deadline+answerTolerance {
+			sim.violation("%s (%s) got no answer before its deadline", id, r.class.Name)
 			r.answered = true
 		}
 	}
 }
 
-func (w *simulation) handleAction(a Action) {
+func (sim *simulation) handleAction(a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		w.schedule(a.After, TimerFired{a.Token})
+		sim.schedule(a.After, TimerFired{a.Token})
 	case Send:
-		w.handleSend(a)
+		sim.handleSend(a)
 	case Reject:
-		r := w.requests[a.ID]
+		r := sim.requests[a.ID]
 		k := r.class
-		if len(r.mayHaveRunOn) > 0 && k.Idempotency != Idempotent && (k.Idempotency != IdempotentByKey || k.KeyScope != KeyScopeAll) {
-			w.violation("%s (%s) rejected although it may have run", a.ID, k.Name)
+		if len(r.mayHaveRunOn) > 0 && k.Idempotency != Idempotent &&
+			(k.Idempotency != IdempotentByKey || k.KeyScope != KeyScopeAll) {
+			sim.violation("%s (%s) rejected although it may have run", a.ID, k.Name)
 		}
-		if a.RetryAfter > w.cfg.MaxRetryAfter {
-			w.violation("%s rejected with a retry time of %v, more than %v", a.ID, a.RetryAfter, w.cfg.MaxRetryAfter)
+		if a.RetryAfter > sim.config.MaxRetryAfter {
+			sim.violation("%s rejected with a retry time of %v, more than %v", a.ID, a.RetryAfter, sim.config.MaxRetryAfter)
 		}
-		w.recordFinalAnswer(a.ID)
+		sim.recordFinalAnswer(a.ID)
 	case Fail:
-		w.recordFinalAnswer(a.ID)
+		sim.recordFinalAnswer(a.ID)
 	case Migrate:
-		r := w.requests[a.ID]
+		r := sim.requests[a.ID]
 		if !r.established || r.answered {
-			w.violation("%s migrated although it is not established", a.ID)
+			sim.violation("%s migrated although it is not established", a.ID)
 		}
-		w.schedule(0, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: r.server, Result: ResultCanceled})
+		sim.schedule(0, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: r.server, Result: ResultCanceled})
 	case Probe:
-		if !w.cfg.ProbesEnabled {
-			w.violation("probe of %s although probes are disabled", a.Server)
+		if !sim.config.ProbesEnabled {
+			sim.violation("probe of %s although probes are disabled", a.Server)
 		}
-		if w.rng.IntN(6) == 0 {
-			w.schedule(w.randomMillis(1, 300), ProbeResult{Server: a.Server, Result: Result(1 + w.rng.IntN(5))})
+		if sim.rng.IntN(6) == 0 {
+			sim.schedule(sim.randomMillis(1, 300), ProbeResult{Server: a.Server, Result: Result(1 + sim.rng.IntN(5))})
 			return
 		}
-		x := w.rng.Float64() * max(1.2, w.maxReportedLoad)
-		r := w.newReport(x, float64(w.rng.IntN(40)))
-		w.pendingLoads[r] = x
-		w.schedule(w.randomMillis(1, 60), ProbeResult{Server: a.Server, Report: r})
+		x := sim.rng.Float64() * max(1.2, sim.maxReportedLoad)
+		r := sim.newReport(x, float64(sim.rng.IntN(40)))
+		sim.pendingLoads[r] = x
+		sim.schedule(sim.randomMillis(1, 60), ProbeResult{Server: a.Server, Report: r})
 	}
 }
 
-func (w *simulation) recordFinalAnswer(id string) {
-	r := w.requests[id]
+func (sim *simulation) recordFinalAnswer(id string) {
+	r := sim.requests[id]
 	if r.answered || r.established {
-		w.violation("%s answered twice", id)
+		sim.violation("%s answered twice", id)
 	}
 	if r.attemptPending {
-		w.violation("%s answered while an attempt is pending", id)
+		sim.violation("%s answered while an attempt is pending", id)
 	}
 	r.answered = true
 }
 
-func (w *simulation) handleSend(a Send) {
-	r := w.requests[a.ID]
-	s, listed := w.servers[a.Server]
+func (sim *simulation) handleSend(a Send) {
+	r := sim.requests[a.ID]
+	s, listed := sim.servers[a.Server]
 	switch {
 	case r.answered || r.established:
-		w.violation("%s sent after its final answer", a.ID)
+		sim.violation("%s sent after its final answer", a.ID)
 	case r.attemptPending:
-		w.violation("%s sent while an attempt is pending", a.ID)
-	case r.attempts >= w.cfg.MaxAttempts:
-		w.violation("%s sent more than %d times", a.ID, w.cfg.MaxAttempts)
+		sim.violation("%s sent while an attempt is pending", a.ID)
+	case r.attempts >= sim.config.MaxAttempts:
+		sim.violation("%s sent more than %d times", a.ID, sim.config.MaxAttempts)
 	case !listed:
-		w.violation("%s sent to %s, which is in no list", a.ID, a.Server)
-	case len(r.mayHaveRunOn) > 0 && !w.mayRepeat(r, s):
-		w.violation("%s (%s) repeated at %s after %v", a.ID, r.class.Name, a.Server, r.mayHaveRunOn)
+		sim.violation("%s sent to %s, which is in no list", a.ID, a.Server)
+	case len(r.mayHaveRunOn) > 0 && !sim.mayRepeat(r, s):
+		sim.violation("%s (%s) repeated at %s after %v", a.ID, r.class.Name, a.Server, r.mayHaveRunOn)
 	}
-	if notifiedAt, unavailable := w.drainNotifiedAt[a.Server]; unavailable && w.now > notifiedAt+w.drainGrace {
-		w.violation("%s sent to %s, reported as draining or gone at %v", a.ID, a.Server, notifiedAt)
+	if notifiedAt, unavailable := sim.drainNotifiedAt[a.Server]; unavailable && sim.now > notifiedAt+sim.drainGrace {
+		sim.violation("%s sent to %s, reported as draining or gone at %v", a.ID, a.Server, notifiedAt)
 	}
-	w.checkWarmUpBudget(s)
-	if w.attempts++; w.lastLoads[a.Server] > 1 {
-		w.overloadedAttempts++
+	sim.checkWarmUpBudget(s)
+	if sim.attempts++; sim.lastLoads[a.Server] > 1 {
+		sim.overloadedAttempts++
 	}
 	r.attempts++
-	r.attemptPending, r.server, r.sentAt = true, a.Server, w.now
+	r.attemptPending, r.server, r.sentAt = true, a.Server, sim.now
 	end := r.deadline
 	if a.TimeoutAt > 0 {
 		end = min(end, a.TimeoutAt)
 	}
-	wait := w.randomMillis(1, 1500)
-	if attempt := r.attempts - 1; w.now+wait >= end {
-		w.schedule(end-w.now, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultTimedOut})
-	} else if w.rng.IntN(2) == 0 {
-		w.schedule(wait, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Result(1 + w.rng.IntN(7))})
+	wait := sim.randomMillis(1, 1500)
+	if attempt := r.attempts - 1; sim.now+wait >= end {
+		sim.schedule(end-sim.now, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultTimedOut})
+	} else if sim.rng.IntN(2) == 0 {
+		sim.schedule(wait, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: Result(1 + sim.rng.IntN(7))})
 	} else {
-		w.schedule(wait, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: wait})
-		w.schedule(wait+w.randomMillis(10, int(w.maxLifetime.Milliseconds())), AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server})
+		sim.schedule(wait, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: wait})
+		sim.schedule(
+			wait+sim.randomMillis(10, int(sim.maxLifetime.Milliseconds())),
+			AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server},
+		)
 	}
 }
 
-func (w *simulation) mayRepeat(r *requestRecord, s Server) bool {
+func (sim *simulation) mayRepeat(r *requestRecord, s Server) bool {
 	k := r.class
-	if k.Idempotency == IdempotentByKey && w.now-r.mayHaveRunAt > k.KeyTTL || k.Idempotency == NotIdempotent {
+	if k.Idempotency == IdempotentByKey && sim.now-r.mayHaveRunAt > k.KeyTTL || k.Idempotency == NotIdempotent {
 		return false
 	}
-	first := w.servers[r.mayHaveRunOn[0]]
+	first := sim.servers[r.mayHaveRunOn[0]]
 	switch {
 	case k.Idempotency == Idempotent || k.KeyScope == KeyScopeAll:
 		return true
@@ -431,26 +445,33 @@
 	return s.Cell == first.Cell
 }
 
-// checkWarmUpBudget checks the warm-up budget of a server. A server without reports holds at most 1000 connections here, which is
-// the balancer's default.
-func (w *simulation) checkWarmUpBudget(s Server) {
-	if s.StartedAt == 0 || w.now-s.StartedAt > w.cfg.WarmUpDuration {
+// checkWarmUpBudget checks the warm-up budget of a server. A server without reports holds at most 1000 connections
+// here, which is the balancer's default.
+func (sim *simulation) checkWarmUpBudget(s Server) {
+	if s.StartedAt == 0 || sim.now-s.StartedAt > sim.config.WarmUpDuration {
 		return
 	}
-	capacity := 1 / max(1e-3, w.b.loadStep(w.b.servers.byID[s.ID])) / w.cfg.WarmUpDuration.Seconds()
-	recent := []warmUpAttempt{{w.now, capacity}}
-	for _, c := range w.warmUpAttempts[s.ID] {
-		if c.at > w.now-w.cfg.OverloadWindow {
+	capacity := 1 / max(1e-3, sim.b.loadStep(sim.b.servers.byID[s.ID])) / sim.config.WarmUpDuration.Seconds()
+	recent := []warmUpAttempt{{sim.now, capacity}}
+	for _, c := range sim.warmUpAttempts[s.ID] {
+		if c.at > sim.now-sim.config.OverloadWindow {
 			recent = append(recent, c)
 			capacity = max(capacity, c.capacity) // random reports cause jumps
 		}
 	}
-	w.warmUpAttempts[s.ID] = recent
+	sim.warmUpAttempts[s.ID] = recent
 	// The load step is relative to the current capacity, so the warm-up fraction is not applied again.
 	// The bound is a balancer's share plus one request, or an equal share of what the server bears.
-	budget, balancers := w.cfg.OverloadMultiple*capacity*w.cfg.OverloadWindow.Seconds(), float64(w.cfg.Balancers)
+	budget, balancers := sim.config.OverloadMultiple*capacity*sim.config.OverloadWindow.Seconds(),
+		float64(sim.config.Balancers)
 	bound := max(budget/balancers+1, (budget+2*math.Sqrt(budget)+2)/balancers)
 	if float64(len(recent)) > bound {
-		w.violation("%d requests to warming %s within %v, its share is %.1f", len(recent), s.ID, w.cfg.OverloadWindow, bound)
+		sim.violation(
+			"%d requests to warming %s within %v, its share is %.1f",
+			len(recent),
+			s.ID,
+			sim.config.OverloadWindow,
+			bound,
+		)
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -13,21 +13,21 @@
 	c.Balancers = 20
 	list := servers(2)
 	list[1].StartedAt = time.Hour
-	r := newHarness(t, c, list...)
-	r.loads["s00"], r.inFlight["s00"] = 0.6, 30 // 50 connections fill a server
-	r.b.applyReport(r.b.servers.byID["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
+	h := newHarness(t, c, list...)
+	h.loads["s00"], h.inFlight["s00"] = 0.6, 30 // 50 connections fill a server
+	h.b.applyReport(h.b.servers.byID["s00"], LoadReport{Load: 0.6, InFlight: 30, BacklogSeconds: -1})
 	sent := 0
 	for i := range 300 {
 		id := fmt.Sprint(i)
-		r.request(id, "safe")
-		r.advance(10 * ms)
-		if s, ok := lastAction[Send](r); ok && s.ID == id {
+		h.request(id, "safe")
+		h.advance(10 * ms)
+		if s, ok := lastAction[Send](h); ok && s.ID == id {
 			if s.Server == "s01" {
 				sent++
 			}
-			r.feed(AttemptEstablished{ID: id, Server: s.Server})
+			h.feed(AttemptEstablished{ID: id, Server: s.Server})
 		}
-		r.feed(ClientDisconnected{ID: id})
+		h.feed(ClientDisconnected{ID: id})
 	}
 	// In 3 s all balancers may send at most 3 * 0.51 * 50/10 * 3 = 23 requests, and this one 1/20 of that.
 	if sent > 2 {
@@ -69,18 +69,18 @@
 	c.Balancers = 80
 	list := servers(3)
 	list[2].StartedAt = time.Hour
-	r := newHarness(t, c, list...)
+	h := newHarness(t, c, list...)
 	for _, id := range []string{"s00", "s01"} {
 		for range 20 {
-			r.b.applyReport(r.b.servers.byID[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
+			h.b.applyReport(h.b.servers.byID[id], LoadReport{Load: 0.7, Utilization: -1, InFlight: 140, BacklogSeconds: -1})
 		}
 	}
-	warming := r.b.servers.byID["s02"]
-	if got, want := r.b.loadStep(warming), 0.005/r.b.warmUpCapacity(warming); math.Abs(got/want-1) > 0.1 {
+	warming := h.b.servers.byID["s02"]
+	if got, want := h.b.loadStep(warming), 0.005/h.b.warmUpCapacity(warming); math.Abs(got/want-1) > 0.1 {
 		t.Errorf("the load step of a warming server is %.4f, by the other servers' reports it is %.4f", got, want)
 	}
-	r.b.applyReport(warming, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
-	if got, want := r.b.loadStep(warming), 0.005/r.b.warmUpCapacity(warming); got > 1.4*want {
+	h.b.applyReport(warming, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
+	if got, want := h.b.loadStep(warming), 0.005/h.b.warmUpCapacity(warming); got > 1.4*want {
 		t.Errorf("three connections changed the load step to %.4f, want about %.4f", got, want)
 	}
 }
--- a/policy/warmup_fleet_test.go
+++ b/policy/warmup_fleet_test.go
@@ -85,7 +85,7 @@
 
 // simulate simulates the fleet for a seed from before the start of the server until it has warmed up, at most 12 s.
 func (f warmUpFleet) simulate(t testing.TB, seed uint64) warmUpResult {
-	p := &warmUpSimulation{
+	sim := &warmUpSimulation{
 		warmUpFleet:     f,
 		t:               t,
 		rng:             rand.New(rand.NewPCG(seed, 11)),
@@ -93,307 +93,309 @@
 		workByServer:    map[string]float64{},
 		connectionCount: map[string]int{},
 	}
-	p.meanWork = 1
+	sim.meanWork = 1
 	if len(f.classWork) > 0 {
-		p.meanWork = 0
+		sim.meanWork = 0
 		for _, w := range f.classWork {
-			p.meanWork += w / float64(len(f.classWork))
+			sim.meanWork += w / float64(len(f.classWork))
 		}
 	}
-	if p.meanLifetime == 0 {
-		p.meanLifetime = 20 * time.Second
+	if sim.meanLifetime == 0 {
+		sim.meanLifetime = 20 * time.Second
 	}
-	p.updateDueAt, p.notified = make([]time.Duration, f.balancers), make([]bool, f.balancers)
+	sim.updateDueAt, sim.notified = make([]time.Duration, f.balancers), make([]bool, f.balancers)
 	for i := range f.balancers {
-		p.balancersRunning = append(p.balancersRunning, nil)
-		p.startBalancer(i)
+		sim.balancersRunning = append(sim.balancersRunning, nil)
+		sim.startBalancer(i)
 	}
 	for i := range int(f.initialLoad * f.fullConnections * float64(f.warmServers)) {
-		balancer, class := p.rng.IntN(f.balancers), p.randomClass()
-		s := p.addConnection(balancer, fmt.Sprint("before", i), fmt.Sprintf("s%02d", i%f.warmServers), class)
-		p.feed(balancer, AdoptedConnection{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.server})
-		p.reportLoad(s)
+		balancer, class := sim.rng.IntN(f.balancers), sim.randomClass()
+		s := sim.addConnection(balancer, fmt.Sprint("before", i), fmt.Sprintf("s%02d", i%f.warmServers), class)
+		sim.feed(balancer, AdoptedConnection{Request: Request{ID: s.id, Class: f.Classes[class].Name}, Server: s.server})
+		sim.reportLoad(s)
 	}
 	if f.listedBefore {
-		p.publish(Server{ID: "cold", Zone: "a", Weight: 1})
+		sim.publish(Server{ID: "cold", Zone: "a", Weight: 1})
 	}
-	began, until := p.now, p.now+serverStartAt+min(f.WarmUpDuration, 12*time.Second)
-	for step := 1; p.now < until; step++ {
-		p.now += 20 * time.Millisecond
-		p.injectFaults(p.now-began, step)
-		p.step(p.now - began)
+	began, until := sim.now, sim.now+serverStartAt+min(f.WarmUpDuration, 12*time.Second)
+	for step := 1; sim.now < until; step++ {
+		sim.now += 20 * time.Millisecond
+		sim.injectFaults(sim.now-began, step)
+		sim.step(sim.now - began)
 	}
-	p.result.budgetUsed /= max(1e-9, p.totalBudget)
-	return p.result
+	sim.result.budgetUsed /= max(1e-9, sim.totalBudget)
+	return sim.result
 }
 
 // injectFaults injects the faults due at this time since the beginning.
-func (p *warmUpSimulation) injectFaults(at time.Duration, step int) {
+func (sim *warmUpSimulation) injectFaults(at time.Duration, step int) {
 	every := func(d time.Duration) bool { return step%int(d/(20*time.Millisecond)) == 0 }
 	switch {
-	case p.listedBefore && at == serverStartAt-time.Second:
-		p.stopServer()
+	case sim.listedBefore && at == serverStartAt-time.Second:
+		sim.stopServer()
 	case at == serverStartAt:
-		p.startServer()
-	case p.crashes && at == serverStartAt+2*time.Second:
-		p.stopServer()
-	case p.crashes && at == serverStartAt+3*time.Second:
-		p.startServer()
-	case p.restartShare > 0 && at > serverStartAt && every(1500*time.Millisecond) && at < serverStartAt+5*time.Second:
-		for i := range p.balancersRunning {
-			if p.rng.Float64() < p.restartShare {
-				p.restartBalancer(i)
+		sim.startServer()
+	case sim.crashes && at == serverStartAt+2*time.Second:
+		sim.stopServer()
+	case sim.crashes && at == serverStartAt+3*time.Second:
+		sim.startServer()
+	case sim.restartShare > 0 && at > serverStartAt && every(1500*time.Millisecond) && at < serverStartAt+5*time.Second:
+		for i := range sim.balancersRunning {
+			if sim.rng.Float64() < sim.restartShare {
+				sim.restartBalancer(i)
 			}
 		}
-	case p.reloadsConfig && every(time.Second):
-		for i := range p.balancersRunning {
-			p.feed(i, ConfigUpdate{p.balancersRunning[i].config})
+	case sim.reloadsConfig && every(time.Second):
+		for i := range sim.balancersRunning {
+			sim.feed(i, ConfigUpdate{sim.balancersRunning[i].config})
 		}
-	case p.repeatsList && every(time.Second):
-		p.publish(p.listedEntry)
+	case sim.repeatsList && every(time.Second):
+		sim.publish(sim.listedEntry)
 	}
 }
 
-func (p *warmUpSimulation) stopServer() {
-	p.startedAt = 0
-	for _, s := range p.connections {
+func (sim *warmUpSimulation) stopServer() {
+	sim.startedAt = 0
+	for _, s := range sim.connections {
 		if s.server == "cold" {
-			p.endConnection(s, ResultReset)
+			sim.endConnection(s, ResultReset)
 		}
 	}
 }
 
-func (p *warmUpSimulation) startServer() {
-	p.startedAt = p.now
-	clear(p.notified)
-	p.publish(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: p.now})
+func (sim *warmUpSimulation) startServer() {
+	sim.startedAt = sim.now
+	clear(sim.notified)
+	sim.publish(Server{ID: "cold", Zone: "a", Weight: 1, StartedAt: sim.now})
 }
 
 // publish publishes the warming server's entry. Each balancer receives it after its own random delay.
-func (p *warmUpSimulation) publish(s Server) {
-	p.listedEntry, p.isListed = s, s.ID != ""
-	for i := range p.updateDueAt {
-		p.updateDueAt[i] = p.now + time.Duration(p.rng.Float64()*float64(p.maxListDelay))
+func (sim *warmUpSimulation) publish(s Server) {
+	sim.listedEntry, sim.isListed = s, s.ID != ""
+	for i := range sim.updateDueAt {
+		sim.updateDueAt[i] = sim.now + time.Duration(sim.rng.Float64()*float64(sim.maxListDelay))
 	}
 }
 
-func (p *warmUpSimulation) entryWithJitter() Server {
-	s := p.listedEntry
+func (sim *warmUpSimulation) entryWithJitter() Server {
+	s := sim.listedEntry
 	if s.StartedAt > 0 {
-		s.StartedAt += time.Duration((2*p.rng.Float64() - 1) * float64(p.startJitter))
+		s.StartedAt += time.Duration((2*sim.rng.Float64() - 1) * float64(sim.startJitter))
 	}
 	return s
 }
 
-func (p *warmUpSimulation) fullList() ServerList {
-	l := ServerList{Kind: ListFull, Servers: servers(p.warmServers)}
-	if p.isListed {
-		l.Servers = append(l.Servers, p.entryWithJitter())
+func (sim *warmUpSimulation) fullList() ServerList {
+	l := ServerList{Kind: ListFull, Servers: servers(sim.warmServers)}
+	if sim.isListed {
+		l.Servers = append(l.Servers, sim.entryWithJitter())
 	}
 	return l
 }
 
-func (p *warmUpSimulation) startBalancer(i int) {
-	b, err := New(p.Config, int64(p.rng.Uint64()>>1))
+func (sim *warmUpSimulation) startBalancer(i int) {
+	b, err := New(sim.Config, int64(sim.rng.Uint64()>>1))
 	if err != nil {
-		p.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	p.balancersRunning[i] = b
-	p.notified[i] = p.listedEntry.StartedAt > 0 || p.notified[i]
-	p.feed(i, p.fullList())
+	sim.balancersRunning[i] = b
+	sim.notified[i] = sim.listedEntry.StartedAt > 0 || sim.notified[i]
+	sim.feed(i, sim.fullList())
 }
 
 // restartBalancer stops a balancer, which ends its connections, and starts it again.
-func (p *warmUpSimulation) restartBalancer(i int) {
-	for _, s := range p.connections {
+func (sim *warmUpSimulation) restartBalancer(i int) {
+	for _, s := range sim.connections {
 		if s.balancer == i && !s.closed {
-			p.removeConnection(s)
+			sim.removeConnection(s)
 		}
 	}
-	p.startBalancer(i)
+	sim.startBalancer(i)
 }
 
-func (p *warmUpSimulation) randomClass() int { return p.rng.IntN(max(1, len(p.classWork))) }
+func (sim *warmUpSimulation) randomClass() int { return sim.rng.IntN(max(1, len(sim.classWork))) }
 
 // randomWork generates the work of a connection of a class.
-func (p *warmUpSimulation) randomWork(class int) float64 {
+func (sim *warmUpSimulation) randomWork(class int) float64 {
 	w := 1.0
-	if len(p.classWork) > 0 {
-		w = p.classWork[class] / p.meanWork
+	if len(sim.classWork) > 0 {
+		w = sim.classWork[class] / sim.meanWork
 	}
-	if p.workVariation > 0 {
-		v := math.Log(1 + p.workVariation*p.workVariation)
-		w *= math.Exp(p.rng.NormFloat64()*math.Sqrt(v) - v/2)
+	if sim.workVariation > 0 {
+		v := math.Log(1 + sim.workVariation*sim.workVariation)
+		w *= math.Exp(sim.rng.NormFloat64()*math.Sqrt(v) - v/2)
 	}
 	return w
 }
 
-func (p *warmUpSimulation) addConnection(balancer int, id, server string, class int) *simulatedConnection {
+func (sim *warmUpSimulation) addConnection(balancer int, id, server string, class int) *simulatedConnection {
 	s := &simulatedConnection{
 		balancer: balancer,
 		id:       id,
 		server:   server,
-		work:     p.randomWork(class),
-		endsAt:   p.now + time.Duration(p.rng.ExpFloat64()*float64(p.meanLifetime)),
+		work:     sim.randomWork(class),
+		endsAt:   sim.now + time.Duration(sim.rng.ExpFloat64()*float64(sim.meanLifetime)),
 	}
-	p.workByServer[server] += s.work
-	p.connectionCount[server]++
-	p.connections = append(p.connections, s)
+	sim.workByServer[server] += s.work
+	sim.connectionCount[server]++
+	sim.connections = append(sim.connections, s)
 	return s
 }
 
-func (p *warmUpSimulation) reportLoad(s *simulatedConnection) {
-	if p.reportsLoad {
-		p.feed(s.balancer, ConnectionLoad{ID: s.id, Load: s.work})
+func (sim *warmUpSimulation) reportLoad(s *simulatedConnection) {
+	if sim.reportsLoad {
+		sim.feed(s.balancer, ConnectionLoad{ID: s.id, Load: s.work})
 	}
 }
 
-func (p *warmUpSimulation) removeConnection(s *simulatedConnection) {
+func (sim *warmUpSimulation) removeConnection(s *simulatedConnection) {
 	if !s.closed {
 		s.closed = true
-		p.workByServer[s.server] -= s.work
-		p.connectionCount[s.server]--
+		sim.workByServer[s.server] -= s.work
+		sim.connectionCount[s.server]--
 	}
 }
 
-func (p *warmUpSimulation) endConnection(s *simulatedConnection, result Result) {
+func (sim *warmUpSimulation) endConnection(s *simulatedConnection, result Result) {
 	if !s.closed {
-		p.removeConnection(s)
-		p.feed(s.balancer, AttemptEnded{ID: s.id, Server: s.server, Result: result, Final: true})
+		sim.removeConnection(s)
+		sim.feed(s.balancer, AttemptEnded{ID: s.id, Server: s.server, Result: result, Final: true})
 	}
 }
 
-func (p *warmUpSimulation) warmUpFraction() float64 {
-	if p.startedAt == 0 {
+func (sim *warmUpSimulation) warmUpFraction() float64 {
+	if sim.startedAt == 0 {
 		return 1
 	}
 	return min(
 		1,
-		p.WarmUpInitialCapacity+(1-p.WarmUpInitialCapacity)*float64(p.now-p.startedAt)/float64(max(1, p.WarmUpDuration)),
+		sim.WarmUpInitialCapacity+
+			(1-sim.WarmUpInitialCapacity)*float64(sim.now-sim.startedAt)/float64(max(1, sim.WarmUpDuration)),
 	)
 }
 
-func (p *warmUpSimulation) capacity(server string) float64 {
+func (sim *warmUpSimulation) capacity(server string) float64 {
 	if server == "cold" {
-		return p.fullConnections * p.warmUpFraction()
+		return sim.fullConnections * sim.warmUpFraction()
 	}
-	return p.fullConnections
+	return sim.fullConnections
 }
 
 // windowCapacity returns the work that the warming server bears in one window.
-func (p *warmUpSimulation) windowCapacity() float64 {
-	return p.OverloadMultiple * p.capacity("cold") / p.WarmUpDuration.Seconds() * p.OverloadWindow.Seconds()
+func (sim *warmUpSimulation) windowCapacity() float64 {
+	return sim.OverloadMultiple * sim.capacity("cold") / sim.WarmUpDuration.Seconds() * sim.OverloadWindow.Seconds()
 }
 
-func (p *warmUpSimulation) feed(i int, ev Event) {
-	for _, a := range p.balancersRunning[i].Step(p.now, ev, nil) {
+func (sim *warmUpSimulation) feed(i int, ev Event) {
+	for _, a := range sim.balancersRunning[i].Step(sim.now, ev, nil) {
 		switch a := a.(type) {
 		case Probe:
-			p.answerProbe(i, a.Server)
+			sim.answerProbe(i, a.Server)
 		case Send:
-			p.handleSend(i, a)
+			sim.handleSend(i, a)
 		case Migrate:
-			for _, s := range p.connections {
+			for _, s := range sim.connections {
 				if s.balancer == i && s.id == a.ID {
-					p.endConnection(s, ResultCanceled)
+					sim.endConnection(s, ResultCanceled)
 				}
 			}
 		}
 	}
 }
 
-func (p *warmUpSimulation) answerProbe(i int, server string) {
-	if server == "cold" && p.startedAt == 0 && !(p.listedBefore && p.now < time.Hour+serverStartAt-time.Second) {
-		p.feed(i, ProbeResult{Server: server, Result: ResultUnreachable})
+func (sim *warmUpSimulation) answerProbe(i int, server string) {
+	if server == "cold" && sim.startedAt == 0 && !(sim.listedBefore && sim.now < time.Hour+serverStartAt-time.Second) {
+		sim.feed(i, ProbeResult{Server: server, Result: ResultUnreachable})
 		return
 	}
-	x := max(0, p.workByServer[server]/p.capacity(server)*(1+p.reportNoise*p.rng.NormFloat64()))
-	r := report(x, float64(p.connectionCount[server]))
-	if p.withoutCounts {
+	x := max(0, sim.workByServer[server]/sim.capacity(server)*(1+sim.reportNoise*sim.rng.NormFloat64()))
+	r := report(x, float64(sim.connectionCount[server]))
+	if sim.withoutCounts {
 		r.InFlight = -1
 	}
-	p.feed(i, ProbeResult{Server: server, Report: r})
+	sim.feed(i, ProbeResult{Server: server, Report: r})
 }
 
-func (p *warmUpSimulation) handleSend(i int, a Send) {
-	b := p.balancersRunning[i]
+func (sim *warmUpSimulation) handleSend(i int, a Send) {
+	b := sim.balancersRunning[i]
 	attempt := b.requests.byID[a.ID].attempts - 1
-	class := slices.IndexFunc(p.Classes, func(k Class) bool { return k.Name == b.requests.byID[a.ID].Class })
-	isDown := a.Server == "cold" && p.startedAt == 0 && !(p.listedBefore && p.now < time.Hour+serverStartAt-time.Second)
+	class := slices.IndexFunc(sim.Classes, func(k Class) bool { return k.Name == b.requests.byID[a.ID].Class })
+	isDown := a.Server == "cold" && sim.startedAt == 0 &&
+		!(sim.listedBefore && sim.now < time.Hour+serverStartAt-time.Second)
 	if isDown {
-		p.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
+		sim.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultUnreachable})
 		return
 	}
-	s := p.addConnection(i, a.ID, a.Server, class)
-	if a.Server == "cold" && p.startedAt > 0 && p.now-p.startedAt < p.WarmUpDuration-p.startJitter {
-		p.checkBound(i, s.work)
+	s := sim.addConnection(i, a.ID, a.Server, class)
+	if a.Server == "cold" && sim.startedAt > 0 && sim.now-sim.startedAt < sim.WarmUpDuration-sim.startJitter {
+		sim.checkBound(i, s.work)
 	}
-	if p.workByServer[a.Server] > 1.3*p.capacity(a.Server) {
-		p.removeConnection(s)
-		p.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultRejected})
+	if sim.workByServer[a.Server] > 1.3*sim.capacity(a.Server) {
+		sim.removeConnection(s)
+		sim.feed(i, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Result: ResultRejected})
 		return
 	}
-	p.feed(i, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
-	p.reportLoad(s)
+	sim.feed(i, AttemptEstablished{ID: a.ID, Attempt: attempt, Server: a.Server, Latency: 20 * time.Millisecond})
+	sim.reportLoad(s)
 }
 
 // checkBound checks an attempt sent to the warming server against the server's bound.
-func (p *warmUpSimulation) checkBound(i int, work float64) {
-	p.recentAttempts = slices.DeleteFunc(
-		p.recentAttempts,
-		func(s sentWork) bool { return s.at <= p.now-p.OverloadWindow || s.at < p.startedAt },
+func (sim *warmUpSimulation) checkBound(i int, work float64) {
+	sim.recentAttempts = slices.DeleteFunc(
+		sim.recentAttempts,
+		func(s sentWork) bool { return s.at <= sim.now-sim.OverloadWindow || s.at < sim.startedAt },
 	)
-	p.recentAttempts = append(p.recentAttempts, sentWork{p.now, work, p.notified[i]})
+	sim.recentAttempts = append(sim.recentAttempts, sentWork{sim.now, work, sim.notified[i]})
 	sum, notified := 0.0, 0.0
-	for _, s := range p.recentAttempts {
+	for _, s := range sim.recentAttempts {
 		if sum += s.work; s.notified {
 			notified += s.work
 		}
 	}
-	budget := p.windowCapacity()
+	budget := sim.windowCapacity()
 	bound := budget + 2*math.Sqrt(budget) + 2
-	p.result.attempts++
-	p.result.budgetUsed += work
-	p.result.peakRatio = max(p.result.peakRatio, sum/bound)
-	p.result.overloaded = p.result.overloaded || sum > bound && notified > sum*2/3
+	sim.result.attempts++
+	sim.result.budgetUsed += work
+	sim.result.peakRatio = max(sim.result.peakRatio, sum/bound)
+	sim.result.overloaded = sim.result.overloaded || sum > bound && notified > sum*2/3
 }
 
 // step simulates 20 ms: list updates, ends of connections, new requests and timers.
-func (p *warmUpSimulation) step(at time.Duration) {
-	if p.startedAt > 0 {
-		p.totalBudget += p.windowCapacity() / p.OverloadWindow.Seconds() * 0.02
-	}
-	for i, dueAt := range p.updateDueAt {
-		if dueAt > 0 && p.now >= dueAt {
-			p.updateDueAt[i], p.notified[i] = 0, p.startedAt > 0
-			l := p.fullList()
-			if !p.repeatsList {
-				l = ServerList{Kind: ListDelta, Servers: []Server{p.entryWithJitter()}}
+func (sim *warmUpSimulation) step(at time.Duration) {
+	if sim.startedAt > 0 {
+		sim.totalBudget += sim.windowCapacity() / sim.OverloadWindow.Seconds() * 0.02
+	}
+	for i, dueAt := range sim.updateDueAt {
+		if dueAt > 0 && sim.now >= dueAt {
+			sim.updateDueAt[i], sim.notified[i] = 0, sim.startedAt > 0
+			l := sim.fullList()
+			if !sim.repeatsList {
+				l = ServerList{Kind: ListDelta, Servers: []Server{sim.entryWithJitter()}}
 			}
-			p.feed(i, l)
+			sim.feed(i, l)
 		}
 	}
-	for _, s := range p.connections {
-		if p.now >= s.endsAt {
-			p.endConnection(s, ResultOK)
+	for _, s := range sim.connections {
+		if sim.now >= s.endsAt {
+			sim.endConnection(s, ResultOK)
 		}
 	}
-	p.connections = slices.DeleteFunc(p.connections, func(s *simulatedConnection) bool { return s.closed })
-	rate := p.requestRate * 0.02
-	if at >= serverStartAt && p.burstFactor > 0 {
-		rate *= p.burstFactor
+	sim.connections = slices.DeleteFunc(sim.connections, func(s *simulatedConnection) bool { return s.closed })
+	rate := sim.requestRate * 0.02
+	if at >= serverStartAt && sim.burstFactor > 0 {
+		rate *= sim.burstFactor
 	}
-	for range poisson(p.rng, rate) {
-		i := p.rng.IntN(p.balancers)
-		if p.skewed && p.rng.IntN(3) == 0 {
+	for range poisson(sim.rng, rate) {
+		i := sim.rng.IntN(sim.balancers)
+		if sim.skewed && sim.rng.IntN(3) == 0 {
 			i = 0
 		}
-		p.lastID++
-		id := fmt.Sprint("r", p.lastID)
-		p.feed(i, Request{ID: id, Key: id, Class: p.Classes[p.randomClass()].Name, Timeout: time.Second})
+		sim.lastID++
+		id := fmt.Sprint("r", sim.lastID)
+		sim.feed(i, Request{ID: id, Key: id, Class: sim.Classes[sim.randomClass()].Name, Timeout: time.Second})
 	}
-	for i := range p.balancersRunning {
-		p.feed(i, TimerFired{"tick"})
+	for i := range sim.balancersRunning {
+		sim.feed(i, TimerFired{"tick"})
 	}
 }
 
@@ -412,6 +414,7 @@
 	c.WarmUpInitialCapacity = initialCapacity
 	c.WarmUpDuration = 10 * time.Second
 	c.OverloadWindow = window
-	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() / (fullConnections * max(initialCapacity, 0.05))
+	c.OverloadMultiple = budget * c.WarmUpDuration.Seconds() / window.Seconds() /
+		(fullConnections * max(initialCapacity, 0.05))
 	return c
 }
--- a/policy/warmup_test.go
+++ b/policy/warmup_test.go
@@ -21,7 +21,13 @@
 }
 
 func newLightTrafficFleet(t *testing.T, config Config, servers int, fullConnections float64) *lightTrafficFleet {
-	f := &lightTrafficFleet{config: config, fullConnections: fullConnections, now: time.Hour, startedAt: time.Hour, connections: map[string]float64{}}
+	f := &lightTrafficFleet{
+		config:          config,
+		fullConnections: fullConnections,
+		now:             time.Hour,
+		startedAt:       time.Hour,
+		connections:     map[string]float64{},
+	}
 	for i := range servers {
 		id := fmt.Sprint("s", i)
 		f.endpoints = append(f.endpoints, Server{ID: id, Zone: "a", Weight: 1})
@@ -51,7 +57,10 @@
 	for _, a := range b.Step(f.now, ev, nil) {
 		switch a := a.(type) {
 		case Probe:
-			f.feed(b, ProbeResult{Server: a.Server, Report: report(f.connections[a.Server]/f.capacity(a.Server), f.connections[a.Server])})
+			f.feed(b, ProbeResult{
+				Server: a.Server,
+				Report: report(f.connections[a.Server]/f.capacity(a.Server), f.connections[a.Server]),
+			})
 		case Send:
 			f.connections[a.Server]++
 			if a.Server == "cold" {
@@ -194,7 +203,11 @@
 			for j := 0; j < len(actions); j++ {
 				switch a := actions[j].(type) {
 				case Probe:
-					actions = b.Step(now, ProbeResult{Server: a.Server, Report: report(connections/fullConnections/capacity, connections)}, actions)
+					actions = b.Step(
+						now,
+						ProbeResult{Server: a.Server, Report: report(connections/fullConnections/capacity, connections)},
+						actions,
+					)
 				case Send:
 					connections++
 					sent = append(sent, at)
@@ -219,8 +232,8 @@
 	}
 }
 
-// warmUpScenarios returns fleets of m balancers under a burst, by the unusual condition in each. The overload window of the
-// warming server is 2 s.
+// warmUpScenarios returns fleets of m balancers under a burst, by the unusual condition in each. The overload window of
+// the warming server is 2 s.
 func warmUpScenarios(m int, budget float64) map[string]warmUpFleet {
 	plain := warmUpFleet{
 		Config:          warmUpConfig(m, 60, 0.34, budget, 2*time.Second),
@@ -239,7 +252,9 @@
 		"noisy reports":            func(f *warmUpFleet) { f.reportNoise = 0.2 },
 		"reports without counts":   func(f *warmUpFleet) { f.withoutCounts = true },
 		"restart and crash":        func(f *warmUpFleet) { f.listedBefore, f.crashes = true, true },
-		"delayed lists":            func(f *warmUpFleet) { f.listedBefore, f.crashes, f.maxListDelay = true, true, time.Second },
+		"delayed lists": func(f *warmUpFleet) {
+			f.listedBefore, f.crashes, f.maxListDelay = true, true, time.Second
+		},
 		"balancers restart":        func(f *warmUpFleet) { f.restartShare = 0.5 },
 		"repeated lists":           func(f *warmUpFleet) { f.repeatsList = true },
 		"start time with jitter":   func(f *warmUpFleet) { f.repeatsList, f.startJitter = true, 2*ms },
@@ -392,7 +407,8 @@
 		for _, n := range []float64{0.3, 1, 2, 3.5, 5, 12, 30} {
 			c := testConfig()
 			c.Balancers = 4
-			sum, budgetShare := float64(divisor*maxAttemptsInWindow(t, c, FleetState{BudgetDivisor: divisor}, n)), defaultWarmUpBudgetShare*n
+			sum, budgetShare := float64(divisor*maxAttemptsInWindow(t, c, FleetState{BudgetDivisor: divisor}, n)),
+				defaultWarmUpBudgetShare*n
 			if !withinSlack(divisor, sum, budgetShare) {
 				t.Errorf("%d balancers share, 4 in the settings, budget %.1f: %.0f requests in a window", divisor, n, sum)
 			}
