--- a/policy/migration_test.go
+++ b/policy/migration_test.go
@@ -104,7 +104,7 @@
 		h.actions = nil
 		h.advance(h.b.slotLength() + 100*ms)
 		if returned := len(actionsOf[Migrate](h)) > 0; returned != c.back {
-			t.Errorf("%s: returned: %v, want %v", name, returned, c.back)
+			t.Errorf("%s: returned: %v", name, returned)
 		}
 		if c.back {
 			h.feed(AttemptEnded{ID: "y", Server: "s01", Result: ResultCanceled, Final: true})
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -39,7 +39,7 @@
 func TestOnlyCandidatesAreSampled(t *testing.T) {
 	b, now := newListedBalancer(t, 10, nil)
 	b.Step(now, CandidateSubset{Servers: []string{"s3", "s5", "s9"}}, nil)
-	sampledBy := func(n int) map[string]bool {
+	sampledServers := func(n int) map[string]bool {
 		sampled := map[string]bool{}
 		for i := range n {
 			now += 10 * time.Second
@@ -52,7 +52,7 @@
 		}
 		return sampled
 	}
-	if got := sampledBy(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
+	if got := sampledServers(60); len(got) != 3 || !got["s3"] || !got["s5"] || !got["s9"] {
 		t.Errorf("sampled: %v, want the three candidates", got)
 	}
 	r := &request{Request: Request{ID: "x", Class: "safe"}, class: b.classes.byName["safe"], mayHaveRunAt: -1}
@@ -70,7 +70,7 @@
 		change = append(change, Server{ID: id, Zone: "a", Weight: 1, State: Draining})
 	}
 	b.Step(now, ServerList{Kind: ListDelta, Servers: change}, nil)
-	if got := sampledBy(60); len(got) != 7 {
+	if got := sampledServers(60); len(got) != 7 {
 		t.Errorf("with all candidates draining, sampled: %v", got)
 	}
 	b.Step(now, CandidateSubset{}, nil)
@@ -83,14 +83,14 @@
 // balancer's own reading, and a reading older than its own has no effect.
 func TestPeerReadingsSaveProbes(t *testing.T) {
 	b, now := newListedBalancer(t, 2, nil)
-	request := func(id string) []string {
+	probesForRequest := func(id string) []string {
 		return probedServers(b.Step(now, Request{ID: id, Key: id, Class: "safe", Timeout: time.Second}, nil))
 	}
 	for _, id := range []string{"s0", "s1"} {
 		b.Step(now, PeerReading{Server: id, Load: 0.2, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
-	if got := request("a"); len(got) != 0 {
+	if got := probesForRequest("a"); len(got) != 0 {
 		t.Errorf("with free capacity reported 1.3 s ago, probed %v", got)
 	}
 	for _, reading := range b.LoadReadings() {
@@ -101,7 +101,7 @@
 		b.Step(now, PeerReading{Server: id, Load: 0.78, Age: 300 * time.Millisecond}, nil)
 	}
 	now += time.Second
-	if got := request("b"); len(got) != 2 {
+	if got := probesForRequest("b"); len(got) != 2 {
 		t.Errorf("with servers near full, probed %v", got)
 	}
 	b.Step(
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -46,7 +46,7 @@
 			here, there := one.b.sample(r), other.b.sample(&q)
 			for i, s := range here {
 				if s.ID != there[i].ID {
-					t.Fatalf("group %d, sample %d: %s at one balancer, %s at the other", g, sample, s.ID, there[i].ID)
+					t.Fatalf("group %d: %s at one balancer, %s at the other, sample %d", g, s.ID, there[i].ID, sample)
 				}
 				seen[s.ID] = true
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -240,7 +240,7 @@
 // For each result of a first attempt and each idempotency, checks whether the request is sent again, rejected or
 // failed.
 func TestNextActionAfterAttempt(t *testing.T) {
-	const again, reject, fail = "send", "refuse", "fail"
+	const again, reject, fail = "send", "reject", "fail"
 	for _, c := range []struct {
 		class  string
 		result Result
--- a/policy/revision_test.go
+++ b/policy/revision_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// placeRequests sends n new requests of a class, answers all probes with load x, and counts the attempts at each
-// server. Each client disconnects at once. It also returns the number of rejections.
+// placeRequests sends n new requests of a class, answers all probes with the given load, and counts the attempts at
+// each server. Each client disconnects at once. It also returns the number of rejections.
 func placeRequests(
 	b *Balancer,
 	now time.Duration,
@@ -39,9 +39,9 @@
 // mid-flow connection is still sent to its server.
 func TestServerAndZoneWeights(t *testing.T) {
 	b, now := newListedBalancer(t, 6, func(c *Config) { c.Weights = map[string]float64{"s1": 0, "s2": 0.05} })
-	at, _ := placeRequests(b, now, 400, "safe", 0.2)
-	if at["s1"] > 0 || at["s2"] == 0 || at["s2"] > at["s3"]/3 {
-		t.Errorf("sent: %v", at)
+	attempts, _ := placeRequests(b, now, 400, "safe", 0.2)
+	if attempts["s1"] > 0 || attempts["s2"] == 0 || attempts["s2"] > attempts["s3"]/3 {
+		t.Errorf("sent: %v", attempts)
 	}
 	r := &request{
 		Request:      Request{ID: "x", Class: "safe", MidFlow: true},
@@ -55,8 +55,8 @@
 		t.Error("a server of weight 0 is usable for a new request")
 	}
 	zone, _ := newListedBalancer(t, 6, func(c *Config) { c.Weights = map[string]float64{"zone/a": 0} })
-	if at, _ := placeRequests(zone, now, 50, "safe", 0.2); len(at) > 0 {
-		t.Errorf("sent to a zone of weight 0: %v", at)
+	if attempts, _ := placeRequests(zone, now, 50, "safe", 0.2); len(attempts) > 0 {
+		t.Errorf("sent to a zone of weight 0: %v", attempts)
 	}
 }
 
@@ -86,7 +86,7 @@
 		t.Errorf("rejected %d times, want once", rejections)
 	}
 	b.Step(now+time.Second, LeaseActive, nil)
-	if at, _ := placeRequests(b, now+time.Second, 20, "safe", 0.2); len(at) == 0 {
+	if attempts, _ := placeRequests(b, now+time.Second, 20, "safe", 0.2); len(attempts) == 0 {
 		t.Error("nothing was placed with an active lease")
 	}
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -79,7 +79,7 @@
 	lastLoads           map[string]float64                       // load of the latest report
 	overloadedAttempts  int                                      // attempts sent to a server whose latest report shows overload
 	serversCloseOnDrain bool                                     // draining servers close their connections
-	attempts            int
+	sentAttempts        int
 }
 
 func (sim *simulation) schedule(d time.Duration, ev Event) {
@@ -364,7 +364,7 @@
 		sim.schedule(0, AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Server: r.server, Result: ResultCanceled})
 	case Probe:
 		if !sim.config.ProbesEnabled {
-			sim.violation("probe of %s although probes are disabled", a.Server)
+			sim.violation("probe although probes are disabled")
 		}
 		if sim.rng.IntN(6) == 0 {
 			sim.schedule(sim.randomMillis(1, 300), ProbeResult{Server: a.Server, Result: Result(1 + sim.rng.IntN(5))})
@@ -397,7 +397,7 @@
 	case r.attemptPending:
 		sim.violation("%s sent while an attempt is pending", a.ID)
 	case r.attempts >= sim.config.MaxAttempts:
-		sim.violation("%s sent more than %d times", a.ID, sim.config.MaxAttempts)
+		sim.violation("%s sent more often than MaxAttempts", a.ID)
 	case !listed:
 		sim.violation("%s sent to %s, which is in no list", a.ID, a.Server)
 	case len(r.mayHaveRunOn) > 0 && !sim.mayRepeat(r, s):
@@ -407,7 +407,7 @@
 		sim.violation("%s sent to %s, reported as draining or gone at %v", a.ID, a.Server, notifiedAt)
 	}
 	sim.checkWarmUpBudget(s)
-	if sim.attempts++; sim.lastLoads[a.Server] > 1 {
+	if sim.sentAttempts++; sim.lastLoads[a.Server] > 1 {
 		sim.overloadedAttempts++
 	}
 	r.attempts++
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -81,7 +81,7 @@
 	}
 	h.b.applyReport(warming, LoadReport{Load: 0.09, Utilization: -1, InFlight: 3, BacklogSeconds: -1}) // three heavy ones
 	if got, want := h.b.loadStep(warming), 0.005/h.b.warmUpCapacity(warming); got > 1.4*want {
-		t.Errorf("three connections changed the load step to %.4f, want about %.4f", got, want)
+		t.Errorf("three connections changed the load step to %.4f", got)
 	}
 }
 
