--- a/policy/config.go
+++ b/policy/config.go
@@ -115,8 +115,8 @@
 	}
 	decay, limit := c.ExplorationDecay, c.MaxExploration
 	for _, rule := range []struct {
-		broken bool
-		reason string
+		invalid bool
+		reason  string
 	}{
 		{len(c.Classes) == 0, "no classes"},
 		{minDuration < 0, "a duration is negative"},
@@ -140,7 +140,7 @@
 		{!(c.CrossZoneCost >= 0), fmt.Sprintf("cross-zone cost is %v, must be at least 0", c.CrossZoneCost)},
 		{c.PollEndpointList && c.PollInterval == 0, "the endpoint list has to be polled, but the poll interval is 0"},
 	} {
-		if rule.broken {
+		if rule.invalid {
 			return &ConfigError{rule.reason}
 		}
 	}
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -77,7 +77,7 @@
 	maxReportedLoad     float64                                  // highest load that servers report, if above 1.2
 	pendingLoads        map[*LoadReport]float64                  // loads of the reports in flight
 	lastLoads           map[string]float64                       // load of the latest report
-	overloadedAttempts  int                                      // attempts sent to a server whose latest report shows overload
+	overloadedAttempts  int                                      // attempts to servers whose latest report shows overload
 	serversCloseOnDrain bool                                     // draining servers close their connections
 	sentAttempts        int
 }
--- a/policy/warmup_test.go
+++ b/policy/warmup_test.go
@@ -467,13 +467,7 @@
 					)
 				}
 				if sent[true] < 5 {
-					t.Errorf(
-						"initial capacity %v, reported %v ahead, step %v: %d requests after the start, want at least 5",
-						initialCapacity,
-						ahead,
-						meanStep,
-						sent[true],
-					)
+					t.Errorf("capacity %v, %v ahead, step %v: %d sent after the start", initialCapacity, ahead, meanStep, sent[true])
 				}
 			}
 		}
