--- a/policy/digest_test.go
+++ b/policy/decisions_test.go
@@ -9,7 +9,8 @@
 	"oatloft/internal/golden"
 )
 
-// describeAction writes an action in words of this file alone, so that renaming a type or field changes nothing.
+// describeAction formats an action with words that only this file defines, so that the golden file does not depend on
+// the names of types and fields.
 func describeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
@@ -30,18 +31,18 @@
 	return fmt.Sprintf("unknown %T\n", a)
 }
 
-// Every decision of fifty random days is the one that was recorded: no refactoring may change one.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+// All decisions of fifty random simulations must equal the recorded ones, so that refactoring changes no decision.
+func TestDecisionsMatchRecording(t *testing.T) {
 	var out bytes.Buffer
 	for seed := range uint64(50) {
-		w := newWorld(t, seed, 20)
-		w.others = seed%2 == 1
-		w.run()
+		sim := newSimulation(t, seed, 20)
+		sim.peersActive = seed%2 == 1
+		sim.run()
 		sum := sha256.New()
-		for _, a := range w.actions {
+		for _, a := range sim.actions {
 			fmt.Fprint(sum, describeAction(a))
 		}
-		fmt.Fprintf(&out, "%d %d %x\n", seed, len(w.actions), sum.Sum(nil))
+		fmt.Fprintf(&out, "%d %d %x\n", seed, len(sim.actions), sum.Sum(nil))
 	}
 	golden.Check(t, "decisions.txt", out.Bytes())
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -48,28 +48,28 @@
 	}
 }
 
-// rig drives one balancer and answers its probes with set loads.
-type rig struct {
-	t     *testing.T
-	b     *Balancer
-	now   time.Duration
-	loads map[string]float64
-	rif   map[string]float64
-	mute  map[string]Result // probes of these servers end so
-	log   []Action
-	wakes []time.Duration
+// harness runs one balancer and answers its probes with configured loads.
+type harness struct {
+	t            *testing.T
+	b            *Balancer
+	now          time.Duration
+	loads        map[string]float64
+	inFlight     map[string]float64
+	probeResults map[string]Result // results of probes that return no report
+	actions      []Action
+	timers       []time.Duration
 }
 
-func newRig(t *testing.T, c Config, servers ...Server) *rig {
+func newHarness(t *testing.T, c Config, servers ...Server) *harness {
 	t.Helper()
 	b, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Hour, loads: map[string]float64{}, rif: map[string]float64{},
-		mute: map[string]Result{}}
-	r.feed(ServerList{Kind: ListFull, Servers: servers})
-	return r
+	h := &harness{t: t, b: b, now: time.Hour, loads: map[string]float64{}, inFlight: map[string]float64{},
+		probeResults: map[string]Result{}}
+	h.feed(ServerList{Kind: ListFull, Servers: servers})
+	return h
 }
 
 func servers(n int) []Server {
@@ -80,62 +80,62 @@
 	return list
 }
 
-func (r *rig) feed(ev Event) {
-	for _, a := range r.b.Step(r.now, ev, nil) {
-		r.log = append(r.log, a)
+func (h *harness) feed(ev Event) {
+	for _, a := range h.b.Step(h.now, ev, nil) {
+		h.actions = append(h.actions, a)
 		switch a := a.(type) {
 		case SetTimer:
-			r.wakes = append(r.wakes, r.now+a.After)
+			h.timers = append(h.timers, h.now+a.After)
 		case Probe:
-			if res, bad := r.mute[a.Server]; bad {
-				r.feed(ProbeResult{Server: a.Server, Result: res})
+			if result, fails := h.probeResults[a.Server]; fails {
+				h.feed(ProbeResult{Server: a.Server, Result: result})
 				continue
 			}
-			rif := r.rif[a.Server]
-			if rif == 0 {
-				rif = -1
+			inFlight := h.inFlight[a.Server]
+			if inFlight == 0 {
+				inFlight = -1
 			}
-			r.feed(ProbeResult{Server: a.Server, Report: report(r.loads[a.Server], rif)})
+			h.feed(ProbeResult{Server: a.Server, Report: report(h.loads[a.Server], inFlight)})
 		}
 	}
 }
 
-// run lets time pass.
-func (r *rig) run(d time.Duration) {
-	end := r.now + d
-	for len(r.wakes) > 0 && r.wakes[0] <= end {
-		r.now = r.wakes[0]
-		r.wakes = r.wakes[1:]
-		r.feed(TimerFired{"tick"})
+// advance moves the time forward and fires the timers that are due.
+func (h *harness) advance(d time.Duration) {
+	end := h.now + d
+	for len(h.timers) > 0 && h.timers[0] <= end {
+		h.now = h.timers[0]
+		h.timers = h.timers[1:]
+		h.feed(TimerFired{"tick"})
 	}
-	r.now = end
+	h.now = end
 }
 
-func (r *rig) request(id, class string) {
-	r.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
+func (h *harness) request(id, class string) {
+	h.feed(Request{ID: id, Key: "k" + id, Class: class, Timeout: 2 * time.Second})
 }
 
-// connect opens a connection on whatever server it is sent to, and returns that server.
-func (r *rig) connect(id string) string {
-	r.t.Helper()
-	r.request(id, "safe")
+// connect requests a connection, establishes it on the server to which it is sent, and returns that server.
+func (h *harness) connect(id string) string {
+	h.t.Helper()
+	h.request(id, "safe")
 	for range 30 {
-		if s, ok := last[Send](r); ok && s.ID == id {
-			r.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
+		if s, ok := lastAction[Send](h); ok && s.ID == id {
+			h.feed(AttemptEstablished{ID: id, Server: s.Server, Latency: 5 * ms})
 			return s.Server
 		}
-		r.run(20 * ms)
+		h.advance(20 * ms)
 	}
-	r.t.Fatalf("%s was not sent", id)
+	h.t.Fatalf("%s was not sent", id)
 	return ""
 }
 
-func (r *rig) open(id, server string) {
-	r.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
+func (h *harness) adopt(id, server string) {
+	h.feed(AdoptedConnection{Request: Request{ID: id, Key: "k" + id, Class: "safe"}, Server: server})
 }
 
-func all[T Action](r *rig) (list []T) {
-	for _, a := range r.log {
+func actionsOf[T Action](h *harness) (list []T) {
+	for _, a := range h.actions {
 		if a, ok := a.(T); ok {
 			list = append(list, a)
 		}
@@ -143,8 +143,8 @@
 	return list
 }
 
-func last[T Action](r *rig) (T, bool) {
-	list := all[T](r)
+func lastAction[T Action](h *harness) (T, bool) {
+	list := actionsOf[T](h)
 	if len(list) == 0 {
 		var none T
 		return none, false
@@ -152,9 +152,8 @@
 	return list[len(list)-1], true
 }
 
-// TestReturnProbability has its values worked by hand from Proposition 1: with n = 10 and gamma = 0.05
-// the middle branch is 1 - 9/(10*0.05) * (1 - xj/xi) = 1 - 18*(1 - xj/xi), and it ends at
-// xj/xi = 1 - 10*0.05/9 = 0.9444.
+// TestReturnProbability uses values calculated by hand from Proposition 1: with n = 10 and gamma = 0.05 the middle
+// branch is 1 - 9/(10*0.05) * (1 - xj/xi) = 1 - 18*(1 - xj/xi), and it ends at xj/xi = 1 - 10*0.05/9 = 0.9444.
 func TestReturnProbability(t *testing.T) {
 	for _, c := range []struct {
 		xi, xj, gamma float64
@@ -180,7 +179,7 @@
 	}
 }
 
-func TestGammaIsCappedAndDecays(t *testing.T) {
+func TestExplorationProbabilityIsLimitedAndDecays(t *testing.T) {
 	for _, c := range []struct {
 		beta float64
 		t    int
@@ -192,14 +191,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.exploration.slots = c.t
+		b.exploration.startedSlots = c.t
 		if got := b.explorationProbability(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("beta %v, slot %d: %v, want %v", c.beta, c.t, got, c.want)
 		}
 	}
 }
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"no classes":   func(c *Config) { c.Classes = nil },
 		"beta":         func(c *Config) { c.ExplorationDecay = 0.4 },
@@ -208,10 +207,10 @@
 		"balancers":    func(c *Config) { c.Balancers = 0 },
 		"attempts":     func(c *Config) { c.MaxAttempts = 0 },
 		"negative":     func(c *Config) { c.WarmUpDuration = -1 },
-		"cold share":   func(c *Config) { c.WarmUpInitialCapacity = 2 },
-		"no aim":       func(c *Config) { c.Classes[0].LatencyObjective = 0 },
-		"ask within":   func(c *Config) { c.PollEndpointList = true },
-		"negative aim": func(c *Config) { c.Classes[0].MessageLatencyObjective = -1 },
+		"warm-up":      func(c *Config) { c.WarmUpInitialCapacity = 2 },
+		"latency":      func(c *Config) { c.Classes[0].LatencyObjective = 0 },
+		"poll":         func(c *Config) { c.PollEndpointList = true },
+		"negative one": func(c *Config) { c.Classes[0].MessageLatencyObjective = -1 },
 	} {
 		c := testConfig()
 		change(&c)
@@ -222,25 +221,26 @@
 	}
 }
 
-func TestBetterOfTwo(t *testing.T) {
-	r := newRig(t, testConfig(), servers(2)...)
-	r.loads["s00"], r.loads["s01"] = 0.6, 0.2
+func TestLessLoadedOfTwoServersIsChosen(t *testing.T) {
+	h := newHarness(t, testConfig(), servers(2)...)
+	h.loads["s00"], h.loads["s01"] = 0.6, 0.2
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		if got := r.connect(id); got != "s01" {
-			t.Fatalf("request %s went to %s, which has the higher load", id, got)
+		if got := h.connect(id); got != "s01" {
+			t.Fatalf("request %s was sent to %s, which has the higher load", id, got)
 		}
 	}
-	r.loads["s00"], r.loads["s01"] = 0.1, 0.5
-	r.run(3 * time.Second)
-	if got := r.connect("later"); got != "s00" {
-		t.Errorf("went to %s after the loads had changed", got)
+	h.loads["s00"], h.loads["s01"] = 0.1, 0.5
+	h.advance(3 * time.Second)
+	if got := h.connect("later"); got != "s00" {
+		t.Errorf("sent to %s after the loads had changed", got)
 	}
 }
 
-// Outcomes of a first attempt, and what each kind of request may get next.
-func TestOutcomesAndEffects(t *testing.T) {
-	const again, refuse, fail = "send", "refuse", "fail"
+// For each result of a first attempt and each idempotency, checks whether the request is sent again, rejected or
+// failed.
+func TestNextActionAfterAttempt(t *testing.T) {
+	const again, reject, fail = "send", "reject", "fail"
 	for _, c := range []struct {
 		class  string
 		result Result
@@ -258,23 +258,23 @@
 	} {
 		list := servers(6)
 		list[0].Zone, list[1].Zone = "b", "b"
-		r := newRig(t, testConfig(), list...)
-		r.request("x", c.class)
-		first, ok := last[Send](r)
+		h := newHarness(t, testConfig(), list...)
+		h.request("x", c.class)
+		first, ok := lastAction[Send](h)
 		if !ok {
 			t.Fatalf("%s: no first send", c.class)
 		}
-		r.run(50 * ms)
-		r.log = nil
-		r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
-		r.run(300 * ms)
+		h.advance(50 * ms)
+		h.actions = nil
+		h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: c.result})
+		h.advance(300 * ms)
 		got := "nothing"
-		for _, a := range r.log {
+		for _, a := range h.actions {
 			switch a.(type) {
 			case Send:
 				got = again
 			case Reject:
-				got = refuse
+				got = reject
 			case Fail:
 				got = fail
 			}
@@ -282,102 +282,108 @@
 		if got != c.want {
 			t.Errorf("%s after result %d: %s, want %s", c.class, c.result, got, c.want)
 		}
-		second, _ := last[Send](r)
+		second, _ := lastAction[Send](h)
 		if c.result.MayHaveRun() && c.want == again {
-			x, y := r.b.servers.byID[first.Server], r.b.servers.byID[second.Server]
+			x, y := h.b.servers.byID[first.Server], h.b.servers.byID[second.Server]
 			if c.class == "zone" && x.Zone != y.Zone || c.class == "cell" && x.Cell != y.Cell {
-				t.Errorf("%s: repeated out of its scope", c.class)
+				t.Errorf("%s: repeated outside its key scope", c.class)
 			}
 		}
 	}
 }
 
-func TestKeyedRequestIsNotRepeatedAfterItsTime(t *testing.T) {
-	r := newRig(t, testConfig(), servers(6)...)
-	r.request("x", "keyed")
-	first, _ := last[Send](r)
-	r.run(900 * ms) // the key is remembered for 800 ms from the send
-	r.log = nil
-	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.run(2 * time.Second)
-	if sent := all[Send](r); len(sent) > 0 {
+func TestKeyedRequestIsNotRepeatedAfterKeyTTL(t *testing.T) {
+	h := newHarness(t, testConfig(), servers(6)...)
+	h.request("x", "keyed")
+	first, _ := lastAction[Send](h)
+	h.advance(900 * ms) // the key is remembered for 800 ms from the send
+	h.actions = nil
+	h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
+	h.advance(2 * time.Second)
+	if sent := actionsOf[Send](h); len(sent) > 0 {
 		t.Errorf("sent again %d times", len(sent))
 	}
-	if refused := all[Reject](r); len(refused) != 1 { // every server drops its repeats for the client too
-		t.Errorf("%d refusals", len(refused))
+	if rejected := actionsOf[Reject](h); len(rejected) != 1 { // servers discard repeats by the client as well
+		t.Errorf("%d rejections, want 1", len(rejected))
 	}
 }
 
-func TestScopedRequestThatMayHaveRunIsNotRefused(t *testing.T) {
+func TestScopedRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	list := servers(3)
 	for i := range list {
 		list[i].Zone = string(rune('a' + i))
 	}
-	r := newRig(t, testConfig(), list...)
-	r.request("x", "zone")
-	first, _ := last[Send](r)
-	r.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
-	r.run(2 * time.Second)
-	if len(all[Reject](r)) != 0 || len(all[Fail](r)) != 1 || len(all[Send](r)) != 1 {
-		t.Errorf("%d sends, %d refusals, %d failures", len(all[Send](r)), len(all[Reject](r)), len(all[Fail](r)))
+	h := newHarness(t, testConfig(), list...)
+	h.request("x", "zone")
+	first, _ := lastAction[Send](h)
+	h.feed(AttemptEnded{ID: "x", Server: first.Server, Result: ResultTimedOut})
+	h.advance(2 * time.Second)
+	if len(actionsOf[Reject](h)) != 0 || len(actionsOf[Fail](h)) != 1 || len(actionsOf[Send](h)) != 1 {
+		t.Errorf(
+			"%d sends, %d rejections, %d failures",
+			len(actionsOf[Send](h)),
+			len(actionsOf[Reject](h)),
+			len(actionsOf[Fail](h)),
+		)
 	}
 }
 
-func TestEventsThatDoNotFit(t *testing.T) {
-	r := newRig(t, testConfig(), servers(3)...)
-	r.connect("a")
-	r.log = nil
-	r.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
-	r.feed(AttemptEstablished{ID: "nobody"})
-	r.feed(AttemptEstablished{ID: "a", Server: "s00"})
-	r.feed(AttemptEnded{ID: "a", Attempt: 7, Result: ResultFailed})
-	r.feed(Request{ID: "a", Class: "safe", Timeout: time.Second}) // a second request with a known id
-	r.feed(Request{ID: "a", Class: "no such class", Timeout: time.Second})
-	r.feed(ClientDisconnected{ID: "nobody"})
-	r.feed(ProbeResult{Server: "nowhere"})
-	r.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
-	if len(r.log) > 0 {
-		t.Errorf("actions %v", r.log)
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	h := newHarness(t, testConfig(), servers(3)...)
+	h.connect("a")
+	h.actions = nil
+	h.feed(AttemptEnded{ID: "nobody", Result: ResultFailed})
+	h.feed(AttemptEstablished{ID: "nobody"})
+	h.feed(AttemptEstablished{ID: "a", Server: "s00"})
+	h.feed(AttemptEnded{ID: "a", Attempt: 7, Result: ResultFailed})
+	h.feed(Request{ID: "a", Class: "safe", Timeout: time.Second}) // a second request with a known id
+	h.feed(Request{ID: "a", Class: "no such class", Timeout: time.Second})
+	h.feed(ClientDisconnected{ID: "nobody"})
+	h.feed(ProbeResult{Server: "nowhere"})
+	h.feed(MessageDelay{ID: "nobody", Server: "nowhere"})
+	if len(h.actions) > 0 {
+		t.Errorf("unexpected actions %v", h.actions)
 	}
-	r.now -= time.Minute // time stands still then
-	r.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
-	if _, ok := last[Reject](r); !ok {
+	h.now -= time.Minute // the balancer keeps using the previous time
+	h.feed(Request{ID: "b", Class: "no such class", Timeout: time.Second})
+	if _, ok := lastAction[Reject](h); !ok {
 		t.Error("a request of an unknown class got no answer")
 	}
-	r.request("c", "safe")
-	if s, _ := last[Send](r); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
+	h.request("c", "safe")
+	if s, _ := lastAction[Send](h); s.TimeoutAt != 0 && s.TimeoutAt < time.Hour {
 		t.Errorf("a time-out in the past: %v", s.TimeoutAt)
 	}
 }
 
-func TestListFailuresAreAskedAgainInTime(t *testing.T) {
+func TestFailedSubscriptionIsRetriedInTime(t *testing.T) {
 	c := testConfig()
 	c.PollEndpointList = true
 	c.PollInterval = 10 * time.Second
-	r := newRig(t, c)
-	r.feed(ServerList{Kind: ListFailed})
-	r.log = nil
+	h := newHarness(t, c)
+	h.feed(ServerList{Kind: ListFailed})
+	h.actions = nil
 	for range 10 {
-		before := len(all[Subscribe](r))
-		r.run(10 * time.Second)
-		if len(all[Subscribe](r)) == before {
-			t.Fatal("silent for longer than the time to ask within")
+		before := len(actionsOf[Subscribe](h))
+		h.advance(10 * time.Second)
+		if len(actionsOf[Subscribe](h)) == before {
+			t.Fatal("no call for longer than the poll interval")
 		}
-		r.feed(ServerList{Kind: ListFailed})
+		h.feed(ServerList{Kind: ListFailed})
 	}
-	if n := len(all[Subscribe](r)); n > 60 {
+	if n := len(actionsOf[Subscribe](h)); n > 60 {
 		t.Errorf("%d calls in 100 s", n)
 	}
-	r.feed(ServerList{Kind: ListFull, Servers: servers(2)})
-	r.log = nil
-	r.run(time.Minute)
-	if n := len(all[Subscribe](r)); n > 0 {
+	h.feed(ServerList{Kind: ListFull, Servers: servers(2)})
+	h.actions = nil
+	h.advance(time.Minute)
+	if n := len(actionsOf[Subscribe](h)); n > 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
 }
 
-// Operators read which files decide in the deploy file, and a reader meets no long file or line.
-func TestDeployFileNamesEveryDecision(t *testing.T) {
+// The deploy file must name every file with decision logic, because operators look there. Also limits the length of
+// files and lines.
+func TestDeployFileListsDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -393,7 +399,7 @@
 		}
 		named := strings.Contains(string(deploy), strconv.Quote("policy/"+name))
 		if declares := slices.Contains(declarations, name); named == declares {
-			t.Errorf("%s holds decisions: %v, named in the deploy file: %v", name, !declares, named)
+			t.Errorf("%s has decision logic: %v, named in the deploy file: %v", name, !declares, named)
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -411,7 +417,7 @@
 	}
 }
 
-// report is a load report with a load and a number of requests only.
+// report returns a load report with a load and a number of requests in flight only.
 func report(load, inFlight float64) *LoadReport {
 	return &LoadReport{Load: load, Utilization: -1, InFlight: inFlight, BacklogSeconds: -1}
 }
--- a/policy/random_test.go
+++ b/policy/simulation_rules_test.go
@@ -7,18 +7,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldInRandomSimulations(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, 30)
-		w.run()
+		sim := newSimulation(t, seed, 30)
+		sim.run()
 		sends := 0
-		for _, a := range w.actions {
+		for _, a := range sim.actions {
 			if _, ok := a.(Send); ok {
 				sends++
 			}
 		}
 		if sends < 100 {
-			t.Errorf("seed %d: only %d sends, the day tests nothing", seed, sends)
+			t.Errorf("seed %d: only %d attempts, too few for the test", seed, sends)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -26,12 +26,12 @@
 	}
 }
 
-// Whatever other balancers say, true or not, and however often: the rules hold, and requests get their answers.
-func TestRulesHoldWhateverOthersSay(t *testing.T) {
+// The rules hold and requests get their answers whatever other balancers report, right or wrong, and however often.
+func TestRulesHoldWithAnyPeerEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, 30)
-		w.others = true
-		w.run()
+		sim := newSimulation(t, seed, 30)
+		sim.peersActive = true
+		sim.run()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
@@ -40,7 +40,7 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(4) {
-		one, two := newWorld(t, seed, 20), newWorld(t, seed, 20)
+		one, two := newSimulation(t, seed, 20), newSimulation(t, seed, 20)
 		one.run()
 		two.run()
 		if diff := cmp.Diff(one.actions, two.actions, cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
