--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -12,20 +12,20 @@
 	"oatloft/internal/platform"
 )
 
-// inPieces sends a text in pieces of a size, each handled before the next one leaves.
+// inPieces sends a text in pieces of size bytes, each handled before the next one is sent.
 func (h *triesLoop) inPieces(p *triesPeer, text string, size int) {
 	h.t.Helper()
 	for rest := text; len(rest) > 0; rest = rest[min(size, len(rest)):] {
 		if _, err := p.conn.Write([]byte(rest[:min(size, len(rest))])); err != nil {
-			return // the balancer has heard enough
+			return // the balancer has closed the connection
 		}
 		h.s.handleEvents()
 	}
 }
 
-// An answer that is none by the protocol fails a request that may have run, and nothing of it reaches the client,
-// in whatever pieces it comes.
-func TestSpoiltAnswers(t *testing.T) {
+// An answer that violates the protocol fails a request that may have been executed, and nothing of it reaches the
+// client, in whatever pieces it arrives.
+func TestInvalidAnswers(t *testing.T) {
 	long := strings.Repeat("x", platform.MaxLine)
 	for name, answer := range map[string]string{
 		"binary":            "\x00\xff\x01\r\n",
@@ -34,7 +34,7 @@
 		"no return":         "UP 1\n",
 		"no receipt":        "UP\r\n",
 		"blank receipt":     "UP \r\n",
-		"spoilt receipt":    "UP \x01\x02\r\n",
+		"invalid receipt":   "UP \x01\x02\r\n",
 		"longer word":       "UPPER 1\r\n",
 		"syntax":            "SYNTAX\r\n",
 		"4097 bytes":        "UP " + long[:platform.MaxLine-4] + "\r\n",
@@ -53,15 +53,15 @@
 				h.ends("the client", client, "ERR\r\n")
 				h.turning("the server's end", func() bool { server.read(); return server.end != nil })
 				if n := h.s.core.Counters; n.Attempts != 1 || n.AttemptsFailed+n.AttemptsReset != 1 {
-					t.Fatalf("%d attempts, %d in error", n.Attempts, n.AttemptsFailed)
+					t.Fatalf("%d attempts, %d failed", n.Attempts, n.AttemptsFailed)
 				}
 			})
 		}
 	}
 }
 
-// The longest answer that is one reaches the client as it came, and so does what comes right behind an answer.
-func TestAnswersPassUnchanged(t *testing.T) {
+// The longest valid answer reaches the client unchanged, and so do bytes that follow an answer directly.
+func TestAnswersForwardedUnchanged(t *testing.T) {
 	for name, answer := range map[string]string{
 		"4096 bytes":    "UP " + strings.Repeat("x", platform.MaxLine-5) + "\r\n",
 		"up, then more": "UP 1\r\nERR\r\nUP 2\r\nhalf a li",
@@ -77,9 +77,9 @@
 	}
 }
 
-// A server refuses and says UP, in one segment or later, when the next attempt is out: the client gets the next
-// one's UP only.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// A server rejects the request and then sends UP, in the same segment or after the next attempt has begun: the
+// client receives only the next attempt's UP.
+func TestSecondAnswerIsDropped(t *testing.T) {
 	for name, second := range map[string]bool{"in one segment": false, "later": true} {
 		h := triesStart(t, "unsafe")
 		client := h.ask("1", time.Hour)
@@ -91,7 +91,7 @@
 		}
 		next := h.attempt()
 		if second {
-			_, _ = first.conn.Write([]byte("UP old\r\n")) // refused where the end has come before it
+			_, _ = first.conn.Write([]byte("UP old\r\n")) // fails if the balancer's end has arrived before
 		}
 		h.turning("the first server's end", func() bool { first.read(); return first.end != nil })
 		if len(client.got) > 0 {
@@ -101,12 +101,12 @@
 	}
 }
 
-// A refusal, an error or half a line, with an end of either kind right behind: what was said counts, and half an
-// answer is none.
-func TestAnswersBrokenOff(t *testing.T) {
+// A rejection, an error or half a line is followed directly by FIN or RST: a complete answer counts, and half an
+// answer is no answer.
+func TestAnswersFollowedByEnd(t *testing.T) {
 	for _, x := range []struct {
 		answer string
-		again  bool // for a request that may not be repeated once it may have run
+		again  bool // for a request that may not be repeated once it may have been executed
 	}{
 		{"BUSY\r\n", true},
 		{"BUSY 5 \r\n", true},
@@ -140,8 +140,8 @@
 	}
 }
 
-// Half a line stands in the stream as its connection is ended: it reaches the client, and the same end after it.
-func TestHalfALineBeforeTheEnd(t *testing.T) {
+// A connection ends after half a line: the half line reaches the client, followed by the same kind of end.
+func TestPartialLineBeforeEnd(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		h := triesStart(t, "unsafe")
 		client := h.ask("1", time.Hour)
@@ -156,12 +156,12 @@
 		}
 		h.ends("the client", client, "UP 1\r\nhalf a li")
 		if inOrder := client.end == syscall.ENODATA; inOrder == reset {
-			t.Fatalf("reset %v, and the client's connection ended by %v", reset, client.end)
+			t.Fatalf("reset %v, but the client's connection ended with %v", reset, client.end)
 		}
 	}
 }
 
-// Many lines in one segment behind UP reach the server in order, and come back.
+// Many lines in one segment reach the server in order after UP, and so do the server's reach the client.
 func TestManyLinesInOneSegment(t *testing.T) {
 	h := triesStart(t, "unsafe")
 	client := h.ask("1", time.Hour)
@@ -178,9 +178,9 @@
 	h.gets("the client", client, lines.String())
 }
 
-// A side that doesn't read: what the balancer keeps for it is bounded, and all of it comes, in order, once it reads.
-func TestSlowSidesAreBounded(t *testing.T) {
-	// What may be read before the pause is heeded, and at an end.
+// What the balancer buffers for a peer that does not read is bounded, and all of it arrives in order once it reads.
+func TestBacklogOfSlowReadersIsBounded(t *testing.T) {
+	// What may be read before the pause takes effect, and at an end.
 	const most = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer)
 	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18) // 4 MiB
 	for _, slowClient := range []bool{true, false} {
@@ -197,24 +197,24 @@
 		h.turning("the pause", func() bool { return backlog.backlog() > backpressureBytes })
 		for range 500 {
 			if h.s.handleEvents(); backlog.backlog() > most {
-				t.Fatal(backlog.backlog(), "bytes are kept")
+				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 		}
-		h.turning("all", func() bool {
+		h.turning("all bytes", func() bool {
 			if backlog.backlog() > most {
-				t.Fatal(backlog.backlog(), "bytes are kept")
+				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 			to.read()
 			return len(to.got) >= len(text)
 		})
 		if !bytes.Equal(to.got, text) {
-			t.Fatal("other bytes came")
+			t.Fatal("the bytes were changed")
 		}
 	}
 }
 
-// An answer that never ends is ended at its 4096th byte, and what the balancer reads of it meanwhile is bounded,
-// also where its loop doesn't turn.
+// An endless answer is cut off at its 4096th byte, and what the balancer reads of it meanwhile is bounded, even while
+// its loop is blocked.
 func TestEndlessAnswerIsBounded(t *testing.T) {
 	h := triesStart(t, "unsafe")
 	client := h.ask("1", time.Hour)
@@ -227,22 +227,22 @@
 	}
 	h.until("the pause", starved)
 	if n := h.queued(eventData); n > maxReads+1 {
-		t.Fatal(n, "pieces wait")
+		t.Fatal(n, "pieces are queued")
 	}
 	h.ends("the client", client, "ERR\r\n")
 	if n := h.s.core.Counters; n.AttemptsFailed != 1 || n.Attempts != 1 {
-		t.Fatalf("%d attempts, %d in error", n.Attempts, n.AttemptsFailed)
+		t.Fatalf("%d attempts, %d failed", n.Attempts, n.AttemptsFailed)
 	}
 }
 
-// probeOf has the balancer ask a server for its load, and returns the server's side once the question has come.
+// probeOf makes the balancer probe a server, and returns the server's side once the probe has arrived.
 func (h *triesLoop) probeOf(known *triesPeer) *triesPeer {
 	h.t.Helper()
 	h.s.startProbe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
 	return h.probeCame(known)
 }
 
-// probeCame waits for the question, on the connection that is known or on a new one.
+// probeCame waits for a probe on the known connection or on a new one.
 func (h *triesLoop) probeCame(known *triesPeer) (p *triesPeer) {
 	h.t.Helper()
 	p = known
@@ -261,7 +261,7 @@
 	return p
 }
 
-// answeredProbe sends an answer and waits until the probe is over.
+// answeredProbe sends an answer and waits until the probe has finished.
 func (h *triesLoop) answeredProbe(p *triesPeer, answer string) *probe {
 	h.t.Helper()
 	p.send(h.t, answer)
@@ -270,21 +270,21 @@
 	return at
 }
 
-// Probes share a connection as long as each has one answer.
-func TestProbesShareAConnection(t *testing.T) {
+// Probes share a connection as long as each gets one answer.
+func TestProbesShareConnection(t *testing.T) {
 	h := triesStart(t, "safe")
 	first := h.probeOf(nil)
 	h.answeredProbe(first, "PONG x0=0.5\r\n")
 	if second := h.probeOf(first); second != first {
-		t.Fatal("another connection")
+		t.Fatal("the next probe used another connection")
 	}
 	if at := h.answeredProbe(first, "PONG x0=0.6\r\n"); at.conn == nil || h.s.core.Counters.ProbesFailed != 0 {
-		t.Fatal("the connection wasn't kept")
+		t.Fatal("the connection was not kept")
 	}
 }
 
-// A probe's answer that comes twice, at once or later, or has more behind it, isn't taken for the next probe's:
-// that one goes over another connection.
+// A probe's answer that arrives twice, at once or later, or with trailing bytes, is not taken for the next probe's
+// answer: the next probe uses another connection.
 func TestProbeAnsweredTwice(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for _, more := range []string{"PONG x0=0.9\r\n", "PO", "\r\n"} {
@@ -301,14 +301,14 @@
 				t.Fatal("the probe that was answered failed")
 			}
 			if second := h.probeOf(nil); second == first {
-				t.Fatal("the same connection")
+				t.Fatal("the next probe used the same connection")
 			}
 		}
 	}
 }
 
-// A probe's answer that comes after its time is nobody's.
-func TestProbeAnsweredAfterItsTime(t *testing.T) {
+// A probe's answer that arrives after its deadline is dropped.
+func TestProbeAnsweredAfterDeadline(t *testing.T) {
 	h := triesStart(t, "safe")
 	first := h.probeOf(nil)
 	first.send(t, "PONG x0=0.9\r\n")
@@ -324,12 +324,12 @@
 		t.Fatal("the late answer was taken for the next probe's")
 	}
 	if second := h.probeCame(nil); second == first {
-		t.Fatal("the same connection")
+		t.Fatal("the next probe used the same connection")
 	}
 }
 
-// A probe's answer that is spoilt or never ends fails the probe, ends the connection, and leaves nothing behind.
-func TestSpoiltProbeAnswers(t *testing.T) {
+// An invalid or endless answer fails the probe and closes the connection.
+func TestInvalidProbeAnswers(t *testing.T) {
 	for _, answer := range []string{
 		strings.Repeat("P", platform.MaxLine),
 		"PONG x0=0.5\n",
@@ -346,18 +346,17 @@
 	}
 }
 
-// The server closes the resting connection as the next probe is begun, before or after the question is written: the
-// probe ends at once, its server isn't taken for one that says nothing, and the next probe goes over another
-// connection.
-func TestProbeOnAConnectionThatEnds(t *testing.T) {
-	for _, met := range []bool{true, false} {
+// The server closes the idle connection as the next probe starts, before or after the probe is written: the probe
+// fails at once, its server is not taken for a silent one, and the next probe uses another connection.
+func TestProbeOnClosedConnection(t *testing.T) {
+	for _, closedFirst := range []bool{true, false} {
 		h := triesStart(t, "safe")
 		first := h.probeOf(nil)
 		at := h.answeredProbe(first, "PONG x0=0.5\r\n")
 		conn := at.conn
-		if met {
+		if closedFirst {
 			_ = first.conn.Close()
-			h.reached(conn, ended) // that it has ended waits in the queue
+			h.reached(conn, ended) // its end waits in the queue
 			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
 		} else {
 			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
@@ -368,7 +367,7 @@
 			t.Fatalf("%+v, %+v", at, h.s.core.Counters)
 		}
 		if second := h.probeOf(nil); second == first {
-			t.Fatal("the same connection")
+			t.Fatal("the next probe used the same connection")
 		}
 		at.conn.drop()
 	}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Where lists are pushed, the platform's wire brings them, but sockets bring nothing unasked: such a balancer never
-// asked, and sent to draining regions for a whole day. What the agent has counts at once, so it asks as often as
-// news may be late.
-func TestPushedListsAreAskedFor(t *testing.T) {
+// Guards against a balancer with the setting pushed that never polls: a connection to discovery receives no list that
+// was not requested, so the balancer kept sending requests to draining servers for a whole day. A change counts from
+// the moment discovery's agent has it, so the balancer polls as often as a change may be late.
+func TestPushedListsArePolled(t *testing.T) {
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 			t.Fatal(err)
 		}
 		if p := c.Core.Policy; !p.PollEndpointList || p.PollInterval != want {
-			t.Errorf("%s: asks %v, within %v; wanted %v", mode, p.PollEndpointList, p.PollInterval, want)
+			t.Errorf("%s: polls %v, every %v; want %v", mode, p.PollEndpointList, p.PollInterval, want)
 		}
 	}
 }
 
-// Terminals may fill all descriptors but the reserve; the call to discovery is one of those that the reserve is
-// for. It was refused with the routed tasks, and a balancer in a crowd was deaf for as long.
-func TestWatchIsDialedInACrowd(t *testing.T) {
+// Clients may use all descriptors but the reserve, which calls to discovery may use. Guards against refusing that
+// call along with attempts: an overloaded balancer then received no updates while the overload lasted.
+func TestWatchIsDialedUnderOverload(t *testing.T) {
 	b := &Balancer{queue: eventQueue{wake: make(chan struct{}, 1)}}
 	b.descriptorLimit.Store(100)
 	b.sockets.Store(90)
--- a/internal/proxy/dial.go
+++ b/internal/proxy/dial.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// dialMargin is by how much a dial outlives the reducer's timeout.
+	// dialMargin is how much longer a dial may run than the reducer's timeout.
 	dialMargin = 50 * time.Millisecond
-	// exhaustedRetry is the time between two tries to get a descriptor.
+	// exhaustedRetry is the interval between two tries while no descriptor is free.
 	exhaustedRetry = 3 * time.Millisecond
-	// socketBuffer is the size of the system's buffers, in bytes.
+	// socketBuffer is the size of the system's socket buffers, in bytes.
 	socketBuffer = 64 << 10
 )
 
-// dial opens a connection; an event tells what has come of it. The standard library dials and nbio takes the
-// connection over: nbio's own DialAsync reads an address's first four bytes, which are zeros in the long form that
-// ResolveTCPAddr returns, and so connects to 0.0.0.0.
+// dial opens a connection; an event reports the result. The standard library dials and nbio takes over the
+// connection, since nbio's own DialAsync reads the first four bytes of an address, which are zeros in the long form
+// that ResolveTCPAddr returns, and would connect to 0.0.0.0.
 //
-// Where admission is configured, an attempt's descriptor was reserved when its request was taken. Calls to
-// discovery are made however few descriptors there are.
+// Where admission is configured, an attempt's descriptor was reserved when its request was accepted. Calls to
+// discovery are exempt from the limit of descriptors.
 func (b *Balancer) dial(conn *connection, addr string, timeout time.Duration) {
 	if b.admission == nil && conn.role != watchRole && !b.basicLimits().MayOpen(int(b.sockets.Load())) {
-		conn.state = ended // no other goroutine knows it yet
+		conn.state = ended // not shared with another goroutine yet
 		b.queue.post(event{kind: eventDialFailed, conn: conn})
 		return
 	}
@@ -45,8 +45,8 @@
 	}()
 }
 
-// dialContext dials, and tries again where the process has no descriptor: nothing has left for the server, so it is
-// the same attempt still.
+// dialContext dials, and retries while the process has no free descriptor. Nothing has been sent to the server by
+// then, so it is still the same attempt.
 func (b *Balancer) dialContext(ctx context.Context, conn *connection, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Control: conn.dialControl()}
 	dialed, err := dialer.DialContext(ctx, "tcp", addr)
@@ -56,7 +56,7 @@
 	return dialed, err
 }
 
-// finishDial hands the dialed connection to nbio, unless the dial was given up meanwhile.
+// finishDial hands the dialed connection to nbio, unless the dial was canceled meanwhile.
 func (b *Balancer) finishDial(conn *connection, dialed net.Conn, err error) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -78,10 +78,10 @@
 	conn.conn, conn.state = polled, live
 	b.attachSession(polled, conn)
 	b.queue.post(event{kind: eventConnected, conn: conn})
-	_, _ = b.engine.AddConn(polled) // a failure closes it, which onClose reports
+	_, _ = b.engine.AddConn(polled) // on failure nbio closes it, which onClose reports
 }
 
-// toPolled makes nbio's connection of one of the standard library's.
+// toPolled converts a connection of the standard library to one of nbio.
 func (b *Balancer) toPolled(dialed net.Conn) (*nbio.Conn, error) {
 	polled, err := nbio.NBConn(dialed)
 	if err == nil {
@@ -94,11 +94,11 @@
 	return nil, err
 }
 
-// waitForDescriptor tells admission that the process has no descriptor left, and waits for a time in which one may
-// be freed. It is false when the dial's own time is over.
+// waitForDescriptor reports to admission that the process has no descriptor left, and pauses before the next try. It
+// returns false when the dial's timeout has expired.
 func (b *Balancer) waitForDescriptor(ctx context.Context) bool {
 	b.admission.descriptorsExhausted(false)
-	b.limitedLog.Say(time.Now(), slog.LevelWarn, "dial", "a dial waits for a descriptor")
+	b.limitedLog.Say(time.Now(), slog.LevelWarn, "dial", "no free file descriptor, dial will be retried")
 	select {
 	case <-ctx.Done():
 		return false
@@ -107,8 +107,8 @@
 	}
 }
 
-// dialControl returns what sets a small receive buffer, or nil if the connection has none. It has to be set before
-// the connection is made: later the other side has been told of a larger one.
+// dialControl returns a function that sets a small receive buffer, or nil if the connection has the default one. It
+// must be set before connecting: afterwards a larger window has already been advertised to the peer.
 func (c *connection) dialControl() func(network, addr string, raw syscall.RawConn) error {
 	if c.receiveBuffer == 0 {
 		return nil
@@ -120,7 +120,7 @@
 	}
 }
 
-// receiveBufferSize returns the size of the system's receive buffer, in bytes.
+// receiveBufferSize returns the size of the connection's receive buffer in the system, in bytes.
 func (c *connection) receiveBufferSize() int {
 	if c != nil && c.receiveBuffer > 0 {
 		return c.receiveBuffer
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -9,18 +9,18 @@
 	"oatloft/internal/platform"
 )
 
-// watchDialTimeout is when a dial to discovery stops by itself. The reducer gives the call up before.
+// watchDialTimeout bounds a dial to discovery. The reducer's own timeout for the call is shorter.
 const watchDialTimeout = 2 * time.Second
 
-// watch is a call to discovery that stays open.
+// watch is a long-lived call to discovery, which returns changes of the endpoint list.
 type watch struct {
 	conn         *connection
 	reader       platform.WatchReader
-	version      int64 // of the list: changes after it are asked for
+	version      int64 // of the list: changes after it are requested
 	receivedData bool
 }
 
-// dropWatch ends a watch, if there is one.
+// dropWatch closes a watch, if there is one.
 func dropWatch(w **watch) {
 	if *w != nil {
 		(*w).conn.drop()
@@ -28,8 +28,8 @@
 	}
 }
 
-// openWatch calls discovery for all changes after a version. The call before goes on until this one has answered,
-// if it has brought anything.
+// openWatch calls discovery for all changes after a version. If the current call has received any data, it stays
+// open until the new one is answered.
 func (b *Balancer) openWatch(version int64) {
 	if b.watch != nil && b.watch.receivedData {
 		dropWatch(&b.previousWatch)
@@ -44,7 +44,7 @@
 	b.dial(b.watch.conn, b.cfg.Discovery, watchDialTimeout)
 }
 
-// handleDiscoveryEvent takes what a connection to discovery brings.
+// handleDiscoveryEvent handles an event of a connection to discovery.
 func (b *Balancer) handleDiscoveryEvent(conn *connection, e event) {
 	switch {
 	case b.watch != nil && b.watch.conn == conn:
@@ -66,7 +66,7 @@
 	}
 }
 
-// readWatch reads discovery's answer. A list may have the reducer open another watch.
+// readWatch parses discovery's answer. A list may make the reducer open another watch.
 func (b *Balancer) readWatch(w *watch, data []byte) {
 	w.receivedData = true
 	complete := false
@@ -90,8 +90,8 @@
 	}
 }
 
-// handlePreviousWatchEvent takes what still comes by the previous watch. Its end loses nothing: the reducer goes by
-// the one that follows.
+// handlePreviousWatchEvent handles an event of the previous watch. Its end loses nothing: the reducer relies on the
+// current one.
 func (b *Balancer) handlePreviousWatchEvent(e event) {
 	var err error
 	switch e.kind {
@@ -111,8 +111,8 @@
 	}
 }
 
-// logUnreadable logs that discovery's answer cannot be read.
+// logUnreadable logs that discovery's answer, or an entry in it, is invalid.
 func (b *Balancer) logUnreadable(err error) {
-	b.limitedLog.Say(time.Now(), slog.LevelWarn, "discovery", "discovery's answer can't be used",
+	b.limitedLog.Say(time.Now(), slog.LevelWarn, "discovery", "invalid answer from discovery",
 		slog.String("discovery", b.cfg.Discovery), slog.String("err", hint.Line(err)))
 }
--- a/internal/proxy/edge_config.go
+++ b/internal/proxy/edge_config.go
@@ -9,9 +9,9 @@
 	"oatloft/internal/hint"
 )
 
-// SetEdge takes the edge file's settings in place of those before; nil for none. Some follow from the platform's
-// settings as well: the tenants, and whether clients heed a time to come back. The error is *ConfigError, or a
-// part's own.
+// SetEdge replaces the settings of the edge file; nil for none. Some of them also depend on the platform's settings:
+// the tenants, and whether clients honor a retry-after time. The error is *ConfigError, or the error of a section's
+// package.
 func (c *Config) SetEdge(e *edgeconfig.Settings) error {
 	c.Admission, c.Peers, c.Numbered, c.Revisions = nil, nil, nil, nil
 	if e == nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// setNumbered takes the balancer's part by its number. A negative number stands for the one at the end of the
-// balancer's name.
+// setNumbered applies the section that assigns servers by the balancer's number. A negative number stands for the
+// one at the end of the balancer's name.
 func (c *Config) setNumbered(section *edgeconfig.Numbered) (err error) {
 	if section == nil {
 		return nil
@@ -79,8 +79,8 @@
 		return &ConfigError{
 			hint.Annotated{
 				Where: "numbered",
-				What:  "peers.subset, readings or turns are on, which know more than a number does",
-				Do:    "leave the section numbered out",
+				What:  "conflicts with peers.subset, readings or turns, which coordinate by the balancers' current state",
+				Do:    "remove the section numbered",
 			},
 		}
 	}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// setAdmission takes the settings of admission. Its times to come back stay within the platform's limit.
+// setAdmission applies the settings of admission. Its retry-after times are capped at the platform's limit.
 func (c *Config) setAdmission(section *edgeconfig.Admission) error {
 	if section == nil {
 		return nil
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -8,8 +8,8 @@
 	"oatloft/internal/golden"
 )
 
-// Operators' tools read the counters by these keys.
-func TestFormOfCounters(t *testing.T) {
+// Operators' tools read the counters by their JSON keys, so the keys must not change.
+func TestCountersFormat(t *testing.T) {
 	b := &Balancer{}
 	golden.Fill(&b.counters)
 	body, err := json.Marshal(b.counters)
--- a/internal/proxy/hot_restart.go
+++ b/internal/proxy/hot_restart.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// followInterval is the time between two looks at what other processes have written. A call to one of them holds
-	// here within this and a tick.
+	// followInterval is the interval at which files written by other processes are checked. An operator's call to one
+	// of them takes effect here within this interval and a tick.
 	followInterval = 50 * time.Millisecond
-	// idleDescriptors is how many descriptors a process has that serves nobody.
+	// idleDescriptors is the number of descriptors that a process without clients has open.
 	idleDescriptors = 16
-	// maxPredecessorAge bounds how old the predecessor's state may be: what is older says nothing of today's
+	// maxPredecessorAge bounds the age of the predecessor's state: older state does not describe the current
 	// connections.
 	maxPredecessorAge = time.Minute
 )
 
-// readOtherProcess reads what another process of this balancer has written since the last look.
+// readOtherProcess reads what another process of this balancer has written since the last check.
 func (b *Balancer) readOtherProcess() {
 	if b.stateDir == nil {
 		return
@@ -36,7 +36,7 @@
 func (b *Balancer) readMaintenance() {
 	m, err := b.stateDir.ReadMaintenance()
 	if err != nil {
-		b.log.Error("not read, what is left out stays", "err", err)
+		b.log.Error("cannot read the maintenance file, servers in maintenance stay as they are", "err", err)
 		return
 	}
 	b.step(core.PredecessorState{Servers: m.KnownServers})
@@ -53,17 +53,17 @@
 func (b *Balancer) readPredecessor() {
 	state, ok, err := b.stateDir.ReadPredecessor(maxPredecessorAge)
 	if err != nil {
-		b.log.Error("not read, who comes back is placed anew", "err", err)
+		b.log.Error("cannot read the predecessor's state, returning clients are placed again", "err", err)
 		return
 	}
 	if ok {
-		b.log.Info("the process before has left", "standing", len(state.FlowServers))
+		b.log.Info("read the predecessor's state", "standing", len(state.FlowServers))
 		b.step(core.PredecessorState{Servers: state.KnownServers, Flows: state.FlowServers})
 	}
 }
 
-// exchangeUsage tells the other processes of this balancer what this one uses, and learns what they do.
-// Descriptors, memory and what may be sent to a server that warms up are bounded for all of them together.
+// exchangeUsage publishes this process's resource usage to the balancer's other processes, and reads theirs.
+// Descriptors, memory and what may be sent to a server that is warming up are limited for all of them together.
 // usedMemory is in bytes.
 func (b *Balancer) exchangeUsage(usedMemory int64) {
 	if b.presence == nil {
@@ -78,7 +78,7 @@
 			time.Now(),
 			slog.LevelError,
 			"use",
-			"other processes don't see what this one takes",
+			"cannot publish resource usage to other processes of this balancer",
 			slog.Any("err", err),
 		)
 	}
@@ -99,13 +99,13 @@
 	b.step(core.OverlappingProcesses{Count: placing})
 }
 
-// writeForSuccessor writes what the next process has to know of this one.
+// writeForSuccessor writes the state that the next process takes over.
 func (b *Balancer) writeForSuccessor() {
 	if b.inherited == nil {
 		return
 	}
 	state := hotrestart.PredecessorState{KnownServers: b.core.KnownServers(), FlowServers: b.core.EstablishedFlows()}
 	if err := b.stateDir.WriteForSuccessor(state); err != nil {
-		b.log.Error("what stands is not handed over", "err", err)
+		b.log.Error("cannot write state for the successor", "err", err)
 	}
 }
--- a/internal/proxy/link_scheduler.go
+++ b/internal/proxy/link_scheduler.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// maxReadsPerLink is how many turns of one link are given before another link has its own.
+	// maxReadsPerLink bounds the consecutive reads scheduled on one link before the next link is served.
 	maxReadsPerLink = 64
-	// idlePause is the longest time between two looks at links that nothing waits for.
+	// idlePause is the longest time between two checks of links without waiting connections.
 	idlePause = time.Hour
 )
 
@@ -16,8 +16,8 @@
 	bytes int
 }
 
-// scheduleReads gives turns by the clock, on a goroutine of its own. It sleeps by a timer of the system's: the
-// runtime's may be up to a millisecond late, which is more than a turn.
+// scheduleReads runs the reads that are due, on a goroutine of its own. It sleeps on a kernel timer: the runtime's
+// may fire up to a millisecond late, which is longer than a turn.
 func (z *zoneLinks) scheduleReads() {
 	timer, alarm := time.NewTimer(idlePause), newSystemTimer()
 	defer timer.Stop()
@@ -47,7 +47,7 @@
 	}
 }
 
-// scheduledReads appends the turns that are due.
+// scheduledReads appends the reads that are due on the link.
 func (l *zoneLink) scheduledReads(clock func() time.Duration, turns []scheduledRead) []scheduledRead {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 	return l.shaper.Soon(clock())
 }
 
-// signal wakes the goroutine that gives turns.
+// signal wakes the scheduling goroutine.
 func (z *zoneLinks) signal() {
 	select {
 	case z.wake <- struct{}{}:
--- a/internal/proxy/links_bench_test.go
+++ b/internal/proxy/links_bench_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// BenchmarkTopClassDelay tells how long messages of 400 bytes of the first class take there and back over a wire of
-// 1 MB/s, alone and with eight terminals of a bulk class at full tilt, with the link bounded and as it was before;
-// the two sites 0 and 10 ms apart.
+// BenchmarkTopClassDelay measures the round-trip time of 400-byte messages of the first class over a wire of 1 MB/s,
+// alone and beside eight clients of a bulk class that send at full speed, with a bounded and an unbounded link, and
+// with a one-way delay of 0 and 10 ms between the zones.
 func BenchmarkTopClassDelay(b *testing.B) {
 	const rate = 1e6
 	for _, long := range []time.Duration{0, 10 * time.Millisecond} {
@@ -43,13 +43,13 @@
 				go func() { _, sum := w.over(2 * time.Second); done <- sum }()
 				for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 					took, err := echo(c, in, 400)
-					if err != nil { // moved for its messages' delay
+					if err != nil { // the client was migrated because of its delays
 						break
 					}
 					list = append(list, took)
 				}
 				if len(list) == 0 {
-					b.Fatal("no message came back")
+					b.Fatal("no message was echoed")
 				}
 				slices.Sort(list)
 				b.ReportMetric(float64(list[len(list)/2].Microseconds()), "p50-us")
@@ -61,15 +61,16 @@
 	}
 }
 
-// used is the processor's time of this process, which other processes on a busy machine don't add to.
+// used returns this process's CPU time, which does not depend on the machine's other load.
 func used() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkLinkCost tells what bounded links cost set-ups and bulk that they don't bound, in turns: off, on without
-// a link in the table, and with one of 100 GB/s each way. Regions and terminals are in the same process.
+// BenchmarkLinkCost measures what link shaping costs set-ups and bulk traffic that it does not limit, alternating
+// between three cases: off, on without a link in the table, and on with a link of 100 GB/s each way. Servers and
+// clients run in the same process.
 func BenchmarkLinkCost(b *testing.B) {
 	const turns, setups = 9, 200
 	names := []string{"off", "on, no link", "on, a wide link"}
@@ -88,7 +89,7 @@
 					c, in := w.terminal("echo", "bulk", true)
 					took = append(took, float64(time.Since(began).Microseconds()))
 					_ = c.CloseWrite()
-					_, _ = io.Copy(io.Discard, in) // a tenant's connections are counted until they have ended
+					_, _ = io.Copy(io.Discard, in) // a tenant's connections count until they have closed
 					_ = c.Close()
 				}
 				setUp := float64((used() - before).Microseconds()) / setups
@@ -120,7 +121,7 @@
 	}
 	for i, name := range names {
 		line := fmt.Sprintf("%-16s", name)
-		for k, x := range []string{"set-up p50 us", "p99 us", "processor us", "bulk MB/s", "processor us a MB"} {
+		for k, x := range []string{"set-up p50 us", "p99 us", "CPU us", "bulk MB/s", "CPU us/MB"} {
 			if list := got[i][k]; len(list) > 0 {
 				slices.Sort(list)
 				line += fmt.Sprintf("  %s %.0f (%.0f to %.0f)", x, list[len(list)/2], list[0], list[len(list)-1])
@@ -130,9 +131,9 @@
 	}
 }
 
-// BenchmarkThinLink has 200 terminals at full tilt on a link of 20 kB/s: the part of it that is used, and how
-// evenly the terminals had it.
-func BenchmarkThinLink(b *testing.B) {
+// BenchmarkSlowLink measures the used share of a link of 20 kB/s on which 200 clients send at full speed, and how
+// evenly it is divided among them.
+func BenchmarkSlowLink(b *testing.B) {
 	const rate, seconds = 20e3, 20
 	w := newSites(b)
 	w.set(linkOf("a", "b", rate))
@@ -155,13 +156,13 @@
 	}
 	slices.Sort(list)
 	b.ReportMetric(100*sum/rate, "%used")
-	b.ReportMetric(float64(list[len(list)/5]), "p20-bytes") // some were moved by then, as always
+	b.ReportMetric(float64(list[len(list)/5]), "p20-bytes") // some clients have been migrated by then
 	b.ReportMetric(float64(list[len(list)/2]), "p50-bytes")
 	b.ReportMetric(float64(list[len(list)-1]), "most-bytes")
 	b.ReportMetric(0, "ns/op")
 }
 
-// lines are the bytes that came to the far region, by terminal.
+// lines returns the bytes that arrived at the far server, by client.
 func (w *sites) lines() map[string]int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/proxy/links_test.go
+++ b/internal/proxy/links_test.go
@@ -14,9 +14,9 @@
 	"oatloft/internal/revision"
 )
 
-// Bytes of terminals at full tilt pass a link at its rate and no faster, whole and in order; those of the first
-// class and those that cross no link aren't held up; and without the table they pass freely again.
-func TestLinkHoldsBackTerminals(t *testing.T) {
+// Clients that send at full speed are limited to a link's rate, and their bytes arrive complete and in order. Traffic
+// of the first class and traffic that crosses no link are not delayed. Without a table there is no limit any more.
+func TestLinkLimitsClients(t *testing.T) {
 	w := newSites(t)
 	const rate = 300e3
 	w.set(linkOf("a", "b", rate))
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	t.Logf(
-		"%.0f bytes a second of %.0f, %v; a first class's message took %v at most, one that crosses no link %v",
+		"%.0f bytes/s of %.0f, %v; a message of the first class took %v at most, one that crosses no link %v",
 		sum,
 		rate,
 		got,
@@ -59,23 +59,23 @@
 		longest[1],
 	)
 	if sum > 1.05*rate || sum < 0.5*rate {
-		t.Errorf("%.0f bytes a second over a link of %.0f: %v", sum, rate, got)
+		t.Errorf("%.0f bytes/s over a link of %.0f: %v", sum, rate, got)
 	}
 	if longest[0] > 400*time.Millisecond ||
-		longest[1] > 400*time.Millisecond { // bulk waits seconds for what its buffers hold
+		longest[1] > 400*time.Millisecond { // bulk messages take seconds, behind what is buffered
 		t.Errorf("messages took %v", longest)
 	}
 	w.set()
 	if _, sum := w.over(300 * time.Millisecond); sum < 3*rate {
-		t.Errorf("%.0f bytes a second without a table", sum)
+		t.Errorf("%.0f bytes/s without a table", sum)
 	}
 	if n := w.wrong.Load(); n > 0 {
-		t.Errorf("%d lines weren't the next", n)
+		t.Errorf("%d lines lost, changed or out of order", n)
 	}
 }
 
-// Bytes of regions are held back as well; a terminal that doesn't read costs the others nothing.
-func TestLinkHoldsBackRegions(t *testing.T) {
+// Bytes from servers are limited as well, and a client that does not read takes no bandwidth from the others.
+func TestLinkLimitsServers(t *testing.T) {
 	w := newSites(t)
 	const rate = 1e6
 	w.set(linkOf("b", "a", rate))
@@ -96,17 +96,17 @@
 			}
 		}()
 	}
-	time.Sleep(1200 * time.Millisecond) // until the buffers of the one that doesn't read are full
+	time.Sleep(1200 * time.Millisecond) // until the buffers of the client that does not read are full
 	was, began := read.Load(), time.Now()
 	time.Sleep(1500 * time.Millisecond)
 	if sum := float64(read.Load()-was) / time.Since(began).Seconds(); sum > 1.1*rate || sum < 0.5*rate ||
 		wrong.Load() > 0 {
-		t.Errorf("%.0f bytes a second of %.0f, %d lines weren't the next", sum, rate, wrong.Load())
+		t.Errorf("%.0f bytes/s of %.0f, %d lines lost, changed or out of order", sum, rate, wrong.Load())
 	}
 }
 
-// A side that ends with bytes still held back loses none of them, and its end comes behind them.
-func TestEndsWaitForWhatIsHeldBack(t *testing.T) {
+// A peer that closes while its bytes still wait for a link loses none of them, and its end follows them.
+func TestEndsFollowQueuedBytes(t *testing.T) {
 	w := newSites(t)
 	const rate = 100e3
 	both := []revision.Link{linkOf("a", "b", rate), linkOf("b", "a", rate)}
@@ -124,11 +124,11 @@
 	_ = up.CloseWrite()
 	for i := range 120 {
 		if line, err := downIn.ReadString('\n'); err != nil || line != numbered(i) {
-			t.Fatalf("line %d from the region: %.20q, %v", i, line, err)
+			t.Fatalf("line %d from the server: %.20q, %v", i, line, err)
 		}
 	}
 	if line, err := downIn.ReadString('\n'); err == nil {
-		t.Errorf("%q after the region's end", line)
+		t.Errorf("%q after the server's end", line)
 	}
 	down := time.Since(began)
 	for w.ends.Load() == 0 && time.Since(began) < 5*time.Second {
@@ -138,15 +138,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n := w.bytes["bulk"]; n != int64(lines.Len()) || w.wrong.Load() > 0 {
-		t.Errorf("%d of %d bytes came, %d lines weren't the next", n, lines.Len(), w.wrong.Load())
+		t.Errorf("%d of %d bytes arrived, %d lines lost, changed or out of order", n, lines.Len(), w.wrong.Load())
 	}
 	if took < least || down < least || took > 4*time.Second {
-		t.Errorf("%v to the region and %v from it for what takes %v", took, down, least)
+		t.Errorf("%v to the server and %v from it, want at least %v", took, down, least)
 	}
 }
 
-// A region whose answers wait here for their turn isn't taken for a slow one.
-func TestHeldBackIsNotSlow(t *testing.T) {
+// A server whose answers wait at the balancer for their turn is not counted as slow.
+func TestQueuedAnswersAreNotSlow(t *testing.T) {
 	w := newSites(t)
 	w.set(linkOf("b", "a", 1500))
 	c, in := w.terminal("echo", "bulk", true)
@@ -157,13 +157,13 @@
 	done := make(chan int64)
 	w.server.calls <- func() { done <- w.server.core.Counters.DelaysReported }
 	if n := <-done; n > 0 {
-		t.Errorf("told for slow %d times", n)
+		t.Errorf("%d delays reported", n)
 	}
 }
 
-// A region that has had a part of a terminal's line, and answers it piece by piece, has the rest when the terminal
-// is to be moved: its line ends, and MOVE comes behind it. At its turns the line would take 4 s.
-func TestMovedInsideALineThatIsHeldBack(t *testing.T) {
+// A client is migrated while its line is partly sent to a server that echoes it piece by piece. The server receives
+// the rest of the line without waiting for turns, which would take 4 s; the echoed line is completed and MOVE follows.
+func TestMigrationCompletesQueuedLine(t *testing.T) {
 	w := newSites(t)
 	w.set(linkOf("a", "b", 2000), linkOf("b", "a", 2000))
 	c, in := w.terminal("echo", "bulk", true)
@@ -176,6 +176,6 @@
 		t.Fatalf("%d bytes of a line, %v", len(line), err)
 	}
 	if line, err := in.ReadString('\n'); err != nil || line != "MOVE\r\n" {
-		t.Errorf("%.20q in place of MOVE, %v", line, err)
+		t.Errorf("got %.20q instead of MOVE, %v", line, err)
 	}
 }
--- a/internal/proxy/management.go
+++ b/internal/proxy/management.go
@@ -13,8 +13,8 @@
 	"oatloft/internal/management"
 )
 
-// openSockets opens the operators' address and takes over the platform's listener, where there are such. The
-// listener comes first: a wrong number could be that of what is opened next.
+// openSockets opens the operators' address and takes over the platform's listener, if they are configured. The
+// listener comes first: a wrong descriptor number could match a descriptor that is opened here.
 func (b *Balancer) openSockets() (err error) {
 	if b.cfg.Management != "" || b.cfg.InheritedFD != "" {
 		b.stateDir = hotrestart.Open(cmp.Or(b.cfg.StateDir, os.TempDir()), b.cfg.Name)
@@ -26,7 +26,7 @@
 		}
 		b.presence, err = b.stateDir.Register()
 		if err != nil {
-			b.log.Error("other processes of this balancer are not seen", "err", err)
+			b.log.Error("cannot register with other processes of this balancer", "err", err)
 		}
 		b.exchangeUsage(int64(heapBytes()))
 	}
@@ -46,7 +46,7 @@
 	return management.CheckAddress(c.Management, inUse)
 }
 
-// availableDescriptors returns how many descriptors there are for all but the operators' calls.
+// availableDescriptors returns the number of descriptors available for all but operators' calls.
 func (b *Balancer) availableDescriptors(cfg Config) int64 {
 	limit := systemDescriptorLimit(cfg.Sockets)
 	if cfg.Management != "" {
@@ -55,14 +55,14 @@
 	return limit
 }
 
-// CallRefused is the error that an operator's call was not done. Nothing has changed.
+// CallRefused reports that an operator's call was refused and nothing has changed.
 type CallRefused struct{ hint.Annotated }
 
 func refuse(what, do string) management.Answer {
 	return management.No("%s", hint.Line(&CallRefused{hint.Annotated{What: what, Do: do}}))
 }
 
-// callOnLoop runs f on the loop, between two events. Once the caller's time is over it is not run any more.
+// callOnLoop runs f on the loop, between two events, unless expired is closed before it starts.
 func (b *Balancer) callOnLoop(expired <-chan struct{}, f func() management.Answer) management.Answer {
 	done := make(chan management.Answer, 1)
 	select {
@@ -70,11 +70,11 @@
 		return <-done
 	case <-expired:
 		return refuse(
-			"busy: not taken up in time, nothing changed",
-			"call again; if it stays, look at the balancer's processor time",
+			"busy: not started in time, nothing changed",
+			"call again; if it persists, check the balancer's CPU usage",
 		)
 	case <-b.loopEnded:
-		return refuse("leaving: this process has ended its work, nothing changed", "call the process that follows")
+		return refuse("leaving: this process has stopped serving, nothing changed", "call the successor process")
 	}
 }
 
@@ -93,11 +93,11 @@
 	return b.callOnLoop(expired, func() management.Answer { return b.setDrain(call.Verb) })
 }
 
-// setDrain begins or ends draining on an operator's call. For the loop.
+// setDrain begins or ends draining on an operator's call. It must run on the loop.
 func (b *Balancer) setDrain(verb management.Verb) management.Answer {
 	on := verb == management.Drain
 	if b.core.ShuttingDown() {
-		return refuse("leaving: nothing changed", "call the process that follows")
+		return refuse("leaving: nothing changed", "call the successor process")
 	}
 	if b.core.DrainRequested() == on {
 		return management.Yes("%v already", verb)
@@ -107,19 +107,19 @@
 	return management.Yes("%v, %d standing", verb, b.establishedFlows())
 }
 
-// establishedFlows returns how many flows are on a server.
+// establishedFlows returns the number of flows that are on a server.
 func (b *Balancer) establishedFlows() int { return b.core.OpenRequests() - b.core.Unanswered() }
 
 // setMaintenance puts a server into maintenance or takes it out. The file is written on the caller's goroutine,
-// before the answer and before the loop knows: a call whose file cannot be written has changed nothing. Once it is
-// written the next process finds it, even if this loop ends first.
+// before the answer and before the loop is notified: if it cannot be written, the call has changed nothing. Once it
+// is written, the next process reads it, even if this loop ends first.
 func (b *Balancer) setMaintenance(call management.Request, expired <-chan struct{}) management.Answer {
 	on, server := call.Verb == management.StartMaintenance, call.Argument
 	select {
 	case b.maintenanceLock <- struct{}{}:
 		defer func() { <-b.maintenanceLock }()
 	case <-expired:
-		return refuse("busy: another call is being written, nothing changed", "call again")
+		return refuse("busy: another maintenance call is in progress, nothing changed", "call again")
 	}
 	var current hotrestart.Maintenance
 	known := false
@@ -155,12 +155,12 @@
 	return management.Yes("%s was not left out", server)
 }
 
-// status is yes while this process accepts clients. For the loop.
+// status returns a positive answer while this process accepts clients. It must run on the loop.
 func (b *Balancer) status() management.Answer {
 	switch {
 	case b.core.ShuttingDown():
 		return management.No(
-			"leaving: takes no more clients, %d still owed an answer, %d standing",
+			"leaving: accepts no more clients, %d unanswered, %d standing",
 			b.core.Unanswered(),
 			b.establishedFlows(),
 		)
--- a/internal/proxy/parse_config.go
+++ b/internal/proxy/parse_config.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	// minPollInterval is the least time between two calls to discovery.
+	// minPollInterval is the shortest interval at which discovery is polled.
 	minPollInterval = 100 * time.Millisecond
-	// probeTimeout bounds a load report.
+	// probeTimeout bounds a probe, from its start to its answer.
 	probeTimeout = 300 * time.Millisecond
-	// clockSlack is the age of the balancer's clock at its start: a server that started within it has a positive time
-	// of start.
+	// clockSlack is what the balancer's clock shows at its start, so that a server that started at most that long
+	// before has a positive start time.
 	clockSlack = time.Hour
-	// failpointConnectTimeout is the connect timeout that a failpoint sets.
+	// failpointConnectTimeout is the connect timeout set by the failpoint fit-timeout.
 	failpointConnectTimeout = 250 * time.Millisecond
-	seedBase                = 16
+	// seedBase is the numeric base of the seed: hexadecimal.
+	seedBase = 16
 )
 
-// configFile is the form of the configuration file.
+// configFile is the format of the configuration file.
 type configFile struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -47,10 +48,12 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Overrides are settings from flags and the environment. Those that are not empty win over the configuration file.
+// Overrides are settings from flags and the environment. Those that are not empty take precedence over the
+// configuration file.
 type Overrides struct{ Name, Listen, Discovery, Management, Inherited, State string }
 
-// LoadConfig reads the configuration file at path. The error is *UnreadableConfig, *ConfigError, or a part's own.
+// LoadConfig reads the configuration file at path. The error is *UnreadableConfig, *ConfigError, or the error of a
+// section's package.
 func LoadConfig(path string, overrides Overrides) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -58,7 +61,7 @@
 			hint.Annotated{
 				Where: "config",
 				Cause: err,
-				Do:    "see that --config (PROXY_CONFIG) names a file that this balancer may read",
+				Do:    "check that --config (PROXY_CONFIG) names a file that this balancer may read",
 			},
 		}
 	}
@@ -66,7 +69,7 @@
 }
 
 // ReloadConfig reads the configuration file again while the balancer serves. Discovery may have moved since the
-// start, so the file's address of it wins over the override.
+// start, so its address in the file takes precedence over the override.
 func ReloadConfig(path string, overrides Overrides) (Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +77,7 @@
 			hint.Annotated{
 				Where: "config",
 				Cause: err,
-				Do:    "put the file back; the old configuration holds until the next SIGHUP",
+				Do:    "restore the file; the old configuration stays in force until the next SIGHUP",
 			},
 		}
 	}
@@ -86,12 +89,13 @@
 	return ParseConfig(body, overrides)
 }
 
-// ParseConfig reads a configuration. The error is *UnreadableConfig, *ConfigError, or a part's own.
+// ParseConfig parses a configuration. The error is *UnreadableConfig, *ConfigError, or the error of a section's
+// package.
 func ParseConfig(body []byte, overrides Overrides) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(body, &file); err != nil {
 		return Config{}, &UnreadableConfig{
-			hint.Annotated{Where: "config", Cause: err, Do: "mend the JSON; oatloft check says whether it can be read"},
+			hint.Annotated{Where: "config", Cause: err, Do: "fix the JSON; oatloft check reports whether it can be read"},
 		}
 	}
 	c := Config{
@@ -110,7 +114,7 @@
 		return c, err
 	}
 	if c.MemoryMB < 0 || c.Sockets < 0 || c.Cores < 0 {
-		return c, &ConfigError{hint.Annotated{Where: "limits", What: "negative figures", Do: "set 0 for no limit of its own"}}
+		return c, &ConfigError{hint.Annotated{Where: "limits", What: "negative value", Do: "set 0 for the default limit"}}
 	}
 	if err := c.setCore(file); err != nil {
 		return c, err
@@ -121,7 +125,7 @@
 	known, err := platform.ParseList(file.Known, c.StartOfClock)
 	if err != nil {
 		return c, &ConfigError{
-			hint.Annotated{Where: "known", Cause: err, Do: "mend the list of known regions, or leave it out"},
+			hint.Annotated{Where: "known", Cause: err, Do: "fix the list of known servers, or remove it"},
 		}
 	}
 	known.Kind = policy.ListCached
@@ -129,7 +133,7 @@
 	return c, nil
 }
 
-// isAbsent tells whether an optional field of the file is missing or null.
+// isAbsent reports whether an optional field of the file is missing or null.
 func isAbsent(field json.RawMessage) bool {
 	return len(field) == 0 || bytes.Equal(field, []byte("null"))
 }
@@ -141,7 +145,7 @@
 				hint.Annotated{
 					Where: address.field,
 					What:  fmt.Sprintf("%q is not host:port", address.value),
-					Do:    "give it in the configuration, by flag or by PROXY_LISTEN, PROXY_DISCOVERY",
+					Do:    "set it in the configuration, by flag, or by PROXY_LISTEN or PROXY_DISCOVERY",
 				},
 			}
 		}
@@ -153,20 +157,24 @@
 		return &ConfigError{
 			hint.Annotated{
 				Where: "management",
-				What:  fmt.Sprintf("%q is not host:port of its own", c.Management),
-				Do:    "give it another port than listen, or leave it out",
+				What:  fmt.Sprintf("%q is not host:port, or is the same as listen", c.Management),
+				Do:    "set a port other than listen's, or remove it",
 			},
 		}
 	}
 	return nil
 }
 
-// setCore takes the platform's settings.
+// setCore applies the platform's settings.
 func (c *Config) setCore(file configFile) error {
 	seed, err := strconv.ParseUint(file.Seed, seedBase, 64)
 	if err != nil {
 		return &ConfigError{
-			hint.Annotated{Where: "seed", What: fmt.Sprintf("%q is not hex digits", file.Seed), Do: "set 1 to 16 hex digits"},
+			hint.Annotated{
+				Where: "seed",
+				What:  fmt.Sprintf("%q is not a hexadecimal number", file.Seed),
+				Do:    "set 1 to 16 hex digits",
+			},
 		}
 	}
 	if isAbsent(file.Settings) {
@@ -192,7 +200,7 @@
 		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, giveUp)
 	}
 	if flat.Err != nil {
-		return &ConfigError{hint.Annotated{Where: "settings", Cause: flat.Err, Do: "mend the setting"}}
+		return &ConfigError{hint.Annotated{Where: "settings", Cause: flat.Err, Do: "fix the setting"}}
 	}
 	if c.Core.ConnectTimeout <= 0 {
 		return &ConfigError{
@@ -203,8 +211,9 @@
 	return err
 }
 
-// setPolling has discovery polled where the settings have it push: what the agent has counts at once, so that it is
-// called as often as a change may be late.
+// setPolling enables polling of discovery where the settings expect it to push lists: a connection receives nothing
+// that was not requested. A change counts from the moment discovery's agent has it, so the interval is the time by
+// which a change may be late.
 func (c *Config) setPolling(drainGrace time.Duration) {
 	p := &c.Core.Policy
 	if p.PollEndpointList {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// maxReadings is how many readings are signalled at a time, so that all of them get their turn.
+	// maxReadings is how many readings are signalled at a time; the next time continues after the last one, so that
+	// all servers are covered.
 	maxReadings = 48
-	// subsetRepeats is how often an unchanged subset is signalled in the time of a signal's life.
+	// subsetRepeats is how many times an unchanged subset is signalled within a signal's lifetime.
 	subsetRepeats = 3
-	// failpointStall is how long a failpoint has the loop wait.
+	// failpointStall is how long the failpoint loop-waits blocks the loop.
 	failpointStall = 2500 * time.Millisecond
 )
 
-// Peers has the settings of what balancers tell each other.
+// Peers configures the exchange of signals between balancers.
 type Peers struct {
 	Config         membership.Config
 	Listen         string
@@ -31,7 +32,8 @@
 	Coordination   coordination.Config
 }
 
-// equal tells whether two say the same, but for the generation and the seed, which are of a process.
+// equal reports whether both have the same settings, apart from the generation and the seed, which differ in each
+// process.
 func (p *Peers) equal(other *Peers) bool {
 	if p == nil || other == nil {
 		return p == other
@@ -54,7 +56,7 @@
 		a.SignalBytes == b.SignalBytes
 }
 
-// startPeers joins the other balancers, if that is configured.
+// startPeers joins the other balancers, if peers are configured.
 func (b *Balancer) startPeers() (err error) {
 	if b.cfg.Peers == nil {
 		return nil
@@ -69,18 +71,18 @@
 	return nil
 }
 
-// sentSignals is what the other balancers have been told.
+// sentSignals is what was last signalled to the other balancers.
 type sentSignals struct {
 	nextAt      time.Time
-	readings    map[string]time.Duration // time of the reading that was signalled, by server
+	readings    map[string]time.Duration // time of the last reading signalled, by server
 	nextReading int
 	draining    bool
 	subset      string
 	subsetAt    time.Time
 }
 
-// sendSignals sets this balancer's signals now and then: its exploration slots, its load, whether it drains, and
-// readings that are new. It does not wait for the other balancers.
+// sendSignals publishes this balancer's signals once per signal interval: its exploration slots, its load, whether
+// it drains, and new readings. It does not wait for the other balancers.
 func (b *Balancer) sendSignals(now time.Time) {
 	draining := b.core.ShuttingDown() || b.core.DrainRequested()
 	if draining != b.sentSignals.draining {
@@ -100,13 +102,14 @@
 	b.peers.Set(membership.DrainKey, fmt.Append(nil, draining), lifetime)
 	readings := b.core.LoadReadings()
 	assigned := func(string) bool { return true }
-	if b.coordinator != nil && !draining { // a balancer that leaves takes no tasks, and this may run within a step
+	if b.coordinator != nil && !draining { // a leaving balancer has no share, and this may run within a step
 		assigned = b.coordinate(now, readings)
 	}
 	b.sendReadings(readings, assigned)
 }
 
-// sendReadings signals the readings that are assigned to this balancer and new, a part of them at a time.
+// sendReadings signals the new readings of servers that are assigned to this balancer, at most maxReadings at a
+// time.
 func (b *Balancer) sendReadings(readings []policy.ServerReading, assigned func(server string) bool) {
 	sent := &b.sentSignals
 	if sent.readings == nil {
@@ -133,8 +136,8 @@
 	}
 }
 
-// coordinate gives the reducer what follows from the others' announcements, sends this balancer's, and returns for
-// which servers it signals readings.
+// coordinate passes the events that follow from the others' announcements to the reducer, publishes this balancer's
+// announcement, and returns a function that reports whether this balancer signals a server's readings.
 func (b *Balancer) coordinate(now time.Time, readings []policy.ServerReading) (assigned func(server string) bool) {
 	view, malformed := coordination.ParseView(b.peers.View())
 	b.counters.MalformedSignals += int64(malformed)
@@ -146,7 +149,7 @@
 	return func(server string) bool { return slices.Contains(announcement.Readings, server) }
 }
 
-// localState returns what this balancer knows of itself and of the servers.
+// localState returns this balancer's own state and its view of the servers.
 func (b *Balancer) localState(readings []policy.ServerReading) coordination.Local {
 	activity := b.core.Activity()
 	local := coordination.Local{
@@ -175,7 +178,7 @@
 	return local
 }
 
-// sendSubset signals the subset when it has changed, and now and then so that it stays known.
+// sendSubset signals the subset when it has changed, and repeats it before the signal expires.
 func (b *Balancer) sendSubset(now time.Time, subset string, lifetime time.Duration) {
 	sent := &b.sentSignals
 	if subset == sent.subset && now.Sub(sent.subsetAt) <= lifetime/subsetRepeats {
@@ -187,7 +190,7 @@
 	}
 }
 
-// updateNumbered takes this balancer's part by its number, when the list of servers has changed.
+// updateNumbered recomputes the servers assigned by this balancer's number when the list of servers has changed.
 func (b *Balancer) updateNumbered() {
 	list := b.core.ListedServers()
 	if b.numberedServers != nil && slices.Equal(list, b.numberedServers) {
@@ -197,7 +200,7 @@
 	b.step(core.FleetEvents{Events: b.cfg.Numbered.Events(list)})
 }
 
-// announceLeaving tells the others that this balancer shuts down.
+// announceLeaving notifies the other balancers that this one shuts down.
 func (b *Balancer) announceLeaving() {
 	if b.peers != nil {
 		b.sendSignals(time.Now())
--- a/internal/proxy/peers_call.go
+++ b/internal/proxy/peers_call.go
@@ -13,8 +13,9 @@
 // maxDescriptionBytes bounds the description of a member in an answer.
 const maxDescriptionBytes = 3000
 
-// describePeers answers the call peers: how many members there are; what the member of a name says; or, with ">"
-// before a name, what the one after it says. It reads a view, and does not wait for the loop.
+// describePeers answers the call peers: without a name, with a summary of the members; with a name, with that
+// member's state; with ">" before a name, with the state of the next member. It reads a view and does not wait for
+// the loop.
 func (b *Balancer) describePeers(name string) management.Answer {
 	if b.peers == nil {
 		return refuse(
@@ -35,10 +36,10 @@
 	if next {
 		return management.Yes("-")
 	}
-	return refuse("nobody of that name is known", "see the names that peers gives without one")
+	return refuse("no member of that name is known", "look the name up in the answers to peers")
 }
 
-// summarizePeers counts the members by their states.
+// summarizePeers counts the members by state.
 func summarizePeers(view membership.View) management.Answer {
 	count := map[membership.State]int{}
 	for _, m := range view.Members {
--- a/internal/proxy/play_test.go
+++ b/internal/proxy/play_test.go
@@ -20,22 +20,23 @@
 	"oatloft/internal/core"
 )
 
-// Each file in testdata is an exchange of bytes, played against a whole balancer between scripted
-// terminals (a to g), routed tasks as regions see them (task1, task2 ... in the order they arrive) and
-// discovery's watches (watch1 ...). A step is one line:
+// play runs an exchange. Each file in testdata is an exchange of bytes, run against a whole balancer between scripted
+// clients (a to g), attempts as servers see them (task1, task2 and so on, in the order of their arrival) and
+// discovery's watches (watch1 and so on). A step is one line:
 //
-//	NAME > TEXT      NAME sends a line           NAME >> "TEXT"   sends just these bytes
-//	NAME < TEXT      a line comes to NAME; * stands for anything
-//	NAME < FIN       the end comes, or RST       NAME FIN         NAME closes its sending, or RST
-//	nothing NAME MS  no byte comes for that long
-//	chunk NAME TEXT  one chunk holding one line  long NAME N      a line that is N bytes long
-//	by MS            the next step takes no longer
-//	flood NAME N     NAME sends N lines of 1,000 bytes, as they are taken
-//	drain NAME N     N such lines come to NAME
-//	gone NAME        NAME can send nothing more
-//	narrow NAME N    NAME takes no more than about N bytes before it reads
+//	NAME > TEXT      NAME sends a line           NAME >> "TEXT"   sends exactly these bytes
+//	NAME < TEXT      NAME receives a line; * matches any text
+//	NAME < FIN       NAME receives FIN, or RST   NAME FIN         NAME sends FIN, or RST
+//	nothing NAME MS  NAME receives nothing for that many milliseconds
+//	chunk NAME TEXT  NAME sends one chunk that contains one line
+//	long NAME N      NAME sends N bytes of a line
+//	by MS            timeout of the next step
+//	flood NAME N     NAME sends N lines of 1,000 bytes in the background
+//	drain NAME N     NAME receives N such lines
+//	gone NAME        writes by NAME fail
+//	narrow NAME N    NAME has a receive buffer of about N bytes
 //	wait MS, leave, ended, down REGION, fill N; sockets N and memory N set limits
-//	management       operators may call (a line of its own): op1, op2 ... are callers
+//	management       opens the operators' address (a line of its own): op1, op2 and so on are callers
 //	reload ADDR      the configuration is read again, with discovery at ADDR
 type play struct {
 	t       *testing.T
@@ -93,7 +94,7 @@
 		ended: make(chan error, 1), limit: 3 * time.Second}
 	var vars []string
 	for _, name := range []string{"r1", "r2", "discovery", "moved"} {
-		// Not 127.0.0.1: nbio's own dialing would reach that by mistake, as 0.0.0.0, and nothing else.
+		// Not 127.0.0.1, which nbio's own dialing would reach by mistake, as 0.0.0.0.
 		l, err := net.Listen("tcp", "127.8.1.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -130,7 +131,7 @@
 		t.Fatal(err)
 	}
 	p.addr = p.server.Addr()
-	// A server left running would call at ports that belong to the next exchange by then.
+	// A balancer left running would connect to ports that the next exchange has reused by then.
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	t.Cleanup(func() { cancel(); <-over })
@@ -141,7 +142,7 @@
 	return p
 }
 
-// accept plays the regions, whose probes are answered at once, and discovery.
+// accept plays the servers, which answer probes at once, and discovery.
 func (p *play) accept(l net.Listener, discovery bool) {
 	for {
 		c, err := l.Accept()
@@ -167,7 +168,7 @@
 	}
 }
 
-// peer finds who is named, and waits for it, or lets a terminal connect, at its first mention.
+// peer returns the peer of a name. At the first mention it waits for an attempt or a watch, or connects a client.
 func (p *play) peer(name string) (*peer, error) {
 	if known := p.peers[name]; known != nil {
 		return known, nil
@@ -192,11 +193,11 @@
 	case p.peers[name] = <-from:
 		return p.peers[name], nil
 	case <-time.After(p.limit):
-		return nil, errors.New("nobody came")
+		return nil, errors.New("no connection arrived")
 	}
 }
 
-// step plays one line of an exchange.
+// step runs one line of an exchange.
 func (p *play) step(line string) error {
 	words := strings.SplitN(line, " ", 3)
 	number := 0
@@ -218,7 +219,7 @@
 	}
 	step := peerSteps[words[1]]
 	if step == nil {
-		return errors.New("no such step")
+		return errors.New("unknown step")
 	}
 	return step(p, who, strings.Join(words[2:], ""), number)
 }
@@ -226,7 +227,7 @@
 // exchangeSteps are the steps of the exchange itself; number is the line's last word.
 var exchangeSteps map[string]func(p *play, words []string, number int) error
 
-func init() { // fill plays steps itself
+func init() { // not an initializer: fill runs steps itself, which would be a cycle
 	exchangeSteps = map[string]func(p *play, words []string, number int) error{
 		"wait": func(_ *play, _ []string, number int) error {
 			time.Sleep(time.Duration(number) * time.Millisecond)
@@ -241,7 +242,7 @@
 			return nil
 		},
 		"reload": func(p *play, words []string, _ int) error {
-			cfg := p.server.cfg // only a reload changes it, and exchanges reload once
+			cfg := p.server.cfg // safe: only a reload changes it, and exchanges reload once
 			cfg.Discovery = words[1]
 			p.reload <- cfg
 			return nil
@@ -251,7 +252,7 @@
 			case err := <-p.ended:
 				return err
 			case <-time.After(p.limit):
-				return errors.New("still there")
+				return errors.New("the balancer has not stopped")
 			}
 		},
 		"down": func(p *play, words []string, _ int) error { return p.regions[words[1]].Close() },
@@ -268,7 +269,7 @@
 	return p.step(fmt.Sprintf("filler%d < PONG", number-1))
 }
 
-// peerSteps are the steps of one side of the exchange; text is the line's rest, number its last word.
+// peerSteps are the steps of one peer; text is the rest of the line, number its last word.
 var peerSteps = map[string]func(p *play, who *peer, text string, number int) error{
 	">": func(_ *play, who *peer, text string, _ int) error {
 		_, err := io.WriteString(who.conn, text+"\r\n")
@@ -330,7 +331,7 @@
 		_, err = who.conn.Write(make([]byte, 1<<20))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		return fmt.Errorf("it sends on: %v", err)
+		return fmt.Errorf("writes still succeed: %v", err)
 	}
 	return nil
 }
@@ -346,7 +347,7 @@
 		}
 		return nil
 	}
-	if strings.HasPrefix(text, "GET ") && err == nil { // the call's other lines are of no matter
+	if strings.HasPrefix(text, "GET ") && err == nil { // skip the call's header lines
 		for next := ""; next != "\r\n" && err == nil; {
 			next, err = who.in.ReadString('\n')
 		}
@@ -361,7 +362,8 @@
 	return nil
 }
 
-// A probe under way to a region that moves or goes is reported: the module would wait for it for ever.
+// A probe in flight to a server that is removed or changes its address is reported as finished: the reducer would
+// wait for it forever otherwise.
 func TestForgottenProbeIsReported(t *testing.T) {
 	p := start(t, "")
 	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
@@ -375,14 +377,14 @@
 	}
 }
 
-// A terminal that sends without end can't fill the memory while the reducer's goroutine is busy.
+// A client that sends endlessly cannot exhaust the memory while the loop is busy.
 func TestReadingIsBounded(t *testing.T) {
 	p := start(t, "")
 	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Start(); err != nil { // and no Run: the reducer never gets its turn
+	if err := b.Start(); err != nil { // without Run, so that the loop handles no event
 		t.Fatal(err)
 	}
 	c, err := net.Dial("tcp", b.Addr())
@@ -394,12 +396,12 @@
 	b.queue.mu.Lock()
 	defer b.queue.mu.Unlock()
 	if n := len(b.queue.list); n > 2*maxReads {
-		t.Fatal(n, "events wait")
+		t.Fatal(n, "events are queued")
 	}
 }
 
-// A configuration that can't work is named in one line by its field.
-func TestConfigNamesTheField(t *testing.T) {
+// The error of an invalid configuration names the field, in one line.
+func TestConfigErrorNamesField(t *testing.T) {
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -8,16 +8,16 @@
 	"oatloft/policy"
 )
 
-// probe is the connection to a server for load reports. It is kept for as long as its answers are in order.
+// probe is the connection to a server for load reports. It is reused while its answers are valid.
 type probe struct {
-	conn     *connection // nil until the next probe
+	conn     *connection // nil while there is no connection
 	addr     string
-	pending  bool // a probe waits for its answer
+	pending  bool // a probe is waiting for its answer
 	deadline time.Time
 	reader   platform.LineReader
 }
 
-// startProbe asks a server for a load report.
+// startProbe requests a load report from a server.
 func (b *Balancer) startProbe(e core.Probe) {
 	p := b.probes[e.Server]
 	if p == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// handleProbeAnswer reads a probe's answer. A connection on which bytes come that belong to no probe is dropped:
+// handleProbeAnswer parses a probe's answer. A connection that receives bytes that belong to no probe is dropped:
 // they would be taken for the answer of the next one.
 func (b *Balancer) handleProbeAnswer(p *probe, conn *connection, data []byte) {
 	if !p.pending {
@@ -77,7 +77,7 @@
 	}
 }
 
-// drop ends the connection; the next probe opens another one.
+// drop closes the connection; the next probe opens another one.
 func (p *probe) drop() {
 	if p.conn != nil {
 		p.conn.drop()
@@ -85,7 +85,7 @@
 	}
 }
 
-// finishProbe reports a probe's result. The connection is kept only if it was answered in good order.
+// finishProbe reports a probe's result. The connection is kept only after a valid load report.
 func (b *Balancer) finishProbe(server string, p *probe, result policy.Result, report *policy.LoadReport) {
 	if result != policy.ResultOK {
 		p.drop()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -9,14 +9,14 @@
 	"oatloft/internal/hint"
 )
 
-// reload takes a configuration that was read again, whole or not at all. Connections, load reports and what is
-// known of the servers stay; the list in the file is older than what a watch has brought since.
+// reload applies a configuration that was read again, completely or not at all. Connections, load reports and the
+// servers' state are kept. The list in the file is ignored: it is older than what a watch has received since.
 func (b *Balancer) reload(cfg Config) {
 	if b.exiting {
-		return // nothing is decided any more
+		return // the reducer has finished
 	}
 	if problem := b.cannotReload(cfg); problem != nil {
-		b.log.Error("not reloaded, the old configuration stays", "err", problem)
+		b.log.Error("reload failed, the old configuration stays in force", "err", problem)
 		return
 	}
 	discoveryMoved := cfg.Discovery != b.cfg.Discovery
@@ -42,8 +42,8 @@
 	b.log.Info("reloaded", "discovery", cfg.Discovery)
 }
 
-// cannotReload returns why a configuration cannot be taken while serving: a text or an error, as it is logged.
-// Admission's settings are taken already if it is nil.
+// cannotReload returns why a configuration cannot be applied while serving, as a text or an error for the log. If it
+// returns nil, admission's settings have been applied already.
 func (b *Balancer) cannotReload(cfg Config) any {
 	if cfg.Listen != b.cfg.Listen {
 		return fmt.Sprintf("listen: can't change from %s to %s while serving", b.cfg.Listen, cfg.Listen)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// reloadAdmission takes new settings of admission. It cannot be switched on while serving: what was opened before
-// was never counted.
+// reloadAdmission applies new settings of admission. Admission cannot be switched on while serving: connections
+// opened before were never counted.
 func (b *Balancer) reloadAdmission(a *Admission) error {
 	switch {
 	case (a == nil) != (b.admission == nil):
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Report logs the counters, as one JSON object in one line.
+// Report logs the counters as one JSON object on one line.
 func (b *Balancer) Report() {
 	all := map[string]any{
 		"name":    b.cfg.Name,
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	triesConnect = 100 * time.Second // an attempt's connection is up within this time
-	triesAim     = 300 * time.Second // an attempt's own time
-	triesWait    = 20 * time.Second  // a test waits so long for what has to come
+	triesConnect = 100 * time.Second // connect timeout
+	triesAim     = 300 * time.Second // latency objective, which bounds an attempt
+	triesWait    = 20 * time.Second  // how long a test waits for what has to happen
 )
 
-// A connection comes up in the turn in which its attempt is given up. Nothing is sent on it, whichever is handled
-// first, and its descriptor is closed; the request goes on to the next attempt, or has its answer.
-func TestConnectionUpAsItsAttemptIsGivenUp(t *testing.T) {
+// A connection is established in the same turn of the loop in which its attempt times out. The test handles both
+// events in either order: an attempt that has timed out sends nothing, its connection is closed, and the request gets
+// another attempt or its answer.
+func TestConnectedAsAttemptTimesOut(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		patience time.Duration
-		over     time.Duration // then the attempt's time is over
-		tick     bool          // the timer first, else the connection
-		sent     bool          // a line is sent
+		over     time.Duration // when the attempt times out
+		tick     bool          // the timer is handled first, else the connection
+		sent     bool          // the request's line is sent
 		answered bool          // the request has no time left for another attempt
 	}{
 		{"connect timeout, timer first", time.Hour, triesConnect, true, false, false},
@@ -41,7 +42,7 @@
 			h := triesStart(t, "safe")
 			client := h.ask("1", x.patience)
 			first, server := h.task("1"), h.accepted()
-			h.reached(first, live) // and that it is up waits in the queue
+			h.reached(first, live) // and its event waits in the queue
 			h.later(x.over)
 			if x.tick {
 				h.tick()
@@ -52,7 +53,7 @@
 				h.served(client, server, "1")
 				return
 			}
-			h.ends("the server given up", server, "")
+			h.ends("the server that was given up", server, "")
 			h.reached(first, ended)
 			h.tick()
 			if x.answered {
@@ -64,8 +65,8 @@
 	}
 }
 
-// UP waits in the queue as its attempt's time ends. Where the timer is handled first, nobody gets it.
-func TestUpAsItsAttemptIsGivenUp(t *testing.T) {
+// UP waits in the queue as its attempt times out. If the timer is handled first, the client does not receive it.
+func TestAnswerAsAttemptTimesOut(t *testing.T) {
 	for _, tick := range []bool{true, false} {
 		h := triesStart(t, "safe")
 		client := h.ask("1", time.Hour)
@@ -85,8 +86,8 @@
 	}
 }
 
-// When the next attempt comes, the one before has ended already, as its server sees it.
-func TestNeverTwoAttemptsOut(t *testing.T) {
+// When the next attempt arrives, the connection of the one before is already closed, as its server sees it.
+func TestNoConcurrentAttempts(t *testing.T) {
 	h := triesStart(t, "safe")
 	client := h.ask("1", time.Hour)
 	first := h.attempt()
@@ -96,20 +97,21 @@
 	h.turning("the next attempt", func() bool {
 		select {
 		case second = <-h.came:
-			first.read() // at once: a FIN that was sent before the next connection was begun is there
+			first.read() // at once: a FIN sent before the next connection was opened has arrived
 			return true
 		default:
 			return false
 		}
 	})
 	if first.end == nil {
-		t.Fatal("the next attempt's connection came while the one before stood")
+		t.Fatal("the next attempt's connection arrived while the one before was open")
 	}
 	h.turning("its line", func() bool { second.read(); return len(second.got) > 0 })
 	h.served(client, second, "2")
 }
 
-// resets are points of an attempt at which its server resets it, and whether the request may have run then.
+// resets are points of an attempt at which its server resets it, and whether the request may have been executed by
+// then.
 var resets = []struct {
 	name  string
 	reset func(h *triesLoop)
@@ -155,12 +157,13 @@
 	}, true},
 }
 
-// A connection breaks at each point of an attempt. What may have run is repeated only where that is allowed.
+// A connection breaks at each point of an attempt. A request that may have been executed is repeated only where that
+// is allowed.
 func TestResetsAtEachPoint(t *testing.T) {
 	for _, x := range resets {
 		for _, class := range []struct {
 			semantics string
-			repeated  bool // though it may have run
+			repeated  bool // even if it may have been executed
 		}{{"safe", true}, {"unsafe", false}} {
 			t.Run(x.name+", "+class.semantics, func(t *testing.T) {
 				h := triesStart(t, class.semantics)
@@ -179,8 +182,8 @@
 	}
 }
 
-// Nobody listens: each attempt counts against the bound, and the refusal comes at once.
-func TestRefusedUpToTheBound(t *testing.T) {
+// No server listens: each attempt counts against the maximum, and the client is rejected at once.
+func TestUnreachableUpToMaxAttempts(t *testing.T) {
 	h := triesStart(t, "unsafe")
 	for _, l := range h.listeners {
 		_ = l.Close()
@@ -193,7 +196,7 @@
 	}
 }
 
-// The last attempt that is allowed ends: no other follows, and the client has its answer.
+// No attempt follows the last one allowed, and the client gets its answer.
 func TestLastAttemptAllowed(t *testing.T) {
 	h := triesStart(t, "unsafe")
 	client := h.ask("1", time.Hour)
@@ -202,13 +205,13 @@
 	}
 	h.ends("the client", client, "BUSY*")
 	if n := h.s.core.Counters; n.Attempts != 3 || n.AttemptsRejected != 3 {
-		t.Fatalf("%d attempts, %d turned away", n.Attempts, n.AttemptsRejected)
+		t.Fatalf("%d attempts, %d rejected", n.Attempts, n.AttemptsRejected)
 	}
 }
 
-// The window for repeats ends while the next attempt's connection comes up: its line isn't sent. Nor does an
-// attempt begin once the window has ended.
-func TestWindowForRepeatsEnds(t *testing.T) {
+// The window for repeats ends while the next attempt connects: the request's line is not sent. No attempt begins once
+// the window has ended.
+func TestRetryWindowEnds(t *testing.T) {
 	const window = 40 * time.Second
 	keyed := fmt.Sprintf(`"keyed","key-ttl-ms":%d,"x":"`, window.Milliseconds())
 	h := triesStart(t, "safe", `"safe"`, keyed+`"`)
@@ -221,7 +224,7 @@
 	h.later(window)
 	h.s.handleEvents()
 	h.ends("the second server", second, "")
-	h.later(triesAim) // the module holds it until then, in case that it may be sent again
+	h.later(triesAim) // until then the reducer keeps the request in case it may be repeated
 	h.ends("the client", client, "BUSY*")
 
 	client = h.ask("2", time.Hour)
@@ -237,8 +240,8 @@
 	}
 }
 
-// triesFill fills what the two systems keep for a connection that nobody reads, so that the line has to wait. They
-// are full once all that was sent has been acknowledged, more waits, and still nothing more is taken.
+// triesFill fills the socket buffers on both ends of a connection that no one reads, so that the line has to wait.
+// They are full once everything sent has been acknowledged, more is waiting, and a write still takes nothing.
 func triesFill(h *triesLoop, conn *connection) (filled int) {
 	h.t.Helper()
 	junk := bytes.Repeat([]byte("x"), 8<<10)
@@ -260,9 +263,9 @@
 	return filled
 }
 
-// The line waits for room in the socket, and the connection breaks, or the attempt's time ends: before the line's
-// last byte has left, the request has not run. After it, it may have.
-func TestLineThatWaitsInAFullSocket(t *testing.T) {
+// The request's line waits for a full socket, and the connection breaks or the attempt times out. The request may
+// have been executed only if the line's last byte was sent.
+func TestRequestWaitsForFullSocket(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		end  func(h *triesLoop, server *triesPeer, filled int)
@@ -280,7 +283,7 @@
 			if bytes.Contains(server.got, []byte("OPEN")) {
 				h.t.Fatal("the line was sent after its attempt had been given up")
 			}
-		}, true}, // as far as the balancer knows: it may, of what the system still held
+		}, true}, // the balancer cannot rule it out: the system may still have sent its buffer
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			h := triesStart(t, "unsafe")
@@ -290,7 +293,7 @@
 			filled := triesFill(h, first)
 			h.s.handleEvents()
 			if first.backlog() == 0 {
-				t.Fatal("the line didn't have to wait behind", filled, "bytes")
+				t.Fatal("the line did not have to wait behind", filled, "bytes")
 			}
 			x.end(h, server, filled)
 			if x.ran {
@@ -302,8 +305,7 @@
 	}
 }
 
-// triesLate listens, and has its queue of connections filled, so that the next ones come up only when the test
-// accepts.
+// triesLate listens with a full backlog, so that further connections are established only once the test accepts.
 func triesLate(t *testing.T, ip byte) (addr string, accept func(*triesLoop)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -350,9 +352,9 @@
 	}
 }
 
-// Connections come up late, after the time for connecting: the attempts that were given up send nothing, and the
-// one that is out sends the one line.
-func TestConnectionsUpLate(t *testing.T) {
+// Connections are established after the connect timeout: attempts that were given up send nothing, and only the
+// current attempt sends the request's line.
+func TestConnectionsEstablishedLate(t *testing.T) {
 	one, acceptOne := triesLate(t, 11)
 	two, acceptTwo := triesLate(t, 12)
 	h := &triesLoop{t: t, came: make(chan *triesPeer, 99)}
@@ -379,7 +381,7 @@
 		select {
 		case late := <-h.came:
 			if h.until("its end", func() bool { late.read(); return late.end != nil }); len(late.got) > 0 {
-				t.Fatalf("sent on a connection given up: %q", late.got)
+				t.Fatalf("sent on a connection that was given up: %q", late.got)
 			}
 		default:
 			over = true
--- a/internal/proxy/revision_config.go
+++ b/internal/proxy/revision_config.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// maxHistoryBytes bounds the texts of revisions that are kept: a voter that lags gets all of them in one message.
+	// maxHistoryBytes bounds the texts of the revisions kept: a voter that lags receives all of them in one message.
 	maxHistoryBytes = 32 << 20
-	// minLinksLease is the least part of the revisions' lease that a lease of links may be: a quarter.
+	// minLinksLeaseDivisor bounds the lease of links from below: at least a quarter of the revisions' lease.
 	minLinksLeaseDivisor = 4
-	// onPartitionHold is the setting by which a balancer goes on by its revision while it is cut off.
+	// onPartitionHold is the value of on_cut with which a partitioned balancer keeps its revision.
 	onPartitionHold = "hold"
 )
 
-// Revisions has the settings of revisions.
+// Revisions configures revisions.
 type Revisions struct {
 	Host  lease.Config
-	Zones []string // of the members, beside those of the list
+	Zones []string // of the members, in addition to those of the list
 	Links *edgeconfig.Links
 }
 
-// setRevisions takes the sections revisions and links of the edge file. The error is *MissingRevisions,
+// setRevisions applies the sections revisions and links of the edge file. The error is *MissingRevisions,
 // *LongHistory or *ShortLease.
 func (c *Config) setRevisions(e *edgeconfig.Settings) error {
 	if e.Revisions == nil {
@@ -50,7 +50,7 @@
 			r.Zones = append(r.Zones, m.Zone)
 		}
 	}
-	if !candidate { // it follows the log, and nobody calls it
+	if !candidate { // a learner only follows the log, and no member calls it
 		r.Host.Log.Listen = ""
 	}
 	c.Revisions = r
@@ -80,7 +80,7 @@
 	}
 }
 
-// equal tells whether two say the same, but for the generation, which is of a process.
+// equal reports whether both have the same settings, apart from the generation, which differs in each process.
 func (r *Revisions) equal(other *Revisions) bool {
 	if r == nil || other == nil {
 		return r == other
@@ -113,69 +113,73 @@
 		slices.Equal(a.Candidates, b.Candidates)
 }
 
-// MissingRevisions is the error that links are configured, and no revision could say which.
+// MissingRevisions reports that links are configured without revisions, which define them.
 type MissingRevisions struct{}
 
-// Error describes what has happened.
+// Error describes the problem.
 func (*MissingRevisions) Error() string {
-	return "links: there is no section revisions, whose table says which links there are"
+	return "links: the section revisions is missing, whose table defines the links"
 }
 
-// Hint says what an operator can do.
-func (*MissingRevisions) Hint() string { return "add the section revisions, or leave links out" }
+// Hint returns what an operator can do.
+func (*MissingRevisions) Hint() string {
+	return "add the section revisions, or remove the section links"
+}
 
-// RevisionsNotBuilt is the error that this program was built without revisions.
+// RevisionsNotBuilt reports that this program was built without revisions.
 type RevisionsNotBuilt struct{}
 
-// Error describes what has happened.
-func (*RevisionsNotBuilt) Error() string { return "revisions: this program holds no agreement" }
+// Error describes the problem.
+func (*RevisionsNotBuilt) Error() string {
+	return "revisions: this program was built without revisions"
+}
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (*RevisionsNotBuilt) Hint() string {
-	return "start oatloft-revisions, or leave the section revisions out"
+	return "start oatloft-revisions, or remove the section revisions"
 }
 
-// ShortLease is the error that leases of links would expire between two renewals.
+// ShortLease reports that leases of links would expire between two renewals.
 type ShortLease struct{ Links, Revisions time.Duration }
 
-// Error describes what has happened.
+// Error describes the problem.
 func (e *ShortLease) Error() string {
 	return fmt.Sprintf(
-		"links.lease: %v is under a quarter of revisions.lease, %v: parts would lapse between two renewals",
+		"links.lease: %v is under a quarter of revisions.lease, %v: grants would expire between two renewals",
 		e.Links,
 		e.Revisions,
 	)
 }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *ShortLease) Hint() string {
 	return fmt.Sprintf("set links.lease to %v or more, or make revisions.lease shorter", e.Revisions/4)
 }
 
-// LongHistory is the error that so many bytes of revisions do not fit into one message between voters.
+// LongHistory reports that so many bytes of revisions do not fit into one message between voters.
 type LongHistory struct{ Bytes int64 }
 
-// Error describes what has happened.
+// Error describes the problem.
 func (e *LongHistory) Error() string {
 	return fmt.Sprintf(
-		"revisions.history_bytes: %d is above %d: a voter that lags gets all of it in one message",
+		"revisions.history_bytes: %d is above %d: a voter that lags receives all of it in one message",
 		e.Bytes,
 		maxHistoryBytes,
 	)
 }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *LongHistory) Hint() string {
-	return "set it to 32MiB or less; what is forgotten is said to be"
+	return "set it to 32MiB or less; calls about a dropped revision report that it is no longer kept"
 }
 
-// ImmutableSetting is the error that a section of the edge file has changed at a reload.
+// ImmutableSetting reports that a section of the edge file was changed at a reload.
 type ImmutableSetting struct{ Section string }
 
-// Error describes what has happened.
+// Error describes the problem.
 func (e *ImmutableSetting) Error() string { return e.Section + ": can't change while serving" }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *ImmutableSetting) Hint() string {
-	return "restart the balancer, one after the other, to change this section"
+	return "restart the balancers, one after the other, to change this section"
 }
--- a/internal/proxy/revisions.go
+++ b/internal/proxy/revisions.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	// environmentInterval is how old what proposals are checked against may be.
+	// environmentInterval is how old the environment that proposals are checked against may be.
 	environmentInterval = 200 * time.Millisecond
-	// leaveTimeout is how long giving the lease back may take at the end; it expires by itself otherwise.
+	// leaveTimeout bounds returning the lease at the end; otherwise it expires by itself.
 	leaveTimeout = 300 * time.Millisecond
-	// revisionTimeout bounds an operator's call.
+	// revisionTimeout bounds an operator's call about revisions.
 	revisionTimeout = 2 * time.Second
 )
 
-// revisionState is the loop's part in revisions. The lease is read by an atomic load before each event, and the
+// revisionState is the loop's state of revisions. The lease is read by an atomic load before each event, and the
 // loop never waits for other balancers.
 type revisionState struct {
 	host           lease.Host
-	seenSeq        uint64 // of the lease that the loop goes by
+	seenSeq        uint64 // of the lease that the loop applies
 	phase          lease.Phase
-	inForce        *lease.Lease   // the last active one; nil for none yet
-	rejected       int64          // new clients, for lack of a lease
-	saturatedZones map[string]int // as the reducer was told
+	inForce        *lease.Lease   // the last active one; nil before the first
+	rejected       int64          // new clients rejected for lack of a lease
+	saturatedZones map[string]int // as last reported to the reducer
 
-	environment       atomic.Pointer[revision.Environment] // against which proposals are checked
-	environmentList   []policy.Server                      // that it was made of
+	environment       atomic.Pointer[revision.Environment] // that proposals are checked against
+	environmentList   []policy.Server                      // servers in the environment
 	environmentStale  bool                                 // the settings have changed since
 	nextEnvironmentAt time.Time
 }
 
-// startRevisions joins the other balancers. No new client is taken until the revision in force is known. The error is
+// startRevisions joins the other balancers. No new client is placed until the revision in force is known. The error is
 // *RevisionsNotBuilt, or the host's.
 func (b *Balancer) startRevisions() (err error) {
 	r := &revisionState{phase: lease.Learning}
@@ -57,7 +57,7 @@
 		settings := bandwidth.Settings{
 			Lease:    time.Duration(links.Lease),
 			SafePart: links.SafePart,
-			Holders:  2 * max(1, b.cfg.Core.Policy.Balancers), // in an upgrade two processes of a balancer carry bytes
+			Holders:  2 * max(1, b.cfg.Core.Policy.Balancers), // during an upgrade a balancer has two processes
 		}
 		b.zoneLinks, err = newZoneLinks(b, settings, int(links.Buffer))
 		if err != nil {
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// applyLease takes up what the lease says now. It runs before every event, and not among an event's effects: what
-// was decided is carried out before another lease is acknowledged. So a process that stood still finds its lease
-// expired before it sends anything.
+// applyLease applies the current lease. It runs before every event, and not between an event's effects: what was
+// decided is carried out before another lease is acknowledged. A process that was paused by the system therefore
+// finds its lease expired before it sends anything.
 func (b *Balancer) applyLease(now time.Time) {
 	r := b.revisions
 	current := r.host.Lease()
@@ -94,7 +94,7 @@
 	if phase == lease.Active {
 		r.inForce = current
 	}
-	r.seenSeq, r.phase = current.Seq, phase // before the steps below, which come here again
+	r.seenSeq, r.phase = current.Seq, phase // before the steps below, which call applyLease again
 	if anotherRevision {
 		b.applyRevision()
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// policyLease translates a phase for the reducer.
+// policyLease converts a phase for the reducer.
 func policyLease(phase lease.Phase) policy.LeaseState {
 	switch phase {
 	case lease.Active:
@@ -115,7 +115,7 @@
 	return policy.LeaseExpired
 }
 
-// applyRevision lays the revision in force over the settings.
+// applyRevision applies the settings overlaid with the revision in force.
 func (b *Balancer) applyRevision() {
 	cfg := b.cfg.Core
 	cfg.Policy = b.overlay(cfg.Policy)
@@ -123,7 +123,7 @@
 	b.setLinks(b.revisions.inForce.Content.Links)
 }
 
-// overlay returns the settings with the revision in force laid over them.
+// overlay returns the settings overlaid with the revision in force.
 func (b *Balancer) overlay(settings policy.Config) policy.Config {
 	if b.revisions == nil || b.revisions.inForce == nil {
 		return settings
@@ -131,7 +131,7 @@
 	return revision.Overlay(settings, b.revisions.inForce.Content)
 }
 
-// reportSaturatedLinks tells the reducer which zones are behind full links, when that has changed.
+// reportSaturatedLinks reports to the reducer the zones behind saturated links, when they have changed.
 func (b *Balancer) reportSaturatedLinks() {
 	ranks := map[string]int{}
 	for _, class := range b.overlay(b.cfg.Core.Policy).Classes {
@@ -145,26 +145,26 @@
 	b.step(core.FleetEvents{Events: []policy.Event{policy.SaturatedLinks{Zones: zones}}})
 }
 
-// mayPlaceClients tells whether new clients are taken. Those that come between two revisions wait.
+// mayPlaceClients reports whether new clients are accepted. Those that arrive between two revisions wait.
 func (b *Balancer) mayPlaceClients() bool {
 	return b.revisions == nil || b.revisions.phase == lease.Active || b.revisions.phase == lease.Suspended
 }
 
-// retryAfterNoLease returns when a client should come again that is rejected for lack of a lease; 0 where clients
-// heed no such time.
+// retryAfterNoLease counts a client that is rejected for lack of a lease, and returns its retry-after time; 0 where
+// clients do not honor one.
 func (b *Balancer) retryAfterNoLease() time.Duration {
 	b.revisions.rejected++
 	return b.cfg.Core.Policy.MaxRetryAfter
 }
 
-// updateHost reports the totals by which a guard judges revisions, and renews what proposals are checked against.
+// updateHost reports the totals by which a guard judges revisions, and renews the environment.
 func (b *Balancer) updateHost(now time.Time) {
 	c, rejected := &b.core.Counters, b.revisions.rejected
 	b.revisions.host.SetTotals(c.Requests+rejected, c.Rejected+rejected, c.Failed, c.EstablishedLate)
 	b.renewEnvironment(now)
 }
 
-// renewEnvironment renews what proposals are checked against, if it has changed.
+// renewEnvironment renews the environment that proposals are checked against, if it has changed.
 func (b *Balancer) renewEnvironment(now time.Time) {
 	r := b.revisions
 	if now.Before(r.nextEnvironmentAt) {
@@ -184,7 +184,7 @@
 	r.environment.Store(&next)
 }
 
-// closeRevisions gives the lease back at the end of the loop, which goes by no lease any more.
+// closeRevisions returns the lease at the end of the loop, which applies no lease from then on.
 func (b *Balancer) closeRevisions() {
 	if b.revisions == nil {
 		return
@@ -197,7 +197,7 @@
 }
 
 // handleRevisionCall answers an operator's call about revisions, on the caller's goroutine. It does not need the
-// loop, so that a balancer answers it also if it may place no clients.
+// loop, so a balancer answers it even while it may place no clients.
 func (b *Balancer) handleRevisionCall(words string) management.Answer {
 	if b.revisions == nil {
 		return refuse(
@@ -218,7 +218,7 @@
 	return management.Yes("%s", text)
 }
 
-// readsOnly tells whether a call about revisions changes nothing.
+// readsOnly reports whether a call about revisions changes nothing.
 func readsOnly(verb revision.Verb) bool {
 	switch verb {
 	case revision.VerbStatus, revision.VerbList, revision.VerbGet, revision.VerbOutcome:
--- a/internal/proxy/server_connection.go
+++ b/internal/proxy/server_connection.go
@@ -5,7 +5,7 @@
 	"oatloft/internal/platform"
 )
 
-// handleServerEvent takes what the connection of an attempt, or of a flow's server, brings.
+// handleServerEvent handles an event of the connection of an attempt, or of an established flow's server.
 func (b *Balancer) handleServerEvent(c *client, conn *connection, e event) {
 	if c.server != conn {
 		return
@@ -32,7 +32,7 @@
 
 func (b *Balancer) handleServerEnd(c *client, conn *connection, kind eventKind) {
 	if b.isMigrating(c) {
-		b.endMigrating(c, closeReason(kind)) // the end of the line will not come
+		b.endMigrating(c, closeReason(kind)) // the rest of the line will not arrive
 		return
 	}
 	reason := closeReason(kind)
@@ -45,8 +45,8 @@
 	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
 }
 
-// readAnswer reads an attempt's answer, which may come in pieces. What is no answer by the protocol is an error of
-// the server, which may have run the request; none of it reaches the client.
+// readAnswer parses an attempt's answer, which may arrive in pieces. An answer that violates the protocol is a
+// failure of the server, which may have executed the request; none of it reaches the client.
 func (b *Balancer) readAnswer(c *client, conn *connection, data []byte) {
 	if b.zoneLinks != nil {
 		b.zoneLinks.countReceived(c, conn.server, len(data))
@@ -70,7 +70,7 @@
 	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
 }
 
-// establish puts the flow on the attempt's server. data is the answer with what came right behind it.
+// establish assigns the flow to the attempt's server. data is the answer and the bytes behind it.
 func (b *Balancer) establish(c *client, conn *connection, data, behind []byte) {
 	c.established = true
 	if b.admission != nil {
@@ -89,7 +89,7 @@
 	})
 }
 
-// forwardFromServer forwards a server's bytes. A client that is to be migrated gets none behind the next line's end.
+// forwardFromServer forwards a server's bytes. A client that is to be migrated gets none after the end of the line.
 func (b *Balancer) forwardFromServer(c *client, data []byte) {
 	if b.isMigrating(c) {
 		b.passRestOfAnswer(c, data)
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -16,22 +16,24 @@
 	"oatloft/policy"
 )
 
-// The list over sockets: a stand-in for discovery holds each call at the named point, and the next call, or what the
-// balancer holds of a server, is what tells.
+// These tests play discovery over sockets. Each stops a call at the named point, and checks the next call or the
+// state that the balancer has of a server.
 
 const (
-	listWait  = 30 * time.Second // whatever has to come at all has come by then, also on a busy machine
-	listTold  = 6 * time.Second  // the rule: a change counts as told so long after discovery had it and could be reached
+	listWait = 30 * time.Second // what has to happen has happened by then, even on a busy machine
+	// The platform's rule: a balancer has to know a change this long after discovery had it and was reachable.
+	listTold = 6 * time.Second
+	// A pause of this process that the balancer may take for silence of discovery.
 	listStall = 700 * time.Millisecond
 	listHead  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	listBusy  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// listStood adds up how long this process has stood still, which a busy machine may have it do for seconds: that
-// isn't the balancer's time.
+// listStood is the total time, in nanoseconds, for which this process did not run. On a busy machine that may be
+// seconds, which do not count as the balancer's time.
 var (
 	listStood  atomic.Int64
-	listStalls atomic.Int64 // how often for so long that the balancer could take a stand-in for silent
+	listStalls atomic.Int64 // pauses longer than listStall
 	listGauge  sync.Once
 )
 
@@ -53,11 +55,11 @@
 	return time.Now().Add(-time.Duration(listStood.Load()))
 }
 
-// listCall is a call to discovery as the stand-in sees it.
+// listCall is a call to discovery, as the test's discovery sees it.
 type listCall struct {
 	*peer
-	from int64     // the version that it names
-	at   time.Time // when it had come
+	from int64     // the list version in the call
+	at   time.Time // when the call arrived
 }
 
 func (p *play) listNext(t *testing.T) *listCall {
@@ -71,7 +73,7 @@
 		_, text, _ := strings.Cut(line, "from=")
 		text, _, _ = strings.Cut(text, " ")
 		if line == "" && err != nil {
-			return p.listNext(t) // given up before it was sent
+			return p.listNext(t) // canceled before it was sent
 		}
 		if c.from, err = strconv.ParseInt(text, 10, 64); err != nil {
 			t.Fatalf("%q: %v", line, err)
@@ -81,7 +83,7 @@
 		}
 		_ = peer.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := peer.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-			return p.listNext(t) // given up before this test came to it
+			return p.listNext(t) // canceled before this test got to it
 		}
 		return c
 	case <-time.After(listWait):
@@ -97,8 +99,8 @@
 	}
 }
 
-// listAnswer answers a call and waits for what it tells to be held. Where the machine had this test answer so late
-// that the call was given up, the next one is answered.
+// listAnswer answers a call and waits until the balancer has a server in the wanted state. If this test answers so
+// late on a busy machine that the call was canceled, it answers the next one.
 func (p *play) listAnswer(t *testing.T, c *listCall, text, id string, want policy.ServerState) *listCall {
 	t.Helper()
 	_, _ = io.WriteString(c.conn, text)
@@ -111,11 +113,11 @@
 			_, _ = io.WriteString(c.conn, text)
 		}
 	}
-	t.Fatalf("%s isn't held as %d", id, want)
+	t.Fatalf("%s is not in state %d", id, want)
 	return nil
 }
 
-// beats has an empty line come by the call every so often, as long as nobody says anything else.
+// beats sends a heartbeat, an empty line, on the call every 100 ms until stopped.
 func (c *listCall) beats() (stop func()) {
 	over, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -137,13 +139,13 @@
 	t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(listWait))
 	if _, err := c.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("the call stands:", err)
+		t.Fatal("the call is still open:", err)
 	}
 }
 
 func listChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// listOf is a line that tells the health of r1 and r2, where given.
+// listOf returns a list with the health of r1 and r2, if given, as one line.
 func (p *play) listOf(seq int, whole bool, r1, r2 string) string {
 	var hosts []string
 	for name, health := range map[string]string{"r1": r1, "r2": r2} {
@@ -157,7 +159,7 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`+"\n", seq, whole, strings.Join(hosts, ","))
 }
 
-// listHas waits until the balancer holds a server in a state.
+// listHas waits until the balancer has a server in a state.
 func (p *play) listHas(t *testing.T, id string, want policy.ServerState) {
 	t.Helper()
 	for end := time.Now().Add(listWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -165,7 +167,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s isn't held as %d", id, want)
+	t.Fatalf("%s is not in state %d", id, want)
 }
 
 func (p *play) listHolds(id string, want policy.ServerState) bool {
@@ -182,15 +184,16 @@
 	return <-held == want
 }
 
-// listRarely has the balancer ask no sooner than long settings let it.
+// listRarely makes the balancer poll discovery at a long interval.
 func (p *play) listRarely() {
 	cfg := p.server.cfg
 	cfg.Core.Policy.PollInterval = 2 * time.Minute
 	p.reload <- cfg
 }
 
-// Wherever a call falls silent, the next one begins, from the version held, before what is missed counts as told.
-func TestSilentCallIsBegunAnew(t *testing.T) {
+// Whenever a call goes silent, the next one begins, from the version that the balancer has, before a missed change
+// is overdue.
+func TestSilentWatchIsReopened(t *testing.T) {
 	for name, said := range map[string]func(p *play) []string{
 		"accepted, never answered": func(*play) []string { return nil },
 		"head, no line":            func(*play) []string { return []string{listHead} },
@@ -206,7 +209,7 @@
 			return []string{listHead, listChunk("\n"), listChunk(p.listOf(8, false, "draining", ""))[:60]}
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in variables of its own
+		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.listRarely()
@@ -217,11 +220,11 @@
 			silent := listClock()
 			next := p.listNext(t)
 			if took := next.at.Sub(silent); took > listTold {
-				t.Errorf("the next call came %v after the silence began", took)
+				t.Errorf("the next call arrived %v after the silence began", took)
 			}
 			c.listEnds(t)
 			if next.from != c.from && name != "after a list" || next.from > 8 {
-				t.Error("asked from", next.from)
+				t.Error("the next call is from version", next.from)
 			}
 			p.listAnswer(t, next, listHead+listChunk(p.listOf(9, false, "draining", "")), "r1", policy.Draining)
 			p.listHas(t, "r2", policy.Live)
@@ -229,19 +232,19 @@
 	}
 }
 
-// However many calls have failed, and in whatever way, the second one after discovery's return comes within the
-// rule's time, though the first one hangs. The settings would let the balancer ask once in two minutes.
-func TestCallsFollowWithinTheRuleAfterFailures(t *testing.T) {
+// However many calls have failed, and in whatever way, the second one after discovery's return arrives in time, even
+// if the first one hangs. The configured poll interval is two minutes.
+func TestWatchIsReopenedInTimeAfterFailures(t *testing.T) {
 	fails := map[string]func(t *testing.T, c *listCall){
 		"refused with 503": func(t *testing.T, c *listCall) { c.says(t, listBusy) },
 		"reset":            func(_ *testing.T, c *listCall) { _ = c.conn.(*net.TCPConn).SetLinger(0); _ = c.conn.Close() },
 		"ended unanswered": func(_ *testing.T, c *listCall) { _ = c.conn.Close() },
 		"last chunk":       func(t *testing.T, c *listCall) { c.says(t, listHead+"0\r\n\r\n") },
-		"spoilt":           func(t *testing.T, c *listCall) { c.says(t, listHead+listChunk("{]\n")) },
-		"given up":         func(t *testing.T, c *listCall) { c.listEnds(t) },
+		"invalid":          func(t *testing.T, c *listCall) { c.says(t, listHead+listChunk("{]\n")) },
+		"canceled":         func(t *testing.T, c *listCall) { c.listEnds(t) },
 	}
 	for name, fail := range fails {
-		p := start(t, "") // one after the other: nbio keeps its limits in variables of its own
+		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.listRarely()
@@ -252,7 +255,7 @@
 			_ = p.listNext(t) // hangs
 			second := p.listNext(t)
 			if took := second.at.Sub(back); took > listTold {
-				t.Errorf("the second call came %v after discovery's return", took)
+				t.Errorf("the second call arrived %v after discovery's return", took)
 			}
 			p.listAnswer(t, second, listHead+listChunk(p.listOf(8, false, "draining", "draining")), "r1", policy.Draining)
 			p.listHas(t, "r2", policy.Draining)
@@ -260,20 +263,20 @@
 	}
 }
 
-// A list that comes slowly is waited for, over longer than a call may be silent, and is read though the next call
-// has begun meanwhile. One without end keeps nobody deaf: that next call is answered, and ends it.
+// A list that arrives slowly, over longer than a call may be silent, is read even though the next call has begun
+// meanwhile. An endless list does not block updates: the next call is answered, and closes it.
 func TestSlowListAndEndlessList(t *testing.T) {
 	for _, endless := range []bool{false, true} {
 		t.Run(fmt.Sprint("endless ", endless), func(t *testing.T) {
 			for !listIsSlow(t, endless) {
-				t.Log("this process stood still for so long that the balancer could hear no piece: played again")
+				t.Log("this process paused so long that the balancer may have received no data: repeating")
 			}
 		})
 	}
 }
 
-// listIsSlow plays one such list. It is false where this process stood still meanwhile: that is silence to the
-// balancer.
+// listIsSlow plays one slow list. It returns false if this process paused meanwhile, which the balancer takes for
+// silence.
 func listIsSlow(t *testing.T, endless bool) bool {
 	t.Helper()
 	p := start(t, "")
@@ -306,7 +309,7 @@
 		return false
 	}
 	if took := next.at.Sub(first.at); took > listTold {
-		t.Errorf("the next call came %v after the one that is slow", took)
+		t.Errorf("the next call arrived %v after the slow one", took)
 	}
 	if endless {
 		next.says(t, listHead+listChunk(p.listOf(8, false, "", "draining")))
@@ -326,8 +329,8 @@
 	return true
 }
 
-// One entry that can't be read keeps the balancer neither from the drain beside it nor from its watch.
-func TestBadEntryOnTheWatch(t *testing.T) {
+// An invalid entry does not prevent the balancer from applying the drain in the same list, nor end its watch.
+func TestInvalidEntryInList(t *testing.T) {
 	p := start(t, "")
 	line := strings.Replace(p.listOf(8, true, "draining", "ready"), `"health":"ready"`, `"health":"well"`, 1)
 	c := p.listAnswer(t, p.listNext(t), listHead+listChunk(line), "r1", policy.Draining)
@@ -336,8 +339,8 @@
 	p.listHas(t, "r2", policy.Gone)
 }
 
-// A watch that is reset, or ended behind a list's last brace, a last chunk, or between two chunks, right before a
-// drain.
+// A watch is reset, or closed after a list's last brace, after a last chunk or between two chunks, right before a
+// drain: the next call arrives in time.
 func TestWatchEndsRightBeforeADrain(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, p *play, c *listCall){
 		"reset": func(t *testing.T, p *play, c *listCall) {
@@ -352,7 +355,7 @@
 			p.listHas(t, "r2", policy.Draining)
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in variables of its own
+		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.listRarely()
@@ -362,16 +365,16 @@
 			ended := listClock()
 			next := p.listNext(t)
 			if took := next.at.Sub(ended); took > listTold/2 {
-				t.Errorf("the next call came %v after the end", took)
+				t.Errorf("the next call arrived %v after the end", took)
 			}
 			p.listAnswer(t, next, listHead+listChunk(p.listOf(9, false, "draining", "")), "r1", policy.Draining)
 		})
 	}
 }
 
-// SIGHUP names another discovery. Until that one has answered, the old one's news count; what the new one says that
-// is older than those doesn't; and once it has answered, the old call is ended.
-func TestAnotherDiscovery(t *testing.T) {
+// A reload names another address of discovery. Until that one has answered, updates from the old one count; older
+// data from the new one does not; and once the new one has answered, the old call is closed.
+func TestReloadWithAnotherDiscovery(t *testing.T) {
 	for name, x := range map[string]func(t *testing.T, p *play, old, first *listCall) *listCall{
 		"answers at once": func(_ *testing.T, _ *play, _, first *listCall) *listCall { return first },
 		"503 first": func(t *testing.T, p *play, _, first *listCall) *listCall {
@@ -387,13 +390,13 @@
 			_ = old.conn.Close()
 			return first
 		},
-		"spoilt answer by the old one": func(t *testing.T, _ *play, old, first *listCall) *listCall {
+		"invalid answer by the old one": func(t *testing.T, _ *play, old, first *listCall) *listCall {
 			old.says(t, "zz\r\n")
 			old.listEnds(t)
 			return first
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in variables of its own
+		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			old := p.listAnswer(
@@ -412,7 +415,7 @@
 			old.says(t, listChunk(p.listOf(9, false, "ready", ""))+listChunk(p.listOf(10, false, "draining", "")))
 			p.listHas(t, "r1", policy.Draining)
 			next := x(t, p, old, first)
-			if next.from == 8 { // asked before the old one's news came: its answer begins with what is known
+			if next.from == 8 { // opened before the old one's update arrived: its answer begins with what is known
 				next.says(t, listHead+listChunk(p.listOf(9, false, "ready", "")))
 				old.listEnds(t)
 				p.listHas(t, "r1", policy.Draining)
@@ -427,9 +430,9 @@
 	}
 }
 
-// Idle clients fill the descriptors while discovery is silent. The call is made all the same, and its news are
-// heard; who is turned away is answered, or not taken in at all, but never reset.
-func TestCallIsMadeInACrowd(t *testing.T) {
+// Idle clients use up the descriptors while discovery is silent. The call is made nevertheless, and its updates are
+// applied; clients that are rejected get an answer or are not accepted at all, but are never reset.
+func TestWatchUnderOverload(t *testing.T) {
 	p := start(t, "sockets 60")
 	first := p.listNext(t) // silent
 	clients := make([]*peer, 0, 80)
@@ -445,7 +448,7 @@
 	first.listEnds(t)
 	third := p.listNext(t)
 	if took := third.at.Sub(first.at); took > listTold {
-		t.Errorf("the third call came %v after the first", took)
+		t.Errorf("the third call arrived %v after the first", took)
 	}
 	second.listEnds(t)
 	p.listAnswer(t, third, listHead+listChunk(p.listOf(8, false, "draining", "draining")), "r1", policy.Draining)
@@ -462,7 +465,7 @@
 		}
 		answered++
 		if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
-			t.Fatalf("%q behind the answer, %v", rest, err)
+			t.Fatalf("%q after the answer, %v", rest, err)
 		}
 	}
 	if answered != len(clients) {
--- a/internal/proxy/shaping.go
+++ b/internal/proxy/shaping.go
@@ -5,18 +5,19 @@
 	"syscall"
 )
 
-// exemptBytes is how much is read at a time of a connection that waits for no turn. It is counted later.
+// exemptBytes is how many bytes are read at a time from a connection that is exempt from turns. They are counted
+// against the link afterwards.
 const exemptBytes = 512
 
-// waitsForTurn tells whether the connection's bytes wait for their turn.
+// waitsForTurn reports whether the connection's bytes wait for their turn.
 func (c *connection) waitsForTurn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.waitsIn != nil
 }
 
-// setQueue has the connection read by a queue's turns from now on; nil for freely. A turn that it waits for in the
-// queue before comes to nothing.
+// setQueue makes reads of the connection wait for turns in a queue from now on; nil for no limit. A pending turn in
+// the previous queue is void.
 func (c *connection) setQueue(queue *bandwidthQueue) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +28,7 @@
 	c.readOn()
 }
 
-// readScheduled reads up to n bytes, or leaves them to others if the connection has no use for them.
+// readScheduled reads up to n bytes, or returns them to the queue if the connection cannot use them.
 func (c *connection) readScheduled(queue *bandwidthQueue, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +51,8 @@
 	}
 }
 
-// readShaped reads what the link has room for; given bytes of it are the connection's already. With mu held.
+// readShaped reads what the link has capacity for; given bytes of it are already granted to the connection. The
+// caller holds mu.
 func (c *connection) readShaped(poller bool, given int) {
 	if poller && peerHasClosed(c.conn) {
 		c.readToEnd()
@@ -80,8 +82,8 @@
 	c.balancer.queue.deferRead(c)
 }
 
-// readSome reads up to size bytes and gives back what it does not use. It is false if nothing is there, or an end
-// that the poller will meet.
+// readSome reads up to size bytes and returns what it does not use to the queue. It returns false if no data is
+// available, or at an end, which the poller will find.
 func (c *connection) readSome(size int) bool {
 	buf := buffers.Get().(*[]byte)
 	n, err := c.conn.Read((*buf)[:size])
@@ -97,11 +99,12 @@
 	return errors.Is(err, syscall.EINTR)
 }
 
-// exempt tells whether the connection waits for no turn: an attempt whose answer has not come, and a client whose
-// line has to end.
+// exempt reports whether the connection is read without turns: that of an attempt before its answer, and that of a
+// client whose current line has to be completed.
 func (c *connection) exempt() bool { return c.role == serverRole && !c.established || c.bypass }
 
-// bypassQueue has a connection read on without turns, little at a time. It is false if it crosses no bounded link.
+// bypassQueue makes a connection exempt from turns; it is then read in small pieces. It returns false if the
+// connection crosses no bounded link.
 func (c *connection) bypassQueue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,16 +116,15 @@
 	return true
 }
 
-// endedData is what was read of a side that has ended: nbio closes the socket then, so that nothing can be left
-// there. It is no more than the system's buffer held, and is passed on by the queue's turns; the end comes behind
-// it.
+// endedData is what was read from a peer that has closed: nbio closes the socket then, so nothing can be left in it.
+// It is at most what the system's buffer held, and is forwarded by the queue's turns, followed by the end.
 type endedData struct {
 	pieces []*[]byte
 	end    eventKind
 }
 
 // readToEnd reads a socket to its end, on the poller's goroutine. What a client has sent before a reset is dropped:
-// nobody waits for what would come of it. With mu held.
+// no one would receive the answer. The caller holds mu.
 func (c *connection) readToEnd() {
 	data := &endedData{end: eventEOF}
 	for data.readPiece(c) {
@@ -139,7 +141,7 @@
 	c.passEndedData(0)
 }
 
-// readPiece reads a piece. It is false at the end.
+// readPiece reads a piece. It returns false at the end.
 func (d *endedData) readPiece(c *connection) bool {
 	buf := buffers.Get().(*[]byte)
 	n, err := c.conn.Read(*buf)
@@ -158,8 +160,8 @@
 	return false
 }
 
-// passEndedData passes on what was read to the end as far as there is room; given bytes of it are the connection's
-// already. The end follows the last byte. With mu held.
+// passEndedData forwards what was read to the end as far as the link has capacity; given bytes of it are already
+// granted to the connection. The end follows the last byte. The caller holds mu.
 func (c *connection) passEndedData(given int) {
 	queue, data := c.queue, c.endedData
 	for len(data.pieces) > 0 {
@@ -203,7 +205,7 @@
 	}
 }
 
-// take returns up to size bytes of the first piece.
+// take removes up to size bytes from the first piece and returns them.
 func (d *endedData) take(size int) *[]byte {
 	first := d.pieces[0]
 	if size >= len(*first) {
--- a/internal/proxy/sites_test.go
+++ b/internal/proxy/sites_test.go
@@ -20,38 +20,40 @@
 	"oatloft/internal/revision"
 )
 
-// sites are two zones with a region each, and a balancer in the first. What the regions do hangs on the terminals'
-// keys: "sink" reads numbered lines and has each be the next, "echo" sends back what comes, "source" sends numbered
-// lines.
+// sites is two zones with a server each, and a balancer in the first. What a server does depends on the client's
+// key: "sink" checks that numbered lines arrive in order, "echo" sends back what it receives, "source" sends
+// numbered lines, and "raw" only reads.
 type sites struct {
 	t      testing.TB
 	server *Balancer
 	mu     sync.Mutex
-	bytes  map[string]int64 // that came to the far region, by class
-	byKey  map[string]int64 // and by terminal
-	wrong  atomic.Int64     // lines that weren't the next
-	ends   atomic.Int64     // connections that ended in order
-	wire   *wire            // what bytes to the far region pass, nil for nothing
+	bytes  map[string]int64 // received by the far server, by class
+	byKey  map[string]int64 // received by the far server, by client
+	wrong  atomic.Int64     // lines lost, changed or out of order
+	ends   atomic.Int64     // connections that ended with FIN
+	wire   *wire            // simulated wire to the far server; nil for none
 	open   []net.Conn
 }
 
-// wire passes bytes at its rate, in the order of their coming, and takes a while for its length. What a connection
-// has on it at one time is bounded, as by TCP.
+// wire simulates a wire with a rate and a one-way delay, which keeps the order of bytes. What a connection has in
+// flight is bounded, as by TCP.
 type wire struct {
 	mu   sync.Mutex
-	rate float64
-	long time.Duration
-	busy time.Time
+	rate float64       // bytes per second
+	long time.Duration // one-way delay
+	busy time.Time     // until when it transmits what it has
 }
 
+// onWire bounds what one connection has in flight, in bytes.
 const onWire = 64 << 10
 
+// piece is data in flight, and when it arrives.
 type piece struct {
 	b  []byte
 	at time.Time
 }
 
-// reader is what comes out of the wire of what a connection sends.
+// reader returns what a connection sends, as it comes out of the wire.
 func (w *wire) reader(c net.Conn) io.Reader {
 	out, in := io.Pipe()
 	way := make(chan piece, onWire/1024)
@@ -121,8 +123,8 @@
 	return w
 }
 
-// listen opens the addresses of two servers and of discovery, and returns them by the names that the configuration
-// has.
+// listen opens the addresses of two servers and of discovery, and returns them as pairs of the configuration's
+// placeholder and its value.
 func (w *sites) listen() (vars []string) {
 	for i, name := range []string{"$r1", "$r2", "$discovery"} {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.124.1.%d:0", i+1))
@@ -146,7 +148,7 @@
 	return vars
 }
 
-// config returns a configuration whose second server is in another zone, and which has a class bulk beside chat.
+// config returns a configuration whose second server is in another zone, with a class bulk in addition to chat.
 func (w *sites) config(vars []string) []byte {
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -159,7 +161,7 @@
 	return []byte(strings.Replace(text, chat, chat+","+strings.Replace(chat, "chat", "bulk", 1), 1))
 }
 
-// grant is the only member, which grants to itself.
+// grant plays the allocator of a fleet with one member, which grants bandwidth to itself.
 func (w *sites) grant(ctx context.Context) {
 	part, began := w.server.zoneLinks.part, time.Now()
 	part.Elected(-time.Hour)
@@ -179,7 +181,7 @@
 
 func numbered(n int) string { return fmt.Sprintf("%08d %s\n", n, strings.Repeat("x", 490)) }
 
-// region plays a server: it answers probes, and serves a request as its key says.
+// region plays a server: it answers probes, and serves a request according to its key.
 func (w *sites) region(c net.Conn, far bool) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
@@ -206,7 +208,7 @@
 	}
 }
 
-// sendNumbered sends numbered lines; a short source ends after some. It is false at the end.
+// sendNumbered sends numbered lines; a short source ends after 120. It returns false at the end.
 func sendNumbered(c net.Conn, key string) bool {
 	for i := range 1 << 20 {
 		if strings.HasPrefix(key, "source-short") && i == 120 {
@@ -219,7 +221,7 @@
 	return true
 }
 
-// receive counts what comes to the far server, and echoes it, checks its lines, or (raw) only counts it.
+// receive counts what the far server receives, and echoes it, checks its lines, or (raw) only counts it.
 func (w *sites) receive(c net.Conn, in *bufio.Reader, key, class string, far bool) {
 	var next int
 	var begun []byte
@@ -253,7 +255,7 @@
 	}
 }
 
-// checkNumbered checks complete lines, and returns the rest.
+// checkNumbered checks the complete lines in data, and returns the rest.
 func (w *sites) checkNumbered(data []byte, next *int) []byte {
 	for i := bytes.IndexByte(data, '\n'); i >= 0; i = bytes.IndexByte(data, '\n') {
 		if string(data[:i+1]) != numbered(*next) {
@@ -267,7 +269,7 @@
 
 var asked atomic.Int64
 
-// terminal opens a connection that stands at the far region, or the near one.
+// terminal opens a client's connection, established at the far server or the near one.
 func (w *sites) terminal(key, class string, far bool) (*net.TCPConn, *bufio.Reader) {
 	w.t.Helper()
 	at := "r1"
@@ -297,7 +299,7 @@
 	}
 }
 
-// over measures the bytes that come to the far region, by class, and their sum a second.
+// over measures the bytes that the far server receives during d, by class, and their total per second.
 func (w *sites) over(d time.Duration) (map[string]int64, float64) {
 	w.mu.Lock()
 	clear(w.bytes)
@@ -314,7 +316,7 @@
 	return got, sum / time.Since(began).Seconds()
 }
 
-// echo sends a line and waits for it.
+// echo sends a line and returns the time until it has come back.
 func echo(c net.Conn, in *bufio.Reader, bytes int) (time.Duration, error) {
 	began := time.Now()
 	if _, err := io.WriteString(c, strings.Repeat("e", bytes-1)+"\n"); err != nil {
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -7,7 +7,7 @@
 	"oatloft/internal/clientstore"
 )
 
-// minSnapshotInterval is the least time between two snapshots of known clients.
+// minSnapshotInterval is the shortest interval between two snapshots of known clients.
 const minSnapshotInterval = time.Second
 
 // loadSnapshot restores the known clients of an earlier process, if there are any.
@@ -63,6 +63,12 @@
 	a.mu.Unlock()
 	snapshot := clientstore.Snapshot{CreatedAt: time.Now(), Seed: seed, Clients: clients}
 	if err := clientstore.Save(a.cfg.SnapshotPath, snapshot); err != nil {
-		a.limitedLog.Say(time.Now(), slog.LevelWarn, "snapshot", "known clients not kept", slog.Any("err", err))
+		a.limitedLog.Say(
+			time.Now(),
+			slog.LevelWarn,
+			"snapshot",
+			"cannot write snapshot of known clients",
+			slog.Any("err", err),
+		)
 	}
 }
--- a/internal/proxy/system_timer.go
+++ b/internal/proxy/system_timer.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemTimer is a timer of the system's, for pauses shorter than the runtime's. With one processor the runtime
-// polls the network only when no goroutine can run, or every 10 ms; a goroutine that yields in a loop can always
-// run, and one that sleeps does so for a millisecond at least. A timer of the system's is itself polled: waiting
-// for it makes the runtime poll, and ends on time. It is for one goroutine.
+// systemTimer is a kernel timer, for pauses shorter than the runtime's timers allow. With one processor the runtime
+// polls the network only when no goroutine is runnable, or every 10 ms; a goroutine that yields in a loop is always
+// runnable, and one that sleeps does so for at least a millisecond. A kernel timer is itself polled: waiting for it
+// makes the runtime poll, and it fires on time. It must be used by one goroutine only.
 type systemTimer struct {
 	fd   int
-	file *os.File // nil where there is no such timer
+	file *os.File // nil where no kernel timer is available
 }
 
 func newSystemTimer() *systemTimer {
@@ -24,8 +24,8 @@
 	return &systemTimer{fd, os.NewFile(uintptr(fd), "pause")}
 }
 
-// onExpiry calls expired, on a goroutine of its own, whenever a time that set has set is over, until close. It is
-// false where there is no timer of the system's.
+// onExpiry calls expired on a goroutine of its own, each time the timer expires, until close. It returns false where
+// no kernel timer is available.
 func (t *systemTimer) onExpiry(expired func()) bool {
 	if t.file == nil {
 		return false
@@ -38,14 +38,14 @@
 	return true
 }
 
-// wait returns when the timer expires; false if it is closed.
+// wait waits until the timer expires. It returns false if the timer is closed.
 func (t *systemTimer) wait() bool {
 	var count [8]byte
 	_, err := t.file.Read(count[:])
 	return err == nil
 }
 
-// set sets the time after which the timer expires, in place of the one before.
+// set makes the timer expire after d, in place of any earlier setting. It returns false on failure.
 func (t *systemTimer) set(d time.Duration) bool {
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(max(d, 1)))}
 	return unix.TimerfdSettime(t.fd, 0, &spec, nil) == nil
--- a/internal/proxy/together_test.go
+++ b/internal/proxy/together_test.go
@@ -9,8 +9,9 @@
 	"oatloft/internal/fake"
 )
 
-// What balancers do together is off but for the sections that switch it on, and what can't be together is refused.
-func TestTogetherIsOffUnlessTheEdgeFileSaysSo(t *testing.T) {
+// Coordination between balancers is off unless a section of the edge file enables it, and conflicting sections are
+// refused.
+func TestCoordinationRequiresEdgeConfig(t *testing.T) {
 	w, err := fake.New(1)
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +62,7 @@
 	}
 	if _, err := parse(&edgeconfig.Settings{Peers: peers(8), Numbered: &edgeconfig.Numbered{Number: 3}}); err == nil ||
 		!strings.HasPrefix(err.Error(), "numbered: ") {
-		t.Errorf("both: %v", err)
+		t.Errorf("both sections: %v", err)
 	}
 	if _, err := parse(&edgeconfig.Settings{Peers: peers(500)}); err == nil ||
 		!strings.HasPrefix(err.Error(), "peers.subset: ") {
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -9,11 +9,11 @@
 	"oatloft/policy"
 )
 
-// The trace is one log line for each event of the reducer and each effect, at level debug, by which a whole fleet
-// is counted afterwards (oatlab fleet reads it). It has no bytes of clients, and costs nothing while it is off. Its
-// words are read by programs and do not change.
+// The trace is one log line for each event of the reducer and each effect, at level debug, from which a whole fleet
+// is evaluated afterwards (by oatlab fleet). It contains no client data and costs nothing while it is off. Programs
+// parse its words, so they must not change.
 
-// tracing tells whether the trace is on, once for the whole run.
+// tracing reports whether the trace is on; it does not change while the balancer runs.
 func tracing(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
 func (b *Balancer) trace(kind string, attrs ...slog.Attr) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// traceList traces a list and its servers. warm is when a server is warm at the latest; 0 for one that started long
-// ago.
+// traceList traces a list and its servers. warm is the latest time at which a server has warmed up; 0 for one that
+// started long ago.
 func (b *Balancer) traceList(list core.EndpointsListed) {
 	draining, gone := 0, 0
 	for _, endpoint := range list.Endpoints {
@@ -75,7 +75,7 @@
 		slog.Int("draining", draining), slog.Int("gone", gone))
 }
 
-// traceProbe traces a probe's result. The figures are -1 where there is no load report.
+// traceProbe traces a probe's result. The load and the requests in flight are -1 without a load report.
 func (b *Balancer) traceProbe(probe core.ProbeFinished) {
 	load, inFlight := -1.0, -1.0
 	if probe.Report != nil {
--- a/internal/proxy/zone_link.go
+++ b/internal/proxy/zone_link.go
@@ -7,17 +7,17 @@
 	"oatloft/internal/revision"
 )
 
-// zoneLink is a bounded link in one direction. Its lock is held for moments, and nothing else is locked meanwhile.
+// zoneLink is a bounded link in one direction. Its lock is held only briefly, and no other lock is taken meanwhile.
 type zoneLink struct {
 	links  *zoneLinks
-	queues map[trafficKey]*bandwidthQueue // for the loop
+	queues map[trafficKey]*bandwidthQueue // used by the loop only
 
 	mu     sync.Mutex
 	link   revision.Link
 	shaper *bandwidth.Shaper[*connection]
 }
 
-// trafficKey names whose bytes share a queue.
+// trafficKey identifies the traffic that shares a queue.
 type trafficKey struct{ class, tenant string }
 
 // bandwidthQueue is where the bytes of one class and tenant wait for a link.
@@ -42,7 +42,8 @@
 	return queue
 }
 
-// take asks for a connection's turn to read up to most bytes. If it returns 0, the connection waits for its turn.
+// take requests a turn for a connection to read up to most bytes, and returns how many it may read. If that is 0, the
+// connection waits for its turn.
 func (q *bandwidthQueue) take(conn *connection, most int) int {
 	now := conn.balancer.now()
 	first := false
@@ -59,7 +60,7 @@
 	return n
 }
 
-// giveBack returns bytes of a turn that were not used.
+// giveBack returns unused bytes of a turn.
 func (q *bandwidthQueue) giveBack(n int) {
 	if n > 0 {
 		q.link.mu.Lock()
--- a/internal/proxy/zone_links.go
+++ b/internal/proxy/zone_links.go
@@ -12,21 +12,21 @@
 	"oatloft/internal/revision"
 )
 
-// reportInterval is the time between two reports to the reducer of servers whose bytes wait for a turn.
+// reportInterval is the interval at which servers whose bytes wait for a turn are reported to the reducer.
 const reportInterval = 20 * time.Millisecond
 
 // zoneLinks shapes the traffic over bounded links between this balancer's zone and others. A connection that
-// crosses a link without room is left unread until its turn, so that its sender is held back by its own connection.
-// No byte is dropped, reordered, or copied that could stay in the socket, and one connection's waiting does not
-// hold up another's. internal/bandwidth decides whose turn it is. Where no link is bounded, each read costs one
-// comparison with nil.
+// crosses a link without spare capacity is left unread until its turn, so that TCP flow control slows its sender. No
+// byte is dropped, reordered, or copied that could stay in the socket, and a waiting connection does not delay the
+// others. internal/bandwidth decides the order of turns. Where no link is bounded, each read costs one comparison
+// with nil.
 //
 // The fields belong to the loop, except for those that are atomic or channels, and part, which is safe for
 // concurrent use.
 type zoneLinks struct {
 	balancer      *Balancer
 	zone          string
-	receiveBuffer int // the system's, of a server's connection, in bytes
+	receiveBuffer int // of a server's connection in the system, in bytes
 	byZone        map[string]linkPair
 	shares        map[string]float64 // of tenants; replaced, never changed
 	nextReportAt  time.Time
@@ -46,7 +46,7 @@
 	return slices.DeleteFunc([]*zoneLink{p.to, p.from}, func(l *zoneLink) bool { return l == nil })
 }
 
-// newZoneLinks prepares for bounded links; there is none before setLinks.
+// newZoneLinks prepares for bounded links; there are none before setLinks.
 func newZoneLinks(b *Balancer, settings bandwidth.Settings, receiveBuffer int) (*zoneLinks, error) {
 	part, err := bandwidth.NewPart(settings)
 	if err != nil {
@@ -63,7 +63,13 @@
 	}
 	z.all.Store(new([]*zoneLink))
 	part.Bind(z.measure, z.applyGrants, func(err error) {
-		b.limitedLog.Say(time.Now(), slog.LevelWarn, "links", "links keep their safe parts", slog.Any("err", err))
+		b.limitedLog.Say(
+			time.Now(),
+			slog.LevelWarn,
+			"links",
+			"invalid bandwidth message, links stay limited to their safe parts",
+			slog.Any("err", err),
+		)
 	})
 	z.goroutines.Go(z.scheduleReads)
 	return z, nil
@@ -74,7 +80,7 @@
 	z.goroutines.Wait()
 }
 
-// setLinks takes the links of the revision in force. Connections that are established are shaped by them from now on.
+// setLinks applies the links of the revision in force. Established connections are shaped by them from now on.
 func (b *Balancer) setLinks(table []revision.Link) {
 	z := b.zoneLinks
 	if z == nil {
@@ -111,8 +117,8 @@
 	z.signal()
 }
 
-// tenantShares returns the tenants' shares of links. A tenant without a quota has as much as the one with the
-// largest.
+// tenantShares returns the tenants' shares of links. A tenant without a quota has the same share as the one with the
+// largest quota.
 func (b *Balancer) tenantShares() map[string]float64 {
 	tenants, largest := b.overlay(b.cfg.Core.Policy).Tenants, 0.0
 	for _, t := range tenants {
@@ -128,7 +134,7 @@
 	return shares
 }
 
-// newLink returns the link of an entry: the one that was there before, with the new settings, or a new one.
+// newLink returns the link for a table's entry: the existing one with the new settings, or a new one.
 func (z *zoneLinks) newLink(entry revision.Link, before []*zoneLink) *zoneLink {
 	now := z.balancer.now()
 	link := &zoneLink{
@@ -147,7 +153,7 @@
 	return link
 }
 
-// attach has both sides of an established flow shaped by the links that they cross.
+// attach makes both connections of an established flow subject to the links that they cross.
 func (z *zoneLinks) attach(c *client) {
 	var fromClient, fromServer *bandwidthQueue
 	if c.server != nil {
@@ -164,7 +170,8 @@
 	c.conn.setQueue(fromClient)
 }
 
-// handleTick tells the reducer which servers are not to blame for their silence: their bytes wait for a turn.
+// handleTick reports to the reducer the servers whose bytes wait for a turn, so that it does not count their silence
+// against them.
 func (z *zoneLinks) handleTick(now time.Time) {
 	if now.Before(z.nextReportAt) {
 		return
@@ -215,8 +222,8 @@
 	link.shaper.Owe(z.balancer.now(), queue.flow, n)
 }
 
-// shapeFromStart has an attempt's connection shaped before any other goroutine knows it. The system keeps little of
-// it unread: what it keeps has crossed the link already.
+// shapeFromStart shapes an attempt's connection before any other goroutine uses it. The system's receive buffer is
+// small, as the bytes in it have crossed the link already.
 func (z *zoneLinks) shapeFromStart(conn *connection) {
 	if link := z.byZone[z.balancer.core.ZoneOf(conn.server)].from; link != nil {
 		conn.queue, conn.receiveBuffer = link.queueFor(conn.client), z.receiveBuffer
@@ -234,7 +241,7 @@
 	return list
 }
 
-// applyGrants takes what this balancer has been granted of the links.
+// applyGrants applies the bandwidth of the links that this balancer has been granted.
 func (z *zoneLinks) applyGrants(grants []bandwidth.Grant, until time.Time) {
 	now := z.balancer.now()
 	expiry := until.Sub(z.balancer.cfg.StartOfClock)
@@ -250,8 +257,9 @@
 	z.signal()
 }
 
-// saturated returns the zones behind a link that is full in either direction, with the last priority rank that
-// still gets through. ranks are those of the classes; 1 is the highest priority. For the loop.
+// saturated returns the zones behind a link that is saturated in either direction, with the lowest priority (the
+// largest rank) that is still served. ranks are those of the classes; 1 is the highest priority. It must run on the
+// loop.
 func (z *zoneLinks) saturated(ranks map[string]int) map[string]int {
 	lowest := 0
 	for _, rank := range ranks {
@@ -279,7 +287,7 @@
 	return zones
 }
 
-// linksReport is what the counters say of links.
+// linksReport is the part of the counters about links.
 type linksReport struct {
 	ScheduledReads int64               `json:"turns"`
 	Unread         int64               `json:"unread"`
