--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -12,8 +12,8 @@
 	"oatloft/internal/platform"
 )
 
-// inPieces sends a text in pieces of size bytes, each handled before the next one is sent.
-func (h *triesLoop) inPieces(p *triesPeer, text string, size int) {
+// sendInPieces sends a text in pieces of size bytes, each handled before the next one is sent.
+func (h *triesLoop) sendInPieces(p *triesPeer, text string, size int) {
 	h.t.Helper()
 	for rest := text; len(rest) > 0; rest = rest[min(size, len(rest)):] {
 		if _, err := p.conn.Write([]byte(rest[:min(size, len(rest))])); err != nil {
@@ -26,7 +26,7 @@
 // An answer that violates the protocol fails a request that may have been executed, and nothing of it reaches the
 // client, in whatever pieces it arrives.
 func TestInvalidAnswers(t *testing.T) {
-	long := strings.Repeat("x", platform.MaxLine)
+	longLine := strings.Repeat("x", platform.MaxLine)
 	for name, answer := range map[string]string{
 		"binary":            "\x00\xff\x01\r\n",
 		"empty line":        "\r\n",
@@ -37,9 +37,9 @@
 		"invalid receipt":   "UP \x01\x02\r\n",
 		"longer word":       "UPPER 1\r\n",
 		"syntax":            "SYNTAX\r\n",
-		"4097 bytes":        "UP " + long[:platform.MaxLine-4] + "\r\n",
-		"without end":       long + long,
-		"refusal too long":  "BUSY " + long + "\r\n",
+		"4097 bytes":        "UP " + longLine[:platform.MaxLine-4] + "\r\n",
+		"without end":       longLine + longLine,
+		"refusal too long":  "BUSY " + longLine + "\r\n",
 		"refusal no return": "BUSY\n",
 		"error, then up":    "ERR\r\nUP 1\r\n",
 		"end, then up":      "BYE\r\nUP 1\r\n",
@@ -49,7 +49,7 @@
 				h := triesStart(t, "unsafe")
 				client := h.ask("1", time.Hour)
 				server := h.attempt()
-				h.inPieces(server, answer, size)
+				h.sendInPieces(server, answer, size)
 				h.ends("the client", client, "ERR\r\n")
 				h.turning("the server's end", func() bool { server.read(); return server.end != nil })
 				if n := h.s.core.Counters; n.Attempts != 1 || n.AttemptsFailed+n.AttemptsReset != 1 {
@@ -71,7 +71,7 @@
 			h := triesStart(t, "unsafe")
 			client := h.ask("1", time.Hour)
 			server := h.attempt()
-			h.inPieces(server, answer, size)
+			h.sendInPieces(server, answer, size)
 			h.gets("the client, "+name, client, answer)
 		}
 	}
@@ -80,17 +80,17 @@
 // A server rejects the request and then sends UP, in the same segment or after the next attempt has begun: the
 // client receives only the next attempt's UP.
 func TestSecondAnswerIsDropped(t *testing.T) {
-	for name, second := range map[string]bool{"in one segment": false, "later": true} {
+	for name, late := range map[string]bool{"in one segment": false, "later": true} {
 		h := triesStart(t, "unsafe")
 		client := h.ask("1", time.Hour)
 		first := h.attempt()
-		if !second {
+		if !late {
 			first.send(t, "BUSY\r\nUP old\r\n")
 		} else {
 			first.send(t, "BUSY\r\n")
 		}
 		next := h.attempt()
-		if second {
+		if late {
 			_, _ = first.conn.Write([]byte("UP old\r\n")) // fails if the balancer's end has arrived before
 		}
 		h.turning("the first server's end", func() bool { first.read(); return first.end != nil })
@@ -105,8 +105,8 @@
 // answer is no answer.
 func TestAnswersFollowedByEnd(t *testing.T) {
 	for _, x := range []struct {
-		answer string
-		again  bool // for a request that may not be repeated once it may have been executed
+		answer  string
+		retried bool // for a request that may not be repeated once it may have been executed
 	}{
 		{"BUSY\r\n", true},
 		{"BUSY 5 \r\n", true},
@@ -131,7 +131,7 @@
 			}
 			h.reached(first, ended)
 			h.s.handleEvents() // both in one turn
-			if x.again {
+			if x.retried {
 				h.served(client, h.attempt(), "2")
 			} else {
 				h.ends(fmt.Sprintf("the client after %q, reset %v,", x.answer, reset), client, "ERR\r\n")
@@ -155,7 +155,7 @@
 			_ = server.conn.CloseWrite()
 		}
 		h.ends("the client", client, "UP 1\r\nhalf a li")
-		if inOrder := client.end == syscall.ENODATA; inOrder == reset {
+		if closedByFIN := client.end == syscall.ENODATA; closedByFIN == reset {
 			t.Fatalf("reset %v, but the client's connection ended with %v", reset, client.end)
 		}
 	}
@@ -181,7 +181,7 @@
 // What the balancer buffers for a peer that does not read is bounded, and all of it arrives in order once it reads.
 func TestBacklogOfSlowReadersIsBounded(t *testing.T) {
 	// What may be read before the pause takes effect, and at an end.
-	const most = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer)
+	const limit = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer)
 	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18) // 4 MiB
 	for _, slowClient := range []bool{true, false} {
 		h := triesStart(t, "unsafe")
@@ -196,12 +196,12 @@
 		go func() { _, _ = from.conn.Write(text) }()
 		h.turning("the pause", func() bool { return backlog.backlog() > backpressureBytes })
 		for range 500 {
-			if h.s.handleEvents(); backlog.backlog() > most {
+			if h.s.handleEvents(); backlog.backlog() > limit {
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 		}
 		h.turning("all bytes", func() bool {
-			if backlog.backlog() > most {
+			if backlog.backlog() > limit {
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 			to.read()
@@ -235,17 +235,17 @@
 	}
 }
 
-// probeOf makes the balancer probe a server, and returns the server's side once the probe has arrived.
-func (h *triesLoop) probeOf(known *triesPeer) *triesPeer {
+// probeServer makes the balancer probe a server, and returns the server's side once the probe has arrived.
+func (h *triesLoop) probeServer(previous *triesPeer) *triesPeer {
 	h.t.Helper()
 	h.s.startProbe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
-	return h.probeCame(known)
+	return h.awaitProbe(previous)
 }
 
-// probeCame waits for a probe on the known connection or on a new one.
-func (h *triesLoop) probeCame(known *triesPeer) (p *triesPeer) {
+// awaitProbe waits for a probe on the known connection or on a new one.
+func (h *triesLoop) awaitProbe(previous *triesPeer) (p *triesPeer) {
 	h.t.Helper()
-	p = known
+	p = previous
 	h.until("a probe", func() bool {
 		h.s.handleEvents()
 		select {
@@ -261,24 +261,24 @@
 	return p
 }
 
-// answeredProbe sends an answer and waits until the probe has finished.
-func (h *triesLoop) answeredProbe(p *triesPeer, answer string) *probe {
+// answerProbe sends an answer and waits until the probe has finished.
+func (h *triesLoop) answerProbe(p *triesPeer, answer string) *probe {
 	h.t.Helper()
 	p.send(h.t, answer)
-	at := h.s.probes["r1"]
-	h.until("the probe's end", func() bool { h.s.handleEvents(); return !at.pending })
-	return at
+	probed := h.s.probes["r1"]
+	h.until("the probe's end", func() bool { h.s.handleEvents(); return !probed.pending })
+	return probed
 }
 
 // Probes share a connection as long as each gets one answer.
 func TestProbesShareConnection(t *testing.T) {
 	h := triesStart(t, "safe")
-	first := h.probeOf(nil)
-	h.answeredProbe(first, "PONG x0=0.5\r\n")
-	if second := h.probeOf(first); second != first {
+	first := h.probeServer(nil)
+	h.answerProbe(first, "PONG x0=0.5\r\n")
+	if second := h.probeServer(first); second != first {
 		t.Fatal("the next probe used another connection")
 	}
-	if at := h.answeredProbe(first, "PONG x0=0.6\r\n"); at.conn == nil || h.s.core.Counters.ProbesFailed != 0 {
+	if probed := h.answerProbe(first, "PONG x0=0.6\r\n"); probed.conn == nil || h.s.core.Counters.ProbesFailed != 0 {
 		t.Fatal("the connection was not kept")
 	}
 }
@@ -289,18 +289,18 @@
 	for _, late := range []bool{false, true} {
 		for _, more := range []string{"PONG x0=0.9\r\n", "PO", "\r\n"} {
 			h := triesStart(t, "safe")
-			first := h.probeOf(nil)
+			first := h.probeServer(nil)
 			if late {
-				h.answeredProbe(first, "PONG x0=0.5\r\n")
+				h.answerProbe(first, "PONG x0=0.5\r\n")
 				first.send(t, more)
 			} else {
-				h.answeredProbe(first, "PONG x0=0.5\r\n"+more)
+				h.answerProbe(first, "PONG x0=0.5\r\n"+more)
 			}
 			h.until("the end of the connection", func() bool { h.s.handleEvents(); first.read(); return first.end != nil })
 			if h.s.core.Counters.ProbesFailed != 0 {
 				t.Fatal("the probe that was answered failed")
 			}
-			if second := h.probeOf(nil); second == first {
+			if second := h.probeServer(nil); second == first {
 				t.Fatal("the next probe used the same connection")
 			}
 		}
@@ -310,20 +310,20 @@
 // A probe's answer that arrives after its deadline is dropped.
 func TestProbeAnsweredAfterDeadline(t *testing.T) {
 	h := triesStart(t, "safe")
-	first := h.probeOf(nil)
+	first := h.probeServer(nil)
 	first.send(t, "PONG x0=0.9\r\n")
 	h.until("the answer in the queue", func() bool { return h.queued(eventData) > 0 })
-	at := h.s.probes["r1"]
-	h.s.handleTick(at.deadline.Add(time.Millisecond))
-	if at.pending || at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
-		t.Fatalf("%+v", at)
+	probed := h.s.probes["r1"]
+	h.s.handleTick(probed.deadline.Add(time.Millisecond))
+	if probed.pending || probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
+		t.Fatalf("%+v", probed)
 	}
-	h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+	h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
 	h.s.handleEvents()
-	if !at.pending {
+	if !probed.pending {
 		t.Fatal("the late answer was taken for the next probe's")
 	}
-	if second := h.probeCame(nil); second == first {
+	if second := h.awaitProbe(nil); second == first {
 		t.Fatal("the next probe used the same connection")
 	}
 }
@@ -339,8 +339,8 @@
 		"\r\n",
 	} {
 		h := triesStart(t, "safe")
-		at := h.answeredProbe(h.probeOf(nil), answer)
-		if at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
+		probed := h.answerProbe(h.probeServer(nil), answer)
+		if probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
 			t.Fatalf("%.20q: %+v", answer, h.s.core.Counters)
 		}
 	}
@@ -351,24 +351,24 @@
 func TestProbeOnClosedConnection(t *testing.T) {
 	for _, closedFirst := range []bool{true, false} {
 		h := triesStart(t, "safe")
-		first := h.probeOf(nil)
-		at := h.answeredProbe(first, "PONG x0=0.5\r\n")
-		conn := at.conn
+		first := h.probeServer(nil)
+		probed := h.answerProbe(first, "PONG x0=0.5\r\n")
+		conn := probed.conn
 		if closedFirst {
 			_ = first.conn.Close()
 			h.reached(conn, ended) // its end waits in the queue
-			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+			h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
 		} else {
-			h.s.startProbe(core.Probe{Server: "r1", Address: at.addr, Timeout: triesWait})
+			h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
 			_ = first.conn.Close()
 		}
-		h.until("the probe's end", func() bool { h.s.handleEvents(); return !at.pending })
-		if at.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
-			t.Fatalf("%+v, %+v", at, h.s.core.Counters)
+		h.until("the probe's end", func() bool { h.s.handleEvents(); return !probed.pending })
+		if probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
+			t.Fatalf("%+v, %+v", probed, h.s.core.Counters)
 		}
-		if second := h.probeOf(nil); second == first {
+		if second := h.probeServer(nil); second == first {
 			t.Fatal("the next probe used the same connection")
 		}
-		at.conn.drop()
+		probed.conn.drop()
 	}
 }
--- a/internal/proxy/play_test.go
+++ b/internal/proxy/exchange_test.go
@@ -53,9 +53,9 @@
 	limit   time.Duration
 }
 
-var operated = regexp.MustCompile(`(?m)^management$`)
+var managementLine = regexp.MustCompile(`(?m)^management$`)
 
-var limits = regexp.MustCompile(`(?m)^(sockets|memory) (\d+)$`)
+var limitLines = regexp.MustCompile(`(?m)^(sockets|memory) (\d+)$`)
 
 type peer struct {
 	conn net.Conn
@@ -77,7 +77,7 @@
 			}
 			p := start(t, string(text))
 			for n, line := range strings.Split(string(text), "\n") {
-				if line == "" || line[0] == '#' || limits.MatchString(line) || operated.MatchString(line) {
+				if line == "" || line[0] == '#' || limitLines.MatchString(line) || managementLine.MatchString(line) {
 					continue
 				}
 				if err := p.step(p.vars.Replace(line)); err != nil {
@@ -102,7 +102,7 @@
 		t.Cleanup(func() { _ = l.Close() })
 		vars = append(vars, "$"+name, l.Addr().String())
 		p.regions[name] = l
-		go p.accept(l, name == "discovery" || name == "moved")
+		go p.acceptPeers(l, name == "discovery" || name == "moved")
 	}
 	p.vars = strings.NewReplacer(vars...)
 	body, err := os.ReadFile("testdata/config.json")
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range limits.FindAllStringSubmatch(text, -1) {
+	for _, m := range limitLines.FindAllStringSubmatch(text, -1) {
 		n, _ := strconv.Atoi(m[2])
 		if m[1] == "sockets" {
 			cfg.Sockets = n
@@ -121,7 +121,7 @@
 			cfg.MemoryMB = n
 		}
 	}
-	if operated.MatchString(text) {
+	if managementLine.MatchString(text) {
 		cfg.Management, cfg.StateDir = "127.0.0.1:0", t.TempDir()
 	}
 	if p.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
@@ -143,7 +143,7 @@
 }
 
 // accept plays the servers, which answer probes at once, and discovery.
-func (p *play) accept(l net.Listener, discovery bool) {
+func (p *play) acceptPeers(l net.Listener, discovery bool) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -256,11 +256,11 @@
 			}
 		},
 		"down": func(p *play, words []string, _ int) error { return p.regions[words[1]].Close() },
-		"fill": (*play).fill,
+		"fill": (*play).fillSockets,
 	}
 }
 
-func (p *play) fill(_ []string, number int) error {
+func (p *play) fillSockets(_ []string, number int) error {
 	for i := range number {
 		if err := p.step(fmt.Sprintf("filler%d > PING", i)); err != nil {
 			return err
@@ -303,11 +303,11 @@
 	},
 	"drain": func(p *play, who *peer, _ string, number int) (err error) {
 		for i := 0; i < number && err == nil; i++ {
-			err = p.expect(who, fmt.Sprintf("%0998d", i))
+			err = p.expectLine(who, fmt.Sprintf("%0998d", i))
 		}
 		return err
 	},
-	"gone": (*play).gone,
+	"gone": (*play).expectClosed,
 	"FIN": func(_ *play, who *peer, _ string, _ int) error {
 		return who.conn.(*net.TCPConn).CloseWrite()
 	},
@@ -322,10 +322,10 @@
 		}
 		return nil
 	},
-	"<": func(p *play, who *peer, text string, _ int) error { return p.expect(who, text) },
+	"<": func(p *play, who *peer, text string, _ int) error { return p.expectLine(who, text) },
 }
 
-func (p *play) gone(who *peer, _ string, _ int) (err error) {
+func (p *play) expectClosed(who *peer, _ string, _ int) (err error) {
 	_ = who.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	for i := 0; i < 99 && err == nil; i++ {
 		_, err = who.conn.Write(make([]byte, 1<<20))
@@ -336,7 +336,7 @@
 	return nil
 }
 
-func (p *play) expect(who *peer, text string) error {
+func (p *play) expectLine(who *peer, text string) error {
 	_ = who.conn.SetReadDeadline(time.Now().Add(p.limit))
 	p.limit = 3 * time.Second
 	got, err := who.in.ReadString('\n')
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -17,11 +17,11 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "counters.json", body)
-	again := reflect.New(reflect.TypeOf(b.counters))
-	if err := json.Unmarshal(golden.Read(t, "counters.json"), again.Interface()); err != nil {
+	decoded := reflect.New(reflect.TypeOf(b.counters))
+	if err := json.Unmarshal(golden.Read(t, "counters.json"), decoded.Interface()); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := json.Marshal(again.Interface()); err != nil || string(got) != string(body) {
+	if got, err := json.Marshal(decoded.Interface()); err != nil || string(got) != string(body) {
 		t.Errorf("%v: %s, want %s", err, got, body)
 	}
 }
--- a/internal/proxy/hot_restart.go
+++ b/internal/proxy/hot_restart.go
@@ -82,7 +82,7 @@
 			slog.Any("err", err),
 		)
 	}
-	before := b.otherProcesses
+	previous := b.otherProcesses
 	b.otherProcesses = hotrestart.Usage{}
 	placing := 0
 	for _, usage := range b.presence.Others() {
@@ -92,8 +92,8 @@
 			placing++
 		}
 	}
-	b.descriptorLimit.Add(before.Sockets - b.otherProcesses.Sockets)
-	if b.admission != nil && before.Sockets != b.otherProcesses.Sockets {
+	b.descriptorLimit.Add(previous.Sockets - b.otherProcesses.Sockets)
+	if b.admission != nil && previous.Sockets != b.otherProcesses.Sockets {
 		b.admission.setLimits(int(b.descriptorLimit.Load()), b.cfg.MemoryMB)
 	}
 	b.step(core.OverlappingProcesses{Count: placing})
--- a/internal/proxy/link_scheduler.go
+++ b/internal/proxy/link_scheduler.go
@@ -19,10 +19,10 @@
 // scheduleReads runs the reads that are due, on a goroutine of its own. It sleeps on a kernel timer: the runtime's
 // may fire up to a millisecond late, which is longer than a turn.
 func (z *zoneLinks) scheduleReads() {
-	timer, alarm := time.NewTimer(idlePause), newSystemTimer()
+	timer, kernelTimer := time.NewTimer(idlePause), newSystemTimer()
 	defer timer.Stop()
-	defer alarm.close()
-	exact := alarm.onExpiry(z.signal)
+	defer kernelTimer.close()
+	precise := kernelTimer.onExpiry(z.signal)
 	var turns []scheduledRead
 	for {
 		next := idlePause
@@ -35,7 +35,7 @@
 			}
 			next = min(next, link.untilNextRead(z.balancer.now))
 		}
-		if !exact || !alarm.set(next) {
+		if !precise || !kernelTimer.set(next) {
 			timer.Reset(next)
 		}
 		select {
--- a/internal/proxy/links_bench_test.go
+++ b/internal/proxy/links_bench_test.go
@@ -16,33 +16,33 @@
 // with a one-way delay of 0 and 10 ms between the zones.
 func BenchmarkTopClassDelay(b *testing.B) {
 	const rate = 1e6
-	for _, long := range []time.Duration{0, 10 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 10 * time.Millisecond} {
 		for _, x := range []struct {
-			name  string
-			bulk  int
-			bound bool
+			name    string
+			bulk    int
+			bounded bool
 		}{{"idle", 0, false}, {"idle-bounded", 0, true}, {"bulk", 8, false}, {"bulk-bounded", 8, true}} {
-			b.Run(fmt.Sprint(long, "/", x.name), func(b *testing.B) {
-				w := newSites(b)
-				w.wire = &wire{rate: rate, long: long}
-				if x.bound {
-					w.set(linkOf("a", "b", rate))
+			b.Run(fmt.Sprint(delay, "/", x.name), func(b *testing.B) {
+				w := newZoneHarness(b)
+				w.wire = &simulatedWire{rate: rate, delay: delay}
+				if x.bounded {
+					w.setLinks(testLink("a", "b", rate))
 				}
-				c, in := w.terminal("echo", "chat", true)
+				c, in := w.connectClient("echo", "chat", true)
 				var bulk []net.Conn
 				for range x.bulk {
-					c, _ := w.terminal("sink", "bulk", true)
+					c, _ := w.connectClient("sink", "bulk", true)
 					bulk = append(bulk, c)
 				}
 				for _, c := range bulk {
-					go pump(c)
+					go sendForever(c)
 				}
 				time.Sleep(time.Second)
 				var list []time.Duration
 				done := make(chan float64, 1)
-				go func() { _, sum := w.over(2 * time.Second); done <- sum }()
+				go func() { _, sum := w.measureBytes(2 * time.Second); done <- sum }()
 				for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
-					took, err := echo(c, in, 400)
+					took, err := roundTrip(c, in, 400)
 					if err != nil { // the client was migrated because of its delays
 						break
 					}
@@ -61,8 +61,8 @@
 	}
 }
 
-// used returns this process's CPU time, which does not depend on the machine's other load.
-func used() time.Duration {
+// cpuTime returns this process's CPU time, which does not depend on the machine's other load.
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -72,30 +72,30 @@
 // between three cases: off, on without a link in the table, and on with a link of 100 GB/s each way. Servers and
 // clients run in the same process.
 func BenchmarkLinkCost(b *testing.B) {
-	const turns, setups = 9, 200
+	const rounds, setups = 9, 200
 	names := []string{"off", "on, no link", "on, a wide link"}
 	var got [3][5][]float64 // by name
-	for range turns {
+	for range rounds {
 		for i, name := range names {
 			b.Run(name, func(b *testing.B) {
-				w := sitesWith(b, i > 0)
+				w := startZoneHarness(b, i > 0)
 				if i == 2 {
-					w.set(linkOf("a", "b", 100e9), linkOf("b", "a", 100e9))
+					w.setLinks(testLink("a", "b", 100e9), testLink("b", "a", 100e9))
 				}
 				var took []float64
-				before := used()
+				before := cpuTime()
 				for range setups {
 					began := time.Now()
-					c, in := w.terminal("echo", "bulk", true)
+					c, in := w.connectClient("echo", "bulk", true)
 					took = append(took, float64(time.Since(began).Microseconds()))
 					_ = c.CloseWrite()
 					_, _ = io.Copy(io.Discard, in) // a tenant's connections count until they have closed
 					_ = c.Close()
 				}
-				setUp := float64((used() - before).Microseconds()) / setups
+				setUp := float64((cpuTime() - before).Microseconds()) / setups
 				slices.Sort(took)
 				for range 4 {
-					c, _ := w.terminal("raw", "bulk", true)
+					c, _ := w.connectClient("raw", "bulk", true)
 					go func() {
 						for piece := make([]byte, 32<<10); ; {
 							if _, err := c.Write(piece); err != nil {
@@ -105,14 +105,14 @@
 					}()
 				}
 				time.Sleep(200 * time.Millisecond)
-				before = used()
-				_, sum := w.over(time.Second)
+				before = cpuTime()
+				_, sum := w.measureBytes(time.Second)
 				for k, x := range []float64{
 					took[setups/2],
 					took[setups*99/100],
 					setUp,
 					sum / 1e6,
-					float64((used() - before).Microseconds()) / sum * 1e6,
+					float64((cpuTime() - before).Microseconds()) / sum * 1e6,
 				} {
 					got[i][k] = append(got[i][k], x)
 				}
@@ -135,21 +135,21 @@
 // evenly it is divided among them.
 func BenchmarkSlowLink(b *testing.B) {
 	const rate, seconds = 20e3, 20
-	w := newSites(b)
-	w.set(linkOf("a", "b", rate))
+	w := newZoneHarness(b)
+	w.setLinks(testLink("a", "b", rate))
 	var all []net.Conn
 	for range 200 {
-		c, in := w.terminal("echo", "bulk", true)
+		c, in := w.connectClient("echo", "bulk", true)
 		all = append(all, c)
 		go func() { _, _ = io.Copy(io.Discard, in) }()
 	}
 	for _, c := range all {
-		go pump(c)
+		go sendForever(c)
 	}
 	time.Sleep(3 * time.Second)
-	before := w.lines()
-	_, sum := w.over(seconds * time.Second)
-	after := w.lines()
+	before := w.bytesByClient()
+	_, sum := w.measureBytes(seconds * time.Second)
+	after := w.bytesByClient()
 	var list []int64
 	for key, n := range after {
 		list = append(list, n-before[key])
@@ -162,9 +162,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// lines returns the bytes that arrived at the far server, by client.
-func (w *sites) lines() map[string]int64 {
+// bytesByClient returns the bytes that arrived at the far server, by client.
+func (w *zoneHarness) bytesByClient() map[string]int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.byKey)
+	return maps.Clone(w.receivedByKey)
 }
--- a/internal/proxy/parse_config.go
+++ b/internal/proxy/parse_config.go
@@ -196,8 +196,8 @@
 	}
 	c.setPolling(flat.Millis("rules.drain-grace-ms"))
 	for i := range c.Core.Policy.Classes {
-		giveUp := flat.Millis(fmt.Sprintf("classes.%d.give-up-ms", i))
-		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, giveUp)
+		clientTimeout := flat.Millis(fmt.Sprintf("classes.%d.give-up-ms", i))
+		c.Core.MaxClientTimeout = max(c.Core.MaxClientTimeout, clientTimeout)
 	}
 	if flat.Err != nil {
 		return &ConfigError{hint.Annotated{Where: "settings", Cause: flat.Err, Do: "fix the setting"}}
--- a/internal/proxy/peers_call.go
+++ b/internal/proxy/peers_call.go
@@ -65,13 +65,13 @@
 
 // describeMember describes a member and its signals.
 func describeMember(view membership.View, m membership.MemberView) string {
-	heard := "never"
+	lastReceived := "never"
 	if m.LastReceived > 0 {
-		heard = (view.At - m.LastReceived).Round(time.Millisecond).String() + "-ago"
+		lastReceived = (view.At - m.LastReceived).Round(time.Millisecond).String() + "-ago"
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s at=%s state=%s since=%v generation=%d heard=%s",
-		m.Name, m.Addr, m.State, m.InState.Round(time.Millisecond), m.Generation, heard)
+		m.Name, m.Addr, m.State, m.InState.Round(time.Millisecond), m.Generation, lastReceived)
 	for i, s := range m.Signals {
 		if text.Len() > maxDescriptionBytes {
 			fmt.Fprintf(&text, " and-%d-more", len(m.Signals)-i)
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -24,12 +24,12 @@
 // another attempt or its answer.
 func TestConnectedAsAttemptTimesOut(t *testing.T) {
 	for _, x := range []struct {
-		name     string
-		patience time.Duration
-		over     time.Duration // when the attempt times out
-		tick     bool          // the timer is handled first, else the connection
-		sent     bool          // the request's line is sent
-		answered bool          // the request has no time left for another attempt
+		name         string
+		timeout      time.Duration
+		timeoutAfter time.Duration // when the attempt times out
+		timerFirst   bool          // the timer is handled first, else the connection
+		sent         bool          // the request's line is sent
+		answered     bool          // the request has no time left for another attempt
 	}{
 		{"connect timeout, timer first", time.Hour, triesConnect, true, false, false},
 		{"connect timeout, connection first", time.Hour, triesConnect, false, true, false},
@@ -40,11 +40,11 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			h := triesStart(t, "safe")
-			client := h.ask("1", x.patience)
+			client := h.ask("1", x.timeout)
 			first, server := h.task("1"), h.accepted()
 			h.reached(first, live) // and its event waits in the queue
-			h.later(x.over)
-			if x.tick {
+			h.later(x.timeoutAfter)
+			if x.timerFirst {
 				h.tick()
 			}
 			h.s.handleEvents()
@@ -67,14 +67,14 @@
 
 // UP waits in the queue as its attempt times out. If the timer is handled first, the client does not receive it.
 func TestAnswerAsAttemptTimesOut(t *testing.T) {
-	for _, tick := range []bool{true, false} {
+	for _, timerFirst := range []bool{true, false} {
 		h := triesStart(t, "safe")
 		client := h.ask("1", time.Hour)
 		server := h.attempt()
 		server.send(t, "UP old\r\n")
 		h.until("UP in the queue", func() bool { return h.queued(eventData) > 0 })
 		h.later(triesAim)
-		if !tick {
+		if !timerFirst {
 			h.s.handleEvents()
 			h.tick()
 			h.gets("the client", client, "UP old\r\n")
@@ -110,12 +110,12 @@
 	h.served(client, second, "2")
 }
 
-// resets are points of an attempt at which its server resets it, and whether the request may have been executed by
+// resetPoints are points of an attempt at which its server resets it, and whether the request may have been executed by
 // then.
-var resets = []struct {
-	name  string
-	reset func(h *triesLoop)
-	ran   bool
+var resetPoints = []struct {
+	name       string
+	reset      func(h *triesLoop)
+	mayHaveRun bool
 }{
 	{"before the line, met before it is written", func(h *triesLoop) {
 		first := h.task("1")
@@ -160,7 +160,7 @@
 // A connection breaks at each point of an attempt. A request that may have been executed is repeated only where that
 // is allowed.
 func TestResetsAtEachPoint(t *testing.T) {
-	for _, x := range resets {
+	for _, x := range resetPoints {
 		for _, class := range []struct {
 			semantics string
 			repeated  bool // even if it may have been executed
@@ -169,7 +169,7 @@
 				h := triesStart(t, class.semantics)
 				client := h.ask("1", time.Hour)
 				x.reset(h)
-				if x.ran && !class.repeated {
+				if x.mayHaveRun && !class.repeated {
 					h.ends("the client", client, "ERR\r\n")
 					if n := h.s.core.Counters.Attempts; n != 1 {
 						t.Fatal(n, "attempts")
@@ -240,9 +240,9 @@
 	}
 }
 
-// triesFill fills the socket buffers on both ends of a connection that no one reads, so that the line has to wait.
+// fillSocket fills the socket buffers on both ends of a connection that no one reads, so that the line has to wait.
 // They are full once everything sent has been acknowledged, more is waiting, and a write still takes nothing.
-func triesFill(h *triesLoop, conn *connection) (filled int) {
+func fillSocket(h *triesLoop, conn *connection) (filled int) {
 	h.t.Helper()
 	junk := bytes.Repeat([]byte("x"), 8<<10)
 	h.until("a full socket", func() (full bool) {
@@ -250,12 +250,12 @@
 		defer conn.mu.Unlock()
 		withDescriptor(conn.conn, func(fd int) {
 			info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-			stands := err == nil && info.Unacked == 0 && info.Notsent_bytes > 0
+			settled := err == nil && info.Unacked == 0 && info.Notsent_bytes > 0
 			n := 0
 			for m := 1; m > 0; n += max(0, m) {
 				m, _ = syscall.Write(fd, junk)
 			}
-			full = stands && n == 0
+			full = settled && n == 0
 			filled += n
 		})
 		return full
@@ -267,9 +267,9 @@
 // have been executed only if the line's last byte was sent.
 func TestRequestWaitsForFullSocket(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		end  func(h *triesLoop, server *triesPeer, filled int)
-		ran  bool
+		name       string
+		end        func(h *triesLoop, server *triesPeer, filled int)
+		mayHaveRun bool
 	}{
 		{"reset before its last byte", func(h *triesLoop, server *triesPeer, filled int) { server.reset() }, false},
 		{"reset after its last byte", func(h *triesLoop, server *triesPeer, filled int) {
@@ -290,13 +290,13 @@
 			client := h.ask("1", time.Hour)
 			first, server := h.task("1"), h.accepted()
 			h.reached(first, live)
-			filled := triesFill(h, first)
+			filled := fillSocket(h, first)
 			h.s.handleEvents()
 			if first.backlog() == 0 {
 				t.Fatal("the line did not have to wait behind", filled, "bytes")
 			}
 			x.end(h, server, filled)
-			if x.ran {
+			if x.mayHaveRun {
 				h.ends("the client", client, "ERR\r\n")
 				return
 			}
@@ -305,8 +305,9 @@
 	}
 }
 
-// triesLate listens with a full backlog, so that further connections are established only once the test accepts.
-func triesLate(t *testing.T, ip byte) (addr string, accept func(*triesLoop)) {
+// listenWithFullBacklog listens with a full backlog, so that further connections are established only once the test
+// accepts.
+func listenWithFullBacklog(t *testing.T, ip byte) (addr string, accept func(*triesLoop)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -355,8 +356,8 @@
 // Connections are established after the connect timeout: attempts that were given up send nothing, and only the
 // current attempt sends the request's line.
 func TestConnectionsEstablishedLate(t *testing.T) {
-	one, acceptOne := triesLate(t, 11)
-	two, acceptTwo := triesLate(t, 12)
+	one, acceptOne := listenWithFullBacklog(t, 11)
+	two, acceptTwo := listenWithFullBacklog(t, 12)
 	h := &triesLoop{t: t, came: make(chan *triesPeer, 99)}
 	discovery, err := net.Listen("tcp", "127.8.2.3:0")
 	if err != nil {
@@ -377,14 +378,14 @@
 	if n := h.s.core.Counters; n.Attempts != 2 || n.AttemptsUnreachable != 1 {
 		t.Fatalf("%d attempts, %d unreachable", n.Attempts, n.AttemptsUnreachable)
 	}
-	for over := false; !over; {
+	for done := false; !done; {
 		select {
 		case late := <-h.came:
 			if h.until("its end", func() bool { late.read(); return late.end != nil }); len(late.got) > 0 {
 				t.Fatalf("sent on a connection that was given up: %q", late.got)
 			}
 		default:
-			over = true
+			done = true
 		}
 	}
 }
--- a/internal/proxy/revisions.go
+++ b/internal/proxy/revisions.go
@@ -198,7 +198,7 @@
 
 // handleRevisionCall answers an operator's call about revisions, on the caller's goroutine. It does not need the
 // loop, so a balancer answers it even while it may place no clients.
-func (b *Balancer) handleRevisionCall(words string) management.Answer {
+func (b *Balancer) handleRevisionCall(arguments string) management.Answer {
 	if b.revisions == nil {
 		return refuse(
 			"revisions are off: the edge file has no such section",
@@ -207,11 +207,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revisionTimeout)
 	defer cancel()
-	text, err := b.revisions.host.Operate(ctx, words)
+	text, err := b.revisions.host.Operate(ctx, arguments)
 	if err != nil {
 		return management.No("%s", hint.Line(err))
 	}
-	verb, _, _ := strings.Cut(words, " ")
+	verb, _, _ := strings.Cut(arguments, " ")
 	if !readsOnly(revision.Verb(verb)) {
 		b.log.Info("operators' call", "call", slog.StringValue("revision "+verb), "answer", text)
 	}
--- a/internal/proxy/server_connection.go
+++ b/internal/proxy/server_connection.go
@@ -71,7 +71,7 @@
 }
 
 // establish assigns the flow to the attempt's server. data is the answer and the bytes behind it.
-func (b *Balancer) establish(c *client, conn *connection, data, behind []byte) {
+func (b *Balancer) establish(c *client, conn *connection, data, trailing []byte) {
 	c.established = true
 	if b.admission != nil {
 		b.admission.established(c.conn.ticket)
@@ -80,7 +80,7 @@
 	if b.zoneLinks != nil {
 		b.zoneLinks.attach(c)
 	}
-	seen := c.fromServer.Read(behind)
+	seen := c.fromServer.Read(trailing)
 	c.lastServerWord = seen.Last
 	b.step(core.AttemptAccepted{
 		Client:  c.handle,
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -20,60 +20,61 @@
 // state that the balancer has of a server.
 
 const (
-	listWait = 30 * time.Second // what has to happen has happened by then, even on a busy machine
+	discoveryWait = 30 * time.Second // what has to happen has happened by then, even on a busy machine
 	// The platform's rule: a balancer has to know a change this long after discovery had it and was reachable.
-	listTold = 6 * time.Second
+	maxUpdateDelay = 6 * time.Second
 	// A pause of this process that the balancer may take for silence of discovery.
-	listStall = 700 * time.Millisecond
-	listHead  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	listBusy  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	longPause         = 700 * time.Millisecond
+	okHead            = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	unavailableAnswer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// listStood is the total time, in nanoseconds, for which this process did not run. On a busy machine that may be
+// pausedNanos is the total time, in nanoseconds, for which this process did not run. On a busy machine that may be
 // seconds, which do not count as the balancer's time.
 var (
-	listStood  atomic.Int64
-	listStalls atomic.Int64 // pauses longer than listStall
-	listGauge  sync.Once
+	pausedNanos  atomic.Int64
+	longPauses   atomic.Int64 // pauses longer than longPause
+	pauseMonitor sync.Once
 )
 
-func listClock() time.Time {
-	listGauge.Do(func() {
+// unpausedNow returns the current time less this process's pauses.
+func unpausedNow() time.Time {
+	pauseMonitor.Do(func() {
 		go func() {
-			const step = 20 * time.Millisecond
+			const interval = 20 * time.Millisecond
 			for last := time.Now(); ; last = time.Now() {
-				time.Sleep(step)
-				if late := time.Since(last) - step; late > step {
-					listStood.Add(int64(late))
+				time.Sleep(interval)
+				if excess := time.Since(last) - interval; excess > interval {
+					pausedNanos.Add(int64(excess))
 				}
-				if time.Since(last) > listStall {
-					listStalls.Add(1)
+				if time.Since(last) > longPause {
+					longPauses.Add(1)
 				}
 			}
 		}()
 	})
-	return time.Now().Add(-time.Duration(listStood.Load()))
+	return time.Now().Add(-time.Duration(pausedNanos.Load()))
 }
 
-// listCall is a call to discovery, as the test's discovery sees it.
-type listCall struct {
+// discoveryCall is a call to discovery, as the test's discovery sees it.
+type discoveryCall struct {
 	*peer
 	from int64     // the list version in the call
 	at   time.Time // when the call arrived
 }
 
-func (p *play) listNext(t *testing.T) *listCall {
+func (p *play) nextCall(t *testing.T) *discoveryCall {
 	t.Helper()
 	select {
 	case peer := <-p.watches:
-		c := &listCall{peer: peer}
-		_ = peer.conn.SetReadDeadline(time.Now().Add(listWait))
+		c := &discoveryCall{peer: peer}
+		_ = peer.conn.SetReadDeadline(time.Now().Add(discoveryWait))
 		line, err := peer.in.ReadString('\n')
-		c.at = listClock()
+		c.at = unpausedNow()
 		_, text, _ := strings.Cut(line, "from=")
 		text, _, _ = strings.Cut(text, " ")
 		if line == "" && err != nil {
-			return p.listNext(t) // canceled before it was sent
+			return p.nextCall(t) // canceled before it was sent
 		}
 		if c.from, err = strconv.ParseInt(text, 10, 64); err != nil {
 			t.Fatalf("%q: %v", line, err)
@@ -83,33 +84,33 @@
 		}
 		_ = peer.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := peer.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-			return p.listNext(t) // canceled before this test got to it
+			return p.nextCall(t) // canceled before this test got to it
 		}
 		return c
-	case <-time.After(listWait):
+	case <-time.After(discoveryWait):
 		t.Fatal("no call to discovery")
 	}
 	return nil
 }
 
-func (c *listCall) says(t *testing.T, text string) {
+func (c *discoveryCall) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// listAnswer answers a call and waits until the balancer has a server in the wanted state. If this test answers so
+// answerCall answers a call and waits until the balancer has a server in the wanted state. If this test answers so
 // late on a busy machine that the call was canceled, it answers the next one.
-func (p *play) listAnswer(t *testing.T, c *listCall, text, id string, want policy.ServerState) *listCall {
+func (p *play) answerCall(t *testing.T, c *discoveryCall, text, id string, want policy.ServerState) *discoveryCall {
 	t.Helper()
 	_, _ = io.WriteString(c.conn, text)
-	for end := time.Now().Add(listWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if p.listHolds(id, want) {
+	for end := time.Now().Add(discoveryWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if p.hasState(id, want) {
 			return c
 		}
 		if len(p.watches) > 0 {
-			c = p.listNext(t)
+			c = p.nextCall(t)
 			_, _ = io.WriteString(c.conn, text)
 		}
 	}
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// beats sends a heartbeat, an empty line, on the call every 100 ms until stopped.
-func (c *listCall) beats() (stop func()) {
+// sendHeartbeats sends a heartbeat, an empty line, on the call every 100 ms until stopped.
+func (c *discoveryCall) sendHeartbeats() (stop func()) {
 	over, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -127,26 +128,26 @@
 			case <-over:
 				return
 			case <-time.After(100 * time.Millisecond):
-				_, _ = io.WriteString(c.conn, listChunk("\n"))
+				_, _ = io.WriteString(c.conn, httpChunk("\n"))
 			}
 		}
 	}()
 	return func() { close(over); <-ended }
 }
 
-// listEnds waits for the balancer to close the call.
-func (c *listCall) listEnds(t *testing.T) {
+// awaitClose waits for the balancer to close the call.
+func (c *discoveryCall) awaitClose(t *testing.T) {
 	t.Helper()
-	_ = c.conn.SetReadDeadline(time.Now().Add(listWait))
+	_ = c.conn.SetReadDeadline(time.Now().Add(discoveryWait))
 	if _, err := c.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal("the call is still open:", err)
 	}
 }
 
-func listChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func httpChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// listOf returns a list with the health of r1 and r2, if given, as one line.
-func (p *play) listOf(seq int, whole bool, r1, r2 string) string {
+// listLine returns a list with the health of r1 and r2, if given, as one line.
+func (p *play) listLine(seq int, full bool, r1, r2 string) string {
 	var hosts []string
 	for name, health := range map[string]string{"r1": r1, "r2": r2} {
 		if health != "" {
@@ -156,22 +157,22 @@
 			)
 		}
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`+"\n", seq, whole, strings.Join(hosts, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`+"\n", seq, full, strings.Join(hosts, ","))
 }
 
-// listHas waits until the balancer has a server in a state.
-func (p *play) listHas(t *testing.T, id string, want policy.ServerState) {
+// awaitState waits until the balancer has a server in a state.
+func (p *play) awaitState(t *testing.T, id string, want policy.ServerState) {
 	t.Helper()
-	for end := time.Now().Add(listWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if p.listHolds(id, want) {
+	for end := time.Now().Add(discoveryWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if p.hasState(id, want) {
 			return
 		}
 	}
 	t.Fatalf("%s is not in state %d", id, want)
 }
 
-func (p *play) listHolds(id string, want policy.ServerState) bool {
-	held := make(chan policy.ServerState, 1)
+func (p *play) hasState(id string, want policy.ServerState) bool {
+	states := make(chan policy.ServerState, 1)
 	p.server.calls <- func() {
 		state := policy.Gone
 		for _, s := range p.server.core.ListedServers() {
@@ -179,13 +180,13 @@
 				state = s.State
 			}
 		}
-		held <- state
+		states <- state
 	}
-	return <-held == want
+	return <-states == want
 }
 
-// listRarely makes the balancer poll discovery at a long interval.
-func (p *play) listRarely() {
+// pollRarely makes the balancer poll discovery at a long interval.
+func (p *play) pollRarely() {
 	cfg := p.server.cfg
 	cfg.Core.Policy.PollInterval = 2 * time.Minute
 	p.reload <- cfg
@@ -194,40 +195,40 @@
 // Whenever a call goes silent, the next one begins, from the version that the balancer has, before a missed change
 // is overdue.
 func TestSilentWatchIsReopened(t *testing.T) {
-	for name, said := range map[string]func(p *play) []string{
+	for name, sent := range map[string]func(p *play) []string{
 		"accepted, never answered": func(*play) []string { return nil },
-		"head, no line":            func(*play) []string { return []string{listHead} },
-		"half a head":              func(*play) []string { return []string{listHead[:20]} },
+		"head, no line":            func(*play) []string { return []string{okHead} },
+		"half a head":              func(*play) []string { return []string{okHead[:20]} },
 		"first line in mid-chunk": func(p *play) []string {
-			return []string{listHead, listChunk(p.listOf(8, true, "ready", "ready"))[:60]}
+			return []string{okHead, httpChunk(p.listLine(8, true, "ready", "ready"))[:60]}
 		},
-		"after an empty line": func(*play) []string { return []string{listHead, listChunk("\n")} },
+		"after an empty line": func(*play) []string { return []string{okHead, httpChunk("\n")} },
 		"after a list": func(p *play) []string {
-			return []string{listHead, listChunk(p.listOf(8, true, "ready", "ready"))}
+			return []string{okHead, httpChunk(p.listLine(8, true, "ready", "ready"))}
 		},
 		"in mid-chunk, of a drain": func(p *play) []string {
-			return []string{listHead, listChunk("\n"), listChunk(p.listOf(8, false, "draining", ""))[:60]}
+			return []string{okHead, httpChunk("\n"), httpChunk(p.listLine(8, false, "draining", ""))[:60]}
 		},
 	} {
 		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p.listRarely()
-			c := p.listNext(t)
-			for _, text := range said(p) {
-				c.says(t, text)
+			p.pollRarely()
+			c := p.nextCall(t)
+			for _, text := range sent(p) {
+				c.send(t, text)
 			}
-			silent := listClock()
-			next := p.listNext(t)
-			if took := next.at.Sub(silent); took > listTold {
+			silentSince := unpausedNow()
+			next := p.nextCall(t)
+			if took := next.at.Sub(silentSince); took > maxUpdateDelay {
 				t.Errorf("the next call arrived %v after the silence began", took)
 			}
-			c.listEnds(t)
+			c.awaitClose(t)
 			if next.from != c.from && name != "after a list" || next.from > 8 {
 				t.Error("the next call is from version", next.from)
 			}
-			p.listAnswer(t, next, listHead+listChunk(p.listOf(9, false, "draining", "")), "r1", policy.Draining)
-			p.listHas(t, "r2", policy.Live)
+			p.answerCall(t, next, okHead+httpChunk(p.listLine(9, false, "draining", "")), "r1", policy.Draining)
+			p.awaitState(t, "r2", policy.Live)
 		})
 	}
 }
@@ -235,30 +236,33 @@
 // However many calls have failed, and in whatever way, the second one after discovery's return arrives in time, even
 // if the first one hangs. The configured poll interval is two minutes.
 func TestWatchIsReopenedInTimeAfterFailures(t *testing.T) {
-	fails := map[string]func(t *testing.T, c *listCall){
-		"refused with 503": func(t *testing.T, c *listCall) { c.says(t, listBusy) },
-		"reset":            func(_ *testing.T, c *listCall) { _ = c.conn.(*net.TCPConn).SetLinger(0); _ = c.conn.Close() },
-		"ended unanswered": func(_ *testing.T, c *listCall) { _ = c.conn.Close() },
-		"last chunk":       func(t *testing.T, c *listCall) { c.says(t, listHead+"0\r\n\r\n") },
-		"invalid":          func(t *testing.T, c *listCall) { c.says(t, listHead+listChunk("{]\n")) },
-		"canceled":         func(t *testing.T, c *listCall) { c.listEnds(t) },
+	failures := map[string]func(t *testing.T, c *discoveryCall){
+		"refused with 503": func(t *testing.T, c *discoveryCall) { c.send(t, unavailableAnswer) },
+		"reset": func(_ *testing.T, c *discoveryCall) {
+			_ = c.conn.(*net.TCPConn).SetLinger(0)
+			_ = c.conn.Close()
+		},
+		"ended unanswered": func(_ *testing.T, c *discoveryCall) { _ = c.conn.Close() },
+		"last chunk":       func(t *testing.T, c *discoveryCall) { c.send(t, okHead+"0\r\n\r\n") },
+		"invalid":          func(t *testing.T, c *discoveryCall) { c.send(t, okHead+httpChunk("{]\n")) },
+		"canceled":         func(t *testing.T, c *discoveryCall) { c.awaitClose(t) },
 	}
-	for name, fail := range fails {
+	for name, fail := range failures {
 		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p.listRarely()
+			p.pollRarely()
 			for range 4 {
-				fail(t, p.listNext(t))
+				fail(t, p.nextCall(t))
 			}
-			back := listClock()
-			_ = p.listNext(t) // hangs
-			second := p.listNext(t)
-			if took := second.at.Sub(back); took > listTold {
+			returned := unpausedNow()
+			_ = p.nextCall(t) // hangs
+			second := p.nextCall(t)
+			if took := second.at.Sub(returned); took > maxUpdateDelay {
 				t.Errorf("the second call arrived %v after discovery's return", took)
 			}
-			p.listAnswer(t, second, listHead+listChunk(p.listOf(8, false, "draining", "draining")), "r1", policy.Draining)
-			p.listHas(t, "r2", policy.Draining)
+			p.answerCall(t, second, okHead+httpChunk(p.listLine(8, false, "draining", "draining")), "r1", policy.Draining)
+			p.awaitState(t, "r2", policy.Draining)
 		})
 	}
 }
@@ -268,22 +272,22 @@
 func TestSlowListAndEndlessList(t *testing.T) {
 	for _, endless := range []bool{false, true} {
 		t.Run(fmt.Sprint("endless ", endless), func(t *testing.T) {
-			for !listIsSlow(t, endless) {
+			for !runSlowList(t, endless) {
 				t.Log("this process paused so long that the balancer may have received no data: repeating")
 			}
 		})
 	}
 }
 
-// listIsSlow plays one slow list. It returns false if this process paused meanwhile, which the balancer takes for
+// runSlowList plays one slow list. It returns false if this process paused meanwhile, which the balancer takes for
 // silence.
-func listIsSlow(t *testing.T, endless bool) bool {
+func runSlowList(t *testing.T, endless bool) bool {
 	t.Helper()
 	p := start(t, "")
-	first := p.listNext(t)
-	stalls := listStalls.Load()
-	list := listChunk(p.listOf(9, true, "draining", "ready"))
-	first.says(t, listHead+list[:50])
+	first := p.nextCall(t)
+	stalls := longPauses.Load()
+	list := httpChunk(p.listLine(9, true, "draining", "ready"))
+	first.send(t, okHead+list[:50])
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() { // blanks between the parts of an object
 		defer close(stopped)
@@ -302,72 +306,72 @@
 			}
 		}
 	}()
-	next := p.listNext(t)
-	if listStalls.Load() > stalls {
+	next := p.nextCall(t)
+	if longPauses.Load() > stalls {
 		close(stop)
 		<-stopped
 		return false
 	}
-	if took := next.at.Sub(first.at); took > listTold {
+	if took := next.at.Sub(first.at); took > maxUpdateDelay {
 		t.Errorf("the next call arrived %v after the slow one", took)
 	}
 	if endless {
-		next.says(t, listHead+listChunk(p.listOf(8, false, "", "draining")))
-		p.listHas(t, "r2", policy.Draining)
-		first.listEnds(t)
+		next.send(t, okHead+httpChunk(p.listLine(8, false, "", "draining")))
+		p.awaitState(t, "r2", policy.Draining)
+		first.awaitClose(t)
 		close(stop)
 		<-stopped
 		return true
 	}
 	close(stop)
 	<-stopped
-	p.listHas(t, "r1", policy.Draining)
-	next.says(t, listHead+listChunk("\n"))
-	first.listEnds(t)
-	next.says(t, listChunk(p.listOf(10, false, "ready", "")))
-	p.listHas(t, "r1", policy.Live)
+	p.awaitState(t, "r1", policy.Draining)
+	next.send(t, okHead+httpChunk("\n"))
+	first.awaitClose(t)
+	next.send(t, httpChunk(p.listLine(10, false, "ready", "")))
+	p.awaitState(t, "r1", policy.Live)
 	return true
 }
 
 // An invalid entry does not prevent the balancer from applying the drain in the same list, nor end its watch.
 func TestInvalidEntryInList(t *testing.T) {
 	p := start(t, "")
-	line := strings.Replace(p.listOf(8, true, "draining", "ready"), `"health":"ready"`, `"health":"well"`, 1)
-	c := p.listAnswer(t, p.listNext(t), listHead+listChunk(line), "r1", policy.Draining)
-	p.listHas(t, "r2", policy.Live)
-	c.says(t, listChunk(p.listOf(9, false, "", "gone")))
-	p.listHas(t, "r2", policy.Gone)
+	line := strings.Replace(p.listLine(8, true, "draining", "ready"), `"health":"ready"`, `"health":"well"`, 1)
+	c := p.answerCall(t, p.nextCall(t), okHead+httpChunk(line), "r1", policy.Draining)
+	p.awaitState(t, "r2", policy.Live)
+	c.send(t, httpChunk(p.listLine(9, false, "", "gone")))
+	p.awaitState(t, "r2", policy.Gone)
 }
 
 // A watch is reset, or closed after a list's last brace, after a last chunk or between two chunks, right before a
 // drain: the next call arrives in time.
 func TestWatchEndsRightBeforeADrain(t *testing.T) {
-	for name, end := range map[string]func(t *testing.T, p *play, c *listCall){
-		"reset": func(t *testing.T, p *play, c *listCall) {
+	for name, end := range map[string]func(t *testing.T, p *play, c *discoveryCall){
+		"reset": func(t *testing.T, p *play, c *discoveryCall) {
 			_ = c.conn.(*net.TCPConn).SetLinger(0)
 			_ = c.conn.Close()
 		},
-		"between two chunks": func(t *testing.T, p *play, c *listCall) { _ = c.conn.Close() },
-		"last chunk":         func(t *testing.T, p *play, c *listCall) { c.says(t, "0\r\n\r\n") },
-		"last brace": func(t *testing.T, p *play, c *listCall) {
-			c.says(t, listChunk(strings.TrimSpace(p.listOf(8, false, "", "draining"))))
+		"between two chunks": func(t *testing.T, p *play, c *discoveryCall) { _ = c.conn.Close() },
+		"last chunk":         func(t *testing.T, p *play, c *discoveryCall) { c.send(t, "0\r\n\r\n") },
+		"last brace": func(t *testing.T, p *play, c *discoveryCall) {
+			c.send(t, httpChunk(strings.TrimSpace(p.listLine(8, false, "", "draining"))))
 			_ = c.conn.Close()
-			p.listHas(t, "r2", policy.Draining)
+			p.awaitState(t, "r2", policy.Draining)
 		},
 	} {
 		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p.listRarely()
-			c := p.listNext(t)
-			c.says(t, listHead+listChunk("\n"))
+			p.pollRarely()
+			c := p.nextCall(t)
+			c.send(t, okHead+httpChunk("\n"))
 			end(t, p, c)
-			ended := listClock()
-			next := p.listNext(t)
-			if took := next.at.Sub(ended); took > listTold/2 {
+			ended := unpausedNow()
+			next := p.nextCall(t)
+			if took := next.at.Sub(ended); took > maxUpdateDelay/2 {
 				t.Errorf("the next call arrived %v after the end", took)
 			}
-			p.listAnswer(t, next, listHead+listChunk(p.listOf(9, false, "draining", "")), "r1", policy.Draining)
+			p.answerCall(t, next, okHead+httpChunk(p.listLine(9, false, "draining", "")), "r1", policy.Draining)
 		})
 	}
 }
@@ -375,57 +379,57 @@
 // A reload names another address of discovery. Until that one has answered, updates from the old one count; older
 // data from the new one does not; and once the new one has answered, the old call is closed.
 func TestReloadWithAnotherDiscovery(t *testing.T) {
-	for name, x := range map[string]func(t *testing.T, p *play, old, first *listCall) *listCall{
-		"answers at once": func(_ *testing.T, _ *play, _, first *listCall) *listCall { return first },
-		"503 first": func(t *testing.T, p *play, _, first *listCall) *listCall {
-			first.says(t, listBusy)
-			return p.listNext(t)
+	for name, x := range map[string]func(t *testing.T, p *play, old, first *discoveryCall) *discoveryCall{
+		"answers at once": func(_ *testing.T, _ *play, _, first *discoveryCall) *discoveryCall { return first },
+		"503 first": func(t *testing.T, p *play, _, first *discoveryCall) *discoveryCall {
+			first.send(t, unavailableAnswer)
+			return p.nextCall(t)
 		},
-		"never answers the first call": func(t *testing.T, p *play, _, first *listCall) *listCall {
-			next := p.listNext(t)
-			first.listEnds(t)
+		"never answers the first call": func(t *testing.T, p *play, _, first *discoveryCall) *discoveryCall {
+			next := p.nextCall(t)
+			first.awaitClose(t)
 			return next
 		},
-		"the old one ends before": func(t *testing.T, _ *play, old, first *listCall) *listCall {
+		"the old one ends before": func(t *testing.T, _ *play, old, first *discoveryCall) *discoveryCall {
 			_ = old.conn.Close()
 			return first
 		},
-		"invalid answer by the old one": func(t *testing.T, _ *play, old, first *listCall) *listCall {
-			old.says(t, "zz\r\n")
-			old.listEnds(t)
+		"invalid answer by the old one": func(t *testing.T, _ *play, old, first *discoveryCall) *discoveryCall {
+			old.send(t, "zz\r\n")
+			old.awaitClose(t)
 			return first
 		},
 	} {
 		p := start(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			old := p.listAnswer(
+			old := p.answerCall(
 				t,
-				p.listNext(t),
-				listHead+listChunk(p.listOf(8, true, "ready", "draining")),
+				p.nextCall(t),
+				okHead+httpChunk(p.listLine(8, true, "ready", "draining")),
 				"r2",
 				policy.Draining,
 			)
-			quiet := old.beats()
+			stopHeartbeats := old.sendHeartbeats()
 			cfg := p.server.cfg
 			cfg.Discovery = p.regions["moved"].Addr().String()
 			p.reload <- cfg
-			first := p.listNext(t)
-			quiet()
-			old.says(t, listChunk(p.listOf(9, false, "ready", ""))+listChunk(p.listOf(10, false, "draining", "")))
-			p.listHas(t, "r1", policy.Draining)
+			first := p.nextCall(t)
+			stopHeartbeats()
+			old.send(t, httpChunk(p.listLine(9, false, "ready", ""))+httpChunk(p.listLine(10, false, "draining", "")))
+			p.awaitState(t, "r1", policy.Draining)
 			next := x(t, p, old, first)
 			if next.from == 8 { // opened before the old one's update arrived: its answer begins with what is known
-				next.says(t, listHead+listChunk(p.listOf(9, false, "ready", "")))
-				old.listEnds(t)
-				p.listHas(t, "r1", policy.Draining)
+				next.send(t, okHead+httpChunk(p.listLine(9, false, "ready", "")))
+				old.awaitClose(t)
+				p.awaitState(t, "r1", policy.Draining)
 			} else {
-				next.says(t, listHead+listChunk("\n"))
-				old.listEnds(t)
+				next.send(t, okHead+httpChunk("\n"))
+				old.awaitClose(t)
 			}
-			next.says(t, listChunk(p.listOf(11, false, "", "ready")))
-			p.listHas(t, "r2", policy.Live)
-			p.listHas(t, "r1", policy.Draining)
+			next.send(t, httpChunk(p.listLine(11, false, "", "ready")))
+			p.awaitState(t, "r2", policy.Live)
+			p.awaitState(t, "r1", policy.Draining)
 		})
 	}
 }
@@ -434,7 +438,7 @@
 // applied; clients that are rejected get an answer or are not accepted at all, but are never reset.
 func TestWatchUnderOverload(t *testing.T) {
 	p := start(t, "sockets 60")
-	first := p.listNext(t) // silent
+	first := p.nextCall(t) // silent
 	clients := make([]*peer, 0, 80)
 	for range cap(clients) {
 		c, err := net.Dial("tcp", p.addr)
@@ -444,18 +448,18 @@
 		t.Cleanup(func() { _ = c.Close() })
 		clients = append(clients, newPeer(c))
 	}
-	second := p.listNext(t) // silent as well
-	first.listEnds(t)
-	third := p.listNext(t)
-	if took := third.at.Sub(first.at); took > listTold {
+	second := p.nextCall(t) // silent as well
+	first.awaitClose(t)
+	third := p.nextCall(t)
+	if took := third.at.Sub(first.at); took > maxUpdateDelay {
 		t.Errorf("the third call arrived %v after the first", took)
 	}
-	second.listEnds(t)
-	p.listAnswer(t, third, listHead+listChunk(p.listOf(8, false, "draining", "draining")), "r1", policy.Draining)
-	p.listHas(t, "r2", policy.Draining)
+	second.awaitClose(t)
+	p.answerCall(t, third, okHead+httpChunk(p.listLine(8, false, "draining", "draining")), "r1", policy.Draining)
+	p.awaitState(t, "r2", policy.Draining)
 	answered := 0
 	for _, c := range clients {
-		_ = c.conn.SetReadDeadline(time.Now().Add(listWait))
+		_ = c.conn.SetReadDeadline(time.Now().Add(discoveryWait))
 		line, err := c.in.ReadString('\n')
 		if err != nil {
 			t.Fatalf("%q, %v", line, err)
--- a/internal/proxy/shaping.go
+++ b/internal/proxy/shaping.go
@@ -33,7 +33,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waitsIn == nil || c.waitsIn.flow != queue.flow {
-		queue.giveBack(n)
+		queue.returnUnused(n)
 		return
 	}
 	c.waitsIn = nil
@@ -42,25 +42,25 @@
 	case c.endedData != nil:
 		c.passEndedData(n)
 	case c.state != live || c.conn == nil || c.paused || c.starved:
-		queue.giveBack(n)
+		queue.returnUnused(n)
 	case c.balancer.queue.isLong():
-		queue.giveBack(n)
+		queue.returnUnused(n)
 		c.balancer.queue.deferRead(c)
 	default:
 		c.readShaped(false, n)
 	}
 }
 
-// readShaped reads what the link has capacity for; given bytes of it are already granted to the connection. The
+// readShaped reads what the link has capacity for; granted bytes of it already belong to the connection. The
 // caller holds mu.
-func (c *connection) readShaped(poller bool, given int) {
+func (c *connection) readShaped(poller bool, granted int) {
 	if poller && peerHasClosed(c.conn) {
 		c.readToEnd()
 		return
 	}
 	for reads := 0; reads < maxReads; reads++ {
-		size := given
-		given = 0
+		size := granted
+		granted = 0
 		switch {
 		case c.exempt():
 			if reads > 0 {
@@ -88,7 +88,7 @@
 	buf := buffers.Get().(*[]byte)
 	n, err := c.conn.Read((*buf)[:size])
 	if !c.exempt() {
-		c.queue.giveBack(size - max(n, 0))
+		c.queue.returnUnused(size - max(n, 0))
 	}
 	if n > 0 {
 		*buf = (*buf)[:n]
@@ -160,9 +160,9 @@
 	return false
 }
 
-// passEndedData forwards what was read to the end as far as the link has capacity; given bytes of it are already
-// granted to the connection. The end follows the last byte. The caller holds mu.
-func (c *connection) passEndedData(given int) {
+// passEndedData forwards what was read to the end as far as the link has capacity; granted bytes of it already
+// belong to the connection. The end follows the last byte. The caller holds mu.
+func (c *connection) passEndedData(granted int) {
 	queue, data := c.queue, c.endedData
 	for len(data.pieces) > 0 {
 		if c.paused || c.starved || c.balancer.queue.isLong() {
@@ -171,13 +171,13 @@
 			}
 			break
 		}
-		size := given
-		given = 0
-		free := queue == nil || c.exempt()
+		size := granted
+		granted = 0
+		unlimited := queue == nil || c.exempt()
 		switch {
 		case queue == nil:
 			size = len(*data.pieces[0])
-		case free:
+		case unlimited:
 			size = exemptBytes
 		case size == 0:
 			size = queue.take(c, len(*data.pieces[0]))
@@ -186,18 +186,18 @@
 				return
 			}
 		}
-		buf := data.take(size)
-		if !free {
-			queue.giveBack(size - len(*buf))
+		buf := data.takeBytes(size)
+		if !unlimited {
+			queue.returnUnused(size - len(*buf))
 		}
 		c.postData(buf)
-		if free && queue != nil && len(data.pieces) > 0 {
+		if unlimited && queue != nil && len(data.pieces) > 0 {
 			c.balancer.queue.deferRead(c)
 			break
 		}
 	}
-	if given > 0 && queue != nil {
-		queue.giveBack(given)
+	if granted > 0 && queue != nil {
+		queue.returnUnused(granted)
 	}
 	if len(data.pieces) == 0 {
 		c.endedData = nil
@@ -205,8 +205,8 @@
 	}
 }
 
-// take removes up to size bytes from the first piece and returns them.
-func (d *endedData) take(size int) *[]byte {
+// takeBytes removes up to size bytes from the first piece and returns them.
+func (d *endedData) takeBytes(size int) *[]byte {
 	first := d.pieces[0]
 	if size >= len(*first) {
 		d.pieces[0] = nil
--- a/internal/proxy/sites_test.go
+++ b/internal/proxy/zone_harness_test.go
@@ -20,54 +20,54 @@
 	"oatloft/internal/revision"
 )
 
-// sites is two zones with a server each, and a balancer in the first. What a server does depends on the client's
+// zoneHarness is two zones with a server each, and a balancer in the first. What a server does depends on the client's
 // key: "sink" checks that numbered lines arrive in order, "echo" sends back what it receives, "source" sends
 // numbered lines, and "raw" only reads.
-type sites struct {
-	t      testing.TB
-	server *Balancer
-	mu     sync.Mutex
-	bytes  map[string]int64 // received by the far server, by class
-	byKey  map[string]int64 // received by the far server, by client
-	wrong  atomic.Int64     // lines lost, changed or out of order
-	ends   atomic.Int64     // connections that ended with FIN
-	wire   *wire            // simulated wire to the far server; nil for none
-	open   []net.Conn
+type zoneHarness struct {
+	t               testing.TB
+	balancer        *Balancer
+	mu              sync.Mutex
+	receivedByClass map[string]int64 // received by the far server, by class
+	receivedByKey   map[string]int64 // received by the far server, by client
+	badLines        atomic.Int64     // lines lost, changed or out of order
+	cleanEnds       atomic.Int64     // connections that ended with FIN
+	wire            *simulatedWire   // to the far server; nil for none
+	clientConns     []net.Conn
 }
 
-// wire simulates a wire with a rate and a one-way delay, which keeps the order of bytes. What a connection has in
-// flight is bounded, as by TCP.
-type wire struct {
-	mu   sync.Mutex
-	rate float64       // bytes per second
-	long time.Duration // one-way delay
-	busy time.Time     // until when it transmits what it has
+// simulatedWire simulates a wire with a rate and a one-way delay, which keeps the order of bytes. What a connection
+// has in flight is bounded, as by TCP.
+type simulatedWire struct {
+	mu        sync.Mutex
+	rate      float64       // bytes per second
+	delay     time.Duration // one-way delay
+	busyUntil time.Time     // until when it transmits what it has
 }
 
-// onWire bounds what one connection has in flight, in bytes.
-const onWire = 64 << 10
+// maxInFlightBytes bounds what one connection has in flight, in bytes.
+const maxInFlightBytes = 64 << 10
 
-// piece is data in flight, and when it arrives.
-type piece struct {
-	b  []byte
-	at time.Time
+// segment is data in flight, and when it arrives.
+type segment struct {
+	data      []byte
+	arrivesAt time.Time
 }
 
 // reader returns what a connection sends, as it comes out of the wire.
-func (w *wire) reader(c net.Conn) io.Reader {
+func (w *simulatedWire) reader(c net.Conn) io.Reader {
 	out, in := io.Pipe()
-	way := make(chan piece, onWire/1024)
+	inFlight := make(chan segment, maxInFlightBytes/1024)
 	go func() {
-		for p := range way {
-			time.Sleep(time.Until(p.at))
-			if _, err := in.Write(p.b); err != nil {
+		for p := range inFlight {
+			time.Sleep(time.Until(p.arrivesAt))
+			if _, err := in.Write(p.data); err != nil {
 				break
 			}
 		}
 		_ = in.Close()
 	}()
 	go func() {
-		defer close(way)
+		defer close(inFlight)
 		for {
 			b := make([]byte, 1024)
 			n, err := c.Read(b)
@@ -75,48 +75,48 @@
 				return
 			}
 			w.mu.Lock()
-			if now := time.Now(); w.busy.Before(now) {
-				w.busy = now
+			if now := time.Now(); w.busyUntil.Before(now) {
+				w.busyUntil = now
 			}
-			w.busy = w.busy.Add(time.Duration(float64(n) / w.rate * 1e9))
-			p := piece{b: b[:n], at: w.busy.Add(w.long)}
+			w.busyUntil = w.busyUntil.Add(time.Duration(float64(n) / w.rate * 1e9))
+			p := segment{data: b[:n], arrivesAt: w.busyUntil.Add(w.delay)}
 			w.mu.Unlock()
-			way <- p
+			inFlight <- p
 		}
 	}()
 	return out
 }
 
-func newSites(t testing.TB) *sites { return sitesWith(t, true) }
+func newZoneHarness(t testing.TB) *zoneHarness { return startZoneHarness(t, true) }
 
-func sitesWith(t testing.TB, on bool) *sites {
-	w := &sites{t: t, bytes: map[string]int64{}, byKey: map[string]int64{}}
+func startZoneHarness(t testing.TB, shaped bool) *zoneHarness {
+	w := &zoneHarness{t: t, receivedByClass: map[string]int64{}, receivedByKey: map[string]int64{}}
 	cfg, err := ParseConfig(w.config(w.listen()), Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if w.balancer, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	if on {
+	if shaped {
 		settings := bandwidth.Settings{Lease: time.Second, SafePart: 0.04, Holders: 2}
-		if w.server.zoneLinks, err = newZoneLinks(w.server, settings, 16<<10); err != nil {
+		if w.balancer.zoneLinks, err = newZoneLinks(w.balancer, settings, 16<<10); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := w.server.Start(); err != nil {
+	if err := w.balancer.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var goroutines sync.WaitGroup
-	goroutines.Go(func() { _ = w.server.Run(ctx, nil, nil, nil) })
-	if on {
-		goroutines.Go(func() { w.grant(ctx) })
+	goroutines.Go(func() { _ = w.balancer.Run(ctx, nil, nil, nil) })
+	if shaped {
+		goroutines.Go(func() { w.runAllocator(ctx) })
 	}
 	t.Cleanup(func() {
 		cancel()
 		goroutines.Wait()
-		for _, c := range w.open {
+		for _, c := range w.clientConns {
 			_ = c.Close()
 		}
 	})
@@ -125,7 +125,7 @@
 
 // listen opens the addresses of two servers and of discovery, and returns them as pairs of the configuration's
 // placeholder and its value.
-func (w *sites) listen() (vars []string) {
+func (w *zoneHarness) listen() (vars []string) {
 	for i, name := range []string{"$r1", "$r2", "$discovery"} {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.124.1.%d:0", i+1))
 		if err != nil {
@@ -140,7 +140,7 @@
 					return
 				}
 				if name != "$discovery" {
-					go w.region(c, name == "$r2")
+					go w.serve(c, name == "$r2")
 				}
 			}
 		}()
@@ -149,7 +149,7 @@
 }
 
 // config returns a configuration whose second server is in another zone, with a class bulk in addition to chat.
-func (w *sites) config(vars []string) []byte {
+func (w *zoneHarness) config(vars []string) []byte {
 	body, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		w.t.Fatal(err)
@@ -161,9 +161,9 @@
 	return []byte(strings.Replace(text, chat, chat+","+strings.Replace(chat, "chat", "bulk", 1), 1))
 }
 
-// grant plays the allocator of a fleet with one member, which grants bandwidth to itself.
-func (w *sites) grant(ctx context.Context) {
-	part, began := w.server.zoneLinks.part, time.Now()
+// runAllocator plays the allocator of a fleet with one member, which grants bandwidth to itself.
+func (w *zoneHarness) runAllocator(ctx context.Context) {
+	part, began := w.balancer.zoneLinks.part, time.Now()
 	part.Elected(-time.Hour)
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -173,16 +173,16 @@
 	}
 }
 
-func (w *sites) set(table ...revision.Link) {
+func (w *zoneHarness) setLinks(table ...revision.Link) {
 	done := make(chan struct{})
-	w.server.calls <- func() { w.server.setLinks(table); close(done) }
+	w.balancer.calls <- func() { w.balancer.setLinks(table); close(done) }
 	<-done
 }
 
-func numbered(n int) string { return fmt.Sprintf("%08d %s\n", n, strings.Repeat("x", 490)) }
+func numberedLine(n int) string { return fmt.Sprintf("%08d %s\n", n, strings.Repeat("x", 490)) }
 
-// region plays a server: it answers probes, and serves a request according to its key.
-func (w *sites) region(c net.Conn, far bool) {
+// serve plays a server: it answers probes, and serves a request according to its key.
+func (w *zoneHarness) serve(c net.Conn, far bool) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	if w.wire != nil && far {
@@ -214,7 +214,7 @@
 		if strings.HasPrefix(key, "source-short") && i == 120 {
 			return false
 		}
-		if _, err := io.WriteString(c, numbered(i)); err != nil {
+		if _, err := io.WriteString(c, numberedLine(i)); err != nil {
 			return false
 		}
 	}
@@ -222,9 +222,9 @@
 }
 
 // receive counts what the far server receives, and echoes it, checks its lines, or (raw) only counts it.
-func (w *sites) receive(c net.Conn, in *bufio.Reader, key, class string, far bool) {
+func (w *zoneHarness) receive(c net.Conn, in *bufio.Reader, key, class string, far bool) {
 	var next int
-	var begun []byte
+	var partial []byte
 	buf := make([]byte, 1024)
 	if strings.HasPrefix(key, "raw") {
 		buf = make([]byte, 32<<10)
@@ -233,8 +233,8 @@
 		n, err := in.Read(buf)
 		if far {
 			w.mu.Lock()
-			w.bytes[class] += int64(n)
-			w.byKey[key] += int64(n)
+			w.receivedByClass[class] += int64(n)
+			w.receivedByKey[key] += int64(n)
 			w.mu.Unlock()
 		}
 		switch {
@@ -244,11 +244,11 @@
 				return
 			}
 		default:
-			begun = w.checkNumbered(append(begun, buf[:n]...), &next)
+			partial = w.checkNumbered(append(partial, buf[:n]...), &next)
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				w.ends.Add(1)
+				w.cleanEnds.Add(1)
 			}
 			return
 		}
@@ -256,10 +256,10 @@
 }
 
 // checkNumbered checks the complete lines in data, and returns the rest.
-func (w *sites) checkNumbered(data []byte, next *int) []byte {
+func (w *zoneHarness) checkNumbered(data []byte, next *int) []byte {
 	for i := bytes.IndexByte(data, '\n'); i >= 0; i = bytes.IndexByte(data, '\n') {
-		if string(data[:i+1]) != numbered(*next) {
-			w.wrong.Add(1)
+		if string(data[:i+1]) != numberedLine(*next) {
+			w.badLines.Add(1)
 		}
 		*next++
 		data = data[i+1:]
@@ -267,23 +267,31 @@
 	return data
 }
 
-var asked atomic.Int64
+var lastRequestID atomic.Int64
 
-// terminal opens a client's connection, established at the far server or the near one.
-func (w *sites) terminal(key, class string, far bool) (*net.TCPConn, *bufio.Reader) {
+// connectClient opens a client's connection, established at the far server or the near one.
+func (w *zoneHarness) connectClient(key, class string, far bool) (*net.TCPConn, *bufio.Reader) {
 	w.t.Helper()
 	at := "r1"
 	if far {
 		at = "r2"
 	}
-	c, err := net.Dial("tcp", w.server.Addr())
+	c, err := net.Dial("tcp", w.balancer.Addr())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.open = append(w.open, c)
+	w.clientConns = append(w.clientConns, c)
 	_ = c.(*net.TCPConn).SetReadBuffer(16 << 10)
 	_ = c.(*net.TCPConn).SetWriteBuffer(16 << 10)
-	fmt.Fprintf(c, "OPEN %d %s-%d c=%s,t=acme,d=2000,at=%s\r\n", asked.Add(1), key, asked.Load(), class, at)
+	fmt.Fprintf(
+		c,
+		"OPEN %d %s-%d c=%s,t=acme,d=2000,at=%s\r\n",
+		lastRequestID.Add(1),
+		key,
+		lastRequestID.Load(),
+		class,
+		at,
+	)
 	in := bufio.NewReader(c)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "UP") {
 		w.t.Fatalf("%q, %v", line, err)
@@ -291,33 +299,33 @@
 	return c.(*net.TCPConn), in
 }
 
-func pump(c net.Conn) {
+func sendForever(c net.Conn) {
 	for i := 0; ; i++ {
-		if _, err := io.WriteString(c, numbered(i)); err != nil {
+		if _, err := io.WriteString(c, numberedLine(i)); err != nil {
 			return
 		}
 	}
 }
 
-// over measures the bytes that the far server receives during d, by class, and their total per second.
-func (w *sites) over(d time.Duration) (map[string]int64, float64) {
+// measureBytes measures the bytes that the far server receives during d, by class, and their total per second.
+func (w *zoneHarness) measureBytes(d time.Duration) (map[string]int64, float64) {
 	w.mu.Lock()
-	clear(w.bytes)
+	clear(w.receivedByClass)
 	w.mu.Unlock()
 	began := time.Now()
 	time.Sleep(d)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum, got := 0.0, map[string]int64{}
-	for class, n := range w.bytes {
+	for class, n := range w.receivedByClass {
 		got[class] = n
 		sum += float64(n)
 	}
 	return got, sum / time.Since(began).Seconds()
 }
 
-// echo sends a line and returns the time until it has come back.
-func echo(c net.Conn, in *bufio.Reader, bytes int) (time.Duration, error) {
+// roundTrip sends a line and returns the time until it has come back.
+func roundTrip(c net.Conn, in *bufio.Reader, bytes int) (time.Duration, error) {
 	began := time.Now()
 	if _, err := io.WriteString(c, strings.Repeat("e", bytes-1)+"\n"); err != nil {
 		return 0, err
@@ -326,7 +334,7 @@
 	return time.Since(began), err
 }
 
-func linkOf(from, to string, bytes float64) revision.Link {
+func testLink(from, to string, bytes float64) revision.Link {
 	return revision.Link{From: from, To: to, Bytes: bytes, Classes: []revision.LinkClass{
 		{Name: "chat", Priority: 1, MinShare: 0.3}, {Name: "bulk", Priority: 2, MinShare: 0.2}}}
 }
--- a/internal/proxy/zone_link.go
+++ b/internal/proxy/zone_link.go
@@ -42,13 +42,13 @@
 	return queue
 }
 
-// take requests a turn for a connection to read up to most bytes, and returns how many it may read. If that is 0, the
+// take requests a turn for a connection to read up to limit bytes, and returns how many it may read. If that is 0, the
 // connection waits for its turn.
-func (q *bandwidthQueue) take(conn *connection, most int) int {
+func (q *bandwidthQueue) take(conn *connection, limit int) int {
 	now := conn.balancer.now()
 	first := false
 	q.link.mu.Lock()
-	n := q.link.shaper.Take(now, q.flow, most)
+	n := q.link.shaper.Take(now, q.flow, limit)
 	if n == 0 {
 		q.link.shaper.Wait(now, q.flow, conn)
 		first = q.link.shaper.Waiting() == 1
@@ -60,8 +60,8 @@
 	return n
 }
 
-// giveBack returns unused bytes of a turn.
-func (q *bandwidthQueue) giveBack(n int) {
+// returnUnused returns unused bytes of a turn.
+func (q *bandwidthQueue) returnUnused(n int) {
 	if n > 0 {
 		q.link.mu.Lock()
 		q.link.shaper.Return(q.flow, n)
--- a/internal/proxy/zone_links.go
+++ b/internal/proxy/zone_links.go
@@ -88,14 +88,14 @@
 	}
 	z.shares = b.tenantShares()
 	z.part.SetTable(table, z.shares)
-	before := *z.all.Load()
+	existing := *z.all.Load()
 	byZone, all := map[string]linkPair{}, make([]*zoneLink, 0, len(table))
 	for _, l := range table {
 		outward, inward := l.From == z.zone, l.To == z.zone
 		if outward == inward {
 			continue
 		}
-		link := z.newLink(l, before)
+		link := z.newLink(l, existing)
 		all = append(all, link)
 		if outward {
 			pair := byZone[l.To]
@@ -135,7 +135,7 @@
 }
 
 // newLink returns the link for a table's entry: the existing one with the new settings, or a new one.
-func (z *zoneLinks) newLink(entry revision.Link, before []*zoneLink) *zoneLink {
+func (z *zoneLinks) newLink(entry revision.Link, existing []*zoneLink) *zoneLink {
 	now := z.balancer.now()
 	link := &zoneLink{
 		links:  z,
@@ -143,8 +143,8 @@
 		queues: map[trafficKey]*bandwidthQueue{},
 	}
 	same := func(l *zoneLink) bool { return l.link.From == entry.From && l.link.To == entry.To }
-	if i := slices.IndexFunc(before, same); i >= 0 {
-		link = before[i]
+	if i := slices.IndexFunc(existing, same); i >= 0 {
+		link = existing[i]
 	}
 	link.mu.Lock()
 	defer link.mu.Unlock()
@@ -177,7 +177,7 @@
 		return
 	}
 	z.nextReportAt = now.Add(reportInterval)
-	if !z.anyWaitFromServers() {
+	if !z.anyServerWaits() {
 		return
 	}
 	for _, c := range z.balancer.clients {
@@ -187,7 +187,7 @@
 	}
 }
 
-func (z *zoneLinks) anyWaitFromServers() bool {
+func (z *zoneLinks) anyServerWaits() bool {
 	for _, pair := range z.byZone {
 		if pair.from == nil {
 			continue
