--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -200,7 +200,7 @@
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 		}
-		h.turning("all bytes", func() bool {
+		h.turning("all", func() bool {
 			if backlog.backlog() > limit {
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -133,16 +133,16 @@
 	p.addr = p.server.Addr()
 	// A balancer left running would connect to ports that the next exchange has reused by then.
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	t.Cleanup(func() { cancel(); <-over })
+	stopped := make(chan struct{})
+	t.Cleanup(func() { cancel(); <-stopped })
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		p.ended <- p.server.Run(ctx, p.leave, nil, p.reload)
 	}()
 	return p
 }
 
-// accept plays the servers, which answer probes at once, and discovery.
+// acceptPeers plays the servers, which answer probes at once, and discovery.
 func (p *play) acceptPeers(l net.Listener, discovery bool) {
 	for {
 		c, err := l.Accept()
@@ -213,7 +213,7 @@
 	case "nothing", "long", "chunk", "flood", "drain", "narrow":
 		words = []string{words[1], words[0], words[2]}
 	}
-	who, err := p.peer(words[0])
+	side, err := p.peer(words[0])
 	if err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 	if step == nil {
 		return errors.New("unknown step")
 	}
-	return step(p, who, strings.Join(words[2:], ""), number)
+	return step(p, side, strings.Join(words[2:], ""), number)
 }
 
 // exchangeSteps are the steps of the exchange itself; number is the line's last word.
@@ -270,65 +270,65 @@
 }
 
 // peerSteps are the steps of one peer; text is the rest of the line, number its last word.
-var peerSteps = map[string]func(p *play, who *peer, text string, number int) error{
-	">": func(_ *play, who *peer, text string, _ int) error {
-		_, err := io.WriteString(who.conn, text+"\r\n")
+var peerSteps = map[string]func(p *play, side *peer, text string, number int) error{
+	">": func(_ *play, side *peer, text string, _ int) error {
+		_, err := io.WriteString(side.conn, text+"\r\n")
 		return err
 	},
-	">>": func(_ *play, who *peer, text string, _ int) error {
+	">>": func(_ *play, side *peer, text string, _ int) error {
 		text, err := strconv.Unquote(text)
 		if err == nil {
-			_, err = io.WriteString(who.conn, text)
+			_, err = io.WriteString(side.conn, text)
 		}
 		return err
 	},
-	"chunk": func(_ *play, who *peer, text string, _ int) error {
-		_, err := fmt.Fprintf(who.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
+	"chunk": func(_ *play, side *peer, text string, _ int) error {
+		_, err := fmt.Fprintf(side.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	},
-	"long": func(_ *play, who *peer, _ string, number int) error {
-		_, err := io.WriteString(who.conn, strings.Repeat("x", number))
+	"long": func(_ *play, side *peer, _ string, number int) error {
+		_, err := io.WriteString(side.conn, strings.Repeat("x", number))
 		return err
 	},
-	"flood": func(_ *play, who *peer, _ string, number int) error {
+	"flood": func(_ *play, side *peer, _ string, number int) error {
 		go func() {
 			for i := range number {
-				fmt.Fprintf(who.conn, "%0998d\r\n", i)
+				fmt.Fprintf(side.conn, "%0998d\r\n", i)
 			}
 		}()
 		return nil
 	},
-	"narrow": func(_ *play, who *peer, _ string, number int) error {
-		return who.conn.(*net.TCPConn).SetReadBuffer(number)
+	"narrow": func(_ *play, side *peer, _ string, number int) error {
+		return side.conn.(*net.TCPConn).SetReadBuffer(number)
 	},
-	"drain": func(p *play, who *peer, _ string, number int) (err error) {
+	"drain": func(p *play, side *peer, _ string, number int) (err error) {
 		for i := 0; i < number && err == nil; i++ {
-			err = p.expectLine(who, fmt.Sprintf("%0998d", i))
+			err = p.expectLine(side, fmt.Sprintf("%0998d", i))
 		}
 		return err
 	},
 	"gone": (*play).expectClosed,
-	"FIN": func(_ *play, who *peer, _ string, _ int) error {
-		return who.conn.(*net.TCPConn).CloseWrite()
+	"FIN": func(_ *play, side *peer, _ string, _ int) error {
+		return side.conn.(*net.TCPConn).CloseWrite()
 	},
-	"RST": func(_ *play, who *peer, _ string, _ int) error {
-		_ = who.conn.(*net.TCPConn).SetLinger(0)
-		return who.conn.Close()
+	"RST": func(_ *play, side *peer, _ string, _ int) error {
+		_ = side.conn.(*net.TCPConn).SetLinger(0)
+		return side.conn.Close()
 	},
-	"nothing": func(_ *play, who *peer, _ string, number int) error {
-		_ = who.conn.SetReadDeadline(time.Now().Add(time.Duration(number) * time.Millisecond))
-		if b, err := who.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+	"nothing": func(_ *play, side *peer, _ string, number int) error {
+		_ = side.conn.SetReadDeadline(time.Now().Add(time.Duration(number) * time.Millisecond))
+		if b, err := side.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("got %q, %v", b, err)
 		}
 		return nil
 	},
-	"<": func(p *play, who *peer, text string, _ int) error { return p.expectLine(who, text) },
+	"<": func(p *play, side *peer, text string, _ int) error { return p.expectLine(side, text) },
 }
 
-func (p *play) expectClosed(who *peer, _ string, _ int) (err error) {
-	_ = who.conn.SetWriteDeadline(time.Now().Add(time.Second))
+func (p *play) expectClosed(side *peer, _ string, _ int) (err error) {
+	_ = side.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	for i := 0; i < 99 && err == nil; i++ {
-		_, err = who.conn.Write(make([]byte, 1<<20))
+		_, err = side.conn.Write(make([]byte, 1<<20))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		return fmt.Errorf("writes still succeed: %v", err)
@@ -336,10 +336,10 @@
 	return nil
 }
 
-func (p *play) expectLine(who *peer, text string) error {
-	_ = who.conn.SetReadDeadline(time.Now().Add(p.limit))
+func (p *play) expectLine(side *peer, text string) error {
+	_ = side.conn.SetReadDeadline(time.Now().Add(p.limit))
 	p.limit = 3 * time.Second
-	got, err := who.in.ReadString('\n')
+	got, err := side.in.ReadString('\n')
 	switch text {
 	case "FIN", "RST":
 		if got != "" || text == "FIN" && err != io.EOF || text == "RST" && !errors.Is(err, syscall.ECONNRESET) {
@@ -349,7 +349,7 @@
 	}
 	if strings.HasPrefix(text, "GET ") && err == nil { // skip the call's header lines
 		for next := ""; next != "\r\n" && err == nil; {
-			next, err = who.in.ReadString('\n')
+			next, err = side.in.ReadString('\n')
 		}
 	}
 	if err == nil && got == text+"\r\n" {
--- a/internal/proxy/revision_config.go
+++ b/internal/proxy/revision_config.go
@@ -118,7 +118,7 @@
 
 // Error describes the problem.
 func (*MissingRevisions) Error() string {
-	return "links: the section revisions is missing, whose table defines the links"
+	return "links: requires the section revisions, whose table defines the links"
 }
 
 // Hint returns what an operator can do.
@@ -131,7 +131,7 @@
 
 // Error describes the problem.
 func (*RevisionsNotBuilt) Error() string {
-	return "revisions: this program was built without revisions"
+	return "revisions: not built into this program"
 }
 
 // Hint returns what an operator can do.
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -120,19 +120,19 @@
 
 // sendHeartbeats sends a heartbeat, an empty line, on the call every 100 ms until stopped.
 func (c *discoveryCall) sendHeartbeats() (stop func()) {
-	over, ended := make(chan struct{}), make(chan struct{})
+	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(100 * time.Millisecond):
 				_, _ = io.WriteString(c.conn, httpChunk("\n"))
 			}
 		}
 	}()
-	return func() { close(over); <-ended }
+	return func() { close(done); <-ended }
 }
 
 // awaitClose waits for the balancer to close the call.
@@ -285,7 +285,7 @@
 	t.Helper()
 	p := start(t, "")
 	first := p.nextCall(t)
-	stalls := longPauses.Load()
+	pausesBefore := longPauses.Load()
 	list := httpChunk(p.listLine(9, true, "draining", "ready"))
 	first.send(t, okHead+list[:50])
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -307,7 +307,7 @@
 		}
 	}()
 	next := p.nextCall(t)
-	if longPauses.Load() > stalls {
+	if longPauses.Load() > pausesBefore {
 		close(stop)
 		<-stopped
 		return false
