--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -102,7 +102,7 @@
 	b.peers.Set(membership.DrainKey, fmt.Append(nil, draining), lifetime)
 	readings := b.core.LoadReadings()
 	assigned := func(string) bool { return true }
-	if b.coordinator != nil && !draining { // a leaving balancer has no share, and this may run within a step
+	if b.coordinator != nil && !draining { // a draining balancer is assigned nothing, and this may run within a step
 		assigned = b.coordinate(now, readings)
 	}
 	b.sendReadings(readings, assigned)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -10,7 +10,7 @@
 )
 
 // The trace is one log line for each event of the reducer and each effect, at level debug, from which a whole fleet
-// is evaluated afterwards (by oatlab fleet). It contains no client data and costs nothing while it is off. Programs
+// is evaluated afterwards (by oatlab fleet). It contains no payload and costs nothing while it is off. Programs
 // parse its words, so they must not change.
 
 // tracing reports whether the trace is on; it does not change while the balancer runs.
--- a/internal/proxy/zone_harness_test.go
+++ b/internal/proxy/zone_harness_test.go
@@ -267,6 +267,7 @@
 	return data
 }
 
+// lastRequestID is the id of the last request, shared by all harnesses.
 var lastRequestID atomic.Int64
 
 // connectClient opens a client's connection, established at the far server or the near one.
