--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -8,9 +8,9 @@
 	"oatloft/internal/failpoint"
 )
 
-// SelectVoters returns who holds a vote at the bootstrap: count of the candidates, one zone after the other, so
-// that no zone has more than another needs to. The same list gives the same selection. The first one selected
-// begins the log.
+// SelectVoters returns the candidates that vote from the bootstrap on. It selects count of them round-robin over the
+// zones, so that votes are spread as evenly as possible. The same list gives the same selection. The first one
+// selected begins the log.
 func SelectVoters(candidates []Candidate, count int) []Candidate {
 	var zones []string
 	byZone := map[string][]Candidate{}
@@ -31,20 +31,20 @@
 	return selected
 }
 
-// bootstrap says who votes from the first entry on. All first voters begin with the same one, and messages carry
-// its number, so that two logs never mix.
+// bootstrap lists the members that vote from the first entry on. All first voters begin with the same one, and
+// messages carry its ID, so that two logs never mix.
 type bootstrap struct {
 	ID     uint64   `json:"Number"` // hash of the cluster's name and Voters; 0 for none
 	Voters []member `json:"Voters"` // empty at a member that was added later
 }
 
-// member is a member with a vote, or about to get one (a learner).
+// member is a voter, or a learner that is about to become one.
 type member struct {
 	ID       uint64 `json:"id"`
 	Name     string `json:"name"`
 	Zone     string `json:"zone,omitempty"`
 	Addr     string `json:"addr"`
-	Replaces uint64 `json:"for,omitempty"` // of a learner: whose vote it is to get; 0 for an additional one
+	Replaces uint64 `json:"for,omitempty"` // of a learner: ID of the voter that it replaces; 0 for an additional voter
 }
 
 func compareMembers(a, b member) int { return cmp.Compare(a.ID, b.ID) }
@@ -64,31 +64,31 @@
 	return bootstrap{ID: max(h.Sum64(), 1), Voters: voters}
 }
 
-// memberStatus is what a candidate says of its folder when asked.
+// memberStatus is the status of a candidate's folder as sent to other members.
 type memberStatus struct {
 	Name      string    `json:"Name"`
-	ID        uint64    `json:"ID"` // 0 if it has no folder in use yet
+	ID        uint64    `json:"ID"` // 0 if no folder is open yet
 	Bootstrap bootstrap `json:"Founded"`
 }
 
-// bootstrapStep is what a first voter with a fresh folder does next.
+// bootstrapStep is the next action of a first voter with a fresh folder.
 type bootstrapStep struct {
-	Begin  *bootstrap // begin with this one, after writing it down
-	Rejoin bool       // the log was begun without this folder: ask to come back as a new voter
-	Await  string     // the first one that has not answered
+	Begin  *bootstrap // record this bootstrap and begin
+	Rejoin bool       // the log was begun without this folder: rejoin as a new voter
+	Await  string     // name of the first voter to wait for
 }
 
-// decideBootstrap is what a first voter, with a fresh folder of number id, does by what the other first voters
-// report. Only the first one selected begins a log, and only when all others have reported that their folders are
-// fresh too. The others take its bootstrap over where it names their number. So two bootstraps that name the same
-// numbers cannot both get a majority: the first one alone could write a second bootstrap, and only with a new
-// folder, hence with another number of its own.
+// decideBootstrap returns the next action of a first voter whose fresh folder has the given ID, based on the statuses
+// that the other first voters report. Only the first one selected begins a log, and only after all others have
+// reported that their folders are fresh too. The others adopt its bootstrap if it contains their ID. So two bootstraps
+// that contain the same IDs cannot both get a majority: only the first one could write a second bootstrap, and only
+// with a new folder, hence with another ID of its own.
 func decideBootstrap(
-	cluster string, first []Candidate, name string, id uint64, reported map[string]memberStatus,
+	cluster string, firstVoters []Candidate, name string, id uint64, reported map[string]memberStatus,
 ) bootstrapStep {
 	await := ""
 	var fresh []member
-	for _, c := range first {
+	for _, c := range firstVoters {
 		status, ok := reported[c.Name]
 		if c.Name == name {
 			status, ok = memberStatus{Name: name, ID: id}, true
@@ -109,8 +109,8 @@
 	switch {
 	case await != "":
 		return bootstrapStep{Await: await}
-	case first[0].Name != name:
-		return bootstrapStep{Await: first[0].Name}
+	case firstVoters[0].Name != name:
+		return bootstrapStep{Await: firstVoters[0].Name}
 	}
 	begin := newBootstrap(cluster, fresh)
 	return bootstrapStep{Begin: &begin}
--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Methods of the calls between members. Other versions know them by these names.
+// Methods of the calls between members. The names are part of the wire protocol between versions.
 const (
 	methodRaft    = "agree.raft"     // messages between voters
-	methodStatus  = "agree.standing" // who leads, and the status of the member's folder
-	methodRecruit = "agree.enlist"   // a leader asks a candidate to get ready for a vote
-	methodRejoin  = "agree.return"   // a member comes back with a new folder
-	methodMember  = "agree.member"   // whether a voter still has its vote
+	methodStatus  = "agree.standing" // returns the known leader and the status of the member's folder
+	methodPrepare = "agree.enlist"   // a leader asks a candidate to prepare for a vote
+	methodRejoin  = "agree.return"   // a member rejoins with a new folder
+	methodMember  = "agree.member"   // reports whether a voter still has its vote
 )
 
 // memberAnswer is the leader's answer to methodMember.
 type memberAnswer struct {
-	Has      bool   `json:"Has"`
-	Founding uint64 `json:"Founding"` // number of the bootstrap that the leader belongs to
+	IsMember    bool   `json:"Has"`
+	BootstrapID uint64 `json:"Founding"` // bootstrap that the leader belongs to
 }
 
-// serve answers another member's call. Methods that are not the package's own go to the handler.
+// serve answers another member's call. Methods other than the package's own go to the handler.
 func (n *Node) serve(ctx context.Context, from, method string, body []byte) ([]byte, error) {
 	switch method {
 	case methodRaft:
 		return nil, n.serveRaft(ctx, from, body)
 	case methodStatus:
 		return n.serveStatus(len(body) > 0)
-	case methodRecruit:
-		return n.serveRecruit(ctx, body)
+	case methodPrepare:
+		return n.servePrepare(ctx, body)
 	case methodRejoin:
 		var m member
 		if err := json.Unmarshal(body, &m); err != nil || m.ID == 0 || m.Name != from {
 			return nil, n.malformedCall()
 		}
-		return n.acceptRejoin(ctx, m)
+		return n.handleRejoin(ctx, m)
 	case methodMember:
 		return n.serveMember(ctx, body)
 	}
@@ -44,7 +44,7 @@
 }
 
 func (n *Node) malformedCall() error {
-	return &RemoteError{Name: n.cfg.Name, Text: "a call has an unknown form"}
+	return &RemoteError{Name: n.cfg.Name, Text: "malformed call"}
 }
 
 // serveRaft queues another voter's messages.
@@ -55,7 +55,7 @@
 	}
 	r := n.runner.Load()
 	if r == nil || r.state.Load().bootstrapID != bootstrapID {
-		return &RemoteError{Name: n.cfg.Name, Text: n.cfg.Name + " isn't a voter of that founding"}
+		return &RemoteError{Name: n.cfg.Name, Text: n.cfg.Name + " is not a voter of that bootstrap"}
 	}
 	select {
 	case r.incoming <- batch{from: from, msgs: messages}:
@@ -63,11 +63,11 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(callTimeout):
-		return &Overloaded{What: "messages between voters", Limit: incomingQueue}
+		return &Overloaded{What: "messages between voters", Limit: incomingQueueBatches}
 	}
 }
 
-// serveStatus tells who leads and, if the caller asks for it, the status of the folder.
+// serveStatus returns the known leader and, withFolder, the status of the folder.
 func (n *Node) serveStatus(withFolder bool) ([]byte, error) {
 	reported := reportedStatus{memberStatus: memberStatus{Name: n.cfg.Name}}
 	if own := n.status.Load(); own != nil && withFolder {
@@ -78,15 +78,15 @@
 	return json.Marshal(reported)
 }
 
-// serveRecruit has the voter's goroutine get ready for a vote, and answers with the status of its folder.
-func (n *Node) serveRecruit(ctx context.Context, body []byte) ([]byte, error) {
+// servePrepare passes the request to the voter's goroutine and returns the status of the folder once it is prepared.
+func (n *Node) servePrepare(ctx context.Context, body []byte) ([]byte, error) {
 	var bootstrapID uint64
 	if err := json.Unmarshal(body, &bootstrapID); err != nil || bootstrapID == 0 {
 		return nil, n.malformedCall()
 	}
-	r := recruitment{bootstrapID: bootstrapID, reply: make(chan error, 1)}
+	request := prepareRequest{bootstrapID: bootstrapID, reply: make(chan error, 1)}
 	select {
-	case n.recruits <- r:
+	case n.prepareRequests <- request:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-n.ctx.Done():
@@ -95,14 +95,14 @@
 		if own := n.status.Load(); own == nil || own.Bootstrap.ID != bootstrapID {
 			return nil, &RemoteError{
 				Name: n.cfg.Name,
-				Text: n.cfg.Name + " can hold no vote at present",
-				Do:   "see what its log says of revisions",
+				Text: n.cfg.Name + " cannot hold a vote at present",
+				Do:   "check its log for messages that begin with revisions",
 			}
 		}
 		return json.Marshal(n.status.Load())
 	}
 	select {
-	case err := <-r.reply:
+	case err := <-request.reply:
 		if err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// serveMember tells, as the leader, whether a voter has its vote or is about to get one.
+// serveMember reports, at the leader, whether a voter has its vote or is about to get one.
 func (n *Node) serveMember(ctx context.Context, body []byte) ([]byte, error) {
 	var id uint64
 	if err := json.Unmarshal(body, &id); err != nil {
@@ -120,19 +120,19 @@
 	}
 	return queryReplica(ctx, n, func(r *replica) memberAnswer {
 		_, isMember := r.members[id]
-		requested := slices.ContainsFunc(r.requests, func(o timedRequest) bool { return o.Member.ID == id })
-		return memberAnswer{Has: isMember || requested, Founding: r.bootstrapID}
+		requested := slices.ContainsFunc(r.requests, func(o queuedRequest) bool { return o.Member.ID == id })
+		return memberAnswer{IsMember: isMember || requested, BootstrapID: r.bootstrapID}
 	})
 }
 
-// acceptRejoin notes, as the leader, that a member has come back with a new folder. The answer is the number of the
-// bootstrap that it belongs to, or 0 if no voter has its name.
-func (n *Node) acceptRejoin(ctx context.Context, m member) ([]byte, error) {
+// handleRejoin queues, at the leader, the request of a member that rejoins with a new folder. The answer is the ID of
+// the leader's bootstrap, or 0 if no voter has the member's name.
+func (n *Node) handleRejoin(ctx context.Context, m member) ([]byte, error) {
 	return queryReplica(ctx, n, func(r *replica) uint64 {
 		for id, other := range r.members {
 			switch {
 			case other.Name != m.Name || id == m.ID:
-			case other.Replaces != 0: // it had come back before, and not got its vote yet
+			case other.Replaces != 0: // it had rejoined before and is still a learner
 				m.Replaces = other.Replaces
 			case m.Replaces == 0:
 				m.Replaces = id
@@ -141,12 +141,12 @@
 		if m.Replaces == 0 {
 			return 0
 		}
-		r.request(memberRequest{Member: m})
+		r.addRequest(memberRequest{Member: m})
 		return r.bootstrapID
 	})
 }
 
-// queryReplica has the leader's replica answer a question on its goroutine, and returns the answer as JSON.
+// queryReplica runs answer on the goroutine of the leader's replica and returns the result as JSON.
 func queryReplica[T any](ctx context.Context, n *Node, answer func(*replica) T) ([]byte, error) {
 	if _, err := n.Confirm(ctx); err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	}
 	answers := make(chan T, 1)
 	if !r.post(func() { answers <- answer(r.replica) }) {
-		return nil, &Overloaded{What: "questions to the leader", Limit: callQueue}
+		return nil, &Overloaded{What: "requests to the leader", Limit: maxQueuedCalls}
 	}
 	select {
 	case a := <-answers:
--- a/internal/consensus/changes.go
+++ b/internal/consensus/changes.go
@@ -2,83 +2,83 @@
 
 import "slices"
 
-// memberView is a member as the leader sees it.
+// memberView is the leader's view of a member.
 type memberView struct {
 	member
 	Voter       bool
-	CaughtUp    bool   // it has all that is applied at the leader
-	Match       uint64 // the last entry it is known to have
-	SilentTicks int    // since the leader heard from it
+	CaughtUp    bool   // it has all entries that the leader has applied
+	Match       uint64 // index of the last entry it is known to have
+	SilentTicks int    // since the leader last received a message from it
 }
 
-// membershipView is what the next change is decided by. Times are the leader's ticks.
+// membershipView is the input of nextMembershipChange. Times are in ticks of the leader.
 type membershipView struct {
 	Self          uint64
-	Members       []memberView // by number
+	Members       []memberView // in order of their IDs
 	ChangePending bool
 	TargetVoters  int
 	ReplaceAfter  int // ticks of silence; 0 for never
 	Requests      []memberRequest
 }
 
-// memberRequest asks for a vote: an operator's replacement, or a member that comes back with a new folder. The
-// member is ready and waits.
+// memberRequest is a request for a vote: a replacement by an operator, a stand-in for a silent voter, or a member that
+// rejoins with a new folder. The member is prepared.
 type memberRequest struct {
-	Member     member // Replaces is the vote that it is to get
-	ByOperator bool   // also while the old one is heard from
+	Member     member // Replaces is the voter whose vote it gets
+	ByOperator bool   // applies even while the replaced voter is active
 }
 
-// changeKind is what to do next.
+// changeKind is the kind of a membership change.
 type changeKind int
 
 // The kinds of change.
 const (
 	noChange       changeKind = iota
-	addLearner                // without a vote
-	promoteLearner            // gives it a vote, that of Replaces if there is one
+	addLearner                // adds a member without a vote
+	promoteLearner            // gives a learner a vote, that of Replaces if there is one
 	removeMember
-	findCandidate // who could replace the member Replaces, or be one more voter if that is 0
+	findCandidate // searches for a member to replace Replaces, or to be an additional voter if that is 0
 )
 
 func (k changeKind) String() string {
-	return [...]string{"none", "take in without a vote", "give a vote", "take the vote away", "look"}[k]
+	return [...]string{"none", "add learner", "promote learner", "remove member", "find candidate"}[k]
 }
 
-// membershipChange is the next change, and whom it concerns.
+// membershipChange is a change of the members, and the member that it concerns.
 type membershipChange struct {
 	Kind   changeKind
 	Member member
 }
 
 const (
-	silentLearnerTicks = 40 * electionTicks // a learner that is silent for so long is removed
-	silentVoterTicks   = 2 * electionTicks  // a voter must be silent for so long before one of its name replaces it
+	silentLearnerTicks = 40 * electionTicks // silence after which a learner is removed
+	silentVoterTicks   = 2 * electionTicks  // silence after which a member of the same name may replace a voter
 )
 
-// nextMembershipChange decides on the next change of members: a pure function of what the leader has heard. One
-// change is pending at a time, and a new voter first follows as a learner until it has caught up.
+// nextMembershipChange decides on the next change of members; it is a pure function of the leader's view. Only one
+// change is pending at a time, and a new voter starts as a learner until it has caught up.
 func nextMembershipChange(v membershipView) membershipChange {
 	if v.ChangePending {
 		return membershipChange{}
 	}
 	voters, alive := v.countVoters()
 	if i := slices.IndexFunc(v.Members, func(m memberView) bool { return !m.Voter }); i >= 0 {
-		return v.changeOfLearner(v.Members[i], voters)
+		return v.learnerChange(v.Members[i], voters)
 	}
 	if change := v.requestedChange(voters); change.Kind != noChange {
 		return change
 	}
-	quietest, found := v.quietestVoter()
+	longestSilent, found := v.longestSilentVoter()
 	switch {
 	case voters > v.TargetVoters && found:
-		// A silent voter is removed first; one that is heard from only where the rest stays a majority without it.
-		if quietest.SilentTicks >= silentVoterTicks || alive-1 > (voters-1)/2 {
-			return membershipChange{Kind: removeMember, Member: quietest.member}
+		// A silent voter is removed first. An active one is removed only if the remaining active voters are a majority.
+		if longestSilent.SilentTicks >= silentVoterTicks || alive-1 > (voters-1)/2 {
+			return membershipChange{Kind: removeMember, Member: longestSilent.member}
 		}
 	case voters < v.TargetVoters:
 		return membershipChange{Kind: findCandidate}
-	case v.ReplaceAfter > 0 && found && quietest.SilentTicks >= v.ReplaceAfter:
-		return membershipChange{Kind: findCandidate, Member: member{Replaces: quietest.ID}}
+	case v.ReplaceAfter > 0 && found && longestSilent.SilentTicks >= v.ReplaceAfter:
+		return membershipChange{Kind: findCandidate, Member: member{Replaces: longestSilent.ID}}
 	}
 	return membershipChange{}
 }
@@ -104,25 +104,25 @@
 	return v.Members[i], true
 }
 
-// quietestVoter is the voter that has been silent for longest, the leader apart.
-func (v membershipView) quietestVoter() (quietest memberView, found bool) {
+// longestSilentVoter returns the voter that has been silent for longest, other than the leader.
+func (v membershipView) longestSilentVoter() (longest memberView, found bool) {
 	for _, m := range v.Members {
-		if m.Voter && m.ID != v.Self && (!found || m.SilentTicks > quietest.SilentTicks) {
-			quietest, found = m, true
+		if m.Voter && m.ID != v.Self && (!found || m.SilentTicks > longest.SilentTicks) {
+			longest, found = m, true
 		}
 	}
-	return quietest, found
+	return longest, found
 }
 
-// changeOfLearner removes a learner that is silent, or whose vote is not needed any more, and promotes one that has
-// caught up.
-func (v membershipView) changeOfLearner(learner memberView, voters int) membershipChange {
+// learnerChange removes a learner that is silent, whose vote is not needed any more or whose folder was lost, and
+// promotes one that has caught up.
+func (v membershipView) learnerChange(learner memberView, voters int) membershipChange {
 	_, replacedIsVoter := v.voter(learner.Replaces)
-	lostAgain := slices.ContainsFunc(v.Requests, func(r memberRequest) bool { // its folder
+	newerFolder := slices.ContainsFunc(v.Requests, func(r memberRequest) bool {
 		return r.Member.Name == learner.Name && r.Member.ID != learner.ID
 	})
 	switch {
-	case lostAgain,
+	case newerFolder,
 		learner.SilentTicks > silentLearnerTicks,
 		learner.Replaces != 0 && !replacedIsVoter,
 		learner.Replaces == 0 && voters >= v.TargetVoters:
@@ -133,7 +133,7 @@
 	return membershipChange{}
 }
 
-// requestedChange adds the first member that may get the vote it asks for.
+// requestedChange adds the first requesting member that may get the vote as a learner.
 func (v membershipView) requestedChange(voters int) membershipChange {
 	for _, r := range v.Requests {
 		if slices.ContainsFunc(v.Members, func(m memberView) bool { return m.ID == r.Member.ID }) {
--- a/internal/consensus/checksum.go
+++ b/internal/consensus/checksum.go
@@ -6,6 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// withChecksum returns value preceded by an 8-byte checksum of key and value.
 func withChecksum(key, value []byte) []byte {
 	d := xxhash.New()
 	_, _ = d.Write(key)
@@ -13,7 +14,8 @@
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(value)), d.Sum64()), value...)
 }
 
-func checkChecksum(key, b []byte) ([]byte, bool) {
+// verifyChecksum returns the value in b, and whether its checksum matches.
+func verifyChecksum(key, b []byte) ([]byte, bool) {
 	if len(b) < 8 {
 		return nil, false
 	}
@@ -23,7 +25,8 @@
 	return b[8:], d.Sum64() == binary.BigEndian.Uint64(b)
 }
 
-func chain(before, index uint64, body []byte) uint64 {
+// chainChecksum returns the checksum of an entry, chained to that of the entry before it.
+func chainChecksum(before, index uint64, body []byte) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], before)
 	binary.BigEndian.PutUint64(b[8:], index)
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -11,45 +11,45 @@
 type Candidate struct {
 	Name string
 	Zone string
-	Addr string // IP and port that other members call
+	Addr string // IP address and port at which other members call it
 }
 
-// Config is what a member is started with. Zero values of what is a number or a time stand for the defaults.
+// Config holds the settings of a member. Zero numbers and durations select the defaults.
 type Config struct {
-	Cluster    string // members of another cluster are refused, and so is its folder
+	Cluster    string // calls and folders of another cluster are refused
 	Name       string
-	Listen     string            // where others call; "" for a member that is no candidate, and listens nowhere
-	Candidates []Candidate       // who may hold a vote, the same list in the same order at all members
-	Voters     int               // how many of them do, 1 to 7; 3 by default, or all where there are fewer
-	Reach      map[string]string // by name, where to call in place of a candidate's address
-	Folder     string            // made if missing, mode 0700
-
-	Tick          time.Duration // 50 ms; an election starts after 10 to 20 of them without a leader
-	ReplaceAfter  time.Duration // a voter that is silent for so long loses its vote to another candidate; 0 for never
-	SnapshotEvery uint64        // entries; 1000
-	KeepEntries   uint64        // entries kept behind a snapshot for voters that lag; 500
-	Seed          uint64        // of the order in which others are asked
-
-	maxEntryBytes int64        // bytes of entries kept at most, about; a quarter of it stays behind a snapshot
-	writeFault    func() error // of tests: what a write to the folder ends with, in place of being done
+	Listen     string            // address for calls of other members; "" if the member is not a candidate
+	Candidates []Candidate       // members that may hold a vote; the same list in the same order at all members
+	Voters     int               // number of votes, 1 to 7; default 3, or the number of candidates if that is lower
+	Reach      map[string]string // by name, address to call instead of the candidate's own
+	Folder     string            // created with mode 0700 if missing
+
+	Tick          time.Duration // default 50 ms; an election starts after 10 to 20 ticks without a leader
+	ReplaceAfter  time.Duration // a voter that is silent for this long loses its vote to another candidate; 0 for never
+	SnapshotEvery uint64        // entries between snapshots; default 1000
+	KeepEntries   uint64        // entries kept before a snapshot for voters that lag; default 500
+	Seed          uint64        // seeds the order in which candidates are queried for the leader
+
+	maxEntryBytes int64        // approximate limit for the bytes of kept entries; a quarter stays before a snapshot
+	writeFault    func() error // for tests: called before each write to the folder; an error fails the write
 }
 
 const (
-	electionTicks  = 10
-	heartbeatTicks = 2
-	maxVoters      = 7
-	maxEntry       = 1 << 20 // bytes of one entry
-	maxNameBytes   = 128
-	maxCandidates  = 64
+	electionTicks    = 10
+	heartbeatTicks   = 2
+	maxVoters        = 7       // number of votes
+	maxProposalBytes = 1 << 20 // bytes of one entry
+	maxNameBytes     = 128
+	maxCandidates    = 64
 
 	defaultTick          = 50 * time.Millisecond
 	defaultVoters        = 3
-	defaultSnapshotEvery = 1000
-	defaultKeepEntries   = 500
+	defaultSnapshotEvery = 1000 // entries
+	defaultKeepEntries   = 500  // entries
 	defaultMaxEntryBytes = 8 << 20
 )
 
-// withDefaults fills in what is zero, and checks. The error is a *ConfigError.
+// withDefaults validates the settings and replaces zero values by defaults. The error is a *ConfigError.
 func (c Config) withDefaults() (Config, error) {
 	for _, check := range []func() error{c.checkNames, c.checkMembers, c.checkReach, c.checkListen} {
 		if err := check(); err != nil {
@@ -72,10 +72,10 @@
 	switch {
 	case !isName(c.Cluster):
 		return &ConfigError{
-			Field: "cluster", Why: "it needs a name of 1 to 128 bytes", Do: "set the same cluster's name at all balancers",
+			Field: "cluster", Why: "must be a name of 1 to 128 bytes", Do: "set the same cluster name at all balancers",
 		}
 	case !isName(c.Name):
-		return &ConfigError{Field: "name", Why: "it needs 1 to 128 bytes", Do: "give each balancer a name of its own"}
+		return &ConfigError{Field: "name", Why: "must be 1 to 128 bytes", Do: "give each balancer a unique name"}
 	}
 	return nil
 }
@@ -85,14 +85,14 @@
 	case len(c.Candidates) == 0 || len(c.Candidates) > maxCandidates:
 		return &ConfigError{
 			Field: "members",
-			Why:   "1 to 64 of them are needed",
-			Do:    "list the balancers that may hold a vote, the same list in the same order at all",
+			Why:   "must list 1 to 64 members",
+			Do:    "list the balancers that may hold a vote, in the same order at all balancers",
 		}
 	case c.Voters < 0 || c.Voters > maxVoters:
-		return &ConfigError{Field: "voters", Why: "there can be 1 to 7", Do: "choose 3 or 5"}
+		return &ConfigError{Field: "voters", Why: "must be 1 to 7", Do: "choose 3 or 5"}
 	case c.Voters > len(c.Candidates):
 		return &ConfigError{
-			Field: "voters", Why: "there are fewer members than that", Do: "list more members, or lower the number of voters",
+			Field: "voters", Why: "exceeds the number of members", Do: "list more members, or lower the number of voters",
 		}
 	}
 	listed := map[string]bool{}
@@ -100,7 +100,7 @@
 		if !isName(candidate.Name) || listed[candidate.Name] {
 			return &ConfigError{
 				Field: "members",
-				Why:   "each needs a name of its own; " + quoted(candidate.Name) + " has none",
+				Why:   "each needs a unique name of 1 to 128 bytes, got " + quoted(candidate.Name),
 				Do:    "list each balancer once",
 			}
 		}
@@ -108,7 +108,7 @@
 		if !isAddress(candidate.Addr) {
 			return &ConfigError{
 				Field: "members",
-				Why: quoted(candidate.Name) + " has no IP address and port that others could call: " +
+				Why: "address of " + quoted(candidate.Name) + " is not an IP address and port: " +
 					quoted(candidate.Addr),
 				Do: "write it as 10.0.0.1:7100",
 			}
@@ -122,8 +122,8 @@
 		if c.candidate(name) == nil || !isAddress(address) {
 			return &ConfigError{
 				Field: "reach",
-				Why:   quoted(name) + " is no member, or " + quoted(address) + " no IP address and port",
-				Do:    "name members of the list, and where to call them from here",
+				Why:   quoted(name) + " is not a member, or " + quoted(address) + " is not an IP address and port",
+				Do:    "use names from the members list, each with its address as seen from this balancer",
 			}
 		}
 	}
@@ -142,36 +142,36 @@
 		}
 	case !isAddress(c.Listen):
 		return &ConfigError{
-			Field: "listen", Why: quoted(c.Listen) + " is no IP address and port", Do: "write it as 10.0.0.1:7100",
+			Field: "listen", Why: quoted(c.Listen) + " is not an IP address and port", Do: "write it as 10.0.0.1:7100",
 		}
 	case c.Folder == "":
 		return &ConfigError{
 			Field: "folder",
-			Why:   "whoever may hold a vote needs one",
-			Do:    "name a folder on a disk that outlives restarts",
+			Why:   "a member that may hold a vote needs a folder",
+			Do:    "name a folder on a disk that survives restarts",
 		}
 	}
 	return nil
 }
 
-// ticks is d in ticks, rounded up.
+// ticks converts d to ticks, rounding up.
 func (c *Config) ticks(d time.Duration) int { return int((d + c.Tick - 1) / c.Tick) }
 
-// candidate finds one by its name; nil if there is none.
+// candidate returns the candidate of that name, nil if there is none.
 func (c *Config) candidate(name string) *Candidate {
-	if i := slices.IndexFunc(c.Candidates, func(k Candidate) bool { return k.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(c.Candidates, func(candidate Candidate) bool { return candidate.Name == name }); i >= 0 {
 		return &c.Candidates[i]
 	}
 	return nil
 }
 
-// addressOf is where to call name from here; "" if it is no candidate.
+// addressOf returns the address at which to call name from here; "" if it is not a candidate.
 func (c *Config) addressOf(name string) string {
-	if at, ok := c.Reach[name]; ok {
-		return at
+	if address, ok := c.Reach[name]; ok {
+		return address
 	}
-	if k := c.candidate(name); k != nil {
-		return k.Addr
+	if candidate := c.candidate(name); candidate != nil {
+		return candidate.Addr
 	}
 	return ""
 }
--- a/internal/consensus/folder.go
+++ b/internal/consensus/folder.go
@@ -19,17 +19,17 @@
 	"oatloft/internal/hint"
 )
 
-// newSuffix ends the name of a file that is not complete yet.
+// newSuffix is appended to the name of the database while it is being created.
 const newSuffix = ".new"
 
-// errLocked says that another process has the folder.
+// errLocked is returned if another process has the folder open.
 var errLocked error = &FolderLocked{hint.Annotated{
-	What: "another process has the folder",
-	Do:   "wait for this balancer's earlier process to end, or give each balancer a folder of its own",
+	What: "folder is locked by another process",
+	Do:   "wait for this balancer's earlier process to end, or configure a separate folder for each balancer",
 }}
 
-// openStore opens a folder or makes it. It waits for nobody. Errors: errLocked where another process has it,
-// *ForeignFolder, *CorruptFolder, *UnwritableFolder.
+// openStore opens a folder, which it creates if it is missing. It does not wait for a lock. Errors: errLocked if
+// another process has the folder open, *ForeignFolder, *CorruptFolder, *UnwritableFolder.
 func openStore(folder, cluster, name string, writeFault func() error) (s *store, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &UnwritableFolder{Folder: folder, Cause: err}
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// checkFile tells whether the folder has no file yet, and refuses what is not this package's.
+// checkFile reports whether the folder has no database yet, and rejects files that are not this package's.
 func checkFile(folder, path string) (fresh bool, err error) {
 	info, err := os.Lstat(path)
 	switch {
@@ -79,17 +79,17 @@
 	case err != nil:
 		return false, &UnwritableFolder{Folder: folder, Cause: err}
 	case !info.Mode().IsRegular():
-		return false, &ForeignFolder{Folder: folder, Why: fileName + " is no plain file"}
+		return false, &ForeignFolder{Folder: folder, Why: fileName + " is not a regular file"}
 	case info.Mode().Perm()&0o022 != 0:
 		return false, &ForeignFolder{
 			Folder: folder,
-			Why:    fmt.Sprintf("others may write %s (mode %#o); 0600 is wanted", fileName, info.Mode().Perm()),
+			Why:    fmt.Sprintf("%s is writable by other users (mode %#o, want 0600)", fileName, info.Mode().Perm()),
 		}
 	}
 	return false, nil
 }
 
-// checkForeignFiles refuses to begin in a folder that holds other things.
+// checkForeignFiles rejects a folder without a database that contains other files.
 func checkForeignFiles(folder string) error {
 	list, err := os.ReadDir(folder)
 	if err != nil {
@@ -99,7 +99,7 @@
 		switch entry.Name() {
 		case fileName + newSuffix, "lost+found", Processes:
 		default:
-			return &ForeignFolder{Folder: folder, Why: "it holds " + quoted(entry.Name()) + " and no " + fileName}
+			return &ForeignFolder{Folder: folder, Why: "it contains " + quoted(entry.Name()) + " but no " + fileName}
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 func dbOptions(open openFile) *bolt.Options {
 	return &bolt.Options{
 		Timeout:      time.Millisecond,
-		PageSize:     pageSize,
+		PageSize:     pageBytes,
 		FreelistType: bolt.FreelistMapType,
 		OpenFile:     open,
 	}
@@ -121,7 +121,7 @@
 	var file *os.File
 	opened := false
 	defer func() {
-		if !opened && file != nil { // bbolt leaves it open where it panics
+		if !opened && file != nil { // bbolt leaves the file open if it panics
 			_ = file.Close()
 		}
 	}()
@@ -145,6 +145,7 @@
 	return nil, &CorruptFolder{Folder: folder, Why: oneLine(err)}
 }
 
+// openVerified opens and locks a database, and verifies its pages.
 func openVerified(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := openLocked(path, flag, mode)
 	if err != nil {
@@ -161,7 +162,7 @@
 	return f, nil
 }
 
-// openLocked opens a file and locks it for this process before anything is read, as bbolt does only afterwards.
+// openLocked opens a file and locks it before anything is read. bbolt locks it too, but only after opening it.
 func openLocked(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := os.OpenFile(path, flag, mode)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return f, nil
 }
 
-// openEmpty opens a file and empties it: what it holds is half of one that was never in use.
+// openEmpty opens and truncates a file. Existing content is that of an unfinished creation and was never in use.
 func openEmpty(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := openLocked(path, flag, mode)
 	if err == nil {
@@ -186,7 +187,7 @@
 	return f, err
 }
 
-// createStore writes a fresh file beside its place and renames it, so that a half-made one is never met.
+// createStore writes a new database under a temporary name and renames it, so that an incomplete one is never opened.
 func createStore(folder, path, cluster, name string, writeFault func() error) (*store, error) {
 	db, err := bolt.Open(path+newSuffix, 0o600, dbOptions(openEmpty))
 	switch {
@@ -226,7 +227,7 @@
 	return putHeader(tx, s.header)
 }
 
-// publishFile puts a complete file in its place, unless another process was faster (errLocked).
+// publishFile renames a complete file to its final name. If another process has done so before, it returns errLocked.
 func publishFile(path string) error {
 	if _, err := os.Lstat(path); err == nil {
 		return errLocked
@@ -243,7 +244,7 @@
 	return d.Sync()
 }
 
-// randomID is a number that no folder has had. Raft reserves the uppermost ones.
+// randomID returns a random folder ID other than 0, below 2^62: raft reserves the highest values.
 func randomID() uint64 {
 	var b [8]byte
 	for {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -52,7 +52,7 @@
 	}
 	golden.Check(t, "folder.txt", []byte(text))
 	err = s.db.View(func(tx *bolt.Tx) error {
-		stored, ok := checkChecksum(keyHeader, tx.Bucket(bucketMeta).Get(keyHeader))
+		stored, ok := verifyChecksum(keyHeader, tx.Bucket(bucketMeta).Get(keyHeader))
 		if !ok {
 			return fmt.Errorf("the head's sum doesn't fit")
 		}
@@ -108,6 +108,6 @@
 	golden.Check(
 		t,
 		"chain.txt",
-		fmt.Appendln(nil, chain(1, 2, []byte("x")), newBootstrap("c", []member{{ID: 1}, {ID: 2}}).ID),
+		fmt.Appendln(nil, chainChecksum(1, 2, []byte("x")), newBootstrap("c", []member{{ID: 1}, {ID: 2}}).ID),
 	)
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	leaderCheckInterval = 5 * time.Second // a member without a vote checks so often whether the leader still leads
-	searchBackoff       = 100 * time.Millisecond
-	maxSearchBackoffs   = 5
-	searchJitterMillis  = 50
+	leaderCheckInterval   = 5 * time.Second        // between queries of the leader by a member without a vote
+	searchBackoff         = 100 * time.Millisecond // per failed search in a row
+	maxSearchBackoffSteps = 5
+	searchJitterMs        = 50
 )
 
-// Leader is who leads, as far as is known here.
+// Leader returns the leader as known to this member.
 func (n *Node) Leader() LeaderInfo { return *n.leader.Load() }
 
-// LeaderChanged has a signal when Leader has changed since the last one was taken; it holds one.
+// LeaderChanged returns a channel of capacity 1 that receives a signal when Leader changes.
 func (n *Node) LeaderChanged() <-chan struct{} { return n.leaderChanged }
 
 func (n *Node) setLeader(leader LeaderInfo) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// watchLeader keeps Leader up to date at a member without a vote: the leader itself is asked now and then, and the
-// candidates in a random order while none is known, or a call to it has failed.
+// watchLeader keeps Leader up to date at a member without a vote. It queries the leader periodically, and the
+// candidates in random order while no leader is known or after a call to the leader has failed.
 func (n *Node) watchLeader() {
 	defer n.goroutines.Done()
 	rng := rand.New(rand.NewPCG(n.cfg.Seed, randomID()))
@@ -40,27 +40,27 @@
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-n.suspect:
+		case <-n.leaderSuspect:
 			suspect = true
 		case <-next.C:
 		}
 		switch {
-		case !n.searchesLeader():
+		case !n.mustSearchLeader():
 			next.Reset(time.Second)
 		case n.findLeader(rng, suspect):
 			failures = 0
 			next.Reset(leaderCheckInterval)
 		default:
-			failures = min(failures+1, maxSearchBackoffs)
-			jitter := time.Duration(rng.IntN(searchJitterMillis)) * time.Millisecond
+			failures = min(failures+1, maxSearchBackoffSteps)
+			jitter := time.Duration(rng.IntN(searchJitterMs)) * time.Millisecond
 			next.Reset(time.Duration(failures)*searchBackoff + jitter)
 		}
 	}
 }
 
-// searchesLeader tells whether this member has to ask others who leads: it has no replica, or one that waits to be
-// added and hears of nobody.
-func (n *Node) searchesLeader() bool {
+// mustSearchLeader reports whether this member has to query others for the leader: it has no replica, or one that is
+// still to be added and knows no leader.
+func (n *Node) mustSearchLeader() bool {
 	r := n.runner.Load()
 	if r == nil {
 		return true
@@ -69,7 +69,7 @@
 	return state.isLearner && state.leader == 0
 }
 
-// findLeader asks the known leader or, if that is suspect, the other candidates, and tells whether a leader is
+// findLeader queries the known leader or, if that is suspect, the other candidates. It reports whether a leader is
 // known now.
 func (n *Node) findLeader(rng *rand.Rand, suspect bool) bool {
 	known := n.Leader()
@@ -86,8 +86,8 @@
 		if name == n.cfg.Name && !n.runsInOtherProcess() || suspect && name == known.Name {
 			continue
 		}
-		reported, ok := n.reportedStatus(name, false)
-		if n.ctx.Err() != nil || !n.searchesLeader() {
+		reported, ok := n.queryStatus(name, false)
+		if n.ctx.Err() != nil || !n.mustSearchLeader() {
 			return true
 		}
 		if ok && reported.Leader != "" && reported.Term >= max(known.Term, best.Term) {
@@ -96,14 +96,14 @@
 				break
 			}
 		}
-		if askKnown { // it does not lead any more, or is not there
+		if askKnown { // it is not the leader any more, or is unreachable
 			askKnown, suspect, known.Name = false, true, ""
 		}
 	}
 	if best.Name == "" {
 		best.Term = known.Term
 	}
-	if n.searchesLeader() {
+	if n.mustSearchLeader() {
 		n.setLeader(best)
 	}
 	return best.Name != ""
@@ -117,15 +117,15 @@
 	}
 }
 
-// reportedStatus is a member's status with what goes with it in an answer.
+// reportedStatus is the answer to methodStatus: a member's status, and the leader as known to it.
 type reportedStatus struct {
 	memberStatus
 	Leader string `json:"Lead"`
 	Term   uint64 `json:"Term"`
 }
 
-// reportedStatuses asks all other candidates for their status, at the same time.
-func (n *Node) reportedStatuses() map[string]reportedStatus {
+// queryStatuses queries all other candidates for their status, concurrently.
+func (n *Node) queryStatuses() map[string]reportedStatus {
 	statuses := map[string]reportedStatus{}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
@@ -134,7 +134,7 @@
 			continue
 		}
 		calls.Go(func() {
-			if status, ok := n.reportedStatus(candidate.Name, true); ok {
+			if status, ok := n.queryStatus(candidate.Name, true); ok {
 				mu.Lock()
 				statuses[candidate.Name] = status
 				mu.Unlock()
@@ -145,8 +145,8 @@
 	return statuses
 }
 
-// reportedStatus asks one candidate who leads and, withFolder, for its folder's number and bootstrap.
-func (n *Node) reportedStatus(name string, withFolder bool) (status reportedStatus, ok bool) {
+// queryStatus queries one candidate for the leader that it knows and, withFolder, for its folder's ID and bootstrap.
+func (n *Node) queryStatus(name string, withFolder bool) (status reportedStatus, ok bool) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	var body []byte
@@ -160,16 +160,16 @@
 	return status, status.Name == name
 }
 
-// checkMembership asks who leads whether this voter still has its vote, without holding up the runner.
+// checkMembership asks the leader, in the background, whether this voter still has its vote.
 func (n *Node) checkMembership(r *runner) {
-	if !r.searching.CompareAndSwap(false, true) {
+	if !r.memberCallPending.CompareAndSwap(false, true) {
 		return
 	}
 	id, bootstrapID := r.replica.id, r.replica.bootstrapID
 	fresh := r.store.state().header.Last <= 1
 	go func() {
-		defer r.searching.Store(false)
-		for _, reported := range n.reportedStatuses() {
+		defer r.memberCallPending.Store(false)
+		for _, reported := range n.queryStatuses() {
 			if reported.Leader == "" || reported.Leader == n.cfg.Name {
 				continue
 			}
@@ -177,16 +177,16 @@
 			if !ok {
 				continue
 			}
-			// What the leader of another bootstrap says counts only where nothing has ever been committed in this one.
-			if !answer.Has && (answer.Founding == bootstrapID || fresh) {
-				r.post(func() { r.released = true })
+			// The answer of another bootstrap's leader counts only if nothing has ever been committed in this one.
+			if !answer.IsMember && (answer.BootstrapID == bootstrapID || fresh) {
+				r.post(func() { r.voteReleased = true })
 			}
 			return
 		}
 	}()
 }
 
-// queryMembership asks a leader whether a folder's number has a vote.
+// queryMembership asks a leader whether the folder of that ID has a vote.
 func (n *Node) queryMembership(leader string, id uint64) (answer memberAnswer, ok bool) {
 	body, err := json.Marshal(id)
 	if err != nil {
@@ -201,5 +201,5 @@
 	return answer, true
 }
 
-// runsInOtherProcess tells that another process of this member, during an upgrade, has its folder and its address.
+// runsInOtherProcess reports whether another process of this member, during an upgrade, has its folder and its address.
 func (n *Node) runsInOtherProcess() bool { return n.cfg.Listen != "" && n.status.Load() == nil }
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	maxRequests        = 64
-	changeTimeoutTicks = 4 * electionTicks // after which a proposed change may be proposed again
+	maxQueuedRequests  = 64                // requests for a vote
+	changeTimeoutTicks = 4 * electionTicks // after which a change that was not applied may be proposed again
 )
 
-// timedRequest is a request for a vote, and the tick at which it came.
-type timedRequest struct {
+// queuedRequest is a request for a vote, and the tick at which it was received.
+type queuedRequest struct {
 	memberRequest
 	tick int
 }
 
-// proposeChange proposes another set of members. Only one change is pending at a time; raft drops what comes too
-// early.
-func (c *replica) proposeChange(change membershipChange) {
+// proposeChange proposes a change of the members. Only one change is pending at a time; raft drops one that is
+// proposed too early.
+func (r *replica) proposeChange(change membershipChange) {
 	cc := &pb.ConfChangeV2{}
 	add := func(t pb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: t.Enum(), NodeId: new(id)})
@@ -39,28 +39,28 @@
 		add(pb.ConfChangeRemoveNode, change.Member.ID)
 	}
 	context, err := json.Marshal(change.Member)
-	if err != nil { // a member is numbers and texts
+	if err != nil { // impossible: a member consists of numbers and strings
 		return
 	}
 	cc.Context = context
-	c.changeTick = c.ticks
-	_ = c.raw.ProposeConfChange(cc) // decided again after a while if it was dropped
+	r.changeTick = r.ticks
+	_ = r.raw.ProposeConfChange(cc) // if it is dropped, it is decided on again after changeTimeoutTicks
 }
 
-// applyConfChange takes a committed set of members.
-func (c *replica) applyConfChange(cc pb.ConfChangeI) {
+// applyConfChange applies a committed change of the members.
+func (r *replica) applyConfChange(cc pb.ConfChangeI) {
 	v2 := cc.AsV2()
 	var changed member
 	_ = json.Unmarshal(
 		v2.GetContext(),
 		&changed,
-	) // none names no member: one that is added without its record has no name here
+	) // without a valid record an added member has no name here
 	for _, change := range v2.GetChanges() {
 		id := change.GetNodeId()
 		switch change.GetType() {
 		case pb.ConfChangeRemoveNode:
-			delete(c.members, id)
-			delete(c.lastMessageTick, id)
+			delete(r.members, id)
+			delete(r.lastMessageTick, id)
 		case pb.ConfChangeAddLearnerNode, pb.ConfChangeAddNode:
 			if changed.ID != id {
 				continue
@@ -68,78 +68,78 @@
 			if change.GetType() == pb.ConfChangeAddNode {
 				changed.Replaces = 0
 			}
-			c.members[id] = changed
-			c.lastMessageTick[id] = c.ticks
-			c.snapshotRequested = true
+			r.members[id] = changed
+			r.lastMessageTick[id] = r.ticks
+			r.snapshotRequested = true
 		}
 	}
-	c.conf = c.raw.ApplyConfChange(cc)
-	c.changed = true
-	c.changeTick = 0
+	r.conf = r.raw.ApplyConfChange(cc)
+	r.changed = true
+	r.changeTick = 0
 }
 
-// memberList lists the members by number.
-func (c *replica) memberList() []member {
-	list := make([]member, 0, len(c.members))
-	for _, m := range c.members {
+// memberList returns the members in order of their IDs.
+func (r *replica) memberList() []member {
+	list := make([]member, 0, len(r.members))
+	for _, m := range r.members {
 		list = append(list, m)
 	}
 	slices.SortFunc(list, compareMembers)
 	return list
 }
 
-// request notes that a member asks for a vote. It replaces earlier requests of its name and, by an operator, for
-// the same vote.
-func (c *replica) request(r memberRequest) {
-	c.requests = slices.DeleteFunc(c.requests, func(old timedRequest) bool {
-		return old.Member.Name == r.Member.Name || old.Member.Replaces == r.Member.Replaces && r.ByOperator
+// addRequest queues a member's request for a vote. It replaces earlier requests of the same member name and, if an
+// operator asks, those for the same vote.
+func (r *replica) addRequest(req memberRequest) {
+	r.requests = slices.DeleteFunc(r.requests, func(old queuedRequest) bool {
+		return old.Member.Name == req.Member.Name || old.Member.Replaces == req.Member.Replaces && req.ByOperator
 	})
-	if len(c.requests) < maxRequests {
-		c.requests = append(c.requests, timedRequest{r, c.ticks})
+	if len(r.requests) < maxQueuedRequests {
+		r.requests = append(r.requests, queuedRequest{req, r.ticks})
 	}
 }
 
-// nextChange is the next change towards the wanted voters; none where this replica does not lead, or a change is
-// pending.
-func (c *replica) nextChange() membershipChange {
-	if !c.isLeader() {
-		c.requests, c.changeTick = nil, 0
+// nextChange returns the next change towards the configured number of voters. There is none if this replica is not the
+// leader or a change is pending.
+func (r *replica) nextChange() membershipChange {
+	if !r.isLeader() {
+		r.requests, r.changeTick = nil, 0
 		return membershipChange{}
 	}
-	c.requests = slices.DeleteFunc(c.requests, func(r timedRequest) bool {
-		_, isMember := c.members[r.Member.ID]
-		return isMember || c.ticks-r.tick >= silentLearnerTicks
+	r.requests = slices.DeleteFunc(r.requests, func(queued queuedRequest) bool {
+		_, isMember := r.members[queued.Member.ID]
+		return isMember || r.ticks-queued.tick >= silentLearnerTicks
 	})
-	if c.changeTick != 0 && c.ticks-c.changeTick < changeTimeoutTicks {
+	if r.changeTick != 0 && r.ticks-r.changeTick < changeTimeoutTicks {
 		return membershipChange{}
 	}
-	view := c.view()
-	for _, r := range c.requests {
-		view.Requests = append(view.Requests, r.memberRequest)
+	view := r.view()
+	for _, queued := range r.requests {
+		view.Requests = append(view.Requests, queued.memberRequest)
 	}
 	return nextMembershipChange(view)
 }
 
-// view is what nextMembershipChange goes by; only a leader has one.
-func (c *replica) view() membershipView {
+// view returns the input of nextMembershipChange; only a leader has one.
+func (r *replica) view() membershipView {
 	v := membershipView{
-		Self:          c.id,
-		TargetVoters:  c.cfg.Voters,
-		ChangePending: len(c.conf.GetVotersOutgoing()) > 0,
+		Self:          r.id,
+		TargetVoters:  r.cfg.Voters,
+		ChangePending: len(r.conf.GetVotersOutgoing()) > 0,
 	}
-	if c.cfg.ReplaceAfter > 0 {
-		v.ReplaceAfter = max(c.cfg.ticks(c.cfg.ReplaceAfter), silentVoterTicks)
+	if r.cfg.ReplaceAfter > 0 {
+		v.ReplaceAfter = max(r.cfg.ticks(r.cfg.ReplaceAfter), silentVoterTicks)
 	}
-	c.raw.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
+	r.raw.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
 		m := memberView{
-			member:      c.members[id],
+			member:      r.members[id],
 			Voter:       kind == raft.ProgressTypePeer,
-			CaughtUp:    progress.Match >= c.applied && progress.Match > 0,
+			CaughtUp:    progress.Match >= r.applied && progress.Match > 0,
 			Match:       progress.Match,
-			SilentTicks: c.ticks - c.lastMessageTick[id],
+			SilentTicks: r.ticks - r.lastMessageTick[id],
 		}
 		m.ID = id
-		if id == c.id {
+		if id == r.id {
 			m.SilentTicks = 0
 		}
 		v.Members = append(v.Members, m)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// callTimeout bounds a short call to another member.
+// callTimeout is the limit for a short call to another member.
 const callTimeout = 700 * time.Millisecond
 
-// Machine is the replicated state. All calls come from one goroutine of the node and must not block. Snapshot must
-// be a function of the entries applied alone, so that it is the same at all voters.
+// Machine is the replicated state machine. All calls come from one goroutine of the node and must not block. Snapshot
+// must depend on the applied entries alone, so that it is the same at all voters.
 type Machine interface {
 	Apply(index uint64, entry []byte)
 	Snapshot() []byte
 	Restore(index uint64, snapshot []byte) error
 }
 
-// Handler answers other members' calls. It runs on goroutines of the transport, several at a time. The hint of its
-// error reaches the caller.
+// Handler answers other members' calls. It runs concurrently on goroutines of the transport. The hint of a returned
+// error is sent to the caller.
 type Handler func(ctx context.Context, from, method string, body []byte) ([]byte, error)
 
 // Node is one member. Its methods may be called from any goroutine.
@@ -36,18 +36,18 @@
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	machineIndex uint64 // see replica; belongs to the runner's goroutine
+	machineIndex uint64 // last entry applied to machine, see replica; owned by the runner's goroutine
 
 	leader           atomic.Pointer[LeaderInfo]
-	leaderChanged    chan struct{} // holds one signal
+	leaderChanged    chan struct{} // capacity 1
 	leaderAnsweredAt atomic.Int64  // when the leader last answered a call, Unix nanoseconds
-	suspect          chan struct{} // holds one signal that a call to the leader failed
+	leaderSuspect    chan struct{} // capacity 1; signaled when a call to the leader fails
 
-	runner   atomic.Pointer[runner]
-	status   atomic.Pointer[memberStatus] // nil before the folder is open
-	recruits chan recruitment
-	dropped  atomic.Int64
-	listens  atomic.Bool // calls of this member's name come to this process
+	runner          atomic.Pointer[runner]
+	status          atomic.Pointer[memberStatus] // nil before the folder is open
+	prepareRequests chan prepareRequest
+	dropped         atomic.Int64
+	ownsAddress     atomic.Bool // this process listens at the member's address
 
 	mu       sync.Mutex
 	role     Role
@@ -55,9 +55,8 @@
 	awaiting string
 }
 
-// Start begins. A folder that cannot be trusted, and settings that do not fit, are errors here (*ConfigError,
-// *ForeignFolder, *CorruptFolder); whatever comes later is told by Status and logged, and this member stays a
-// reader.
+// Start starts a member. It fails on invalid settings and on a folder that cannot be trusted (*ConfigError,
+// *ForeignFolder, *CorruptFolder). Later faults are logged and reported by Status, and the member stays a reader.
 func Start(cfg Config, machine Machine, handler Handler, log *slog.Logger) (*Node, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -66,24 +65,24 @@
 	return start(cfg, machine, handler, log)
 }
 
-// start takes settings that are complete and checked.
+// start is Start for settings that have been completed and validated.
 func start(cfg Config, machine Machine, handler Handler, log *slog.Logger) (*Node, error) {
 	n := &Node{
-		cfg:           cfg,
-		machine:       machine,
-		handler:       handler,
-		log:           log,
-		leaderChanged: make(chan struct{}, 1),
-		suspect:       make(chan struct{}, 1),
-		recruits:      make(chan recruitment),
-		role:          Reader,
+		cfg:             cfg,
+		machine:         machine,
+		handler:         handler,
+		log:             log,
+		leaderChanged:   make(chan struct{}, 1),
+		leaderSuspect:   make(chan struct{}, 1),
+		prepareRequests: make(chan prepareRequest),
+		role:            Reader,
 	}
 	n.leader.Store(&LeaderInfo{})
 	n.transport = newTransport(&n.cfg, log)
 	n.transport.serve = n.serve
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	if cfg.Listen != "" {
-		if err := n.startVoter(); err != nil {
+		if err := n.startCandidate(); err != nil {
 			n.stop()
 			return nil, err
 		}
@@ -93,9 +92,9 @@
 	return n, nil
 }
 
-// startVoter opens the folder and the address of a member that may hold a vote. One that another process still has,
-// and a folder that cannot be written now, are left to the voter's goroutine.
-func (n *Node) startVoter() error {
+// startCandidate opens the folder and the address of a member that may hold a vote. If another process still has
+// either of them, or the folder cannot be written now, the voter's goroutine retries.
+func (n *Node) startCandidate() error {
 	store, err := openStore(n.cfg.Folder, n.cfg.Cluster, n.cfg.Name, n.cfg.writeFault)
 	var unwritable *UnwritableFolder
 	if err != nil && !errors.Is(err, errLocked) && !errors.As(err, &unwritable) {
@@ -104,7 +103,7 @@
 	var listening <-chan struct{}
 	if store != nil {
 		listening, err = n.transport.listen(n.ctx, n.cfg.Listen)
-		n.listens.Store(err == nil)
+		n.ownsAddress.Store(err == nil)
 		if err != nil && !errors.Is(err, syscall.EADDRINUSE) {
 			store.close()
 			return errListen(err)
@@ -116,21 +115,21 @@
 }
 
 func errListen(cause error) error {
-	return &ConfigError{Field: "listen", Why: oneLine(cause), Do: "name an address of this machine"}
+	return &ConfigError{Field: "listen", Why: oneLine(cause), Do: "configure an address of this machine"}
 }
 
-// Close ends everything; it waits until the folder is closed.
+// Close stops the member. It returns once the folder is closed.
 func (n *Node) Close() {
 	n.stop()
 	n.transport.close()
 	n.goroutines.Wait()
 }
 
-// Propose commits an entry, and returns once it is applied here. Errors: *NotLeader, *Overloaded and *TooLong (it
-// is not committed), *UnknownOutcome (it may or may not be), *Closed.
+// Propose commits an entry and returns once it is applied here. Errors: *NotLeader, *Overloaded and *TooLong (the
+// entry is not committed), *UnknownOutcome (it may or may not be committed), *Closed.
 func (n *Node) Propose(ctx context.Context, entry []byte) error {
-	if len(entry) > maxEntry {
-		return &TooLong{Bytes: len(entry), Limit: maxEntry}
+	if len(entry) > maxProposalBytes {
+		return &TooLong{Bytes: len(entry), Limit: maxProposalBytes}
 	}
 	_, err := n.onLeader(ctx, func(r *replica, w waiter) { r.propose(entry, w) })
 	if err != nil && ctx.Err() != nil && errors.Is(err, ctx.Err()) {
@@ -139,9 +138,9 @@
 	return err
 }
 
-// Confirm tells that this member led after the call began, in the term returned, and that all that was committed
-// until then is applied here. Calls at the same time share one round. Errors: *NotLeader, *Overloaded, *Closed, or
-// ctx's.
+// Confirm confirms that this member was the leader, in the returned term, at some time after the call began, and that
+// all entries committed before are applied here. Concurrent calls share one round of messages. Errors: *NotLeader,
+// *Overloaded, *Closed, or that of ctx.
 func (n *Node) Confirm(ctx context.Context) (term uint64, err error) {
 	return n.onLeader(ctx, func(r *replica, w waiter) { r.confirm(w) })
 }
@@ -157,16 +156,16 @@
 	}
 	w := make(waiter, 1)
 	if !r.post(func() { f(r.replica, w) }) {
-		return 0, &Overloaded{What: "questions to the leader", Limit: callQueue}
+		return 0, &Overloaded{What: "requests to the leader", Limit: maxQueuedCalls}
 	}
 	select {
 	case o := <-w:
-		return o.term, n.withLeader(o.err)
+		return o.term, n.resolveLeader(o.err)
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	case <-r.done:
 	}
-	select { // the outcome may have come together with the end
+	select { // the outcome may have arrived just before the runner ended
 	case o := <-w:
 		return o.term, o.err
 	default:
@@ -174,8 +173,8 @@
 	}
 }
 
-// withLeader names the present leader in a *NotLeader. The error is shared by all who waited, hence the copy.
-func (n *Node) withLeader(err error) error {
+// resolveLeader fills the current leader into a *NotLeader. It returns a copy, since all waiters share the error.
+func (n *Node) resolveLeader(err error) error {
 	var notLeader *NotLeader
 	var unknown *UnknownOutcome
 	switch {
@@ -187,9 +186,9 @@
 	return &NotLeader{Leader: n.Leader()}
 }
 
-// Call calls a candidate's Handler by its name; also this member's own, be it in this process or, while that one
-// holds the vote, in an earlier one of the same name. Errors: *UnknownMember, *Overloaded, *Unreachable,
-// *NotLeader, *RemoteError.
+// Call calls the Handler of the candidate of that name. For this member's own name that is the Handler of this process
+// or, while an earlier process of the same name holds the vote, of that one. Errors: *UnknownMember, *Overloaded,
+// *Unreachable, *NotLeader, *RemoteError.
 func (n *Node) Call(ctx context.Context, name, method string, body []byte) ([]byte, error) {
 	if name == n.cfg.Name && !n.runsInOtherProcess() {
 		return n.handler(ctx, name, method, body)
@@ -204,24 +203,24 @@
 	}
 	answer, err := n.transport.call(ctx, name, address, method, body)
 	if leader.Name == name {
-		n.leaderCalled(err)
+		n.recordLeaderCall(err)
 	}
 	return answer, err
 }
 
-// leaderCalled notes how a call to the leader ended.
-func (n *Node) leaderCalled(err error) {
+// recordLeaderCall records the result of a call to the leader.
+func (n *Node) recordLeaderCall(err error) {
 	var unreachable *Unreachable
 	var notLeader *NotLeader
 	switch {
 	case err == nil:
 		n.leaderAnsweredAt.Store(time.Now().UnixNano())
 	case errors.As(err, &unreachable), errors.As(err, &notLeader):
-		signal(n.suspect)
+		signal(n.leaderSuspect)
 	}
 }
 
-// signal leaves one signal in a channel that holds one.
+// signal sends to a channel of capacity 1, unless a signal is pending already.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -229,7 +228,7 @@
 	}
 }
 
-// addressOf is how to call a member: by the settings, or else as its record says.
+// addressOf returns a member's address: the configured one, or else the recorded one.
 func (n *Node) addressOf(name, recorded string) string {
 	if address := n.cfg.addressOf(name); address != "" {
 		return address
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -295,7 +295,7 @@
 	c.start(away)
 	c.until("it is even", func() bool { l := slices.Compact(c.m[away].read()); return len(l) == 18 && l[17] == "two" })
 	var long *TooLong
-	if err := c.leader().Propose(context.Background(), make([]byte, maxEntry+1)); !errors.As(err, &long) {
+	if err := c.leader().Propose(context.Background(), make([]byte, maxProposalBytes+1)); !errors.As(err, &long) {
 		t.Fatal(err)
 	}
 }
--- a/internal/consensus/outbox.go
+++ b/internal/consensus/outbox.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	outboxQueue      = 256 // messages to one voter
-	maxOutboxBytes   = 4 * maxUncommitted
-	maxBatchBytes    = 512 << 10
-	minBatchTimeout  = time.Second
-	snapshotTimeout  = 20 * time.Second // and a second for each
-	snapshotByteRate = 20_000           // bytes
+	outboxQueueMessages    = 256                     // queued for one voter
+	maxOutboxBytes         = 4 * maxUncommittedBytes // queued for one voter
+	maxBatchBytes          = 512 << 10               // after which a batch gets no further message
+	minBatchTimeout        = time.Second
+	snapshotTimeout        = 20 * time.Second // plus the time for the snapshot's bytes
+	snapshotBytesPerSecond = 20_000           // lowest rate at which a snapshot must be transferred
 )
 
-// outbox is the queue to one voter. Its goroutine delivers until cancel is called.
+// outbox is the queue of messages to one voter. Its goroutine delivers them until cancel is called.
 type outbox struct {
 	to              uint64
 	name            string
 	address         string
 	queue           chan *pb.Message
-	bytes           atomic.Int64 // in the queue
+	bytes           atomic.Int64 // size of the queued messages
 	snapshotPending atomic.Bool
 	cancel          context.CancelFunc
 }
@@ -38,7 +38,7 @@
 	case o == nil:
 		r.node.dropped.Add(1)
 	case m.GetType() != pb.MsgSnap:
-		if !o.push(m) {
+		if !o.tryPush(m) {
 			r.node.dropped.Add(1)
 		}
 	case o.snapshotPending.CompareAndSwap(false, true):
@@ -48,7 +48,7 @@
 	}
 }
 
-// outboxFor returns the queue to a voter, which it begins if there is none of the voter's name; nil if the name is
+// outboxFor returns the outbox of a voter, which it creates if there is none for the voter's name; nil if the name is
 // unknown.
 func (r *runner) outboxFor(ctx context.Context, to uint64) *outbox {
 	o, name := r.outboxes[to], r.nameOf(to)
@@ -66,7 +66,7 @@
 		to:      to,
 		name:    name,
 		address: r.node.addressOf(name, r.replica.members[to].Addr),
-		queue:   make(chan *pb.Message, outboxQueue),
+		queue:   make(chan *pb.Message, outboxQueueMessages),
 		cancel:  cancel,
 	}
 	r.outboxes[to] = o
@@ -74,8 +74,8 @@
 	return o
 }
 
-// push queues a message; false if the queue is full.
-func (o *outbox) push(m *pb.Message) bool {
+// tryPush queues a message; it returns false if the queue is full.
+func (o *outbox) tryPush(m *pb.Message) bool {
 	size := int64(proto.Size(m))
 	if o.bytes.Add(size) > maxOutboxBytes {
 		o.bytes.Add(-size)
@@ -90,7 +90,7 @@
 	}
 }
 
-// pop takes a message out of the queue; nil if it is empty.
+// pop removes a message from the queue; nil if it is empty.
 func (o *outbox) pop() *pb.Message {
 	select {
 	case m := <-o.queue:
@@ -101,12 +101,12 @@
 	}
 }
 
-// popBatch adds what waits to a first message.
+// popBatch returns a first message with further ones from the queue.
 func (o *outbox) popBatch(first *pb.Message) []*pb.Message {
 	size := proto.Size(first)
 	o.bytes.Add(-int64(size))
 	messages := []*pb.Message{first}
-	for len(messages) < maxBatch && size < maxBatchBytes {
+	for len(messages) < maxBatchMessages && size < maxBatchBytes {
 		m := o.pop()
 		if m == nil {
 			break
@@ -117,7 +117,7 @@
 	return messages
 }
 
-// deliver calls one voter with what has gathered for it, one call after the other.
+// deliver sends the queued messages to one voter in batches, one call at a time.
 func (r *runner) deliver(ctx context.Context, o *outbox) {
 	timeout := max(r.node.cfg.Tick*2*electionTicks, minBatchTimeout)
 	for {
@@ -133,7 +133,7 @@
 			continue
 		}
 		r.node.dropped.Add(int64(len(messages)))
-		for o.pop() != nil { // what waited meanwhile is old
+		for o.pop() != nil { // messages queued during the failed call are outdated
 			r.node.dropped.Add(1)
 		}
 		r.post(func() { r.replica.raw.ReportUnreachable(o.to) })
@@ -147,10 +147,11 @@
 	return err
 }
 
-// deliverSnapshot calls a voter with a snapshot, and tells raft how that went: it sends nothing else until it knows.
+// deliverSnapshot sends a snapshot to a voter and reports the result to raft, which sends that voter nothing else
+// until then.
 func (r *runner) deliverSnapshot(ctx context.Context, o *outbox, m *pb.Message) {
 	size := len(m.GetSnapshot().GetData())
-	timeout := snapshotTimeout + time.Duration(size/snapshotByteRate)*time.Second
+	timeout := snapshotTimeout + time.Duration(size/snapshotBytesPerSecond)*time.Second
 	status := raft.SnapshotFinish
 	if err := r.call(ctx, o, timeout, []*pb.Message{m}); err != nil {
 		status = raft.SnapshotFailure
@@ -166,19 +167,19 @@
 	}
 }
 
-// packBatch writes messages for a call: the number of the bootstrap, then each message behind its length.
+// packBatch encodes messages for a call: the ID of the bootstrap, then each message preceded by its length.
 func packBatch(bootstrapID uint64, messages []*pb.Message) []byte {
 	b := binary.BigEndian.AppendUint64(nil, bootstrapID)
 	for _, m := range messages {
 		b = binary.AppendUvarint(b, uint64(proto.Size(m)))
-		b, _ = proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(b, m) // raft's own messages are complete
+		b, _ = proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(b, m) // raft's messages can always be encoded
 	}
 	return b
 }
 
 func unpackBatch(b []byte) (bootstrapID uint64, messages []*pb.Message, err error) {
 	malformed := &RemoteError{
-		Text: "messages between voters have an unknown form",
+		Text: "malformed batch of messages between voters",
 		Do:   sameVersion,
 	}
 	if len(b) < 8 {
--- a/internal/consensus/peer.go
+++ b/internal/consensus/peer.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	maxInFlight       = 16               // calls to one member; more wait
-	maxWaiting        = 256              // callers of one member
-	maxIdleConns      = 4                // to one member
-	clientIdleTimeout = 45 * time.Second // a connection that has not been used so long is not tried again
+	maxInFlightCalls  = 16               // calls in flight to one member; further ones wait
+	maxWaitingCalls   = 256              // calls to one member, waiting ones included
+	maxIdleConns      = 4                // idle connections to one member
+	clientIdleTimeout = 45 * time.Second // an idle connection is not reused after this time
 	dialTimeout       = 2 * time.Second
 )
 
-// peer is another member as called from here, with its idle connections.
+// peer is the client for calls to another member, with its idle connections.
 type peer struct {
-	slots   chan struct{} // holds one for each call in flight
+	slots   chan struct{} // semaphore of calls in flight
 	waiting atomic.Int64
 
 	mu     sync.Mutex
@@ -28,34 +28,34 @@
 	closed bool
 }
 
-// idleConn is a connection that waits for the next call.
+// idleConn is a connection that is available for the next call.
 type idleConn struct {
 	conn  *drpcconn.Conn
 	since time.Time
 }
 
-// peer returns the member of that name. Once the transport is closed, it is one that can't be called.
-func (w *transport) peer(name string) *peer {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p := w.peers[name]; p != nil {
+// peer returns the client for the member of that name. Once the transport is closed, all calls of a new one fail.
+func (t *transport) peer(name string) *peer {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if p := t.peers[name]; p != nil {
 		return p
 	}
-	p := &peer{slots: make(chan struct{}, maxInFlight), closed: w.peers == nil}
+	p := &peer{slots: make(chan struct{}, maxInFlightCalls), closed: t.peers == nil}
 	if !p.closed {
-		w.peers[name] = p
+		t.peers[name] = p
 	}
 	return p
 }
 
-// call calls a member: it waits for a free slot first, until ctx ends at most. A call is not repeated by itself,
-// since nobody knows what the first one did. Errors: *Overloaded, *Unreachable, and what the other member answers.
-func (w *transport) call(ctx context.Context, name, address, method string, body []byte) ([]byte, error) {
-	p := w.peer(name)
+// call calls a member. It first waits for a free slot, until ctx ends at most. A failed call is not retried, since the
+// other member may have carried it out. Errors: *Overloaded, *Unreachable, and those that the other member returns.
+func (t *transport) call(ctx context.Context, name, address, method string, body []byte) ([]byte, error) {
+	p := t.peer(name)
 	defer p.waiting.Add(-1)
-	if p.waiting.Add(1) > maxWaiting {
-		w.refused.Add(1)
-		return nil, &Overloaded{What: "calls to " + name, Limit: maxWaiting}
+	if p.waiting.Add(1) > maxWaitingCalls {
+		t.refused.Add(1)
+		return nil, &Overloaded{What: "calls to " + name, Limit: maxWaitingCalls}
 	}
 	unreachable := func(cause error) error {
 		return &Unreachable{Name: name, Addr: address, Cause: cause}
@@ -66,11 +66,11 @@
 	case <-ctx.Done():
 		return nil, unreachable(ctx.Err())
 	}
-	conn, err := p.connect(ctx, w, address)
+	conn, err := p.connect(ctx, t, address)
 	if err != nil {
 		return nil, unreachable(err)
 	}
-	call, answer := w.packCall(body), []byte(nil)
+	call, answer := t.packCall(body), []byte(nil)
 	if err := conn.Invoke(ctx, method, byteEncoding{}, &call, &answer); err != nil {
 		_ = conn.Close()
 		if ctx.Err() != nil {
@@ -78,26 +78,26 @@
 		}
 		return nil, unreachable(&CallFailed{Why: oneLine(err)})
 	}
-	p.release(conn)
-	return w.unpackAnswer(name, method, answer)
+	p.putIdle(conn)
+	return t.unpackAnswer(name, method, answer)
 }
 
-// connect takes an idle connection, or dials a new one.
-func (p *peer) connect(ctx context.Context, w *transport, address string) (*drpcconn.Conn, error) {
+// connect returns an idle connection or dials a new one.
+func (p *peer) connect(ctx context.Context, t *transport, address string) (*drpcconn.Conn, error) {
 	conn, err := p.takeIdle()
 	if conn != nil || err != nil {
 		return conn, err
 	}
 	dialer := net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
-	tcp, err := dialer.DialContext(ctx, "tcp", address)
+	tcpConn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	options := drpcconn.Options{Manager: managerOptions()}
-	return drpcconn.NewWithOptions(&meteredConn{Conn: tcp, transport: w}, options), nil
+	return drpcconn.NewWithOptions(&meteredConn{Conn: tcpConn, transport: t}, options), nil
 }
 
-// takeIdle returns the connection that was used last, nil if none is usable. The error is *Closed.
+// takeIdle returns the most recently used idle connection, nil if none is usable. The error is a *Closed.
 func (p *peer) takeIdle() (*drpcconn.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +120,8 @@
 	return nil, nil
 }
 
-// release keeps a connection for the next call.
-func (p *peer) release(conn *drpcconn.Conn) {
+// putIdle makes a connection available for the next call.
+func (p *peer) putIdle(conn *drpcconn.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle) >= maxIdleConns {
@@ -131,12 +131,12 @@
 	p.idle = append(p.idle, idleConn{conn: conn, since: time.Now()})
 }
 
-// close ends all connections from here.
-func (w *transport) close() {
-	w.mu.Lock()
-	peers := w.peers
-	w.peers = nil
-	w.mu.Unlock()
+// close closes the idle connections to all members; calls in flight close theirs.
+func (t *transport) close() {
+	t.mu.Lock()
+	peers := t.peers
+	t.peers = nil
+	t.mu.Unlock()
 	for _, p := range peers {
 		p.close()
 	}
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// raftLog puts raft's own words into the log, below what operators look at.
+// raftLog implements raft.Logger. It logs warnings and errors of raft at debug level, and panics on fatal ones.
 type raftLog struct{ log *slog.Logger }
 
 func (l raftLog) Debug(...any) {}
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -9,83 +9,84 @@
 	"oatloft/internal/failpoint"
 )
 
-// maxQueuedReads is how many confirmations may wait for the next round.
+// maxQueuedReads is the maximum number of confirmations that wait for the next round.
 const maxQueuedReads = 4096
 
-// confirmedRead waits until what was committed when it was confirmed is applied.
+// confirmedRead is a confirmed round that waits until the entries committed at that time are applied.
 type confirmedRead struct {
 	index   uint64
 	term    uint64
 	waiters []waiter
 }
 
-// confirm asks whether this replica still leads; w hears once a majority has said so after this call, and all that
-// was committed before it is applied here.
-func (c *replica) confirm(w waiter) {
+// confirm checks that this replica is still the leader. w receives the outcome once a majority has confirmed it after
+// this call and all entries committed before are applied here.
+func (r *replica) confirm(w waiter) {
 	switch {
-	case !c.isLeader():
+	case !r.isLeader():
 		w <- outcome{err: &NotLeader{}}
-	case len(c.readQueue) >= maxQueuedReads:
-		w <- outcome{err: &Overloaded{What: "questions to the leader", Limit: maxQueuedReads}}
+	case len(r.readQueue) >= maxQueuedReads:
+		w <- outcome{err: &Overloaded{What: "requests to the leader", Limit: maxQueuedReads}}
 	default:
-		c.readQueue = append(c.readQueue, w)
+		r.readQueue = append(r.readQueue, w)
 	}
 }
 
-// beginReadRound begins the next round of confirmations, if none is under way.
-func (c *replica) beginReadRound() {
-	if len(c.readQueue) == 0 || c.readRound != nil {
+// beginReadRound begins the next round of confirmations, unless one is in progress.
+func (r *replica) beginReadRound() {
+	if len(r.readQueue) == 0 || r.readRound != nil {
 		return
 	}
-	if !c.isLeader() {
-		failAll(&c.readQueue, &NotLeader{})
+	if !r.isLeader() {
+		failAll(&r.readQueue, &NotLeader{})
 		return
 	}
-	// What was committed before it led may not be known as such yet; raft takes no care of that for a single voter.
-	if c.appliedTerm != c.term {
+	// A new leader may not know the commit index until an entry of its own term is committed. Raft does not check this
+	// for a single voter.
+	if r.appliedTerm != r.term {
 		return
 	}
 	if failpoint.On("confirm-unasked") {
-		read := confirmedRead{index: c.applied, term: c.term, waiters: c.readQueue}
-		c.confirmedReads = append(c.confirmedReads, read)
-		c.readQueue = nil
-		c.answerReads()
+		read := confirmedRead{index: r.applied, term: r.term, waiters: r.readQueue}
+		r.confirmedReads = append(r.confirmedReads, read)
+		r.readQueue = nil
+		r.answerReads()
 		return
 	}
-	c.readRound, c.readQueue = c.readQueue, nil
-	c.readRoundNumber++
-	c.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readRoundNumber))
+	r.readRound, r.readQueue = r.readQueue, nil
+	r.readRoundNumber++
+	r.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, r.readRoundNumber))
 }
 
-// readStates takes the confirmations of raft; only that of the round under way counts.
-func (c *replica) readStates(states []raft.ReadState) {
+// takeReadStates processes raft's confirmations; only that of the round in progress counts.
+func (r *replica) takeReadStates(states []raft.ReadState) {
 	for _, s := range states {
-		isRound := len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == c.readRoundNumber
-		if isRound && c.readRound != nil {
-			c.confirmedReads = append(c.confirmedReads, confirmedRead{index: s.Index, term: c.term, waiters: c.readRound})
-			c.readRound = nil
+		isRound := len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == r.readRoundNumber
+		if isRound && r.readRound != nil {
+			r.confirmedReads = append(r.confirmedReads, confirmedRead{index: s.Index, term: r.term, waiters: r.readRound})
+			r.readRound = nil
 		}
 	}
 }
 
-// answerReads answers those whose read has been confirmed, and applied so far.
-func (c *replica) answerReads() {
-	c.confirmedReads = slices.DeleteFunc(c.confirmedReads, func(r confirmedRead) bool {
-		if r.index > c.applied {
+// answerReads answers the confirmed reads whose entries have been applied.
+func (r *replica) answerReads() {
+	r.confirmedReads = slices.DeleteFunc(r.confirmedReads, func(read confirmedRead) bool {
+		if read.index > r.applied {
 			return false
 		}
-		answer := outcome{term: c.term}
-		if r.term != c.term || !c.isLeader() {
+		answer := outcome{term: r.term}
+		if read.term != r.term || !r.isLeader() {
 			answer = outcome{err: &NotLeader{}}
 		}
-		for _, w := range r.waiters {
+		for _, w := range read.waiters {
 			w <- answer
 		}
 		return true
 	})
 }
 
-// failAll ends what waits with an error.
+// failAll fails all waiters with err.
 func failAll(waiters *[]waiter, err error) {
 	for _, w := range *waiters {
 		w <- outcome{err: err}
--- a/internal/consensus/replace.go
+++ b/internal/consensus/replace.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Replace gives the vote of one member to another. It returns once that is committed. Only the leader can. Errors:
-// *NotLeader, *UnknownMember, *NotReplaced, *Unreachable, *RemoteError, *Overloaded, and *UnknownOutcome if it may
-// or may not come to pass.
+// Replace gives the vote of one member to another, and returns once that is committed. Only the leader can do it.
+// Errors: *NotLeader, *UnknownMember, *NotReplaced, *Unreachable, *RemoteError, *Overloaded, and *UnknownOutcome if the
+// replacement may or may not be carried out.
 func (n *Node) Replace(ctx context.Context, oldName, newName string) error {
 	r := n.runner.Load()
 	if _, err := n.Confirm(ctx); err != nil {
@@ -22,7 +22,7 @@
 	replaced, isVoter := memberByName(state.members, oldName)
 	_, hasVote := memberByName(state.members, newName)
 	if !isVoter && hasVote {
-		return nil // done before
+		return nil // an earlier call has done it
 	}
 	refused := func(why, do string) error {
 		return &NotReplaced{Old: oldName, New: newName, Why: why, Do: do}
@@ -30,29 +30,29 @@
 	candidate := n.cfg.candidate(newName)
 	switch {
 	case !isVoter:
-		return refused(oldName+" holds none", "choose one of the voters that the status lists")
+		return refused(oldName+" holds no vote", "choose one of the voters listed by the status")
 	case hasVote && newName != oldName:
-		return refused(newName+" has one already, or is about to", "choose a member without a vote")
+		return refused(newName+" has a vote already or is about to get one", "choose a member without a vote")
 	case candidate == nil:
 		return &UnknownMember{Name: newName}
 	case newName == oldName:
-		return refused("they are the same",
-			"to have it come back as a new voter, stop it, empty its folder and start it")
+		return refused("both names are the same",
+			"to have it rejoin as a new voter, stop it, empty its folder and start it")
 	}
-	recruit, err := n.recruit(ctx, *candidate, state.bootstrapID)
+	learner, err := n.prepareCandidate(ctx, *candidate, state.bootstrapID)
 	if err != nil {
 		return err
 	}
-	recruit.Replaces = replaced.ID
-	if !r.post(func() { r.replica.request(memberRequest{Member: recruit, ByOperator: true}) }) {
-		return &Overloaded{What: "questions to the leader", Limit: callQueue}
+	learner.Replaces = replaced.ID
+	if !r.post(func() { r.replica.addRequest(memberRequest{Member: learner, ByOperator: true}) }) {
+		return &Overloaded{What: "requests to the leader", Limit: maxQueuedCalls}
 	}
-	return n.awaitReplacement(ctx, r, replaced.ID, recruit.ID, refused(newName+" couldn't keep up",
-		"see that "+newName+" runs and can be reached from all voters, then try again"))
+	return n.awaitReplacement(ctx, r, replaced.ID, learner.ID, refused(newName+" did not catch up",
+		"check that "+newName+" runs and can be reached from all voters, then try again"))
 }
 
-// awaitReplacement waits until the vote of one number is another's. It returns failed if the new one was added and
-// removed again, or the old one was removed without it.
+// awaitReplacement waits until the vote has moved from oldID to newID. It returns failed if the new member was added
+// and removed again, or if the old one was removed without it.
 func (n *Node) awaitReplacement(ctx context.Context, r *runner, oldID, newID uint64, failed error) error {
 	added := false
 	for {
@@ -87,8 +87,8 @@
 	return member{}, false
 }
 
-// recruit asks a candidate to get ready for a vote, and for its folder's number.
-func (n *Node) recruit(ctx context.Context, candidate Candidate, bootstrapID uint64) (member, error) {
+// prepareCandidate asks a candidate to prepare for a vote, and returns it with its folder's ID.
+func (n *Node) prepareCandidate(ctx context.Context, candidate Candidate, bootstrapID uint64) (member, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*callTimeout)
 	defer cancel()
 	body, err := json.Marshal(bootstrapID)
@@ -96,38 +96,38 @@
 		return member{}, err
 	}
 	address := n.addressOf(candidate.Name, candidate.Addr)
-	answer, err := n.transport.call(ctx, candidate.Name, address, methodRecruit, body)
+	answer, err := n.transport.call(ctx, candidate.Name, address, methodPrepare, body)
 	if err != nil {
 		return member{}, err
 	}
 	var status memberStatus
 	err = json.Unmarshal(answer, &status)
 	if err != nil || status.ID == 0 || status.Bootstrap.ID != bootstrapID {
-		return member{}, errOtherBootstrap(candidate.Name, methodRecruit)
+		return member{}, errOtherBootstrap(candidate.Name, methodPrepare)
 	}
 	return member{ID: status.ID, Name: candidate.Name, Zone: candidate.Zone, Addr: candidate.Addr}, nil
 }
 
-// findCandidate recruits a candidate without a vote that could replace a member (0: be one more), if possible of
-// the same zone.
+// findCandidate prepares a candidate without a vote to replace a member (0: to be an additional voter), if possible
+// one of the same zone, and queues its request.
 func (n *Node) findCandidate(ctx context.Context, r *runner, members []member, replaces uint64) {
-	defer r.searching.Store(false)
+	defer r.memberCallPending.Store(false)
 	for _, candidate := range n.candidatesFor(members, replaces) {
 		if slices.ContainsFunc(members, func(m member) bool { return m.Name == candidate.Name }) {
 			continue
 		}
-		recruit, err := n.recruit(ctx, candidate, r.state.Load().bootstrapID)
+		learner, err := n.prepareCandidate(ctx, candidate, r.state.Load().bootstrapID)
 		if err != nil {
-			n.log.Debug("no stand-in for a voter", "name", candidate.Name, "err", err)
+			n.log.Debug("candidate cannot replace a voter", "name", candidate.Name, "err", err)
 			continue
 		}
-		recruit.Replaces = replaces
-		r.post(func() { r.replica.request(memberRequest{Member: recruit}) })
+		learner.Replaces = replaces
+		r.post(func() { r.replica.addRequest(memberRequest{Member: learner}) })
 		return
 	}
 }
 
-// candidatesFor lists all candidates, those of the replaced member's zone first.
+// candidatesFor returns all candidates, those of the replaced member's zone first.
 func (n *Node) candidatesFor(members []member, replaces uint64) []Candidate {
 	zone := ""
 	for _, m := range members {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -14,69 +14,69 @@
 )
 
 const (
-	maxPending     = 256       // proposals that wait to be committed
-	maxUncommitted = 8 << 20   // bytes of entries that are not committed
-	maxMessage     = 256 << 10 // bytes of entries in one message
-	maxCommitted   = 4 << 20   // bytes of entries applied in one turn, or on their way to one voter
-	maxInflight    = 64        // messages on their way to one voter
-	keyBytes       = 8         // in front of each entry: by which a proposer knows its own again
+	maxPendingProposals = 256       // proposals waiting to be committed
+	maxUncommittedBytes = 8 << 20   // of entries that are not committed
+	maxMessageBytes     = 256 << 10 // of entries in one message
+	maxCommittedBytes   = 4 << 20   // of entries applied in one batch, or in flight to one voter
+	maxInflightMessages = 64        // messages in flight to one voter
+	proposalKeyBytes    = 8         // prefix of each entry, by which a proposer recognizes its own
 )
 
-// outcome is how a proposal or a confirmation ended.
+// outcome is the result of a proposal or a confirmation.
 type outcome struct {
 	term uint64
 	err  error
 }
 
-// waiter takes one outcome, without waiting itself.
+// waiter receives one outcome; it is buffered, so that the sender never blocks.
 type waiter chan outcome
 
-// replica is one voter's raft, stepped: messages, proposals and ticks in, messages out, and what to write to the
-// folder in between. It has no goroutine, clock or socket; the runner's goroutine owns it, and tests step many over
-// a network of their own. No message leaves before what it rests on is in the folder, and nothing happens any more
-// after a write that failed.
+// replica is one voter's raft state machine. Messages, proposals and ticks go in; messages and writes to the folder
+// come out. It has no goroutine, clock or socket: the runner's goroutine owns it, and tests drive many replicas over a
+// simulated network. No message is sent before the state that it depends on is in the folder, and a replica is not
+// used again after a failed write.
 type replica struct {
 	cfg          *Config
 	store        *store
 	machine      Machine
-	machineIndex *uint64 // the last entry that the machine has applied; outlives a replica that is begun again
+	machineIndex *uint64 // last entry that the machine has applied; outlives the replica
 	raw          *raft.RawNode
 
-	id          uint64 // of the folder
+	id          uint64 // ID of the folder
 	bootstrapID uint64
-	ticks       int // since this replica began
+	ticks       int // since this replica was created
 	term        uint64
 	softState   raft.SoftState
-	changed     bool // who leads, or who is a member, has changed since this was last cleared
+	changed     bool // the leader, the term or the members have changed since the runner last published its state
 
 	conf            *pb.ConfState
 	members         map[uint64]member
-	lastMessageTick map[uint64]int // by number, the tick at which a message came
-	requests        []timedRequest // for votes, while this replica leads
-	changeTick      int            // of the last change proposed; 0 once it is done
+	lastMessageTick map[uint64]int  // by ID, tick of the last message received
+	requests        []queuedRequest // for votes, while this replica is the leader
+	changeTick      int             // when the last change was proposed; 0 once it is applied
 
 	applied     uint64
 	appliedTerm uint64 // of the last entry applied
 
 	nextKey uint64
-	pending map[uint64]waiter // by the key in front of the entry
+	pending map[uint64]waiter // by the key that precedes the entry
 
-	readQueue       []waiter // wait for the next round of confirmations
-	readRound       []waiter // of the round under way
+	readQueue       []waiter // waiting for the next round of confirmations
+	readRound       []waiter // of the round in progress
 	readRoundNumber uint64
 	confirmedReads  []confirmedRead
 
-	snapshotIndex     uint64 // of the last snapshot, made or on its way to the folder
-	snapshotting      bool   // one is on its way
-	snapshotRequested bool   // a member was added, who can only do with a snapshot that names it
+	snapshotIndex     uint64 // of the last snapshot, written or being written
+	snapshotting      bool   // a snapshot is being written
+	snapshotRequested bool   // a member was added, which can start only from a snapshot that contains it
 }
 
-// newReplica begins from what the store holds.
+// newReplica returns a replica that resumes from the content of the store.
 func newReplica(
 	cfg *Config, store *store, machine Machine, machineIndex *uint64, log *slog.Logger,
-) (c *replica, err error) {
+) (r *replica, err error) {
 	header := store.header
-	c = &replica{
+	r = &replica{
 		cfg:             cfg,
 		store:           store,
 		machine:         machine,
@@ -97,34 +97,34 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := c.restore(header.SnapIndex, snapshot.GetData()); err != nil {
+		if err := r.restore(header.SnapIndex, snapshot.GetData()); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
 		if x := recover(); x != nil {
-			c, err = nil, &ReplicaFailed{Why: oneLine(x)}
+			r, err = nil, &ReplicaFailed{Why: oneLine(x)}
 		}
 	}()
-	c.raw, err = raft.NewRawNode(c.raftConfig(log))
+	r.raw, err = raft.NewRawNode(r.raftConfig(log))
 	if err != nil {
 		return nil, &ReplicaFailed{Why: oneLine(err)}
 	}
-	return c, nil
+	return r, nil
 }
 
-func (c *replica) raftConfig(log *slog.Logger) *raft.Config {
+func (r *replica) raftConfig(log *slog.Logger) *raft.Config {
 	return &raft.Config{
-		ID:                        c.id,
+		ID:                        r.id,
 		ElectionTick:              electionTicks,
 		HeartbeatTick:             heartbeatTicks,
-		Storage:                   c.store,
-		Applied:                   c.applied,
-		MaxSizePerMsg:             maxMessage,
-		MaxCommittedSizePerReady:  maxCommitted,
-		MaxUncommittedEntriesSize: maxUncommitted,
-		MaxInflightMsgs:           maxInflight,
-		MaxInflightBytes:          maxCommitted,
+		Storage:                   r.store,
+		Applied:                   r.applied,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxCommittedBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxInflightBytes:          maxCommittedBytes,
 		AsyncStorageWrites:        true,
 		CheckQuorum:               true,
 		PreVote:                   true,
@@ -134,72 +134,72 @@
 	}
 }
 
-// restore takes a snapshot's members, and its machine unless that is further already. The first snapshot is the
-// bootstrap, of which the machine knows nothing.
-func (c *replica) restore(index uint64, data []byte) error {
+// restore restores the members of a snapshot, and the machine unless that has applied later entries already. The
+// first snapshot, at index 1, is the bootstrap and has no machine state.
+func (r *replica) restore(index uint64, data []byte) error {
 	members, machine, err := unpackSnapshot(data)
 	if err != nil {
 		return err
 	}
-	clear(c.members)
+	clear(r.members)
 	for _, m := range members {
-		c.members[m.ID] = m
+		r.members[m.ID] = m
 	}
-	if index <= *c.machineIndex || index <= 1 {
+	if index <= *r.machineIndex || index <= 1 {
 		return nil
 	}
-	if err := c.machine.Restore(index, machine); err != nil {
-		return &ReplicaFailed{Why: "a snapshot can't be taken over: " + oneLine(err)}
+	if err := r.machine.Restore(index, machine); err != nil {
+		return &ReplicaFailed{Why: "snapshot can't be restored: " + oneLine(err)}
 	}
-	*c.machineIndex = index
+	*r.machineIndex = index
 	return nil
 }
 
-func (c *replica) tick() {
-	c.ticks++
-	c.raw.Tick()
+func (r *replica) tick() {
+	r.ticks++
+	r.raw.Tick()
 }
 
-// step takes another voter's message. What raft cannot use is no error.
-func (c *replica) step(m *pb.Message) {
-	if m.GetTo() != c.id {
+// step processes another voter's message. Messages that raft rejects are ignored.
+func (r *replica) step(m *pb.Message) {
+	if m.GetTo() != r.id {
 		return
 	}
-	c.lastMessageTick[m.GetFrom()] = c.ticks
-	_ = c.raw.Step(m)
+	r.lastMessageTick[m.GetFrom()] = r.ticks
+	_ = r.raw.Step(m)
 }
 
-func (c *replica) isLeader() bool { return c.softState.RaftState == raft.StateLeader }
+func (r *replica) isLeader() bool { return r.softState.RaftState == raft.StateLeader }
 
-// propose begins to commit an entry; w hears once it is applied here.
-func (c *replica) propose(entry []byte, w waiter) {
+// propose proposes an entry; w receives the outcome once it is applied here.
+func (r *replica) propose(entry []byte, w waiter) {
 	switch {
-	case !c.isLeader():
+	case !r.isLeader():
 		w <- outcome{err: &NotLeader{}}
 		return
-	case len(c.pending) >= maxPending:
-		w <- outcome{err: &Overloaded{What: "proposals", Limit: maxPending}}
+	case len(r.pending) >= maxPendingProposals:
+		w <- outcome{err: &Overloaded{What: "proposals", Limit: maxPendingProposals}}
 		return
 	}
-	c.nextKey++
-	data := make([]byte, 0, keyBytes+len(entry))
-	data = binary.BigEndian.AppendUint64(data, c.nextKey)
+	r.nextKey++
+	data := make([]byte, 0, proposalKeyBytes+len(entry))
+	data = binary.BigEndian.AppendUint64(data, r.nextKey)
 	data = append(data, entry...)
-	if err := c.raw.Propose(data); err != nil {
-		w <- outcome{err: &Overloaded{What: "bytes to settle", Limit: maxUncommitted}}
+	if err := r.raw.Propose(data); err != nil {
+		w <- outcome{err: &Overloaded{What: "bytes of uncommitted entries", Limit: maxUncommittedBytes}}
 		return
 	}
-	c.pending[c.nextKey] = w
+	r.pending[r.nextKey] = w
 }
 
-// storeJob is something to write to the folder: a message of raft to its storage, or a compaction. Jobs are done in
-// their order, one at a time; and when one is done, the replica's written is called.
+// storeJob is a write to the folder: a message of raft to its storage, or a compaction. Jobs run one at a time, in
+// order; jobWritten is called after each.
 type storeJob struct {
 	message    *pb.Message
 	compaction *compaction
 }
 
-// run writes; it may run on another goroutine than the replica's methods.
+// run performs the write; it may run on another goroutine than the replica's methods.
 func (j storeJob) run(s *store) error {
 	if j.compaction != nil {
 		return s.compact(*j.compaction)
@@ -207,30 +207,30 @@
 	return s.writeMessage(j.message)
 }
 
-// written notes that a job is done. The messages that rest on it, which it returns, may leave now.
-func (c *replica) written(j storeJob) ([]*pb.Message, error) {
+// jobWritten records that a job is on disk, and returns the messages that depend on it, which may be sent now.
+func (r *replica) jobWritten(j storeJob) ([]*pb.Message, error) {
 	if j.compaction != nil {
-		c.snapshotting = false
+		r.snapshotting = false
 		return nil, nil
 	}
 	if snapshot := j.message.GetSnapshot(); !raft.IsEmptySnap(snapshot) {
 		metadata := snapshot.GetMetadata()
-		if err := c.restore(metadata.GetIndex(), snapshot.GetData()); err != nil {
+		if err := r.restore(metadata.GetIndex(), snapshot.GetData()); err != nil {
 			return nil, err
 		}
-		c.conf = metadata.GetConfState()
-		c.applied = metadata.GetIndex()
-		c.changed = true
-		c.snapshotIndex = max(c.snapshotIndex, c.applied)
+		r.conf = metadata.GetConfState()
+		r.applied = metadata.GetIndex()
+		r.changed = true
+		r.snapshotIndex = max(r.snapshotIndex, r.applied)
 	}
-	return c.release(j.message.GetResponses()), nil
+	return r.routeMessages(j.message.GetResponses()), nil
 }
 
-// release returns the messages to others, and gives those to itself back to raft.
-func (c *replica) release(messages []*pb.Message) (out []*pb.Message) {
+// routeMessages returns the messages to other voters and steps those to this replica.
+func (r *replica) routeMessages(messages []*pb.Message) (out []*pb.Message) {
 	for _, m := range messages {
-		if m.GetTo() == c.id {
-			_ = c.raw.Step(m)
+		if m.GetTo() == r.id {
+			_ = r.raw.Step(m)
 		} else {
 			out = append(out, m)
 		}
@@ -238,36 +238,36 @@
 	return out
 }
 
-// advance does all that is ready. It returns the messages that may leave now, and what to write to the folder.
-// After an error this replica must not be used any more.
-func (c *replica) advance() (out []*pb.Message, jobs []storeJob, err error) {
+// advance processes everything that raft has ready. It returns the messages that may be sent now and the jobs for the
+// folder. After an error this replica must not be used any more.
+func (r *replica) advance() (out []*pb.Message, jobs []storeJob, err error) {
 	for {
-		c.beginReadRound()
-		if !c.raw.HasReady() {
+		r.beginReadRound()
+		if !r.raw.HasReady() {
 			break
 		}
-		ready := c.raw.Ready()
-		c.leadershipChanged(ready)
+		ready := r.raw.Ready()
+		r.updateLeadership(ready)
 		for _, m := range ready.Messages {
 			switch m.GetTo() {
 			case raft.LocalAppendThread:
-				out = append(out, releaseEarly(m, c.id)...)
+				out = append(out, releaseEarly(m, r.id)...)
 				jobs = append(jobs, storeJob{message: m})
 			case raft.LocalApplyThread:
 				for _, entry := range m.GetEntries() {
-					if err := c.apply(entry); err != nil {
+					if err := r.apply(entry); err != nil {
 						return nil, nil, err
 					}
 				}
-				out = append(out, c.release(m.GetResponses())...)
+				out = append(out, r.routeMessages(m.GetResponses())...)
 			default:
 				out = append(out, m)
 			}
 		}
-		c.readStates(ready.ReadStates)
-		c.answerReads()
+		r.takeReadStates(ready.ReadStates)
+		r.answerReads()
 	}
-	job, err := c.nextCompaction()
+	job, err := r.nextCompaction()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -277,8 +277,8 @@
 	return out, jobs, nil
 }
 
-// releaseEarly is a failpoint: it takes out of a message to the storage the answers to others, which are to leave
-// once it is written.
+// releaseEarly implements the failpoint ack-before-write: it removes from a message to the storage the responses to
+// other voters, which must be sent only once it is written, and returns them.
 func releaseEarly(m *pb.Message, id uint64) (early []*pb.Message) {
 	if !failpoint.On("ack-before-write") {
 		return nil
@@ -293,35 +293,35 @@
 	return early
 }
 
-// nextCompaction returns the snapshot to make and the entries to drop, nil if none are due.
-func (c *replica) nextCompaction() (*compaction, error) {
-	tooLong := c.store.state().entryBytes > c.cfg.maxEntryBytes && !c.snapshotting
-	due := c.applied-c.snapshotIndex >= c.cfg.SnapshotEvery || c.snapshotRequested || tooLong
-	if c.applied <= c.snapshotIndex || !due {
+// nextCompaction returns the next compaction: the snapshot to write and the entries to drop. It is nil if none is due.
+func (r *replica) nextCompaction() (*compaction, error) {
+	overLimit := r.store.state().entryBytes > r.cfg.maxEntryBytes && !r.snapshotting
+	due := r.applied-r.snapshotIndex >= r.cfg.SnapshotEvery || r.snapshotRequested || overLimit
+	if r.applied <= r.snapshotIndex || !due {
 		return nil, nil
 	}
-	term, err := c.store.Term(c.applied)
+	term, err := r.store.Term(r.applied)
 	if err != nil {
-		return nil, &ReplicaFailed{Why: fmt.Sprintf("entry %d is applied and not in the folder", c.applied)}
+		return nil, &ReplicaFailed{Why: fmt.Sprintf("applied entry %d is missing from the folder", r.applied)}
 	}
-	c.snapshotRequested = false
-	c.snapshotIndex = c.applied
-	c.snapshotting = true
+	r.snapshotRequested = false
+	r.snapshotIndex = r.applied
+	r.snapshotting = true
 	return &compaction{
-		index:       c.applied,
+		index:       r.applied,
 		term:        term,
-		conf:        c.conf,
-		data:        packSnapshot(c.memberList(), c.machine.Snapshot()),
-		keepEntries: c.entriesToKeep(),
+		conf:        r.conf,
+		data:        packSnapshot(r.memberList(), r.machine.Snapshot()),
+		keepEntries: r.entriesToKeep(),
 	}, nil
 }
 
-// entriesToKeep is how many entries before a snapshot are kept for voters that lag.
-func (c *replica) entriesToKeep() (n uint64) {
-	state, size := c.store.state(), int64(0)
-	for i := int(c.applied-state.header.Base) - 1; i >= 0 && n < c.cfg.KeepEntries; i-- {
+// entriesToKeep returns the number of entries before a snapshot that are kept for voters that lag.
+func (r *replica) entriesToKeep() (n uint64) {
+	state, size := r.store.state(), int64(0)
+	for i := int(r.applied-state.header.Base) - 1; i >= 0 && n < r.cfg.KeepEntries; i-- {
 		size += entryBytes(state.entries[i])
-		if size > c.cfg.maxEntryBytes/4 {
+		if size > r.cfg.maxEntryBytes/4 {
 			break
 		}
 		n++
@@ -329,71 +329,71 @@
 	return n
 }
 
-// leadershipChanged takes a change of who leads, or of the term. What was asked of a leader that is none any more
-// ends here.
-func (c *replica) leadershipChanged(ready raft.Ready) {
+// updateLeadership records a change of the leader or of the term. If this replica has lost its leadership, pending
+// proposals and reads fail.
+func (r *replica) updateLeadership(ready raft.Ready) {
 	term := ready.GetTerm()
-	if ready.SoftState == nil && (term == 0 || term == c.term) {
+	if ready.SoftState == nil && (term == 0 || term == r.term) {
 		return
 	}
-	wasLeader, oldTerm := c.isLeader(), c.term
+	wasLeader, oldTerm := r.isLeader(), r.term
 	if ready.SoftState != nil {
-		c.softState = *ready.SoftState
+		r.softState = *ready.SoftState
 	}
 	if term != 0 {
-		c.term = term
+		r.term = term
 	}
-	c.changed = true
-	newReign := !wasLeader || oldTerm != c.term
-	if c.isLeader() && newReign {
-		for id := range c.members { // nobody counts as silent for the time before
-			c.lastMessageTick[id] = c.ticks
+	r.changed = true
+	newLeadership := !wasLeader || oldTerm != r.term
+	if r.isLeader() && newLeadership {
+		for id := range r.members { // silence before this leadership does not count
+			r.lastMessageTick[id] = r.ticks
 		}
 	}
-	if wasLeader && (!c.isLeader() || oldTerm != c.term) {
-		c.stop(&UnknownOutcome{Cause: &NotLeader{}}, &NotLeader{})
+	if wasLeader && (!r.isLeader() || oldTerm != r.term) {
+		r.failWaiters(&UnknownOutcome{Cause: &NotLeader{}}, &NotLeader{})
 	}
 }
 
-// stop ends all that waits, proposals with one error and confirmations with another.
-func (c *replica) stop(proposals, reads error) {
-	for key, w := range c.pending {
+// failWaiters fails pending proposals with one error and pending confirmations with another.
+func (r *replica) failWaiters(proposals, reads error) {
+	for key, w := range r.pending {
 		w <- outcome{err: proposals}
-		delete(c.pending, key)
+		delete(r.pending, key)
 	}
-	failAll(&c.readQueue, reads)
-	failAll(&c.readRound, reads)
-	for _, r := range c.confirmedReads {
-		failAll(&r.waiters, reads)
+	failAll(&r.readQueue, reads)
+	failAll(&r.readRound, reads)
+	for _, read := range r.confirmedReads {
+		failAll(&read.waiters, reads)
 	}
-	c.confirmedReads = nil
+	r.confirmedReads = nil
 }
 
 // apply applies one committed entry.
-func (c *replica) apply(entry *pb.Entry) error {
-	c.appliedTerm = entry.GetTerm()
+func (r *replica) apply(entry *pb.Entry) error {
+	r.appliedTerm = entry.GetTerm()
 	index := entry.GetIndex()
-	defer func() { c.applied = index }()
+	defer func() { r.applied = index }()
 	if entry.GetType() != pb.EntryNormal {
 		change, err := unpackConfChange(entry)
 		if err != nil {
-			return &ReplicaFailed{Why: fmt.Sprintf("entry %d can't be read", index)}
+			return &ReplicaFailed{Why: fmt.Sprintf("entry %d can't be decoded", index)}
 		}
-		c.applyConfChange(change)
+		r.applyConfChange(change)
 		return nil
 	}
 	data := entry.GetData()
-	if len(data) < keyBytes { // a leader's first entry is empty
+	if len(data) < proposalKeyBytes { // the first entry of a new leader is empty
 		return nil
 	}
-	if index > *c.machineIndex {
-		c.machine.Apply(index, data[keyBytes:])
-		*c.machineIndex = index
+	if index > *r.machineIndex {
+		r.machine.Apply(index, data[proposalKeyBytes:])
+		*r.machineIndex = index
 	}
 	key := binary.BigEndian.Uint64(data)
-	if w := c.pending[key]; w != nil {
-		w <- outcome{term: c.term}
-		delete(c.pending, key)
+	if w := r.pending[key]; w != nil {
+		w <- outcome{term: r.term}
+		delete(r.pending, key)
 	}
 	return nil
 }
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -204,7 +204,7 @@
 
 func (r *rig) kill(b *box) {
 	if b.c != nil {
-		b.c.stop(&UnknownOutcome{Cause: &Closed{}}, &NotLeader{})
+		b.c.failWaiters(&UnknownOutcome{Cause: &Closed{}}, &NotLeader{})
 	}
 	if b.st != nil {
 		b.st.close()
@@ -239,7 +239,7 @@
 				}
 			}
 			if s.Replaces != 0 {
-				o.c.request(memberRequest{Member: s})
+				o.c.addRequest(memberRequest{Member: s})
 				r.begin(b, bootstrap{ID: o.st.header.Bootstrap.ID})
 				return
 			}
@@ -295,9 +295,9 @@
 	for _, o := range r.boxes {
 		if o.c != nil && o.c.isLeader() && r.hears(b.i, o.i) && r.majority(o) {
 			_, has := o.c.members[b.st.header.ID]
-			if !has && !slices.ContainsFunc(o.c.requests, func(x timedRequest) bool { return x.Member.ID == b.st.header.ID }) &&
+			if !has && !slices.ContainsFunc(o.c.requests, func(x queuedRequest) bool { return x.Member.ID == b.st.header.ID }) &&
 				o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
-				b.c.stop(&UnknownOutcome{}, &NotLeader{})
+				b.c.failWaiters(&UnknownOutcome{}, &NotLeader{})
 				b.c, b.jobs = nil, nil
 				if b.st.reset() != nil {
 					r.kill(b)
@@ -322,7 +322,7 @@
 			r.begin(o, bootstrap{ID: b.st.header.Bootstrap.ID})
 		}
 		if o.st != nil && o.st.header.Bootstrap.ID == b.st.header.Bootstrap.ID {
-			b.c.request(
+			b.c.addRequest(
 				memberRequest{Member: member{ID: o.st.header.ID, Name: o.cfg.Name, Addr: o.cfg.Listen, Replaces: instead}},
 			)
 			return
@@ -383,7 +383,7 @@
 			r.kill(b) // the process goes on, with its machine; the folder is opened anew once there is room
 			return
 		}
-		msgs, err := b.c.written(j)
+		msgs, err := b.c.jobWritten(j)
 		if err != nil {
 			r.t.Fatal(err)
 		}
--- a/internal/consensus/runner.go
+++ b/internal/consensus/runner.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	incomingQueue   = 256 // batches from other voters
-	callQueue       = 1024
-	maxBatch        = 64                 // events taken up before one write, or messages in one call
-	leaderlessTicks = 20 * electionTicks // after which others are asked whether this voter still has its vote
-	removedTicks    = 4 * electionTicks  // after which a voter that is no member asks the same
-	changeTicks     = electionTicks / 2  // between two looks at the members
+	incomingQueueBatches = 256                // batches from other voters
+	maxQueuedCalls       = 1024               // functions posted to the runner's goroutine
+	maxBatchMessages     = 64                 // queued events processed before one write, or messages in one call
+	leaderlessCheckTicks = 20 * electionTicks // time without a leader after which a voter checks that it has its vote
+	removedCheckTicks    = 4 * electionTicks  // time after which a voter that is not a member any more checks the same
+	memberCheckTicks     = electionTicks / 2  // between two checks whether members have to change
 )
 
-// errReleased ends a runner whose voter has no vote any more.
-var errReleased error = &VoteReleased{hint.Annotated{
-	What: "no seat any more",
+// errVoteReleased ends a runner whose voter has lost its vote to another member.
+var errVoteReleased error = &VoteReleased{hint.Annotated{
+	What: "this member no longer has a vote",
 	Do:   "nothing: another member has the vote now, see oatctl revision status",
 }}
 
-// batch is messages of one voter.
+// batch is a batch of messages from one voter.
 type batch struct {
 	from string
 	msgs []*pb.Message
 }
 
-// runner is the goroutine around a replica: messages, proposals and ticks in, batches of messages out. It owns the
-// replica and, with its writer, the open folder, while it runs. Queues are bounded; what does not fit is dropped
-// and counted, which raft bears.
+// runner is the goroutine that drives a replica with messages, proposals and ticks, and sends its messages in batches.
+// While it runs it owns the replica and, with its writer, the open folder. Queues are bounded: messages that do not fit
+// are dropped and counted, which raft tolerates.
 type runner struct {
 	node    *Node
 	store   *store
@@ -48,28 +48,28 @@
 	calls    chan func()
 
 	writer  *writer
-	jobs    []storeJob // to be written once the writer is free
+	jobs    []storeJob // queued until the writer is idle
 	writing bool
 
 	outboxes map[uint64]*outbox
-	names    map[uint64]string // by number, as messages told; for those that are no members here yet
+	names    map[uint64]string // by ID, names of senders of messages; used for voters that are not members here yet
 
 	ticksWithoutLeader int
-	ticksRemoved       int         // since this voter is no member any more
-	searching          atomic.Bool // a call about members is under way
-	released           bool        // this voter has no vote any more
+	ticksRemoved       int         // since this voter is not a member any more
+	memberCallPending  atomic.Bool // a query or preparation of members is in progress
+	voteReleased       bool        // this voter has lost its vote to another member
 
 	state atomic.Pointer[runnerState]
 }
 
-// runnerState is what other goroutines may know of a runner, as of its last step.
+// runnerState is the state of a runner after its last step, published for other goroutines.
 type runnerState struct {
 	leader      uint64
 	term        uint64
 	isLeader    bool
 	isLearner   bool
 	members     map[uint64]member
-	view        []memberView // a leader's
+	view        []memberView // set at the leader only
 	conf        *pb.ConfState
 	applied     uint64
 	committed   uint64
@@ -88,8 +88,8 @@
 		store:    store,
 		replica:  replica,
 		done:     make(chan struct{}),
-		incoming: make(chan batch, incomingQueue),
-		calls:    make(chan func(), callQueue),
+		incoming: make(chan batch, incomingQueueBatches),
+		calls:    make(chan func(), maxQueuedCalls),
 		writer:   newWriter(store),
 		outboxes: map[uint64]*outbox{},
 		names:    map[uint64]string{},
@@ -98,7 +98,7 @@
 	return r, nil
 }
 
-// run steps until ctx ends (nil), the folder fails, or this voter has no vote any more (errReleased).
+// run drives the replica until ctx ends (nil), the folder fails, or this voter has lost its vote (errVoteReleased).
 func (r *runner) run(ctx context.Context) (err error) {
 	ticker := time.NewTicker(r.node.cfg.Tick)
 	written := make(chan struct{})
@@ -107,12 +107,12 @@
 		r.writer.run(r.done)
 	}()
 	defer func() {
-		if x := recover(); x != nil { // raft panics where what it is told cannot be
+		if x := recover(); x != nil { // raft panics on inconsistent input
 			err = &ReplicaFailed{Why: oneLine(x)}
 		}
 		ticker.Stop()
 		r.close(err)
-		<-written // whoever closes the folder next relies on it
+		<-written // the folder may be closed afterwards
 	}()
 	for {
 		if err := r.step(ctx); err != nil {
@@ -128,30 +128,30 @@
 		case f := <-r.calls:
 			f()
 		case result := <-r.writer.results:
-			if err := r.jobsWritten(ctx, result); err != nil {
+			if err := r.handleWritten(ctx, result); err != nil {
 				return err
 			}
 		}
-		r.takeWaiting()
+		r.drainQueues()
 	}
 }
 
-// close ends all that waits.
+// close stops the outboxes and fails all waiters.
 func (r *runner) close(err error) {
 	for _, o := range r.outboxes {
 		o.cancel()
 	}
 	cause := err
-	if err == nil || errors.Is(err, errReleased) {
+	if err == nil || errors.Is(err, errVoteReleased) {
 		cause = &Closed{}
 	}
-	r.replica.stop(&UnknownOutcome{Cause: cause}, &NotLeader{})
+	r.replica.failWaiters(&UnknownOutcome{Cause: cause}, &NotLeader{})
 	close(r.done)
 }
 
-// takeWaiting takes what else has come, so that it goes into the same write.
-func (r *runner) takeWaiting() {
-	for range maxBatch {
+// drainQueues processes queued batches and calls, so that one write covers them.
+func (r *runner) drainQueues() {
+	for range maxBatchMessages {
 		select {
 		case b := <-r.incoming:
 			r.receive(b)
@@ -170,7 +170,7 @@
 	}
 }
 
-// step does all that is ready.
+// step processes everything that the replica has ready.
 func (r *runner) step(ctx context.Context) error {
 	applied := r.replica.applied
 	messages, jobs, err := r.replica.advance()
@@ -186,8 +186,8 @@
 		r.writer.jobs <- r.jobs
 		r.jobs = nil
 	}
-	if r.released {
-		return errReleased
+	if r.voteReleased {
+		return errVoteReleased
 	}
 	if r.replica.changed || r.replica.applied != applied {
 		r.replica.changed = false
@@ -196,13 +196,13 @@
 	return nil
 }
 
-// jobsWritten notes what the folder holds now, and sends what rests on it.
-func (r *runner) jobsWritten(ctx context.Context, result writeResult) error {
+// handleWritten records that jobs are on disk, and sends the messages that depend on them.
+func (r *runner) handleWritten(ctx context.Context, result writeResult) error {
 	if result.err != nil {
 		return result.err
 	}
 	for _, job := range result.jobs {
-		messages, err := r.replica.written(job)
+		messages, err := r.replica.jobWritten(job)
 		if err != nil {
 			return err
 		}
@@ -218,25 +218,26 @@
 	r.replica.tick()
 	r.checkLeader()
 	r.checkRemoved()
-	if r.replica.ticks%changeTicks == 0 {
+	if r.replica.ticks%memberCheckTicks == 0 {
 		r.changeMembers(ctx)
 		r.publish()
 	}
 }
 
-// checkLeader asks others whether this voter still has its vote, if it has heard of no leader for long.
+// checkLeader queries the leader whether this voter still has its vote, each time that this voter has known no leader
+// for leaderlessCheckTicks.
 func (r *runner) checkLeader() {
 	if r.replica.softState.Lead != raft.None {
 		r.ticksWithoutLeader = 0
 		return
 	}
 	r.ticksWithoutLeader++
-	if r.ticksWithoutLeader%leaderlessTicks == 0 {
+	if r.ticksWithoutLeader%leaderlessCheckTicks == 0 {
 		r.node.checkMembership(r)
 	}
 }
 
-// checkRemoved asks the same if this voter is no member any more by what it has applied.
+// checkRemoved queries the same if this voter is not a member any more according to the entries it has applied.
 func (r *runner) checkRemoved() {
 	_, isMember := r.replica.members[r.replica.id]
 	if isMember || r.replica.applied == 0 || r.replica.isLeader() {
@@ -244,48 +245,48 @@
 		return
 	}
 	r.ticksRemoved++
-	if r.ticksRemoved == removedTicks {
+	if r.ticksRemoved == removedCheckTicks {
 		r.node.checkMembership(r)
 		r.ticksRemoved = 0
 	}
 }
 
-// changeMembers does the next change of members, if one is due.
+// changeMembers starts the next change of members, if one is due.
 func (r *runner) changeMembers(ctx context.Context) {
 	change := r.replica.nextChange()
 	switch change.Kind {
 	case noChange:
 	case findCandidate:
-		if r.searching.CompareAndSwap(false, true) {
+		if r.memberCallPending.CompareAndSwap(false, true) {
 			members := r.replica.memberList()
 			go r.node.findCandidate(ctx, r, members, change.Member.Replaces)
 		}
 	default:
 		m := change.Member
-		r.node.log.Info("revisions: voters change",
+		r.node.log.Info("revisions: changing members",
 			"what", change.Kind.String(), "name", m.Name, "id", m.ID, "for", m.Replaces)
 		r.replica.proposeChange(change)
 	}
 }
 
-// publish lets other goroutines see the state.
+// publish publishes the state for other goroutines.
 func (r *runner) publish() {
-	c, kept := r.replica, r.store.state()
+	replica, stored := r.replica, r.store.state()
 	state := &runnerState{
-		leader:      c.softState.Lead,
-		term:        c.term,
-		isLeader:    c.isLeader(),
-		isLearner:   !slices.Contains(c.conf.GetVoters(), c.id),
-		members:     maps.Clone(c.members),
-		conf:        c.conf,
-		applied:     c.applied,
-		committed:   kept.header.Commit,
-		firstEntry:  kept.header.Base + 1,
-		entryBytes:  kept.entryBytes,
-		bootstrapID: c.bootstrapID,
+		leader:      replica.softState.Lead,
+		term:        replica.term,
+		isLeader:    replica.isLeader(),
+		isLearner:   !slices.Contains(replica.conf.GetVoters(), replica.id),
+		members:     maps.Clone(replica.members),
+		conf:        replica.conf,
+		applied:     replica.applied,
+		committed:   stored.header.Commit,
+		firstEntry:  stored.header.Base + 1,
+		entryBytes:  stored.entryBytes,
+		bootstrapID: replica.bootstrapID,
 	}
 	if state.isLeader {
-		state.view = c.view().Members
+		state.view = replica.view().Members
 	}
 	r.state.Store(state)
 	r.publishLeader(state)
@@ -294,7 +295,7 @@
 func (r *runner) publishLeader(state *runnerState) {
 	leader := LeaderInfo{Term: state.term, IsSelf: state.isLeader}
 	if state.leader == raft.None {
-		if state.isLearner && !r.node.Leader().IsSelf { // it waits to be added; Node.watchLeader asks others who leads
+		if state.isLearner && !r.node.Leader().IsSelf { // still to be added: Node.watchLeader finds the leader
 			return
 		}
 	} else {
@@ -304,7 +305,7 @@
 	r.node.setLeader(leader)
 }
 
-// nameOf is a voter's name, by the members or else by its messages; "" if it is unknown.
+// nameOf returns a voter's name from the members or else from its messages; "" if it is unknown.
 func (r *runner) nameOf(id uint64) string {
 	if name := r.replica.members[id].Name; name != "" {
 		return name
@@ -312,7 +313,7 @@
 	return r.names[id]
 }
 
-// post runs f on the runner's goroutine; false if its queue is full.
+// post queues f to run on the runner's goroutine; it returns false if the queue is full.
 func (r *runner) post(f func()) bool {
 	select {
 	case r.calls <- f:
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -8,57 +8,57 @@
 	"oatloft/internal/hint"
 )
 
-// LeaderInfo is who leads, as known here.
+// LeaderInfo describes the leader as known to this member.
 type LeaderInfo struct {
 	Name    string // "" while none is known
-	Address string // where it is called from here
+	Address string // address at which it is called from here
 	Term    uint64
-	IsSelf  bool // this member leads
+	IsSelf  bool // this member is the leader
 }
 
-// Voter is one of those that hold a vote, or are about to (Learner).
+// Voter is a member that holds a vote or, as a learner, is about to get one.
 type Voter struct {
 	ID           uint64
 	Name         string
 	Zone         string
 	Learner      bool
-	ReplacesName string        // the voter whose vote a learner is to get; "" for none
-	Match        uint64        // the last entry that the leader knows it to have; 0 elsewhere
-	Silence      time.Duration // since the leader heard from it; 0 elsewhere
+	ReplacesName string        // of a learner: the voter that it replaces; "" for none
+	Match        uint64        // index of the last entry that it is known to have; set at the leader only
+	Silence      time.Duration // time since its last message; set at the leader only
 }
 
-// Role is what a member does in the agreement.
+// Role is a member's role in the replicated log.
 type Role string
 
-// The roles. Operators read them by these texts.
+// Roles of a member. The texts are part of the status output.
 const (
-	Reader        Role = "reader"    // holds no vote, and calls the leader
-	Waiting       Role = "waiting"   // another process has the folder or the address: takes over once that one ends
-	Bootstrapping Role = "founding"  // is to hold a vote, and waits for all the others that are
-	Rejoining     Role = "returning" // has lost its folder, and asks to come back as a new voter
-	Learner       Role = "learner"   // follows without a vote
+	Reader        Role = "reader"    // holds no vote and calls the leader
+	Waiting       Role = "waiting"   // another process has the folder or the address; takes over once that one ends
+	Bootstrapping Role = "founding"  // is one of the first voters and waits for all the others
+	Rejoining     Role = "returning" // has lost its folder and asks to rejoin as a new voter
+	Learner       Role = "learner"   // receives the log but has no vote
 	Follower      Role = "follower"
 	Leading       Role = "leading"
-	Faulty        Role = "broken" // its folder cannot be written or trusted, and it does not vote: Status.Fault says why
+	Faulty        Role = "broken" // does not vote because its folder cannot be written or trusted, see Status.Fault
 )
 
-// Status is what a member reports of itself.
+// Status is the status of a member.
 type Status struct {
 	Role       Role
 	ID         uint64 // of its folder; 0 without one
-	Bootstrap  uint64 // number of the bootstrap that it belongs to; 0 for none yet
+	Bootstrap  uint64 // ID of its bootstrap; 0 for none yet
 	Leader     LeaderInfo
-	Voters     []Voter // by name
-	Applied    uint64  // the last entry that the Machine has
-	Committed  uint64  // the last entry that a majority has
-	FirstEntry uint64  // of the entries kept
-	EntryBytes int64   // of the entries kept
-	BytesIn    int64   // of calls and their answers, since the start
-	BytesOut   int64
-	Dropped    int64  // messages to voters that found their queue full or nobody there
-	Refused    int64  // calls refused since too many were under way
-	Fault      error  // why it is Faulty; nil otherwise
-	Awaiting   string // while Bootstrapping: whom it waits for
+	Voters     []Voter // in order of their names
+	Applied    uint64  // index of the last entry applied to the Machine
+	Committed  uint64  // index of the last committed entry
+	FirstEntry uint64  // index of the first entry kept
+	EntryBytes int64   // size of the entries kept
+	BytesIn    int64   // received on connections to other members, since the start
+	BytesOut   int64   // sent on connections to other members, since the start
+	Dropped    int64   // messages to voters dropped because the queue was full or the voter unreachable
+	Refused    int64   // connections and calls refused because a limit was reached
+	Fault      error   // cause if Role is Faulty; nil otherwise
+	Awaiting   string  // name of the member waited for while Bootstrapping
 }
 
 // Status returns this member's status.
@@ -82,7 +82,7 @@
 	return s
 }
 
-// addReplica adds what the replica tells.
+// addReplica adds the state of the replica.
 func (s *Status) addReplica(state *runnerState, tick time.Duration) {
 	s.Role = Follower
 	switch {
@@ -111,7 +111,7 @@
 	})
 }
 
-// setRole notes what this member does, and logs what is new of it.
+// setRole records this member's role and logs changes.
 func (n *Node) setRole(role Role, fault error, awaiting string) {
 	n.mu.Lock()
 	oldRole, oldFault, oldAwaiting := n.role, n.fault, n.awaiting
@@ -119,12 +119,12 @@
 	n.mu.Unlock()
 	switch {
 	case fault != nil && (oldFault == nil || oldFault.Error() != fault.Error()):
-		n.log.Error("revisions: this member holds no vote", "err", hint.Line(fault))
+		n.log.Error("revisions: this member cannot vote", "err", hint.Line(fault))
 	case fault != nil || oldRole == role && oldAwaiting == awaiting:
 	case role == Bootstrapping && awaiting != "":
-		n.log.Info("revisions: all voters are needed once, for the founding", "awaiting", awaiting)
+		n.log.Info("revisions: waiting for all voters, which the bootstrap needs once", "awaiting", awaiting)
 	case role == Rejoining:
-		n.log.Warn("revisions: the folder is new, and the cluster isn't: coming back as a new voter")
+		n.log.Warn("revisions: new folder in an existing cluster, rejoining as a new voter")
 	case role == Waiting:
 		n.log.Info("revisions: another process of this balancer holds the vote", "folder", n.cfg.Folder)
 	}
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -18,7 +18,7 @@
 }
 
 // Entries implements raft.Storage.
-func (s *store) Entries(lo, hi, most uint64) ([]*pb.Entry, error) {
+func (s *store) Entries(lo, hi, maxSize uint64) ([]*pb.Entry, error) {
 	d := s.state()
 	switch {
 	case lo <= d.header.Base:
@@ -29,7 +29,7 @@
 	part := d.entries[lo-d.header.Base-1 : hi-d.header.Base-1]
 	var size uint64
 	for i, e := range part {
-		if size += uint64(proto.Size(e)); size > most && i > 0 {
+		if size += uint64(proto.Size(e)); size > maxSize && i > 0 {
 			return part[:i:i], nil
 		}
 	}
@@ -71,14 +71,14 @@
 // readSnapshot reads the snapshot from disk.
 func (s *store) readSnapshot() (snapshot *pb.Snapshot, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		b, ok := checkChecksum(keySnapshot, tx.Bucket(bucketMeta).Get(keySnapshot))
+		b, ok := verifyChecksum(keySnapshot, tx.Bucket(bucketMeta).Get(keySnapshot))
 		snapshot = &pb.Snapshot{Metadata: new(pb.SnapshotMetadata)}
 		if !ok || len(b) < 4 || uint64(len(b)-4) < uint64(binary.BigEndian.Uint32(b)) {
-			return s.corrupt("the sum of its snapshot doesn't fit")
+			return s.corruptError("snapshot checksum mismatch")
 		}
 		n := 4 + binary.BigEndian.Uint32(b)
 		if err := proto.Unmarshal(b[4:n], snapshot.Metadata); err != nil {
-			return s.corrupt("its snapshot can't be read")
+			return s.corruptError("snapshot metadata can't be decoded")
 		}
 		snapshot.Data = append(snapshot.Data, b[n:]...)
 		return nil
@@ -86,10 +86,10 @@
 	return snapshot, err
 }
 
-// packSnapshot puts the members in front of the machine's own snapshot.
+// packSnapshot encodes a snapshot: the length of the members as JSON, the members, and the machine's own snapshot.
 func packSnapshot(members []member, machine []byte) []byte {
 	packed, err := json.Marshal(members)
-	if err != nil { // numbers and texts
+	if err != nil { // impossible: a member consists of numbers and strings
 		panic(err)
 	}
 	b := binary.BigEndian.AppendUint32(nil, uint32(len(packed)))
@@ -99,11 +99,11 @@
 
 func unpackSnapshot(data []byte) (members []member, machine []byte, err error) {
 	if len(data) < 4 || uint64(len(data)-4) < uint64(binary.BigEndian.Uint32(data)) {
-		return nil, nil, &ReplicaFailed{Why: "a snapshot has an unknown form"}
+		return nil, nil, &ReplicaFailed{Why: "malformed snapshot"}
 	}
 	n := 4 + binary.BigEndian.Uint32(data)
 	if err := json.Unmarshal(data[4:n], &members); err != nil {
-		return nil, nil, &ReplicaFailed{Why: "a snapshot has an unknown form"}
+		return nil, nil, &ReplicaFailed{Why: "malformed snapshot"}
 	}
 	return members, data[n:], nil
 }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -19,12 +19,12 @@
 const (
 	fileName = "agree.db"
 
-	// Processes is a folder beside the file that others may make; nothing of it is read here.
+	// Processes is the name of a subfolder that other packages may create beside the database; it is not read here.
 	Processes = "processes"
 
-	format         = "oatloft agreement 1"
-	pageSize       = 4096
-	logFillPercent = 0.9 // entries come in order
+	format          = "oatloft agreement 1"
+	pageBytes       = 4096
+	logFillFraction = 0.9 // of a page; keys are appended in ascending order, so little space is needed for inserts
 )
 
 var (
@@ -34,27 +34,27 @@
 	keySnapshot = []byte("snapshot")
 )
 
-// header is what each write updates beside the entries themselves.
+// header is the metadata that each write updates together with the entries.
 type header struct {
 	Format    string    `json:"Format"`
 	Cluster   string    `json:"Cluster"`
 	Name      string    `json:"Name"`
-	ID        uint64    `json:"ID"` // this folder's number: chosen at random, never reused
+	ID        uint64    `json:"ID"` // of this folder: random, never reused
 	Bootstrap bootstrap `json:"Founded"`
 	Term      uint64    `json:"Term"`
 	Vote      uint64    `json:"Vote"`
 	Commit    uint64    `json:"Commit"`
 	SnapIndex uint64    `json:"SnapIndex"`
 	SnapTerm  uint64    `json:"SnapTerm"`
-	Conf      confState `json:"Conf"` // as of the snapshot
-	Base      uint64    `json:"Base"` // the entry before the first one kept
+	Conf      confState `json:"Conf"` // members as of the snapshot
+	Base      uint64    `json:"Base"` // index of the entry before the first one kept
 	BaseTerm  uint64    `json:"BaseTerm"`
 	BaseChain uint64    `json:"BaseChain"`
 	Last      uint64    `json:"Last"`
 	LastChain uint64    `json:"LastChain"`
 }
 
-// confState is raft's set of members, as the folder keeps it.
+// confState is the stored form of raft's ConfState.
 type confState struct {
 	Voters   []uint64 `json:"Voters"`
 	Learners []uint64 `json:"Learners"`
@@ -83,31 +83,31 @@
 	}
 }
 
-// store is a voter's open folder: one bbolt database. One goroutine writes, and another one reads meanwhile what is
-// on disk, as raft's Storage.
+// store is a voter's open folder, one bbolt database. One goroutine writes, while another one reads what is on disk
+// through raft.Storage.
 //
-// Nothing is used that is not as it was written. bbolt has checksums of its two head pages only, so verifyPages
-// looks at the pages before bbolt gets the file, and each value has a checksum here; entries are chained, so that a
-// page which is whole but of an earlier time is found as well. What is read is kept in memory; entries are few and
-// short, since snapshots replace them.
+// Only data that passes verification is used. bbolt has checksums for its two meta pages only, so verifyPages checks
+// the pages before bbolt opens the file, and each value has a checksum of its own. The checksums of entries are
+// chained, so that an intact page of an earlier state is detected as well. All entries are kept in memory: they are few
+// and short, since snapshots replace them.
 type store struct {
 	db         *bolt.DB
 	folder     string
-	writeFault func() error // of tests, before each write
+	writeFault func() error // for tests, called before each write
 
-	mu       sync.RWMutex // held by the writer while it takes over what has been written
-	logState              // written by one goroutine, which reads it without the lock
+	mu       sync.RWMutex // guards logState
+	logState              // only one goroutine writes it, which therefore reads it without the lock
 }
 
-// logState is what is kept in memory of a folder.
+// logState is the in-memory copy of the folder's header and entries.
 type logState struct {
 	header     header
 	entries    []*pb.Entry // header.Base + 1 to header.Last
-	chains     []uint64    // the checksum of each of them and all before
-	entryBytes int64       // of all entries
+	chains     []uint64    // chained checksum of each entry
+	entryBytes int64       // total size of the entries
 }
 
-// state is what is in memory, for other goroutines than the writer's.
+// state returns the in-memory state; it is safe to call from any goroutine.
 func (s *store) state() logState {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -116,20 +116,20 @@
 
 func (s *store) close() {
 	if s.db != nil {
-		_ = s.db.Close() // what was written is on disk
+		_ = s.db.Close() // all writes have been synced
 	}
 }
 
-func (s *store) corrupt(why string, args ...any) error {
-	return &CorruptFolder{Folder: s.folder, Why: fmt.Sprintf(why, args...)}
+func (s *store) corruptError(format string, args ...any) error {
+	return &CorruptFolder{Folder: s.folder, Why: fmt.Sprintf(format, args...)}
 }
 
-// load reads and checks everything.
+// load reads and verifies the header and all entries.
 func (s *store) load() error {
 	return s.db.View(func(tx *bolt.Tx) error {
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if meta == nil || log == nil {
-			return &ForeignFolder{Folder: s.folder, Why: fileName + " holds no agreement"}
+			return &ForeignFolder{Folder: s.folder, Why: fileName + " lacks the meta or log bucket"}
 		}
 		if err := s.loadHeader(meta); err != nil {
 			return err
@@ -140,25 +140,25 @@
 		last, chain := s.lastLoaded()
 		h := s.header
 		if h.Last != last || h.LastChain != chain || h.Commit > h.Last || h.SnapIndex > h.Last || h.Base > h.SnapIndex {
-			return s.corrupt("its entries end at %d, not at %d", last, h.Last)
+			return s.corruptError("entries end at %d, header has %d as the last one", last, h.Last)
 		}
 		return nil
 	})
 }
 
 func (s *store) loadHeader(meta *bolt.Bucket) error {
-	raw, ok := checkChecksum(keyHeader, meta.Get(keyHeader))
+	raw, ok := verifyChecksum(keyHeader, meta.Get(keyHeader))
 	if !ok {
-		return s.corrupt("the sum of its head doesn't fit")
+		return s.corruptError("header checksum mismatch")
 	}
 	if err := json.Unmarshal(raw, &s.header); err != nil || s.header.Format != format {
-		return &ForeignFolder{Folder: s.folder, Why: "it is of another version"}
+		return &ForeignFolder{Folder: s.folder, Why: "unknown format version"}
 	}
 	if s.header.SnapIndex == 0 {
 		return nil
 	}
-	if _, ok := checkChecksum(keySnapshot, meta.Get(keySnapshot)); !ok {
-		return s.corrupt("the sum of its snapshot doesn't fit")
+	if _, ok := verifyChecksum(keySnapshot, meta.Get(keySnapshot)); !ok {
+		return s.corruptError("snapshot checksum mismatch")
 	}
 	return nil
 }
@@ -173,20 +173,20 @@
 	return nil
 }
 
-// loadEntry reads the next entry: its chained checksum, then itself.
+// loadEntry reads the next entry: its chained checksum, followed by the encoded entry.
 func (s *store) loadEntry(k, v []byte) error {
 	last, chained := s.lastLoaded()
 	index := last + 1
 	if len(k) != 8 || len(v) < 8 || binary.BigEndian.Uint64(k) != index {
-		return s.corrupt("entry %d is missing", index)
+		return s.corruptError("entry %d is missing", index)
 	}
 	stored, body := binary.BigEndian.Uint64(v), v[8:]
-	if chain(chained, index, body) != stored && !failpoint.On("sums-unchecked") {
-		return s.corrupt("the sum of entry %d doesn't fit", index)
+	if chainChecksum(chained, index, body) != stored && !failpoint.On("sums-unchecked") {
+		return s.corruptError("checksum mismatch of entry %d", index)
 	}
 	entry := new(pb.Entry)
 	if err := proto.Unmarshal(body, entry); err != nil || entry.GetIndex() != index {
-		return s.corrupt("entry %d can't be read", index)
+		return s.corruptError("entry %d can't be decoded", index)
 	}
 	s.entries = append(s.entries, entry)
 	s.chains = append(s.chains, stored)
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// lastLoaded is the last entry read so far, with its chained checksum.
+// lastLoaded returns the index of the last entry read so far and its chained checksum.
 func (s *store) lastLoaded() (index, chained uint64) {
 	n := len(s.chains)
 	if n == 0 {
@@ -211,8 +211,8 @@
 	return tx.Bucket(bucketMeta).Put(keyHeader, withChecksum(keyHeader, b))
 }
 
-// update writes in one transaction: all of it is on disk when it returns nil. f changes a draft of what is in
-// memory along with it, which is taken over then. The error is an *UnwritableFolder.
+// update writes in one transaction, which is on disk when it returns nil. f also changes a draft of the in-memory
+// state, which replaces the current one once the transaction is committed. The error is an *UnwritableFolder.
 func (s *store) update(f func(draft *logState, tx *bolt.Tx) error) error {
 	draft := s.logState
 	write := func(tx *bolt.Tx) error {
@@ -221,10 +221,10 @@
 		}
 		return putHeader(tx, draft.header)
 	}
-	if err := s.transact(write); err != nil {
+	if err := s.runTransaction(write); err != nil {
 		var path *os.PathError
 		if errors.As(err, &path) {
-			err = path.Err // the path is the one under which the file was made
+			err = path.Err // the path is the temporary one of createStore
 		}
 		return &UnwritableFolder{Folder: s.folder, Cause: err}
 	}
@@ -234,15 +234,15 @@
 	return nil
 }
 
-// transact runs a transaction, unless a test has it fail.
-func (s *store) transact(write func(*bolt.Tx) error) error {
+// runTransaction runs a write transaction, unless a test injects a fault.
+func (s *store) runTransaction(write func(*bolt.Tx) error) error {
 	if s.writeFault != nil {
 		if err := s.writeFault(); err != nil {
 			if !failpoint.On("write-error-ignored") {
 				return err
 			}
 			_ = s.db.Update(func(tx *bolt.Tx) error {
-				_ = write(tx) // for what it does in memory
+				_ = write(tx) // for its effect on the in-memory state
 				return err
 			})
 			return nil
@@ -251,8 +251,8 @@
 	return s.db.Update(write)
 }
 
-// recordBootstrap writes down which bootstrap the folder belongs to, before anything is sent that rests on it. A
-// bootstrap with voters is also the first snapshot; a member that is added later gets its first one from the
+// recordBootstrap records which bootstrap the folder belongs to, before any message that depends on it is sent. A
+// bootstrap with voters is also the first snapshot. A member that is added later gets its first snapshot from the
 // leader.
 func (s *store) recordBootstrap(b bootstrap) error {
 	return s.update(func(draft *logState, tx *bolt.Tx) error {
@@ -270,7 +270,7 @@
 	})
 }
 
-// reset makes the folder one of a new voter that knows nothing, with a number of its own.
+// reset turns the folder into that of a new voter, with an empty log and a new ID.
 func (s *store) reset() error {
 	return s.update(func(draft *logState, tx *bolt.Tx) error {
 		*draft = logState{header: newHeader(draft.header.Cluster, draft.header.Name)}
@@ -285,7 +285,7 @@
 	return header{Format: format, Cluster: cluster, Name: name, ID: randomID()}
 }
 
-// checkWritable writes without changing anything.
+// checkWritable tests that the folder can be written, by a write that changes nothing.
 func (s *store) checkWritable() error {
 	return s.update(func(*logState, *bolt.Tx) error { return nil })
 }
@@ -298,13 +298,13 @@
 	return err
 }
 
-// writeMessage does what a message of raft to its storage asks for. What rests on it may be sent once it has
-// returned nil.
+// writeMessage performs the write that a message of raft to its storage asks for. Messages that depend on it may be
+// sent once it has returned nil.
 func (s *store) writeMessage(m *pb.Message) error {
 	snapshot, entries := m.GetSnapshot(), m.GetEntries()
 	sameVote := m.Term == nil || m.GetTerm() == s.header.Term && m.GetVote() == s.header.Vote
 	if raft.IsEmptySnap(snapshot) && len(entries) == 0 && sameVote {
-		if m.Term != nil { // at most the commit index is new: it is written along with what comes next
+		if m.Term != nil { // only the commit index can be new: it is written with the next update
 			s.mu.Lock()
 			s.header.Commit = m.GetCommit()
 			s.mu.Unlock()
@@ -324,7 +324,7 @@
 	})
 }
 
-// replaceLog takes a leader's snapshot in place of all entries.
+// replaceLog replaces all entries by a snapshot from the leader.
 func (d *logState) replaceLog(tx *bolt.Tx, snapshot *pb.Snapshot) error {
 	if err := emptyLog(tx); err != nil {
 		return err
@@ -338,16 +338,16 @@
 	return d.putSnapshot(tx, index, term, confOf(metadata.GetConfState()), snapshot.GetData())
 }
 
-// appendEntries writes entries in place of those from the first one's index on.
+// appendEntries writes entries; those stored from the first one's index on are replaced.
 func (d *logState) appendEntries(tx *bolt.Tx, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
 	log := tx.Bucket(bucketLog)
-	log.FillPercent = logFillPercent
+	log.FillPercent = logFillFraction
 	first := entries[0].GetIndex()
 	if first <= d.header.Base || first > d.header.Last+1 {
-		return &ReplicaFailed{Why: fmt.Sprintf("entry %d doesn't follow %d", first, d.header.Last)}
+		return &ReplicaFailed{Why: fmt.Sprintf("entry %d does not follow entry %d", first, d.header.Last)}
 	}
 	if err := d.truncate(log, first); err != nil {
 		return err
@@ -358,7 +358,7 @@
 			return err
 		}
 		d.header.Last = entry.GetIndex()
-		d.header.LastChain = chain(d.header.LastChain, d.header.Last, body)
+		d.header.LastChain = chainChecksum(d.header.LastChain, d.header.Last, body)
 		value := binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), d.header.LastChain)
 		value = append(value, body...)
 		if err := log.Put(key(d.header.Last), value); err != nil {
@@ -373,7 +373,7 @@
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (d *logState) truncate(log *bolt.Bucket, index uint64) error {
 	for i := index; i <= d.header.Last; i++ {
 		d.entryBytes -= entryBytes(d.entries[i-d.header.Base-1])
@@ -382,7 +382,7 @@
 		}
 	}
 	n := index - 1 - d.header.Base
-	if index <= d.header.Last { // what is appended must not overwrite what readers have
+	if index <= d.header.Last { // limits the capacity, so that an append does not overwrite entries that readers have
 		d.entries, d.chains = d.entries[:n:n], d.chains[:n:n]
 	}
 	d.header.Last, d.header.LastChain = index-1, d.header.BaseChain
@@ -394,7 +394,7 @@
 
 func entryBytes(e *pb.Entry) int64 { return int64(8 + proto.Size(e)) }
 
-// putSnapshot replaces the snapshot together with what the header says of it.
+// putSnapshot replaces the snapshot and updates the header's fields for it.
 func (d *logState) putSnapshot(tx *bolt.Tx, index, term uint64, conf confState, data []byte) error {
 	d.header.SnapIndex, d.header.SnapTerm, d.header.Conf = index, term, conf
 	metadata, err := proto.Marshal(&pb.SnapshotMetadata{ConfState: conf.pb(), Index: &index, Term: &term})
@@ -407,16 +407,16 @@
 	return tx.Bucket(bucketMeta).Put(keySnapshot, withChecksum(keySnapshot, b))
 }
 
-// compaction is a snapshot to write in place of the one before, after which entries are dropped.
+// compaction replaces the snapshot by a later one and drops the entries that it makes obsolete.
 type compaction struct {
 	index       uint64
 	term        uint64
 	conf        *pb.ConfState
 	data        []byte
-	keepEntries uint64 // before the snapshot
+	keepEntries uint64 // number of entries before the snapshot that stay
 }
 
-// compact does nothing if the leader has sent a later snapshot meanwhile.
+// compact performs a compaction, unless the leader has sent a later snapshot meanwhile.
 func (s *store) compact(c compaction) error {
 	if c.index <= s.header.SnapIndex {
 		return nil
@@ -432,7 +432,7 @@
 	})
 }
 
-// dropFirst drops the first n entries.
+// dropFirst removes the first n entries.
 func (d *logState) dropFirst(log *bolt.Bucket, n uint64) error {
 	for i := range n {
 		d.entryBytes -= entryBytes(d.entries[i])
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -114,9 +114,9 @@
 		n := r.IntN(len(whole))
 		d.try(fmt.Sprintf("cut off at %d", n), whole[:n], want) // there may be room behind its end
 	}
-	for p := 0; p < len(whole)/pageSize; p++ { // a page that was written and got lost
+	for p := 0; p < len(whole)/pageBytes; p++ { // a page that was written and got lost
 		file := append([]byte(nil), after...)
-		copy(file[p*pageSize:(p+1)*pageSize], whole[p*pageSize:])
+		copy(file[p*pageBytes:(p+1)*pageBytes], whole[p*pageBytes:])
 		may := []string{later}
 		if p < 2 {
 			may = append(may, want) // the head of before: its pages still stand, and nobody can tell
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	maxConns          = 1024     // of other members to here
-	maxServed         = 256      // calls that are being answered
-	maxBody           = 64 << 20 // bytes of a call or an answer: a snapshot is the longest
-	maxAnswer         = 4 << 20  // bytes of an answer
-	bufferBytes       = 4096
-	servedIdleTimeout = 2 * time.Minute
-	writeTimeout      = 5 * time.Second // and a second for each
-	writeByteRate     = 100_000         // bytes
-	acceptRetry       = 100 * time.Millisecond
-	callHeaderBytes   = 9 // the cluster's hash and the length of the caller's name
+	maxServedConns      = 1024     // open connections of other members
+	maxServedCalls      = 256      // calls of other members in progress
+	maxBodyBytes        = 64 << 20 // of a call or an answer; a snapshot is the longest
+	maxAnswerBytes      = 4 << 20  // of an answer of the handler
+	bufferBytes         = 4096
+	servedIdleTimeout   = 2 * time.Minute
+	writeTimeout        = 5 * time.Second // plus the time for the written bytes
+	writeBytesPerSecond = 100_000         // lowest rate at which a peer must read
+	acceptRetryInterval = 100 * time.Millisecond
+	callHeaderBytes     = 9 // hash of the cluster's name (8), length of the caller's name (1)
 )
 
-// sameVersion is the hint for messages that cannot be understood.
+// sameVersion is the hint for messages that cannot be decoded.
 const sameVersion = "run the same version at all balancers"
 
-// Kinds of a remoteErrorMessage. Other versions know them by these texts.
+// Kinds of a remoteErrorMessage. The texts are part of the wire protocol between versions.
 const (
 	kindNotLeader  = "leader"
 	kindOverloaded = "load"
@@ -51,7 +51,7 @@
 	answerError = 1
 )
 
-// byteEncoding is drpc's encoding of byte strings.
+// byteEncoding implements drpc.Encoding for byte slices, which it passes unchanged.
 type byteEncoding struct{}
 
 // Marshal implements drpc.Encoding.
@@ -63,9 +63,8 @@
 	return nil
 }
 
-// transport makes and answers calls between members, by storj.io/drpc over TCP. It keeps no more than its limits
-// for a member that does not answer, and refuses calls of another cluster. Its methods may be called from any
-// goroutine.
+// transport sends and serves calls between members with storj.io/drpc over TCP. Calls to a member that does not answer
+// are limited in number, and calls of another cluster are refused. Its methods may be called from any goroutine.
 type transport struct {
 	cfg     *Config
 	cluster uint64
@@ -75,11 +74,11 @@
 	mu    sync.Mutex
 	peers map[string]*peer // by name; nil once closed
 
-	bytesIn  atomic.Int64
-	bytesOut atomic.Int64
-	conns    atomic.Int64 // of other members, open
-	served   atomic.Int64 // calls that are being answered
-	refused  atomic.Int64 // connections and calls beyond a limit
+	bytesIn     atomic.Int64
+	bytesOut    atomic.Int64
+	servedConns atomic.Int64 // open connections of other members
+	servedCalls atomic.Int64 // calls of other members in progress
+	refused     atomic.Int64 // connections and calls above a limit
 }
 
 func newTransport(cfg *Config, log *slog.Logger) *transport {
@@ -89,15 +88,15 @@
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		WriterBufferSize: bufferBytes,
-		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxBody + bufferBytes},
+		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxBodyBytes + bufferBytes},
 	}
 }
 
-// meteredConn counts the bytes of a connection, and ends it when the other side reads or says nothing for too long.
+// meteredConn counts the bytes of a connection, and sets deadlines for a peer that does not read or stays idle.
 type meteredConn struct {
 	net.Conn
 	transport *transport
-	idle      time.Duration // a read waits so long; 0: without limit
+	idle      time.Duration // time limit of a read; 0 for none
 }
 
 // Read implements net.Conn.
@@ -112,22 +111,23 @@
 
 // Write implements net.Conn.
 func (c *meteredConn) Write(b []byte) (int, error) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout + time.Duration(len(b)/writeByteRate)*time.Second))
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout + time.Duration(len(b)/writeBytesPerSecond)*time.Second))
 	n, err := c.Conn.Write(b)
 	c.transport.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// setUserTimeout ends a connection whose other side has not acknowledged what was sent for a few seconds.
+// setUserTimeout sets TCP_USER_TIMEOUT, which closes a connection whose peer has not acknowledged sent data for
+// writeTimeout.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(writeTimeout.Milliseconds()))
 	})
 }
 
-// listen opens the listener and answers calls until ctx ends; done is closed once the last one is answered. It
-// returns once the listener is open.
-func (w *transport) listen(ctx context.Context, address string) (done <-chan struct{}, err error) {
+// listen opens the listener and serves calls in the background until ctx ends; done is closed once the last connection
+// has ended.
+func (t *transport) listen(ctx context.Context, address string) (done <-chan struct{}, err error) {
 	config := net.ListenConfig{Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -138,14 +138,14 @@
 	go func() {
 		defer close(ended)
 		defer stop()
-		w.acceptAll(ctx, listener)
+		t.acceptAll(ctx, listener)
 	}()
 	return ended, nil
 }
 
-// acceptAll serves connections until the listener is closed, and returns once the last one has ended.
-func (w *transport) acceptAll(ctx context.Context, listener net.Listener) {
-	server := drpcserver.NewWithOptions(w, drpcserver.Options{Manager: managerOptions()})
+// acceptAll serves connections until the listener is closed. It returns once the last one has ended.
+func (t *transport) acceptAll(ctx context.Context, listener net.Listener) {
+	server := drpcserver.NewWithOptions(t, drpcserver.Options{Manager: managerOptions()})
 	var connections sync.WaitGroup
 	defer connections.Wait()
 	for {
@@ -155,67 +155,68 @@
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return
 		default:
-			w.log.Warn("a member's connection couldn't be taken", "err", err)
+			t.log.Warn("accepting a connection of another member failed", "err", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(acceptRetry):
+			case <-time.After(acceptRetryInterval):
 			}
 			continue
 		}
-		if w.conns.Add(1) > maxConns {
-			w.conns.Add(-1)
-			w.refused.Add(1)
+		if t.servedConns.Add(1) > maxServedConns {
+			t.servedConns.Add(-1)
+			t.refused.Add(1)
 			_ = conn.Close()
 			continue
 		}
 		connections.Go(func() {
-			defer w.conns.Add(-1)
-			_ = server.ServeOne(ctx, &meteredConn{Conn: conn, transport: w, idle: servedIdleTimeout}) // it ended
+			defer t.servedConns.Add(-1)
+			// The error is only the reason why the connection has ended.
+			_ = server.ServeOne(ctx, &meteredConn{Conn: conn, transport: t, idle: servedIdleTimeout})
 		})
 	}
 }
 
 // HandleRPC implements drpc.Handler.
-func (w *transport) HandleRPC(stream drpc.Stream, method string) error {
+func (t *transport) HandleRPC(stream drpc.Stream, method string) error {
 	var call []byte
 	if err := stream.MsgRecv(&call, byteEncoding{}); err != nil {
 		return err
 	}
-	answer := packAnswer(w.answer(stream.Context(), method, call))
+	answer := packAnswer(t.answer(stream.Context(), method, call))
 	return stream.MsgSend(&answer, byteEncoding{})
 }
 
-// answer answers a call. Messages of raft are answered whatever is under way.
-func (w *transport) answer(ctx context.Context, method string, call []byte) ([]byte, error) {
-	from, body, err := w.unpackCall(call)
+// answer answers a call. Messages of raft are exempt from the limit of concurrent calls.
+func (t *transport) answer(ctx context.Context, method string, call []byte) ([]byte, error) {
+	from, body, err := t.unpackCall(call)
 	if err != nil {
 		return nil, err
 	}
-	defer w.served.Add(-1)
-	if w.served.Add(1) > maxServed && method != methodRaft {
-		w.refused.Add(1)
-		return nil, &Overloaded{What: "calls of other members", Limit: maxServed}
+	defer t.servedCalls.Add(-1)
+	if t.servedCalls.Add(1) > maxServedCalls && method != methodRaft {
+		t.refused.Add(1)
+		return nil, &Overloaded{What: "calls of other members", Limit: maxServedCalls}
 	}
-	answer, err := w.serve(ctx, from, method, body)
-	if err == nil && len(answer) > maxAnswer {
-		return nil, &TooLong{Bytes: len(answer), Limit: maxAnswer}
+	answer, err := t.serve(ctx, from, method, body)
+	if err == nil && len(answer) > maxAnswerBytes {
+		return nil, &TooLong{Bytes: len(answer), Limit: maxAnswerBytes}
 	}
 	return answer, err
 }
 
-// packCall puts the cluster and the caller's name in front of a call.
-func (w *transport) packCall(body []byte) []byte {
-	name := w.cfg.Name
+// packCall prepends the hash of the cluster's name and the caller's name to the body of a call.
+func (t *transport) packCall(body []byte) []byte {
+	name := t.cfg.Name
 	b := make([]byte, 0, callHeaderBytes+len(name)+len(body))
-	b = binary.BigEndian.AppendUint64(b, w.cluster)
+	b = binary.BigEndian.AppendUint64(b, t.cluster)
 	b = append(b, byte(len(name)))
 	b = append(b, name...)
 	return append(b, body...)
 }
 
-// unpackCall refuses calls of another cluster.
-func (w *transport) unpackCall(b []byte) (from string, body []byte, err error) {
-	malformed := &RemoteError{Name: w.cfg.Name, Text: "a call has an unknown form", Do: sameVersion}
+// unpackCall decodes a call, and refuses those of another cluster.
+func (t *transport) unpackCall(b []byte) (from string, body []byte, err error) {
+	malformed := &RemoteError{Name: t.cfg.Name, Text: "malformed call", Do: sameVersion}
 	if len(b) < callHeaderBytes {
 		return "", nil, malformed
 	}
@@ -223,17 +224,17 @@
 	if len(b) < nameEnd {
 		return "", nil, malformed
 	}
-	if binary.BigEndian.Uint64(b) != w.cluster {
+	if binary.BigEndian.Uint64(b) != t.cluster {
 		return "", nil, &RemoteError{
-			Name: w.cfg.Name,
-			Text: fmt.Sprintf("%s belongs to cluster %q, the caller to another one", w.cfg.Name, w.cfg.Cluster),
+			Name: t.cfg.Name,
+			Text: fmt.Sprintf("%s belongs to cluster %q, the caller to another cluster", t.cfg.Name, t.cfg.Cluster),
 			Do:   "compare revisions.cluster at both",
 		}
 	}
 	return string(b[callHeaderBytes:nameEnd]), b[nameEnd:], nil
 }
 
-// remoteErrorMessage is an error on its way to the caller.
+// remoteErrorMessage is the encoded form of an error that is returned to the caller.
 type remoteErrorMessage struct {
 	Kind   string `json:"Kind"` // "" for an error that has only its text
 	Text   string `json:"Text"`
@@ -255,28 +256,28 @@
 		message.Kind, message.Text = kindOverloaded, overloaded.What
 	}
 	body, err := json.Marshal(message)
-	if err != nil { // texts only
+	if err != nil { // impossible: the message consists of strings
 		return []byte{answerError}
 	}
 	return append([]byte{answerError}, body...)
 }
 
-func (w *transport) unpackAnswer(name, method string, b []byte) ([]byte, error) {
+func (t *transport) unpackAnswer(name, method string, b []byte) ([]byte, error) {
 	if len(b) > 0 && b[0] == answerOK {
 		return b[1:], nil
 	}
 	var message remoteErrorMessage
 	if len(b) == 0 || json.Unmarshal(b[1:], &message) != nil {
 		return nil, &RemoteError{
-			Name: name, Method: method, Text: name + " answered in an unknown form", Do: sameVersion,
+			Name: name, Method: method, Text: "malformed answer of " + name, Do: sameVersion,
 		}
 	}
 	switch message.Kind {
 	case kindNotLeader:
-		leader := LeaderInfo{Name: message.Leader, Address: w.cfg.addressOf(message.Leader)}
+		leader := LeaderInfo{Name: message.Leader, Address: t.cfg.addressOf(message.Leader)}
 		return nil, &NotLeader{Leader: leader}
 	case kindOverloaded:
-		return nil, &Overloaded{What: name + ": " + message.Text, Limit: maxServed}
+		return nil, &Overloaded{What: name + ": " + message.Text, Limit: maxServedCalls}
 	}
 	return nil, &RemoteError{Name: name, Method: method, Text: message.Text, Do: message.Hint}
 }
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -11,30 +11,30 @@
 
 const (
 	retryInterval    = 200 * time.Millisecond
-	recoveryInterval = time.Second // after a fault of the folder that may pass by itself
+	recoveryInterval = time.Second // retry interval after a folder fault that can clear without a restart
 )
 
-// recruitment asks this member to get ready for a vote.
-type recruitment struct {
+// prepareRequest asks this member to prepare for a vote.
+type prepareRequest struct {
 	bootstrapID uint64
 	reply       chan error
 }
 
-// voter is a candidate's way to its vote: open the folder, listen, bootstrap or rejoin, run, and begin again where
-// that is safe. It belongs to one goroutine, which owns the folder from its opening to its closing.
-type voter struct {
+// voterLifecycle takes a candidate to its vote: it opens the folder, listens, bootstraps or rejoins, runs a replica,
+// and starts over where that is safe. It belongs to one goroutine, which owns the folder while it is open.
+type voterLifecycle struct {
 	*Node
-	store     *store          // nil while it is not open
-	listening <-chan struct{} // closed once the listener has ended; nil while it is not open
+	store     *store          // nil while the folder is not open
+	listening <-chan struct{} // closed once the listener has ended; nil while there is none
 }
 
-// runVoter runs until the node is closed. store and listening are nil where they could not be had yet.
+// runVoter runs until the node is closed. store and listening are nil if they could not be opened yet.
 func (n *Node) runVoter(store *store, listening <-chan struct{}) {
 	defer n.goroutines.Done()
-	v := &voter{n, store, listening}
+	v := &voterLifecycle{n, store, listening}
 	defer v.close()
 	for n.ctx.Err() == nil {
-		if !v.ready() {
+		if !v.acquire() {
 			continue
 		}
 		n.publishStatus(v.store)
@@ -42,8 +42,8 @@
 		if err == nil {
 			return
 		}
-		if errors.Is(err, errReleased) {
-			n.log.Info("revisions: this member's vote has been given to another", "id", v.store.header.ID)
+		if errors.Is(err, errVoteReleased) {
+			n.log.Info("revisions: this member's vote was given to another member", "id", v.store.header.ID)
 			if err = v.store.reset(); err == nil {
 				continue
 			}
@@ -54,7 +54,7 @@
 	}
 }
 
-func (v *voter) close() {
+func (v *voterLifecycle) close() {
 	if v.store != nil {
 		v.store.close()
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// ready opens the folder and the listener. After a fault it waits a while and returns false.
-func (v *voter) ready() bool {
+// acquire opens the folder and the listener. After a fault it waits before it returns false.
+func (v *voterLifecycle) acquire() bool {
 	if v.store == nil {
 		store, err := v.openFolder()
 		if err != nil {
@@ -77,7 +77,7 @@
 		return true
 	}
 	listening, err := v.transport.listen(v.ctx, v.cfg.Listen)
-	v.listens.Store(err == nil)
+	v.ownsAddress.Store(err == nil)
 	if err == nil {
 		v.listening = listening
 		return true
@@ -91,7 +91,7 @@
 	return false
 }
 
-// openFolder opens the folder, and tries whether it can be written.
+// openFolder opens the folder and checks that it can be written.
 func (n *Node) openFolder() (*store, error) {
 	store, err := openStore(n.cfg.Folder, n.cfg.Cluster, n.cfg.Name, n.cfg.writeFault)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return store, nil
 }
 
-// waitAfter reports a fault and waits a while. If only a restart helps, it waits until the node is closed: this
-// member stays a reader.
+// waitAfter reports a fault and waits for the retry interval. After a fault that needs a restart it waits until the
+// node is closed: this member stays a reader.
 func (n *Node) waitAfter(err error) {
 	var unwritable *UnwritableFolder
 	switch {
@@ -128,16 +128,16 @@
 	}
 }
 
-// publishStatus lets other members ask for what the folder says.
+// publishStatus makes the status of the folder available to calls of other members.
 func (n *Node) publishStatus(store *store) {
 	n.status.Store(&memberStatus{Name: n.cfg.Name, ID: store.header.ID, Bootstrap: store.header.Bootstrap})
 }
 
-// vote goes from a folder, fresh or not, to a running replica, and returns why that ended; nil when the node is
-// closed.
-func (v *voter) vote() error {
+// vote runs a replica on the open folder, after its bootstrap if the folder is fresh. It returns the error that ended
+// the replica, nil if the node is closed.
+func (v *voterLifecycle) vote() error {
 	if v.store.header.Bootstrap.ID == 0 {
-		if begun, err := v.begin(); err != nil || !begun {
+		if begun, err := v.initBootstrap(); err != nil || !begun {
 			return err
 		}
 	}
@@ -147,33 +147,33 @@
 	}
 	v.setRole(Follower, nil, "")
 	header := v.store.header
-	v.log.Info("revisions: this member votes, or is about to",
+	v.log.Info("revisions: replica started",
 		"id", header.ID, "founding", header.Bootstrap.ID, "entries", header.Last)
 	v.runner.Store(r)
 	ctx, cancel := context.WithCancel(v.ctx)
-	recruitsAnswered := make(chan struct{})
+	prepareDone := make(chan struct{})
 	go func() {
-		defer close(recruitsAnswered)
-		v.answerRecruits(ctx, r)
+		defer close(prepareDone)
+		v.answerPrepareRequests(ctx, r)
 	}()
 	err = r.run(ctx)
 	cancel()
-	<-recruitsAnswered
+	<-prepareDone
 	v.runner.Store(nil)
 	v.setLeader(LeaderInfo{Term: v.Leader().Term})
-	signal(v.suspect)
+	signal(v.leaderSuspect)
 	return err
 }
 
-// begin gives a fresh folder the bootstrap that it belongs to: its own, or that of a leader which asks this member
-// to get ready. It returns false when the node is closed before.
-func (v *voter) begin() (bool, error) {
+// initBootstrap records the bootstrap of a fresh folder: the one this member finds among the first voters, or that of
+// a leader that asks it to prepare for a vote. It returns false if the node is closed before.
+func (v *voterLifecycle) initBootstrap() (bool, error) {
 	ctx, cancel := context.WithCancel(v.ctx)
 	defer cancel()
 	found := make(chan bootstrap)
-	first := SelectVoters(v.cfg.Candidates, v.cfg.Voters)
-	if slices.ContainsFunc(first, func(c Candidate) bool { return c.Name == v.cfg.Name }) {
-		go v.awaitBootstrap(ctx, first, v.store.header.ID, found)
+	firstVoters := SelectVoters(v.cfg.Candidates, v.cfg.Voters)
+	if slices.ContainsFunc(firstVoters, func(c Candidate) bool { return c.Name == v.cfg.Name }) {
+		go v.awaitBootstrap(ctx, firstVoters, v.store.header.ID, found)
 	} else {
 		v.setRole(Reader, nil, "")
 	}
@@ -182,7 +182,7 @@
 	select {
 	case <-v.ctx.Done():
 		return false, nil
-	case r := <-v.recruits:
+	case r := <-v.prepareRequests:
 		b, reply = bootstrap{ID: r.bootstrapID}, r.reply
 	case b = <-found:
 	}
@@ -197,13 +197,14 @@
 	return err == nil, err
 }
 
-// answerRecruits answers a leader that asks once more: a member of its bootstrap is ready already.
-func (n *Node) answerRecruits(ctx context.Context, r *runner) {
+// answerPrepareRequests answers repeated requests of a leader while the replica runs: a member of the leader's
+// bootstrap is prepared already.
+func (n *Node) answerPrepareRequests(ctx context.Context, r *runner) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case request := <-n.recruits:
+		case request := <-n.prepareRequests:
 			if request.bootstrapID == r.state.Load().bootstrapID {
 				request.reply <- nil
 			} else {
@@ -217,25 +218,25 @@
 	return &RemoteError{
 		Name:   name,
 		Method: method,
-		Text:   name + " belongs to another founding",
+		Text:   name + " belongs to another bootstrap",
 		Do:     "empty its folder and restart it",
 	}
 }
 
-// awaitBootstrap finds what one of the first voters, with a fresh folder of number id, begins with. Calls to others
-// may take a while; a leader that asks this member to get ready is answered meanwhile.
-func (n *Node) awaitBootstrap(ctx context.Context, first []Candidate, id uint64, found chan<- bootstrap) {
+// awaitBootstrap finds the bootstrap of one of the first voters, whose fresh folder has the given ID. It runs on a
+// goroutine of its own because calls to other members are slow, and a leader's request is answered meanwhile.
+func (n *Node) awaitBootstrap(ctx context.Context, firstVoters []Candidate, id uint64, found chan<- bootstrap) {
 	for ; ctx.Err() == nil; n.sleep(retryInterval) {
 		reported := map[string]memberStatus{}
-		for name, status := range n.reportedStatuses() {
+		for name, status := range n.queryStatuses() {
 			reported[name] = status.memberStatus
 		}
-		step := decideBootstrap(n.cfg.Cluster, first, n.cfg.Name, id, reported)
+		step := decideBootstrap(n.cfg.Cluster, firstVoters, n.cfg.Name, id, reported)
 		role, begin := Bootstrapping, step.Begin
 		if step.Rejoin {
 			role = Rejoining
 			begin = n.requestRejoin(id)
-			if begin != nil && begin.ID == 0 { // no voter has this name: another has got the vote, or there were fewer
+			if begin != nil && begin.ID == 0 { // no voter has this name: another member has the vote, or there were fewer voters
 				role, begin = Reader, nil
 			}
 		}
@@ -252,7 +253,7 @@
 	}
 }
 
-// requestRejoin asks the leader for the vote of this name's earlier folder; nil while nobody has answered.
+// requestRejoin asks the leader for the vote of this member's earlier folder; nil if there is no answer.
 func (n *Node) requestRejoin(id uint64) *bootstrap {
 	leader := n.Leader()
 	if leader.Name == "" || leader.Name == n.cfg.Name {
--- a/internal/consensus/writer.go
+++ b/internal/consensus/writer.go
@@ -1,13 +1,13 @@
 package consensus
 
-// writer writes to the folder on a goroutine of its own, so that a slow disk holds up no tick and no heartbeat.
+// writer writes to the folder on a goroutine of its own, so that a slow disk delays no ticks and no heartbeats.
 type writer struct {
 	store   *store
 	jobs    chan []storeJob
 	results chan writeResult
 }
 
-// writeResult is jobs that were written, up to the first error.
+// writeResult is the result of a batch of jobs: those before the first error are on disk.
 type writeResult struct {
 	jobs []storeJob
 	err  error
@@ -17,7 +17,7 @@
 	return &writer{store: store, jobs: make(chan []storeJob, 1), results: make(chan writeResult, 1)}
 }
 
-// run writes until done is closed; what is under way then is finished.
+// run performs jobs until done is closed. A batch in progress is finished.
 func (w *writer) run(done <-chan struct{}) {
 	for {
 		select {
