--- a/internal/consensus/bench_test.go
+++ b/internal/consensus/bench_test.go
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// BenchmarkPropose settles entries of 2 kB, one after the other, over sockets and with every write on disk.
+// BenchmarkPropose commits entries of 2 kB, one after the other, over TCP connections and with every write synced to
+// disk.
 func BenchmarkPropose(b *testing.B) {
 	for _, voters := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
-			lead, _ := standingCrew(b, voters, 0)
+			leader, _ := startCluster(b, voters, 0)
 			entry := make([]byte, 2000)
-			var took []time.Duration
+			var latencies []time.Duration
 			for b.Loop() {
-				t0 := time.Now()
-				if err := lead.Propose(context.Background(), entry); err != nil {
+				start := time.Now()
+				if err := leader.Propose(context.Background(), entry); err != nil {
 					b.Fatal(err)
 				}
-				took = append(took, time.Since(t0))
+				latencies = append(latencies, time.Since(start))
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "µs-median")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "µs-p99")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "µs-median")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "µs-p99")
 		})
 	}
 }
 
-// BenchmarkConfirm asks the leader whether it leads, 256 at a time.
+// BenchmarkConfirm confirms the leadership with 32 concurrent callers per CPU (256 with 8 CPUs).
 func BenchmarkConfirm(b *testing.B) {
 	for _, voters := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
-			lead, _ := standingCrew(b, voters, 0)
+			leader, _ := startCluster(b, voters, 0)
 			b.SetParallelism(32)
 			b.ResetTimer()
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
-					if _, err := lead.Confirm(context.Background()); err != nil {
+					if _, err := leader.Confirm(context.Background()); err != nil {
 						b.Error(err)
 						return
 					}
@@ -49,39 +50,41 @@
 	}
 }
 
-// BenchmarkIdle tells the bytes a second of the leader, of another voter and of a reader while nothing happens.
+// BenchmarkIdle measures the traffic of an idle cluster, in bytes per second, at the leader, at another voter and at a
+// reader.
 func BenchmarkIdle(b *testing.B) {
 	for _, voters := range []int{3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
-			lead, c := standingCrew(b, voters, 1)
+			leader, c := startCluster(b, voters, 1)
 			time.Sleep(time.Second)
-			other := c.nodes[0]
-			if other == lead {
-				other = c.nodes[1]
+			follower := c.nodes[0]
+			if follower == leader {
+				follower = c.nodes[1]
 			}
-			list := []*Node{lead, other, c.nodes[voters]}
-			var sum [3]int64
+			list := []*Node{leader, follower, c.nodes[voters]}
+			var transferred [3]int64
 			bytes := func(n *Node) int64 { s := n.Status(); return s.BytesIn + s.BytesOut }
 			for i, n := range list {
-				sum[i] -= bytes(n)
+				transferred[i] -= bytes(n)
 			}
-			t0 := time.Now()
+			start := time.Now()
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
-			d := time.Since(t0).Seconds()
-			for i, what := range []string{"leader-B/s", "voter-B/s", "reader-B/s"} {
-				b.ReportMetric(float64(sum[i]+bytes(list[i]))/d, what)
+			d := time.Since(start).Seconds()
+			for i, unit := range []string{"leader-B/s", "voter-B/s", "reader-B/s"} {
+				b.ReportMetric(float64(transferred[i]+bytes(list[i]))/d, unit)
 			}
 		})
 	}
 }
 
-// BenchmarkCalls has readers call the leader as they do for a lease, and each call confirmed.
+// BenchmarkCalls measures calls of a reader to the leader, as it makes them for a lease; the leader confirms its
+// leadership for each.
 func BenchmarkCalls(b *testing.B) {
-	lead, c := standingCrew(b, 3, 1)
-	lead.handler = func(ctx context.Context, _, _ string, body []byte) ([]byte, error) {
-		_, err := lead.Confirm(ctx)
+	leader, c := startCluster(b, 3, 1)
+	leader.handler = func(ctx context.Context, _, _ string, body []byte) ([]byte, error) {
+		_, err := leader.Confirm(ctx)
 		return body, err
 	}
 	reader := c.nodes[3]
@@ -96,7 +99,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			calls.Add(1)
-			if _, err := reader.Call(context.Background(), lead.cfg.Name, "lease", body); err != nil {
+			if _, err := reader.Call(context.Background(), leader.cfg.Name, "lease", body); err != nil {
 				b.Error(err)
 				return
 			}
@@ -106,15 +109,19 @@
 	b.ReportMetric(float64(after.BytesIn+after.BytesOut-before.BytesIn-before.BytesOut)/float64(calls.Load()), "B/call")
 }
 
-func standingCrew(b *testing.B, voters, readers int) (*Node, *crew) {
-	c := newCrew(b, voters, voters, func(cfg *Config) { cfg.Tick = 50 * time.Millisecond })
+// startCluster starts a cluster with readers and commits one entry. It returns the leader too.
+func startCluster(b *testing.B, voters, readers int) (*Node, *testCluster) {
+	c := newTestCluster(b, voters, voters, func(cfg *Config) { cfg.Tick = 50 * time.Millisecond })
 	for range readers {
-		c.cfg = append(c.cfg, Config{Cluster: c.cfg[0].Cluster, Name: "reader", Candidates: c.cfg[0].Candidates})
-		c.nodes, c.m = append(c.nodes, nil), append(c.m, nil)
+		c.configs = append(
+			c.configs,
+			Config{Cluster: c.configs[0].Cluster, Name: "reader", Candidates: c.configs[0].Candidates},
+		)
+		c.nodes, c.machines = append(c.nodes, nil), append(c.machines, nil)
 	}
 	for i := range c.nodes {
 		c.start(i)
 	}
-	c.settle("one")
+	c.commit("one")
 	return c.leader(), c
 }
--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -58,7 +58,7 @@
 		return &RemoteError{Name: n.cfg.Name, Text: n.cfg.Name + " is not a voter of that bootstrap"}
 	}
 	select {
-	case r.incoming <- batch{from: from, msgs: messages}:
+	case r.incoming <- batch{from: from, messages: messages}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/consensus/changes.go
+++ b/internal/consensus/changes.go
@@ -21,8 +21,8 @@
 	Requests      []memberRequest
 }
 
-// memberRequest is a request for a vote: a replacement by an operator, a stand-in for a silent voter, or a member that
-// rejoins with a new folder. The member is prepared.
+// memberRequest is a request for a vote: a replacement by an operator, a candidate found by the leader, or a member
+// that rejoins with a new folder. The member is prepared already.
 type memberRequest struct {
 	Member     member // Replaces is the voter whose vote it gets
 	ByOperator bool   // applies even while the replaced voter is active
--- a/internal/consensus/defects_test.go
+++ b/internal/consensus/defects_test.go
@@ -9,35 +9,35 @@
 	"testing"
 )
 
-// TestDefectsAreFound runs the tests again with each defect of this package built in: they must fail.
+// TestDefectsAreFound runs the tests again with each defect of this package enabled, which the tests must detect.
 func TestDefectsAreFound(t *testing.T) {
 	if os.Getenv("OATLOFT_DEFECT") != "" {
-		t.Skip("one is chosen already")
+		t.Skip("a defect is enabled already")
 	}
-	for _, d := range []struct{ name, run, seed string }{
-		{"ack-before-write", "TestStepped/3_of_3", "22"},
-		{"write-error-ignored", "TestStepped/1_of_1", "1"},
-		{"vote-with-lost-folder", "TestStepped/3_of_3", "6"},
-		{"confirm-unasked", "TestStepped/3_of_3", "15"},
-		{"sums-unchecked", "TestDamage", "0"},
-		{"founds-alone", "TestStepped/3_of_3", "60"},
+	for _, defect := range []struct{ name, run, seed string }{
+		{"ack-before-write", "TestSimulation/3_of_3", "22"},
+		{"write-error-ignored", "TestSimulation/1_of_1", "1"},
+		{"vote-with-lost-folder", "TestSimulation/3_of_3", "6"},
+		{"confirm-unasked", "TestSimulation/3_of_3", "15"},
+		{"sums-unchecked", "TestCorruptFolder", "0"},
+		{"founds-alone", "TestSimulation/3_of_3", "60"},
 	} {
-		t.Run(d.name, func(t *testing.T) {
+		t.Run(defect.name, func(t *testing.T) {
 			t.Parallel()
-			for _, seed := range []string{d.seed, "0"} { // the one told in the list; and if it isn't that any more, any
-				args := []string{"-test.run", d.run, "-test.failfast", "-seeds", "40"}
+			for _, seed := range []string{defect.seed, "0"} { // the listed seed first, then any
+				args := []string{"-test.run", defect.run, "-test.failfast", "-seeds", "40"}
 				if seed != "0" {
 					args = append(args, "-seed", seed)
 				}
-				c := exec.Command(os.Args[0], args...)
-				c.Env = append(os.Environ(), "OATLOFT_DEFECT="+d.name)
-				out, err := c.CombinedOutput()
+				cmd := exec.Command(os.Args[0], args...)
+				cmd.Env = append(os.Environ(), "OATLOFT_DEFECT="+defect.name)
+				out, err := cmd.CombinedOutput()
 				if err != nil && strings.Contains(string(out), "FAIL") {
-					t.Logf("found by seed %s", seed)
+					t.Logf("detected with seed %s", seed)
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("defect not detected")
 		})
 	}
 }
--- a/internal/consensus/folder.go
+++ b/internal/consensus/folder.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// openDB opens a database whose pages have been verified.
+// openDB verifies the pages of a database and opens it.
 func openDB(folder, path string) (*bolt.DB, error) {
 	var file *os.File
 	opened := false
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -12,13 +12,14 @@
 	"oatloft/internal/golden"
 )
 
-// A folder of an earlier version is opened whole, and its head is written again to the same bytes.
-func TestFormOfFolder(t *testing.T) {
+// TestStoredFormat guards the stored format: a folder of an earlier version must be read completely, and its header
+// must be encoded to the same bytes.
+func TestStoredFormat(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
 	if os.Getenv("GOLDEN_UPDATE") != "" {
 		if _, err := os.Stat("testdata/golden/folder.db"); err != nil {
-			made, _ := filled(t)
-			body, err := os.ReadFile(filepath.Join(made, fileName))
+			created, _ := fillFolder(t)
+			body, err := os.ReadFile(filepath.Join(created, fileName))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,27 +39,27 @@
 	defer s.close()
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
-	snap, err := s.Snapshot()
+	snapshot, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := s.Entries(first, last+1, 1<<30)
+	entries, err := s.Entries(first, last+1, 1<<30)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintln(first, last, len(snap.GetData()), string(snap.GetData()[:40]))
-	for _, e := range list {
+	text := fmt.Sprintln(first, last, len(snapshot.GetData()), string(snapshot.GetData()[:40]))
+	for _, e := range entries {
 		text += fmt.Sprintln(e.GetIndex(), e.GetTerm(), string(e.GetData()))
 	}
 	golden.Check(t, "folder.txt", []byte(text))
 	err = s.db.View(func(tx *bolt.Tx) error {
 		stored, ok := verifyChecksum(keyHeader, tx.Bucket(bucketMeta).Get(keyHeader))
 		if !ok {
-			return fmt.Errorf("the head's sum doesn't fit")
+			return fmt.Errorf("header checksum mismatch")
 		}
 		again, err := json.Marshal(s.header)
 		if string(stored) != string(again) {
-			t.Errorf("head is written as %s, was %s", again, stored)
+			t.Errorf("header is encoded as %s, want %s", again, stored)
 		}
 		return err
 	})
@@ -67,11 +68,11 @@
 	}
 }
 
-// Calls between members of two versions keep their bytes.
-func TestFormOfCalls(t *testing.T) {
-	w := newTransport(&Config{Cluster: "c", Name: "m"}, nil)
-	golden.Check(t, "call.bin", w.packCall([]byte("body")))
-	if from, body, err := w.unpackCall(golden.Read(t, "call.bin")); err != nil || from != "m" || string(body) != "body" {
+// TestWireFormat guards the encoding of calls between members, which may run different versions.
+func TestWireFormat(t *testing.T) {
+	tr := newTransport(&Config{Cluster: "c", Name: "m"}, nil)
+	golden.Check(t, "call.bin", tr.packCall([]byte("body")))
+	if from, body, err := tr.unpackCall(golden.Read(t, "call.bin")); err != nil || from != "m" || string(body) != "body" {
 		t.Error(from, string(body), err)
 	}
 	for name, err := range map[string]error{
@@ -81,9 +82,9 @@
 		"answer-error.bin":  &RemoteError{Name: "m", Text: "no", Do: "wait"},
 	} {
 		golden.Check(t, name, packAnswer([]byte("out"), err))
-		_, back := w.unpackAnswer("n", "x", golden.Read(t, name))
-		if (back == nil) != (err == nil) {
-			t.Error(name, back)
+		_, decoded := tr.unpackAnswer("n", "x", golden.Read(t, name))
+		if (decoded == nil) != (err == nil) {
+			t.Error(name, decoded)
 		}
 	}
 	golden.JSON[remoteErrorMessage](t, "error.json")
@@ -92,10 +93,10 @@
 	golden.JSON[memberStatus](t, "standing.json")
 	golden.JSON[memberAnswer](t, "member.json")
 	golden.JSON[member](t, "seat.json")
-	var told reportedStatus
-	golden.Fill(&told.memberStatus)
-	told.Leader, told.Term = "leader", 9
-	body, err := json.Marshal(told)
+	var status reportedStatus
+	golden.Fill(&status.memberStatus)
+	status.Leader, status.Term = "leader", 9
+	body, err := json.Marshal(status)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consensus/runner.go
+++ b/internal/consensus/runner.go
@@ -31,8 +31,8 @@
 
 // batch is a batch of messages from one voter.
 type batch struct {
-	from string
-	msgs []*pb.Message
+	from     string
+	messages []*pb.Message
 }
 
 // runner is the goroutine that drives a replica with messages, proposals and ticks, and sends its messages in batches.
@@ -164,7 +164,7 @@
 }
 
 func (r *runner) receive(b batch) {
-	for _, m := range b.msgs {
+	for _, m := range b.messages {
 		r.names[m.GetFrom()] = b.from
 		r.replica.step(m)
 	}
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -15,8 +15,8 @@
 	"oatloft/internal/hint"
 )
 
-// filled is a folder with a founding, a snapshot and entries, and what it says.
-func filled(t *testing.T) (folder string, want string) {
+// fillFolder creates a folder with a bootstrap, a snapshot and entries, and returns it with its content.
+func fillFolder(t *testing.T) (folder string, want string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "state")
 	s, err := openStore(folder, "c", "m", nil)
@@ -29,15 +29,15 @@
 		}
 	}
 	check(s.recordBootstrap(newBootstrap("c", []member{{ID: s.header.ID, Name: "m"}, {ID: 7, Name: "n"}})))
-	put := func(from, to, term uint64) {
+	appendEntries := func(from, to, term uint64) {
 		var list []*pb.Entry
 		for i := from; i <= to; i++ {
 			list = append(list, &pb.Entry{Index: new(i), Term: new(term), Data: []byte(strings.Repeat(fmt.Sprint(i, " "), 40))})
 		}
 		check(s.writeMessage(&pb.Message{Term: new(term), Vote: new(uint64(7)), Commit: new(from), Entries: list}))
 	}
-	put(2, 60, 2)
-	put(50, 90, 3) // entries 50 to 60 are replaced
+	appendEntries(2, 60, 2)
+	appendEntries(50, 90, 3) // entries 50 to 60 are replaced
 	check(
 		s.compact(
 			compaction{
@@ -49,41 +49,41 @@
 			},
 		),
 	)
-	want = told(t, s)
+	want = folderContents(t, s)
 	s.close()
 	return folder, want
 }
 
-// told is all that a folder says.
-func told(t *testing.T, s *store) string {
+// folderContents formats the whole content of a folder.
+func folderContents(t *testing.T, s *store) string {
 	t.Helper()
 	var b strings.Builder
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	hard, conf, _ := s.InitialState()
-	snap, err := s.Snapshot()
+	snapshot, err := s.Snapshot()
 	if err != nil {
 		return err.Error()
 	}
-	fmt.Fprint(&b, s.header, first, last, hard, conf, string(snap.GetData()), s.entryBytes)
-	list, err := s.Entries(first, last+1, 1<<30)
+	fmt.Fprint(&b, s.header, first, last, hard, conf, string(snapshot.GetData()), s.entryBytes)
+	entries, err := s.Entries(first, last+1, 1<<30)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range list {
+	for _, e := range entries {
 		fmt.Fprint(&b, e.GetIndex(), e.GetTerm(), string(e.GetData()))
 	}
 	return b.String()
 }
 
-func TestFolderSaysTheSame(t *testing.T) {
-	folder, want := filled(t)
+func TestReopenFolder(t *testing.T) {
+	folder, want := fillFolder(t)
 	s, err := openStore(folder, "c", "m", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	if got := told(t, s); got != want {
+	if got := folderContents(t, s); got != want {
 		t.Fatalf("got %.300s\nwant %.300s", got, want)
 	}
 	if s.header.Base != 30 || s.header.Last != 90 || s.header.SnapIndex != 40 ||
@@ -95,47 +95,47 @@
 	}
 }
 
-// TestDamage changes a byte here and there, cuts the file off, and puts pages of an earlier time in: whatever is
-// taken is what was written, the rest is refused in one line, and the file stays as it is.
-func TestDamage(t *testing.T) {
-	folder, want := filled(t)
-	d := &damage{t: t, folder: folder, path: filepath.Join(folder, fileName)}
-	whole := d.read()
-	later := d.writeMore()
-	after := d.read()
+// TestCorruptFolder flips bits, truncates the file and restores pages of an earlier state: a folder that is accepted
+// must have the content that was written, and any other must be refused with a one-line error and left unmodified.
+func TestCorruptFolder(t *testing.T) {
+	folder, want := fillFolder(t)
+	c := &corruption{t: t, folder: folder, path: filepath.Join(folder, fileName)}
+	original := c.read()
+	laterContents := c.appendEntries()
+	laterFile := c.read()
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 250 {
-		file := append([]byte(nil), whole...)
-		at, bit := r.IntN(len(file)), byte(1<<r.IntN(8))
-		file[at] ^= bit
-		d.try(fmt.Sprintf("byte %d", at), file, want)
+		file := append([]byte(nil), original...)
+		offset, bit := r.IntN(len(file)), byte(1<<r.IntN(8))
+		file[offset] ^= bit
+		c.open(fmt.Sprintf("byte %d", offset), file, want)
 	}
 	for range 20 {
-		n := r.IntN(len(whole))
-		d.try(fmt.Sprintf("cut off at %d", n), whole[:n], want) // there may be room behind its end
-	}
-	for p := 0; p < len(whole)/pageBytes; p++ { // a page that was written and got lost
-		file := append([]byte(nil), after...)
-		copy(file[p*pageBytes:(p+1)*pageBytes], whole[p*pageBytes:])
-		may := []string{later}
-		if p < 2 {
-			may = append(may, want) // the head of before: its pages still stand, and nobody can tell
+		n := r.IntN(len(original))
+		c.open(fmt.Sprintf("truncated at %d", n), original[:n], want) // there may be unused space at its end
+	}
+	for page := 0; page < len(original)/pageBytes; page++ { // a lost write of one page
+		file := append([]byte(nil), laterFile...)
+		copy(file[page*pageBytes:(page+1)*pageBytes], original[page*pageBytes:])
+		allowed := []string{laterContents}
+		if page < 2 {
+			allowed = append(allowed, want) // a previous meta page: its pages still exist, so this cannot be detected
 		}
-		d.try(fmt.Sprintf("page %d of before", p), file, may...)
+		c.open(fmt.Sprintf("earlier page %d", page), file, allowed...)
 	}
-	if d.refused < 40 || d.taken < 10 {
-		t.Fatalf("%d refused, %d taken", d.refused, d.taken)
+	if c.refused < 40 || c.accepted < 10 {
+		t.Fatalf("%d refused, %d accepted", c.refused, c.accepted)
 	}
 }
 
-// damage tries damaged files in a folder's place.
-type damage struct {
-	t              *testing.T
-	folder, path   string
-	refused, taken int
+// corruption opens a folder with corrupted database files.
+type corruption struct {
+	t                 *testing.T
+	folder, path      string
+	refused, accepted int
 }
 
-func (d *damage) read() []byte {
+func (d *corruption) read() []byte {
 	d.t.Helper()
 	body, err := os.ReadFile(d.path)
 	if err != nil {
@@ -144,8 +144,8 @@
 	return body
 }
 
-// writeMore appends entries to the folder, and returns what it says then.
-func (d *damage) writeMore() string {
+// appendEntries appends entries to the folder, and returns its new content.
+func (d *corruption) appendEntries() string {
 	d.t.Helper()
 	s, err := openStore(d.folder, "c", "m", nil)
 	if err != nil {
@@ -159,43 +159,44 @@
 	if err := s.writeMessage(&pb.Message{Entries: list}); err != nil {
 		d.t.Fatal(err)
 	}
-	return told(d.t, s)
+	return folderContents(d.t, s)
 }
 
-// try opens a file, which has to say one of what it may, or be refused in one line and left as it is.
-func (d *damage) try(what string, file []byte, may ...string) {
+// open opens the folder with the given database file. The file must have one of the allowed contents, or be refused
+// with a one-line error and left unmodified.
+func (d *corruption) open(description string, file []byte, allowed ...string) {
 	d.t.Helper()
 	if err := os.WriteFile(d.path, file, 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 	s, err := openStore(d.folder, "c", "m", nil)
 	if err == nil {
-		got := told(d.t, s)
+		got := folderContents(d.t, s)
 		s.close()
-		for _, w := range may {
-			if d.taken++; got == w {
+		for _, w := range allowed {
+			if d.accepted++; got == w {
 				return
 			}
 		}
-		d.t.Fatalf("%s: taken as %.200s", what, got)
+		d.t.Fatalf("%s: accepted with content %.200s", description, got)
 	}
 	d.refused++
 	var corrupt *CorruptFolder
 	var foreign *ForeignFolder
-	typed := errors.As(err, &corrupt) || errors.As(err, &foreign)
-	if !typed || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
-		d.t.Fatalf("%s: %v", what, err)
+	expectedType := errors.As(err, &corrupt) || errors.As(err, &foreign)
+	if !expectedType || strings.Contains(err.Error(), "\n") || hint.Of(err) == "" {
+		d.t.Fatalf("%s: %v", description, err)
 	}
-	if now, _ := os.ReadFile(d.path); !bytes.Equal(now, file) {
-		d.t.Fatalf("%s: the file has been changed", what)
+	if after, _ := os.ReadFile(d.path); !bytes.Equal(after, file) {
+		d.t.Fatalf("%s: the file was modified", description)
 	}
 }
 
 func TestForeignFolders(t *testing.T) {
-	folder, _ := filled(t)
+	folder, _ := fillFolder(t)
 	var foreign *ForeignFolder
-	for _, x := range [][2]string{{"other", "m"}, {"c", "other"}} {
-		if _, err := openStore(folder, x[0], x[1], nil); !errors.As(err, &foreign) || hint.Of(err) == "" {
+	for _, owner := range [][2]string{{"other", "m"}, {"c", "other"}} {
+		if _, err := openStore(folder, owner[0], owner[1], nil); !errors.As(err, &foreign) || hint.Of(err) == "" {
 			t.Fatal(err)
 		}
 	}
@@ -205,21 +206,21 @@
 	if _, err := openStore(folder, "c", "m", nil); !errors.As(err, &foreign) {
 		t.Fatal(err)
 	}
-	full := t.TempDir()
-	if err := os.WriteFile(filepath.Join(full, "letters"), nil, 0o600); err != nil {
+	nonEmpty := t.TempDir()
+	if err := os.WriteFile(filepath.Join(nonEmpty, "letters"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := openStore(full, "c", "m", nil); !errors.As(err, &foreign) {
+	if _, err := openStore(nonEmpty, "c", "m", nil); !errors.As(err, &foreign) {
 		t.Fatal(err)
 	}
-	if list, _ := os.ReadDir(full); len(list) != 1 {
+	if list, _ := os.ReadDir(nonEmpty); len(list) != 1 {
 		t.Fatal(list)
 	}
-	half := t.TempDir() // its making was cut off: begun anew
-	if err := os.WriteFile(filepath.Join(half, fileName+".new"), make([]byte, 5000), 0o600); err != nil {
+	incomplete := t.TempDir() // its creation was interrupted: it is created again
+	if err := os.WriteFile(filepath.Join(incomplete, fileName+".new"), make([]byte, 5000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := openStore(half, "c", "m", nil)
+	s, err := openStore(incomplete, "c", "m", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
