--- a/internal/consensus/changes.go
+++ b/internal/consensus/changes.go
@@ -41,7 +41,7 @@
 )
 
 func (k changeKind) String() string {
-	return [...]string{"none", "add learner", "promote learner", "remove member", "find candidate"}[k]
+	return [...]string{"none", "add learner", "promote learner", "remove member", "look"}[k]
 }
 
 // membershipChange is a change of the members, and the member that it concerns.
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -100,7 +100,7 @@
 		if !isName(candidate.Name) || listed[candidate.Name] {
 			return &ConfigError{
 				Field: "members",
-				Why:   "each needs a unique name of 1 to 128 bytes, got " + quoted(candidate.Name),
+				Why:   "each needs a unique name of 1 to 128 bytes; " + quoted(candidate.Name) + " is invalid or repeated",
 				Do:    "list each balancer once",
 			}
 		}
@@ -108,7 +108,7 @@
 		if !isAddress(candidate.Addr) {
 			return &ConfigError{
 				Field: "members",
-				Why: "address of " + quoted(candidate.Name) + " is not an IP address and port: " +
+				Why: quoted(candidate.Name) + " has an address that is not an IP address and port: " +
 					quoted(candidate.Addr),
 				Do: "write it as 10.0.0.1:7100",
 			}
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -79,7 +79,7 @@
 	machineIndex uint64
 	diskFull     bool
 	stopped      bool           // the process is suspended
-	senders      map[uint64]int // by ID, numbers of the members that sent messages; nil while down for long
+	senders      map[uint64]int // by ID, numbers of the members that sent messages; nil while it stays down
 	jobs         []storeJob     // not written yet
 }
 
@@ -471,8 +471,8 @@
 					s.injectFault()
 				}
 				s.heal()
-				entries, lostFolders = entries+len(s.committed), lostFolders+s.lostFolders
-				terms, movedVotes = terms+len(s.leaders), movedVotes+s.movedVotes
+				entries, lostFolders, terms, movedVotes =
+					entries+len(s.committed), lostFolders+s.lostFolders, terms+len(s.leaders), movedVotes+s.movedVotes
 			})
 		}
 	}
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -269,7 +269,7 @@
 	var message remoteErrorMessage
 	if len(b) == 0 || json.Unmarshal(b[1:], &message) != nil {
 		return nil, &RemoteError{
-			Name: name, Method: method, Text: "malformed answer of " + name, Do: sameVersion,
+			Name: name, Method: method, Text: name + " sent a malformed answer", Do: sameVersion,
 		}
 	}
 	switch message.Kind {
