--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -13,40 +13,40 @@
 )
 
 // stepped are members around one log, whose messages and settling take drawn times.
-type stepped struct {
-	r       *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	count   int
-	s       *State
-	leader  *Leader
-	flying  map[string]bool
-	members []*simMember
-	faulty  bool
-	down    bool // no leader now
-	bytes   int  // of renewals and answers
-	pauses  []time.Duration
+type simulation struct {
+	rand       *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	eventCount int
+	state      *State
+	leader     *Leader
+	inFlight   map[string]bool
+	members    []*simMember
+	withFaults bool
+	leaderless bool // no leader now
+	byteCount  int  // of renewals and answers
+	pauses     []time.Duration
 }
 
 type simMember struct {
-	m      *Member
-	asks   int
-	number uint64
-	until  time.Duration // cut off until then
-	paused time.Duration // since when newcomers wait, 0 for not
+	member       *Member
+	requestCount int
+	number       uint64
+	cutOffUntil  time.Duration // cut off until then
+	pausedSince  time.Duration // since when newcomers wait, 0 for not
 }
 
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at    time.Duration
+	order int
+	do    func()
 }
 
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
 func (e eventQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
 func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
@@ -57,140 +57,140 @@
 	return x
 }
 
-func (w *stepped) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, event{w.now + d, w.count, do})
+func (w *simulation) schedule(d time.Duration, do func()) {
+	w.eventCount++
+	heap.Push(&w.queue, event{w.now + d, w.eventCount, do})
 }
 
 // way is a message's time, settling the log's.
-func (w *stepped) way() time.Duration {
-	return 200*time.Microsecond + time.Duration(w.r.ExpFloat64()*float64(300*time.Microsecond))
+func (w *simulation) networkDelay() time.Duration {
+	return 200*time.Microsecond + time.Duration(w.rand.ExpFloat64()*float64(300*time.Microsecond))
 }
 
-func (w *stepped) settling() time.Duration {
-	return 2*time.Millisecond + time.Duration(w.r.ExpFloat64()*float64(2*time.Millisecond))
+func (w *simulation) commitDelay() time.Duration {
+	return 2*time.Millisecond + time.Duration(w.rand.ExpFloat64()*float64(2*time.Millisecond))
 }
 
-func newStepped(seed uint64, n int, pace LeaderConfig, faulty bool) *stepped {
-	w := &stepped{r: rand.New(rand.NewPCG(seed, 3)), s: NewState(), flying: map[string]bool{}, faulty: faulty}
-	w.elect(pace)
+func newSimulation(seed uint64, n int, config LeaderConfig, withFaults bool) *simulation {
+	w := &simulation{rand: rand.New(rand.NewPCG(seed, 3)), state: NewState(), inFlight: map[string]bool{}, withFaults: withFaults}
+	w.elect(config)
 	for i := range n {
-		x := &simMember{m: NewMember(Holder{fmt.Sprintf("b%03d", i), 1}, false, func(json.RawMessage) error { return nil })}
+		x := &simMember{member: NewMember(Holder{fmt.Sprintf("b%03d", i), 1}, false, func(json.RawMessage) error { return nil })}
 		w.members = append(w.members, x)
-		w.after(time.Duration(w.r.Int64N(int64(pace.Lease/8))), func() { w.ask(x, pace) })
+		w.schedule(time.Duration(w.rand.Int64N(int64(config.Lease/8))), func() { w.renew(x, config) })
 	}
-	w.look(pace)
-	if faulty {
-		w.fault(pace)
+	w.pollLeader(config)
+	if withFaults {
+		w.injectFaults(config)
 	}
 	return w
 }
 
-func (w *stepped) elect(pace LeaderConfig) {
-	w.leader, w.flying = NewLeader("x", pace), map[string]bool{}
-	w.leader.BeginTerm(w.now, w.s.Apply(Command{Op: OpBeginTerm}).Number)
+func (w *simulation) elect(config LeaderConfig) {
+	w.leader, w.inFlight = NewLeader("x", config), map[string]bool{}
+	w.leader.BeginTerm(w.now, w.state.Apply(Command{Op: OpBeginTerm}).Number)
 }
 
-func (w *stepped) look(pace LeaderConfig) {
-	w.step()
-	w.after(10*time.Millisecond, func() { w.look(pace) })
+func (w *simulation) pollLeader(config LeaderConfig) {
+	w.runLeader()
+	w.schedule(10*time.Millisecond, func() { w.pollLeader(config) })
 }
 
 // fault: every second or so the leader goes for 0.6 s, or somebody is cut off for up to two leases.
-func (w *stepped) fault(pace LeaderConfig) {
-	w.after(time.Duration(w.r.ExpFloat64()*float64(time.Second)), func() {
-		if w.r.IntN(3) == 0 && !w.down {
-			w.down = true
-			w.after(600*time.Millisecond, func() { w.down = false; w.elect(pace) })
+func (w *simulation) injectFaults(config LeaderConfig) {
+	w.schedule(time.Duration(w.rand.ExpFloat64()*float64(time.Second)), func() {
+		if w.rand.IntN(3) == 0 && !w.leaderless {
+			w.leaderless = true
+			w.schedule(600*time.Millisecond, func() { w.leaderless = false; w.elect(config) })
 		} else {
-			w.members[w.r.IntN(len(w.members))].until = w.now + time.Duration(w.r.Int64N(int64(2*pace.Lease)))
+			w.members[w.rand.IntN(len(w.members))].cutOffUntil = w.now + time.Duration(w.rand.Int64N(int64(2*config.Lease)))
 		}
-		w.fault(pace)
+		w.injectFaults(config)
 	})
 }
 
-func (w *stepped) step() {
-	if w.down {
+func (w *simulation) runLeader() {
+	if w.leaderless {
 		return
 	}
 	l := w.leader
-	for _, c := range l.NextCommands(w.now, w.s) {
+	for _, c := range l.NextCommands(w.now, w.state) {
 		id := fmt.Sprint(c.Op, c.Holder, c.ProposalID, c.Epoch)
-		if w.flying[id] {
+		if w.inFlight[id] {
 			continue
 		}
-		flying := w.flying
-		flying[id] = true
-		w.after(w.settling(), func() {
-			delete(flying, id)
-			if w.leader == l && !w.down {
+		inFlight := w.inFlight
+		inFlight[id] = true
+		w.schedule(w.commitDelay(), func() {
+			delete(inFlight, id)
+			if w.leader == l && !w.leaderless {
 				w.apply(c)
 			}
 		})
 	}
 }
 
-func (w *stepped) apply(c Command) {
-	w.s.Apply(c)
+func (w *simulation) apply(c Command) {
+	w.state.Apply(c)
 	w.leader.Applied(c)
-	w.step()
+	w.runLeader()
 }
 
-func (w *stepped) ask(x *simMember, pace LeaderConfig) {
-	asked := w.now
-	x.m.Tick(w.now)
-	w.loop(x)
-	x.asks++
-	n := x.asks
-	w.after(pace.Lease/2, func() { // the answer is lost
-		if x.asks == n {
-			w.ask(x, pace)
+func (w *simulation) renew(x *simMember, config LeaderConfig) {
+	requestedAt := w.now
+	x.member.Tick(w.now)
+	w.runLoop(x)
+	x.requestCount++
+	n := x.requestCount
+	w.schedule(config.Lease/2, func() { // the answer is lost
+		if x.requestCount == n {
+			w.renew(x, config)
 		}
 	})
-	if w.down || w.now < x.until {
+	if w.leaderless || w.now < x.cutOffUntil {
 		return
 	}
-	q := x.m.NextRequest()
+	q := x.member.NextRequest()
 	b, _ := json.Marshal(q)
-	w.bytes += len(b)
-	w.after(w.way()+w.way()+w.way(), func() { // there, and the leader's own question to the voters
-		if w.down {
+	w.byteCount += len(b)
+	w.schedule(w.networkDelay()+w.networkDelay()+w.networkDelay(), func() { // there, and the leader's own question to the voters
+		if w.leaderless {
 			return
 		}
-		reply, ok := w.leader.Renew(w.now, w.s, q)
-		w.step()
+		reply, ok := w.leader.Renew(w.now, w.state, q)
+		w.runLeader()
 		if !ok {
 			return
 		}
 		b, _ := json.Marshal(reply)
-		w.bytes += len(b)
-		w.after(w.way(), func() {
-			if w.now < x.until || x.asks != n {
+		w.byteCount += len(b)
+		w.schedule(w.networkDelay(), func() {
+			if w.now < x.cutOffUntil || x.requestCount != n {
 				return
 			}
-			x.m.HandleReply(w.now, asked, q.Seq, reply)
-			w.loop(x)
+			x.member.HandleReply(w.now, requestedAt, q.Seq, reply)
+			w.runLoop(x)
 			if !reply.Known {
-				w.after(w.settling(), func() { w.apply(Command{Op: OpJoin, Holder: x.m.Holder}) })
+				w.schedule(w.commitDelay(), func() { w.apply(Command{Op: OpJoin, Holder: x.member.Holder}) })
 			}
-			w.after(max(reply.Next, time.Millisecond), func() {
-				if x.asks == n {
-					w.ask(x, pace)
+			w.schedule(max(reply.Next, time.Millisecond), func() {
+				if x.requestCount == n {
+					w.renew(x, config)
 				}
 			})
 		})
 	})
 }
 
-func (w *stepped) loop(x *simMember) {
-	p := x.m.Lease()
-	x.m.Acknowledge(p.Seq)
+func (w *simulation) runLoop(x *simMember) {
+	p := x.member.Lease()
+	x.member.Acknowledge(p.Seq)
 	switch {
-	case p.Allows(w.now) && x.paused != 0:
-		w.pauses = append(w.pauses, w.now-x.paused)
-		x.paused = 0
-	case p.Phase == Suspended && x.paused == 0:
-		x.paused = w.now
+	case p.Allows(w.now) && x.pausedSince != 0:
+		w.pauses = append(w.pauses, w.now-x.pausedSince)
+		x.pausedSince = 0
+	case p.Phase == Suspended && x.pausedSince == 0:
+		x.pausedSince = w.now
 	}
 	if p.Allows(w.now) {
 		x.number = p.Number
@@ -198,7 +198,7 @@
 }
 
 // run goes on until done, or for at most d.
-func (w *stepped) run(d time.Duration, done func() bool) bool {
+func (w *simulation) run(d time.Duration, done func() bool) bool {
 	end := w.now + d
 	for !done() {
 		if w.queue[0].at > end {
@@ -212,9 +212,9 @@
 	return true
 }
 
-func (w *stepped) allBy(n uint64) bool {
+func (w *simulation) allActiveAt(n uint64) bool {
 	for _, x := range w.members {
-		if p := x.m.Lease(); p.Number != n || !p.Allows(w.now) {
+		if p := x.member.Lease(); p.Number != n || !p.Allows(w.now) {
 			return false
 		}
 	}
@@ -224,19 +224,19 @@
 // BenchmarkChange tells the time from a proposal to its being in force, and at work at all members, the time for
 // which one member's newcomers wait, and bytes a second that a member sends and is sent, calm.
 func BenchmarkChange(b *testing.B) {
-	pace := LeaderConfig{Lease: 3 * time.Second, Deadline: 10 * time.Second}
+	config := LeaderConfig{Lease: 3 * time.Second, Deadline: 10 * time.Second}
 	for _, n := range []int{3, 10, 30, 100, 300} {
-		for _, faulty := range []bool{false, true} {
-			b.Run(fmt.Sprintf("members=%d/faults=%v", n, faulty), func(b *testing.B) {
-				var settled, everywhere []time.Duration
-				nowhere, bytes, pauses := 0, 0.0, []time.Duration(nil)
+		for _, withFaults := range []bool{false, true} {
+			b.Run(fmt.Sprintf("members=%d/faults=%v", n, withFaults), func(b *testing.B) {
+				var committed, active []time.Duration
+				aborted, bytes, pauses := 0, 0.0, []time.Duration(nil)
 				for i := range b.N {
-					w := newStepped(uint64(i), n, pace, faulty)
-					w.run(10*time.Second, func() bool { return !faulty && w.allBy(0) })
-					w.bytes = 0
+					w := newSimulation(uint64(i), n, config, withFaults)
+					w.run(10*time.Second, func() bool { return !withFaults && w.allActiveAt(0) })
+					w.byteCount = 0
 					w.run(3*time.Second, func() bool { return false })
-					bytes += float64(w.bytes) / 3 / float64(n)
-					for w.down {
+					bytes += float64(w.byteCount) / 3 / float64(n)
+					for w.leaderless {
 						w.run(10*time.Millisecond, func() bool { return false })
 					}
 					from := w.now
@@ -246,19 +246,19 @@
 							Kind:          KindProposed,
 							Key:           "k",
 							Base:          0,
-							Text:          w.s.InForce().Text,
+							Text:          w.state.InForce().Text,
 							Hash:          "h",
 							KeepRevisions: 10,
 						},
 					)
-					w.run(time.Minute, func() bool { return w.s.Pending == nil })
-					if w.s.InForce().Number == 0 {
-						nowhere++
+					w.run(time.Minute, func() bool { return w.state.Pending == nil })
+					if w.state.InForce().Number == 0 {
+						aborted++
 						continue
 					}
-					settled = append(settled, w.now-from)
-					if !faulty && w.run(time.Minute, func() bool { return w.allBy(1) }) {
-						everywhere = append(everywhere, w.now-from)
+					committed = append(committed, w.now-from)
+					if !withFaults && w.run(time.Minute, func() bool { return w.allActiveAt(1) }) {
+						active = append(active, w.now-from)
 					}
 					pauses = append(pauses, w.pauses...)
 				}
@@ -268,11 +268,11 @@
 						b.ReportMetric(float64(all[len(all)-1].Milliseconds()), name+"-most-ms")
 					}
 				}
-				report("settled", settled)
-				report("everywhere", everywhere)
+				report("settled", committed)
+				report("everywhere", active)
 				report("wait", pauses)
 				b.ReportMetric(bytes/float64(b.N), "bytes/s/member")
-				b.ReportMetric(float64(nowhere), "nowhere")
+				b.ReportMetric(float64(aborted), "nowhere")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -48,10 +48,10 @@
 	for i, tenant := range c.Tenants {
 		v.checkKnown(fmt.Sprintf("tenants[%d].name", i), tenant.Name, "tenant", inSettings, env.Tenants)
 	}
-	if field := c.firstPlaceField(); !env.HasList && field != "" {
+	if field := c.firstPlacementField(); !env.HasList && field != "" {
 		v.report(field, "", "", "can't be checked: this balancer has had no list of regions so far",
 			"see why discovery doesn't answer it, or wait and propose again")
-		v.first.MayChange = true
+		v.firstError.MayChange = true
 		return v.err()
 	}
 	for i, server := range c.Servers {
@@ -60,7 +60,7 @@
 	for i, zone := range c.Zones {
 		v.checkKnown(fmt.Sprintf("zones[%d].id", i), zone.ID, "zone", inSettingsOrList, env.Zones)
 	}
-	if field := excludesAll(c, env); field != "" {
+	if field := fieldExcludingAll(c, env); field != "" {
 		v.report(field, "", "", "leave no region for newcomers",
 			"leave at least one listed region in, by its id and by its zone")
 	}
@@ -97,16 +97,16 @@
 }
 
 // checkKnown holds a name to a list, and suggests another one.
-func (v *validator) checkKnown(field, name, what, where string, list []string) {
-	if v.first != nil || slices.Contains(list, name) {
+func (v *validator) checkKnown(field, name, kind, source string, list []string) {
+	if v.firstError != nil || slices.Contains(list, name) {
 		return
 	}
-	v.report(field, "", fmt.Sprintf("%q", name), fmt.Sprintf("is no %s of %s", what, where),
-		"%s; or bring the %s back first", suggestion(name, what, list), what)
+	v.report(field, "", fmt.Sprintf("%q", name), fmt.Sprintf("is no %s of %s", kind, source),
+		"%s; or bring the %s back first", suggestion(name, kind, list), kind)
 }
 
 // firstPlaceField is the first field that names servers or zones, "" if there is none.
-func (c *Content) firstPlaceField() string {
+func (c *Content) firstPlacementField() string {
 	switch {
 	case len(c.Servers) > 0:
 		return "regions"
@@ -119,7 +119,7 @@
 }
 
 // excludesAll is the field that excludes the last server of the list, "" where one stays.
-func excludesAll(c *Content, env Environment) string {
+func fieldExcludingAll(c *Content, env Environment) string {
 	excluded := map[string]bool{}
 	byZone, byID := false, false
 	for _, zone := range c.Zones {
@@ -134,9 +134,9 @@
 			byID = true
 		}
 	}
-	stays := func(id string) bool { return !excluded[id] && !excluded[ZonePrefix+env.ZoneOf[id]] }
+	remains := func(id string) bool { return !excluded[id] && !excluded[ZonePrefix+env.ZoneOf[id]] }
 	switch {
-	case len(env.Servers) == 0 || slices.ContainsFunc(env.Servers, stays):
+	case len(env.Servers) == 0 || slices.ContainsFunc(env.Servers, remains):
 		return ""
 	case byZone && !byID:
 		return "zones"
--- a/internal/revision/command.go
+++ b/internal/revision/command.go
@@ -35,7 +35,7 @@
 	OpStop      Op = "stop"    // of a term: all have accepted; nobody is granted a lease until commit, resume or abort
 	OpResume    Op = "resume"  // of a term: not all have stopped in time; the revision in force goes on
 	OpCommit    Op = "settle"  // of a term: all have stopped; the proposal is in force
-	OpKeep      Op = "keep"    // of a term: the guard of revision Source is over
+	OpEndGuard  Op = "keep"    // of a term: the guard of revision Source is over
 )
 
 // Totals are running counts of a holder, or sums of them: requests, and of these rejected, failed and answered late.
@@ -46,12 +46,12 @@
 	Late     int64 `json:"l,omitempty"`
 }
 
-func (f Totals) plus(o Totals) Totals {
-	return Totals{f.Requests + o.Requests, f.Rejected + o.Rejected, f.Failed + o.Failed, f.Late + o.Late}
+func (t Totals) plus(o Totals) Totals {
+	return Totals{t.Requests + o.Requests, t.Rejected + o.Rejected, t.Failed + o.Failed, t.Late + o.Late}
 }
 
-func (f Totals) minus(o Totals) Totals {
-	return Totals{f.Requests - o.Requests, f.Rejected - o.Rejected, f.Failed - o.Failed, f.Late - o.Late}
+func (t Totals) minus(o Totals) Totals {
+	return Totals{t.Requests - o.Requests, t.Rejected - o.Rejected, t.Failed - o.Failed, t.Late - o.Late}
 }
 
 // Command is one entry of the log.
@@ -80,7 +80,7 @@
 	HoldersVersion  uint64          `json:"roster,omitempty"` // State.HoldersVersion at which it did
 	Members         []string        `json:"who,omitempty"`    // members because of which a proposal is given up
 	Reason          string          `json:"why,omitempty"`
-	Before          Totals          `json:"before,omitzero"`
+	Baseline        Totals          `json:"before,omitzero"`
 	Nonce           uint64          `json:"nonce,omitempty"` // by which the proposing process knows its own command again
 }
 
--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -17,12 +17,12 @@
 )
 
 var (
-	someClasses = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
-	someZones   = []string{"nrb", "mba", "ksm"}
-	today       = Environment{
-		Classes:     someClasses,
+	classNames      = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
+	zoneNames       = []string{"nrb", "mba", "ksm"}
+	testEnvironment = Environment{
+		Classes:     classNames,
 		Tenants:     []string{"t1", "t2"},
-		Zones:       someZones,
+		Zones:       zoneNames,
 		Servers:     []string{"r1", "r2", "r3"},
 		HasList:     true,
 		MaxAttempts: 6,
@@ -31,43 +31,43 @@
 )
 
 // drawn is a revision that fits today.
-func drawn(t *rapid.T) *Content {
+func generateContent(t *rapid.T) *Content {
 	c := &Content{
 		Form: Form,
 		Note: rapid.SampledFrom([]string{"", "a  \"b\" <c> & d\\", "w\u012bki \U0001f98a"}).Draw(t, "note"),
 	}
-	some := func(names []string, what string) []string {
+	subset := func(names []string, what string) []string {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, len(names), rapid.ID).Draw(t, what)
 	}
-	aim := rapid.Custom(func(t *rapid.T) time.Duration {
+	objective := rapid.Custom(func(t *rapid.T) time.Duration {
 		return time.Duration(
 			rapid.SampledFrom([]int64{0, int64(MinObjective), 1500001, 3e8, int64(MaxObjective)}).Draw(t, "aim"),
 		)
 	})
 	weight := func() float64 { return rapid.Float64Range(1e-5, MaxWeight).Draw(t, "weight") }
-	for _, n := range some(someClasses, "classes") {
+	for _, n := range subset(classNames, "classes") {
 		c.Classes = append(
 			c.Classes,
 			Class{
 				n,
 				rapid.IntRange(0, MaxPriorityRank).Draw(t, "order"),
-				aim.Draw(t, "aim"),
-				aim.Draw(t, "message"),
+				objective.Draw(t, "aim"),
+				objective.Draw(t, "message"),
 				rapid.IntRange(0, 6).Draw(t, "attempts"),
 			},
 		)
 	}
-	for _, n := range some(today.Tenants, "tenants") {
+	for _, n := range subset(testEnvironment.Tenants, "tenants") {
 		c.Tenants = append(c.Tenants, Tenant{n, rapid.Float64Range(0, 1e9).Draw(t, "connections")})
 	}
-	for _, n := range some([]string{"r1", "r2"}, "regions") {
+	for _, n := range subset([]string{"r1", "r2"}, "regions") {
 		if rapid.Bool().Draw(t, "out") {
 			c.Servers = append(c.Servers, Place{ID: n, Excluded: true})
 		} else {
 			c.Servers = append(c.Servers, Place{ID: n, Weight: weight()})
 		}
 	}
-	for _, n := range some([]string{"mba", "ksm"}, "zones") {
+	for _, n := range subset([]string{"mba", "ksm"}, "zones") {
 		c.Zones = append(c.Zones, Place{ID: n, Excluded: true})
 	}
 	c.Budgets = Budgets{
@@ -76,15 +76,15 @@
 		rapid.Float64Range(0, 1).Draw(t, "cold"),
 	}
 	c.Migration.PerSecond = rapid.Float64Range(0, MaxMigrationsPerSecond).Draw(t, "moves")
-	c.Links = drawnLinks(t, some)
+	c.Links = generateLinks(t, subset)
 	return c
 }
 
 // drawnLinks are links from zone nrb.
-func drawnLinks(t *rapid.T, some func(names []string, what string) []string) (links []Link) {
-	for _, to := range some(someZones[1:], "links") {
+func generateLinks(t *rapid.T, subset func(names []string, what string) []string) (links []Link) {
+	for _, to := range subset(zoneNames[1:], "links") {
 		l := Link{From: "nrb", To: to, Bytes: rapid.Float64Range(1, MaxLinkBytes).Draw(t, "bytes")}
-		for _, n := range some(someClasses, "of link") {
+		for _, n := range subset(classNames, "of link") {
 			l.Classes = append(
 				l.Classes,
 				LinkClass{
@@ -117,34 +117,34 @@
 }
 
 // What is written is read back whole, in printable ASCII; the order of entries changes nothing, anything else does.
-func TestText(t *testing.T) {
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := drawn(t)
+		c := generateContent(t)
 		text := Encode(c)
 		if i := strings.IndexFunc(string(text), func(r rune) bool { return r < ' ' || r > '~' }); i >= 0 {
 			t.Fatalf("%q", text)
 		}
-		back, err := Decode(text)
-		if diff := cmp.Diff(c, back); err != nil || diff != "" {
+		decoded, err := Decode(text)
+		if diff := cmp.Diff(c, decoded); err != nil || diff != "" {
 			t.Fatalf("%v\n%s\n%s", err, text, diff)
 		}
 		o := shuffled(c, rapid.Uint64().Draw(t, "seed"))
 		if Hash(o) != Hash(c) || len(Diff(c, o)) > 0 {
 			t.Fatalf("another order is another revision: %v", Diff(c, o))
 		}
-		if err := Check(c, today); err != nil {
+		if err := Check(c, testEnvironment); err != nil {
 			t.Fatal(err)
 		}
-		other := drawn(t)
-		if alike := Hash(other) == Hash(c); alike != (len(Diff(c, other)) == 0) ||
+		other := generateContent(t)
+		if equalHashes := Hash(other) == Hash(c); equalHashes != (len(Diff(c, other)) == 0) ||
 			len(Diff(c, other)) != len(Diff(other, c)) {
-			t.Fatalf("hashes alike: %v, but differ in %v", alike, Diff(c, other))
+			t.Fatalf("hashes alike: %v, but differ in %v", equalHashes, Diff(c, other))
 		}
 	})
 }
 
 // A text that isn't understood whole is refused in one line with what is at fault.
-func TestMalformed(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "EOF", "{": "EOF", "null": "form 0", "[]": "array where", "{}": "form 0", `{"oatloft_revision":2}`: "form 2",
 		`{"oatloft_revision":1} {}`: "something follows", `{"oatloft_revision":1,"colour":"red"}`: `unknown field "colour"`,
@@ -173,8 +173,8 @@
 
 // incompatibilities are what may be wrong with a revision: the field that is named, why, and what would make it fit.
 var incompatibilities = []struct {
-	spoil          func(c *Content, d *Environment)
-	field, why, do string
+	alter                  func(c *Content, d *Environment)
+	field, problem, remedy string
 }{
 	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "another form", "form 1"},
 	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "no note", "one line"},
@@ -288,8 +288,8 @@
 }
 
 // What doesn't fit is named by its field, with what would make it fit; the first of several.
-func TestIncompatible(t *testing.T) {
-	whole := Content{
+func TestCheckErrors(t *testing.T) {
+	compatible := Content{
 		Form:    Form,
 		Classes: []Class{{Name: "gold"}, {Name: "bulk"}},
 		Tenants: []Tenant{{Name: "t1"}},
@@ -299,31 +299,31 @@
 		},
 		Links: []Link{{"nrb", "mba", 20000, []LinkClass{{"gold", 1, 0.5, 1}, {"bulk", 2, 0.5, 0}}}},
 	}
-	if err := Check(&whole, today); err != nil {
+	if err := Check(&compatible, testEnvironment); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range incompatibilities {
-		c, err := Decode(Encode(&whole))
+		c, err := Decode(Encode(&compatible))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := today
-		x.spoil(c, &d)
+		d := testEnvironment
+		x.alter(c, &d)
 		var e *Incompatible
-		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.why) ||
-			!strings.Contains(hint.Of(err), x.do) ||
+		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.problem) ||
+			!strings.Contains(hint.Of(err), x.remedy) ||
 			strings.Contains(hint.Line(err), "%!") {
-			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.why, x.do)
+			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.problem, x.remedy)
 		}
 	}
-	many := Content{Form: Form}
+	oversized := Content{Form: Form}
 	for i := range 5000 {
-		many.Servers = append(
-			many.Servers,
+		oversized.Servers = append(
+			oversized.Servers,
 			Place{ID: strings.Repeat("r", 20) + string(rune('a'+i%26)) + strings.Repeat("x", i/26), Excluded: true},
 		)
 	}
-	if err := Validate(&many); err == nil {
+	if err := Validate(&oversized); err == nil {
 		t.Error("a revision of any length is sound")
 	}
 }
@@ -380,28 +380,28 @@
 // An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
 func TestOverlay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, c := overlayBase(), drawn(t)
+		b, c := overlayBase(), generateContent(t)
 		if diff := cmp.Diff(overlayBase(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
 			t.Fatalf("an empty one changed %s", diff)
 		}
-		once := Overlay(b, c)
+		overlaid := Overlay(b, c)
 		if !cmp.Equal(b, overlayBase()) {
 			t.Fatal("the settings were written to")
 		}
-		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(once, other) || !cmp.Equal(once, Overlay(once, c)) {
+		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(overlaid, other) || !cmp.Equal(overlaid, Overlay(overlaid, c)) {
 			t.Fatal("the order of entries, or how often it is laid over, makes a difference")
 		}
-		if again := Overlay(once, &Content{Form: Form}); !cmp.Equal(once, again) {
+		if again := Overlay(overlaid, &Content{Form: Form}); !cmp.Equal(overlaid, again) {
 			t.Fatal("an empty one changed what another said")
 		}
-		if len(once.Classes) != 2 || len(once.Tenants) != 2 || once.Classes[0].MaxAttempts > 2 {
-			t.Fatalf("%+v", once)
+		if len(overlaid.Classes) != 2 || len(overlaid.Tenants) != 2 || overlaid.Classes[0].MaxAttempts > 2 {
+			t.Fatalf("%+v", overlaid)
 		}
 	})
 }
 
 // Each field of a revision is laid over the settings' field.
-func TestOverlayOfEachField(t *testing.T) {
+func TestOverlayEachField(t *testing.T) {
 	got := Overlay(
 		overlayBase(),
 		&Content{
--- a/internal/revision/defects_test.go
+++ b/internal/revision/defects_test.go
@@ -17,7 +17,7 @@
 // Each of these is built in on purpose and has to be found by drawn paths.
 func TestDefects(t *testing.T) {
 	defer failpoint.Choose("")
-	from := *firstDefect
+	first := *firstDefect
 	for _, name := range []string{
 		"lease-from-answer", "renews-itself", "stopped-untaken", "leaves-untaken", "old-epoch",
 		"stop-same-epoch", "no-margin",
@@ -25,51 +25,51 @@
 		"lapse-uncondemned", "grant-while-stopped", "unconfirmed", "old-reign", "roster-unseen", "one-stopped",
 		"majority", "key-unseen", "from-unseen", "unchecked",
 	} {
-		if from != "" && name != from {
+		if first != "" && name != first {
 			continue
 		}
-		from = ""
+		first = ""
 		failpoint.Choose(name)
-		found, w := search(100_000)
+		seed, w := findViolation(100_000)
 		if w == nil {
 			t.Errorf("%s: not found", name)
 			continue
 		}
 		n := 0
-		for b := w.trace; b != nil; b = b.back {
+		for step := w.trace; step != nil; step = step.previous {
 			n++
 		}
-		t.Logf("%s | seed %d, %d steps | %.150s", name, found, n, w.broken)
+		t.Logf("%s | seed %d, %d steps | %.150s", name, seed, n, w.violation)
 	}
 }
 
 // search goes drawn paths until one is broken, on all processors: the seed is the least of those that were under way.
-func search(most uint64) (uint64, *world) {
+func findViolation(maxSeeds uint64) (uint64, *world) {
 	var mu sync.Mutex
-	var at atomic.Uint64
+	var nextSeed atomic.Uint64
 	var found *world
-	least := most
-	var all sync.WaitGroup
+	lowest := maxSeeds
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for {
-				seed := at.Add(1) - 1
+				seed := nextSeed.Add(1) - 1
 				mu.Lock()
-				done := seed >= least
+				done := seed >= lowest
 				mu.Unlock()
 				if done {
 					return
 				}
-				if w := walk(seed, drawnPlan(seed)); w.broken != "" {
+				if w := randomWalk(seed, randomPlan(seed)); w.violation != "" {
 					mu.Lock()
-					if seed < least {
-						least, found = seed, w
+					if seed < lowest {
+						lowest, found = seed, w
 					}
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	all.Wait()
-	return least, found
+	workers.Wait()
+	return lowest, found
 }
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -16,16 +16,16 @@
 	maps.Copy(names, after)
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		old, had := before[name]
-		now, has := after[name]
+		valueBefore, inBefore := before[name]
+		valueAfter, inAfter := after[name]
 		switch {
-		case old == now && had == has:
-		case !had:
-			lines = append(lines, fmt.Sprintf("%s: %s, not said before", name, now))
-		case !has:
-			lines = append(lines, fmt.Sprintf("%s: not said any more, %s before", name, old))
+		case valueBefore == valueAfter && inBefore == inAfter:
+		case !inBefore:
+			lines = append(lines, fmt.Sprintf("%s: %s, not said before", name, valueAfter))
+		case !inAfter:
+			lines = append(lines, fmt.Sprintf("%s: not said any more, %s before", name, valueBefore))
 		default:
-			lines = append(lines, fmt.Sprintf("%s: %s -> %s", name, old, now))
+			lines = append(lines, fmt.Sprintf("%s: %s -> %s", name, valueBefore, valueAfter))
 		}
 	}
 	return lines
@@ -74,7 +74,7 @@
 }
 
 // entry describes an entry that says nothing but its name.
-func (d description) entry(field string, empty bool) {
+func (d description) emptyEntry(field string, empty bool) {
 	if empty {
 		d[field] = "named"
 	}
@@ -87,7 +87,7 @@
 		d.duration(at+" aim", class.LatencyObjective)
 		d.duration(at+" message_aim", class.MessageLatencyObjective)
 		d.number(at+" attempts", float64(class.MaxAttempts))
-		d.entry(at, class == Class{Name: class.Name})
+		d.emptyEntry(at, class == Class{Name: class.Name})
 	}
 }
 
@@ -98,7 +98,7 @@
 			d[at] = "left out"
 		}
 		d.number(at+" weight", place.Weight)
-		d.entry(at, place == Place{ID: place.ID})
+		d.emptyEntry(at, place == Place{ID: place.ID})
 	}
 }
 
@@ -111,7 +111,7 @@
 			d.number(at+" priority", float64(class.Priority))
 			d.number(at+" least", class.MinShare)
 			d.number(at+" weight", class.Weight)
-			d.entry(at, class == LinkClass{Name: class.Name})
+			d.emptyEntry(at, class == LinkClass{Name: class.Name})
 		}
 	}
 }
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -57,11 +57,11 @@
 }
 
 // Forgotten is the error that a revision is not in the history any more.
-type Forgotten struct{ Number, First uint64 }
+type Forgotten struct{ Number, FirstKept uint64 }
 
 // Error says what is wrong.
 func (e *Forgotten) Error() string {
-	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.First)
+	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.FirstKept)
 }
 
 // Hint is what an operator can do.
@@ -71,15 +71,15 @@
 }
 
 // Missing is the error that there has been no such revision.
-type Missing struct{ Number, InForce uint64 }
+type NotFound struct{ Number, InForce uint64 }
 
 // Error says what is wrong.
-func (e *Missing) Error() string {
+func (e *NotFound) Error() string {
 	return fmt.Sprintf("there has been no revision %d; %d is in force", e.Number, e.InForce)
 }
 
 // Hint is what an operator can do.
-func (e *Missing) Hint() string { return "take one from oatctl revision list" }
+func (e *NotFound) Hint() string { return "take one from oatctl revision list" }
 
 // UnknownHolder is the error that no process of that name is listed.
 type UnknownHolder struct{ Name string }
@@ -94,13 +94,13 @@
 
 // Superseded is the error that a later process of this name has reported that this one has ended.
 type Superseded struct {
-	Name  string
-	Floor uint64
+	Name          string
+	MinGeneration uint64
 }
 
 // Error says what is wrong.
 func (e *Superseded) Error() string {
-	return fmt.Sprintf("a later process of %s (%d) has taken its place", e.Name, e.Floor)
+	return fmt.Sprintf("a later process of %s (%d) has taken its place", e.Name, e.MinGeneration)
 }
 
 // Hint is what an operator can do.
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -8,12 +8,12 @@
 
 // Bounds of the guard.
 const (
-	maxRateFactor   = 1.5  // a rate may be half as much again as before ...
-	maxRateIncrease = 0.02 // ... and two points more
-	minRequests     = 50   // from which on a rate is judged: few requests are no sign
-	maxBlindRate    = 0.25 // where hardly anything was requested before
-	sampleInterval  = time.Second
-	maxSamples      = 30 // of the time before
+	maxRateFactor          = 1.5  // a rate may be half as much again as before ...
+	maxRateIncrease        = 0.02 // ... and two points more
+	minRequests            = 50   // from which on a rate is judged: few requests are no sign
+	maxRateWithoutBaseline = 0.25 // where hardly anything was requested before
+	sampleInterval         = time.Second
+	maxSamples             = 30 // of the time before
 )
 
 // guard compares the members' totals since a revision came in force with those of the time before.
@@ -40,7 +40,7 @@
 }
 
 // totalsBefore are the totals of the time that the samples span.
-func (g *guard) totalsBefore() Totals {
+func (g *guard) baseline() Totals {
 	if len(g.samples) < 2 {
 		return Totals{}
 	}
@@ -67,7 +67,7 @@
 	if g.number != window.Number {
 		g.number, g.since, g.startTotals = window.Number, now, l.totals
 	}
-	if reason := Worse(window.Before, l.totals.minus(g.startTotals)); reason != "" {
+	if reason := RateAboveLimit(window.Baseline, l.totals.minus(g.startTotals)); reason != "" {
 		return []Command{{
 			Op:     OpPropose,
 			Key:    "guard-" + formatUint(window.Number) + strings.Repeat("+", window.FailedRollbacks),
@@ -78,31 +78,31 @@
 		}}
 	}
 	if now >= g.since+time.Duration(window.Duration) {
-		return []Command{{Op: OpKeep, LeaderTerm: l.term, Source: window.Number}}
+		return []Command{{Op: OpEndGuard, LeaderTerm: l.term, Source: window.Number}}
 	}
 	return nil
 }
 
 // Worse says which rate is out of bounds now, "" for none.
-func Worse(before, now Totals) string {
-	if now.Requests < minRequests {
+func RateAboveLimit(baseline, current Totals) string {
+	if current.Requests < minRequests {
 		return ""
 	}
-	for _, x := range []struct {
-		rate        string
-		before, now int64
+	for _, check := range []struct {
+		rate              string
+		baseline, current int64
 	}{
-		{"refused", before.Rejected, now.Rejected},
-		{"failed", before.Failed, now.Failed},
-		{"late", before.Late, now.Late},
+		{"refused", baseline.Rejected, current.Rejected},
+		{"failed", baseline.Failed, current.Failed},
+		{"late", baseline.Late, current.Late},
 	} {
-		rateBefore := float64(x.before) / float64(max(before.Requests, 1))
-		limit := rateBefore*maxRateFactor + maxRateIncrease
-		if before.Requests < minRequests {
-			limit = maxBlindRate
+		baselineRate := float64(check.baseline) / float64(max(baseline.Requests, 1))
+		limit := baselineRate*maxRateFactor + maxRateIncrease
+		if baseline.Requests < minRequests {
+			limit = maxRateWithoutBaseline
 		}
-		if rate := float64(x.now) / float64(now.Requests); rate > limit {
-			return x.rate + " " + percent(rate) + ", before " + percent(rateBefore)
+		if rate := float64(check.current) / float64(current.Requests); rate > limit {
+			return check.rate + " " + percent(rate) + ", before " + percent(baselineRate)
 		}
 	}
 	return ""
--- a/internal/revision/history.go
+++ b/internal/revision/history.go
@@ -38,7 +38,7 @@
 	Number          uint64 `json:"n"`
 	RollbackTo      uint64 `json:"back"` // the revision before
 	Duration        int64  `json:"for"`  // ns
-	Before          Totals `json:"before"`
+	Baseline        Totals `json:"before"`
 	FailedRollbacks int    `json:"tries,omitempty"` // that were given up
 	Kept            bool   `json:"kept,omitempty"`
 }
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	renewalsPerLease   = 8 // a holder renews so often while a lease lasts
-	stopTimeoutShare   = 4
-	minShortInterval   = 10 * time.Millisecond
-	shortIntervalScale = 300 * time.Microsecond // for each holder
-	silentRenewals     = 2                      // a holder that has missed so many counts as silent
+	renewalsPerLease      = 8 // a holder renews so often while a lease lasts
+	stopTimeoutDivisor    = 4
+	minFastInterval       = 10 * time.Millisecond
+	fastIntervalPerHolder = 300 * time.Microsecond // for each holder
+	maxMissedRenewals     = 2                      // a holder that has missed so many counts as silent
 )
 
 // ExpiryMargin is how long a leader waits after the last grant that anybody may have given before it takes a lease
@@ -58,7 +58,7 @@
 	Name   string
 
 	term      uint64 // 0 until its beginning is committed
-	termBegan time.Duration
+	termStart time.Duration
 	holders   map[Holder]*holderState
 	totals    Totals // of all holders, since this term began
 	guard     guard
@@ -72,14 +72,14 @@
 // NewLeader returns a leader that is to be, until BeginTerm.
 func NewLeader(name string, config LeaderConfig) *Leader {
 	if config.StopTimeout == 0 {
-		config.StopTimeout = config.Lease / stopTimeoutShare
+		config.StopTimeout = config.Lease / stopTimeoutDivisor
 	}
 	return &Leader{Config: config, Name: name, holders: map[Holder]*holderState{}}
 }
 
 // BeginTerm tells that its term was committed as number term, and that this was learnt now.
 func (l *Leader) BeginTerm(now time.Duration, term uint64) {
-	l.term, l.termBegan = term, now
+	l.term, l.termStart = term, now
 	l.guard.reset(now)
 }
 
@@ -113,7 +113,7 @@
 	reply.Known = true
 	h := l.holder(request.Holder, now)
 	if h.expiring {
-		reply.Next = l.shortInterval()
+		reply.Next = l.fastInterval()
 		return reply, true
 	}
 	h.lastRenewal = now
@@ -121,7 +121,7 @@
 	h.answeredProposal, h.rejection, h.stoppedEpoch = request.AnsweredProposal, request.Rejection, request.StoppedEpoch
 	l.addTotals(h, request.Totals)
 	if s.Pending != nil {
-		l.replyProposal(s, request, &reply)
+		l.addProposal(s, request, &reply)
 	}
 	if failpoint.On("grant-while-stopped") && request.StoppedEpoch == s.Epoch {
 		reply.Stopped = false
@@ -144,20 +144,20 @@
 		Lease:  l.Config.Lease,
 		Next:   l.renewInterval(),
 	}
-	hasIt := request.HasNumber == inForce.Number+1
+	hasText := request.HasNumber == inForce.Number+1
 	staged := request.AnsweredProposal != 0 && request.AnsweredProposal == inForce.ID && request.Rejection == ""
-	if !hasIt && !staged {
+	if !hasText && !staged {
 		reply.Text = inForce.Text
 	}
 	return reply
 }
 
 // replyProposal adds the proposal to a reply, with its text if the holder has not answered it.
-func (l *Leader) replyProposal(s *State, request RenewRequest, reply *RenewReply) {
+func (l *Leader) addProposal(s *State, request RenewRequest, reply *RenewReply) {
 	p := s.Pending
 	reply.Proposal, reply.ProposedHash = p.ID, p.Hash
 	reply.Stopped = p.Stopped
-	reply.Next = l.shortInterval()
+	reply.Next = l.fastInterval()
 	if request.AnsweredProposal != p.ID {
 		reply.Proposed = p.Text
 		reply.Next = 0
@@ -182,13 +182,13 @@
 func (l *Leader) renewInterval() time.Duration { return l.Config.Lease / renewalsPerLease }
 
 // shortInterval is how soon holders renew while something is under way: the sooner the fewer they are.
-func (l *Leader) shortInterval() time.Duration {
-	return max(minShortInterval, time.Duration(len(l.holders))*shortIntervalScale)
+func (l *Leader) fastInterval() time.Duration {
+	return max(minFastInterval, time.Duration(len(l.holders))*fastIntervalPerHolder)
 }
 
 // isExpired tells that nothing a holder was ever granted holds any more, whoever granted it.
 func (l *Leader) isExpired(entry HolderEntry, h *holderState, now time.Duration) bool {
-	return !entry.HoldOnPartition && now >= max(h.lastGrant, l.termBegan)+ExpiryMargin(l.Config.Lease)
+	return !entry.HoldOnPartition && now >= max(h.lastGrant, l.termStart)+ExpiryMargin(l.Config.Lease)
 }
 
 // NextCommands returns what is to be committed now. It may return the same again until it is; what comes too late
@@ -231,7 +231,7 @@
 func (l *Leader) advanceProposal(now time.Duration, s *State, p *Proposal) (command Command, due bool) {
 	l.noteProposal(now, s, p)
 	command = Command{LeaderTerm: l.term, ProposalID: p.ID, Epoch: s.Epoch, HoldersVersion: s.HoldersVersion}
-	if name, reason, rejected := l.rejection(now, s, p); rejected {
+	if name, reason, rejected := l.firstRejection(now, s, p); rejected {
 		command.Op, command.Members, command.Reason = OpAbort, []string{name}, reason
 		return command, true
 	}
@@ -242,7 +242,7 @@
 	missing := l.missingHolders(now, s, p)
 	switch {
 	case len(missing) == 0 && p.Stopped:
-		command.Op, command.Before = OpCommit, l.guard.totalsBefore()
+		command.Op, command.Baseline = OpCommit, l.guard.baseline()
 		command.KeepRevisions, command.KeepBytes = l.Config.KeepRevisions, l.Config.KeepBytes
 	case len(missing) == 0 && len(s.Holders) > 0:
 		command.Op = OpStop
@@ -269,7 +269,7 @@
 }
 
 // rejection is the first holder that rejects the proposal, and why.
-func (l *Leader) rejection(now time.Duration, s *State, p *Proposal) (name, reason string, rejected bool) {
+func (l *Leader) firstRejection(now time.Duration, s *State, p *Proposal) (name, reason string, rejected bool) {
 	for _, entry := range s.Holders {
 		h := l.holder(entry.Holder, now)
 		if h.answeredProposal == p.ID && h.rejection != "" {
@@ -286,7 +286,7 @@
 	var silent, running []string
 	for _, entry := range s.Holders {
 		h := l.holder(entry.Holder, now)
-		overdue := now-h.lastRenewal > silentRenewals*max(l.shortInterval(), l.renewInterval())
+		overdue := now-h.lastRenewal > maxMissedRenewals*max(l.fastInterval(), l.renewInterval())
 		switch {
 		case h.answeredProposal != p.ID || h.missedStop || !p.Stopped && overdue:
 			silent = append(silent, entry.Name)
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -19,16 +19,16 @@
 	HoldOnPartition bool
 	Check           func(text json.RawMessage) error // against this balancer's own settings and list
 
-	lease        Lease
-	acknowledged uint64 // Seq by which the loop goes
-	lastRequest  uint64 // Seq of the last request
-	ignoreUpTo   uint64 // replies to requests up to this one do not count
-	listed       bool   // as far as it knows
-	epoch        uint64 // the latest heard of
-	stopEpoch    uint64 // epoch of the stop heard of; 0 for none
-	stopSeq      uint64 // Seq by which the loop was told of that
-	inForce      inForce
-	staged       stagedProposal
+	lease           Lease
+	acknowledgedSeq uint64 // Seq by which the loop goes
+	lastRequest     uint64 // Seq of the last request
+	ignoreUpTo      uint64 // replies to requests up to this one do not count
+	listed          bool   // as far as it knows
+	epoch           uint64 // the latest heard of
+	stopEpoch       uint64 // epoch of the stop heard of; 0 for none
+	stopSeq         uint64 // Seq by which the loop was told of that
+	inForce         inForce
+	staged          stagedProposal
 }
 
 // inForce is the revision in force, as far as a member knows.
@@ -92,7 +92,7 @@
 }
 
 // Acknowledge tells that the loop goes by the lease with this Seq.
-func (m *Member) Acknowledge(seq uint64) { m.acknowledged = max(m.acknowledged, seq) }
+func (m *Member) Acknowledge(seq uint64) { m.acknowledgedSeq = max(m.acknowledgedSeq, seq) }
 
 // NextRequest returns what to tell the leader now. The caller keeps the time at which it is sent.
 func (m *Member) NextRequest() RenewRequest {
@@ -107,7 +107,7 @@
 	if m.inForce.hasText {
 		request.HasNumber = m.inForce.number + 1
 	}
-	if m.stopEpoch != 0 && (m.acknowledged >= m.stopSeq || failpoint.On("stopped-untaken")) {
+	if m.stopEpoch != 0 && (m.acknowledgedSeq >= m.stopSeq || failpoint.On("stopped-untaken")) {
 		request.StoppedEpoch = m.stopEpoch
 	}
 	return request
@@ -122,7 +122,7 @@
 
 // HasLeft tells that the loop has acknowledged that this process has left.
 func (m *Member) HasLeft() bool {
-	return m.lease.Phase == Released && (m.acknowledged >= m.lease.Seq || failpoint.On("leaves-untaken"))
+	return m.lease.Phase == Released && (m.acknowledgedSeq >= m.lease.Seq || failpoint.On("leaves-untaken"))
 }
 
 // Tick ends a lease that has run out.
@@ -145,7 +145,7 @@
 		return
 	}
 	if !reply.Known {
-		m.notListed(reply)
+		m.handleNotListed(reply)
 		return
 	}
 	m.listed = true
@@ -154,21 +154,21 @@
 	}
 	m.epoch = max(m.epoch, reply.Epoch)
 	if reply.Proposal > m.staged.id && reply.Proposed != nil {
-		m.stage(reply)
+		m.stageProposal(reply)
 	}
 	switch {
 	case reply.Stopped:
 		m.suspend(reply.Epoch)
 	case reply.Granted:
-		m.granted(now, requestedAt, reply)
+		m.applyGrant(now, requestedAt, reply)
 	}
 }
 
 // notListed takes a reply that this process is not listed. Nothing that it may have been granted counts any more,
 // and it begins again.
-func (m *Member) notListed(reply RenewReply) {
+func (m *Member) handleNotListed(reply RenewReply) {
 	m.Holder.Generation = max(m.Holder.Generation, reply.MinGeneration)
-	m.learn(reply)
+	m.updateInForce(reply)
 	if m.listed || m.lease.Phase == Active {
 		m.listed, m.epoch, m.stopEpoch, m.stopSeq = false, 0, 0, 0
 		m.ignoreUpTo = m.lastRequest
@@ -188,7 +188,7 @@
 
 // learn takes the text of the revision in force, if it is new, and checks whether this balancer can route by it.
 // Settings may have changed since the last check.
-func (m *Member) learn(reply RenewReply) {
+func (m *Member) updateInForce(reply RenewReply) {
 	f := &m.inForce
 	known := f.hasText && f.number == reply.Number && f.hash == reply.Hash
 	isStaged := reply.Hash != "" && m.staged.hash == reply.Hash && m.staged.text != nil && m.staged.rejection == ""
@@ -214,7 +214,7 @@
 
 // stage answers a proposal. A process that does not know enough yet does not answer, and is asked again with its
 // next renewal.
-func (m *Member) stage(reply RenewReply) {
+func (m *Member) stageProposal(reply RenewReply) {
 	err := m.Check(reply.Proposed)
 	var incompatible *Incompatible
 	if errors.As(err, &incompatible) && incompatible.MayChange {
@@ -239,9 +239,9 @@
 }
 
 // granted takes a grant, which counts from the moment at which it was requested.
-func (m *Member) granted(now, requestedAt time.Duration, reply RenewReply) {
-	before := m.inForce.number
-	m.learn(reply)
+func (m *Member) applyGrant(now, requestedAt time.Duration, reply RenewReply) {
+	previousNumber := m.inForce.number
+	m.updateInForce(reply)
 	if !m.inForce.hasText {
 		return
 	}
@@ -258,7 +258,7 @@
 	if failpoint.On("lease-from-answer") {
 		until = now + reply.Lease
 	}
-	if m.lease.Phase == Active && before == m.inForce.number {
+	if m.lease.Phase == Active && previousNumber == m.inForce.number {
 		until = max(until, m.lease.Until)
 	}
 	if until > now {
--- a/internal/revision/member_test.go
+++ b/internal/revision/member_test.go
@@ -9,39 +9,39 @@
 // Guards: a process that has had no list yet ended a change at all others by its no. It says nothing until it knows
 // enough.
 func TestMemberWithoutListDoesNotAnswer(t *testing.T) {
-	text := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
-	now := Environment{Servers: []string{"r1", "r2"}}
-	m := NewMember(Holder{Name: "b1", Generation: 1}, false, func(text json.RawMessage) error {
-		c, err := Decode(text)
+	proposed := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
+	env := Environment{Servers: []string{"r1", "r2"}}
+	m := NewMember(Holder{Name: "b1", Generation: 1}, false, func(proposed json.RawMessage) error {
+		c, err := Decode(proposed)
 		if err != nil {
 			return err
 		}
-		return Check(c, now)
+		return Check(c, env)
 	})
-	plain := Encode(&Content{Form: Form})
-	told := RenewReply{
+	empty := Encode(&Content{Form: Form})
+	reply := RenewReply{
 		Known:        true,
 		Epoch:        1,
 		Granted:      true,
 		Lease:        time.Second,
 		Hash:         "h",
-		Text:         plain,
+		Text:         empty,
 		Proposal:     7,
-		Proposed:     text,
+		Proposed:     proposed,
 		ProposedHash: "p",
 	}
-	m.HandleReply(0, 0, m.NextRequest().Seq, told)
+	m.HandleReply(0, 0, m.NextRequest().Seq, reply)
 	if r := m.NextRequest(); r.AnsweredProposal != 0 || r.Rejection != "" {
 		t.Errorf("without a list: %+v", r)
 	}
-	now.HasList = true
-	m.HandleReply(1, 1, m.NextRequest().Seq, told)
+	env.HasList = true
+	m.HandleReply(1, 1, m.NextRequest().Seq, reply)
 	if r := m.NextRequest(); r.AnsweredProposal != 7 || r.Rejection != "" {
 		t.Errorf("with a list: %+v", r)
 	}
-	now.Servers = []string{"r2"}
-	told.Proposal = 8
-	m.HandleReply(2, 2, m.NextRequest().Seq, told)
+	env.Servers = []string{"r2"}
+	reply.Proposal = 8
+	m.HandleReply(2, 2, m.NextRequest().Seq, reply)
 	if r := m.NextRequest(); r.AnsweredProposal != 8 || r.Rejection == "" {
 		t.Errorf("a region that is not listed: %+v", r)
 	}
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -25,13 +25,13 @@
 )
 
 // verbForm is what follows a verb.
-type verbForm struct {
-	verb  Verb
-	form  string
-	words int
+type verbSyntax struct {
+	verb          Verb
+	arguments     string
+	argumentCount int
 }
 
-var verbs = []verbForm{
+var verbs = []verbSyntax{
 	{VerbPropose, "KEY FROM WATCH DEADLINE BY TEXT", 6},
 	{VerbRollback, "KEY FROM WATCH DEADLINE BY NUMBER", 6},
 	{VerbGet, "NUMBER", 1},
@@ -85,7 +85,7 @@
 			return "use oatctl revision " + string(
 				e.Verb,
 			) + ", which writes revision " + strings.TrimSpace(
-				string(v.verb)+" "+v.form,
+				string(v.verb)+" "+v.arguments,
 			)
 		}
 	}
@@ -99,19 +99,19 @@
 )
 
 // unsaid stands for a word that an order does not say.
-const unsaid = "-"
+const unspecified = "-"
 
 // String returns the line after "revision".
 func (o Order) String() string {
 	words := []string{string(o.Verb)}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		what := string(o.Text)
+		lastArgument := string(o.Text)
 		if o.Verb == VerbRollback {
-			what = formatNumber(o.Number)
+			lastArgument = formatNumber(o.Number)
 		}
 		words = append(words, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
-			cmp.Or(o.By, unsaid), what)
+			cmp.Or(o.By, unspecified), lastArgument)
 	case VerbGet, VerbList:
 		words = append(words, formatNumber(o.Number))
 	case VerbOutcome:
@@ -126,14 +126,14 @@
 
 func formatNumber(n uint64) string {
 	if n == Latest {
-		return unsaid
+		return unspecified
 	}
 	return formatUint(n)
 }
 
 func formatDuration(d time.Duration) string {
 	if d == 0 {
-		return unsaid
+		return unspecified
 	}
 	return d.String()
 }
@@ -143,121 +143,121 @@
 func ParseOrder(line string) (Order, error) {
 	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
-	i := slices.IndexFunc(verbs, func(v verbForm) bool { return v.verb == o.Verb })
+	i := slices.IndexFunc(verbs, func(v verbSyntax) bool { return v.verb == o.Verb })
 	if i < 0 {
 		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", verb)}
 	}
-	words := splitWords(rest, verbs[i].words)
-	textHasSpaces := len(words) > 0 && strings.Contains(words[len(words)-1], " ")
-	if len(words) != verbs[i].words || o.Verb != VerbPropose && textHasSpaces {
+	arguments := splitArguments(rest, verbs[i].argumentCount)
+	textHasSpaces := len(arguments) > 0 && strings.Contains(arguments[len(arguments)-1], " ")
+	if len(arguments) != verbs[i].argumentCount || o.Verb != VerbPropose && textHasSpaces {
 		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
 	}
-	r := orderReader{order: &o}
-	r.read(words)
-	if r.err != nil {
-		return o, r.err
+	parser := orderParser{order: &o}
+	parser.parse(arguments)
+	if parser.err != nil {
+		return o, parser.err
 	}
 	return o, nil
 }
 
 // splitWords cuts text into so many words at most; the last one is the rest.
-func splitWords(text string, most int) (words []string) {
+func splitArguments(text string, limit int) (arguments []string) {
 	rest := strings.TrimLeft(text, " ")
-	for rest != "" && len(words) < most-1 {
-		var word string
-		word, rest, _ = strings.Cut(rest, " ")
-		words = append(words, word)
+	for rest != "" && len(arguments) < limit-1 {
+		var argument string
+		argument, rest, _ = strings.Cut(rest, " ")
+		arguments = append(arguments, argument)
 		rest = strings.TrimLeft(rest, " ")
 	}
 	if rest = strings.TrimRight(rest, " "); rest != "" {
-		words = append(words, rest)
+		arguments = append(arguments, rest)
 	}
-	return words
+	return arguments
 }
 
 // orderReader reads an order's words, and keeps the first fault.
-type orderReader struct {
+type orderParser struct {
 	order *Order
 	err   *MalformedOrder
 }
 
-func (r *orderReader) read(words []string) {
+func (r *orderParser) parse(arguments []string) {
 	o := r.order
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		r.readProposal(words)
+		r.parseProposal(arguments)
 	case VerbGet:
-		r.number("NUMBER", words[0], &o.Number)
+		r.number("NUMBER", arguments[0], &o.Number)
 	case VerbList:
-		r.number("AFTER", words[0], &o.Number)
+		r.number("AFTER", arguments[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", words[0], &o.Key)
+		r.name("KEY", arguments[0], &o.Key)
 	case VerbReplace:
-		r.name("OLD", words[0], &o.Name)
-		r.name("NEW", words[1], &o.NewName)
+		r.name("OLD", arguments[0], &o.Name)
+		r.name("NEW", arguments[1], &o.NewName)
 	case VerbForget:
-		r.name("NAME", words[0], &o.Name)
+		r.name("NAME", arguments[0], &o.Name)
 	}
 }
 
-func (r *orderReader) readProposal(words []string) {
+func (r *orderParser) parseProposal(arguments []string) {
 	o := r.order
-	r.name("KEY", words[0], &o.Key)
-	r.number("FROM", words[1], &o.Base)
-	r.duration("WATCH", words[2], maxGuardDuration, &o.GuardFor)
-	r.duration("DEADLINE", words[3], maxGuardDuration, &o.Deadline)
-	if words[4] != unsaid {
-		r.name("BY", words[4], &o.By)
+	r.name("KEY", arguments[0], &o.Key)
+	r.number("FROM", arguments[1], &o.Base)
+	r.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardFor)
+	r.duration("DEADLINE", arguments[3], maxGuardDuration, &o.Deadline)
+	if arguments[4] != unspecified {
+		r.name("BY", arguments[4], &o.By)
 	}
 	if o.Verb == VerbPropose {
-		o.Text = []byte(words[5])
+		o.Text = []byte(arguments[5])
 		return
 	}
-	r.number("NUMBER", words[5], &o.Number)
+	r.number("NUMBER", arguments[5], &o.Number)
 	if o.Number == Latest {
-		r.fault("NUMBER", words[5], "is no number of a revision")
+		r.fail("NUMBER", arguments[5], "is no number of a revision")
 	}
 }
 
-func (r *orderReader) fault(field, word, cause string) {
+func (r *orderParser) fail(field, argument, cause string) {
 	if r.err == nil {
-		r.err = &MalformedOrder{r.order.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
+		r.err = &MalformedOrder{r.order.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
 	}
 }
 
-func (r *orderReader) name(field, word string, to *string) {
-	*to = word
-	if !isName(word, maxNameBytes) || word == unsaid {
-		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", maxNameBytes))
+func (r *orderParser) name(field, argument string, target *string) {
+	*target = argument
+	if !isName(argument, maxNameBytes) || argument == unspecified {
+		r.fail(field, argument, fmt.Sprintf("is no word of at most %d bytes", maxNameBytes))
 	}
 }
 
-func (r *orderReader) number(field, word string, to *uint64) {
-	if word == unsaid {
-		*to = Latest
+func (r *orderParser) number(field, argument string, target *uint64) {
+	if argument == unspecified {
+		*target = Latest
 		return
 	}
-	n, err := strconv.ParseUint(word, 10, 63)
+	n, err := strconv.ParseUint(argument, 10, 63)
 	if err != nil {
-		r.fault(field, word, "is no number of a revision")
+		r.fail(field, argument, "is no number of a revision")
 	}
-	*to = n
+	*target = n
 }
 
-func (r *orderReader) duration(field, word string, most time.Duration, to *time.Duration) {
-	if word == unsaid {
+func (r *orderParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
+	if argument == unspecified {
 		return
 	}
-	d, err := time.ParseDuration(word)
-	if err != nil || d <= 0 || d > most {
-		r.fault(field, word, fmt.Sprintf("is no time of up to %v", most))
+	d, err := time.ParseDuration(argument)
+	if err != nil || d <= 0 || d > limit {
+		r.fail(field, argument, fmt.Sprintf("is no time of up to %v", limit))
 	}
-	*to = d
+	*target = d
 }
 
 // PendingText is how a proposal's answer begins while it is under way: "pending KEY", with what it waits for behind.
-func PendingText(key string, waits string) string {
-	return strings.TrimSpace("pending " + key + " " + waits)
+func PendingText(key string, waitingFor string) string {
+	return strings.TrimSpace("pending " + key + " " + waitingFor)
 }
 
 // SettledText is how it begins once the proposal is in force: "settled NUMBER HASH KEY".
@@ -272,12 +272,12 @@
 // ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending.
 // An answer that is neither says that the proposal was given up, or rejected.
 func ReadAnswer(text string) (number uint64, settled, pending bool) {
-	f := strings.Fields(text)
+	fields := strings.Fields(text)
 	switch {
-	case len(f) > 1 && f[0] == "settled":
-		n, err := strconv.ParseUint(f[1], 10, 63)
+	case len(fields) > 1 && fields[0] == "settled":
+		n, err := strconv.ParseUint(fields[1], 10, 63)
 		return n, err == nil, false
-	case len(f) > 1 && f[0] == "pending":
+	case len(fields) > 1 && fields[0] == "pending":
 		return 0, false, true
 	}
 	return 0, false, false
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -13,7 +13,7 @@
 )
 
 // A call that was written is read back the same.
-func TestOrders(t *testing.T) {
+func TestOrderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := func(what string) string { return rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,20}`).Draw(t, what) }
 		o := Order{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, Base: Latest, Number: Latest}
@@ -39,13 +39,13 @@
 		case VerbForget:
 			o.Name = name("name")
 		}
-		if back, err := ParseOrder(o.String()); err != nil || !cmp.Equal(back, o) {
-			t.Fatalf("%q: %v\n%+v\n%+v", o, err, o, back)
+		if parsed, err := ParseOrder(o.String()); err != nil || !cmp.Equal(parsed, o) {
+			t.Fatalf("%q: %v\n%+v\n%+v", o, err, o, parsed)
 		}
 	})
 }
 
-func TestMalformedOrders(t *testing.T) {
+func TestParseOrderErrors(t *testing.T) {
 	for line, want := range map[string]string{
 		"":                                   `"" is no call`,
 		"rollback":                           "not the words",
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -26,7 +26,7 @@
 	Outcomes       []Outcome         `json:"outcomes"`
 	Guard          *GuardWindow      `json:"watch"`
 
-	bytes int64
+	historyBytes int64
 }
 
 // Result is what became of a command.
@@ -39,7 +39,7 @@
 func NewState() *State {
 	c := &Content{Form: Form}
 	r := Revision{Hash: Hash(c), Kind: KindProposed, Text: Encode(c), Note: "the settings alone"}
-	return &State{History: []Revision{r}, MinGenerations: map[string]uint64{}, Epoch: 1, bytes: int64(len(r.Text))}
+	return &State{History: []Revision{r}, MinGenerations: map[string]uint64{}, Epoch: 1, historyBytes: int64(len(r.Text))}
 }
 
 // InForce is the revision in force, the last of the history.
@@ -55,7 +55,7 @@
 	case n < first:
 		return nil, &Forgotten{n, first}
 	case n > s.InForce().Number:
-		return nil, &Missing{n, s.InForce().Number}
+		return nil, &NotFound{n, s.InForce().Number}
 	}
 	return &s.History[n-first], nil
 }
@@ -98,7 +98,7 @@
 
 // Apply applies the log's next command.
 func (s *State) Apply(c Command) Result {
-	if c.isOfTerm() && c.LeaderTerm != s.LeaderTerm && !failpoint.On("old-reign") {
+	if c.isTermBound() && c.LeaderTerm != s.LeaderTerm && !failpoint.On("old-reign") {
 		return Result{Err: &StaleCommand{string(c.Op), "the reign it was decided in is over"}}
 	}
 	switch c.Op {
@@ -118,17 +118,17 @@
 		return Result{Err: s.forget(c.Name)}
 	case OpPropose:
 		return s.propose(c)
-	case OpKeep:
-		s.keep(c.Source)
+	case OpEndGuard:
+		s.endGuard(c.Source)
 		return Result{}
 	}
 	return Result{Err: s.advance(c)}
 }
 
 // isOfTerm tells that a command counts only while the term lasts in which it was decided.
-func (c Command) isOfTerm() bool {
+func (c Command) isTermBound() bool {
 	switch c.Op {
-	case OpExpire, OpForget, OpAbort, OpStop, OpResume, OpCommit, OpKeep:
+	case OpExpire, OpForget, OpAbort, OpStop, OpResume, OpCommit, OpEndGuard:
 		return true
 	}
 	return false
@@ -163,11 +163,11 @@
 }
 
 func (s *State) forget(name string) error {
-	left := slices.DeleteFunc(slices.Clone(s.Holders), func(e HolderEntry) bool { return e.Name == name })
-	if len(left) == len(s.Holders) {
+	remaining := slices.DeleteFunc(slices.Clone(s.Holders), func(e HolderEntry) bool { return e.Name == name })
+	if len(remaining) == len(s.Holders) {
 		return &UnknownHolder{name}
 	}
-	s.Holders = left
+	s.Holders = remaining
 	s.HoldersVersion++
 	return nil
 }
@@ -214,7 +214,7 @@
 }
 
 // keep ends the guard of a revision.
-func (s *State) keep(number uint64) {
+func (s *State) endGuard(number uint64) {
 	if g := s.Guard; g != nil && g.Number == number {
 		kept := *g
 		kept.Kept = true
@@ -265,18 +265,18 @@
 // commit puts the proposal in force, and forgets the beginning of a long history.
 func (s *State) commit(p *Proposal, c Command) {
 	r := p.Revision
-	before := s.InForce().Number
-	r.Number = before + 1
+	previous := s.InForce().Number
+	r.Number = previous + 1
 	s.Pending, s.Guard = nil, nil
 	s.History = append(s.History, r)
-	s.bytes += int64(len(r.Text))
+	s.historyBytes += int64(len(r.Text))
 	s.addOutcome(Outcome{Key: p.Key, Number: r.Number})
 	if p.GuardFor > 0 {
-		s.Guard = &GuardWindow{Number: r.Number, RollbackTo: before, Duration: p.GuardFor, Before: c.Before}
+		s.Guard = &GuardWindow{Number: r.Number, RollbackTo: previous, Duration: p.GuardFor, Baseline: c.Baseline}
 	}
 	maxRevisions, maxBytes := cmp.Or(c.KeepRevisions, defaultKeepRevisions), cmp.Or(c.KeepBytes, defaultKeepBytes)
-	for len(s.History) > 2 && (len(s.History) > maxRevisions || s.bytes > maxBytes) {
-		s.bytes -= int64(len(s.History[0].Text))
+	for len(s.History) > 2 && (len(s.History) > maxRevisions || s.historyBytes > maxBytes) {
+		s.historyBytes -= int64(len(s.History[0].Text))
 		s.History = s.History[1:]
 	}
 }
@@ -320,7 +320,7 @@
 		restored.MinGenerations = map[string]uint64{}
 	}
 	for i := range restored.History {
-		restored.bytes += int64(len(restored.History[i].Text))
+		restored.historyBytes += int64(len(restored.History[i].Text))
 	}
 	*s = *restored
 	return nil
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -25,7 +25,7 @@
 }
 
 // Ten thousand revisions: what is kept stays as it was through snapshots, what isn't is said to be forgotten.
-func TestHistoryOfTenThousand(t *testing.T) {
+func TestHistoryRetention(t *testing.T) {
 	s := NewState()
 	hash := func(n int) string {
 		return Hash(&Content{Form: Form, Note: fmt.Sprint(n)})
@@ -46,7 +46,7 @@
 		)
 		if i%1700 == 0 {
 			n := &State{}
-			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) || n.bytes != s.bytes {
+			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) || n.historyBytes != s.historyBytes {
 				t.Fatal("restored to another state", err)
 			}
 			s = n
@@ -68,15 +68,15 @@
 		t.Fatal(err)
 	}
 	commitRevision(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500, KeepRevisions: 1000, KeepBytes: 20_000})
-	if s.InForce().Hash != hash(9500) || s.bytes > 20_000 {
-		t.Fatal(s.InForce().Hash, s.bytes)
+	if s.InForce().Hash != hash(9500) || s.historyBytes > 20_000 {
+		t.Fatal(s.InForce().Hash, s.historyBytes)
 	}
 	if o := s.Outcome("k9700"); o == nil || o.Number != 9700 {
 		t.Fatal("the outcome of a revision that was forgotten is to be known for a while", o)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestApplyErrors(t *testing.T) {
 	s := NewState()
 	commitRevision(
 		t,
@@ -101,7 +101,7 @@
 	if err := propose(KindRollback, 0, 0); !errors.As(err, new(*BaseChanged)) {
 		t.Error(err)
 	}
-	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*Missing)) {
+	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*NotFound)) {
 		t.Error(err)
 	}
 	if err := propose(KindRollback, 1, 0); err != nil {
@@ -144,16 +144,16 @@
 		{Totals{Requests: 100, Late: 10}, true},
 		{Totals{Requests: 1000, Failed: 21}, true},
 	} {
-		if why := Worse(before, x.now); (why != "") != x.worse {
-			t.Errorf("%+v: %q", x.now, why)
+		if reason := RateAboveLimit(before, x.now); (reason != "") != x.worse {
+			t.Errorf("%+v: %q", x.now, reason)
 		}
 	}
-	if why := Worse(Totals{Requests: 10}, Totals{Requests: 100, Rejected: 20}); why != "" {
-		t.Error("hardly anything is known of before:", why)
+	if reason := RateAboveLimit(Totals{Requests: 10}, Totals{Requests: 100, Rejected: 20}); reason != "" {
+		t.Error("hardly anything is known of before:", reason)
 	}
 
 	s := NewState()
-	l := NewLeader("a", small)
+	l := NewLeader("a", testConfig)
 	l.BeginTerm(0, s.Apply(Command{Op: OpBeginTerm}).Number)
 	s.Apply(Command{Op: OpJoin, Holder: Holder{"a", 1}})
 	commitRevision(
@@ -164,37 +164,37 @@
 			Key:      "k",
 			Text:     Encode(&Content{Form: Form}),
 			GuardFor: int64(time.Minute),
-			Before:   before,
+			Baseline: before,
 		},
 	)
-	tell := func(now time.Duration, f Totals) []Command {
+	renew := func(now time.Duration, f Totals) []Command {
 		l.Renew(now, s, RenewRequest{Holder: Holder{"a", 1}, Totals: f})
 		return l.NextCommands(now, s)
 	}
-	tell(0, Totals{})
-	if c := tell(time.Second, Totals{Requests: 100}); len(c) != 0 {
+	renew(0, Totals{})
+	if c := renew(time.Second, Totals{Requests: 100}); len(c) != 0 {
 		t.Fatal(c)
 	}
-	if c := tell(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard ||
+	if c := renew(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard ||
 		c[0].Source != 0 ||
 		c[0].Key != "guard-1" {
 		t.Fatal(c)
 	}
-	n := NewLeader("b", small) // its successor begins the watch anew
-	n.BeginTerm(3*time.Second, s.Apply(Command{Op: OpBeginTerm}).Number)
-	l = n
-	tell(3*time.Second, Totals{Requests: 200, Failed: 50})
-	if c := tell(62*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 0 {
+	successor := NewLeader("b", testConfig) // its successor begins the watch anew
+	successor.BeginTerm(3*time.Second, s.Apply(Command{Op: OpBeginTerm}).Number)
+	l = successor
+	renew(3*time.Second, Totals{Requests: 200, Failed: 50})
+	if c := renew(62*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 0 {
 		t.Fatal(c)
 	}
-	if c := tell(64*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 1 || c[0].Op != OpKeep {
+	if c := renew(64*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 1 || c[0].Op != OpEndGuard {
 		t.Fatal(c)
 	}
 }
 
 // A join that is settled after others have told that its process has ended puts nobody into the roster, after a
 // snapshot too.
-func TestJoinSettledAfterTheEnd(t *testing.T) {
+func TestJoinCommittedAfterProcessEnded(t *testing.T) {
 	s := NewState()
 	h, later := Holder{"a", 5}, Holder{"a", 7}
 	s.Apply(Command{Op: OpJoin, Holder: later})
--- a/internal/revision/suggestion.go
+++ b/internal/revision/suggestion.go
@@ -7,25 +7,25 @@
 )
 
 // suggestion says which name may have been meant: the nearest if one is near, otherwise the first few.
-func suggestion(name, what string, list []string) string {
-	best, least := "", min(3, len(name)/3+1) // a short name is near to all others
-	for _, x := range list {
-		if d := editDistance(strings.ToLower(name), strings.ToLower(x)); d < least {
-			best, least = x, d
+func suggestion(name, kind string, list []string) string {
+	nearest, limit := "", min(3, len(name)/3+1) // a short name is near to all others
+	for _, candidate := range list {
+		if distance := editDistance(strings.ToLower(name), strings.ToLower(candidate)); distance < limit {
+			nearest, limit = candidate, distance
 		}
 	}
 	switch {
-	case best != "":
-		return fmt.Sprintf("take this entry out, or write %q if that is meant", best)
+	case nearest != "":
+		return fmt.Sprintf("take this entry out, or write %q if that is meant", nearest)
 	case len(list) == 0:
-		return fmt.Sprintf("take this entry out: there is no %s", what)
+		return fmt.Sprintf("take this entry out: there is no %s", kind)
 	}
-	some := slices.Sorted(slices.Values(list))
+	names := slices.Sorted(slices.Values(list))
 	more := ""
-	if len(some) > 8 {
-		some, more = some[:8], fmt.Sprintf(" and %d more", len(list)-8)
+	if len(names) > 8 {
+		names, more = names[:8], fmt.Sprintf(" and %d more", len(list)-8)
 	}
-	return fmt.Sprintf("take this entry out, or name one that there is: %s%s", strings.Join(some, ", "), more)
+	return fmt.Sprintf("take this entry out, or name one that there is: %s%s", strings.Join(names, ", "), more)
 }
 
 // editDistance is how many bytes have to be changed, inserted or removed to make a into b.
@@ -35,14 +35,14 @@
 		row[j] = j
 	}
 	for i := range len(a) {
-		corner := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
 			cost := 1
 			if a[i] == b[j] {
 				cost = 0
 			}
-			corner, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, corner+cost)
+			diagonal, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, diagonal+cost)
 		}
 	}
 	return row[len(b)]
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -55,8 +55,8 @@
 		case r < 0x10000:
 			fmt.Fprintf(&out, `\u%04x`, r)
 		default:
-			a, b := utf16.EncodeRune(r)
-			fmt.Fprintf(&out, `\u%04x\u%04x`, a, b)
+			high, low := utf16.EncodeRune(r)
+			fmt.Fprintf(&out, `\u%04x\u%04x`, high, low)
 		}
 	}
 	return out.Bytes()
@@ -73,9 +73,9 @@
 	d.DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
 		e := &MalformedText{d.InputOffset(), "", strings.TrimPrefix(err.Error(), "json: ")}
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			e.Field, e.Cause = wrong.Field, fmt.Sprintf("%s where %v belongs", wrong.Value, wrong.Type)
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			e.Field, e.Cause = typeError.Field, fmt.Sprintf("%s where %v belongs", typeError.Value, typeError.Type)
 		}
 		return nil, e
 	}
@@ -114,7 +114,7 @@
 		if len(levels) == 0 {
 			continue
 		}
-		if name, again := levels[len(levels)-1].take(token); again {
+		if name, duplicate := levels[len(levels)-1].next(token); duplicate {
 			return name, d.InputOffset()
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // take notes a token of the level, and tells of a name that was there before.
-func (l *jsonLevel) take(token json.Token) (name string, again bool) {
+func (l *jsonLevel) next(token json.Token) (name string, duplicate bool) {
 	if l.names == nil {
 		return "", false
 	}
@@ -139,11 +139,11 @@
 	if !isName { // the end of a value that is an object or list
 		return "", false
 	}
-	folded := strings.ToLower(name)
-	again = l.names[folded]
-	l.names[folded] = true
+	lower := strings.ToLower(name)
+	duplicate = l.names[lower]
+	l.names[lower] = true
 	l.expectsName = false
-	return name, again
+	return name, duplicate
 }
 
 // Hash is the SHA-256 of what a revision says, in hexadecimal. The order of classes, tenants, places and links
--- a/internal/revision/validate.go
+++ b/internal/revision/validate.go
@@ -28,13 +28,13 @@
 )
 
 // validator keeps the first fault.
-type validator struct{ first *Incompatible }
+type validator struct{ firstError *Incompatible }
 
 func (v *validator) report(field, name string, value any, problem, remedy string, args ...any) {
-	if v.first != nil {
+	if v.firstError != nil {
 		return
 	}
-	v.first = &Incompatible{
+	v.firstError = &Incompatible{
 		Field:   field,
 		Name:    name,
 		Value:   fmt.Sprint(value),
@@ -44,17 +44,17 @@
 }
 
 func (v *validator) err() error {
-	if v.first == nil {
+	if v.firstError == nil {
 		return nil
 	}
-	return v.first
+	return v.firstError
 }
 
 // checkRange holds a figure to its bounds, which NaN is not within.
-func (v *validator) checkRange(field, name string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		v.report(field, name, value, fmt.Sprintf("is outside %g to %g", least, most),
-			"set it within %g to %g, or leave it out", least, most)
+func (v *validator) checkRange(field, name string, value, low, high float64) {
+	if !(value >= low && value <= high) {
+		v.report(field, name, value, fmt.Sprintf("is outside %g to %g", low, high),
+			"set it within %g to %g, or leave it out", low, high)
 	}
 }
 
@@ -70,25 +70,25 @@
 	seen := make(map[string]int, n)
 	for i := range n {
 		at := fmt.Sprintf("%s[%d].%s", list, i, field)
-		x := name(i)
-		before, again := seen[x]
+		value := name(i)
+		previous, duplicate := seen[value]
 		switch {
-		case x == "":
+		case value == "":
 			v.report(at, "", "", "is empty", "name it, or leave the entry out")
-		case !isName(x, maxIDBytes):
-			v.report(at, "", fmt.Sprintf("%.64q", x), "is no name",
+		case !isName(value, maxIDBytes):
+			v.report(at, "", fmt.Sprintf("%.64q", value), "is no name",
 				"use at most 256 bytes of printable text without spaces")
-		case again:
-			v.report(at, "", fmt.Sprintf("%q", x), fmt.Sprintf("is in %s[%d] already", list, before),
+		case duplicate:
+			v.report(at, "", fmt.Sprintf("%q", value), fmt.Sprintf("is in %s[%d] already", list, previous),
 				"put all that is said of it into one entry")
 		}
-		seen[x] = i
+		seen[value] = i
 	}
 }
 
 // isName tells of text without spaces, of so many bytes at most.
-func isName(s string, most int) bool {
-	return len(s) <= most && utf8.ValidString(s) && !strings.ContainsFunc(s, isSpaceOrControl)
+func isName(s string, maxBytes int) bool {
+	return len(s) <= maxBytes && utf8.ValidString(s) && !strings.ContainsFunc(s, isSpaceOrControl)
 }
 
 func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
@@ -98,7 +98,7 @@
 // Validate names the first field that cannot be whatever the settings are: an *Incompatible, or nil.
 func Validate(c *Content) error {
 	v := &validator{}
-	v.checkHead(c)
+	v.checkHeader(c)
 	v.checkAllNames(c)
 	v.checkClasses(c.Classes)
 	v.checkTenants(c.Tenants)
@@ -109,7 +109,7 @@
 	v.checkRange("budgets.cold", "", c.Budgets.WarmUpShare, 0, 1)
 	v.checkRange("moves.per_second", "", c.Migration.PerSecond, 0, MaxMigrationsPerSecond)
 	v.checkLinks(c.Links)
-	if v.first == nil {
+	if v.firstError == nil {
 		if n := len(Encode(c)); n > MaxTextBytes {
 			v.report("", "", n, fmt.Sprintf("bytes as text are more than %d", MaxTextBytes),
 				"say less in one revision: leave out what is as the settings have it")
@@ -118,7 +118,7 @@
 	return v.err()
 }
 
-func (v *validator) checkHead(c *Content) {
+func (v *validator) checkHeader(c *Content) {
 	if c.Form != Form {
 		v.report("oatloft_revision", "", c.Form, "is another form",
 			"write it by this version's oatctl, which writes form %d", Form)
@@ -180,7 +180,7 @@
 	seen := map[string]int{}
 	for i, link := range links {
 		at := fmt.Sprintf("links[%d].", i)
-		before, again := seen[link.name()]
+		previous, duplicate := seen[link.name()]
 		switch {
 		case link.From == "" || !isName(link.From, maxIDBytes):
 			v.report(at+"from", "", fmt.Sprintf("%.64q", link.From), "is no zone",
@@ -191,9 +191,9 @@
 		case link.From == link.To:
 			v.report(at+"to", link.name(), fmt.Sprintf("%q", link.To), "is where it begins",
 				"name another zone: bytes within one are not bounded")
-		case again:
+		case duplicate:
 			v.report(at+"from", link.name(), fmt.Sprintf("%q", link.From),
-				fmt.Sprintf("with the same end is in links[%d] already", before),
+				fmt.Sprintf("with the same end is in links[%d] already", previous),
 				"put all that is said of this direction into one entry")
 		}
 		seen[link.name()] = i
