--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Incompatible is the error that a revision cannot be in force: the first field that is at fault, what it holds,
-// why that cannot be, and what would make it fit.
+// Incompatible reports that a revision cannot be in force. It names the first invalid field, its value, the problem
+// and the remedy.
 type Incompatible struct {
-	Field     string // as in the text: "classes[2].aim"; "" for the whole
-	Name      string // of the entry, "" where the field is in none
+	Field     string // path as in the text, such as "classes[2].aim"; "" for the whole revision
+	Name      string // of the entry that contains the field; "" if there is none
 	Value     string
 	Problem   string
 	Remedy    string
-	MayChange bool // it may fit once this balancer knows more: no reason to reject it
+	MayChange bool // the check may pass once this balancer has a discovery list: not a reason to reject
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the problem.
 func (e *Incompatible) Error() string {
 	if e.Field == "" {
 		return e.Message()
@@ -25,7 +25,7 @@
 	return e.Field + ": " + e.Message()
 }
 
-// Message is the error without its field.
+// Message returns the error without the field.
 func (e *Incompatible) Message() string {
 	message := strings.TrimSpace(e.Value + " " + e.Problem)
 	if e.Name != "" {
@@ -34,11 +34,11 @@
 	return message
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *Incompatible) Hint() string { return e.Remedy }
 
-// Check names the first field that does not fit a balancer's environment: an *Incompatible, or nil. What Validate
-// refuses fits none. The same check stands before a proposal and before a rollback.
+// Check returns an *Incompatible for the first field that does not fit a balancer's environment, or nil. It includes
+// all checks of Validate. It is applied to proposals and rollbacks alike.
 func Check(c *Content, env Environment) error {
 	if err := Validate(c); err != nil {
 		return err
@@ -49,8 +49,8 @@
 		v.checkKnown(fmt.Sprintf("tenants[%d].name", i), tenant.Name, "tenant", inSettings, env.Tenants)
 	}
 	if field := c.firstPlacementField(); !env.HasList && field != "" {
-		v.report(field, "", "", "can't be checked: this balancer has had no list of regions so far",
-			"see why discovery doesn't answer it, or wait and propose again")
+		v.report(field, "", "", "can't be checked: this balancer has not received a discovery list yet",
+			"check why discovery does not answer this balancer, or wait and propose again")
 		v.firstError.MayChange = true
 		return v.err()
 	}
@@ -61,14 +61,14 @@
 		v.checkKnown(fmt.Sprintf("zones[%d].id", i), zone.ID, "zone", inSettingsOrList, env.Zones)
 	}
 	if field := fieldExcludingAll(c, env); field != "" {
-		v.report(field, "", "", "leave no region for newcomers",
-			"leave at least one listed region in, by its id and by its zone")
+		v.report(field, "", "", "exclude every listed region from new requests",
+			"keep at least one listed region that is excluded neither by its id nor by its zone")
 	}
 	v.checkKnownLinks(c.Links, env)
 	return v.err()
 }
 
-// Where names come from, for errors.
+// Sources of names, for error messages.
 const (
 	inSettings       = "the settings"
 	inSettingsOrList = "the settings or discovery's list"
@@ -80,7 +80,7 @@
 		if class.MaxAttempts > env.MaxAttempts {
 			v.report(fmt.Sprintf("classes[%d].attempts", i), class.Name, class.MaxAttempts,
 				fmt.Sprintf("is above the settings' %d", env.MaxAttempts),
-				"set %d at most, or raise limits.max-attempts in the settings of all balancers first", env.MaxAttempts)
+				"set at most %d, or first raise limits.max-attempts in the settings of all balancers", env.MaxAttempts)
 		}
 	}
 }
@@ -96,16 +96,16 @@
 	}
 }
 
-// checkKnown holds a name to a list, and suggests another one.
+// checkKnown reports a name that is not in the list and suggests another one.
 func (v *validator) checkKnown(field, name, kind, source string, list []string) {
 	if v.firstError != nil || slices.Contains(list, name) {
 		return
 	}
-	v.report(field, "", fmt.Sprintf("%q", name), fmt.Sprintf("is no %s of %s", kind, source),
-		"%s; or bring the %s back first", suggestion(name, kind, list), kind)
+	v.report(field, "", fmt.Sprintf("%q", name), fmt.Sprintf("is not a %s in %s", kind, source),
+		"%s; or restore the %s first", suggestion(name, kind, list), kind)
 }
 
-// firstPlaceField is the first field that names servers or zones, "" if there is none.
+// firstPlacementField returns the first field that names servers or zones, or "" if there is none.
 func (c *Content) firstPlacementField() string {
 	switch {
 	case len(c.Servers) > 0:
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// excludesAll is the field that excludes the last server of the list, "" where one stays.
+// fieldExcludingAll returns the field that excludes the last remaining server of the list, or "" if any remains.
 func fieldExcludingAll(c *Content, env Environment) string {
 	excluded := map[string]bool{}
 	byZone, byID := false, false
--- a/internal/revision/command.go
+++ b/internal/revision/command.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Holder is a process that may hold a lease to place new requests: a member by name, and which of its processes.
+// Holder identifies a process that may hold a lease to place new requests, by member name and process generation.
 type Holder struct {
 	Name       string `json:"n"`
 	Generation uint64 `json:"g"`
@@ -19,26 +19,27 @@
 	return cmp.Or(cmp.Compare(h.Name, o.Name), cmp.Compare(h.Generation, o.Generation))
 }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands. Members of all versions know them by these texts. Those that bear a LeaderTerm count only while it
-// lasts.
+// The operations. Their texts are part of the log format that members of all versions share. Commands marked
+// "term-bound" carry a LeaderTerm and are ignored once that term is over.
 const (
-	OpBeginTerm Op = "reign"   // By leads from now on; ends every earlier term
-	OpJoin      Op = "join"    // Holder is listed; Ended: no earlier process of its name is there any more
-	OpLeave     Op = "leave"   // Holder has given up its lease for good; Ended: its process is over, and never comes again
-	OpExpire    Op = "lapse"   // of a term: Holder's lease is over for sure
-	OpForget    Op = "forget"  // of a term: an operator says that the member Name is off
-	OpPropose   Op = "propose" // Text, or the text of revision Source, is to be the next revision after Base
-	OpAbort     Op = "end"     // of a term: the proposal is given up
-	OpStop      Op = "stop"    // of a term: all have accepted; nobody is granted a lease until commit, resume or abort
-	OpResume    Op = "resume"  // of a term: not all have stopped in time; the revision in force goes on
-	OpCommit    Op = "settle"  // of a term: all have stopped; the proposal is in force
-	OpEndGuard  Op = "keep"    // of a term: the guard of revision Source is over
+	OpBeginTerm Op = "reign"   // By becomes the leader; ends every earlier term
+	OpJoin      Op = "join"    // lists Holder; Ended: all earlier processes of its name have ended
+	OpLeave     Op = "leave"   // Holder has released its lease for good; Ended: its process has ended and cannot return
+	OpExpire    Op = "lapse"   // term-bound: Holder's lease has certainly expired
+	OpForget    Op = "forget"  // term-bound: an operator reports that the member Name is switched off
+	OpPropose   Op = "propose" // proposes Text, or the text of revision Source, as the revision that follows Base
+	OpAbort     Op = "end"     // term-bound: aborts the proposal
+	OpStop      Op = "stop"    // term-bound: all holders have accepted; grants nothing until commit, resume or abort
+	OpResume    Op = "resume"  // term-bound: not all holders stopped in time; the revision in force continues
+	OpCommit    Op = "settle"  // term-bound: all holders have stopped; the proposal comes into force
+	OpEndGuard  Op = "keep"    // term-bound: the guard of revision Source ends and the revision is kept
 )
 
-// Totals are running counts of a holder, or sums of them: requests, and of these rejected, failed and answered late.
+// Totals are running counts for one holder or a sum over holders: requests, and how many of them were rejected,
+// failed or were answered late.
 type Totals struct {
 	Requests int64 `json:"a,omitempty"`
 	Rejected int64 `json:"r,omitempty"`
@@ -58,44 +59,44 @@
 type Command struct {
 	Op              Op              `json:"op"`
 	LeaderTerm      uint64          `json:"reign,omitempty"`
-	By              string          `json:"by,omitempty"` // the leader of a term, the operator of a proposal
+	By              string          `json:"by,omitempty"` // the leader that begins a term, or the operator of a proposal
 	Holder          Holder          `json:"holder,omitzero"`
 	HoldOnPartition bool            `json:"hold,omitempty"`
-	Ended           bool            `json:"ended,omitempty"` // see OpJoin and OpLeave
+	Ended           bool            `json:"ended,omitempty"` // for OpJoin and OpLeave
 	Name            string          `json:"name,omitempty"`
 	Key             string          `json:"key,omitempty"` // idempotency key of a proposal
 	Base            uint64          `json:"from,omitempty"`
 	Source          uint64          `json:"of,omitempty"`
 	Kind            Kind            `json:"kind,omitempty"`
-	Text            json.RawMessage `json:"text,omitempty"` // as Encode gives it
+	Text            json.RawMessage `json:"text,omitempty"` // as returned by Encode
 	Hash            string          `json:"hash,omitempty"`
 	Note            string          `json:"note,omitempty"`
-	GuardFor        int64           `json:"watch,omitempty"`  // ns; 0 for none
-	Deadline        int64           `json:"within,omitempty"` // ns; 0 for the leader's own
-	ProposedAt      int64           `json:"at,omitempty"`     // ms of wall clock, for operators to read only
-	KeepRevisions   int             `json:"keep,omitempty"`   // revisions of history
-	KeepBytes       int64           `json:"keep_b,omitempty"` // bytes of history
-	ProposalID      uint64          `json:"id,omitempty"`     // of the proposal meant
-	Epoch           uint64          `json:"epoch,omitempty"`  // at which the coordinator decided
-	HoldersVersion  uint64          `json:"roster,omitempty"` // State.HoldersVersion at which it did
-	Members         []string        `json:"who,omitempty"`    // members because of which a proposal is given up
+	GuardFor        int64           `json:"watch,omitempty"`  // ns; 0 for no guard
+	Deadline        int64           `json:"within,omitempty"` // ns; 0 for the leader's default
+	ProposedAt      int64           `json:"at,omitempty"`     // wall clock in ms; only shown to operators
+	KeepRevisions   int             `json:"keep,omitempty"`   // maximum number of revisions in the history
+	KeepBytes       int64           `json:"keep_b,omitempty"` // maximum bytes of the texts in the history
+	ProposalID      uint64          `json:"id,omitempty"`     // the proposal that the command applies to
+	Epoch           uint64          `json:"epoch,omitempty"`  // State.Epoch when the leader decided
+	HoldersVersion  uint64          `json:"roster,omitempty"` // State.HoldersVersion when the leader decided
+	Members         []string        `json:"who,omitempty"`    // members that caused an abort
 	Reason          string          `json:"why,omitempty"`
 	Baseline        Totals          `json:"before,omitzero"`
-	Nonce           uint64          `json:"nonce,omitempty"` // by which the proposing process knows its own command again
+	Nonce           uint64          `json:"nonce,omitempty"` // lets the proposing process recognize its own command
 }
 
-// Kind is how a revision came to be.
+// Kind is the origin of a revision.
 type Kind string
 
-// The kinds.
+// The kinds of revisions.
 const (
 	KindProposed Kind = "propose"
 	KindRollback Kind = "rollback"
 	KindGuard    Kind = "guard"
 )
 
-// ReadCommand returns the command of a log entry. One that cannot be read is an error at all members alike
-// (*Corrupt), and does nothing.
+// ReadCommand decodes a log entry. An entry that cannot be decoded gives a *Corrupt error at all members alike and
+// has no effect.
 func ReadCommand(entry []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
@@ -104,11 +105,11 @@
 	return c, nil
 }
 
-// Entry returns the command as it stands in the log.
+// Entry returns the command encoded as a log entry.
 func (c Command) Entry() []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // only a Text that Encode did not write
+		panic(err) // possible only if Text was not written by Encode
 	}
 	return b
 }
--- a/internal/revision/content.go
+++ b/internal/revision/content.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Form is the version of a revision's text. A text of another form is rejected.
+// Form is the format version of a revision's text. A text of any other version is rejected.
 const Form = 1
 
-// Content is what a revision says. What it does not name stays as the settings have it, so that an empty one is the
-// settings alone: revision 0, with which every cluster begins.
+// Content is the content of a revision. Fields that are not set leave the settings unchanged, so that an empty
+// Content equals the settings: revision 0, with which every cluster starts.
 type Content struct {
 	Form      int       `json:"oatloft_revision"`
 	Note      string    `json:"note,omitzero"` // for operators
@@ -19,52 +19,52 @@
 	Links     []Link    `json:"links,omitempty"`
 }
 
-// Class is what a revision says of one class of the settings; 0 leaves the settings' figure.
+// Class overrides fields of one class of the settings; 0 leaves the settings' value.
 type Class struct {
 	Name                    string        `json:"name,omitzero"`
-	PriorityRank            int           `json:"order,omitzero"` // 1 first; the last are rejected first
-	LatencyObjective        time.Duration `json:"aim,omitzero"`   // nanoseconds here, "300ms" in an operator's text
+	PriorityRank            int           `json:"order,omitzero"` // 1 is first; the highest rank is rejected first
+	LatencyObjective        time.Duration `json:"aim,omitzero"`   // nanoseconds in JSON; "300ms" in operators' files
 	MessageLatencyObjective time.Duration `json:"message_aim,omitzero"`
-	MaxAttempts             int           `json:"attempts,omitzero"` // at most; never above the settings'
+	MaxAttempts             int           `json:"attempts,omitzero"` // may not exceed the settings' value
 }
 
-// Tenant is the connections over all balancers within a tenant's share; 0 for no limit.
+// Tenant sets a tenant's quota of connections over all balancers; 0 means no limit.
 type Tenant struct {
 	Name            string  `json:"name,omitzero"`
 	ConnectionQuota float64 `json:"connections"`
 }
 
-// Place is a server (by id) or a zone that takes no new requests, or is sampled with another weight than 1.
+// Place is a server (by id) or a zone that is excluded from new requests or sampled with a weight other than 1.
 type Place struct {
 	ID       string  `json:"id,omitzero"`
 	Excluded bool    `json:"out,omitzero"`
-	Weight   float64 `json:"weight,omitzero"` // 0 where nothing is said, else in (0, 100]
+	Weight   float64 `json:"weight,omitzero"` // 0 if not set, otherwise in (0, 100]
 }
 
-// Budgets limit what balancers may do; 0 leaves the settings' figure.
+// Budgets limits the work of balancers; 0 leaves the settings' value.
 type Budgets struct {
-	RetryRatio         float64 `json:"retries,omitzero"` // retries, as a fraction of first attempts
-	MaxPendingAttempts int     `json:"setups,omitzero"`  // at one balancer
-	WarmUpShare        float64 `json:"cold,omitzero"`    // of the bound at which a starting server fails, in (0, 1]
+	RetryRatio         float64 `json:"retries,omitzero"` // retries as a fraction of first attempts
+	MaxPendingAttempts int     `json:"setups,omitzero"`  // per balancer
+	WarmUpShare        float64 `json:"cold,omitzero"`    // of the load bound at which a server in warm-up fails, in (0, 1]
 }
 
-// Migration says what becomes of connections to servers that take no new requests: nothing, or migration at a rate.
+// Migration sets the rate at which connections migrate away from servers that are excluded from new requests.
 type Migration struct {
-	PerSecond float64 `json:"per_second,omitzero"` // at one balancer; 0: they stay
+	PerSecond float64 `json:"per_second,omitzero"` // per balancer; 0: connections are not migrated
 }
 
-// Link is an ordered pair of zones with a bound on what passes, by class of traffic.
+// Link limits the traffic from one zone to another, by class.
 type Link struct {
 	From    string      `json:"from,omitzero"`
 	To      string      `json:"to,omitzero"`
-	Bytes   float64     `json:"bytes,omitzero"` // a second, over all balancers
+	Bytes   float64     `json:"bytes,omitzero"` // per second, over all balancers
 	Classes []LinkClass `json:"classes,omitempty"`
 }
 
-// LinkClass is a class's share of a link. The minimum shares of a link sum to 1 at most.
+// LinkClass is a class's share of a link. The minimum shares of a link may sum to at most 1.
 type LinkClass struct {
 	Name     string  `json:"name,omitzero"`
-	Priority int     `json:"priority,omitzero"` // 1 first, after all have had their minimum share
-	MinShare float64 `json:"least,omitzero"`    // guaranteed share of the link, in [0, 1]
-	Weight   float64 `json:"weight,omitzero"`   // among classes of one priority; 1 if 0
+	Priority int     `json:"priority,omitzero"` // 1 is served first, after the minimum shares of all classes
+	MinShare float64 `json:"least,omitzero"`    // guaranteed fraction of the link, in [0, 1]
+	Weight   float64 `json:"weight,omitzero"`   // among classes of equal priority; 0 means 1
 }
--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -146,12 +146,14 @@
 // A text that isn't understood whole is refused in one line with what is at fault.
 func TestDecodeErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"": "EOF", "{": "EOF", "null": "form 0", "[]": "array where", "{}": "form 0", `{"oatloft_revision":2}`: "form 2",
-		`{"oatloft_revision":1} {}`: "something follows", `{"oatloft_revision":1,"colour":"red"}`: `unknown field "colour"`,
-		`{"oatloft_revision":1,"classes":[{"name":"a","aim":"300ms"}]}`:      "classes.aim: string where",
-		`{"oatloft_revision":1,"note":"a","note":"b"}`:                       `"note" is there twice`,
-		`{"oatloft_revision":1,"note":"a","Note":"b"}`:                       `"Note" is there twice`,
-		`{"oatloft_revision":1,"zones":[{"id":"a","id":"b"}]}`:               `"id" is there twice`,
+		"": "EOF", "{": "EOF", "null": "format version 0", "[]": "array instead of", "{}": "format version 0",
+		`{"oatloft_revision":2}`:                                             "format version 2",
+		`{"oatloft_revision":1} {}`:                                          "unexpected data after",
+		`{"oatloft_revision":1,"colour":"red"}`:                              `unknown field "colour"`,
+		`{"oatloft_revision":1,"classes":[{"name":"a","aim":"300ms"}]}`:      "classes.aim: string instead of",
+		`{"oatloft_revision":1,"note":"a","note":"b"}`:                       `duplicate field "note"`,
+		`{"oatloft_revision":1,"note":"a","Note":"b"}`:                       `duplicate field "Note"`,
+		`{"oatloft_revision":1,"zones":[{"id":"a","id":"b"}]}`:               `duplicate field "id"`,
 		`{"oatloft_revision":1,"note":"` + strings.Repeat("x", MaxTextBytes): "more than",
 	} {
 		_, err := Decode([]byte(text))
@@ -176,13 +178,13 @@
 	alter                  func(c *Content, d *Environment)
 	field, problem, remedy string
 }{
-	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "another form", "form 1"},
-	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "no note", "one line"},
-	{func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) }, "note", "no note", "1000"},
-	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "no class", `write "gold"`},
-	{func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" }, "classes[1].name", "is in classes[0]", "one entry"},
-	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "name it"},
-	{func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" }, "classes[0].name", "no name", "without spaces"},
+	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "not a supported format version", "format version 1"},
+	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "not a valid note", "one line"},
+	{func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) }, "note", "not a valid note", "1000"},
+	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "not a class", `write "gold"`},
+	{func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" }, "classes[1].name", "already in classes[0]", "one entry"},
+	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "set a name"},
+	{func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" }, "classes[0].name", "not a valid name", "without spaces"},
 	{
 		func(c *Content, _ *Environment) { c.Classes[1].PriorityRank = 256 },
 		"classes[1].order",
@@ -200,64 +202,64 @@
 		func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = 7 },
 		"classes[1].attempts",
 		"above the settings' 6",
-		"set 6",
+		"set at most 6",
 	},
 	{func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = -1 }, "classes[1].attempts", "outside", "leave it out"},
-	{func(c *Content, _ *Environment) { c.Tenants[0].Name = "nobody" }, "tenants[0].name", "no tenant", "t1, t2"},
+	{func(c *Content, _ *Environment) { c.Tenants[0].Name = "nobody" }, "tenants[0].name", "not a tenant", "t1, t2"},
 	{func(c *Content, _ *Environment) { c.Tenants[0].ConnectionQuota = -1 }, "tenants[0].connections", "outside", "0"},
-	{func(c *Content, d *Environment) { d.Tenants = nil }, "tenants[0].name", "no tenant", "there is no tenant"},
+	{func(c *Content, d *Environment) { d.Tenants = nil }, "tenants[0].name", "not a tenant", "there is no tenant"},
 	{
 		func(c *Content, _ *Environment) { c.Servers[0].ID = "r9" },
 		"regions[0].id",
-		"no region of discovery's list",
-		"r1, r2, r3; or bring the region back",
+		"not a region in discovery's list",
+		"r1, r2, r3; or restore the region",
 	},
 	{
 		func(c *Content, d *Environment) { d.Servers = d.Servers[1:] },
 		"regions[0].id",
-		"no region",
-		"bring the region back",
+		"not a region",
+		"restore the region",
 	},
 	{
 		func(c *Content, _ *Environment) { c.Servers[0].ID = "zone/nrb" },
 		"regions[0].id",
-		"how a zone is named",
-		"into zones",
+		"prefix reserved for zones",
+		"in zones",
 	},
-	{func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 }, "regions[0].weight", "left out", "one of the two"},
-	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not said", "out: true"},
+	{func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 }, "regions[0].weight", "set on an excluded entry", "one of the two"},
+	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not set, and", "out: true"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = 101 }, "zones[0].weight", "outside", "100"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = -1 }, "zones[0].weight", "outside", "100"},
-	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "no zone", `"mba"`},
+	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "not a zone", `"mba"`},
 	{func(c *Content, _ *Environment) {
 		c.Servers = append(c.Servers, Place{ID: "r2", Excluded: true}, Place{ID: "r3", Excluded: true})
-	}, "regions", "no region for newcomers", "at least one"},
+	}, "regions", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
 		c.Servers = nil
 		c.Zones = []Place{{ID: "mba", Excluded: true}, {ID: "nrb", Excluded: true}}
-	}, "zones", "no region for newcomers", "at least one"},
+	}, "zones", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
 		c.Zones = []Place{{ID: "mba", Excluded: true}}
 		c.Servers = append(c.Servers, Place{ID: "r3", Excluded: true})
-	}, "regions", "no region for newcomers", "by its zone"},
-	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "no list", "discovery"},
+	}, "regions", "exclude every listed region", "by its zone"},
+	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "not received a discovery list", "discovery"},
 	{func(c *Content, _ *Environment) { c.Budgets.RetryRatio = 11 }, "budgets.retries", "outside", "10"},
 	{func(c *Content, _ *Environment) { c.Budgets.MaxPendingAttempts = -1 }, "budgets.setups", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Budgets.WarmUpShare = 1.5 }, "budgets.cold", "outside", "1"},
 	{func(c *Content, _ *Environment) { c.Migration.PerSecond = -3 }, "moves.per_second", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Links[0].Bytes = 0 }, "links[0].bytes", "outside", "1"},
-	{func(c *Content, _ *Environment) { c.Links[0].To = "nrb" }, "links[0].to", "is where it begins", "another zone"},
-	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "no zone", "ksm, mba, nrb"},
+	{func(c *Content, _ *Environment) { c.Links[0].To = "nrb" }, "links[0].to", "also the zone that the link starts from", "another zone"},
+	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "not a zone", "ksm, mba, nrb"},
 	{
 		func(c *Content, _ *Environment) { c.Links = append(c.Links, c.Links[0]) },
 		"links[1].from",
-		"links[0] already",
+		"already in links[0]",
 		"one entry",
 	},
 	{
 		func(c *Content, _ *Environment) { c.Links[0].Classes[0].MinShare = 0.6 },
 		"links[0].classes",
-		"1.1 together",
+		"sum to 1.1",
 		"lower",
 	},
 	{
@@ -276,7 +278,7 @@
 	{
 		func(c *Content, _ *Environment) { c.Links[0].Classes[0].Name = "x" },
 		"links[0].classes[0].name",
-		"no class",
+		"not a class",
 		"bulk",
 	},
 	{
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Diff says how b differs from a, one line for each field, in the order of the names; none where their hashes are
-// equal.
+// Diff lists the differences of b from a, one line per field, sorted by field name. It returns none if their hashes
+// are equal.
 func Diff(a, b *Content) []string {
 	before, after := describe(a), describe(b)
 	names := maps.Clone(before)
@@ -21,9 +21,9 @@
 		switch {
 		case valueBefore == valueAfter && inBefore == inAfter:
 		case !inBefore:
-			lines = append(lines, fmt.Sprintf("%s: %s, not said before", name, valueAfter))
+			lines = append(lines, fmt.Sprintf("%s: %s, not set before", name, valueAfter))
 		case !inAfter:
-			lines = append(lines, fmt.Sprintf("%s: not said any more, %s before", name, valueBefore))
+			lines = append(lines, fmt.Sprintf("%s: no longer set, %s before", name, valueBefore))
 		default:
 			lines = append(lines, fmt.Sprintf("%s: %s -> %s", name, valueBefore, valueAfter))
 		}
@@ -31,8 +31,8 @@
 	return lines
 }
 
-// description is every field that a revision says, by a name that does not depend on the order of lists. What is
-// left at zero is not said, but an entry that says nothing is still an entry.
+// description maps every field that a revision sets to its value, under a name that does not depend on the order of
+// lists. Zero fields are omitted, but an entry that sets nothing is still listed.
 type description map[string]string
 
 func describe(c *Content) description {
@@ -73,7 +73,7 @@
 	}
 }
 
-// entry describes an entry that says nothing but its name.
+// emptyEntry describes an entry that sets nothing but its name.
 func (d description) emptyEntry(field string, empty bool) {
 	if empty {
 		d[field] = "named"
@@ -95,7 +95,7 @@
 	for _, place := range places {
 		at := list + place.ID
 		if place.Excluded {
-			d[at] = "left out"
+			d[at] = "excluded"
 		}
 		d.number(at+" weight", place.Weight)
 		d.emptyEntry(at, place == Place{ID: place.ID})
--- a/internal/revision/doc.go
+++ b/internal/revision/doc.go
@@ -1,25 +1,26 @@
-// Package revision holds routing revisions: what all balancers route by, every one by the same at any time, and the
-// agreement on the next one. It is pure: no socket, clock or goroutine.
+// Package revision implements routing revisions, the routing configuration that all balancers of a cluster share, and
+// the protocol by which they switch to the next one. At any time all balancers that place requests use the same
+// revision. The package has no sockets, clocks or goroutines.
 //
-// A proposal becomes the revision in force in four steps, each a Command in the log that package consensus
-// replicates: it is proposed; every listed process checks it against its own settings and accepts; all stop placing
-// new requests; and it is committed. A process may place new requests only while the leader has granted it a Lease.
+// A proposal comes into force in four steps, each a Command in the log that package consensus replicates: it is
+// proposed; every listed process checks it against its own settings and accepts it; all of them stop placing new
+// requests; and it is committed. A process may place new requests only while it has a Lease granted by the leader.
 //
-//	content.go      what a revision says
-//	text.go         how it is written down, and its hash
-//	validate.go     what can never be in force
-//	check.go        what does not fit one balancer (environment.go)
-//	suggestion.go   which name may have been meant
-//	diff.go         how two revisions differ, for operators
-//	overlay.go      how a revision changes a balancer's settings
-//	command.go      the log's commands
+//	content.go      content of a revision
+//	text.go         text encoding and hash
+//	validate.go     checks that do not depend on a balancer
+//	check.go        checks against one balancer's environment (environment.go)
+//	suggestion.go   suggestions for unknown names
+//	diff.go         differences of two revisions, for operators
+//	overlay.go      application of a revision to a balancer's settings
+//	command.go      commands of the log
 //	history.go      revisions, proposals and their outcomes
-//	state.go        the state that follows from the log
-//	lease.go        what a process may do now
+//	state.go        the replicated state machine
+//	lease.go        permission of a process to place requests
 //	renewal.go      messages between a process and the leader
-//	member.go       a process's part
-//	leader.go       the leader's part
-//	guard.go        when a new revision is rolled back
-//	orders.go       operators' calls
-//	errors.go       errors with a hint for operators
+//	member.go       a process's side of the protocol
+//	leader.go       the leader's side of the protocol
+//	guard.go        automatic rollback of a new revision
+//	orders.go       calls by operators
+//	errors.go       errors with hints for operators
 package revision
--- a/internal/revision/environment.go
+++ b/internal/revision/environment.go
@@ -2,19 +2,19 @@
 
 import "oatloft/policy"
 
-// Environment is what a balancer has now, and a revision has to fit.
+// Environment describes the balancer that a revision is checked against.
 type Environment struct {
-	Classes     []string // of its settings
-	Tenants     []string // of its settings
-	Zones       []string // its own, those of its settings, those of its list
-	Servers     []string // the ids of its list, whatever their state
-	ZoneOf      map[string]string
-	HasList     bool // it has had a list; without one nothing can be said of places
+	Classes     []string          // in its settings
+	Tenants     []string          // in its settings
+	Zones       []string          // its own zone, those in its settings and those in its discovery list
+	Servers     []string          // ids in its discovery list, in any state but gone
+	ZoneOf      map[string]string // zone by server id
+	HasList     bool              // a discovery list was received; servers and zones cannot be checked without one
 	MaxAttempts int
 }
 
-// NewEnvironment returns the environment of a balancer with these settings and this list. zones are further ones
-// that its settings name; hasList tells whether there has been a list at all.
+// NewEnvironment returns the environment of a balancer with the given settings and discovery list. zones are further
+// zones named in its settings; hasList reports whether a list has been received.
 func NewEnvironment(settings policy.Config, zones []string, list []policy.Server, hasList bool) Environment {
 	env := Environment{MaxAttempts: settings.MaxAttempts, HasList: hasList, ZoneOf: map[string]string{}}
 	for _, class := range settings.Classes {
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -6,136 +6,140 @@
 	"time"
 )
 
-// ProposalPending is the error that another proposal is under way.
+// ProposalPending reports that another proposal is pending.
 type ProposalPending struct {
 	Key  string
 	Kind Kind
 	By   string
 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *ProposalPending) Error() string {
-	return fmt.Sprintf("another proposal is under way: %s (%s) by %s", e.Key, e.Kind, e.By)
+	return fmt.Sprintf("another proposal is pending: %s (%s) by %s", e.Key, e.Kind, e.By)
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *ProposalPending) Hint() string {
-	return "wait for it with oatctl revision wait " + e.Key + ", look at what it made, and propose anew"
+	return "wait for it with oatctl revision wait " + e.Key + ", check the revision that results, and propose again"
 }
 
-// BaseChanged is the error that another revision is in force than the one on which the proposal was based.
+// BaseChanged reports that the revision in force is not the one on which the proposal was based.
 type BaseChanged struct {
 	From, InForce uint64
 	Hash          string
 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *BaseChanged) Error() string {
 	return fmt.Sprintf("revision %d is in force (%s), not %d", e.InForce, ShortHash(e.Hash), e.From)
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *BaseChanged) Hint() string {
-	return fmt.Sprintf("see what has changed with oatctl revision diff %d %d, and propose anew with --from %d",
+	return fmt.Sprintf("see the changes with oatctl revision diff %d %d, and propose again with --from %d",
 		e.From, e.InForce, e.InForce)
 }
 
-// GuardActive is the error that the guard of the revision in force is not over.
+// GuardActive reports that the guard of the revision in force has not ended.
 type GuardActive struct {
 	Number   uint64
 	Duration int64
 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *GuardActive) Error() string {
-	return fmt.Sprintf("revision %d is watched for %v and not kept yet", e.Number, time.Duration(e.Duration))
+	return fmt.Sprintf("revision %d is watched by its guard for %v, which has not ended",
+		e.Number, time.Duration(e.Duration))
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *GuardActive) Hint() string {
-	return "wait until oatctl revision status shows watch=kept, or roll back, which is not held up"
+	return "wait until oatctl revision status shows watch=kept, or roll back, which is allowed at any time"
 }
 
-// Forgotten is the error that a revision is not in the history any more.
+// Forgotten reports that a revision is no longer in the history.
 type Forgotten struct{ Number, FirstKept uint64 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *Forgotten) Error() string {
-	return fmt.Sprintf("revision %d has been forgotten; the history begins with %d", e.Number, e.FirstKept)
+	return fmt.Sprintf("revision %d is no longer in the history, which begins with %d", e.Number, e.FirstKept)
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *Forgotten) Hint() string {
-	return "take one from oatctl revision list, or propose the text anew; " +
-		"revisions.history and history_bytes say how many are kept"
+	return "choose one from oatctl revision list, or propose the text again; " +
+		"revisions.history and history_bytes set how many are kept"
 }
 
-// Missing is the error that there has been no such revision.
+// NotFound reports that no revision of that number has existed.
 type NotFound struct{ Number, InForce uint64 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *NotFound) Error() string {
-	return fmt.Sprintf("there has been no revision %d; %d is in force", e.Number, e.InForce)
+	return fmt.Sprintf("revision %d does not exist; %d is in force", e.Number, e.InForce)
 }
 
-// Hint is what an operator can do.
-func (e *NotFound) Hint() string { return "take one from oatctl revision list" }
+// Hint returns what an operator can do about it.
+func (e *NotFound) Hint() string { return "choose one from oatctl revision list" }
 
-// UnknownHolder is the error that no process of that name is listed.
+// UnknownHolder reports that no process of that name is listed.
 type UnknownHolder struct{ Name string }
 
-// Error says what is wrong.
-func (e *UnknownHolder) Error() string { return "no member " + e.Name + " may route newcomers" }
+// Error returns the message.
+func (e *UnknownHolder) Error() string {
+	return "no member named " + e.Name + " may place new requests"
+}
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *UnknownHolder) Hint() string {
-	return "see the names in oatctl revision status; one that isn't there holds nothing up"
+	return "see the names in oatctl revision status; a member that is not listed there does not block proposals"
 }
 
-// Superseded is the error that a later process of this name has reported that this one has ended.
+// Superseded reports that a later process of this name has reported the end of this one.
 type Superseded struct {
 	Name          string
 	MinGeneration uint64
 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *Superseded) Error() string {
-	return fmt.Sprintf("a later process of %s (%d) has taken its place", e.Name, e.MinGeneration)
+	return fmt.Sprintf("this process was superseded by a later process of %s (%d)", e.Name, e.MinGeneration)
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *Superseded) Hint() string {
-	return "run one balancer under a name, but in an upgrade; see that the machine's clock doesn't go back"
+	return "run only one balancer under a name, except during an upgrade; " +
+		"make sure that the machine's clock does not go back"
 }
 
-// StaleCommand is the error that a leader's command was committed too late to count. Nothing has happened.
+// StaleCommand reports that a leader's command was committed too late and has had no effect.
 type StaleCommand struct{ Step, Cause string }
 
-// Error says what is wrong.
-func (e *StaleCommand) Error() string { return e.Step + " came too late: " + e.Cause }
+// Error returns the message.
+func (e *StaleCommand) Error() string { return e.Step + " was committed too late: " + e.Cause }
 
-// Hint is what an operator can do.
-func (e *StaleCommand) Hint() string { return "do it again" }
+// Hint returns what an operator can do about it.
+func (e *StaleCommand) Hint() string { return "repeat the call" }
 
-// Corrupt is the error that a snapshot, entry or call cannot be read.
+// Corrupt reports that a snapshot, log entry or call cannot be decoded.
 type Corrupt struct{ Cause string }
 
-// Error says what is wrong.
-func (e *Corrupt) Error() string { return "what is settled can't be read: " + e.Cause }
+// Error returns the message.
+func (e *Corrupt) Error() string { return "can't decode the stored revision state: " + e.Cause }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *Corrupt) Hint() string {
-	return "move the revisions' folder aside and start again: the balancer comes back as a new voter"
+	return "move the revisions' folder aside and restart: the balancer rejoins as a new voter"
 }
 
-// ProposalFailed is the error that a proposal was given up.
+// ProposalFailed reports that a proposal was aborted.
 type ProposalFailed struct {
 	Key     string
 	Members []string
 	Reason  string
 }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *ProposalFailed) Error() string {
 	if len(e.Members) == 0 {
 		return e.Key + " ended nowhere: " + e.Reason
@@ -143,11 +147,11 @@
 	return e.Key + " ended nowhere, for " + strings.Join(e.Members, ", ") + ": " + e.Reason
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *ProposalFailed) Hint() string {
 	if len(e.Members) == 0 {
-		return "propose anew, under a new key"
+		return "propose again under a new key"
 	}
-	return "mend what it says at " + strings.Join(e.Members, ", ") +
-		", or, if that balancer is off for good, oatctl revision forget it; then propose anew"
+	return "correct the reported problem at " + strings.Join(e.Members, ", ") +
+		", or, if that balancer is switched off for good, run oatctl revision forget with its name; then propose again"
 }
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -8,26 +8,26 @@
 
 // Bounds of the guard.
 const (
-	maxRateFactor          = 1.5  // a rate may be half as much again as before ...
-	maxRateIncrease        = 0.02 // ... and two points more
-	minRequests            = 50   // from which on a rate is judged: few requests are no sign
-	maxRateWithoutBaseline = 0.25 // where hardly anything was requested before
+	maxRateFactor          = 1.5  // a rate may rise to 1.5 times its baseline ...
+	maxRateIncrease        = 0.02 // ... plus two percentage points
+	minRequests            = 50   // requests below which a rate is not judged: a small sample is not significant
+	maxRateWithoutBaseline = 0.25 // limit if the baseline has fewer than minRequests requests
 	sampleInterval         = time.Second
-	maxSamples             = 30 // of the time before
+	maxSamples             = 30 // samples kept as the baseline
 )
 
-// guard compares the members' totals since a revision came in force with those of the time before.
+// guard compares the members' totals since a revision came into force with those of the time before.
 type guard struct {
-	since       time.Duration // when this leader began to watch the revision
-	number      uint64        // of the revision
-	startTotals Totals        // when it began
-	samples     []Totals      // running totals, one each sampleInterval
+	since       time.Duration // when this leader began to guard the revision
+	number      uint64        // of the guarded revision
+	startTotals Totals        // totals at since
+	samples     []Totals      // running totals, one every sampleInterval
 	nextSample  time.Duration
 }
 
 func (g *guard) reset(now time.Duration) { *g = guard{nextSample: now} }
 
-// sample keeps the running totals.
+// sample records the running totals once every sampleInterval.
 func (g *guard) sample(now time.Duration, totals Totals) {
 	if now < g.nextSample {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// totalsBefore are the totals of the time that the samples span.
+// baseline returns the totals over the time that the samples span.
 func (g *guard) baseline() Totals {
 	if len(g.samples) < 2 {
 		return Totals{}
@@ -47,7 +47,7 @@
 	return g.samples[len(g.samples)-1].minus(g.samples[0])
 }
 
-// addTotals takes a holder's running totals; those that it came with do not count.
+// addTotals adds the increase of a holder's running totals. The first totals of a holder only set the starting point.
 func (l *Leader) addTotals(h *holderState, totals Totals) {
 	if h.hasTotals {
 		l.totals = l.totals.plus(totals.minus(h.totals))
@@ -55,8 +55,8 @@
 	h.hasTotals, h.totals = true, totals
 }
 
-// checkGuard returns what is to be committed for the sake of the guarded revision, while no proposal is under way:
-// a rollback if the totals are worse than before, or the end of the guard.
+// checkGuard returns the command that the guarded revision requires, if any, while no proposal is pending: a rollback
+// if a rate has exceeded its limit, or the end of the guard.
 func (l *Leader) checkGuard(now time.Duration, s *State) []Command {
 	g := &l.guard
 	g.sample(now, l.totals)
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Worse says which rate is out of bounds now, "" for none.
+// RateAboveLimit describes the first rate that exceeds its limit, or returns "" if none does.
 func RateAboveLimit(baseline, current Totals) string {
 	if current.Requests < minRequests {
 		return ""
@@ -108,7 +108,7 @@
 	return ""
 }
 
-// percent writes a rate with one decimal.
+// percent formats a rate as a percentage with one decimal.
 func percent(rate float64) string {
 	tenths := uint64(rate*1000 + 0.5)
 	return formatUint(tenths/10) + "." + formatUint(tenths%10) + "%"
--- a/internal/revision/history.go
+++ b/internal/revision/history.go
@@ -5,11 +5,11 @@
 // Revision is one entry of the history.
 type Revision struct {
 	Number     uint64          `json:"n"`
-	ID         uint64          `json:"id,omitempty"` // of the proposal that it was
+	ID         uint64          `json:"id,omitempty"` // of the proposal from which it was made
 	Hash       string          `json:"hash"`
 	Kind       Kind            `json:"kind"`
-	Source     uint64          `json:"of,omitempty"` // whose text it has, if it is a rollback
-	Base       uint64          `json:"from"`         // in force when it was proposed
+	Source     uint64          `json:"of,omitempty"` // for a rollback: the revision whose text it has
+	Base       uint64          `json:"from"`         // the revision in force when it was proposed
 	Key        string          `json:"key"`
 	By         string          `json:"by"`
 	Note       string          `json:"note,omitempty"`
@@ -17,44 +17,44 @@
 	Text       json.RawMessage `json:"text"`
 }
 
-// Proposal is the proposal under way.
+// Proposal is the pending proposal.
 type Proposal struct {
 	Revision
 	GuardFor int64 `json:"watch,omitempty"`   // ns; 0 for no guard
-	Deadline int64 `json:"within,omitempty"`  // ns; 0 for the leader's own
-	Stopped  bool  `json:"stopped,omitempty"` // nobody is granted a lease
+	Deadline int64 `json:"within,omitempty"`  // ns; 0 for the leader's default
+	Stopped  bool  `json:"stopped,omitempty"` // no leases are granted
 }
 
-// Outcome is what became of a proposal.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	Key     string   `json:"key"`
-	Number  uint64   `json:"n,omitempty"` // of the revision that it became; 0 if it was given up
+	Number  uint64   `json:"n,omitempty"` // of the revision made from it; 0 if it was aborted
 	Members []string `json:"who,omitempty"`
 	Reason  string   `json:"why,omitempty"`
 }
 
-// GuardWindow is the time in which the revision in force is rolled back if the members' totals become worse.
+// GuardWindow is the period in which the revision in force is rolled back if the members' totals become worse.
 type GuardWindow struct {
 	Number          uint64 `json:"n"`
-	RollbackTo      uint64 `json:"back"` // the revision before
+	RollbackTo      uint64 `json:"back"` // the previous revision
 	Duration        int64  `json:"for"`  // ns
 	Baseline        Totals `json:"before"`
-	FailedRollbacks int    `json:"tries,omitempty"` // that were given up
+	FailedRollbacks int    `json:"tries,omitempty"` // rollbacks that were aborted
 	Kept            bool   `json:"kept,omitempty"`
 }
 
-// MaxFailedRollbacks is how often the guard of one revision tries to roll it back.
+// MaxFailedRollbacks is the number of failed rollbacks after which the guard of a revision stops trying.
 const MaxFailedRollbacks = 5
 
-// Limits of the state.
+// Limits of the state: counts of entries, except where a comment gives another unit.
 const (
 	maxOutcomes          = 1000
 	maxEnded             = 1000
-	defaultKeepRevisions = 1000
-	defaultKeepBytes     = 8 << 20
+	defaultKeepRevisions = 1000    // revisions
+	defaultKeepBytes     = 8 << 20 // bytes of the texts in the history
 )
 
-// HolderEntry is a listed holder.
+// HolderEntry is an entry of the list of holders.
 type HolderEntry struct {
 	Holder
 	HoldOnPartition bool `json:"hold,omitempty"`
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -8,25 +8,25 @@
 	"oatloft/internal/failpoint"
 )
 
-// LeaderConfig are the times and limits of a leader.
+// LeaderConfig has the durations and limits of a leader.
 type LeaderConfig struct {
-	Lease         time.Duration // of a grant, from when it was requested, by the holder's clock
-	Deadline      time.Duration // of a proposal that names none
-	StopTimeout   time.Duration // for all to stop, before the revision in force goes on; Lease/4 if 0
-	KeepRevisions int           // of history
-	KeepBytes     int64         // of history
+	Lease         time.Duration // of a grant, from the time of the request by the holder's clock
+	Deadline      time.Duration // for proposals that set none
+	StopTimeout   time.Duration // for all holders to stop, before the revision in force resumes; 0 means Lease/4
+	KeepRevisions int           // maximum number of revisions in the history
+	KeepBytes     int64         // maximum bytes of the texts in the history
 }
 
 const (
-	renewalsPerLease      = 8 // a holder renews so often while a lease lasts
+	renewalsPerLease      = 8 // renewals by a holder within the duration of one lease
 	stopTimeoutDivisor    = 4
 	minFastInterval       = 10 * time.Millisecond
-	fastIntervalPerHolder = 300 * time.Microsecond // for each holder
-	maxMissedRenewals     = 2                      // a holder that has missed so many counts as silent
+	fastIntervalPerHolder = 300 * time.Microsecond // per listed holder
+	maxMissedRenewals     = 2                      // a holder that has missed more counts as silent
 )
 
-// ExpiryMargin is how long a leader waits after the last grant that anybody may have given before it takes a lease
-// for expired: rates of clocks differ by less than a tenth.
+// ExpiryMargin returns how long a leader waits after the last possible grant by any leader before it considers a lease
+// expired. It allows for clock rates that differ by less than a tenth.
 func ExpiryMargin(lease time.Duration) time.Duration {
 	if failpoint.On("no-margin") {
 		return lease / 2
@@ -34,33 +34,32 @@
 	return lease + lease/5 + 100*time.Millisecond
 }
 
-// holderState is what a leader has heard from one holder.
+// holderState is what a leader knows of one holder.
 type holderState struct {
-	lastGrant        time.Duration // no grant by any leader is later than this
+	lastGrant        time.Duration // upper bound on the time of the last grant by any leader
 	lastRenewal      time.Duration
-	expiring         bool // no grant until its expiry is committed
+	expiring         bool // its expiry is about to be committed: grant nothing
 	answeredProposal uint64
-	rejection        string // why it rejects the proposal; "" if it accepts
+	rejection        string // reason for rejecting the proposal; "" if it accepts
 	stoppedEpoch     uint64
-	missedStop       bool // it had not stopped in time, and has not been heard from since
+	missedStop       bool // it did not stop in time and has not renewed since
 	hasTotals        bool
 	totals           Totals
 }
 
-// Leader is the coordinator of one term: it grants leases, collects the members' answers to a proposal, and says
-// which commands are to be committed. It keeps nothing that a successor would need: that is in State, or requested
-// again. It never grants anything in a term that is not its own, while a stop is committed, or to a holder whose
-// lease it is about to expire.
+// Leader is the coordinator of one term: it grants leases, collects the members' answers to a proposal and returns
+// the commands to commit. It keeps nothing that its successor needs: that is in State, or is reported again. It grants
+// nothing in a term other than its own, while a stop is committed, or to a holder whose lease it is about to expire.
 //
-// A Leader has no goroutine and no clock. Its methods may not be called at the same time.
+// A Leader has no goroutine and no clock. Its methods must not be called concurrently.
 type Leader struct {
 	Config LeaderConfig
 	Name   string
 
-	term      uint64 // 0 until its beginning is committed
+	term      uint64 // 0 until BeginTerm
 	termStart time.Duration
 	holders   map[Holder]*holderState
-	totals    Totals // of all holders, since this term began
+	totals    Totals // of all holders since this term began
 	guard     guard
 
 	proposal     uint64
@@ -69,7 +68,7 @@
 	stopSeen     time.Duration // when this leader first saw the stop
 }
 
-// NewLeader returns a leader that is to be, until BeginTerm.
+// NewLeader returns a leader that does nothing until BeginTerm is called.
 func NewLeader(name string, config LeaderConfig) *Leader {
 	if config.StopTimeout == 0 {
 		config.StopTimeout = config.Lease / stopTimeoutDivisor
@@ -77,16 +76,17 @@
 	return &Leader{Config: config, Name: name, holders: map[Holder]*holderState{}}
 }
 
-// BeginTerm tells that its term was committed as number term, and that this was learnt now.
+// BeginTerm records that this leader learnt at now that its term was committed under the number term.
 func (l *Leader) BeginTerm(now time.Duration, term uint64) {
 	l.term, l.termStart = term, now
 	l.guard.reset(now)
 }
 
-// Term is its term's number, 0 before it.
+// Term returns the number of its term, or 0 before BeginTerm.
 func (l *Leader) Term() uint64 { return l.term }
 
-// holder is what it has of a listed holder.
+// holder returns the state of a listed holder, and creates it if there is none. A leader that does not know a holder
+// assumes that an earlier leader granted it a lease just now.
 func (l *Leader) holder(h Holder, now time.Duration) *holderState {
 	state := l.holders[h]
 	if state == nil {
@@ -99,8 +99,8 @@
 	return state
 }
 
-// Renew answers a holder's request. The caller has made sure, after the request had come, that this process leads
-// in this term; ok is false if the term is over.
+// Renew answers a holder's request. After receiving the request, the caller must have confirmed that this process
+// still leads in this term. ok is false if the term is over.
 func (l *Leader) Renew(now time.Duration, s *State, request RenewRequest) (reply RenewReply, ok bool) {
 	if l.term == 0 || l.term != s.LeaderTerm {
 		return RenewReply{}, false
@@ -134,7 +134,7 @@
 	return reply, true
 }
 
-// replyInForce is the part of a reply on the revision in force, with its text if the holder has not got it.
+// replyInForce returns a reply with the revision in force, including its text if the holder does not have it.
 func (l *Leader) replyInForce(s *State, request RenewRequest) RenewReply {
 	inForce := s.InForce()
 	reply := RenewReply{
@@ -152,7 +152,7 @@
 	return reply
 }
 
-// replyProposal adds the proposal to a reply, with its text if the holder has not answered it.
+// addProposal adds the proposal to a reply, including its text if the holder has not answered it.
 func (l *Leader) addProposal(s *State, request RenewRequest, reply *RenewReply) {
 	p := s.Pending
 	reply.Proposal, reply.ProposedHash = p.ID, p.Hash
@@ -167,7 +167,7 @@
 	}
 }
 
-// Applied tells of a command that was applied to the state.
+// Applied must be called after a command has been applied to the state.
 func (l *Leader) Applied(c Command) {
 	if c.Op != OpExpire && c.Op != OpLeave && c.Op != OpForget {
 		return
@@ -181,18 +181,19 @@
 
 func (l *Leader) renewInterval() time.Duration { return l.Config.Lease / renewalsPerLease }
 
-// shortInterval is how soon holders renew while something is under way: the sooner the fewer they are.
+// fastInterval is the renewal interval while a proposal is pending or a holder is expiring. It grows with the number
+// of holders.
 func (l *Leader) fastInterval() time.Duration {
 	return max(minFastInterval, time.Duration(len(l.holders))*fastIntervalPerHolder)
 }
 
-// isExpired tells that nothing a holder was ever granted holds any more, whoever granted it.
+// isExpired reports whether every grant to a holder, by this or any earlier leader, has expired.
 func (l *Leader) isExpired(entry HolderEntry, h *holderState, now time.Duration) bool {
 	return !entry.HoldOnPartition && now >= max(h.lastGrant, l.termStart)+ExpiryMargin(l.Config.Lease)
 }
 
-// NextCommands returns what is to be committed now. It may return the same again until it is; what comes too late
-// does nothing.
+// NextCommands returns the commands to commit now. It may return the same commands again until they are applied; a
+// command that is committed too late has no effect.
 func (l *Leader) NextCommands(now time.Duration, s *State) []Command {
 	if l.term == 0 || l.term != s.LeaderTerm {
 		return nil
@@ -225,9 +226,9 @@
 	return commands
 }
 
-// advanceProposal is the next step of the proposal, if one is due: an abort as soon as a holder rejects it or the
-// deadline has passed; a stop once all have accepted; the commit once all have stopped, or a resume if that takes
-// too long.
+// advanceProposal returns the next step of the proposal, if one is due: an abort when a holder rejects it or the
+// deadline has passed; a stop once all holders have accepted; a commit once all have stopped, or a resume if they did
+// not stop within the stop timeout.
 func (l *Leader) advanceProposal(now time.Duration, s *State, p *Proposal) (command Command, due bool) {
 	l.noteProposal(now, s, p)
 	command = Command{LeaderTerm: l.term, ProposalID: p.ID, Epoch: s.Epoch, HoldersVersion: s.HoldersVersion}
@@ -248,7 +249,7 @@
 		command.Op = OpStop
 	case now >= l.proposalSeen+deadline:
 		command.Op, command.Members = OpAbort, slices.Compact(missing)
-		command.Reason = "no answer in " + deadline.String()
+		command.Reason = "no answer within " + deadline.String()
 	case p.Stopped && now >= l.stopSeen+l.Config.StopTimeout:
 		command.Op = OpResume
 		l.markMissedStop(now, s, p)
@@ -258,7 +259,7 @@
 	return command, true
 }
 
-// noteProposal notes when this leader first sees a proposal and its stop.
+// noteProposal records when this leader first sees a proposal and its stop.
 func (l *Leader) noteProposal(now time.Duration, s *State, p *Proposal) {
 	if l.proposal != p.ID {
 		l.proposal, l.proposalSeen, l.stopEpoch = p.ID, now, 0
@@ -268,7 +269,7 @@
 	}
 }
 
-// rejection is the first holder that rejects the proposal, and why.
+// firstRejection returns the first holder that rejects the proposal, and its reason.
 func (l *Leader) firstRejection(now time.Duration, s *State, p *Proposal) (name, reason string, rejected bool) {
 	for _, entry := range s.Holders {
 		h := l.holder(entry.Holder, now)
@@ -279,9 +280,9 @@
 	return "", "", false
 }
 
-// missingHolders names the holders that the proposal waits for: those that have not answered or are silent, then
-// those that have not stopped yet. Before the stop a silent one counts although it has accepted, since the stop
-// would only wait for it.
+// missingHolders returns the names of the holders that the proposal waits for: first those that have not answered or
+// are silent, then those that have not stopped. Before the stop, a silent holder counts even if it has accepted,
+// because the stop would only have to wait for it.
 func (l *Leader) missingHolders(now time.Duration, s *State, p *Proposal) []string {
 	var silent, running []string
 	for _, entry := range s.Holders {
@@ -312,7 +313,7 @@
 	}
 }
 
-// WaitingFor names the holders that the proposal waits for, for operators.
+// WaitingFor returns the names of the holders that the proposal waits for, as shown to operators.
 func (l *Leader) WaitingFor(s *State) (names []string) {
 	p := s.Pending
 	if p == nil || l.term == 0 {
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -8,30 +8,30 @@
 	"oatloft/internal/failpoint"
 )
 
-// Member is one process's part: by which revision it may place new requests, and until when by its own clock. It
-// takes the leader's replies and the loop's acknowledgements, and says what is to be told to the leader. Only a
-// grant lengthens a lease, from the moment at which it was requested; and the member says that it has stopped only
-// once the loop has acknowledged that.
+// Member is one process's side of the protocol. It tracks the revision by which the process may place new requests and
+// until when on its own clock, handles the leader's replies and the event loop's acknowledgements, and builds the
+// requests to the leader. A lease is extended only by a grant, counted from the time of the request. A stop is reported
+// to the leader only after the event loop has acknowledged it.
 //
-// A Member has no goroutine and no clock. Its methods may not be called at the same time.
+// A Member has no goroutine and no clock. Its methods must not be called concurrently.
 type Member struct {
 	Holder          Holder
 	HoldOnPartition bool
-	Check           func(text json.RawMessage) error // against this balancer's own settings and list
+	Check           func(text json.RawMessage) error // checks against this balancer's settings and discovery list
 
 	lease           Lease
-	acknowledgedSeq uint64 // Seq by which the loop goes
+	acknowledgedSeq uint64 // Seq of the lease that the event loop uses
 	lastRequest     uint64 // Seq of the last request
-	ignoreUpTo      uint64 // replies to requests up to this one do not count
-	listed          bool   // as far as it knows
-	epoch           uint64 // the latest heard of
-	stopEpoch       uint64 // epoch of the stop heard of; 0 for none
-	stopSeq         uint64 // Seq by which the loop was told of that
+	ignoreUpTo      uint64 // replies to requests up to this Seq are ignored
+	listed          bool   // according to the last reply
+	epoch           uint64 // the highest epoch received
+	stopEpoch       uint64 // epoch of the stop received; 0 for none
+	stopSeq         uint64 // Seq of the lease that reported the stop to the event loop
 	inForce         inForce
 	staged          stagedProposal
 }
 
-// inForce is the revision in force, as far as a member knows.
+// inForce is the revision in force, as far as the member knows.
 type inForce struct {
 	hasText         bool
 	number          uint64
@@ -40,8 +40,8 @@
 	incompatibility string // why this balancer cannot route by it; "" if it can
 }
 
-// stagedProposal is the latest proposal that a member has answered. It stays staged when the proposal has ended:
-// the next thing heard may be that it is in force.
+// stagedProposal is the latest proposal that a member has answered. It stays staged after the proposal has ended,
+// because the next reply may report that it is in force.
 type stagedProposal struct {
 	id        uint64 // 0 for none
 	hash      string
@@ -49,32 +49,32 @@
 	rejection string // "" if it is accepted
 }
 
-// unchecked is the incompatibility of a text that has not been checked yet.
+// unchecked is the incompatibility of a text that has not been checked.
 const unchecked = "?"
 
-// NewMember returns a process that knows nothing.
+// NewMember returns the member of a process that has received nothing from a leader yet.
 func NewMember(h Holder, holdOnPartition bool, check func(json.RawMessage) error) *Member {
 	return &Member{
 		Holder:          h,
 		HoldOnPartition: holdOnPartition,
 		Check:           check,
-		lease:           Lease{Seq: 1, Reason: "it has not heard yet what is in force"},
+		lease:           Lease{Seq: 1, Reason: "the revision in force is not known yet"},
 	}
 }
 
-// Lease is what it may do, as last published.
+// Lease returns the lease as last published.
 func (m *Member) Lease() Lease { return m.lease }
 
-// IsListed tells whether it is listed, as far as it knows.
+// IsListed reports whether the process is listed, according to the last reply.
 func (m *Member) IsListed() bool { return m.listed }
 
-// HasText tells that it has the text of the revision in force, as far as it knows.
+// HasText reports whether the member has the text of the revision in force, as far as it knows.
 func (m *Member) HasText() bool { return m.inForce.hasText }
 
-// Incompatibility is why it cannot route by the revision in force, "" if it can or does not know.
+// Incompatibility returns why the balancer cannot route by the revision in force, or "" if it can or that is unknown.
 func (m *Member) Incompatibility() string { return m.inForce.incompatibility }
 
-// publish changes the lease; one that is the same but for a later Until keeps its Seq.
+// publish replaces the lease. Its Seq stays the same if only Until differs.
 func (m *Member) publish(phase LeasePhase, until time.Duration, reason string) {
 	old := m.lease
 	m.lease = Lease{
@@ -91,10 +91,10 @@
 	}
 }
 
-// Acknowledge tells that the loop goes by the lease with this Seq.
+// Acknowledge records that the event loop uses the lease with this Seq.
 func (m *Member) Acknowledge(seq uint64) { m.acknowledgedSeq = max(m.acknowledgedSeq, seq) }
 
-// NextRequest returns what to tell the leader now. The caller keeps the time at which it is sent.
+// NextRequest returns the request to send to the leader now. The caller must remember when it was sent.
 func (m *Member) NextRequest() RenewRequest {
 	m.lastRequest++
 	request := RenewRequest{
@@ -113,19 +113,19 @@
 	return request
 }
 
-// Leave gives up the lease for good. The leader may be told once HasLeft.
+// Leave releases the lease for good. The leader may be notified once HasLeft returns true.
 func (m *Member) Leave() {
 	if m.lease.Phase != Released {
-		m.publish(Released, 0, "it has left")
+		m.publish(Released, 0, "this process has left")
 	}
 }
 
-// HasLeft tells that the loop has acknowledged that this process has left.
+// HasLeft reports whether the event loop has acknowledged that this process has left.
 func (m *Member) HasLeft() bool {
 	return m.lease.Phase == Released && (m.acknowledgedSeq >= m.lease.Seq || failpoint.On("leaves-untaken"))
 }
 
-// Tick ends a lease that has run out.
+// Tick ends an expired lease.
 func (m *Member) Tick(now time.Duration) {
 	if m.lease.Phase != Active || now < m.lease.Until {
 		return
@@ -134,10 +134,10 @@
 		m.lease.Until += time.Second
 		return
 	}
-	m.publish(Expired, 0, "nobody has renewed its permission in time")
+	m.publish(Expired, 0, "the lease was not renewed in time")
 }
 
-// HandleReply takes the leader's reply to the request of that Seq, which was sent at requestedAt by this process's
+// HandleReply handles the leader's reply to the request with this Seq, which was sent at requestedAt on this process's
 // clock.
 func (m *Member) HandleReply(now, requestedAt time.Duration, seq uint64, reply RenewReply) {
 	m.Tick(now)
@@ -164,8 +164,8 @@
 	}
 }
 
-// notListed takes a reply that this process is not listed. Nothing that it may have been granted counts any more,
-// and it begins again.
+// handleNotListed handles a reply that this process is not listed. All earlier grants are void, and the process starts
+// over.
 func (m *Member) handleNotListed(reply RenewReply) {
 	m.Holder.Generation = max(m.Holder.Generation, reply.MinGeneration)
 	m.updateInForce(reply)
@@ -173,7 +173,7 @@
 		m.listed, m.epoch, m.stopEpoch, m.stopSeq = false, 0, 0, 0
 		m.ignoreUpTo = m.lastRequest
 		if m.lease.Phase == Active || m.lease.Phase == Suspended {
-			m.publish(Expired, 0, "the others have gone on without it")
+			m.publish(Expired, 0, "this process was removed from the list of lease holders")
 		}
 	}
 	m.staged = stagedProposal{}
@@ -183,11 +183,11 @@
 }
 
 func (m *Member) publishIncompatible(number uint64) {
-	m.publish(Learning, 0, "it can't route by revision "+formatUint(number)+": "+m.inForce.incompatibility)
+	m.publish(Learning, 0, "this balancer can't route by revision "+formatUint(number)+": "+m.inForce.incompatibility)
 }
 
-// learn takes the text of the revision in force, if it is new, and checks whether this balancer can route by it.
-// Settings may have changed since the last check.
+// updateInForce takes the text of the revision in force, if it is new, and checks whether this balancer can route by
+// it. An incompatible text is checked again each time, since the settings may have changed since the last check.
 func (m *Member) updateInForce(reply RenewReply) {
 	f := &m.inForce
 	known := f.hasText && f.number == reply.Number && f.hash == reply.Hash
@@ -200,7 +200,7 @@
 		*f = inForce{
 			hasText: true, number: reply.Number, hash: reply.Hash, text: reply.Text, incompatibility: unchecked,
 		}
-	default: // its text has to be requested
+	default: // the leader sends the text when HasNumber is 0
 		f.hasText = false
 		return
 	}
@@ -212,8 +212,8 @@
 	}
 }
 
-// stage answers a proposal. A process that does not know enough yet does not answer, and is asked again with its
-// next renewal.
+// stageProposal checks and answers a proposal. A process that lacks the information to check it does not answer, and
+// gets the proposal again with its next renewal.
 func (m *Member) stageProposal(reply RenewReply) {
 	err := m.Check(reply.Proposed)
 	var incompatible *Incompatible
@@ -226,19 +226,19 @@
 	}
 }
 
-// suspend stops this process for the next revision.
+// suspend stops placing new requests before the next revision.
 func (m *Member) suspend(epoch uint64) {
 	if m.stopEpoch == epoch {
 		return
 	}
 	m.stopEpoch = epoch
 	if m.lease.Phase == Active || m.lease.Phase == Expired {
-		m.publish(Suspended, 0, "the next revision is about to be in force")
+		m.publish(Suspended, 0, "the next revision is about to come into force")
 	}
 	m.stopSeq = m.lease.Seq
 }
 
-// granted takes a grant, which counts from the moment at which it was requested.
+// applyGrant applies a grant. The lease counts from the time of the request.
 func (m *Member) applyGrant(now, requestedAt time.Duration, reply RenewReply) {
 	previousNumber := m.inForce.number
 	m.updateInForce(reply)
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Verb is what an order asks for.
+// Verb is the operation that an order requests.
 type Verb string
 
-// The verbs, with what follows them in a line; "-" stands for what is not said.
+// The verbs, with the arguments that follow them in a line; "-" stands for an argument that is not set.
 const (
 	VerbPropose  Verb = "propose"  // KEY FROM WATCH DEADLINE BY TEXT
 	VerbRollback Verb = "rollback" // KEY FROM WATCH DEADLINE BY NUMBER
-	VerbGet      Verb = "get"      // NUMBER; - for what is in force
-	VerbList     Verb = "list"     // AFTER; - for the first that is kept
+	VerbGet      Verb = "get"      // NUMBER; - for the revision in force
+	VerbList     Verb = "list"     // AFTER; - for the first revision in the history
 	VerbStatus   Verb = "status"   //
 	VerbOutcome  Verb = "outcome"  // KEY
-	VerbReplace  Verb = "replace"  // OLD NEW: a voter by another member
-	VerbForget   Verb = "forget"   // NAME: a balancer that is known to be off
+	VerbReplace  Verb = "replace"  // OLD NEW: replaces a voter by another member
+	VerbForget   Verb = "forget"   // NAME: a balancer that is known to be switched off
 )
 
-// verbForm is what follows a verb.
+// verbSyntax gives the arguments of a verb.
 type verbSyntax struct {
 	verb          Verb
 	arguments     string
@@ -42,31 +42,31 @@
 	{VerbForget, "NAME", 1},
 }
 
-// Latest is the number by which an order means the revision in force.
+// Latest is the revision number that stands for the revision in force in an order.
 const Latest = ^uint64(0)
 
-// Order is one operator's call: the line after "revision" at the management address.
+// Order is one call by an operator: the line after "revision" at the management address.
 type Order struct {
 	Verb     Verb
-	Key      string        // of a proposal: the same call twice makes one revision
-	Base     uint64        // in force as the operator has seen it; Latest where he doesn't mind
-	GuardFor time.Duration // 0 for none
-	Deadline time.Duration // 0 for the settings'
+	Key      string        // idempotency key of a proposal: repeating the call makes no second revision
+	Base     uint64        // the revision that the operator expects to be in force; Latest for any
+	GuardFor time.Duration // 0 for no guard
+	Deadline time.Duration // 0 for the settings' default
 	By       string
-	Text     []byte // of VerbPropose
-	Number   uint64 // of VerbRollback and VerbGet; of VerbList: the one before the next, Latest for the first
-	Name     string // of VerbForget; of VerbReplace the old one
-	NewName  string // of VerbReplace: the new one
+	Text     []byte // for VerbPropose
+	Number   uint64 // for VerbRollback and VerbGet; for VerbList the last one already seen, Latest for none
+	Name     string // for VerbForget; for VerbReplace the old voter
+	NewName  string // for VerbReplace the new voter
 }
 
-// MalformedOrder is the error that an operator's line is no order.
+// MalformedOrder reports that an operator's line is not a valid order.
 type MalformedOrder struct {
-	Verb  Verb // "" if that is what is wrong
+	Verb  Verb // "" if the verb itself is invalid
 	Field string
 	Cause string
 }
 
-// Error says which word is wrong.
+// Error names the invalid argument.
 func (e *MalformedOrder) Error() string {
 	at := "revision"
 	if e.Verb != "" {
@@ -78,30 +78,30 @@
 	return at + ": " + e.Cause
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *MalformedOrder) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
 			return "use oatctl revision " + string(
 				e.Verb,
-			) + ", which writes revision " + strings.TrimSpace(
+			) + ", which sends revision " + strings.TrimSpace(
 				string(v.verb)+" "+v.arguments,
 			)
 		}
 	}
-	return "use oatctl revision, which writes one of propose, rollback, get, list, status, outcome, replace, forget"
+	return "use oatctl revision, which sends one of propose, rollback, get, list, status, outcome, replace, forget"
 }
 
-// Limits of orders' words.
+// Limits of the arguments of orders.
 const (
-	maxNameBytes     = 64 // of a key, too
+	maxNameBytes     = 64 // bytes of a name or key
 	maxGuardDuration = time.Hour
 )
 
-// unsaid stands for a word that an order does not say.
+// unspecified stands for an argument that an order does not set.
 const unspecified = "-"
 
-// String returns the line after "revision".
+// String returns the order as the line after "revision".
 func (o Order) String() string {
 	words := []string{string(o.Verb)}
 	switch o.Verb {
@@ -138,8 +138,8 @@
 	return d.String()
 }
 
-// ParseOrder reads the line after "revision". The error is a *MalformedOrder. The text of a proposal is left to
-// Decode.
+// ParseOrder parses the line after "revision". The error is a *MalformedOrder. The text of a proposal is not checked
+// here; see Decode.
 func ParseOrder(line string) (Order, error) {
 	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
@@ -150,7 +150,7 @@
 	arguments := splitArguments(rest, verbs[i].argumentCount)
 	textHasSpaces := len(arguments) > 0 && strings.Contains(arguments[len(arguments)-1], " ")
 	if len(arguments) != verbs[i].argumentCount || o.Verb != VerbPropose && textHasSpaces {
-		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
+		return o, &MalformedOrder{o.Verb, "", "wrong number of arguments"}
 	}
 	parser := orderParser{order: &o}
 	parser.parse(arguments)
@@ -160,7 +160,7 @@
 	return o, nil
 }
 
-// splitWords cuts text into so many words at most; the last one is the rest.
+// splitArguments splits text at spaces into at most limit arguments. The last one holds the rest of the text.
 func splitArguments(text string, limit int) (arguments []string) {
 	rest := strings.TrimLeft(text, " ")
 	for rest != "" && len(arguments) < limit-1 {
@@ -175,7 +175,7 @@
 	return arguments
 }
 
-// orderReader reads an order's words, and keeps the first fault.
+// orderParser parses the arguments of an order and keeps the first error.
 type orderParser struct {
 	order *Order
 	err   *MalformedOrder
@@ -215,7 +215,7 @@
 	}
 	r.number("NUMBER", arguments[5], &o.Number)
 	if o.Number == Latest {
-		r.fail("NUMBER", arguments[5], "is no number of a revision")
+		r.fail("NUMBER", arguments[5], "is not a revision number")
 	}
 }
 
@@ -228,7 +228,7 @@
 func (r *orderParser) name(field, argument string, target *string) {
 	*target = argument
 	if !isName(argument, maxNameBytes) || argument == unspecified {
-		r.fail(field, argument, fmt.Sprintf("is no word of at most %d bytes", maxNameBytes))
+		r.fail(field, argument, fmt.Sprintf("is not a name of at most %d bytes without spaces", maxNameBytes))
 	}
 }
 
@@ -239,7 +239,7 @@
 	}
 	n, err := strconv.ParseUint(argument, 10, 63)
 	if err != nil {
-		r.fail(field, argument, "is no number of a revision")
+		r.fail(field, argument, "is not a revision number")
 	}
 	*target = n
 }
@@ -250,27 +250,27 @@
 	}
 	d, err := time.ParseDuration(argument)
 	if err != nil || d <= 0 || d > limit {
-		r.fail(field, argument, fmt.Sprintf("is no time of up to %v", limit))
+		r.fail(field, argument, fmt.Sprintf("is not a duration of up to %v", limit))
 	}
 	*target = d
 }
 
-// PendingText is how a proposal's answer begins while it is under way: "pending KEY", with what it waits for behind.
+// PendingText returns the answer for a pending proposal: "pending KEY", followed by what it waits for.
 func PendingText(key string, waitingFor string) string {
 	return strings.TrimSpace("pending " + key + " " + waitingFor)
 }
 
-// SettledText is how it begins once the proposal is in force: "settled NUMBER HASH KEY".
+// SettledText returns the answer for a proposal that has come into force: "settled NUMBER HASH KEY".
 func SettledText(number uint64, hash, key string) string {
 	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
 }
 
-// RetryLaterPrefix begins the answer to an order that could not be taken now, and may be repeated as it is: nothing
-// is known to have come of it.
+// RetryLaterPrefix begins the answer to an order that could not be carried out now and may be repeated unchanged. The
+// order is not known to have had any effect.
 const RetryLaterPrefix = "later: "
 
-// ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending.
-// An answer that is neither says that the proposal was given up, or rejected.
+// ReadAnswer parses the answer to a proposal or outcome. It returns the number of the revision if the proposal has come
+// into force, or pending. Any other answer means that the proposal was aborted or rejected.
 func ReadAnswer(text string) (number uint64, settled, pending bool) {
 	fields := strings.Fields(text)
 	switch {
--- a/internal/revision/overlay.go
+++ b/internal/revision/overlay.go
@@ -11,9 +11,9 @@
 // ZonePrefix begins the name of a zone in policy.Config.Weights.
 const ZonePrefix = "zone/"
 
-// Overlay returns the settings as the revision has them; base stays as it is, since others read it. Classes and
-// tenants that base lacks are passed over: Check found them when the revision was agreed on, and settings that lose
-// one later must not stop a balancer.
+// Overlay returns the settings with the revision applied. base is not modified, since it is shared with other readers.
+// Classes and tenants that base lacks are skipped: Check found them when the revision was accepted, and settings that
+// lose one later must not stop a balancer.
 func Overlay(base policy.Config, c *Content) policy.Config {
 	base.Classes = overlayClasses(base.Classes, c.Classes)
 	base.Tenants = overlayTenants(base.Tenants, c.Tenants)
@@ -74,7 +74,7 @@
 	return weights
 }
 
-// weight is 0 for what is excluded, and 1 where nothing is said.
+// weight returns 0 for an excluded place, and 1 if no weight is set.
 func (p Place) weight() float64 {
 	if p.Excluded {
 		return 0
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -9,46 +9,46 @@
 	"oatloft/internal/failpoint"
 )
 
-// State is what every member builds from the same log of commands. It decides nothing by time and asks nobody: a
-// command that does not fit the state any more is refused here, whoever proposed it, so that a leader that was
-// deposed, or a command that was committed late or twice, can do no harm.
+// State is the replicated state that every member builds from the same log of commands. It depends on nothing but the
+// log, in particular not on time. Apply rejects a command that no longer matches the state, whoever proposed it, so
+// that a deposed leader, or a command that is committed late or twice, can do no harm.
 type State struct {
 	LeaderTerm     uint64            `json:"reign"`
 	Leader         string            `json:"leader"`
-	Epoch          uint64            `json:"epoch"`          // grows whenever it changes who may place requests by what
-	HoldersVersion uint64            `json:"roster"`         // grows whenever Holders changes
-	Holders        []HolderEntry     `json:"holders"`        // by name and generation
-	MinGenerations map[string]uint64 `json:"floors"`         // processes of a name before this generation have ended
-	EndedProcesses []Holder          `json:"over,omitempty"` // processes that have ended, reported one by one
+	Epoch          uint64            `json:"epoch"`          // increases when the right to place requests may change
+	HoldersVersion uint64            `json:"roster"`         // increases whenever Holders changes
+	Holders        []HolderEntry     `json:"holders"`        // sorted by name and generation
+	MinGenerations map[string]uint64 `json:"floors"`         // by name: processes of earlier generations have ended
+	EndedProcesses []Holder          `json:"over,omitempty"` // processes reported as ended individually
 	LastProposal   uint64            `json:"last"`           // id of the last proposal
 	Pending        *Proposal         `json:"pending"`
-	History        []Revision        `json:"history"` // without holes; the last is in force
+	History        []Revision        `json:"history"` // consecutive numbers; the last one is in force
 	Outcomes       []Outcome         `json:"outcomes"`
 	Guard          *GuardWindow      `json:"watch"`
 
-	historyBytes int64
+	historyBytes int64 // of the texts in History
 }
 
-// Result is what became of a command.
+// Result is the result of applying a command.
 type Result struct {
-	Err    error  // nil if the command did what it says, or had been done already
-	Number uint64 // of a proposal that was committed before, or of the term that begins
+	Err    error  // nil if the command took effect or had taken effect before
+	Number uint64 // of the revision of a proposal committed earlier, or of the term that begins
 }
 
-// NewState is the state of a cluster in which nothing is committed: revision 0, the settings alone.
+// NewState returns the state of a cluster without any committed command: revision 0, which equals the settings.
 func NewState() *State {
 	c := &Content{Form: Form}
 	r := Revision{Hash: Hash(c), Kind: KindProposed, Text: Encode(c), Note: "the settings alone"}
 	return &State{History: []Revision{r}, MinGenerations: map[string]uint64{}, Epoch: 1, historyBytes: int64(len(r.Text))}
 }
 
-// InForce is the revision in force, the last of the history.
+// InForce returns the revision in force, the last one in the history.
 func (s *State) InForce() *Revision { return &s.History[len(s.History)-1] }
 
-// Stopped tells that nobody may be granted a lease.
+// Stopped reports whether granting leases is stopped.
 func (s *State) Stopped() bool { return s.Pending != nil && s.Pending.Stopped }
 
-// Revision returns revision n of the history. Errors: *RevisionForgotten, *RevisionMissing.
+// Revision returns revision n of the history. The error is a *Forgotten or a *NotFound.
 func (s *State) Revision(n uint64) (*Revision, error) {
 	first := s.History[0].Number
 	switch {
@@ -60,7 +60,7 @@
 	return &s.History[n-first], nil
 }
 
-// Outcome is what became of the proposal with this key; nil if there was none, or it has been forgotten.
+// Outcome returns the outcome of the proposal with this key, or nil if there was none or its outcome is no longer kept.
 func (s *State) Outcome(key string) *Outcome {
 	for i := len(s.Outcomes) - 1; i >= 0; i-- {
 		if s.Outcomes[i].Key == key {
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// HasEnded tells that a process is known to have ended, and is not listed any more.
+// HasEnded reports whether a process is known to have ended and is no longer listed.
 func (s *State) HasEnded(h Holder) bool {
 	return !s.HasHolder(h) && (h.Generation < s.MinGenerations[h.Name] || slices.Contains(s.EndedProcesses, h))
 }
 
-// markEnded notes that a process has ended, so that its join is refused if that is committed later.
+// markEnded records that a process has ended, so that its join is rejected if it is committed later.
 func (s *State) markEnded(h Holder) {
 	if h.Generation < s.MinGenerations[h.Name] || slices.Contains(s.EndedProcesses, h) {
 		return
@@ -89,17 +89,17 @@
 	s.EndedProcesses = s.EndedProcesses[max(0, len(s.EndedProcesses)-maxEnded):]
 }
 
-// HasHolder tells whether a holder is listed.
+// HasHolder reports whether a holder is listed.
 func (s *State) HasHolder(h Holder) bool { _, ok := s.indexOf(h); return ok }
 
 func (s *State) indexOf(h Holder) (int, bool) {
 	return slices.BinarySearchFunc(s.Holders, h, func(r HolderEntry, h Holder) int { return r.compare(h) })
 }
 
-// Apply applies the log's next command.
+// Apply applies the next command of the log.
 func (s *State) Apply(c Command) Result {
 	if c.isTermBound() && c.LeaderTerm != s.LeaderTerm && !failpoint.On("old-reign") {
-		return Result{Err: &StaleCommand{string(c.Op), "the reign it was decided in is over"}}
+		return Result{Err: &StaleCommand{string(c.Op), "the leader term that it belongs to is over"}}
 	}
 	switch c.Op {
 	case OpBeginTerm:
@@ -125,7 +125,7 @@
 	return Result{Err: s.advance(c)}
 }
 
-// isOfTerm tells that a command counts only while the term lasts in which it was decided.
+// isTermBound reports whether a command is valid only during the leader term in which it was decided.
 func (c Command) isTermBound() bool {
 	switch c.Op {
 	case OpExpire, OpForget, OpAbort, OpStop, OpResume, OpCommit, OpEndGuard:
@@ -139,7 +139,7 @@
 	if h.Generation < s.MinGenerations[h.Name] {
 		return &Superseded{h.Name, s.MinGenerations[h.Name]}
 	}
-	if slices.Contains(s.EndedProcesses, h) { // committed late
+	if slices.Contains(s.EndedProcesses, h) { // the join was committed late
 		return &Superseded{h.Name, h.Generation + 1}
 	}
 	if c.Ended {
@@ -213,7 +213,7 @@
 	return Result{}
 }
 
-// keep ends the guard of a revision.
+// endGuard ends the guard of a revision.
 func (s *State) endGuard(number uint64) {
 	if g := s.Guard; g != nil && g.Number == number {
 		kept := *g
@@ -222,7 +222,7 @@
 	}
 }
 
-// advance takes the next step of the proposal: abort, stop, resume or commit.
+// advance applies the next step of the proposal: abort, stop, resume or commit.
 func (s *State) advance(c Command) error {
 	p := s.Pending
 	if p == nil || p.ID != c.ProposalID {
@@ -230,11 +230,11 @@
 	}
 	inOrder := c.Op == OpAbort || p.Stopped == (c.Op != OpStop)
 	if c.Epoch != s.Epoch || !inOrder {
-		return &StaleCommand{string(c.Op), "it was decided before another step was settled"}
+		return &StaleCommand{string(c.Op), "another step was committed after it was decided"}
 	}
 	needsAll := c.Op == OpStop || c.Op == OpCommit
 	if needsAll && c.HoldersVersion != s.HoldersVersion && !failpoint.On("roster-unseen") {
-		return &StaleCommand{string(c.Op), "somebody has come or gone since it was decided"}
+		return &StaleCommand{string(c.Op), "the list of lease holders has changed since it was decided"}
 	}
 	if c.Op != OpStop || !failpoint.On("stop-same-epoch") {
 		s.Epoch++
@@ -262,7 +262,7 @@
 	}
 }
 
-// commit puts the proposal in force, and forgets the beginning of a long history.
+// commit puts the proposal into force and drops the oldest revisions beyond the limits of the history.
 func (s *State) commit(p *Proposal, c Command) {
 	r := p.Revision
 	previous := s.InForce().Number
@@ -288,7 +288,7 @@
 	}
 }
 
-// Clone returns a copy that shares nothing that Apply changes.
+// Clone returns a copy that shares no data that Apply modifies.
 func (s *State) Clone() *State {
 	c := *s
 	c.History = slices.Clip(s.History)
@@ -298,23 +298,23 @@
 	return &c
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() []byte {
 	b, err := json.Marshal(s)
-	if err != nil { // a text that is no JSON was let in, which Validate refuses
+	if err != nil { // possible only if a text is not JSON, which Validate rejects
 		panic(err)
 	}
 	return b
 }
 
-// Restore takes a snapshot in place of all that was before. The error is a *Corrupt.
+// Restore replaces the state by a snapshot. The error is a *Corrupt.
 func (s *State) Restore(snapshot []byte) error {
 	restored := &State{}
 	if err := json.Unmarshal(snapshot, restored); err != nil {
 		return &Corrupt{err.Error()}
 	}
 	if len(restored.History) == 0 {
-		return &Corrupt{"it has no revision in force"}
+		return &Corrupt{"the snapshot has no revision in force"}
 	}
 	if restored.MinGenerations == nil {
 		restored.MinGenerations = map[string]uint64{}
--- a/internal/revision/suggestion.go
+++ b/internal/revision/suggestion.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// suggestion says which name may have been meant: the nearest if one is near, otherwise the first few.
+// suggestion suggests a known name for an unknown one: the nearest by edit distance, or else the first few of the list.
 func suggestion(name, kind string, list []string) string {
-	nearest, limit := "", min(3, len(name)/3+1) // a short name is near to all others
+	nearest, limit := "", min(3, len(name)/3+1) // every name is within a small distance of a short name
 	for _, candidate := range list {
 		if distance := editDistance(strings.ToLower(name), strings.ToLower(candidate)); distance < limit {
 			nearest, limit = candidate, distance
@@ -16,19 +16,19 @@
 	}
 	switch {
 	case nearest != "":
-		return fmt.Sprintf("take this entry out, or write %q if that is meant", nearest)
+		return fmt.Sprintf("remove this entry, or write %q if that was meant", nearest)
 	case len(list) == 0:
-		return fmt.Sprintf("take this entry out: there is no %s", kind)
+		return fmt.Sprintf("remove this entry: there is no %s", kind)
 	}
 	names := slices.Sorted(slices.Values(list))
 	more := ""
 	if len(names) > 8 {
 		names, more = names[:8], fmt.Sprintf(" and %d more", len(list)-8)
 	}
-	return fmt.Sprintf("take this entry out, or name one that there is: %s%s", strings.Join(names, ", "), more)
+	return fmt.Sprintf("remove this entry, or use one of %s%s", strings.Join(names, ", "), more)
 }
 
-// editDistance is how many bytes have to be changed, inserted or removed to make a into b.
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -14,17 +14,17 @@
 	"unicode/utf16"
 )
 
-// MaxTextBytes is how long a revision's text may be: it has to fit into one operators' call.
+// MaxTextBytes is the maximum length of a revision's text, which must fit into one management call.
 const MaxTextBytes = 120 << 10
 
-// MalformedText is the error that a text is not a revision's.
+// MalformedText reports that a text is not a valid revision.
 type MalformedText struct {
-	Offset int64  // bytes of the text before the fault; -1 where it is nowhere in particular
-	Field  string // "" where none is at fault
+	Offset int64  // offset of the error in bytes; -1 if it has no position
+	Field  string // "" if the error is not in a field
 	Cause  string
 }
 
-// Error says where the fault is.
+// Error returns the position and the cause.
 func (e *MalformedText) Error() string {
 	where := ""
 	if e.Field != "" {
@@ -32,16 +32,16 @@
 	} else if e.Offset >= 0 {
 		where = fmt.Sprintf("byte %d: ", e.Offset)
 	}
-	return "no revision's text: " + where + e.Cause
+	return "invalid revision text: " + where + e.Cause
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *MalformedText) Hint() string {
-	return "hand revisions in by oatctl revision propose of the same version as the balancers, which writes this text"
+	return "submit revisions with oatctl revision propose, of the same version as the balancers"
 }
 
-// Encode returns a revision's text: one line of ASCII, without what the revision does not say. It is nil for a
-// figure that is NaN or infinite, which Validate names before anybody proposes it.
+// Encode returns a revision's text: one line of ASCII that omits the fields that are not set. It returns nil if a
+// number is NaN or infinite, which Validate reports before a revision is proposed.
 func Encode(c *Content) []byte {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return out.Bytes()
 }
 
-// Decode reads a text. It checks the form, and that nothing is there twice or unknown; what the figures mean is up
-// to Validate and Check. The error is a *MalformedText.
+// Decode parses a text. It checks the format version and rejects duplicate and unknown fields. The values are checked
+// by Validate and Check. The error is a *MalformedText.
 func Decode(text []byte) (*Content, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &MalformedText{-1, "", fmt.Sprintf("%d bytes, more than %d", len(text), MaxTextBytes)}
@@ -75,24 +75,25 @@
 		e := &MalformedText{d.InputOffset(), "", strings.TrimPrefix(err.Error(), "json: ")}
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			e.Field, e.Cause = typeError.Field, fmt.Sprintf("%s where %v belongs", typeError.Value, typeError.Type)
+			e.Field, e.Cause = typeError.Field, fmt.Sprintf("%s instead of %v", typeError.Value, typeError.Type)
 		}
 		return nil, e
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, &MalformedText{d.InputOffset(), "", "something follows the revision"}
+		return nil, &MalformedText{d.InputOffset(), "", "unexpected data after the revision"}
 	}
 	if name, at := duplicateName(text); name != "" {
-		return nil, &MalformedText{at, "", fmt.Sprintf("%q is there twice", name)}
+		return nil, &MalformedText{at, "", fmt.Sprintf("duplicate field %q", name)}
 	}
 	if c.Form != Form {
-		return nil, &MalformedText{-1, "oatloft_revision", fmt.Sprintf("form %d; this program reads %d", c.Form, Form)}
+		return nil, &MalformedText{-1, "oatloft_revision",
+			fmt.Sprintf("format version %d; this program reads %d", c.Form, Form)}
 	}
 	return c, nil
 }
 
-// duplicateName is a name that an object of a valid text holds more than once, since a reader could take either,
-// and the bytes before it; "" if there is none.
+// duplicateName returns a name that occurs more than once in an object of a valid text, with its offset in bytes, or ""
+// if there is none. Duplicates are rejected because a reader could use either value.
 func duplicateName(text []byte) (name string, offset int64) {
 	var levels []jsonLevel
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -120,23 +121,23 @@
 	}
 }
 
-// jsonLevel is an object or list that a decoder is in.
+// jsonLevel is an object or list that contains the current token.
 type jsonLevel struct {
-	names       map[string]bool // in lower case; nil in a list
+	names       map[string]bool // names seen so far, in lower case; nil in a list
 	expectsName bool            // the next token is a name
 }
 
-// take notes a token of the level, and tells of a name that was there before.
+// next handles the next token of the level and reports whether it is a name that was seen before.
 func (l *jsonLevel) next(token json.Token) (name string, duplicate bool) {
 	if l.names == nil {
 		return "", false
 	}
-	if !l.expectsName { // a value, or the end of one
+	if !l.expectsName { // a value or the end of one
 		l.expectsName = true
 		return "", false
 	}
 	name, isName := token.(string)
-	if !isName { // the end of a value that is an object or list
+	if !isName { // the end of an object or list
 		return "", false
 	}
 	lower := strings.ToLower(name)
@@ -146,19 +147,19 @@
 	return name, duplicate
 }
 
-// Hash is the SHA-256 of what a revision says, in hexadecimal. The order of classes, tenants, places and links
-// makes no difference. Callers import crypto/sha256: a balancer without the agreement hashes nothing, and does
-// without its tenth of a megabyte.
+// Hash returns the SHA-256 of a revision's content in hexadecimal. It does not depend on the order of classes, tenants,
+// places and links. Callers must import crypto/sha256: a balancer built without revisions hashes nothing, and so saves
+// a tenth of a megabyte.
 func Hash(c *Content) string {
 	h := crypto.SHA256.New()
 	_, _ = h.Write(Encode(normalized(c)))
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ShortHash is the part of a hash that operators are shown.
+// ShortHash returns the prefix of a hash that is shown to operators: 16 digits.
 func ShortHash(hash string) string { return hash[:min(16, len(hash))] }
 
-// normalized returns a copy with every list in the order of its names.
+// normalized returns a copy in which every list is sorted by name.
 func normalized(c *Content) *Content {
 	o := *c
 	o.Classes = sortedBy(o.Classes, func(x Class) string { return x.Name })
--- a/internal/revision/validate.go
+++ b/internal/revision/validate.go
@@ -8,26 +8,26 @@
 	"unicode/utf8"
 )
 
-// Bounds of what a revision may say.
+// Bounds of the fields of a revision.
 const (
-	MaxPriorityRank        = 255
-	MaxLinkPriority        = 16 // of a class on a link
-	MaxWeight              = 100
-	MaxRetryRatio          = 10.0
-	MaxPendingAttempts     = 1_000_000
-	MaxMigrationsPerSecond = 10_000.0
-	MaxLinkBytes           = 1e12 // per second
+	MaxPriorityRank        = 255       // rank; 1 is the highest priority
+	MaxLinkPriority        = 16        // priority level of a class on a link; 1 is served first
+	MaxWeight              = 100       // relative to the weight 1 of other places or classes
+	MaxRetryRatio          = 10.0      // retries per first attempt
+	MaxPendingAttempts     = 1_000_000 // attempts at one balancer
+	MaxMigrationsPerSecond = 10_000.0  // connections per second at one balancer
+	MaxLinkBytes           = 1e12      // bytes per second
 	MaxNoteBytes           = 1000
 	MinObjective           = time.Millisecond
 	MaxObjective           = time.Hour
 
-	maxConnectionQuota = 1e9
+	maxConnectionQuota = 1e9 // connections over all balancers
 	maxIDBytes         = 256
-	minWeight          = 1e-6 // a smaller one leaves a server out in effect
-	shareTolerance     = 1e-9 // of sums of shares
+	minWeight          = 1e-6 // relative weight; a smaller one excludes a server in effect
+	shareTolerance     = 1e-9 // rounding error allowed in a sum of shares
 )
 
-// validator keeps the first fault.
+// validator keeps the first error.
 type validator struct{ firstError *Incompatible }
 
 func (v *validator) report(field, name string, value any, problem, remedy string, args ...any) {
@@ -50,22 +50,22 @@
 	return v.firstError
 }
 
-// checkRange holds a figure to its bounds, which NaN is not within.
+// checkRange reports a number that is out of its bounds or NaN.
 func (v *validator) checkRange(field, name string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		v.report(field, name, value, fmt.Sprintf("is outside %g to %g", low, high),
-			"set it within %g to %g, or leave it out", low, high)
+			"set a value from %g to %g, or leave it out", low, high)
 	}
 }
 
 func (v *validator) checkObjective(field, name string, d time.Duration) {
 	if d != 0 && (d < MinObjective || d > MaxObjective) {
 		v.report(field, name, d, fmt.Sprintf("is outside %v to %v", MinObjective, MaxObjective),
-			"set a time within %v to %v, or leave it out for the settings'", MinObjective, MaxObjective)
+			"set a time from %v to %v, or leave it out to use the settings' value", MinObjective, MaxObjective)
 	}
 }
 
-// checkNames holds each name of a list of n entries to being a name, and there once.
+// checkNames reports invalid and duplicate names in a list of n entries.
 func (v *validator) checkNames(list, field string, n int, name func(int) string) {
 	seen := make(map[string]int, n)
 	for i := range n {
@@ -74,19 +74,19 @@
 		previous, duplicate := seen[value]
 		switch {
 		case value == "":
-			v.report(at, "", "", "is empty", "name it, or leave the entry out")
+			v.report(at, "", "", "is empty", "set a name, or remove the entry")
 		case !isName(value, maxIDBytes):
-			v.report(at, "", fmt.Sprintf("%.64q", value), "is no name",
+			v.report(at, "", fmt.Sprintf("%.64q", value), "is not a valid name",
 				"use at most 256 bytes of printable text without spaces")
 		case duplicate:
-			v.report(at, "", fmt.Sprintf("%q", value), fmt.Sprintf("is in %s[%d] already", list, previous),
-				"put all that is said of it into one entry")
+			v.report(at, "", fmt.Sprintf("%q", value), fmt.Sprintf("is already in %s[%d]", list, previous),
+				"combine the entries for it into one entry")
 		}
 		seen[value] = i
 	}
 }
 
-// isName tells of text without spaces, of so many bytes at most.
+// isName reports whether s is valid UTF-8 of at most maxBytes bytes without spaces and control characters.
 func isName(s string, maxBytes int) bool {
 	return len(s) <= maxBytes && utf8.ValidString(s) && !strings.ContainsFunc(s, isSpaceOrControl)
 }
@@ -95,7 +95,7 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// Validate names the first field that cannot be whatever the settings are: an *Incompatible, or nil.
+// Validate returns an *Incompatible for the first field that is invalid regardless of the settings, or nil.
 func Validate(c *Content) error {
 	v := &validator{}
 	v.checkHeader(c)
@@ -111,8 +111,8 @@
 	v.checkLinks(c.Links)
 	if v.firstError == nil {
 		if n := len(Encode(c)); n > MaxTextBytes {
-			v.report("", "", n, fmt.Sprintf("bytes as text are more than %d", MaxTextBytes),
-				"say less in one revision: leave out what is as the settings have it")
+			v.report("", "", n, fmt.Sprintf("bytes of text exceed the limit of %d", MaxTextBytes),
+				"shorten the revision: leave out fields that equal the settings")
 		}
 	}
 	return v.err()
@@ -120,11 +120,11 @@
 
 func (v *validator) checkHeader(c *Content) {
 	if c.Form != Form {
-		v.report("oatloft_revision", "", c.Form, "is another form",
-			"write it by this version's oatctl, which writes form %d", Form)
+		v.report("oatloft_revision", "", c.Form, "is not a supported format version",
+			"write the revision with oatctl of this version, which writes format version %d", Form)
 	}
 	if len(c.Note) > MaxNoteBytes || !utf8.ValidString(c.Note) || strings.ContainsFunc(c.Note, isControl) {
-		v.report("note", "", fmt.Sprintf("%.64q", c.Note), "is no note",
+		v.report("note", "", fmt.Sprintf("%.64q", c.Note), "is not a valid note",
 			"use one line of at most %d bytes", MaxNoteBytes)
 	}
 }
@@ -136,7 +136,7 @@
 	for i, server := range c.Servers {
 		if strings.HasPrefix(server.ID, ZonePrefix) {
 			v.report(fmt.Sprintf("regions[%d].id", i), "", fmt.Sprintf("%q", server.ID),
-				"is how a zone is named within", "put zones into zones, by their names alone")
+				"has the prefix reserved for zones", "list the zone in zones, by its name without the prefix")
 		}
 	}
 	v.checkNames("zones", "id", len(c.Zones), func(i int) string { return c.Zones[i].ID })
@@ -159,18 +159,18 @@
 	}
 }
 
-// checkPlaces holds each entry to saying one thing: excluded, or a weight.
+// checkPlaces reports entries that do not set exactly one of exclusion and weight.
 func (v *validator) checkPlaces(list string, places []Place) {
 	for i, place := range places {
 		at := fmt.Sprintf("%s[%d].", list, i)
 		switch {
 		case place.Excluded && place.Weight != 0:
-			v.report(at+"weight", place.ID, place.Weight, "is said of what is left out", "leave out one of the two")
+			v.report(at+"weight", place.ID, place.Weight, "is set on an excluded entry", "remove one of the two")
 		case !place.Excluded && place.Weight == 0:
-			v.report(at+"weight", place.ID, "", "is not said, nor that it is left out",
-				"set out: true or a weight; leave the entry out where it is drawn as any other")
+			v.report(at+"weight", place.ID, "", "is not set, and the entry is not excluded",
+				"set out: true or a weight, or remove the entry for the default weight of 1")
 		case !place.Excluded && place.Weight > 0 && place.Weight <= minWeight:
-			v.report(at+"weight", place.ID, place.Weight, "is next to nothing", "set out: true")
+			v.report(at+"weight", place.ID, place.Weight, "is too small to have an effect", "set out: true")
 		}
 		v.checkRange(at+"weight", place.ID, place.Weight, 0, MaxWeight)
 	}
@@ -183,18 +183,18 @@
 		previous, duplicate := seen[link.name()]
 		switch {
 		case link.From == "" || !isName(link.From, maxIDBytes):
-			v.report(at+"from", "", fmt.Sprintf("%.64q", link.From), "is no zone",
-				"name the zone that the bytes leave")
+			v.report(at+"from", "", fmt.Sprintf("%.64q", link.From), "is not a valid zone name",
+				"name the zone that the traffic leaves")
 		case link.To == "" || !isName(link.To, maxIDBytes):
-			v.report(at+"to", "", fmt.Sprintf("%.64q", link.To), "is no zone",
-				"name the zone that the bytes come to")
+			v.report(at+"to", "", fmt.Sprintf("%.64q", link.To), "is not a valid zone name",
+				"name the zone that the traffic enters")
 		case link.From == link.To:
-			v.report(at+"to", link.name(), fmt.Sprintf("%q", link.To), "is where it begins",
-				"name another zone: bytes within one are not bounded")
+			v.report(at+"to", link.name(), fmt.Sprintf("%q", link.To), "is also the zone that the link starts from",
+				"name another zone: traffic within a zone is not limited")
 		case duplicate:
 			v.report(at+"from", link.name(), fmt.Sprintf("%q", link.From),
-				fmt.Sprintf("with the same end is in links[%d] already", previous),
-				"put all that is said of this direction into one entry")
+				fmt.Sprintf("with the same destination is already in links[%d]", previous),
+				"combine the entries for this direction into one entry")
 		}
 		seen[link.name()] = i
 		v.checkRange(at+"bytes", link.name(), link.Bytes, 1, MaxLinkBytes)
@@ -213,7 +213,7 @@
 		sum += class.MinShare
 	}
 	if sum > 1+shareTolerance {
-		v.report(at+"classes", link.name(), "", fmt.Sprintf("have least parts of %.4g together", sum),
-			"lower some of them: what is guaranteed can't be more than the link, 1 together")
+		v.report(at+"classes", link.name(), "", fmt.Sprintf("have minimum shares (least) that sum to %.4g", sum),
+			"lower some of them: the sum may be at most 1, the whole link")
 	}
 }
