--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -205,9 +205,9 @@
 			w.now = end
 			return false
 		}
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+		next := heap.Pop(&w.queue).(event)
+		w.now = next.at
+		next.do()
 	}
 	return true
 }
--- a/internal/revision/defects_test.go
+++ b/internal/revision/defects_test.go
@@ -12,9 +12,9 @@
 	"oatloft/internal/failpoint"
 )
 
-var firstDefect = flag.String("explore.from", "", "the first defect to look for, of the list")
+var firstDefect = flag.String("explore.from", "", "name of the first defect of the list to search for")
 
-// Each of these is built in on purpose and has to be found by drawn paths.
+// TestDefects enables each deliberate defect in turn. Random paths must find a violation for every one.
 func TestDefects(t *testing.T) {
 	defer failpoint.Choose("")
 	first := *firstDefect
@@ -43,7 +43,8 @@
 	}
 }
 
-// search goes drawn paths until one is broken, on all processors: the seed is the least of those that were under way.
+// findViolation follows random paths on all processors until one of them has a violation. It returns the lowest such
+// seed and the world, or maxSeeds and nil.
 func findViolation(maxSeeds uint64) (uint64, *world) {
 	var mu sync.Mutex
 	var nextSeed atomic.Uint64
--- a/internal/revision/events_test.go
+++ b/internal/revision/events_test.go
@@ -10,16 +10,16 @@
 type events struct {
 	*world
 	plan   *plan
-	choose func(what string, fault bool) bool
+	choose func(event string, fault bool) bool
 	visit  func(*world)
 }
 
-// next visits all worlds one event from here. With pick there is one at most, for the event that it takes, and this
-// world becomes it.
-func (w *world) visitNext(pl *plan, choose func(what string, fault bool) bool, visit func(*world)) {
-	e := &events{w, pl, choose, visit}
+// visitNext visits all worlds that are one event away. If choose is not nil, it selects at most one event, which is
+// applied to this world itself.
+func (w *world) visitNext(plan *plan, choose func(event string, fault bool) bool, visit func(*world)) {
+	e := &events{w, plan, choose, visit}
 	leaderRuns := w.leaderIndex >= 0 && w.isRunning(w.leaderIndex)
-	for i := range w.procs {
+	for i := range w.processes {
 		e.renewals(i, leaderRuns)
 		e.runState(i)
 		e.leaveCompleted(i)
@@ -34,16 +34,17 @@
 	}
 }
 
-// do lets an event happen: in a copy of the world, or with pick in this one.
-func (e *events) tryEvent(what string, fault bool, event func(c *world)) {
-	if fault && e.faults == 0 || e.choose != nil && !e.choose(what, fault) {
+// tryEvent applies an event to a copy of the world, or, if choose selects it, to this world. The names of faults are
+// hashed by randomWalk, so that changing one changes the paths of all seeds.
+func (e *events) tryEvent(name string, fault bool, event func(c *world)) {
+	if fault && e.faults == 0 || e.choose != nil && !e.choose(name, fault) {
 		return
 	}
 	c := e.world
 	if e.choose == nil {
-		c = e.clone(what)
+		c = e.clone(name)
 	} else {
-		c.trace = &trace{what, c.trace}
+		c.trace = &trace{name, c.trace}
 	}
 	if fault {
 		c.faults--
@@ -54,9 +55,9 @@
 	e.visit(c)
 }
 
-// renewals are the ways in which process i may renew its lease.
+// renewals tries the ways in which process i may renew its lease.
 func (e *events) renewals(i int, leaderRuns bool) {
-	p := &e.procs[i]
+	p := &e.processes[i]
 	name := p.member.Holder.Name
 	if !e.isRunning(i) || p.left {
 		return
@@ -69,21 +70,27 @@
 	if !failpoint.On("unconfirmed") {
 		return
 	}
-	for j := range e.procs {
-		if e.procs[j].leader == nil || !e.isRunning(j) || j == e.leaderIndex {
+	for j := range e.processes {
+		if e.processes[j].leader == nil || !e.isRunning(j) || j == e.leaderIndex {
 			continue
 		}
-		e.tryEvent("renew at who led before "+name, false, func(c *world) {
-			q := delayedMessage{to: j, from: i, generation: p.generation, requestedAt: c.now, request: c.procs[i].member.NextRequest()}
-			q.seq = q.request.Seq
-			c.reply(q, 0)
+		e.tryEvent("renew at a former leader "+name, false, func(c *world) {
+			message := delayedMessage{
+				to:          j,
+				from:        i,
+				generation:  p.generation,
+				requestedAt: c.now,
+				request:     c.processes[i].member.NextRequest(),
+			}
+			message.seq = message.request.Seq
+			c.reply(message, 0)
 		})
 	}
 }
 
-// runState are the ways in which process i may stop, end, start, lead or leave.
+// runState tries the ways in which process i may stop, end, start, become leader or leave.
 func (e *events) runState(i int) {
-	p := &e.procs[i]
+	p := &e.processes[i]
 	name := p.member.Holder.Name
 	switch {
 	case p.dead:
@@ -91,35 +98,42 @@
 		return
 	case p.stopped:
 		e.tryEvent("wake "+name, false, func(c *world) {
-			c.procs[i].stopped = false
-			c.procs[i].member.Tick(c.now)
+			c.processes[i].stopped = false
+			c.processes[i].member.Tick(c.now)
 			c.runLoop(i)
 		})
 		return
 	}
-	e.tryEvent("stop "+name, true, func(c *world) { c.procs[i].stopped = true })
+	e.tryEvent("stop "+name, true, func(c *world) { c.processes[i].stopped = true })
 	e.tryEvent("kill "+name, true, func(c *world) { c.kill(i) })
 	if p.loopBlocked {
-		e.tryEvent("loop takes up "+name, false, func(c *world) { c.procs[i].loopBlocked = false; c.runLoop(i) })
+		e.tryEvent("loop resumes "+name, false, func(c *world) { c.processes[i].loopBlocked = false; c.runLoop(i) })
 	} else {
-		e.tryEvent("loop waits "+name, true, func(c *world) { c.procs[i].loopBlocked = true })
+		e.tryEvent("loop waits "+name, true, func(c *world) { c.processes[i].loopBlocked = true })
 	}
 	if i != e.leaderIndex {
 		e.tryEvent("elect "+name, e.leaderIndex >= 0, func(c *world) { c.elect(i) })
 	}
 	if !p.left && e.leaderIndex != i {
-		e.tryEvent("leave "+name, true, func(c *world) { c.procs[i].member.Leave(); c.procs[i].left = true; c.runLoop(i) })
+		e.tryEvent("leave "+name, true, func(c *world) {
+			c.processes[i].member.Leave()
+			c.processes[i].left = true
+			c.runLoop(i)
+		})
 	}
 }
 
+// leaveCompleted tries the removal of process i from the list once it has left.
 func (e *events) leaveCompleted(i int) {
-	p := &e.procs[i]
+	p := &e.processes[i]
 	if p.left && p.member.HasLeft() && e.state.HasHolder(p.member.Holder) {
-		e.tryEvent("left "+p.member.Holder.Name, false, func(c *world) { c.apply(Command{Op: OpLeave, Holder: p.member.Holder}) })
+		e.tryEvent("left "+p.member.Holder.Name, false, func(c *world) {
+			c.apply(Command{Op: OpLeave, Holder: p.member.Holder})
+		})
 	}
 }
 
-// lateArrivals are the messages under way, each of which may arrive next.
+// delayedArrivals tries the arrival of each delayed message.
 func (e *events) delayedArrivals() {
 	for k, x := range e.delayed {
 		if x.kind == 'q' && !e.isRunning(x.to) || x.kind == 'a' && !e.isRunning(x.from) {
@@ -139,23 +153,23 @@
 	}
 }
 
-// calls are the operator's calls of the plan, in its order.
+// operatorCalls tries the calls of the plan. The first occurrences of the calls keep the order of the plan.
 func (e *events) operatorCalls() {
-	for k, o := range e.plan.calls {
-		if e.callCounts[k] < 1+o.repeats && (k == 0 || e.callCounts[k-1] > 0) {
-			e.tryEvent("call "+o.key, false, func(c *world) { c.callCounts[k]++; c.apply(o.command(e.plan)) })
+	for k, call := range e.plan.calls {
+		if e.callCounts[k] < 1+call.repeats && (k == 0 || e.callCounts[k-1] > 0) {
+			e.tryEvent("call "+call.key, false, func(c *world) { c.callCounts[k]++; c.apply(call.command(e.plan)) })
 		}
 	}
 }
 
 func (w *world) restart(i int) {
-	p := &w.procs[i]
+	p := &w.processes[i]
 	next := Holder{p.member.Holder.Name, p.generation + 1}
 	*p = process{generation: next.Generation, member: NewMember(next, p.member.HoldOnPartition, checkFor(i))}
 }
 
 func (w *world) kill(i int) {
-	p := &w.procs[i]
+	p := &w.processes[i]
 	p.dead, p.leader, p.loopLease = true, nil, Lease{}
 	if w.leaderIndex == i {
 		w.leaderIndex = -1
@@ -165,9 +179,9 @@
 func (w *world) tick() {
 	w.ticks--
 	w.now += tickDuration
-	for i := range w.procs {
+	for i := range w.processes {
 		if w.isRunning(i) {
-			w.procs[i].member.Tick(w.now)
+			w.processes[i].member.Tick(w.now)
 			w.runLoop(i)
 		}
 	}
--- a/internal/revision/explore_test.go
+++ b/internal/revision/explore_test.go
@@ -1,6 +1,6 @@
 package revision
 
-// Walks through the small world: all states within bounds, and random paths beyond them.
+// Exploration of the model: all states within bounds, and random paths beyond them.
 
 import (
 	"flag"
@@ -16,20 +16,24 @@
 )
 
 var (
-	maxFaults = flag.Int("explore.faults", 0, "faults on a path of the exploring")
-	maxTicks  = flag.Int("explore.ticks", 2, "ticks on a path of the exploring")
-	walkCount = flag.Int("explore.walks", 600, "drawn paths")
-	maxStates = flag.Int("explore.most", 0, "states after which the exploring ends unfinished; 0 for none")
+	maxFaults = flag.Int("explore.faults", 0, "faults on each path of the exploration")
+	maxTicks  = flag.Int("explore.ticks", 2, "ticks on each path of the exploration")
+	walkCount = flag.Int("explore.walks", 600, "number of random paths")
+	maxStates = flag.Int("explore.most", 0, "number of states after which the exploration ends unfinished; 0 for no limit")
 )
 
-// The calls of the plans: one proposal handed in twice; two proposals, the second one not to everybody's liking,
-// and a way back.
+// The calls of the plans: one proposal that is made twice; and two proposals, the second of which process 1 rejects,
+// followed by a rollback.
 var (
 	singleProposal          = []call{{key: "k1", note: "one", repeats: 1}}
-	twoProposalsAndRollback = []call{{key: "k1", note: "one"}, {key: "k2", note: "bad1", base: 1}, {key: "k3", rollback: true, base: 1}}
+	twoProposalsAndRollback = []call{
+		{key: "k1", note: "one"},
+		{key: "k2", note: "bad1", base: 1},
+		{key: "k3", rollback: true, base: 1},
+	}
 )
 
-// found is what an exploring has seen.
+// exploration is the result of explore.
 type exploration struct {
 	states, transitions, convergenceChecks int64
 	depth                                  int
@@ -37,9 +41,9 @@
 	unfinished                             bool
 }
 
-const shardCount = 256
+const shardCount = 256 // locks of a seenSet
 
-// seenSet has the hashes of the worlds that were seen. Safe for concurrent use.
+// seenSet holds the hashes of the worlds visited so far. It is safe for concurrent use.
 type seenSet struct {
 	shards [shardCount]struct {
 		sync.Mutex
@@ -56,7 +60,7 @@
 	return s
 }
 
-// add tells whether a world is new.
+// add adds a world and reports whether it is new.
 func (s *seenSet) add(w *world) (hash uint64, isNew bool) {
 	hash = w.hash()
 	shard := &s.shards[hash%shardCount]
@@ -70,7 +74,7 @@
 	return hash, true
 }
 
-// explorer goes through every state of a plan, breadth first.
+// explorer visits every state of a plan in breadth-first order.
 type explorer struct {
 	plan                           *plan
 	seen                           *seenSet
@@ -78,10 +82,10 @@
 	violation                      atomic.Pointer[world]
 }
 
-// explore goes through every state of the plan; through about most of them if that isn't 0.
-func explore(pl *plan, limit int) exploration {
-	x := &explorer{plan: pl, seen: newSeenSet()}
-	first := newWorld(pl)
+// explore visits every state of the plan. If limit is not 0, it ends after the level that exceeds limit states.
+func explore(plan *plan, limit int) exploration {
+	x := &explorer{plan: plan, seen: newSeenSet()}
+	first := newWorld(plan)
 	x.seen.add(first)
 	frontier := []*world{first}
 	out := exploration{}
@@ -93,11 +97,12 @@
 			break
 		}
 	}
-	out.states, out.transitions, out.convergenceChecks, out.violation = x.seen.count.Load(), x.transitions.Load(), x.convergenceChecks.Load(), x.violation.Load()
+	out.states, out.transitions = x.seen.count.Load(), x.transitions.Load()
+	out.convergenceChecks, out.violation = x.convergenceChecks.Load(), x.violation.Load()
 	return out
 }
 
-// level returns the new worlds one event from the frontier's.
+// nextLevel returns the new worlds that are one event away from those of the frontier.
 func (x *explorer) nextLevel(frontier []*world) (next []*world) {
 	var mu sync.Mutex
 	var nextIndex atomic.Int64
@@ -123,7 +128,8 @@
 	return next
 }
 
-// visit tells whether to go on from a world: it is new and nothing is broken in it. One of 64 goes on to the calm.
+// visit reports whether to continue from a world: it is new and violates nothing. One of 64 is also checked for
+// convergence.
 func (x *explorer) visit(w *world) bool {
 	x.transitions.Add(1)
 	if w.violation != "" {
@@ -144,20 +150,31 @@
 	return true
 }
 
+// TestExplore checks the invariants in all states within the bounds of the flags.
 func TestExplore(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		plan plan
 	}{
 		{"refuse", plan{ticks: *maxTicks, faults: *maxFaults, calls: singleProposal}},
-		{"hold", plan{ticks: *maxTicks, faults: *maxFaults, calls: singleProposal, holdOnPartition: [processCount]bool{true, true, true}}},
-		{"mixed", plan{ticks: *maxTicks, faults: *maxFaults, calls: singleProposal, holdOnPartition: [processCount]bool{false, true, false}}},
+		{"hold", plan{
+			ticks:           *maxTicks,
+			faults:          *maxFaults,
+			calls:           singleProposal,
+			holdOnPartition: [processCount]bool{true, true, true},
+		}},
+		{"mixed", plan{
+			ticks:           *maxTicks,
+			faults:          *maxFaults,
+			calls:           singleProposal,
+			holdOnPartition: [processCount]bool{false, true, false},
+		}},
 		{"two and back", plan{ticks: *maxTicks - 1, faults: *maxFaults, calls: twoProposalsAndRollback}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f := explore(&x.plan, *maxStates)
 			t.Logf(
-				"%d states, %d steps between them, %d deep, %d times on to the calm, unfinished %v",
+				"%d states, %d transitions, depth %d, %d convergence checks, unfinished %v",
 				f.states,
 				f.transitions,
 				f.depth,
@@ -171,25 +188,25 @@
 	}
 }
 
-// walk goes one drawn path of the plan, and on to the calm. Of the kinds of faults, three seeds of four have a
-// third each, so that some paths have many of one kind.
-func randomWalk(seed uint64, pl *plan) *world {
+// randomWalk follows one random path of the plan and then checks convergence. With three of four seeds only about a
+// third of the kinds of faults are enabled, so that some paths have many faults of one kind.
+func randomWalk(seed uint64, plan *plan) *world {
 	r := rand.New(rand.NewPCG(seed, 1))
-	w := newWorld(pl)
-	isEnabled := func(what string) bool {
-		return seed%4 == 0 || xxhash.Sum64String(what[:len(what)-1]+string(rune(seed)))%3 == 0
+	w := newWorld(plan)
+	isEnabled := func(event string) bool {
+		return seed%4 == 0 || xxhash.Sum64String(event[:len(event)-1]+string(rune(seed)))%3 == 0
 	}
 	const fault, renew, other = 0, 1, 2
-	silenced, silencedSteps := "", 0 // a process that nothing is heard of for some steps
-	kind := func(what string, isFault bool) int {
+	silenced, silencedSteps := "", 0 // a process that does not renew for some steps
+	kind := func(event string, isFault bool) int {
 		switch {
-		case isFault && isEnabled(what):
+		case isFault && isEnabled(event):
 			return fault
 		case isFault:
 			return -1
-		case silencedSteps > 0 && strings.HasPrefix(what, "renew") && strings.HasSuffix(what, silenced):
+		case silencedSteps > 0 && strings.HasPrefix(event, "renew") && strings.HasSuffix(event, silenced):
 			return -1
-		case strings.HasPrefix(what, "renew") || strings.HasPrefix(what, "call"):
+		case strings.HasPrefix(event, "renew") || strings.HasPrefix(event, "call"):
 			return renew
 		}
 		return other
@@ -199,8 +216,8 @@
 			silenced, silencedSteps = string(rune('a'+r.IntN(processCount))), 8+r.IntN(20)
 		}
 		var n [3]int
-		w.visitNext(pl, func(what string, f bool) bool {
-			if k := kind(what, f); k >= 0 {
+		w.visitNext(plan, func(event string, f bool) bool {
+			if k := kind(event, f); k >= 0 {
 				n[k]++
 			}
 			return false
@@ -213,8 +230,8 @@
 			break
 		}
 		k := r.IntN(n[chosenKind])
-		w.visitNext(pl, func(what string, f bool) bool {
-			if kind(what, f) != chosenKind {
+		w.visitNext(plan, func(event string, f bool) bool {
+			if kind(event, f) != chosenKind {
 				return false
 			}
 			k--
@@ -228,25 +245,26 @@
 	return w
 }
 
-// drawnPlan is the plan of a seed.
+// randomPlan returns the plan of a seed.
 func randomPlan(seed uint64) *plan {
 	r := rand.New(rand.NewPCG(seed, 2))
-	pl := &plan{ticks: 4 + r.IntN(12), faults: 1 + r.IntN(6), calls: slices.Clone(twoProposalsAndRollback)}
-	for i := range pl.holdOnPartition {
-		pl.holdOnPartition[i] = seed%3 == 1 || seed%3 == 2 && r.IntN(2) == 0
+	plan := &plan{ticks: 4 + r.IntN(12), faults: 1 + r.IntN(6), calls: slices.Clone(twoProposalsAndRollback)}
+	for i := range plan.holdOnPartition {
+		plan.holdOnPartition[i] = seed%3 == 1 || seed%3 == 2 && r.IntN(2) == 0
 	}
-	for i := range pl.calls {
-		pl.calls[i].repeats = int8(r.IntN(3))
+	for i := range plan.calls {
+		plan.calls[i].repeats = int8(r.IntN(3))
 	}
 	if r.IntN(2) == 0 {
-		pl.calls[1].base = 0 // it races the first
+		plan.calls[1].base = 0 // it competes with the first proposal
 	}
 	if r.IntN(2) == 0 {
-		pl.calls[0], pl.calls[1] = call{key: "k1", note: "bad2"}, call{key: "k2", note: "two"}
+		plan.calls[0], plan.calls[1] = call{key: "k1", note: "bad2"}, call{key: "k2", note: "two"}
 	}
-	return pl
+	return plan
 }
 
+// TestWalks checks the invariants on random paths.
 func TestWalks(t *testing.T) {
 	for seed := range uint64(*walkCount) {
 		if w := randomWalk(seed, randomPlan(seed)); w.violation != "" {
@@ -255,15 +273,20 @@
 	}
 }
 
-// Every process killed, stopped across a lease, or the leader deposed, between any two steps of a change: it ends
-// everywhere or nowhere, and what is handed in again makes no second one.
+// TestFaultBetweenAnyTwoSteps kills a process, suspends it for longer than a lease, or elects another leader between any
+// two steps of a proposal. The proposal must come into force at all processes or at none.
 func TestFaultBetweenAnyTwoSteps(t *testing.T) {
-	for _, hold := range []bool{false, true} {
-		pl := &plan{ticks: 20, faults: 9, calls: singleProposal, holdOnPartition: [processCount]bool{hold, hold, hold}}
-		w := newWorld(pl)
+	for _, holdOnPartition := range []bool{false, true} {
+		plan := &plan{
+			ticks:           20,
+			faults:          9,
+			calls:           singleProposal,
+			holdOnPartition: [processCount]bool{holdOnPartition, holdOnPartition, holdOnPartition},
+		}
+		w := newWorld(plan)
 		tested := map[string]int{}
 		steps := []string{"nothing is proposed", "call k1"}
-		for _, phase := range []string{"hears", "says yes", "hears the stop", "has stopped", "is granted"} {
+		for _, phase := range []string{"learns of it", "accepts", "learns of the stop", "has stopped", "is granted a lease"} {
 			for i := range processCount {
 				steps = append(steps, string(rune('a'+i))+" "+phase)
 			}
@@ -271,7 +294,7 @@
 		for n, step := range steps {
 			switch {
 			case n == 1:
-				w.apply(singleProposal[0].command(pl))
+				w.apply(singleProposal[0].command(plan))
 			case n > 1:
 				w.renew((n-2)%processCount, 0)
 			}
@@ -279,13 +302,13 @@
 			for i := range processCount {
 				for _, fault := range []string{"kill", "stop", "elect"} {
 					c := w.clone(fault)
-					switch p := &c.procs[i]; fault {
+					switch p := &c.processes[i]; fault {
 					case "kill":
 						p.dead, p.leader, p.loopLease = true, nil, Lease{}
 						if c.leaderIndex == i {
 							c.leaderIndex = -1
 						}
-					case "stop": // and the others go on without it for longer than the lease holds
+					case "stop": // while the others continue for longer than a lease
 						p.stopped = true
 						if c.leaderIndex == i {
 							c.elect((i + 1) % processCount)
@@ -294,7 +317,7 @@
 							c.now += tickDuration
 							for j := range processCount {
 								if j != i {
-									c.procs[j].member.Tick(c.now)
+									c.processes[j].member.Tick(c.now)
 									c.renew(j, 0)
 									c.runLeader()
 									c.checkInvariants()
@@ -305,14 +328,14 @@
 						c.elect(i)
 					}
 					if violation := c.converge(); violation != "" || c.violation != "" {
-						t.Fatalf("hold %v, after %q, %s %d: %s%s", hold, step, fault, i, violation, c.violation)
+						t.Fatalf("hold on partition %v, after %q, %s %d: %s%s", holdOnPartition, step, fault, i, violation, c.violation)
 					}
 					tested[step]++
 				}
 			}
 		}
 		if w.state.InForce().Number != 1 || w.state.Pending != nil || len(tested) != len(steps) {
-			t.Fatal("the change itself did not go through its steps", w.state.InForce().Number, len(tested))
+			t.Fatal("the proposal did not go through all steps", w.state.InForce().Number, len(tested))
 		}
 	}
 }
--- a/internal/revision/fingerprint_test.go
+++ b/internal/revision/fingerprint_test.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprint collects what tells worlds apart that can go on differently. Counters that are only compared go in by
-// rank.
+// fingerprint encodes the part of a world that determines its further behaviour. Counters whose order alone matters are
+// replaced by their rank.
 type fingerprint struct {
 	*world
 	buf                            []byte
 	epochs, terms, holdersVersions ranks
 }
 
-// ranks maps counters to their place in the order of all that occur.
+// ranks maps counters to their positions in the sorted list of all values that occur.
 type ranks []uint64
 
 func (r *ranks) add(counters ...uint64) { *r = append(*r, counters...) }
@@ -30,7 +30,7 @@
 	return byte(i)
 }
 
-// hash tells worlds apart that can go on differently.
+// hash returns the hash of the fingerprint. Worlds that behave alike from here on have the same hash.
 func (w *world) hash() uint64 {
 	f := &fingerprint{world: w, buf: make([]byte, 0, 256)}
 	f.rankCounters()
@@ -43,8 +43,8 @@
 	for _, n := range w.callCounts {
 		f.put(byte(n))
 	}
-	for i := range w.procs {
-		f.putProcess(&w.procs[i])
+	for i := range w.processes {
+		f.putProcess(&w.processes[i])
 	}
 	for i := range w.delayed {
 		f.putDelayed(&w.delayed[i])
@@ -54,8 +54,8 @@
 
 func (f *fingerprint) rankCounters() {
 	f.rankState(f.state)
-	for i := range f.procs {
-		p := &f.procs[i]
+	for i := range f.processes {
+		p := &f.processes[i]
 		if p.appliedState != nil {
 			f.rankState(p.appliedState)
 		}
@@ -97,7 +97,7 @@
 	f.put(b)
 }
 
-// putAgo puts how many ticks ago a time was, within the bounds in which it matters.
+// putAgo appends the age of a time in ticks, limited to the range from -4 to 4 in which it matters.
 func (f *fingerprint) putAgo(t time.Duration) {
 	f.put(byte(min(max((f.now-t)/tickDuration, -4), 4) + 4))
 }
@@ -109,8 +109,8 @@
 	for _, r := range s.Holders {
 		f.put(r.Name[0], byte(r.Generation))
 	}
-	for i := range f.procs {
-		f.put(byte(s.MinGenerations[f.procs[i].member.Holder.Name]))
+	for i := range f.processes {
+		f.put(byte(s.MinGenerations[f.processes[i].member.Holder.Name]))
 	}
 	if p := s.Pending; p != nil {
 		f.put('p', byte(p.ID))
@@ -121,7 +121,8 @@
 
 func (f *fingerprint) putProcess(p *process) {
 	m := p.member
-	f.putFlags(f.delayNextCommand, p.dead, p.stopped, p.loopBlocked, p.left, m.listed, m.inForce.hasText, m.staged.rejection != "")
+	f.putFlags(f.delayNextCommand, p.dead, p.stopped, p.loopBlocked, p.left, m.listed, m.inForce.hasText,
+		m.staged.rejection != "")
 	f.putFlags(m.inForce.incompatibility != "", m.acknowledgedSeq >= m.stopSeq, m.acknowledgedSeq >= m.lease.Seq,
 		p.loopLease.Seq == m.lease.Seq, p.leader != nil, p.appliedState != nil)
 	f.put(byte(p.generation), byte(m.Holder.Generation), f.epochs.rank(m.epoch), f.epochs.rank(m.stopEpoch))
@@ -151,9 +152,9 @@
 	if l.stopEpoch != 0 {
 		f.putAgo(l.stopSeen)
 	}
-	for j := range f.procs {
-		for g := uint64(1); g <= f.procs[j].generation; g++ {
-			x := l.holders[Holder{f.procs[j].member.Holder.Name, g}]
+	for j := range f.processes {
+		for g := uint64(1); g <= f.processes[j].generation; g++ {
+			x := l.holders[Holder{f.processes[j].member.Holder.Name, g}]
 			if x == nil {
 				continue
 			}
@@ -170,10 +171,12 @@
 	f.putAgo(x.requestedAt)
 	f.put(byte(x.request.HasNumber), byte(x.request.AnsweredProposal), f.epochs.rank(x.request.StoppedEpoch))
 	f.put(f.epochs.rank(x.reply.Epoch), byte(x.reply.Number), byte(x.reply.Proposal))
-	f.putFlags(x.reply.Known, x.reply.Stopped, x.reply.Granted, x.kind != 'c' && x.seq > f.procs[x.from].member.ignoreUpTo,
+	f.putFlags(x.reply.Known, x.reply.Stopped, x.reply.Granted,
+		x.kind != 'c' && x.seq > f.processes[x.from].member.ignoreUpTo,
 		x.request.Rejection != "", x.reply.Text != nil, x.reply.Proposed != nil)
 	f.buf = append(f.buf, x.command.Op...)
 	f.buf = append(f.buf, x.command.Holder.Name...)
-	f.put(f.terms.rank(x.command.LeaderTerm), f.epochs.rank(x.command.Epoch), f.holdersVersions.rank(x.command.HoldersVersion))
+	f.put(f.terms.rank(x.command.LeaderTerm), f.epochs.rank(x.command.Epoch),
+		f.holdersVersions.rank(x.command.HoldersVersion))
 	f.put(byte(x.command.ProposalID), byte(x.command.Holder.Generation))
 }
--- a/internal/revision/golden_test.go
+++ b/internal/revision/golden_test.go
@@ -8,7 +8,8 @@
 	"oatloft/internal/golden"
 )
 
-// A revision's text and hash are the same at members of any version, and so is what they say to each other of it.
+// TestFormOfRevisions checks that the encoding and hash of revisions and the messages between members do not change,
+// since members of different versions share them.
 func TestFormOfRevisions(t *testing.T) {
 	var c Content
 	golden.Fill(&c)
@@ -27,6 +28,7 @@
 	golden.JSON[Holder](t, "holder.json")
 }
 
+// TestFormOfState checks that the encoding of snapshots and log entries does not change.
 func TestFormOfState(t *testing.T) {
 	var s State
 	golden.Fill(&s)
@@ -43,7 +45,7 @@
 	golden.Check(t, "command.json", append(c.Entry(), '\n'))
 }
 
-// Operators' calls keep their words.
+// TestFormOfOrders checks that the lines of operators' calls do not change.
 func TestFormOfOrders(t *testing.T) {
 	out := ""
 	for _, o := range []Order{
--- a/internal/revision/member_test.go
+++ b/internal/revision/member_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards: a process that has had no list yet ended a change at all others by its no. It says nothing until it knows
-// enough.
+// A process that had not received a discovery list yet rejected a proposal and so aborted it for all others. It must not
+// answer until it can check the proposal.
 func TestMemberWithoutListDoesNotAnswer(t *testing.T) {
 	proposed := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
 	env := Environment{Servers: []string{"r1", "r2"}}
@@ -43,6 +43,6 @@
 	reply.Proposal = 8
 	m.HandleReply(2, 2, m.NextRequest().Seq, reply)
 	if r := m.NextRequest(); r.AnsweredProposal != 8 || r.Rejection == "" {
-		t.Errorf("a region that is not listed: %+v", r)
+		t.Errorf("server not in the list: %+v", r)
 	}
 }
--- a/internal/revision/model_test.go
+++ b/internal/revision/model_test.go
@@ -1,8 +1,8 @@
 package revision
 
-// The small world in which the machines are explored: three processes, one log, a leader, clocks of one rate, and
-// whatever can come late, be lost, stop or end. explore_test.go goes through all of its states, or through random
-// paths.
+// A small model of a cluster for checking Member, Leader and State: three processes, one log, a leader, clocks of equal
+// rate, and messages and commands that may be delayed or lost, and processes that may stop or end. explore_test.go
+// visits all states of the model, or follows random paths through it.
 
 import (
 	"encoding/json"
@@ -13,13 +13,13 @@
 
 const (
 	processCount = 3
-	tickDuration = time.Second // of a tick
+	tickDuration = time.Second
 )
 
-// small are the times of the world: a lease of 2 ticks is held lapsed after 3.
+// testConfig has the durations of the model. A leader considers a lease of 2 ticks expired after 3.
 var testConfig = LeaderConfig{Lease: 2 * tickDuration, Deadline: 4 * tickDuration, StopTimeout: tickDuration}
 
-// plan bounds a world: how many of each may happen.
+// plan bounds the number of events of each sort in a world.
 type plan struct {
 	holdOnPartition [processCount]bool
 	ticks           int
@@ -28,7 +28,7 @@
 	guarded         bool
 }
 
-// op is an operator's call; it may be handed in again.
+// call is a call by an operator, which may be repeated.
 type call struct {
 	key, note string
 	base      uint64
@@ -40,18 +40,19 @@
 type process struct {
 	member       *Member
 	generation   uint64
-	loopLease    Lease // what its loop goes by
-	loopBlocked  bool  // its loop takes nothing up
+	loopLease    Lease // the lease that its event loop uses
+	loopBlocked  bool  // its event loop does not take new leases
 	stopped      bool  // SIGSTOP
 	dead         bool
 	left         bool
 	leader       *Leader
-	appliedState *State // what it has applied, while it is deposed and doesn't know; nil where that is all
+	appliedState *State // the state it has applied while deposed without knowing it; nil if that is the current state
 }
 
-// late is something on its way: a renewal that its leader has confirmed, an answer, a command.
+// delayedMessage is a message in flight: a renewal request for which its leader has confirmed to lead, a reply, or a
+// command.
 type delayedMessage struct {
-	kind        byte // 'q', 'a', 'c', 'j'
+	kind        byte // 'q' for a request, 'a' for a reply, 'c' for a command
 	to          int
 	from        int
 	generation  uint64
@@ -65,14 +66,14 @@
 type world struct {
 	now              time.Duration
 	state            *State
-	committedHashes  []string // of the settled revisions, in the order in which they were settled
-	procs            [processCount]process
-	leaderIndex      int // -1: nobody
+	committedHashes  []string // of the committed revisions, in the order of their numbers
+	processes        [processCount]process
+	leaderIndex      int // -1 if there is no leader
 	delayed          []delayedMessage
 	ticks            int
 	faults           int
 	callCounts       []int8
-	delayNextCommand bool // the next command is settled late
+	delayNextCommand bool // the next command is committed late
 	violation        string
 	trace            *trace
 }
@@ -91,7 +92,7 @@
 	return fmt.Sprint(len(events), " steps: ", events)
 }
 
-// fits: a text whose note is "bad1" doesn't fit the settings of process 1, and so on.
+// checkFor returns the check of process i. The text "bad1" is incompatible with process 1, and so on.
 func checkFor(i int) func(json.RawMessage) error {
 	rejectedText := fmt.Sprintf(`"bad%d"`, i)
 	return func(text json.RawMessage) error {
@@ -102,16 +103,19 @@
 	}
 }
 
-func newWorld(p *plan) *world {
-	w := &world{state: NewState(), ticks: p.ticks, faults: p.faults, callCounts: make([]int8, len(p.calls))}
+func newWorld(plan *plan) *world {
+	w := &world{state: NewState(), ticks: plan.ticks, faults: plan.faults, callCounts: make([]int8, len(plan.calls))}
 	w.state.History[0].Text = json.RawMessage(`"zero"`)
 	w.committedHashes = []string{w.state.History[0].Hash}
-	for i := range w.procs {
-		w.procs[i] = process{generation: 1, member: NewMember(Holder{string(rune('a' + i)), 1}, p.holdOnPartition[i], checkFor(i))}
+	for i := range w.processes {
+		w.processes[i] = process{
+			generation: 1,
+			member:     NewMember(Holder{string(rune('a' + i)), 1}, plan.holdOnPartition[i], checkFor(i)),
+		}
 	}
 	w.elect(0)
 	for range 3 {
-		for i := range w.procs {
+		for i := range w.processes {
 			w.renew(i, 0)
 		}
 	}
@@ -122,38 +126,38 @@
 	c := *w
 	c.delayed = slices.Clone(w.delayed)
 	c.callCounts = slices.Clone(w.callCounts)
-	for i := range c.procs {
-		m := *c.procs[i].member
-		c.procs[i].member = &m
-		if l := c.procs[i].leader; l != nil {
-			n := *l
-			n.holders = make(map[Holder]*holderState, len(l.holders))
+	for i := range c.processes {
+		member := *c.processes[i].member
+		c.processes[i].member = &member
+		if l := c.processes[i].leader; l != nil {
+			leader := *l
+			leader.holders = make(map[Holder]*holderState, len(l.holders))
 			for k, v := range l.holders {
 				x := *v
-				n.holders[k] = &x
+				leader.holders[k] = &x
 			}
-			n.guard.samples = slices.Clone(l.guard.samples)
-			c.procs[i].leader = &n
+			leader.guard.samples = slices.Clone(l.guard.samples)
+			c.processes[i].leader = &leader
 		}
 	}
 	c.trace = &trace{event, w.trace}
 	return &c
 }
 
-func (w *world) isRunning(i int) bool { return !w.procs[i].dead && !w.procs[i].stopped }
+func (w *world) isRunning(i int) bool { return !w.processes[i].dead && !w.processes[i].stopped }
 
-// apply settles a command.
+// apply commits and applies a command.
 func (w *world) apply(c Command) Result {
 	before := w.state
-	for i := range w.procs { // a leader that was deposed stays with what it has applied
-		if p := &w.procs[i]; p.leader != nil && i != w.leaderIndex && p.appliedState == nil {
+	for i := range w.processes { // a deposed leader keeps the state that it has applied
+		if p := &w.processes[i]; p.leader != nil && i != w.leaderIndex && p.appliedState == nil {
 			p.appliedState = before
 		}
 	}
 	w.state = before.Clone()
 	r := w.state.Apply(c)
-	if w.leaderIndex >= 0 && w.procs[w.leaderIndex].leader != nil {
-		w.procs[w.leaderIndex].leader.Applied(c)
+	if w.leaderIndex >= 0 && w.processes[w.leaderIndex].leader != nil {
+		w.processes[w.leaderIndex].leader.Applied(c)
 	}
 	w.checkCommitted(before, c)
 	return r
@@ -161,16 +165,16 @@
 
 func (w *world) elect(i int) {
 	w.leaderIndex = i
-	p := &w.procs[i]
+	p := &w.processes[i]
 	p.leader, p.appliedState = NewLeader(p.member.Holder.Name, testConfig), nil
 	r := w.apply(Command{Op: OpBeginTerm, By: p.member.Holder.Name})
 	p.leader.BeginTerm(w.now, r.Number)
 }
 
-// exchange is one renewal of process i. how: 0 all at once, 'q' the leader stops before it answers, 'a' the answer
-// comes late.
+// renew is one renewal of process i. delay is 0 for none, 'q' if the leader stops before it replies, or 'a' if the
+// reply is delayed.
 func (w *world) renew(i int, delay byte) {
-	p := &w.procs[i]
+	p := &w.processes[i]
 	message := delayedMessage{kind: 'q', to: w.leaderIndex, from: i, generation: p.generation, requestedAt: w.now}
 	message.request = p.member.NextRequest()
 	message.seq = message.request.Seq
@@ -181,9 +185,9 @@
 	w.reply(message, delay)
 }
 
-// answer is what leader q.to says to a renewal that it has confirmed to lead for.
+// reply lets the leader at index message.to reply to a renewal request for which it has confirmed to lead.
 func (w *world) reply(message delayedMessage, delay byte) {
-	leader := &w.procs[message.to]
+	leader := &w.processes[message.to]
 	state := w.state
 	if leader.appliedState != nil {
 		state = leader.appliedState
@@ -204,7 +208,7 @@
 }
 
 func (w *world) deliver(message delayedMessage) {
-	p := &w.procs[message.from]
+	p := &w.processes[message.from]
 	if p.dead || p.generation != message.generation {
 		return
 	}
@@ -216,22 +220,22 @@
 }
 
 func (w *world) runLoop(i int) {
-	if p := &w.procs[i]; !p.loopBlocked && !p.dead && !p.stopped {
+	if p := &w.processes[i]; !p.loopBlocked && !p.dead && !p.stopped {
 		p.loopLease = p.member.Lease()
 		p.member.Acknowledge(p.loopLease.Seq)
 	}
 }
 
-// step is the leader's look at what is to be settled. It looks after every event, as long as it runs.
+// runLeader applies the commands that the leader returns, if it is running. It is called after every event.
 func (w *world) runLeader() {
 	for repeat := true; repeat && w.leaderIndex >= 0 && w.isRunning(w.leaderIndex); {
 		repeat = false
-		for _, c := range w.procs[w.leaderIndex].leader.NextCommands(w.now, w.state) {
+		for _, c := range w.processes[w.leaderIndex].leader.NextCommands(w.now, w.state) {
 			if slices.ContainsFunc(w.delayed, func(x delayedMessage) bool {
 				return x.kind == 'c' && x.command.Op == c.Op && x.command.Holder == c.Holder && x.command.Epoch == c.Epoch &&
 					x.command.LeaderTerm == c.LeaderTerm
 			}) {
-				continue // on its way
+				continue // in flight
 			}
 			if w.delayNextCommand {
 				w.delayNextCommand = false
@@ -244,7 +248,7 @@
 	}
 }
 
-func (o call) command(pl *plan) Command {
+func (o call) command(plan *plan) Command {
 	c := Command{
 		Op:            OpPropose,
 		Kind:          KindProposed,
@@ -258,7 +262,7 @@
 	if o.rollback {
 		c.Kind, c.Text, c.Hash = KindRollback, nil, ""
 	}
-	if pl.guarded {
+	if plan.guarded {
 		c.GuardFor = int64(tickDuration)
 	}
 	return c
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -12,7 +12,7 @@
 	"oatloft/internal/hint"
 )
 
-// A call that was written is read back the same.
+// TestOrderRoundTrip checks that ParseOrder parses what Order.String returns.
 func TestOrderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := func(what string) string { return rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,20}`).Draw(t, what) }
@@ -45,6 +45,7 @@
 	})
 }
 
+// TestParseOrderErrors checks that a malformed order names the invalid argument, and that answers are parsed.
 func TestParseOrderErrors(t *testing.T) {
 	for line, want := range map[string]string{
 		"":                                   `"" is no call`,
@@ -78,9 +79,9 @@
 		t.Error(n, settled)
 	}
 	if _, settled, pending := ReadAnswer(PendingText("k", "b2, b3")); settled || !pending {
-		t.Error("what is pending isn't read as such")
+		t.Error("the answer of a pending proposal is not parsed as pending")
 	}
 	if _, settled, pending := ReadAnswer("k ended nowhere: b2"); settled || pending {
-		t.Error("what ended nowhere is read as something else")
+		t.Error("the answer of an aborted proposal is parsed as settled or pending")
 	}
 }
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -2,14 +2,14 @@
 
 import (
 	"bytes"
-	_ "crypto/sha256" // Hash
+	_ "crypto/sha256" // for Hash
 	"errors"
 	"fmt"
 	"testing"
 	"time"
 )
 
-// commitRevision brings a text in force the whole way.
+// commitRevision proposes, stops and commits a revision.
 func commitRevision(t *testing.T, s *State, c Command) {
 	t.Helper()
 	c.Base = s.InForce().Number
@@ -24,7 +24,8 @@
 	}
 }
 
-// Ten thousand revisions: what is kept stays as it was through snapshots, what isn't is said to be forgotten.
+// TestHistoryRetention commits 10,000 revisions. The retained ones must survive snapshots unchanged, and older ones must
+// be reported as Forgotten.
 func TestHistoryRetention(t *testing.T) {
 	s := NewState()
 	hash := func(n int) string {
@@ -46,8 +47,9 @@
 		)
 		if i%1700 == 0 {
 			n := &State{}
-			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) || n.historyBytes != s.historyBytes {
-				t.Fatal("restored to another state", err)
+			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) ||
+				n.historyBytes != s.historyBytes {
+				t.Fatal("the restored state differs", err)
 			}
 			s = n
 		}
@@ -61,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if c, err := Decode(r.Text); err != nil || r.Hash != hash(n) || Hash(c) != r.Hash || r.Key != fmt.Sprint("k", n) {
-			t.Fatalf("%d is not what was settled: %+v", n, r)
+			t.Fatalf("revision %d differs from the committed one: %+v", n, r)
 		}
 	}
 	if _, err := s.Revision(9000); !errors.As(err, new(*Forgotten)) {
@@ -72,10 +74,11 @@
 		t.Fatal(s.InForce().Hash, s.historyBytes)
 	}
 	if o := s.Outcome("k9700"); o == nil || o.Number != 9700 {
-		t.Fatal("the outcome of a revision that was forgotten is to be known for a while", o)
+		t.Fatal("the outcome of a revision outlives it in the history", o)
 	}
 }
 
+// TestApplyErrors checks the errors of proposals, joins and OpForget.
 func TestApplyErrors(t *testing.T) {
 	s := NewState()
 	commitRevision(
@@ -114,10 +117,10 @@
 		return s.Apply(Command{Op: OpJoin, Holder: Holder{"a", gen}, Ended: ended}).Err
 	}
 	if join(1, true) != nil || join(2, false) != nil || len(s.Holders) != 2 {
-		t.Error("two processes of an upgrade are two holders", s.Holders)
+		t.Error("two processes during an upgrade must be two holders", s.Holders)
 	}
 	if join(3, true) != nil || len(s.Holders) != 1 {
-		t.Error("earlier processes have ended", s.Holders)
+		t.Error("earlier processes must be removed", s.Holders)
 	}
 	if err := join(2, true); !errors.As(err, new(*Superseded)) {
 		t.Error(err)
@@ -130,7 +133,8 @@
 	}
 }
 
-// The guard keeps what is as good as before, goes back from what is worse, and gives up after some tries.
+// TestGuard checks that the guard rolls back a revision whose rates are worse and keeps one whose rates are not, also
+// after a change of leader.
 func TestGuard(t *testing.T) {
 	before := Totals{Requests: 1000, Rejected: 20, Late: 50}
 	for _, x := range []struct {
@@ -149,7 +153,7 @@
 		}
 	}
 	if reason := RateAboveLimit(Totals{Requests: 10}, Totals{Requests: 100, Rejected: 20}); reason != "" {
-		t.Error("hardly anything is known of before:", reason)
+		t.Error("rejection rate below the limit that applies without a baseline:", reason)
 	}
 
 	s := NewState()
@@ -180,7 +184,7 @@
 		c[0].Key != "guard-1" {
 		t.Fatal(c)
 	}
-	successor := NewLeader("b", testConfig) // its successor begins the watch anew
+	successor := NewLeader("b", testConfig) // a new leader restarts the guard period
 	successor.BeginTerm(3*time.Second, s.Apply(Command{Op: OpBeginTerm}).Number)
 	l = successor
 	renew(3*time.Second, Totals{Requests: 200, Failed: 50})
@@ -192,14 +196,14 @@
 	}
 }
 
-// A join that is settled after others have told that its process has ended puts nobody into the roster, after a
-// snapshot too.
+// TestJoinCommittedAfterProcessEnded checks that a join which is committed after its process has been reported as ended
+// does not add a holder, also after a snapshot.
 func TestJoinCommittedAfterProcessEnded(t *testing.T) {
 	s := NewState()
 	h, later := Holder{"a", 5}, Holder{"a", 7}
 	s.Apply(Command{Op: OpJoin, Holder: later})
 	if s.HasEnded(h) {
-		t.Error("an end is known that nobody has told")
+		t.Error("the process is reported as ended before its leave")
 	}
 	for range 2 {
 		s.Apply(Command{Op: OpLeave, Holder: h, Ended: true})
@@ -213,12 +217,12 @@
 		t.Error(r.Err, s.Holders, s.EndedProcesses)
 	}
 	if s.HasEnded(later) || !s.HasHolder(later) {
-		t.Error("the one that is there was taken away")
+		t.Error("the later process was removed")
 	}
 	for i := range uint64(2 * maxEnded) {
 		s.Apply(Command{Op: OpLeave, Holder: Holder{"b", i}, Ended: true})
 	}
 	if len(s.EndedProcesses) != maxEnded {
-		t.Errorf("%d ends are kept", len(s.EndedProcesses))
+		t.Errorf("%d ended processes are kept", len(s.EndedProcesses))
 	}
 }
