--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -1,6 +1,7 @@
 package revision
 
-// Many members with random delays, on a clock of their own: how long a change takes, and what it costs.
+// A simulation of many members with random delays in virtual time, which measures the duration and cost of a change of
+// revision.
 
 import (
 	"container/heap"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// stepped are members around one log, whose messages and settling take drawn times.
+// simulation has members that share one log. Messages and commits take random times.
 type simulation struct {
 	rand       *rand.Rand
 	now        time.Duration
@@ -23,8 +24,8 @@
 	inFlight   map[string]bool
 	members    []*simMember
 	withFaults bool
-	leaderless bool // no leader now
-	byteCount  int  // of renewals and answers
+	leaderless bool
+	byteCount  int // bytes of renewal requests and replies
 	pauses     []time.Duration
 }
 
@@ -32,8 +33,8 @@
 	member       *Member
 	requestCount int
 	number       uint64
-	cutOffUntil  time.Duration // cut off until then
-	pausedSince  time.Duration // since when newcomers wait, 0 for not
+	cutOffUntil  time.Duration // when a cut of its network ends
+	pausedSince  time.Duration // when new requests began to wait; 0 if they do not
 }
 
 type event struct {
@@ -62,7 +63,7 @@
 	heap.Push(&w.queue, event{w.now + d, w.eventCount, do})
 }
 
-// way is a message's time, settling the log's.
+// networkDelay returns the delay of one message, commitDelay that of one commit.
 func (w *simulation) networkDelay() time.Duration {
 	return 200*time.Microsecond + time.Duration(w.rand.ExpFloat64()*float64(300*time.Microsecond))
 }
@@ -72,12 +73,19 @@
 }
 
 func newSimulation(seed uint64, n int, config LeaderConfig, withFaults bool) *simulation {
-	w := &simulation{rand: rand.New(rand.NewPCG(seed, 3)), state: NewState(), inFlight: map[string]bool{}, withFaults: withFaults}
+	w := &simulation{
+		rand:       rand.New(rand.NewPCG(seed, 3)),
+		state:      NewState(),
+		inFlight:   map[string]bool{},
+		withFaults: withFaults,
+	}
 	w.elect(config)
 	for i := range n {
-		x := &simMember{member: NewMember(Holder{fmt.Sprintf("b%03d", i), 1}, false, func(json.RawMessage) error { return nil })}
-		w.members = append(w.members, x)
-		w.schedule(time.Duration(w.rand.Int64N(int64(config.Lease/8))), func() { w.renew(x, config) })
+		m := &simMember{
+			member: NewMember(Holder{fmt.Sprintf("b%03d", i), 1}, false, func(json.RawMessage) error { return nil }),
+		}
+		w.members = append(w.members, m)
+		w.schedule(time.Duration(w.rand.Int64N(int64(config.Lease/8))), func() { w.renew(m, config) })
 	}
 	w.pollLeader(config)
 	if withFaults {
@@ -96,7 +104,8 @@
 	w.schedule(10*time.Millisecond, func() { w.pollLeader(config) })
 }
 
-// fault: every second or so the leader goes for 0.6 s, or somebody is cut off for up to two leases.
+// injectFaults injects a fault every second on average: there is no leader for 0.6 s, or a member is cut off for up to
+// two leases.
 func (w *simulation) injectFaults(config LeaderConfig) {
 	w.schedule(time.Duration(w.rand.ExpFloat64()*float64(time.Second)), func() {
 		if w.rand.IntN(3) == 0 && !w.leaderless {
@@ -136,28 +145,29 @@
 	w.runLeader()
 }
 
-func (w *simulation) renew(x *simMember, config LeaderConfig) {
+func (w *simulation) renew(m *simMember, config LeaderConfig) {
 	requestedAt := w.now
-	x.member.Tick(w.now)
-	w.runLoop(x)
-	x.requestCount++
-	n := x.requestCount
-	w.schedule(config.Lease/2, func() { // the answer is lost
-		if x.requestCount == n {
-			w.renew(x, config)
+	m.member.Tick(w.now)
+	w.runLoop(m)
+	m.requestCount++
+	sequence := m.requestCount
+	w.schedule(config.Lease/2, func() { // renew again if the reply is lost
+		if m.requestCount == sequence {
+			w.renew(m, config)
 		}
 	})
-	if w.leaderless || w.now < x.cutOffUntil {
+	if w.leaderless || w.now < m.cutOffUntil {
 		return
 	}
-	q := x.member.NextRequest()
-	b, _ := json.Marshal(q)
+	request := m.member.NextRequest()
+	b, _ := json.Marshal(request)
 	w.byteCount += len(b)
-	w.schedule(w.networkDelay()+w.networkDelay()+w.networkDelay(), func() { // there, and the leader's own question to the voters
+	// The request, and the round trip by which the leader confirms with the voters that it still leads.
+	w.schedule(w.networkDelay()+w.networkDelay()+w.networkDelay(), func() {
 		if w.leaderless {
 			return
 		}
-		reply, ok := w.leader.Renew(w.now, w.state, q)
+		reply, ok := w.leader.Renew(w.now, w.state, request)
 		w.runLeader()
 		if !ok {
 			return
@@ -165,39 +175,39 @@
 		b, _ := json.Marshal(reply)
 		w.byteCount += len(b)
 		w.schedule(w.networkDelay(), func() {
-			if w.now < x.cutOffUntil || x.requestCount != n {
+			if w.now < m.cutOffUntil || m.requestCount != sequence {
 				return
 			}
-			x.member.HandleReply(w.now, requestedAt, q.Seq, reply)
-			w.runLoop(x)
+			m.member.HandleReply(w.now, requestedAt, request.Seq, reply)
+			w.runLoop(m)
 			if !reply.Known {
-				w.schedule(w.commitDelay(), func() { w.apply(Command{Op: OpJoin, Holder: x.member.Holder}) })
+				w.schedule(w.commitDelay(), func() { w.apply(Command{Op: OpJoin, Holder: m.member.Holder}) })
 			}
 			w.schedule(max(reply.Next, time.Millisecond), func() {
-				if x.requestCount == n {
-					w.renew(x, config)
+				if m.requestCount == sequence {
+					w.renew(m, config)
 				}
 			})
 		})
 	})
 }
 
-func (w *simulation) runLoop(x *simMember) {
-	p := x.member.Lease()
-	x.member.Acknowledge(p.Seq)
+func (w *simulation) runLoop(m *simMember) {
+	lease := m.member.Lease()
+	m.member.Acknowledge(lease.Seq)
 	switch {
-	case p.Allows(w.now) && x.pausedSince != 0:
-		w.pauses = append(w.pauses, w.now-x.pausedSince)
-		x.pausedSince = 0
-	case p.Phase == Suspended && x.pausedSince == 0:
-		x.pausedSince = w.now
+	case lease.Allows(w.now) && m.pausedSince != 0:
+		w.pauses = append(w.pauses, w.now-m.pausedSince)
+		m.pausedSince = 0
+	case lease.Phase == Suspended && m.pausedSince == 0:
+		m.pausedSince = w.now
 	}
-	if p.Allows(w.now) {
-		x.number = p.Number
+	if lease.Allows(w.now) {
+		m.number = lease.Number
 	}
 }
 
-// run goes on until done, or for at most d.
+// run continues until done returns true, or for at most d. It reports whether done returned true.
 func (w *simulation) run(d time.Duration, done func() bool) bool {
 	end := w.now + d
 	for !done() {
@@ -213,16 +223,17 @@
 }
 
 func (w *simulation) allActiveAt(n uint64) bool {
-	for _, x := range w.members {
-		if p := x.member.Lease(); p.Number != n || !p.Allows(w.now) {
+	for _, m := range w.members {
+		if lease := m.member.Lease(); lease.Number != n || !lease.Allows(w.now) {
 			return false
 		}
 	}
 	return true
 }
 
-// BenchmarkChange tells the time from a proposal to its being in force, and at work at all members, the time for
-// which one member's newcomers wait, and bytes a second that a member sends and is sent, calm.
+// BenchmarkChange reports the time from a proposal until it is in force ("settled") and active at all members
+// ("everywhere"), the time for which new requests wait at one member ("wait"), the bytes per second that a member sends
+// and receives while no proposal is pending, and the number of proposals that did not come into force ("nowhere").
 func BenchmarkChange(b *testing.B) {
 	config := LeaderConfig{Lease: 3 * time.Second, Deadline: 10 * time.Second}
 	for _, n := range []int{3, 10, 30, 100, 300} {
--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -30,7 +30,7 @@
 	}
 )
 
-// drawn is a revision that fits today.
+// generateContent generates a revision that is compatible with testEnvironment.
 func generateContent(t *rapid.T) *Content {
 	c := &Content{
 		Form: Form,
@@ -80,7 +80,7 @@
 	return c
 }
 
-// drawnLinks are links from zone nrb.
+// generateLinks generates links from zone nrb.
 func generateLinks(t *rapid.T, subset func(names []string, what string) []string) (links []Link) {
 	for _, to := range subset(zoneNames[1:], "links") {
 		l := Link{From: "nrb", To: to, Bytes: rapid.Float64Range(1, MaxLinkBytes).Draw(t, "bytes")}
@@ -100,7 +100,7 @@
 	return links
 }
 
-// shuffled is c with every list in another order.
+// shuffled returns a copy of c with every list in random order.
 func shuffled(c *Content, seed uint64) *Content {
 	r := rand.New(rand.NewPCG(seed, 1))
 	o := normalized(c)
@@ -116,7 +116,8 @@
 	return o
 }
 
-// What is written is read back whole, in printable ASCII; the order of entries changes nothing, anything else does.
+// TestEncodeDecode checks that a revision survives encoding as printable ASCII. The order of entries must not change
+// its hash or diff, and any other difference must.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := generateContent(t)
@@ -130,7 +131,7 @@
 		}
 		o := shuffled(c, rapid.Uint64().Draw(t, "seed"))
 		if Hash(o) != Hash(c) || len(Diff(c, o)) > 0 {
-			t.Fatalf("another order is another revision: %v", Diff(c, o))
+			t.Fatalf("the order of entries changes the revision: %v", Diff(c, o))
 		}
 		if err := Check(c, testEnvironment); err != nil {
 			t.Fatal(err)
@@ -138,12 +139,12 @@
 		other := generateContent(t)
 		if equalHashes := Hash(other) == Hash(c); equalHashes != (len(Diff(c, other)) == 0) ||
 			len(Diff(c, other)) != len(Diff(other, c)) {
-			t.Fatalf("hashes alike: %v, but differ in %v", equalHashes, Diff(c, other))
+			t.Fatalf("hashes equal: %v, but the differences are %v", equalHashes, Diff(c, other))
 		}
 	})
 }
 
-// A text that isn't understood whole is refused in one line with what is at fault.
+// TestDecodeErrors checks that invalid texts are rejected with a one-line error that names the cause.
 func TestDecodeErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "EOF", "{": "EOF", "null": "format version 0", "[]": "array instead of", "{}": "format version 0",
@@ -173,18 +174,38 @@
 	}
 }
 
-// incompatibilities are what may be wrong with a revision: the field that is named, why, and what would make it fit.
+// incompatibilities lists changes that make a revision incompatible, with the expected field, problem and remedy.
 var incompatibilities = []struct {
 	alter                  func(c *Content, d *Environment)
 	field, problem, remedy string
 }{
-	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "not a supported format version", "format version 1"},
+	{
+		func(c *Content, _ *Environment) { c.Form = 2 },
+		"oatloft_revision",
+		"not a supported format version",
+		"format version 1",
+	},
 	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "not a valid note", "one line"},
-	{func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) }, "note", "not a valid note", "1000"},
+	{
+		func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) },
+		"note",
+		"not a valid note",
+		"1000",
+	},
 	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "not a class", `write "gold"`},
-	{func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" }, "classes[1].name", "already in classes[0]", "one entry"},
+	{
+		func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" },
+		"classes[1].name",
+		"already in classes[0]",
+		"one entry",
+	},
 	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "set a name"},
-	{func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" }, "classes[0].name", "not a valid name", "without spaces"},
+	{
+		func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" },
+		"classes[0].name",
+		"not a valid name",
+		"without spaces",
+	},
 	{
 		func(c *Content, _ *Environment) { c.Classes[1].PriorityRank = 256 },
 		"classes[1].order",
@@ -226,7 +247,12 @@
 		"prefix reserved for zones",
 		"in zones",
 	},
-	{func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 }, "regions[0].weight", "set on an excluded entry", "one of the two"},
+	{
+		func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 },
+		"regions[0].weight",
+		"set on an excluded entry",
+		"one of the two",
+	},
 	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not set, and", "out: true"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = 101 }, "zones[0].weight", "outside", "100"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = -1 }, "zones[0].weight", "outside", "100"},
@@ -248,7 +274,12 @@
 	{func(c *Content, _ *Environment) { c.Budgets.WarmUpShare = 1.5 }, "budgets.cold", "outside", "1"},
 	{func(c *Content, _ *Environment) { c.Migration.PerSecond = -3 }, "moves.per_second", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Links[0].Bytes = 0 }, "links[0].bytes", "outside", "1"},
-	{func(c *Content, _ *Environment) { c.Links[0].To = "nrb" }, "links[0].to", "also the zone that the link starts from", "another zone"},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].To = "nrb" },
+		"links[0].to",
+		"also the zone that the link starts from",
+		"another zone",
+	},
 	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "not a zone", "ksm, mba, nrb"},
 	{
 		func(c *Content, _ *Environment) { c.Links = append(c.Links, c.Links[0]) },
@@ -289,7 +320,7 @@
 	},
 }
 
-// What doesn't fit is named by its field, with what would make it fit; the first of several.
+// TestCheckErrors checks that Check names the first incompatible field, the problem and the remedy.
 func TestCheckErrors(t *testing.T) {
 	compatible := Content{
 		Form:    Form,
@@ -326,11 +357,11 @@
 		)
 	}
 	if err := Validate(&oversized); err == nil {
-		t.Error("a revision of any length is sound")
+		t.Error("a revision longer than MaxTextBytes is accepted")
 	}
 }
 
-// A balancer of today is read off its settings and its list.
+// TestNewEnvironment checks the environment that results from settings and a discovery list.
 func TestNewEnvironment(t *testing.T) {
 	d := NewEnvironment(
 		policy.Config{
@@ -361,7 +392,7 @@
 	}
 }
 
-// overlayBase has settings over which revisions are laid.
+// overlayBase returns the settings to which the tests apply revisions.
 func overlayBase() policy.Config {
 	return policy.Config{
 		Zone:                "nrb",
@@ -379,22 +410,24 @@
 	}
 }
 
-// An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
+// TestOverlay checks that an empty revision changes nothing, that Overlay is idempotent and independent of the order of
+// entries, and that it does not modify its input.
 func TestOverlay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, c := overlayBase(), generateContent(t)
 		if diff := cmp.Diff(overlayBase(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
-			t.Fatalf("an empty one changed %s", diff)
+			t.Fatalf("an empty revision changed the settings: %s", diff)
 		}
 		overlaid := Overlay(b, c)
 		if !cmp.Equal(b, overlayBase()) {
-			t.Fatal("the settings were written to")
+			t.Fatal("the input settings were modified")
 		}
-		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(overlaid, other) || !cmp.Equal(overlaid, Overlay(overlaid, c)) {
-			t.Fatal("the order of entries, or how often it is laid over, makes a difference")
+		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(overlaid, other) ||
+			!cmp.Equal(overlaid, Overlay(overlaid, c)) {
+			t.Fatal("the order of entries or a second Overlay changes the result")
 		}
 		if again := Overlay(overlaid, &Content{Form: Form}); !cmp.Equal(overlaid, again) {
-			t.Fatal("an empty one changed what another said")
+			t.Fatal("an empty revision changed the settings of another one")
 		}
 		if len(overlaid.Classes) != 2 || len(overlaid.Tenants) != 2 || overlaid.Classes[0].MaxAttempts > 2 {
 			t.Fatalf("%+v", overlaid)
@@ -402,7 +435,7 @@
 	})
 }
 
-// Each field of a revision is laid over the settings' field.
+// TestOverlayEachField checks that each field of a revision replaces the field of the settings.
 func TestOverlayEachField(t *testing.T) {
 	got := Overlay(
 		overlayBase(),
@@ -432,6 +465,7 @@
 	}
 }
 
+// FuzzDecode checks that every text that Decode accepts is JSON and keeps its hash when encoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"oatloft_revision":1,"note":"a","zones":[{"id":"a","out":true}]}`))
 	f.Add([]byte(`{"a":[[{}],{"b":1}]}`))
@@ -441,11 +475,11 @@
 			return
 		}
 		if !json.Valid(text) {
-			t.Fatal("read what is no JSON")
+			t.Fatal("decoded a text that is not valid JSON")
 		}
 		again, err := Decode(Encode(c))
 		if err != nil || Hash(again) != Hash(c) {
-			t.Fatalf("%v: %s became %s", err, text, Encode(c))
+			t.Fatalf("%v: %s was encoded again as %s", err, text, Encode(c))
 		}
 	})
 }
--- a/internal/revision/explore_test.go
+++ b/internal/revision/explore_test.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// TestFaultBetweenAnyTwoSteps kills a process, suspends it for longer than a lease, or elects another leader between any
-// two steps of a proposal. The proposal must come into force at all processes or at none.
+// TestFaultBetweenAnyTwoSteps kills a process, suspends it for longer than a lease, or elects another leader, between
+// any two steps of a proposal. The proposal must come into force at all processes or at none.
 func TestFaultBetweenAnyTwoSteps(t *testing.T) {
 	for _, holdOnPartition := range []bool{false, true} {
 		plan := &plan{
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestHistoryRetention commits 10,000 revisions. The retained ones must survive snapshots unchanged, and older ones must
-// be reported as Forgotten.
+// TestHistoryRetention commits 10,000 revisions. The retained ones must survive snapshots unchanged, and older ones
+// must be reported as Forgotten.
 func TestHistoryRetention(t *testing.T) {
 	s := NewState()
 	hash := func(n int) string {
