--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -108,8 +108,7 @@
 
 // Hint returns what an operator can do about it.
 func (e *Superseded) Hint() string {
-	return "run only one balancer under a name, except during an upgrade; " +
-		"make sure that the machine's clock does not go back"
+	return "run one balancer per name, except during an upgrade; make sure that the machine's clock does not go back"
 }
 
 // StaleCommand reports that a leader's command was committed too late and has had no effect.
--- a/internal/revision/explore_test.go
+++ b/internal/revision/explore_test.go
@@ -97,8 +97,8 @@
 			break
 		}
 	}
-	out.states, out.transitions = x.seen.count.Load(), x.transitions.Load()
-	out.convergenceChecks, out.violation = x.convergenceChecks.Load(), x.violation.Load()
+	out.states, out.transitions, out.convergenceChecks, out.violation = x.seen.count.Load(), x.transitions.Load(),
+		x.convergenceChecks.Load(), x.violation.Load()
 	return out
 }
 
--- a/internal/revision/fingerprint_test.go
+++ b/internal/revision/fingerprint_test.go
@@ -97,8 +97,8 @@
 	f.put(b)
 }
 
-// putAgo appends the age of a time in ticks, limited to the range from -4 to 4 in which it matters.
-func (f *fingerprint) putAgo(t time.Duration) {
+// putAge appends the age of a time in ticks, limited to the range from -4 to 4 in which it matters.
+func (f *fingerprint) putAge(t time.Duration) {
 	f.put(byte(min(max((f.now-t)/tickDuration, -4), 4) + 4))
 }
 
@@ -129,10 +129,10 @@
 	f.put(byte(m.inForce.number), byte(m.staged.id), byte(m.lease.Phase), byte(m.lease.Number))
 	f.put(byte(p.loopLease.Phase), byte(p.loopLease.Number))
 	if m.lease.Phase == Active {
-		f.putAgo(m.lease.Until)
+		f.putAge(m.lease.Until)
 	}
 	if p.loopLease.Phase == Active {
-		f.putAgo(p.loopLease.Until)
+		f.putAge(p.loopLease.Until)
 	}
 	if p.leader == nil || p.dead {
 		return
@@ -145,12 +145,12 @@
 
 func (f *fingerprint) putLeader(l *Leader) {
 	f.put(f.terms.rank(l.term), byte(l.proposal), f.epochs.rank(l.stopEpoch))
-	f.putAgo(l.termStart)
+	f.putAge(l.termStart)
 	if l.proposal != 0 {
-		f.putAgo(l.proposalSeen)
+		f.putAge(l.proposalSeen)
 	}
 	if l.stopEpoch != 0 {
-		f.putAgo(l.stopSeen)
+		f.putAge(l.stopSeen)
 	}
 	for j := range f.processes {
 		for g := uint64(1); g <= f.processes[j].generation; g++ {
@@ -159,8 +159,8 @@
 				continue
 			}
 			f.put(byte(j), byte(g), byte(x.answeredProposal), f.epochs.rank(x.stoppedEpoch))
-			f.putAgo(x.lastGrant)
-			f.putAgo(x.lastRenewal)
+			f.putAge(x.lastGrant)
+			f.putAge(x.lastRenewal)
 			f.putFlags(x.expiring, x.missedStop, x.rejection != "")
 		}
 	}
@@ -168,7 +168,7 @@
 
 func (f *fingerprint) putDelayed(x *delayedMessage) {
 	f.put('l', x.kind, byte(x.to), byte(x.from), byte(x.generation))
-	f.putAgo(x.requestedAt)
+	f.putAge(x.requestedAt)
 	f.put(byte(x.request.HasNumber), byte(x.request.AnsweredProposal), f.epochs.rank(x.request.StoppedEpoch))
 	f.put(f.epochs.rank(x.reply.Epoch), byte(x.reply.Number), byte(x.reply.Proposal))
 	f.putFlags(x.reply.Known, x.reply.Stopped, x.reply.Granted,
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -8,8 +8,8 @@
 
 // Bounds of the guard.
 const (
-	maxRateFactor          = 1.5  // a rate may rise to 1.5 times its baseline ...
-	maxRateIncrease        = 0.02 // ... plus two percentage points
+	maxRateFactor          = 1.5  // limit of a rate relative to its baseline
+	maxRateIncrease        = 0.02 // added to that limit: two percentage points
 	minRequests            = 50   // requests below which a rate is not judged: a small sample is not significant
 	maxRateWithoutBaseline = 0.25 // limit if the baseline has fewer than minRequests requests
 	sampleInterval         = time.Second
--- a/internal/revision/invariants_test.go
+++ b/internal/revision/invariants_test.go
@@ -102,7 +102,7 @@
 
 // withoutFaults returns a copy in which nothing is delayed, all processes run and one of them leads.
 func (w *world) withoutFaults() *world {
-	c := w.clone("faults end")
+	c := w.clone("calm")
 	c.delayed, c.faults, c.delayNextCommand = nil, 0, false
 	for i := range c.processes {
 		p := &c.processes[i]
--- a/internal/revision/member_test.go
+++ b/internal/revision/member_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestMemberWithoutListDoesNotAnswer: a process that had not received a discovery list yet rejected a proposal, which
-// aborted it for all others. It must not answer until it can check the proposal.
+// TestMemberWithoutListDoesNotAnswer guards against a process without a discovery list that rejects a proposal and so
+// aborts it for all others. It must not answer until it can check the proposal.
 func TestMemberWithoutListDoesNotAnswer(t *testing.T) {
 	proposed := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
 	env := Environment{Servers: []string{"r1", "r2"}}
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -103,25 +103,25 @@
 
 // String returns the order as the line after "revision".
 func (o Order) String() string {
-	words := []string{string(o.Verb)}
+	fields := []string{string(o.Verb)}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
 		lastArgument := string(o.Text)
 		if o.Verb == VerbRollback {
 			lastArgument = formatNumber(o.Number)
 		}
-		words = append(words, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
+		fields = append(fields, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
 			cmp.Or(o.By, unspecified), lastArgument)
 	case VerbGet, VerbList:
-		words = append(words, formatNumber(o.Number))
+		fields = append(fields, formatNumber(o.Number))
 	case VerbOutcome:
-		words = append(words, o.Key)
+		fields = append(fields, o.Key)
 	case VerbReplace:
-		words = append(words, o.Name, o.NewName)
+		fields = append(fields, o.Name, o.NewName)
 	case VerbForget:
-		words = append(words, o.Name)
+		fields = append(fields, o.Name)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
 
 func formatNumber(n uint64) string {
