--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -37,8 +37,8 @@
 // Hint returns what an operator can do about it.
 func (e *Incompatible) Hint() string { return e.Remedy }
 
-// Check returns an *Incompatible for the first field that does not fit a balancer's environment, or nil. It includes
-// all checks of Validate. It is applied to proposals and rollbacks alike.
+// Check returns an *Incompatible for the first field that is incompatible with a balancer's environment, or nil. It
+// includes all checks of Validate. It is applied to proposals and rollbacks alike.
 func Check(c *Content, env Environment) error {
 	if err := Validate(c); err != nil {
 		return err
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -85,8 +85,8 @@
 // Term returns the number of its term, or 0 before BeginTerm.
 func (l *Leader) Term() uint64 { return l.term }
 
-// holder returns the state of a listed holder, and creates it if there is none. For a holder
-// that it does not know, a leader assumes that an earlier leader has granted a lease just now.
+// holder returns the state of a listed holder, and creates it if there is none. For a holder that it does not know, a
+// leader assumes that an earlier leader has granted a lease just now.
 func (l *Leader) holder(h Holder, now time.Duration) *holderState {
 	state := l.holders[h]
 	if state == nil {
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -181,76 +181,76 @@
 	err   *MalformedOrder
 }
 
-func (r *orderParser) parse(arguments []string) {
-	o := r.order
+func (p *orderParser) parse(arguments []string) {
+	o := p.order
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		r.parseProposal(arguments)
+		p.parseProposal(arguments)
 	case VerbGet:
-		r.number("NUMBER", arguments[0], &o.Number)
+		p.number("NUMBER", arguments[0], &o.Number)
 	case VerbList:
-		r.number("AFTER", arguments[0], &o.Number)
+		p.number("AFTER", arguments[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", arguments[0], &o.Key)
+		p.name("KEY", arguments[0], &o.Key)
 	case VerbReplace:
-		r.name("OLD", arguments[0], &o.Name)
-		r.name("NEW", arguments[1], &o.NewName)
+		p.name("OLD", arguments[0], &o.Name)
+		p.name("NEW", arguments[1], &o.NewName)
 	case VerbForget:
-		r.name("NAME", arguments[0], &o.Name)
+		p.name("NAME", arguments[0], &o.Name)
 	}
 }
 
-func (r *orderParser) parseProposal(arguments []string) {
-	o := r.order
-	r.name("KEY", arguments[0], &o.Key)
-	r.number("FROM", arguments[1], &o.Base)
-	r.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardFor)
-	r.duration("DEADLINE", arguments[3], maxGuardDuration, &o.Deadline)
+func (p *orderParser) parseProposal(arguments []string) {
+	o := p.order
+	p.name("KEY", arguments[0], &o.Key)
+	p.number("FROM", arguments[1], &o.Base)
+	p.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardFor)
+	p.duration("DEADLINE", arguments[3], maxGuardDuration, &o.Deadline)
 	if arguments[4] != unspecified {
-		r.name("BY", arguments[4], &o.By)
+		p.name("BY", arguments[4], &o.By)
 	}
 	if o.Verb == VerbPropose {
 		o.Text = []byte(arguments[5])
 		return
 	}
-	r.number("NUMBER", arguments[5], &o.Number)
+	p.number("NUMBER", arguments[5], &o.Number)
 	if o.Number == Latest {
-		r.fail("NUMBER", arguments[5], "is not a revision number")
+		p.fail("NUMBER", arguments[5], "is not a revision number")
 	}
 }
 
-func (r *orderParser) fail(field, argument, cause string) {
-	if r.err == nil {
-		r.err = &MalformedOrder{r.order.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
+func (p *orderParser) fail(field, argument, cause string) {
+	if p.err == nil {
+		p.err = &MalformedOrder{p.order.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
 	}
 }
 
-func (r *orderParser) name(field, argument string, target *string) {
+func (p *orderParser) name(field, argument string, target *string) {
 	*target = argument
 	if !isName(argument, maxNameBytes) || argument == unspecified {
-		r.fail(field, argument, fmt.Sprintf("is not a name of at most %d bytes without spaces", maxNameBytes))
+		p.fail(field, argument, fmt.Sprintf("is not a name of at most %d bytes without spaces", maxNameBytes))
 	}
 }
 
-func (r *orderParser) number(field, argument string, target *uint64) {
+func (p *orderParser) number(field, argument string, target *uint64) {
 	if argument == unspecified {
 		*target = Latest
 		return
 	}
 	n, err := strconv.ParseUint(argument, 10, 63)
 	if err != nil {
-		r.fail(field, argument, "is not a revision number")
+		p.fail(field, argument, "is not a revision number")
 	}
 	*target = n
 }
 
-func (r *orderParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
+func (p *orderParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
 	if argument == unspecified {
 		return
 	}
 	d, err := time.ParseDuration(argument)
 	if err != nil || d <= 0 || d > limit {
-		r.fail(field, argument, fmt.Sprintf("is not a duration of up to %v", limit))
+		p.fail(field, argument, fmt.Sprintf("is not a duration of up to %v", limit))
 	}
 	*target = d
 }
--- a/internal/revision/validate.go
+++ b/internal/revision/validate.go
@@ -168,7 +168,7 @@
 			v.report(at+"weight", place.ID, place.Weight, "is set on an excluded entry", "remove one of the two")
 		case !place.Excluded && place.Weight == 0:
 			v.report(at+"weight", place.ID, "", "is not set, and the entry is not excluded",
-				"set out: true or a weight, or remove the entry for the default weight of 1")
+				"set out: true or a weight, or remove the entry to leave the weight unchanged")
 		case !place.Excluded && place.Weight > 0 && place.Weight <= minWeight:
 			v.report(at+"weight", place.ID, place.Weight, "is too small to have an effect", "set out: true")
 		}
