--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -17,12 +17,12 @@
 )
 
 var (
-	someClasses = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
-	someZones   = []string{"nrb", "mba", "ksm"}
-	today       = Environment{
-		Classes:     someClasses,
+	classNames      = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
+	zoneNames       = []string{"nrb", "mba", "ksm"}
+	testEnvironment = Environment{
+		Classes:     classNames,
 		Tenants:     []string{"t1", "t2"},
-		Zones:       someZones,
+		Zones:       zoneNames,
 		Servers:     []string{"r1", "r2", "r3"},
 		HasList:     true,
 		MaxAttempts: 6,
@@ -30,44 +30,44 @@
 	}
 )
 
-// drawn is a revision that fits today.
-func drawn(t *rapid.T) *Content {
+// generateContent generates a revision that is compatible with testEnvironment.
+func generateContent(t *rapid.T) *Content {
 	c := &Content{
 		Form: Form,
 		Note: rapid.SampledFrom([]string{"", "a  \"b\" <c> & d\\", "w\u012bki \U0001f98a"}).Draw(t, "note"),
 	}
-	some := func(names []string, what string) []string {
+	subset := func(names []string, what string) []string {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, len(names), rapid.ID).Draw(t, what)
 	}
-	aim := rapid.Custom(func(t *rapid.T) time.Duration {
+	objective := rapid.Custom(func(t *rapid.T) time.Duration {
 		return time.Duration(
 			rapid.SampledFrom([]int64{0, int64(MinObjective), 1500001, 3e8, int64(MaxObjective)}).Draw(t, "aim"),
 		)
 	})
 	weight := func() float64 { return rapid.Float64Range(1e-5, MaxWeight).Draw(t, "weight") }
-	for _, n := range some(someClasses, "classes") {
+	for _, n := range subset(classNames, "classes") {
 		c.Classes = append(
 			c.Classes,
 			Class{
 				n,
 				rapid.IntRange(0, MaxPriorityRank).Draw(t, "order"),
-				aim.Draw(t, "aim"),
-				aim.Draw(t, "message"),
+				objective.Draw(t, "aim"),
+				objective.Draw(t, "message"),
 				rapid.IntRange(0, 6).Draw(t, "attempts"),
 			},
 		)
 	}
-	for _, n := range some(today.Tenants, "tenants") {
+	for _, n := range subset(testEnvironment.Tenants, "tenants") {
 		c.Tenants = append(c.Tenants, Tenant{n, rapid.Float64Range(0, 1e9).Draw(t, "connections")})
 	}
-	for _, n := range some([]string{"r1", "r2"}, "regions") {
+	for _, n := range subset([]string{"r1", "r2"}, "regions") {
 		if rapid.Bool().Draw(t, "out") {
 			c.Servers = append(c.Servers, Place{ID: n, Excluded: true})
 		} else {
 			c.Servers = append(c.Servers, Place{ID: n, Weight: weight()})
 		}
 	}
-	for _, n := range some([]string{"mba", "ksm"}, "zones") {
+	for _, n := range subset([]string{"mba", "ksm"}, "zones") {
 		c.Zones = append(c.Zones, Place{ID: n, Excluded: true})
 	}
 	c.Budgets = Budgets{
@@ -76,15 +76,15 @@
 		rapid.Float64Range(0, 1).Draw(t, "cold"),
 	}
 	c.Migration.PerSecond = rapid.Float64Range(0, MaxMigrationsPerSecond).Draw(t, "moves")
-	c.Links = drawnLinks(t, some)
+	c.Links = generateLinks(t, subset)
 	return c
 }
 
-// drawnLinks are links from zone nrb.
-func drawnLinks(t *rapid.T, some func(names []string, what string) []string) (links []Link) {
-	for _, to := range some(someZones[1:], "links") {
+// generateLinks generates links from zone nrb.
+func generateLinks(t *rapid.T, subset func(names []string, what string) []string) (links []Link) {
+	for _, to := range subset(zoneNames[1:], "links") {
 		l := Link{From: "nrb", To: to, Bytes: rapid.Float64Range(1, MaxLinkBytes).Draw(t, "bytes")}
-		for _, n := range some(someClasses, "of link") {
+		for _, n := range subset(classNames, "of link") {
 			l.Classes = append(
 				l.Classes,
 				LinkClass{
@@ -100,7 +100,7 @@
 	return links
 }
 
-// shuffled is c with every list in another order.
+// shuffled returns a copy of c with every list in random order.
 func shuffled(c *Content, seed uint64) *Content {
 	r := rand.New(rand.NewPCG(seed, 1))
 	o := normalized(c)
@@ -116,42 +116,45 @@
 	return o
 }
 
-// What is written is read back whole, in printable ASCII; the order of entries changes nothing, anything else does.
-func TestText(t *testing.T) {
+// TestEncodeDecode checks that a revision survives encoding as printable ASCII. The order of entries must not change
+// its hash or diff, and any other difference must.
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := drawn(t)
+		c := generateContent(t)
 		text := Encode(c)
 		if i := strings.IndexFunc(string(text), func(r rune) bool { return r < ' ' || r > '~' }); i >= 0 {
 			t.Fatalf("%q", text)
 		}
-		back, err := Decode(text)
-		if diff := cmp.Diff(c, back); err != nil || diff != "" {
+		decoded, err := Decode(text)
+		if diff := cmp.Diff(c, decoded); err != nil || diff != "" {
 			t.Fatalf("%v\n%s\n%s", err, text, diff)
 		}
 		o := shuffled(c, rapid.Uint64().Draw(t, "seed"))
 		if Hash(o) != Hash(c) || len(Diff(c, o)) > 0 {
-			t.Fatalf("another order is another revision: %v", Diff(c, o))
+			t.Fatalf("the order of entries changes the revision: %v", Diff(c, o))
 		}
-		if err := Check(c, today); err != nil {
+		if err := Check(c, testEnvironment); err != nil {
 			t.Fatal(err)
 		}
-		other := drawn(t)
-		if alike := Hash(other) == Hash(c); alike != (len(Diff(c, other)) == 0) ||
+		other := generateContent(t)
+		if equalHashes := Hash(other) == Hash(c); equalHashes != (len(Diff(c, other)) == 0) ||
 			len(Diff(c, other)) != len(Diff(other, c)) {
-			t.Fatalf("hashes alike: %v, but differ in %v", alike, Diff(c, other))
+			t.Fatalf("hashes equal: %v, but the differences are %v", equalHashes, Diff(c, other))
 		}
 	})
 }
 
-// A text that isn't understood whole is refused in one line with what is at fault.
-func TestMalformed(t *testing.T) {
+// TestDecodeErrors checks that invalid texts are rejected with a one-line error that names the cause.
+func TestDecodeErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"": "EOF", "{": "EOF", "null": "form 0", "[]": "array where", "{}": "form 0", `{"oatloft_revision":2}`: "form 2",
-		`{"oatloft_revision":1} {}`: "something follows", `{"oatloft_revision":1,"colour":"red"}`: `unknown field "colour"`,
-		`{"oatloft_revision":1,"classes":[{"name":"a","aim":"300ms"}]}`:      "classes.aim: string where",
-		`{"oatloft_revision":1,"note":"a","note":"b"}`:                       `"note" is there twice`,
-		`{"oatloft_revision":1,"note":"a","Note":"b"}`:                       `"Note" is there twice`,
-		`{"oatloft_revision":1,"zones":[{"id":"a","id":"b"}]}`:               `"id" is there twice`,
+		"": "EOF", "{": "EOF", "null": "format version 0", "[]": "array instead of", "{}": "format version 0",
+		`{"oatloft_revision":2}`:                                             "format version 2",
+		`{"oatloft_revision":1} {}`:                                          "unexpected data after",
+		`{"oatloft_revision":1,"colour":"red"}`:                              `unknown field "colour"`,
+		`{"oatloft_revision":1,"classes":[{"name":"a","aim":"300ms"}]}`:      "classes.aim: string instead of",
+		`{"oatloft_revision":1,"note":"a","note":"b"}`:                       `duplicate field "note"`,
+		`{"oatloft_revision":1,"note":"a","Note":"b"}`:                       `duplicate field "Note"`,
+		`{"oatloft_revision":1,"zones":[{"id":"a","id":"b"}]}`:               `duplicate field "id"`,
 		`{"oatloft_revision":1,"note":"` + strings.Repeat("x", MaxTextBytes): "more than",
 	} {
 		_, err := Decode([]byte(text))
@@ -171,18 +174,38 @@
 	}
 }
 
-// incompatibilities are what may be wrong with a revision: the field that is named, why, and what would make it fit.
+// incompatibilities lists changes that make a revision incompatible, with the expected field, problem and remedy.
 var incompatibilities = []struct {
-	spoil          func(c *Content, d *Environment)
-	field, why, do string
+	alter                  func(c *Content, d *Environment)
+	field, problem, remedy string
 }{
-	{func(c *Content, _ *Environment) { c.Form = 2 }, "oatloft_revision", "another form", "form 1"},
-	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "no note", "one line"},
-	{func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) }, "note", "no note", "1000"},
-	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "no class", `write "gold"`},
-	{func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" }, "classes[1].name", "is in classes[0]", "one entry"},
-	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "name it"},
-	{func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" }, "classes[0].name", "no name", "without spaces"},
+	{
+		func(c *Content, _ *Environment) { c.Form = 2 },
+		"oatloft_revision",
+		"not a supported format version",
+		"format version 1",
+	},
+	{func(c *Content, _ *Environment) { c.Note = "a\nb" }, "note", "not a valid note", "one line"},
+	{
+		func(c *Content, _ *Environment) { c.Note = strings.Repeat("x", MaxNoteBytes+1) },
+		"note",
+		"not a valid note",
+		"1000",
+	},
+	{func(c *Content, _ *Environment) { c.Classes[1].Name = "golf" }, "classes[1].name", "not a class", `write "gold"`},
+	{
+		func(c *Content, _ *Environment) { c.Classes[1].Name = "gold" },
+		"classes[1].name",
+		"already in classes[0]",
+		"one entry",
+	},
+	{func(c *Content, _ *Environment) { c.Classes[0].Name = "" }, "classes[0].name", "empty", "set a name"},
+	{
+		func(c *Content, _ *Environment) { c.Classes[0].Name = "a b" },
+		"classes[0].name",
+		"not a valid name",
+		"without spaces",
+	},
 	{
 		func(c *Content, _ *Environment) { c.Classes[1].PriorityRank = 256 },
 		"classes[1].order",
@@ -200,64 +223,74 @@
 		func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = 7 },
 		"classes[1].attempts",
 		"above the settings' 6",
-		"set 6",
+		"set at most 6",
 	},
 	{func(c *Content, _ *Environment) { c.Classes[1].MaxAttempts = -1 }, "classes[1].attempts", "outside", "leave it out"},
-	{func(c *Content, _ *Environment) { c.Tenants[0].Name = "nobody" }, "tenants[0].name", "no tenant", "t1, t2"},
+	{func(c *Content, _ *Environment) { c.Tenants[0].Name = "nobody" }, "tenants[0].name", "not a tenant", "t1, t2"},
 	{func(c *Content, _ *Environment) { c.Tenants[0].ConnectionQuota = -1 }, "tenants[0].connections", "outside", "0"},
-	{func(c *Content, d *Environment) { d.Tenants = nil }, "tenants[0].name", "no tenant", "there is no tenant"},
+	{func(c *Content, d *Environment) { d.Tenants = nil }, "tenants[0].name", "not a tenant", "there is no tenant"},
 	{
 		func(c *Content, _ *Environment) { c.Servers[0].ID = "r9" },
 		"regions[0].id",
-		"no region of discovery's list",
-		"r1, r2, r3; or bring the region back",
+		"not a region in discovery's list",
+		"r1, r2, r3; or restore the region",
 	},
 	{
 		func(c *Content, d *Environment) { d.Servers = d.Servers[1:] },
 		"regions[0].id",
-		"no region",
-		"bring the region back",
+		"not a region",
+		"restore the region",
 	},
 	{
 		func(c *Content, _ *Environment) { c.Servers[0].ID = "zone/nrb" },
 		"regions[0].id",
-		"how a zone is named",
-		"into zones",
+		"prefix reserved for zones",
+		"in zones",
+	},
+	{
+		func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 },
+		"regions[0].weight",
+		"set on an excluded entry",
+		"one of the two",
 	},
-	{func(c *Content, _ *Environment) { c.Servers[0].Weight = 1 }, "regions[0].weight", "left out", "one of the two"},
-	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not said", "out: true"},
+	{func(c *Content, _ *Environment) { c.Servers[0].Excluded = false }, "regions[0].weight", "not set, and", "out: true"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = 101 }, "zones[0].weight", "outside", "100"},
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = -1 }, "zones[0].weight", "outside", "100"},
-	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "no zone", `"mba"`},
+	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "not a zone", `"mba"`},
 	{func(c *Content, _ *Environment) {
 		c.Servers = append(c.Servers, Place{ID: "r2", Excluded: true}, Place{ID: "r3", Excluded: true})
-	}, "regions", "no region for newcomers", "at least one"},
+	}, "regions", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
 		c.Servers = nil
 		c.Zones = []Place{{ID: "mba", Excluded: true}, {ID: "nrb", Excluded: true}}
-	}, "zones", "no region for newcomers", "at least one"},
+	}, "zones", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
 		c.Zones = []Place{{ID: "mba", Excluded: true}}
 		c.Servers = append(c.Servers, Place{ID: "r3", Excluded: true})
-	}, "regions", "no region for newcomers", "by its zone"},
-	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "no list", "discovery"},
+	}, "regions", "exclude every listed region", "by its zone"},
+	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "not received a discovery list", "discovery"},
 	{func(c *Content, _ *Environment) { c.Budgets.RetryRatio = 11 }, "budgets.retries", "outside", "10"},
 	{func(c *Content, _ *Environment) { c.Budgets.MaxPendingAttempts = -1 }, "budgets.setups", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Budgets.WarmUpShare = 1.5 }, "budgets.cold", "outside", "1"},
 	{func(c *Content, _ *Environment) { c.Migration.PerSecond = -3 }, "moves.per_second", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Links[0].Bytes = 0 }, "links[0].bytes", "outside", "1"},
-	{func(c *Content, _ *Environment) { c.Links[0].To = "nrb" }, "links[0].to", "is where it begins", "another zone"},
-	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "no zone", "ksm, mba, nrb"},
+	{
+		func(c *Content, _ *Environment) { c.Links[0].To = "nrb" },
+		"links[0].to",
+		"also the zone that the link starts from",
+		"another zone",
+	},
+	{func(c *Content, _ *Environment) { c.Links[0].From = "xyz" }, "links[0].from", "not a zone", "ksm, mba, nrb"},
 	{
 		func(c *Content, _ *Environment) { c.Links = append(c.Links, c.Links[0]) },
 		"links[1].from",
-		"links[0] already",
+		"already in links[0]",
 		"one entry",
 	},
 	{
 		func(c *Content, _ *Environment) { c.Links[0].Classes[0].MinShare = 0.6 },
 		"links[0].classes",
-		"1.1 together",
+		"sum to 1.1",
 		"lower",
 	},
 	{
@@ -276,7 +309,7 @@
 	{
 		func(c *Content, _ *Environment) { c.Links[0].Classes[0].Name = "x" },
 		"links[0].classes[0].name",
-		"no class",
+		"not a class",
 		"bulk",
 	},
 	{
@@ -287,9 +320,9 @@
 	},
 }
 
-// What doesn't fit is named by its field, with what would make it fit; the first of several.
-func TestIncompatible(t *testing.T) {
-	whole := Content{
+// TestCheckErrors checks that Check names the first incompatible field, the problem and the remedy.
+func TestCheckErrors(t *testing.T) {
+	compatible := Content{
 		Form:    Form,
 		Classes: []Class{{Name: "gold"}, {Name: "bulk"}},
 		Tenants: []Tenant{{Name: "t1"}},
@@ -299,36 +332,36 @@
 		},
 		Links: []Link{{"nrb", "mba", 20000, []LinkClass{{"gold", 1, 0.5, 1}, {"bulk", 2, 0.5, 0}}}},
 	}
-	if err := Check(&whole, today); err != nil {
+	if err := Check(&compatible, testEnvironment); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range incompatibilities {
-		c, err := Decode(Encode(&whole))
+		c, err := Decode(Encode(&compatible))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := today
-		x.spoil(c, &d)
+		d := testEnvironment
+		x.alter(c, &d)
 		var e *Incompatible
-		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.why) ||
-			!strings.Contains(hint.Of(err), x.do) ||
+		if err := Check(c, d); !errors.As(err, &e) || e.Field != x.field || !strings.Contains(err.Error(), x.problem) ||
+			!strings.Contains(hint.Of(err), x.remedy) ||
 			strings.Contains(hint.Line(err), "%!") {
-			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.why, x.do)
+			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.problem, x.remedy)
 		}
 	}
-	many := Content{Form: Form}
+	oversized := Content{Form: Form}
 	for i := range 5000 {
-		many.Servers = append(
-			many.Servers,
+		oversized.Servers = append(
+			oversized.Servers,
 			Place{ID: strings.Repeat("r", 20) + string(rune('a'+i%26)) + strings.Repeat("x", i/26), Excluded: true},
 		)
 	}
-	if err := Validate(&many); err == nil {
-		t.Error("a revision of any length is sound")
+	if err := Validate(&oversized); err == nil {
+		t.Error("a revision longer than MaxTextBytes is accepted")
 	}
 }
 
-// A balancer of today is read off its settings and its list.
+// TestNewEnvironment checks the environment that results from settings and a discovery list.
 func TestNewEnvironment(t *testing.T) {
 	d := NewEnvironment(
 		policy.Config{
@@ -359,7 +392,7 @@
 	}
 }
 
-// overlayBase has settings over which revisions are laid.
+// overlayBase returns the settings to which the tests apply revisions.
 func overlayBase() policy.Config {
 	return policy.Config{
 		Zone:                "nrb",
@@ -377,31 +410,33 @@
 	}
 }
 
-// An empty revision is the settings; what one says is laid over them, and what they hold stays unharmed.
+// TestOverlay checks that an empty revision changes nothing, that Overlay is idempotent and independent of the order of
+// entries, and that it does not modify its input.
 func TestOverlay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, c := overlayBase(), drawn(t)
+		b, c := overlayBase(), generateContent(t)
 		if diff := cmp.Diff(overlayBase(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
-			t.Fatalf("an empty one changed %s", diff)
+			t.Fatalf("an empty revision changed the settings: %s", diff)
 		}
-		once := Overlay(b, c)
+		overlaid := Overlay(b, c)
 		if !cmp.Equal(b, overlayBase()) {
-			t.Fatal("the settings were written to")
+			t.Fatal("the input settings were modified")
 		}
-		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(once, other) || !cmp.Equal(once, Overlay(once, c)) {
-			t.Fatal("the order of entries, or how often it is laid over, makes a difference")
+		if other := Overlay(overlayBase(), shuffled(c, 3)); !cmp.Equal(overlaid, other) ||
+			!cmp.Equal(overlaid, Overlay(overlaid, c)) {
+			t.Fatal("the order of entries or a second Overlay changes the result")
 		}
-		if again := Overlay(once, &Content{Form: Form}); !cmp.Equal(once, again) {
-			t.Fatal("an empty one changed what another said")
+		if again := Overlay(overlaid, &Content{Form: Form}); !cmp.Equal(overlaid, again) {
+			t.Fatal("an empty revision changed the settings of another one")
 		}
-		if len(once.Classes) != 2 || len(once.Tenants) != 2 || once.Classes[0].MaxAttempts > 2 {
-			t.Fatalf("%+v", once)
+		if len(overlaid.Classes) != 2 || len(overlaid.Tenants) != 2 || overlaid.Classes[0].MaxAttempts > 2 {
+			t.Fatalf("%+v", overlaid)
 		}
 	})
 }
 
-// Each field of a revision is laid over the settings' field.
-func TestOverlayOfEachField(t *testing.T) {
+// TestOverlayEachField checks that each field of a revision replaces the field of the settings.
+func TestOverlayEachField(t *testing.T) {
 	got := Overlay(
 		overlayBase(),
 		&Content{
@@ -430,6 +465,7 @@
 	}
 }
 
+// FuzzDecode checks that every text that Decode accepts is JSON and keeps its hash when encoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"oatloft_revision":1,"note":"a","zones":[{"id":"a","out":true}]}`))
 	f.Add([]byte(`{"a":[[{}],{"b":1}]}`))
@@ -439,11 +475,11 @@
 			return
 		}
 		if !json.Valid(text) {
-			t.Fatal("read what is no JSON")
+			t.Fatal("decoded a text that is not valid JSON")
 		}
 		again, err := Decode(Encode(c))
 		if err != nil || Hash(again) != Hash(c) {
-			t.Fatalf("%v: %s became %s", err, text, Encode(c))
+			t.Fatalf("%v: %s was encoded again as %s", err, text, Encode(c))
 		}
 	})
 }
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Diff says how b differs from a, one line for each field, in the order of the names; none where their hashes are
-// equal.
+// Diff lists the differences of b from a, one line per field, sorted by field name. It returns none if their hashes
+// are equal.
 func Diff(a, b *Content) []string {
 	before, after := describe(a), describe(b)
 	names := maps.Clone(before)
 	maps.Copy(names, after)
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		old, had := before[name]
-		now, has := after[name]
+		valueBefore, inBefore := before[name]
+		valueAfter, inAfter := after[name]
 		switch {
-		case old == now && had == has:
-		case !had:
-			lines = append(lines, fmt.Sprintf("%s: %s, not said before", name, now))
-		case !has:
-			lines = append(lines, fmt.Sprintf("%s: not said any more, %s before", name, old))
+		case valueBefore == valueAfter && inBefore == inAfter:
+		case !inBefore:
+			lines = append(lines, fmt.Sprintf("%s: %s, not set before", name, valueAfter))
+		case !inAfter:
+			lines = append(lines, fmt.Sprintf("%s: no longer set, %s before", name, valueBefore))
 		default:
-			lines = append(lines, fmt.Sprintf("%s: %s -> %s", name, old, now))
+			lines = append(lines, fmt.Sprintf("%s: %s -> %s", name, valueBefore, valueAfter))
 		}
 	}
 	return lines
 }
 
-// description is every field that a revision says, by a name that does not depend on the order of lists. What is
-// left at zero is not said, but an entry that says nothing is still an entry.
+// description maps every field that a revision sets to its value, under a name that does not depend on the order of
+// lists. Zero fields are omitted, but an entry that sets nothing is still listed.
 type description map[string]string
 
 func describe(c *Content) description {
@@ -73,8 +73,8 @@
 	}
 }
 
-// entry describes an entry that says nothing but its name.
-func (d description) entry(field string, empty bool) {
+// emptyEntry describes an entry that sets nothing but its name.
+func (d description) emptyEntry(field string, empty bool) {
 	if empty {
 		d[field] = "named"
 	}
@@ -87,7 +87,7 @@
 		d.duration(at+" aim", class.LatencyObjective)
 		d.duration(at+" message_aim", class.MessageLatencyObjective)
 		d.number(at+" attempts", float64(class.MaxAttempts))
-		d.entry(at, class == Class{Name: class.Name})
+		d.emptyEntry(at, class == Class{Name: class.Name})
 	}
 }
 
@@ -95,10 +95,10 @@
 	for _, place := range places {
 		at := list + place.ID
 		if place.Excluded {
-			d[at] = "left out"
+			d[at] = "excluded"
 		}
 		d.number(at+" weight", place.Weight)
-		d.entry(at, place == Place{ID: place.ID})
+		d.emptyEntry(at, place == Place{ID: place.ID})
 	}
 }
 
@@ -111,7 +111,7 @@
 			d.number(at+" priority", float64(class.Priority))
 			d.number(at+" least", class.MinShare)
 			d.number(at+" weight", class.Weight)
-			d.entry(at, class == LinkClass{Name: class.Name})
+			d.emptyEntry(at, class == LinkClass{Name: class.Name})
 		}
 	}
 }
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Verb is what an order asks for.
+// Verb is the operation that an order requests.
 type Verb string
 
-// The verbs, with what follows them in a line; "-" stands for what is not said.
+// The verbs, with the arguments that follow them in a line; "-" stands for an argument that is not set.
 const (
 	VerbPropose  Verb = "propose"  // KEY FROM WATCH DEADLINE BY TEXT
 	VerbRollback Verb = "rollback" // KEY FROM WATCH DEADLINE BY NUMBER
-	VerbGet      Verb = "get"      // NUMBER; - for what is in force
-	VerbList     Verb = "list"     // AFTER; - for the first that is kept
+	VerbGet      Verb = "get"      // NUMBER; - for the revision in force
+	VerbList     Verb = "list"     // AFTER; - for the first revision in the history
 	VerbStatus   Verb = "status"   //
 	VerbOutcome  Verb = "outcome"  // KEY
-	VerbReplace  Verb = "replace"  // OLD NEW: a voter by another member
-	VerbForget   Verb = "forget"   // NAME: a balancer that is known to be off
+	VerbReplace  Verb = "replace"  // OLD NEW: replaces a voter by another member
+	VerbForget   Verb = "forget"   // NAME: a balancer that is known to be switched off
 )
 
-// verbForm is what follows a verb.
-type verbForm struct {
-	verb  Verb
-	form  string
-	words int
+// verbSyntax gives the arguments of a verb.
+type verbSyntax struct {
+	verb          Verb
+	arguments     string
+	argumentCount int
 }
 
-var verbs = []verbForm{
+var verbs = []verbSyntax{
 	{VerbPropose, "KEY FROM WATCH DEADLINE BY TEXT", 6},
 	{VerbRollback, "KEY FROM WATCH DEADLINE BY NUMBER", 6},
 	{VerbGet, "NUMBER", 1},
@@ -42,31 +42,31 @@
 	{VerbForget, "NAME", 1},
 }
 
-// Latest is the number by which an order means the revision in force.
+// Latest is the revision number that stands for the revision in force in an order.
 const Latest = ^uint64(0)
 
-// Order is one operator's call: the line after "revision" at the management address.
+// Order is one call by an operator: the line after "revision" at the management address.
 type Order struct {
 	Verb     Verb
-	Key      string        // of a proposal: the same call twice makes one revision
-	Base     uint64        // in force as the operator has seen it; Latest where he doesn't mind
-	GuardFor time.Duration // 0 for none
-	Deadline time.Duration // 0 for the settings'
+	Key      string        // idempotency key of a proposal: repeating the call makes no second revision
+	Base     uint64        // the revision that the operator expects to be in force; Latest for any
+	GuardFor time.Duration // 0 for no guard
+	Deadline time.Duration // 0 for the settings' default
 	By       string
-	Text     []byte // of VerbPropose
-	Number   uint64 // of VerbRollback and VerbGet; of VerbList: the one before the next, Latest for the first
-	Name     string // of VerbForget; of VerbReplace the old one
-	NewName  string // of VerbReplace: the new one
+	Text     []byte // for VerbPropose
+	Number   uint64 // for VerbRollback and VerbGet; for VerbList the last one already seen, Latest for none
+	Name     string // for VerbForget; for VerbReplace the old voter
+	NewName  string // for VerbReplace the new voter
 }
 
-// MalformedOrder is the error that an operator's line is no order.
+// MalformedOrder reports that an operator's line is not a valid order.
 type MalformedOrder struct {
-	Verb  Verb // "" if that is what is wrong
+	Verb  Verb // "" if the verb itself is invalid
 	Field string
 	Cause string
 }
 
-// Error says which word is wrong.
+// Error names the invalid argument.
 func (e *MalformedOrder) Error() string {
 	at := "revision"
 	if e.Verb != "" {
@@ -78,206 +78,206 @@
 	return at + ": " + e.Cause
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do about it.
 func (e *MalformedOrder) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
 			return "use oatctl revision " + string(
 				e.Verb,
-			) + ", which writes revision " + strings.TrimSpace(
-				string(v.verb)+" "+v.form,
+			) + ", which sends revision " + strings.TrimSpace(
+				string(v.verb)+" "+v.arguments,
 			)
 		}
 	}
-	return "use oatctl revision, which writes one of propose, rollback, get, list, status, outcome, replace, forget"
+	return "use oatctl revision, which sends one of propose, rollback, get, list, status, outcome, replace, forget"
 }
 
-// Limits of orders' words.
+// Limits of the arguments of orders.
 const (
-	maxNameBytes     = 64 // of a key, too
+	maxNameBytes     = 64 // bytes of a name or key
 	maxGuardDuration = time.Hour
 )
 
-// unsaid stands for a word that an order does not say.
-const unsaid = "-"
+// unspecified stands for an argument that an order does not set.
+const unspecified = "-"
 
-// String returns the line after "revision".
+// String returns the order as the line after "revision".
 func (o Order) String() string {
-	words := []string{string(o.Verb)}
+	fields := []string{string(o.Verb)}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		what := string(o.Text)
+		lastArgument := string(o.Text)
 		if o.Verb == VerbRollback {
-			what = formatNumber(o.Number)
+			lastArgument = formatNumber(o.Number)
 		}
-		words = append(words, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
-			cmp.Or(o.By, unsaid), what)
+		fields = append(fields, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
+			cmp.Or(o.By, unspecified), lastArgument)
 	case VerbGet, VerbList:
-		words = append(words, formatNumber(o.Number))
+		fields = append(fields, formatNumber(o.Number))
 	case VerbOutcome:
-		words = append(words, o.Key)
+		fields = append(fields, o.Key)
 	case VerbReplace:
-		words = append(words, o.Name, o.NewName)
+		fields = append(fields, o.Name, o.NewName)
 	case VerbForget:
-		words = append(words, o.Name)
+		fields = append(fields, o.Name)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
 
 func formatNumber(n uint64) string {
 	if n == Latest {
-		return unsaid
+		return unspecified
 	}
 	return formatUint(n)
 }
 
 func formatDuration(d time.Duration) string {
 	if d == 0 {
-		return unsaid
+		return unspecified
 	}
 	return d.String()
 }
 
-// ParseOrder reads the line after "revision". The error is a *MalformedOrder. The text of a proposal is left to
-// Decode.
+// ParseOrder parses the line after "revision". The error is a *MalformedOrder. The text of a proposal is not checked
+// here; see Decode.
 func ParseOrder(line string) (Order, error) {
 	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
-	i := slices.IndexFunc(verbs, func(v verbForm) bool { return v.verb == o.Verb })
+	i := slices.IndexFunc(verbs, func(v verbSyntax) bool { return v.verb == o.Verb })
 	if i < 0 {
 		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", verb)}
 	}
-	words := splitWords(rest, verbs[i].words)
-	textHasSpaces := len(words) > 0 && strings.Contains(words[len(words)-1], " ")
-	if len(words) != verbs[i].words || o.Verb != VerbPropose && textHasSpaces {
-		return o, &MalformedOrder{o.Verb, "", "not the words that it takes"}
+	arguments := splitArguments(rest, verbs[i].argumentCount)
+	textHasSpaces := len(arguments) > 0 && strings.Contains(arguments[len(arguments)-1], " ")
+	if len(arguments) != verbs[i].argumentCount || o.Verb != VerbPropose && textHasSpaces {
+		return o, &MalformedOrder{o.Verb, "", "wrong number of arguments"}
 	}
-	r := orderReader{order: &o}
-	r.read(words)
-	if r.err != nil {
-		return o, r.err
+	parser := orderParser{order: &o}
+	parser.parse(arguments)
+	if parser.err != nil {
+		return o, parser.err
 	}
 	return o, nil
 }
 
-// splitWords cuts text into so many words at most; the last one is the rest.
-func splitWords(text string, most int) (words []string) {
+// splitArguments splits text at spaces into at most limit arguments. The last one holds the rest of the text.
+func splitArguments(text string, limit int) (arguments []string) {
 	rest := strings.TrimLeft(text, " ")
-	for rest != "" && len(words) < most-1 {
-		var word string
-		word, rest, _ = strings.Cut(rest, " ")
-		words = append(words, word)
+	for rest != "" && len(arguments) < limit-1 {
+		var argument string
+		argument, rest, _ = strings.Cut(rest, " ")
+		arguments = append(arguments, argument)
 		rest = strings.TrimLeft(rest, " ")
 	}
 	if rest = strings.TrimRight(rest, " "); rest != "" {
-		words = append(words, rest)
+		arguments = append(arguments, rest)
 	}
-	return words
+	return arguments
 }
 
-// orderReader reads an order's words, and keeps the first fault.
-type orderReader struct {
+// orderParser parses the arguments of an order and keeps the first error.
+type orderParser struct {
 	order *Order
 	err   *MalformedOrder
 }
 
-func (r *orderReader) read(words []string) {
-	o := r.order
+func (p *orderParser) parse(arguments []string) {
+	o := p.order
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
-		r.readProposal(words)
+		p.parseProposal(arguments)
 	case VerbGet:
-		r.number("NUMBER", words[0], &o.Number)
+		p.number("NUMBER", arguments[0], &o.Number)
 	case VerbList:
-		r.number("AFTER", words[0], &o.Number)
+		p.number("AFTER", arguments[0], &o.Number)
 	case VerbOutcome:
-		r.name("KEY", words[0], &o.Key)
+		p.name("KEY", arguments[0], &o.Key)
 	case VerbReplace:
-		r.name("OLD", words[0], &o.Name)
-		r.name("NEW", words[1], &o.NewName)
+		p.name("OLD", arguments[0], &o.Name)
+		p.name("NEW", arguments[1], &o.NewName)
 	case VerbForget:
-		r.name("NAME", words[0], &o.Name)
+		p.name("NAME", arguments[0], &o.Name)
 	}
 }
 
-func (r *orderReader) readProposal(words []string) {
-	o := r.order
-	r.name("KEY", words[0], &o.Key)
-	r.number("FROM", words[1], &o.Base)
-	r.duration("WATCH", words[2], maxGuardDuration, &o.GuardFor)
-	r.duration("DEADLINE", words[3], maxGuardDuration, &o.Deadline)
-	if words[4] != unsaid {
-		r.name("BY", words[4], &o.By)
+func (p *orderParser) parseProposal(arguments []string) {
+	o := p.order
+	p.name("KEY", arguments[0], &o.Key)
+	p.number("FROM", arguments[1], &o.Base)
+	p.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardFor)
+	p.duration("DEADLINE", arguments[3], maxGuardDuration, &o.Deadline)
+	if arguments[4] != unspecified {
+		p.name("BY", arguments[4], &o.By)
 	}
 	if o.Verb == VerbPropose {
-		o.Text = []byte(words[5])
+		o.Text = []byte(arguments[5])
 		return
 	}
-	r.number("NUMBER", words[5], &o.Number)
+	p.number("NUMBER", arguments[5], &o.Number)
 	if o.Number == Latest {
-		r.fault("NUMBER", words[5], "is no number of a revision")
+		p.fail("NUMBER", arguments[5], "is not a revision number")
 	}
 }
 
-func (r *orderReader) fault(field, word, cause string) {
-	if r.err == nil {
-		r.err = &MalformedOrder{r.order.Verb, field, fmt.Sprintf("%.64q %s", word, cause)}
+func (p *orderParser) fail(field, argument, cause string) {
+	if p.err == nil {
+		p.err = &MalformedOrder{p.order.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
 	}
 }
 
-func (r *orderReader) name(field, word string, to *string) {
-	*to = word
-	if !isName(word, maxNameBytes) || word == unsaid {
-		r.fault(field, word, fmt.Sprintf("is no word of at most %d bytes", maxNameBytes))
+func (p *orderParser) name(field, argument string, target *string) {
+	*target = argument
+	if !isName(argument, maxNameBytes) || argument == unspecified {
+		p.fail(field, argument, fmt.Sprintf("is not a name of at most %d bytes without spaces", maxNameBytes))
 	}
 }
 
-func (r *orderReader) number(field, word string, to *uint64) {
-	if word == unsaid {
-		*to = Latest
+func (p *orderParser) number(field, argument string, target *uint64) {
+	if argument == unspecified {
+		*target = Latest
 		return
 	}
-	n, err := strconv.ParseUint(word, 10, 63)
+	n, err := strconv.ParseUint(argument, 10, 63)
 	if err != nil {
-		r.fault(field, word, "is no number of a revision")
+		p.fail(field, argument, "is not a revision number")
 	}
-	*to = n
+	*target = n
 }
 
-func (r *orderReader) duration(field, word string, most time.Duration, to *time.Duration) {
-	if word == unsaid {
+func (p *orderParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
+	if argument == unspecified {
 		return
 	}
-	d, err := time.ParseDuration(word)
-	if err != nil || d <= 0 || d > most {
-		r.fault(field, word, fmt.Sprintf("is no time of up to %v", most))
+	d, err := time.ParseDuration(argument)
+	if err != nil || d <= 0 || d > limit {
+		p.fail(field, argument, fmt.Sprintf("is not a duration of up to %v", limit))
 	}
-	*to = d
+	*target = d
 }
 
-// PendingText is how a proposal's answer begins while it is under way: "pending KEY", with what it waits for behind.
-func PendingText(key string, waits string) string {
-	return strings.TrimSpace("pending " + key + " " + waits)
+// PendingText returns the answer for a pending proposal: "pending KEY", followed by what it waits for.
+func PendingText(key string, waitingFor string) string {
+	return strings.TrimSpace("pending " + key + " " + waitingFor)
 }
 
-// SettledText is how it begins once the proposal is in force: "settled NUMBER HASH KEY".
+// SettledText returns the answer for a proposal that has come into force: "settled NUMBER HASH KEY".
 func SettledText(number uint64, hash, key string) string {
 	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
 }
 
-// RetryLaterPrefix begins the answer to an order that could not be taken now, and may be repeated as it is: nothing
-// is known to have come of it.
+// RetryLaterPrefix begins the answer to an order that could not be carried out now and may be repeated unchanged. The
+// order is not known to have had any effect.
 const RetryLaterPrefix = "later: "
 
-// ReadAnswer reads the answer to a proposal or outcome: the number as which it is in force, or that it is pending.
-// An answer that is neither says that the proposal was given up, or rejected.
+// ReadAnswer parses the answer to a proposal or outcome. It returns the number of the revision if the proposal has come
+// into force, or pending. Any other answer means that the proposal was aborted or rejected.
 func ReadAnswer(text string) (number uint64, settled, pending bool) {
-	f := strings.Fields(text)
+	fields := strings.Fields(text)
 	switch {
-	case len(f) > 1 && f[0] == "settled":
-		n, err := strconv.ParseUint(f[1], 10, 63)
+	case len(fields) > 1 && fields[0] == "settled":
+		n, err := strconv.ParseUint(fields[1], 10, 63)
 		return n, err == nil, false
-	case len(f) > 1 && f[0] == "pending":
+	case len(fields) > 1 && fields[0] == "pending":
 		return 0, false, true
 	}
 	return 0, false, false
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -12,8 +12,8 @@
 	"oatloft/internal/hint"
 )
 
-// A call that was written is read back the same.
-func TestOrders(t *testing.T) {
+// TestOrderRoundTrip checks that ParseOrder parses what Order.String returns.
+func TestOrderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := func(what string) string { return rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,20}`).Draw(t, what) }
 		o := Order{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, Base: Latest, Number: Latest}
@@ -39,33 +39,34 @@
 		case VerbForget:
 			o.Name = name("name")
 		}
-		if back, err := ParseOrder(o.String()); err != nil || !cmp.Equal(back, o) {
-			t.Fatalf("%q: %v\n%+v\n%+v", o, err, o, back)
+		if parsed, err := ParseOrder(o.String()); err != nil || !cmp.Equal(parsed, o) {
+			t.Fatalf("%q: %v\n%+v\n%+v", o, err, o, parsed)
 		}
 	})
 }
 
-func TestMalformedOrders(t *testing.T) {
+// TestParseOrderErrors checks that a malformed order names the invalid argument, and that answers are parsed.
+func TestParseOrderErrors(t *testing.T) {
 	for line, want := range map[string]string{
 		"":                                   `"" is no call`,
-		"rollback":                           "not the words",
+		"rollback":                           "wrong number of arguments",
 		"undo 5":                             `"undo" is no call`,
-		"status now":                         "not the words",
-		"get":                                "not the words",
-		"get 1 2":                            "not the words",
+		"status now":                         "wrong number of arguments",
+		"get":                                "wrong number of arguments",
+		"get 1 2":                            "wrong number of arguments",
 		"get x":                              "NUMBER",
 		"get -3":                             "NUMBER",
 		"rollback k - - - me -":              "NUMBER",
-		"propose k 1 - - me":                 "not the words",
+		"propose k 1 - - me":                 "wrong number of arguments",
 		"propose - 1 - - me {}":              "KEY",
 		"propose k x - - me {}":              "FROM",
 		"propose k 1 30 - me {}":             "WATCH",
 		"propose k 1 - 2h me {}":             "DEADLINE",
 		"rollback k 1 -1s - me 3":            "WATCH",
-		"rollback k 1 - - me 3 4":            "not the words",
+		"rollback k 1 - - me 3 4":            "wrong number of arguments",
 		"outcome " + strings.Repeat("k", 65): "KEY",
 		"forget -":                           "NAME",
-		"replace a":                          "not the words",
+		"replace a":                          "wrong number of arguments",
 		"rollback k 1 - - " + strings.Repeat("b", 65) + " 3": "BY",
 	} {
 		_, err := ParseOrder(line)
@@ -78,9 +79,9 @@
 		t.Error(n, settled)
 	}
 	if _, settled, pending := ReadAnswer(PendingText("k", "b2, b3")); settled || !pending {
-		t.Error("what is pending isn't read as such")
+		t.Error("the answer of a pending proposal is not parsed as pending")
 	}
 	if _, settled, pending := ReadAnswer("k ended nowhere: b2"); settled || pending {
-		t.Error("what ended nowhere is read as something else")
+		t.Error("the answer of an aborted proposal is parsed as settled or pending")
 	}
 }
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -2,14 +2,14 @@
 
 import (
 	"bytes"
-	_ "crypto/sha256" // Hash
+	_ "crypto/sha256" // for Hash
 	"errors"
 	"fmt"
 	"testing"
 	"time"
 )
 
-// commitRevision brings a text in force the whole way.
+// commitRevision proposes, stops and commits a revision.
 func commitRevision(t *testing.T, s *State, c Command) {
 	t.Helper()
 	c.Base = s.InForce().Number
@@ -24,8 +24,9 @@
 	}
 }
 
-// Ten thousand revisions: what is kept stays as it was through snapshots, what isn't is said to be forgotten.
-func TestHistoryOfTenThousand(t *testing.T) {
+// TestHistoryRetention commits 10,000 revisions. The retained ones must survive snapshots unchanged, and older ones
+// must be reported as Forgotten.
+func TestHistoryRetention(t *testing.T) {
 	s := NewState()
 	hash := func(n int) string {
 		return Hash(&Content{Form: Form, Note: fmt.Sprint(n)})
@@ -46,8 +47,9 @@
 		)
 		if i%1700 == 0 {
 			n := &State{}
-			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) || n.bytes != s.bytes {
-				t.Fatal("restored to another state", err)
+			if err := n.Restore(s.Snapshot()); err != nil || !bytes.Equal(n.Snapshot(), s.Snapshot()) ||
+				n.historyBytes != s.historyBytes {
+				t.Fatal("the restored state differs", err)
 			}
 			s = n
 		}
@@ -61,22 +63,23 @@
 			t.Fatal(err)
 		}
 		if c, err := Decode(r.Text); err != nil || r.Hash != hash(n) || Hash(c) != r.Hash || r.Key != fmt.Sprint("k", n) {
-			t.Fatalf("%d is not what was settled: %+v", n, r)
+			t.Fatalf("revision %d differs from the committed one: %+v", n, r)
 		}
 	}
 	if _, err := s.Revision(9000); !errors.As(err, new(*Forgotten)) {
 		t.Fatal(err)
 	}
 	commitRevision(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500, KeepRevisions: 1000, KeepBytes: 20_000})
-	if s.InForce().Hash != hash(9500) || s.bytes > 20_000 {
-		t.Fatal(s.InForce().Hash, s.bytes)
+	if s.InForce().Hash != hash(9500) || s.historyBytes > 20_000 {
+		t.Fatal(s.InForce().Hash, s.historyBytes)
 	}
 	if o := s.Outcome("k9700"); o == nil || o.Number != 9700 {
-		t.Fatal("the outcome of a revision that was forgotten is to be known for a while", o)
+		t.Fatal("the outcome of a revision outlives it in the history", o)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+// TestApplyErrors checks the errors of proposals, joins and OpForget.
+func TestApplyErrors(t *testing.T) {
 	s := NewState()
 	commitRevision(
 		t,
@@ -101,7 +104,7 @@
 	if err := propose(KindRollback, 0, 0); !errors.As(err, new(*BaseChanged)) {
 		t.Error(err)
 	}
-	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*Missing)) {
+	if err := propose(KindRollback, 1, 7); !errors.As(err, new(*NotFound)) {
 		t.Error(err)
 	}
 	if err := propose(KindRollback, 1, 0); err != nil {
@@ -114,10 +117,10 @@
 		return s.Apply(Command{Op: OpJoin, Holder: Holder{"a", gen}, Ended: ended}).Err
 	}
 	if join(1, true) != nil || join(2, false) != nil || len(s.Holders) != 2 {
-		t.Error("two processes of an upgrade are two holders", s.Holders)
+		t.Error("two processes during an upgrade must be two holders", s.Holders)
 	}
 	if join(3, true) != nil || len(s.Holders) != 1 {
-		t.Error("earlier processes have ended", s.Holders)
+		t.Error("earlier processes must be removed", s.Holders)
 	}
 	if err := join(2, true); !errors.As(err, new(*Superseded)) {
 		t.Error(err)
@@ -130,7 +133,8 @@
 	}
 }
 
-// The guard keeps what is as good as before, goes back from what is worse, and gives up after some tries.
+// TestGuard checks that the guard rolls back a revision whose rates are worse and keeps one whose rates are not, also
+// after a change of leader.
 func TestGuard(t *testing.T) {
 	before := Totals{Requests: 1000, Rejected: 20, Late: 50}
 	for _, x := range []struct {
@@ -144,16 +148,16 @@
 		{Totals{Requests: 100, Late: 10}, true},
 		{Totals{Requests: 1000, Failed: 21}, true},
 	} {
-		if why := Worse(before, x.now); (why != "") != x.worse {
-			t.Errorf("%+v: %q", x.now, why)
+		if reason := RateAboveLimit(before, x.now); (reason != "") != x.worse {
+			t.Errorf("%+v: %q", x.now, reason)
 		}
 	}
-	if why := Worse(Totals{Requests: 10}, Totals{Requests: 100, Rejected: 20}); why != "" {
-		t.Error("hardly anything is known of before:", why)
+	if reason := RateAboveLimit(Totals{Requests: 10}, Totals{Requests: 100, Rejected: 20}); reason != "" {
+		t.Error("rejection rate below the limit that applies without a baseline:", reason)
 	}
 
 	s := NewState()
-	l := NewLeader("a", small)
+	l := NewLeader("a", testConfig)
 	l.BeginTerm(0, s.Apply(Command{Op: OpBeginTerm}).Number)
 	s.Apply(Command{Op: OpJoin, Holder: Holder{"a", 1}})
 	commitRevision(
@@ -164,42 +168,42 @@
 			Key:      "k",
 			Text:     Encode(&Content{Form: Form}),
 			GuardFor: int64(time.Minute),
-			Before:   before,
+			Baseline: before,
 		},
 	)
-	tell := func(now time.Duration, f Totals) []Command {
+	renew := func(now time.Duration, f Totals) []Command {
 		l.Renew(now, s, RenewRequest{Holder: Holder{"a", 1}, Totals: f})
 		return l.NextCommands(now, s)
 	}
-	tell(0, Totals{})
-	if c := tell(time.Second, Totals{Requests: 100}); len(c) != 0 {
+	renew(0, Totals{})
+	if c := renew(time.Second, Totals{Requests: 100}); len(c) != 0 {
 		t.Fatal(c)
 	}
-	if c := tell(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard ||
+	if c := renew(2*time.Second, Totals{Requests: 200, Failed: 50}); len(c) != 1 || c[0].Kind != KindGuard ||
 		c[0].Source != 0 ||
 		c[0].Key != "guard-1" {
 		t.Fatal(c)
 	}
-	n := NewLeader("b", small) // its successor begins the watch anew
-	n.BeginTerm(3*time.Second, s.Apply(Command{Op: OpBeginTerm}).Number)
-	l = n
-	tell(3*time.Second, Totals{Requests: 200, Failed: 50})
-	if c := tell(62*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 0 {
+	successor := NewLeader("b", testConfig) // a new leader restarts the guard period
+	successor.BeginTerm(3*time.Second, s.Apply(Command{Op: OpBeginTerm}).Number)
+	l = successor
+	renew(3*time.Second, Totals{Requests: 200, Failed: 50})
+	if c := renew(62*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 0 {
 		t.Fatal(c)
 	}
-	if c := tell(64*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 1 || c[0].Op != OpKeep {
+	if c := renew(64*time.Second, Totals{Requests: 300, Failed: 50}); len(c) != 1 || c[0].Op != OpEndGuard {
 		t.Fatal(c)
 	}
 }
 
-// A join that is settled after others have told that its process has ended puts nobody into the roster, after a
-// snapshot too.
-func TestJoinSettledAfterTheEnd(t *testing.T) {
+// TestJoinCommittedAfterProcessEnded checks that a join which is committed after its process has been reported as ended
+// does not add a holder, also after a snapshot.
+func TestJoinCommittedAfterProcessEnded(t *testing.T) {
 	s := NewState()
 	h, later := Holder{"a", 5}, Holder{"a", 7}
 	s.Apply(Command{Op: OpJoin, Holder: later})
 	if s.HasEnded(h) {
-		t.Error("an end is known that nobody has told")
+		t.Error("the process is reported as ended before its leave")
 	}
 	for range 2 {
 		s.Apply(Command{Op: OpLeave, Holder: h, Ended: true})
@@ -213,12 +217,12 @@
 		t.Error(r.Err, s.Holders, s.EndedProcesses)
 	}
 	if s.HasEnded(later) || !s.HasHolder(later) {
-		t.Error("the one that is there was taken away")
+		t.Error("the later process was removed")
 	}
 	for i := range uint64(2 * maxEnded) {
 		s.Apply(Command{Op: OpLeave, Holder: Holder{"b", i}, Ended: true})
 	}
 	if len(s.EndedProcesses) != maxEnded {
-		t.Errorf("%d ends are kept", len(s.EndedProcesses))
+		t.Errorf("%d ended processes are kept", len(s.EndedProcesses))
 	}
 }
