--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxRejections is how many connections are refused in one turn of the goroutine that accepts.
+	// maxRejections is the number of connections that the accepting goroutine rejects before it pauses.
 	maxRejections = 8
-	// rejectionPause is the pause between two turns, in which the runtime polls the network.
+	// rejectionPause is the length of that pause, during which the runtime polls the network.
 	rejectionPause = 50 * time.Microsecond
 )
 
-// accept returns the next connection that is let in. The others get their answer here, at the price of some system
-// calls. Between two of them other goroutines get their turn: with one core a flood would have it for 10 ms at a
-// time. That is not enough, since as long as any goroutine can run, the runtime polls the network (the ends of
-// dials, for one) every 10 ms only. So this goroutine pauses after some refusals, and a flood is accepted in turns.
+// accept returns the next admitted connection. Rejected connections are answered here, which costs a few system calls
+// each. After each rejection the goroutine yields: on a single core a flood of connections would otherwise occupy the
+// core for 10 ms at a time. Yielding alone is not enough: while any goroutine is runnable, the runtime polls the
+// network (for completed dials, for example) only every 10 ms. The goroutine therefore also pauses after
+// maxRejections rejections.
 func (a *admissionController) accept(listener syscall.RawConn) (net.Conn, error) {
 	for {
 		if a.rejectedInTurn >= maxRejections {
@@ -51,10 +52,10 @@
 	}
 }
 
-// admit asks whether a connection is let in, and returns it then.
+// admit returns the connection of an accepted descriptor if admission allows it, or nil and the verdict.
 func (a *admissionController) admit(fd int, from netip.Addr) (net.Conn, admission.Verdict) {
 	a.mu.Lock()
-	if a.lastTicket != 0 { // nbio could not open the connection before
+	if a.lastTicket != 0 { // nbio failed to open the previous connection
 		a.gate.Closed(a.now(), a.lastTicket)
 	}
 	var verdict admission.Verdict
@@ -74,14 +75,16 @@
 	return nil, a.curtRefusal()
 }
 
-// curtRefusal is the verdict for a connection that there is no descriptor to wait with. With mu held.
+// curtRefusal returns the verdict for a connection that is closed right after its answer, because no descriptor is left
+// for a lingering close. The caller holds mu.
 func (a *admissionController) curtRefusal() admission.Verdict {
 	verdict := a.gate.Refusal(a.now(), admission.Exhaustion)
 	verdict.Curt = true
 	return verdict
 }
 
-// toPolledConn returns nbio's connection of a descriptor, or nil if there is no other descriptor for it.
+// toPolledConn wraps a descriptor in an nbio connection, or returns nil if the second descriptor that this takes is not
+// available.
 func toPolledConn(fd int) net.Conn {
 	conn, err := newConn(fd)
 	if err != nil {
@@ -95,7 +98,8 @@
 	return polled
 }
 
-// rejectWithSpare answers a connection that the process has no descriptor for: the spare ones make room for it.
+// rejectWithSpare releases the spare descriptors to accept and reject a connection when the process has run out of
+// descriptors.
 func (a *admissionController) rejectWithSpare(listener syscall.RawConn) {
 	a.descriptorsExhausted(true)
 	fd, from, err := acceptRaw(listener, false, a.shared)
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// maxSpares is how many descriptors are kept for when the process has no other left: one to answer, one to hand a
-	// connection over to a tail writer.
+	// maxSpares is the number of descriptors reserved for when the process has run out of them: one to answer a
+	// connection, one to hand a connection over to a tail writer.
 	maxSpares = 2
-	// discoveryDescriptors are those of the watch and of the one that it follows.
+	// discoveryDescriptors is the number of descriptors for discovery: the current watch and its predecessor.
 	discoveryDescriptors = 2
 )
 
-// Admission has the settings of admission, beside those of package admission itself.
+// Admission holds the admission settings, including those of package admission.
 type Admission struct {
 	admission.Config
-	MaxGoodbyes      int    // refused clients that may be waited for
-	SnapshotPath     string // empty for none
+	MaxGoodbyes      int    // maximum number of rejected connections in lingering close
+	SnapshotPath     string // empty to write no snapshots
 	SnapshotInterval time.Duration
 	SnapshotMaxAge   time.Duration
 }
 
-// admissionController is the way to package admission, which decides who is let in. It owns the lock around it, the
-// spare descriptors, and the goodbyes to clients that were refused before nbio saw them. It is used by the
-// goroutine that accepts, by nbio's and by the loop.
+// admissionController connects the balancer to package admission, which decides what is admitted. It owns the lock that
+// guards the gate, the spare descriptors, and the lingering connections of clients that were rejected before nbio
+// opened them. The accepting goroutine, nbio's goroutines and the loop use it concurrently.
 type admissionController struct {
-	shared     bool // other processes hold the listener as well
+	shared     bool // the listener is shared with other processes
 	now        func() time.Duration
 	log        *slog.Logger
 	limitedLog *logs.Limited
 	cfg        Admission
 
-	// for the goroutine that accepts
+	// used by the accepting goroutine only
 	rejectedInTurn int
 	timer          *systemTimer
 
 	mu               sync.Mutex
 	gate             *admission.Gate
 	spareDescriptors []*os.File
-	goodbyes         []net.Conn                            // the oldest first
-	lastTicket       admission.Ticket                      // of a connection that nbio has not opened yet; 0 for none
-	pendingVictims   map[admission.Ticket]admission.Victim // to be closed before the reducer has learned of them
+	goodbyes         []net.Conn                            // oldest first
+	lastTicket       admission.Ticket                      // of a connection not yet opened by nbio; 0 if none
+	pendingVictims   map[admission.Ticket]admission.Victim // to close once the reducer knows them
 }
 
 func newAdmissionController(
@@ -74,7 +74,7 @@
 	return a, nil
 }
 
-// refillSpares opens the spare descriptors that are missing. With mu held, or before others know the controller.
+// refillSpares reopens missing spare descriptors. The caller holds mu, unless the controller is not shared yet.
 func (a *admissionController) refillSpares() {
 	for len(a.spareDescriptors) < maxSpares {
 		f, err := os.Open(os.DevNull)
@@ -85,8 +85,8 @@
 	}
 }
 
-// descriptorsExhausted tells admission that the process has no descriptor left. With lend, the spare ones are given
-// up for what cannot wait.
+// descriptorsExhausted notifies admission that the process has run out of descriptors. With lend, it also closes
+// the spare descriptors, so that an urgent operation can use them.
 func (a *admissionController) descriptorsExhausted(lend bool) {
 	a.mu.Lock()
 	a.gate.Exhausted(a.now())
@@ -97,10 +97,10 @@
 		a.spareDescriptors = a.spareDescriptors[:0]
 	}
 	a.mu.Unlock()
-	a.limitedLog.Say(time.Now(), slog.LevelWarn, "exhaustion", "the process has no descriptor left")
+	a.limitedLog.Say(time.Now(), slog.LevelWarn, "exhaustion", "process has no descriptor left")
 }
 
-// close gives up all descriptors. No connection is accepted any more.
+// close releases all descriptors. No connection may be accepted afterwards.
 func (a *admissionController) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +114,8 @@
 	a.timer.close()
 }
 
-// takeTicket returns the ticket of the connection that accept returned last; nbio opens it on the same goroutine.
+// takeTicket returns the ticket of the connection that accept returned last, and clears it. nbio opens a connection on
+// the goroutine that accepted it.
 func (a *admissionController) takeTicket() admission.Ticket {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,7 +124,7 @@
 	return ticket
 }
 
-// closed reports that a connection's descriptor is free again.
+// closed notifies admission that a connection's descriptor has been released.
 func (a *admissionController) closed(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,36 +132,36 @@
 	delete(a.pendingVictims, ticket)
 }
 
-// answered reports that a client gets nothing more.
+// answered notifies admission that nothing more will be sent to a client.
 func (a *admissionController) answered(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.gate.Answered(a.now(), ticket)
 }
 
-// established reports that a client's flow is on a server.
+// established notifies admission that a client's flow is established on a server.
 func (a *admissionController) established(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.gate.Stood(a.now(), ticket)
 }
 
-// countBytes counts bytes before a client's first line.
+// countBytes counts bytes received before a client's first line is complete.
 func (a *admissionController) countBytes(ticket admission.Ticket, n int) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.gate.Bytes(a.now(), ticket, n)
 }
 
-// request tells whether a client's request may be taken.
+// request returns admission's verdict on a client's request.
 func (a *admissionController) request(ticket admission.Ticket, request platform.Open) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.gate.Request(a.now(), ticket, admission.Who{Key: request.Key, Tenant: request.Tenant})
 }
 
-// tick lets admission's time pass, and tells it what the process uses; memory is 0 where it was not measured.
-// pressed says whether descriptors are scarce.
+// tick advances admission's clock and reports the process's resource usage to it; memory is in bytes, or 0 if it was
+// not measured. It reports whether descriptors are scarce.
 func (a *admissionController) tick(probes int, memory int64) (pressed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -172,14 +173,14 @@
 	before := a.gate.Level()
 	a.gate.Tick(a.now())
 	if level := a.gate.Level(); level != before {
-		a.limitedLog.Say(time.Now(), slog.LevelInfo, "level", "level changed",
+		a.limitedLog.Say(time.Now(), slog.LevelInfo, "level", "admission level changed",
 			slog.String("from", before.String()), slog.String("to", level.String()))
 	}
 	return a.gate.Pressed()
 }
 
-// victims appends the idle clients that are to be closed now. Those that the reducer has not learned of yet are
-// kept for takePendingVictim.
+// victims appends the idle clients that are to be closed now. Those that the reducer does not know yet are stored for
+// takePendingVictim.
 func (a *admissionController) victims(
 	known func(admission.Ticket) bool, victims []admission.Victim,
 ) []admission.Victim {
@@ -195,7 +196,7 @@
 	return victims
 }
 
-// takePendingVictim tells whether a client that the reducer learns of now has been chosen to be closed.
+// takePendingVictim reports whether a client was chosen to be closed before the reducer knew of it.
 func (a *admissionController) takePendingVictim(ticket admission.Ticket) (victim admission.Victim, chosen bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,7 +205,7 @@
 	return victim, chosen
 }
 
-// setLimits sets the limits of descriptors and of memory.
+// setLimits sets the limits on descriptors and memory.
 func (a *admissionController) setLimits(descriptors, memoryMB int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -217,8 +218,8 @@
 	return a.gate.Report()
 }
 
-// reconfigure takes new settings, whole or not at all. What admission has learned stays, and so does the snapshots'
-// path. The error is *ImmutableSetting, or package admission's.
+// reconfigure applies new settings completely or, on error, not at all. Admission's learned state is kept. The snapshot
+// path cannot change. The error is *ImmutableSetting or an error of package admission.
 func (a *admissionController) reconfigure(cfg Admission) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/attempt_harness_test.go
+++ b/internal/proxy/attempt_harness_test.go
@@ -14,17 +14,17 @@
 	"oatloft/internal/core"
 )
 
-// triesLoop is a balancer whose loop the test turns by hand, so that what the sockets tell and what the clock tells
-// can be handled in either order. Its clock runs by itself, and is put forward by the test; the times in its
-// configuration are so long that nothing else ends an attempt.
+// triesLoop is a balancer whose event loop is driven by the test, so that socket events and timers can be handled in
+// either order. Its clock runs normally and can be advanced by the test. The time-outs in its configuration are so long
+// that no attempt ends because of them unless the clock is advanced.
 type triesLoop struct {
 	t         *testing.T
 	s         *Balancer
-	listeners []net.Listener  // two servers'
-	came      chan *triesPeer // attempts, as the servers accept them
+	listeners []net.Listener  // of the two servers
+	came      chan *triesPeer // the servers' accepted attempts
 }
 
-// triesStart starts a balancer with two servers and one class.
+// triesStart starts a balancer with two servers, one class and a discovery listener.
 func triesStart(t *testing.T, semantics string, changes ...string) *triesLoop {
 	t.Helper()
 	h := &triesLoop{t: t, came: make(chan *triesPeer, 99)}
@@ -56,8 +56,8 @@
 	return h
 }
 
-// startWith starts the balancer itself. changes are pairs of texts in the configuration; the first ones are done
-// first.
+// startWith starts the balancer. changes are pairs of old and new text in the configuration; earlier pairs take
+// precedence.
 func (h *triesLoop) startWith(semantics string, changes ...string) {
 	h.t.Helper()
 	body, err := os.ReadFile("testdata/config.json")
@@ -88,18 +88,18 @@
 	})
 }
 
-// until waits, without turning the loop.
+// until waits for a condition without running the loop.
 func (h *triesLoop) until(what string, is func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(triesWait); !is(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("never came: %s; counters %+v, %+v; %d terminals, %d sockets", what, h.s.counters, h.s.core.Counters,
-				len(h.s.clients), h.s.sockets.Load())
+			h.t.Fatalf("timed out waiting for %s; counters %+v, %+v; %d clients, %d sockets",
+				what, h.s.counters, h.s.core.Counters, len(h.s.clients), h.s.sockets.Load())
 		}
 	}
 }
 
-// turning waits, and turns the loop meanwhile, with its timers.
+// turning waits for a condition and meanwhile runs the loop, including its timers.
 func (h *triesLoop) turning(what string, is func() bool) {
 	h.t.Helper()
 	h.until(what, func() bool {
@@ -109,22 +109,23 @@
 	})
 }
 
-// later puts the clock forward, and by a tick more, which timers are rounded up to; nothing is told of it yet.
+// later advances the clock by d and by one tick more, since timers are rounded up to ticks. No timer fires before the
+// next tick call.
 func (h *triesLoop) later(d time.Duration) {
 	h.s.cfg.StartOfClock = h.s.cfg.StartOfClock.Add(-d - core.TickInterval)
 }
 
-// tick has the timers fire that are due.
+// tick fires the timers that are due.
 func (h *triesLoop) tick() { h.s.step(core.Tick{}) }
 
-// triesPeer is the far side of one of the balancer's connections. It is read by the test alone.
+// triesPeer is the remote end of one of the balancer's connections. Only the test's goroutine reads it.
 type triesPeer struct {
 	conn *net.TCPConn
 	got  []byte
 	end  error
 }
 
-// read takes what there is, without waiting for more.
+// read reads the available bytes without blocking.
 func (p *triesPeer) read() {
 	raw, err := p.conn.SyscallConn()
 	if err != nil {
@@ -162,8 +163,8 @@
 	_ = p.conn.Close()
 }
 
-// ask has a client connect and send its first line, and turns the loop until an attempt's connection is up: that it
-// is up waits in the queue. No timer fires meanwhile, see taken.
+// ask connects a client, sends its request, and runs the loop until an attempt has been started. The event that the
+// attempt's connection is established stays in the queue. No timer fires meanwhile, see taken.
 func (h *triesLoop) ask(id string, patience time.Duration) *triesPeer {
 	h.t.Helper()
 	client := h.client(fmt.Sprintf("OPEN %s k%s c=chat,d=%d\r\n", id, id, patience.Milliseconds()))
@@ -183,14 +184,14 @@
 	return client
 }
 
-// taken turns the loop until a request is taken, and has no timer fire: on a busy machine the line may be read so
-// late that the client would be sent off for saying nothing.
+// taken runs the loop until n requests are admitted, without firing timers: on a busy machine the line may be read so
+// late that the client would be closed as idle.
 func (h *triesLoop) taken(n int64) {
 	h.t.Helper()
 	h.until("a request", func() bool { h.s.handleEvents(); return h.s.core.Counters.Requests == n })
 }
 
-// terminal finds a request at the balancer.
+// terminal returns the client with a request id, or nil if there is none.
 func (h *triesLoop) terminal(id string) *client {
 	for _, x := range h.s.clients {
 		if x.requestRead && x.request.ID == id {
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// task is the attempt that is out.
+// task returns the connection of a request's current attempt, or nil if there is none.
 func (h *triesLoop) task(id string) *connection {
 	if x := h.terminal(id); x != nil {
 		return x.server
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// reached waits, without turning the loop, until an attempt's connection is in a state.
+// reached waits, without running the loop, until a connection is in a state.
 func (h *triesLoop) reached(conn *connection, want connectionState) {
 	h.t.Helper()
 	h.until("the connection's state", func() bool {
@@ -218,19 +219,19 @@
 	})
 }
 
-// accepted is the next attempt as its server sees it.
+// accepted returns the server's end of the next attempt.
 func (h *triesLoop) accepted() *triesPeer {
 	h.t.Helper()
 	select {
 	case p := <-h.came:
 		return p
 	case <-time.After(triesWait):
-		h.t.Fatal("no attempt came")
+		h.t.Fatal("no attempt arrived")
 		return nil
 	}
 }
 
-// attempt turns the loop until the next attempt has come with its whole line.
+// attempt runs the loop until the next attempt has arrived with its complete request line.
 func (h *triesLoop) attempt() *triesPeer {
 	h.t.Helper()
 	var p *triesPeer
@@ -252,7 +253,8 @@
 	return p
 }
 
-// ends turns the loop until a side has met its end, and compares what came before it.
+// ends runs the loop until a peer's connection has ended, and checks the bytes received before. A final * in want
+// matches any rest.
 func (h *triesLoop) ends(who string, p *triesPeer, want string) {
 	h.t.Helper()
 	h.turning("the end of "+who, func() bool { p.read(); return p.end != nil })
@@ -262,7 +264,7 @@
 	}
 }
 
-// gets turns the loop until a side has got just what is wanted so far.
+// gets runs the loop until a peer has received as many bytes as wanted, and checks them.
 func (h *triesLoop) gets(who string, p *triesPeer, want string) {
 	h.t.Helper()
 	h.turning("what "+who+" gets", func() bool { p.read(); return len(p.got) >= len(want) || p.end != nil })
@@ -271,14 +273,14 @@
 	}
 }
 
-// served answers an attempt, and checks that its client gets just that.
+// served answers an attempt with UP and checks that the client receives exactly that answer.
 func (h *triesLoop) served(client, server *triesPeer, receipt string) {
 	h.t.Helper()
 	server.send(h.t, "UP "+receipt+"\r\n")
 	h.gets("the client", client, "UP "+receipt+"\r\n")
 }
 
-// queued counts the events of a kind that wait for the loop.
+// queued returns the number of queued events of a kind.
 func (h *triesLoop) queued(kind eventKind) (n int) {
 	h.s.queue.mu.Lock()
 	defer h.s.queue.mu.Unlock()
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -3,13 +3,13 @@
 import "oatloft/internal/core"
 
 const (
-	// backpressureBytes is how much one side may have to write before reading of the other side pauses ...
+	// backpressureBytes is the backlog towards one side above which reading from the other side pauses.
 	backpressureBytes = 64 << 10
-	// resumeBytes ... until it has less than this.
+	// resumeBytes is the backlog below which reading resumes.
 	resumeBytes = 16 << 10
 )
 
-// handleFlushed follows a connection that has written all it was given.
+// handleFlushed handles a connection whose accepted bytes have all been written.
 func (b *Balancer) handleFlushed(conn *connection) {
 	c := conn.client
 	if c == nil {
@@ -21,8 +21,8 @@
 	b.updateBackpressure(c)
 }
 
-// updateBackpressure tells the reducer when the way to the client or to the server fills up, and when it has room
-// again.
+// updateBackpressure notifies the reducer when the backlog towards the client or the server exceeds
+// backpressureBytes, and when it has fallen below resumeBytes again.
 func (b *Balancer) updateBackpressure(c *client) {
 	for way, conn := range []*connection{c.conn, c.server} {
 		if conn == nil {
@@ -33,7 +33,7 @@
 		switch {
 		case !c.backpressure[way] && backlog > backpressureBytes:
 			c.backpressure[way] = true
-			conn.flushed() // has an event posted when all has left
+			conn.flushed() // requests an event for when all is written
 			b.step(core.BackpressureChanged{Client: c.handle, ToServer: toServer, Full: true})
 		case c.backpressure[way] && backlog < resumeBytes:
 			c.backpressure[way] = false
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -34,16 +34,17 @@
 	queue      eventQueue
 	batch      []event
 	loop       loopState
-	lastTurnAt time.Time // of the loop
-	// backloggedUntil is when lines have been read that waited while this process stood still.
+	lastTurnAt time.Time // start of the loop's latest iteration
+	// backloggedUntil is the time by which lines that arrived while this process was stalled are expected to have been
+	// read.
 	backloggedUntil time.Time
 
 	engine          *nbio.Engine
 	listener        net.Listener
 	acceptLoop      acceptLoop
-	inherited       net.Listener // the platform's, shared with other processes; nil where this process listens by itself
-	sockets         atomic.Int64 // connections, and dials under way
-	publishedConns  atomic.Int64 // orders attachSession and connectionOf
+	inherited       net.Listener // passed by the platform, shared with other processes; nil if this process listens itself
+	sockets         atomic.Int64 // connections and pending dials
+	publishedConns  atomic.Int64 // orders attachSession before connectionOf
 	descriptorLimit atomic.Int64
 	memoryScarce    bool
 
@@ -53,36 +54,36 @@
 	migrating  map[*client]struct{}
 	probes     map[string]*probe // by server
 	watch      *watch
-	// previousWatch goes on until the one that follows it has answered.
+	// previousWatch stays open until its successor has answered.
 	previousWatch *watch
 
-	admission       *admissionController // nil where no admission is configured
+	admission       *admissionController // nil if admission is not configured
 	clientsByTicket map[admission.Ticket]*client
 	victims         []admission.Victim
 
-	operators       *management.Server // nil where operators have no address to call
-	calls           chan func()        // operators' calls, run between two events
-	maintenanceLock chan struct{}      // calls that change the file take turns
-	stateDir        *hotrestart.Dir    // nil where neither operators nor other processes share state with this one
+	operators       *management.Server // nil if no management address is configured
+	calls           chan func()        // management calls, run between two events
+	maintenanceLock chan struct{}      // serializes calls that change the maintenance file
+	stateDir        *hotrestart.Dir    // nil if no state is shared with operators or other processes
 	presence        *hotrestart.Presence
 	otherProcesses  hotrestart.Usage
 
-	peers           *membership.Host // nil where this balancer knows of no other
+	peers           *membership.Host // nil if no peers are configured
 	sentSignals     sentSignals
-	coordinator     *coordination.Coordinator // nil where it acts alone
-	numberedServers []policy.Server           // the list when its part by number was last taken
-	revisions       *revisionState            // nil where it goes by its settings alone
-	zoneLinks       *zoneLinks                // nil where no link between zones is bounded
+	coordinator     *coordination.Coordinator // nil if peers do not coordinate
+	numberedServers []policy.Server           // the endpoint list when the numbered subset was last chosen
+	revisions       *revisionState            // nil if revisions are not configured
+	zoneLinks       *zoneLinks                // nil if no link between zones is bounded
 
 	serving   bool // clients are accepted
-	exiting   bool // the reducer has finished: whoever connects now is rejected
+	exiting   bool // the reducer has finished: new connections are rejected
 	closing   closing
 	loopEnded chan struct{} // closed once the loop has ended
-	// testSlack is more time for what ends this balancer, so that tests do not depend on the machine's speed.
+	// testSlack extends shutdown and close time-outs, so that tests do not depend on the machine's speed.
 	testSlack time.Duration
 }
 
-// New prepares a balancer and opens its addresses, except the clients'.
+// New prepares a balancer and opens its listeners, except the one for clients.
 func New(cfg Config, log *slog.Logger) (*Balancer, error) {
 	reducer, err := core.New(cfg.Core)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return b, nil
 }
 
-// startAdmission prepares admission, if it is configured.
+// startAdmission creates the admission controller if admission is configured.
 func (b *Balancer) startAdmission() (err error) {
 	if b.cfg.Admission == nil {
 		return nil
@@ -140,12 +141,13 @@
 	return nil
 }
 
-// now returns the balancer's time, by which the reducer counts.
+// now returns the time since the start of the balancer's clock, which the reducer uses.
 func (b *Balancer) now() time.Duration { return time.Since(b.cfg.StartOfClock) }
 
-// Start tells the reducer what is known and accepts clients. Run has to follow. The error is *ListenFailed.
+// Start passes the known endpoints to the reducer and begins to accept clients. Run must follow. The error is
+// *ListenFailed.
 func (b *Balancer) Start() error {
-	b.readOtherProcess() // before the first list: a server in maintenance gets nothing at all
+	b.readOtherProcess() // before the first list, so that a server in maintenance gets no request
 	if b.cfg.KnownEndpoints != nil {
 		b.step(*b.cfg.KnownEndpoints)
 	}
@@ -168,9 +170,9 @@
 // Addr returns the address that clients connect to.
 func (b *Balancer) Addr() string { return b.engine.Addrs[0] }
 
-// Run serves until the reducer has finished or ctx ends; in the second case it returns ctx's error. The operator's
-// signals to shut down and to report the counters come by leave and report, and configurations that were read again
-// by reload.
+// Run serves until the reducer has finished or ctx ends; in the second case it returns ctx's error. The channels leave
+// and report carry the operator's signals to shut down and to report the counters; reload carries reloaded
+// configurations.
 func (b *Balancer) Run(ctx context.Context, leave, report <-chan struct{}, reload <-chan Config) error {
 	if b.admission != nil {
 		stop := b.admission.startSnapshots()
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// stopParts ends the parts with goroutines of their own, once the loop has ended.
+// stopParts stops the components that have their own goroutines, once the loop has ended.
 func (b *Balancer) stopParts() {
 	b.closeRevisions()
 	if b.zoneLinks != nil {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -8,28 +8,28 @@
 	"oatloft/internal/platform"
 )
 
-// client is one client connection and what its request has come to. It belongs to the loop.
+// client is the state of one client connection and its request. It belongs to the loop.
 type client struct {
 	handle core.Handle
 	conn   *connection
-	server *connection // of the attempt that is under way, or of the server that the flow is on; nil for none
+	server *connection // of the attempt in flight, or of the server of an established flow; nil if there is none
 
-	partialLine []byte // of the first line
+	partialLine []byte // the part of the first line received so far
 	request     platform.Open
 	requestRead bool // the first line is complete
-	established bool // the flow is on a server
-	finished    bool // nothing more is owed or forwarded
+	established bool // the flow is established on a server
+	finished    bool // nothing more is to be answered or forwarded
 
 	answerReader   platform.LineReader // of the attempt
 	fromServer     platform.Scan
 	toServer       platform.Scan
-	lastServerWord platform.Word // of the server's last line
+	lastServerWord platform.Word // type of the server's latest line
 
 	migration    migration
-	backpressure [2]bool // on the way to the client, and to the server
+	backpressure [2]bool // index 0: towards the client; index 1: towards the server
 }
 
-// handleAccepted takes a new connection in.
+// handleAccepted registers a new client connection.
 func (b *Balancer) handleAccepted(conn *connection) {
 	b.counters.Accepted++
 	b.lastHandle++
@@ -43,12 +43,12 @@
 			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.After})
 		}
 	}
-	if b.exiting && !c.finished { // accepted while the listener was closed
+	if b.exiting && !c.finished { // accepted while the listener was being closed
 		b.reject(c, admission.Verdict{Reason: admission.NoDescriptor})
 	}
 }
 
-// handleClientEvent takes what a client's connection brings.
+// handleClientEvent handles data and ends of a client's connection.
 func (b *Balancer) handleClientEvent(c *client, e event) {
 	switch e.kind {
 	case eventData:
@@ -83,7 +83,7 @@
 	case c.finished:
 	case c.requestRead:
 		b.step(core.ClientClosed{Client: c.handle, Reason: reason})
-	case reason == core.CloseEOF && len(c.partialLine) > 0: // the rest of the line will not come
+	case reason == core.CloseEOF && len(c.partialLine) > 0: // the rest of the line will not arrive
 		b.rejectMalformed(c)
 	default:
 		b.step(core.ClientClosed{Client: c.handle, Reason: reason})
@@ -95,7 +95,7 @@
 	}
 }
 
-// closeReason translates a connection's end.
+// closeReason converts the kind of a connection's end to the reducer's reason.
 func closeReason(kind eventKind) core.CloseReason {
 	if kind == eventReset {
 		return core.CloseReset
@@ -103,14 +103,14 @@
 	return core.CloseEOF
 }
 
-// closeAttempt ends the connection of an attempt, if it is still under way.
+// closeAttempt drops the connection of an attempt that is still in flight.
 func (c *client) closeAttempt(attempt int) {
 	if c.server != nil && c.server.attempt == attempt {
 		c.dropServer()
 	}
 }
 
-// dropServer ends the server's connection at once.
+// dropServer drops the server's connection immediately.
 func (c *client) dropServer() {
 	if c.server != nil {
 		c.server.drop()
@@ -133,7 +133,7 @@
 	}
 }
 
-// closeServer ends the server's connection as the client's has ended.
+// closeServer closes the server's connection in the way the client's connection ended.
 func (c *client) closeServer(reason core.CloseReason) {
 	switch {
 	case c.server == nil:
@@ -144,7 +144,7 @@
 	}
 }
 
-// removeClient forgets a client that gets nothing more.
+// removeClient removes a client to which nothing more will be sent.
 func (b *Balancer) removeClient(c *client) {
 	delete(b.clients, c.handle)
 	if c.conn.ticket != 0 {
@@ -153,9 +153,9 @@
 	}
 }
 
-// finalAnswer writes all that a client gets, and closes. What the client sends from then on is read and dropped
-// until it ends as well: closing with unread bytes would reset the connection, and the answer could be lost with
-// it. The descriptor of a client that admission closes is needed at once.
+// finalAnswer writes a client's final answer and closes its connection. What the client still sends is read and
+// discarded until it closes as well: closing a socket with unread bytes would reset the connection, and the answer
+// could be lost. A client closed by admission is closed by force, since its descriptor is needed immediately.
 func (b *Balancer) finalAnswer(c *client, line []byte) {
 	c.conn.write(line)
 	b.closeClient(c, core.CloseEOF)
@@ -164,7 +164,7 @@
 	}
 }
 
-// closeClient ends a client's connection and forgets the client.
+// closeClient closes a client's connection and removes the client.
 func (b *Balancer) closeClient(c *client, reason core.CloseReason) {
 	c.finished = true
 	b.removeClient(c)
@@ -176,10 +176,10 @@
 	}
 }
 
-// isBacklogged tells whether lines may have waited to be read because this process stood still.
+// isBacklogged reports whether lines may have waited to be read because this process was stalled.
 func (b *Balancer) isBacklogged() bool { return b.backloggedUntil.After(b.lastTurnAt) }
 
-// timeLeft returns a request's timeout less the time that it has waited to be read.
+// timeLeft returns a request's time-out minus the time that the request has waited to be read.
 func (b *Balancer) timeLeft(c *client, timeout time.Duration) time.Duration {
 	if !b.isBacklogged() {
 		return timeout
--- a/internal/proxy/client_leaves_test.go
+++ b/internal/proxy/client_leaves_test.go
@@ -15,14 +15,15 @@
 	"oatloft/policy"
 )
 
-// leavesPlay has a balancer whose waits are far longer than a client's grace: whatever ends a request early, it was
-// its client.
+// leavesPlay starts a balancer whose time-outs are far longer than the grace period for disconnected clients, so that
+// only the client's disconnect can end a request early.
 func leavesPlay(t *testing.T, probes bool) *play {
 	t.Helper()
 	return patientPlay(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
 }
 
-// patientDiscovery answers every watch with the latest list, and keeps it alive: a slow machine may need several.
+// patientDiscovery answers every watch with the latest list and sends keep-alives. On a slow machine the balancer may
+// open several watches.
 type patientDiscovery struct {
 	mu      sync.Mutex
 	list    string
@@ -53,7 +54,7 @@
 
 func patientChunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// tell writes a line to all watches; a list is what later ones get first.
+// tell writes a line to all watches. A non-empty list is also the first line for later watches.
 func (d *patientDiscovery) tell(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +66,8 @@
 	}
 }
 
-// leavesList has discovery tell one server, in this state, and waits until the balancer has it.
+// leavesList publishes a list of one server in the given state and waits until the balancer has applied it. It creates
+// the discovery service if d is nil.
 func leavesList(
 	t *testing.T,
 	p *play,
@@ -89,7 +91,7 @@
 	return d
 }
 
-// leavesRequest sends a request, and waits until the balancer has it.
+// leavesRequest sends a request and waits until the balancer has admitted it.
 func leavesRequest(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
 	c, x := idleClient(t, p)
@@ -100,8 +102,8 @@
 	return c, x
 }
 
-// leavesBy has the client leave, and returns once the balancer has known it for longer than an attempt may still
-// begin.
+// leavesBy disconnects the client and returns once the grace period, in which an attempt may still begin, has passed
+// since the balancer noticed the disconnect.
 func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
 	t.Helper()
 	if reset {
@@ -121,13 +123,13 @@
 		defer x.conn.mu.Unlock()
 		return x.conn.tail != nil
 	})
-	for range 50 { // the end was posted before that; an event at least is handled between two of these
+	for range 50 { // the end was posted before the hand-over; at least one event is handled between two calls
 		onServerLoop(t, p.server, func() {})
 	}
 	time.Sleep(policy.DisconnectGrace + 50*time.Millisecond)
 }
 
-// leavesAnswered takes the one answer that is owed to a client that left.
+// leavesAnswered checks that a client that closed only its sending side gets exactly one answer.
 func leavesAnswered(t *testing.T, c *net.TCPConn, reset bool) {
 	t.Helper()
 	if reset {
@@ -139,7 +141,7 @@
 	}
 }
 
-// leavesServer is a server on cue: it counts the requests that it gets, and keeps probes waiting until it is told.
+// leavesServer is a server that counts its requests and leaves probes to be answered by the test.
 type leavesServer struct {
 	net.Listener
 	probes   chan net.Conn
@@ -181,8 +183,8 @@
 	}
 }
 
-// leavesNothingSent tells that the request is over and no line went to a server for it. With the request over none
-// can follow.
+// leavesNothingSent checks that the request has ended after the given number of attempts without being sent to the
+// server. After its end it cannot be sent any more.
 func leavesNothingSent(t *testing.T, p *play, v *leavesServer, tasks int64) {
 	t.Helper()
 	idleEventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
@@ -196,7 +198,7 @@
 	}
 }
 
-// A client leaves while its request waits for room. When room comes, the request goes nowhere.
+// A request whose client disconnects while it is queued for capacity must not be sent when capacity becomes available.
 func TestAClientLeavesWhileItsRequestWaitsForRoom(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		p, v := leavesPlay(t, false), newLeavesServer(t)
@@ -209,7 +211,7 @@
 	}
 }
 
-// A client leaves while its request waits for a probe's answer. When that comes, the request goes nowhere.
+// A request whose client disconnects while it waits for a probe's answer must not be sent when the answer arrives.
 func TestAClientLeavesWhileItsRequestWaitsForAProbe(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		p, v := leavesPlay(t, true), newLeavesServer(t)
@@ -228,8 +230,8 @@
 	}
 }
 
-// leavesFullListener listens without accepting, and its queue is full: a connection to it comes up when the queue is
-// taken, and no sooner.
+// leavesFullListener returns a listener whose accept queue is full: further connections are established only once the
+// test accepts from the queue.
 func leavesFullListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -249,7 +251,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	if err = syscall.Listen(fd, 0); err != nil { // the library has made it longer
+	if err = syscall.Listen(fd, 0); err != nil { // net.FileListener has increased the backlog
 		t.Fatal(err)
 	}
 	for range 9 {
@@ -259,11 +261,11 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the queue takes all")
+	t.Fatal("the accept queue is never full")
 	return nil
 }
 
-// A client leaves while the connection to a server comes up. Once it is up, the line isn't sent.
+// A request whose client disconnects while its attempt dials must not be sent once the connection is established.
 func TestAClientLeavesWhileItsConnectionComesUp(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		p := leavesPlay(t, false)
@@ -273,7 +275,7 @@
 		idleEventually(t, p.server, "the dial", func() bool { return x.server != nil })
 		leavesBy(t, p, c, x, reset)
 		v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
-		go func() { // the queue is taken now
+		go func() { // drain the accept queue
 			for {
 				c, err := l.Accept()
 				if err != nil {
@@ -287,8 +289,8 @@
 	}
 }
 
-// A client leaves while its request is at a server, which then turns it away, fails or breaks: no further attempt
-// begins, though one were allowed and a second server is there.
+// No further attempt is made for a disconnected client when its attempt is rejected, fails or is reset, although the
+// request may be retried and a second server is available.
 func TestAClientLeavesBetweenTwoAttempts(t *testing.T) {
 	for _, end := range []string{"task1 > BUSY", "task1 > ERR", "task1 FIN", "task1 RST"} {
 		p := leavesPlay(t, true)
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -13,7 +13,7 @@
 	"oatloft/internal/admission"
 )
 
-// connectionRole says what a connection is for.
+// connectionRole is the purpose of a connection.
 type connectionRole uint8
 
 const (
@@ -23,18 +23,18 @@
 	watchRole
 )
 
-// connectionState is how far a connection is.
+// connectionState is the phase of a connection's life cycle.
 type connectionState uint8
 
 const (
 	dialing connectionState = iota
 	live
-	finishing // nothing more is written; what still comes is read and dropped until the other side has ended
+	finishing // nothing more is written; received bytes are discarded until the peer closes
 	ended
 )
 
-// connection is one TCP connection. The fields of its first part belong to the loop, those of the second are
-// guarded by mu.
+// connection is one TCP connection. The fields above mu belong to the loop; those from state to endedData are guarded
+// by mu.
 type connection struct {
 	balancer      *Balancer
 	role          connectionRole
@@ -42,41 +42,41 @@
 	attempt       int
 	server        string // the server's id, except for clientRole and watchRole
 	ticket        admission.Ticket
-	remoteAddr    net.Addr // with a ticket
-	cancel        func()   // stops the dial
-	receiveBuffer int      // the system's, in bytes; 0 for socketBuffer
+	remoteAddr    net.Addr // of a client, for log lines
+	cancel        func()   // cancels the dial
+	receiveBuffer int      // of the socket, in bytes; 0 for socketBuffer
 
-	// of a connection that finishes
+	// set while finishing
 	forceCloseAt  time.Time
 	finishedAt    time.Time
-	writtenAtLook int64 // bytes, at the last look
+	writtenAtLook int64 // bytes, at the latest check
 
 	mu              sync.Mutex
 	state           connectionState
 	conn            *nbio.Conn
-	tail            *tailWriter // writes once the other side has closed its sending side
-	starved         bool        // reading waits for the loop
-	paused          bool        // reading waits for the other side's connection
-	finPending      bool        // FIN follows what is buffered
-	established     bool        // of a client that is served: of others no more is read than a first line can hold
-	discarded       int         // bytes read while it finishes
+	tail            *tailWriter // writes the rest once the peer has closed its sending side
+	starved         bool        // reading waits until the loop has handled its queue
+	paused          bool        // reading waits because of backpressure
+	finPending      bool        // FIN is sent after the buffered bytes
+	established     bool        // the client's flow is; before, reads are limited to what a first line may hold
+	discarded       int         // bytes discarded while finishing
 	descriptorFreed bool
-	shutDown        bool   // neither side may say more; the poller closes it at its next event
-	unwritten       []byte // a copy of the backlog, for the tail writer
+	shutDown        bool   // shut down in both directions; the poller closes the descriptor at its next event
+	unwritten       []byte // copy of the backlog, for the tail writer
 
-	queue     *bandwidthQueue // that what is read passes; nil where no bounded link is crossed
-	waitsIn   *bandwidthQueue // reading waits there for its turn
-	bypass    bool            // it waits for no turn any more
-	endedData *endedData      // read when the other side ended, and not passed on yet
+	queue     *bandwidthQueue // shapes the bytes that are read; nil if no bounded link is crossed
+	waitsIn   *bandwidthQueue // the queue that reading waits in; nil if it does not wait
+	bypass    bool            // it no longer waits in a queue
+	endedData *endedData      // read when the peer closed, and not yet forwarded
 
 	accepted, written atomic.Int64 // bytes
-	queuedEvents      atomic.Int32 // of kind eventData, in the loop's queue
-	hadWaited         atomic.Bool  // what was read last had waited for its turn
-	notifyFlushed     atomic.Bool  // eventFlushed is wanted once all that was accepted is written
+	queuedEvents      atomic.Int32 // events of kind eventData in the loop's queue
+	hadWaited         atomic.Bool  // the bytes read last had waited in a queue
+	notifyFlushed     atomic.Bool  // post eventFlushed once all accepted bytes are written
 }
 
-// write accepts bytes. What the socket does not take at once is copied by nbio (or the tail writer). It is false if
-// the connection had ended before the last byte was accepted: that byte never leaves.
+// write accepts bytes for sending. Bytes that the socket does not take immediately are copied by nbio (or the tail
+// writer). It reports false if the connection ended before the last byte was accepted: that byte is never sent.
 func (c *connection) write(data []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +96,7 @@
 	return true
 }
 
-// writeNow writes what the socket takes, and gives the rest to nbio, with a copy in unwritten. With mu held.
+// writeNow writes what the socket takes and passes the rest to nbio, with a copy in unwritten. The caller holds mu.
 func (c *connection) writeNow(data []byte) (err error) {
 	if c.backlog() == 0 {
 		data, err = c.send(data)
@@ -118,8 +118,9 @@
 	return nil
 }
 
-// send writes what the socket takes at once, and returns the rest. If a write fails, nbio would close the
-// descriptor on the caller's goroutine; here the poller does, which learns of the break as well.
+// send writes what the socket takes immediately and returns the rest. It bypasses nbio, which would close the
+// descriptor on the caller's goroutine if the write failed. Here the poller closes it, since it gets an event for the
+// error too.
 func (c *connection) send(data []byte) (rest []byte, err error) {
 	err = syscall.EPIPE
 	withDescriptor(c.conn, func(fd int) {
@@ -135,10 +136,10 @@
 	return data, err
 }
 
-// backlog returns how many bytes were accepted and not written yet.
+// backlog returns the number of bytes accepted but not yet written.
 func (c *connection) backlog() int64 { return c.accepted.Load() - c.written.Load() }
 
-// flushed tells whether all that was accepted is written; if not, eventFlushed follows once it is.
+// flushed reports whether all accepted bytes are written; if not, eventFlushed is posted once they are.
 func (c *connection) flushed() bool {
 	if c.backlog() == 0 {
 		return true
@@ -147,7 +148,7 @@
 	return c.backlog() == 0 && c.notifyFlushed.Swap(false)
 }
 
-// wrote counts what has been written, as nbio and the tail writer report it.
+// wrote counts bytes that nbio or the tail writer has written.
 func (c *connection) wrote(n int) {
 	c.written.Add(int64(n))
 	if c.backlog() == 0 && c.notifyFlushed.Swap(false) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// markEstablished tells that the client is served from now on.
+// markEstablished records that the client's flow is established.
 func (c *connection) markEstablished() {
 	c.mu.Lock()
 	c.established = true
--- a/internal/proxy/connection_close.go
+++ b/internal/proxy/connection_close.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// finishTimeout is how long a connection waits for the other side's end once everything has been written.
+// finishTimeout is how long a connection waits for the peer to close once everything has been written.
 const finishTimeout = time.Second
 
-// fin sends FIN after what is buffered. With last, nothing more is taken from the other side either.
+// fin sends FIN after the buffered bytes. With last, bytes received from then on are discarded.
 func (c *connection) fin(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,12 +28,12 @@
 	} else if last {
 		c.forceCloseAt = time.Now().Add(peerReadTimeout)
 	}
-	if last && c.conn != nil && (c.paused || c.starved || c.waitsIn != nil) { // what was left in the socket has to be read
+	if last && c.conn != nil && (c.paused || c.starved || c.waitsIn != nil) { // drain what was left in the socket
 		c.read(false)
 	}
 }
 
-// startFinishing begins to read and drop what still comes. With mu held.
+// startFinishing begins to discard received bytes. The caller holds mu.
 func (c *connection) startFinishing() {
 	c.endedData = nil
 	c.state = finishing
@@ -51,7 +51,7 @@
 	withDescriptor(c.conn, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
 
-// onFlushed sends the FIN that has waited for the last byte.
+// onFlushed sends a FIN that was pending until the last byte was written.
 func (c *connection) onFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +60,8 @@
 	}
 }
 
-// drop ends the connection at once, and what is buffered with it. The poller closes the descriptor when it meets
-// the end that this makes.
+// drop ends the connection immediately and discards buffered bytes. The poller closes the descriptor when it gets the
+// event that the shutdown causes.
 func (c *connection) drop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,15 +80,17 @@
 	}
 }
 
-// shutBoth lets neither side say more. That is an event for the poller, which closes the descriptor; nobody else
-// may touch the descriptor from here on, since its number can be a new connection's at any time.
+// shutBoth shuts the socket down in both directions. That causes an event for the poller, which closes the
+// descriptor. No other goroutine may use the descriptor afterwards, since its number can be reused for a new
+// connection at any time.
 func (c *connection) shutBoth() {
 	withDescriptor(c.conn, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 }
 
-// reset ends the connection with RST: the poller closes the descriptor, and nothing lingers. What wakes the poller
-// is the end of reading, which sends nothing by itself. Connecting to no address would send RST at once, but not
-// every network knows that call (EAFNOSUPPORT), and then the other side would never learn of the end.
+// reset ends the connection with RST: SO_LINGER is set to 0, and the poller closes the descriptor. Shutting down the
+// reading side wakes the poller and sends nothing by itself. Connecting the socket to AF_UNSPEC would send RST
+// immediately, but not every network supports that call (EAFNOSUPPORT), and then the peer would never learn of the
+// end.
 func (c *connection) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +111,8 @@
 	c.state = ended
 }
 
-// forceClose ends a connection that finishes and whose other side does not end. What that has sent is no longer
-// read, so that closing resets the connection: the other side may wait for room that nobody will make.
+// forceClose closes a finishing connection whose peer does not close. The peer's remaining bytes are left unread, so
+// that closing resets the connection: the peer may be blocked on a full receive window that nothing will drain.
 func (c *connection) forceClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +133,7 @@
 	return c.state == ended
 }
 
-// isDescriptorFreed tells whether the descriptor of a connection that has finished is free again.
+// isDescriptorFreed reports whether the descriptor of a finished connection has been released.
 func (c *connection) isDescriptorFreed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/connection_read.go
+++ b/internal/proxy/connection_read.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	readSize = 8 << 10
-	// maxReads is how often a connection is read, and how many pieces of it may be in the loop's queue, at once.
+	readSize = 8 << 10 // bytes
+	// maxReads is the maximum number of consecutive reads of a connection, and of its data events in the loop's queue.
 	maxReads = 16
-	// maxFirstReads is how often a connection is read before its request is taken: more than any first line needs.
+	// maxFirstReads is that number of reads before the flow is established. It exceeds what any first line needs.
 	maxFirstReads = 1
-	// maxDiscarded is how much is read and dropped of a connection that finishes, so that a reset does not take its
-	// last bytes with it.
+	// maxDiscarded is the number of bytes that are discarded while a connection finishes, so that a reset does not
+	// destroy the last bytes sent to the peer.
 	maxDiscarded = 256 << 10
 )
 
@@ -24,14 +24,14 @@
 	buffers.Put(b)
 }
 
-// read reads what the socket holds. With mu held.
+// read reads the bytes that the socket holds. The caller holds mu.
 //
-// Only the poller's goroutine (poller is true) may end the connection: nbio reuses a descriptor's number at once,
-// and events that it has fetched and not handled would hit the new connection. A fast sender gets only so much at a
-// time, since nobody can pause the connection while this holds the lock. Once the other side has ended, all is
-// read, because nbio closes the socket next; that is no more than the system's buffer holds. Of a connection that
-// finishes only so much is read: a sender at full speed would hold the poller, and with the lock the loop, for as
-// long as it likes.
+// Only the poller's goroutine (poller is true) may end the connection: a closed descriptor's number is reused
+// immediately, and events that nbio has fetched but not handled would be applied to the new connection. The number of
+// consecutive reads is limited for a fast sender, since the connection cannot be paused while read holds the lock.
+// Once the peer has closed, everything is read, because nbio closes the socket next; that is at most what the system's
+// buffer holds. While finishing, the number of discarded bytes is limited: a fast sender would otherwise occupy the
+// poller, and through the lock the loop, without bound.
 func (c *connection) read(poller bool) {
 	if c.queue != nil && c.state == live {
 		c.readShaped(poller, 0)
@@ -50,7 +50,7 @@
 		n, err := c.conn.Read(*buf)
 		if n > 0 {
 			*buf = (*buf)[:n]
-			if c.state != live || firstLine && reads > limit { // nobody will use it
+			if c.state != live || firstLine && reads > limit { // the bytes will not be used
 				c.discarded += n
 				releaseBuffer(buf)
 				continue
@@ -69,8 +69,8 @@
 	}
 }
 
-// mustStop tells whether reading has to stop for now. Before the other side's end it reads on later; of a
-// connection that finishes the rest stays in the socket until it is closed by force.
+// mustStop reports whether reading must stop for now. A live connection whose peer has not closed is read again later;
+// what a finishing connection has not discarded stays in the socket until it is closed by force.
 func (c *connection) mustStop(reads, limit int) bool {
 	if c.state == live {
 		if (reads >= limit || c.queuedEvents.Load() >= maxReads) && !peerHasClosed(c.conn) {
@@ -87,8 +87,8 @@
 	c.balancer.queue.post(event{kind: eventData, conn: c, data: buf})
 }
 
-// readEnd ends the connection on the poller's goroutine: err is nil for EOF. A client that has only closed its
-// sending side may still get its answer by a tail writer.
+// readEnd ends the connection on the poller's goroutine; err is nil for EOF. A client that has only closed its sending
+// side can still get its answer through a tail writer.
 func (c *connection) readEnd(err error) {
 	switch {
 	case c.state == finishing:
@@ -113,7 +113,7 @@
 	c.mu.Unlock()
 }
 
-// resume reads on after a pause.
+// resume continues reading after a pause.
 func (c *connection) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +121,7 @@
 	c.readOn()
 }
 
-// resumeDeferred reads on once the loop has handled its queue.
+// resumeDeferred continues reading after the loop has handled its queue.
 func (c *connection) resumeDeferred() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +129,7 @@
 	c.readOn()
 }
 
-// readOn reads if nothing speaks against it. With mu held.
+// readOn continues reading unless the connection is paused, deferred or queued. The caller holds mu.
 func (c *connection) readOn() {
 	if c.endedData != nil && c.waitsIn == nil {
 		c.passEndedData(0)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -8,8 +8,8 @@
 	"oatloft/policy"
 )
 
-// step gives the reducer an event and carries out its effects, in their order. Effects that cause events call step
-// again.
+// step passes an event to the reducer and carries out the resulting effects in order. Effects that cause events call
+// step recursively.
 func (b *Balancer) step(ev core.Event) {
 	if b.revisions != nil && len(b.effects) == 0 {
 		b.applyLease(time.Now())
@@ -30,7 +30,7 @@
 	b.effects = b.effects[:base]
 }
 
-// carryOut carries out one effect. Effects for a client that is gone do nothing.
+// carryOut carries out one effect. Effects for a client that no longer exists are ignored.
 func (b *Balancer) carryOut(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Probe:
@@ -64,22 +64,22 @@
 	}
 }
 
-// withClient calls f with a client, unless it is gone.
+// withClient calls f with a client if it still exists.
 func (b *Balancer) withClient(handle core.Handle, f func(*client)) {
 	if c := b.clients[handle]; c != nil {
 		f(c)
 	}
 }
 
-// dialServer begins an attempt.
+// dialServer starts an attempt by dialing its server.
 func (b *Balancer) dialServer(c *client, e core.Dial) {
 	c.answerReader, c.lastServerWord, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
 	c.server = &connection{balancer: b, role: serverRole, client: c, attempt: e.Attempt, server: e.Server}
 	b.dial(c.server, e.Address, e.Timeout+dialMargin)
 }
 
-// sendRequest sends the request's line. The reducer learns that it was sent once the last byte has left: before
-// that the server cannot have run it.
+// sendRequest sends the request line. The reducer is notified once the last byte is written: until then the server
+// cannot have executed the request.
 func (b *Balancer) sendRequest(c *client, e core.SendRequest) {
 	if c.server == nil {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// answer gives the client its final answer.
+// answer sends the client its final answer.
 func (b *Balancer) answer(c *client, e core.Answer) {
 	line := platform.Failed
 	if e.Rejected {
@@ -104,7 +104,7 @@
 	b.finalAnswer(c, line)
 }
 
-// forward passes bytes on to the other side.
+// forward writes bytes to the server or the client.
 func (b *Balancer) forward(c *client, e core.Forward) {
 	if e.ToServer {
 		b.counters.BytesToServers += int64(len(e.Data))
@@ -118,7 +118,7 @@
 	b.updateBackpressure(c)
 }
 
-// closeBoth ends a client's connection and its server's.
+// closeBoth closes a client's connection and drops its server's.
 func (b *Balancer) closeBoth(c *client, reason core.CloseReason) {
 	b.closeClient(c, reason)
 	if c.server != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// forgetServer ends the connection for probes of a server that is no longer listed.
+// forgetServer drops the probe connection of a server that is no longer listed.
 func (b *Balancer) forgetServer(server string) {
 	p := b.probes[server]
 	if p == nil {
@@ -134,7 +134,7 @@
 	}
 	p.drop()
 	delete(b.probes, server)
-	if p.pending { // nobody will answer it, and the reducer asks no second time before it has a result
+	if p.pending { // the reducer sends no other probe before it has this one's result
 		b.step(core.ProbeFinished{Server: server, Result: policy.ResultUnreachable})
 	}
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// extraConnections is by how much nbio's table of connections is larger than the limit at the start, which may grow.
+	// extraConnections is the spare size of nbio's connection table, since the descriptor limit may be raised later.
 	extraConnections = 4096
-	// engineReadBuffer is nbio's own buffer, which this package does not use for reading.
+	// engineReadBuffer is the size in bytes of nbio's own buffer, which this package does not read into.
 	engineReadBuffer = 1024
 )
 
-// newEngine prepares nbio's engine: one goroutine that polls all connections. Its callbacks only post events.
+// newEngine creates nbio's engine: one goroutine polls all connections. The callbacks only post events.
 func (b *Balancer) newEngine() *nbio.Engine {
 	logging.SetLevel(logging.LevelNone)
 	nbio.MaxOpenFiles = int(b.descriptorLimit.Load()) + extraConnections
@@ -38,7 +38,7 @@
 // onOpen is nbio's callback for a new connection, accepted or dialed.
 func (b *Balancer) onOpen(polled *nbio.Conn) {
 	b.sockets.Add(1)
-	_ = polled.SetReadBuffer(b.connectionOf(polled).receiveBufferSize()) // the system's own size does as well
+	_ = polled.SetReadBuffer(b.connectionOf(polled).receiveBufferSize()) // on error the system's default stays
 	_ = polled.SetWriteBuffer(socketBuffer)
 	if polled.Session() != nil { // dialed
 		return
@@ -51,9 +51,9 @@
 	b.queue.post(event{kind: eventAccepted, conn: conn})
 }
 
-// onRead is nbio's callback for bytes, ends and errors. nbio itself closes a connection as soon as the other side
-// has closed its sending side (poller_epoll.go, epollEventsError holds EPOLLRDHUP), and would drop what is still to
-// be written to it. So the read that meets the end has to hand such a socket on before it returns.
+// onRead is nbio's callback for data, ends and errors. nbio itself closes a connection as soon as the peer has closed
+// its sending side (in poller_epoll.go, epollEventsError includes EPOLLRDHUP) and would discard bytes that are still
+// to be written. The read that encounters the end therefore hands the socket over to a tail writer before it returns.
 func (b *Balancer) onRead(polled *nbio.Conn) {
 	conn := b.connectionOf(polled)
 	if conn == nil {
@@ -70,7 +70,7 @@
 	conn.read(true)
 }
 
-// mayRead tells whether more may be read now; where the loop's queue is long, reading is deferred. With mu held.
+// mayRead reports whether more may be read now. It defers reading if the loop's queue is long. The caller holds mu.
 func (c *connection) mayRead() bool {
 	switch {
 	case c.state == finishing:
@@ -84,8 +84,8 @@
 	return true
 }
 
-// onClose is nbio's last callback for a connection. It reports ends that no read has met. A connection with a tail
-// writer has another descriptor, and the tail writer reports its end.
+// onClose is nbio's last callback for a connection. It posts ends that no read has encountered. A connection with a
+// tail writer has a second descriptor, and the tail writer reports its end.
 func (b *Balancer) onClose(polled *nbio.Conn) {
 	b.sockets.Add(-1)
 	conn := b.connectionOf(polled)
@@ -106,14 +106,14 @@
 	}
 }
 
-// attachSession ties a connection to nbio's. nbio's goroutines meet in epoll, which orders nothing in Go's memory
-// model; the counter does, which connectionOf reads.
+// attachSession associates a connection with nbio's. nbio's goroutines synchronize through epoll only, which
+// establishes no order in Go's memory model; the atomic counter, which connectionOf reads, does.
 func (b *Balancer) attachSession(polled *nbio.Conn, conn *connection) {
 	polled.SetSession(conn)
 	b.publishedConns.Add(1)
 }
 
-// connectionOf returns the connection of nbio's, or nil if it has none.
+// connectionOf returns the connection associated with nbio's, or nil if there is none.
 func (b *Balancer) connectionOf(polled *nbio.Conn) *connection {
 	conn, _ := polled.Session().(*connection)
 	b.publishedConns.Load()
--- a/internal/proxy/event_queue.go
+++ b/internal/proxy/event_queue.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// eventKind says what has happened to a connection.
+// eventKind is the kind of event on a connection.
 type eventKind uint8
 
 const (
@@ -15,17 +15,18 @@
 	eventFlushed
 )
 
-// event is what a callback reports to the loop. data is for eventData, and returned by releaseBuffer.
+// event is posted by a callback to the loop. data is set for eventData only and is freed by releaseBuffer.
 type event struct {
 	kind eventKind
 	conn *connection
 	data *[]byte
 }
 
-// maxQueuedEvents is the length from which on callbacks leave what they could read in the sockets.
+// maxQueuedEvents is the queue length, in events, from which on callbacks leave received bytes in the sockets.
 const maxQueuedEvents = 2048
 
-// eventQueue carries events from the callbacks to the loop. It never makes a callback wait. Safe for concurrent use.
+// eventQueue carries events from the callbacks to the loop without blocking the callbacks. It is safe for concurrent
+// use.
 type eventQueue struct {
 	mu       sync.Mutex
 	list     []event
@@ -60,7 +61,8 @@
 	return len(q.list) == 0
 }
 
-// deferRead has a connection read again once the loop has handled the queue. With the connection's mu held.
+// deferRead schedules a connection to be read once the loop has handled the queue. The caller holds the connection's
+// mu.
 func (q *eventQueue) deferRead(conn *connection) {
 	conn.starved = true
 	q.mu.Lock()
@@ -68,7 +70,7 @@
 	q.mu.Unlock()
 }
 
-// take returns all events and deferred connections. The next events go into the memory of into.
+// take returns and removes all events and deferred connections. The memory of into is reused for later events.
 func (q *eventQueue) take(into []event) ([]event, []*connection) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/proxy/finishing.go
+++ b/internal/proxy/finishing.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// peerReadTimeout is how long a connection that finishes waits for the other side to read on.
+	// peerReadTimeout is how long a finishing connection waits for its peer to read more.
 	peerReadTimeout = 5 * time.Second
-	// finishSooner is by how much sooner a connection that finishes is closed where descriptors are scarce. What was
-	// on its way when it began to finish has come by then.
+	// finishSooner is by how much the time-out of a finishing connection is shortened while descriptors are scarce.
+	// The rest suffices for bytes that were in flight when it began to finish.
 	finishSooner = 950 * time.Millisecond
 )
 
-// collectClosed forgets the connections whose descriptors are free again, and gives those more time that still move
-// bytes.
+// collectClosed removes the connections whose descriptors have been released, and extends the time-out of those that
+// still make progress in writing.
 func (b *Balancer) collectClosed(now time.Time) {
 	for conn := range b.finishing {
 		if conn.isDescriptorFreed() {
@@ -27,8 +27,9 @@
 	}
 }
 
-// closeFinishing closes the connections whose time is over. Where no admission is configured and the descriptors
-// for new requests are nearly used up, those that have waited longest for the other side's end are closed at once.
+// closeFinishing closes the finishing connections whose time-out, shortened by sooner, has expired. If admission is not
+// configured and descriptors for new requests are nearly exhausted, the connections that have waited longest for their
+// peer to close are closed immediately.
 func (b *Balancer) closeFinishing(now time.Time, sooner time.Duration) {
 	closing := 0
 	waiting := make([]*connection, 0, len(b.finishing))
--- a/internal/proxy/goodbye.go
+++ b/internal/proxy/goodbye.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	goodbyeTimeout  = 250 * time.Millisecond // for a refused client to read its answer and end
-	maxGoodbyeBytes = 64 << 10               // that are read and dropped meanwhile
-	goodbyeRead     = 4 << 10
-	maxRejectLine   = 32
+	goodbyeTimeout  = 250 * time.Millisecond // for a rejected client to read its answer and close
+	maxGoodbyeBytes = 64 << 10               // bytes read and discarded meanwhile
+	goodbyeRead     = 4 << 10                // bytes per read
+	maxRejectLine   = 32                     // bytes
 )
 
-// sayGoodbye answers a refused connection and closes it. What has come is read first, and the other side's end is
-// waited for a little: unread bytes, and what comes to a closed socket, would turn the answer into a reset. No more
-// than MaxGoodbyes are waited for; the oldest gives up its place. For a curt verdict nobody is waited for.
+// sayGoodbye answers a rejected connection and closes it. Received bytes are read first, and the close is delayed until
+// the client closes, for at most goodbyeTimeout: unread bytes, or bytes that arrive at a closed socket, would cause a
+// reset that can destroy the answer. At most MaxGoodbyes connections linger; a further one replaces the oldest. With a
+// curt verdict the connection is closed without lingering.
 func (a *admissionController) sayGoodbye(fd int, from netip.Addr, verdict admission.Verdict) {
-	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
+	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "connection rejected",
 		slog.Any("from", from), slog.Duration("after", verdict.After))
 	if !discardReceived(fd) {
 		_ = syscall.Close(fd)
 		return
 	}
 	var line [maxRejectLine]byte
-	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.After)) // a new socket takes it at once
+	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.After)) // a new socket's send buffer has room for it
 	if verdict.Curt || a.cfg.MaxGoodbyes == 0 {
 		_ = syscall.Close(fd)
 		return
@@ -51,7 +52,7 @@
 	}()
 }
 
-// discardReceived reads what has come already. It is false if the other side has reset the connection.
+// discardReceived discards bytes already received. It reports false if the client has reset the connection.
 func discardReceived(fd int) bool {
 	var buffer [goodbyeRead]byte
 	for range maxGoodbyeBytes / len(buffer) {
@@ -85,7 +86,7 @@
 	_ = conn.Close()
 }
 
-// hasGoodbyes tells whether a refused client may still have to read its answer.
+// hasGoodbyes reports whether rejected connections are still in lingering close.
 func (a *admissionController) hasGoodbyes() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -13,10 +13,10 @@
 	"oatloft/policy"
 )
 
-// idleLimit bounds what has to happen; a slow machine needs some of it, a sound one a few milliseconds.
+// idleLimit bounds waits for expected events. It leaves room for slow machines; normally a few milliseconds suffice.
 const idleLimit = 20 * time.Second
 
-// onServerLoop runs do on the server's loop, between two events.
+// onServerLoop runs do on the balancer's loop, between two events.
 func onServerLoop(t *testing.T, b *Balancer, do func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -24,11 +24,11 @@
 	case b.calls <- func() { do(); close(done) }:
 		<-done
 	case <-time.After(idleLimit):
-		t.Fatal("the loop takes nothing")
+		t.Fatal("the loop accepts no call")
 	}
 }
 
-// idleEventually waits until holds is true, which it asks on the server's loop.
+// idleEventually waits until holds returns true on the balancer's loop.
 func idleEventually(t *testing.T, b *Balancer, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(idleLimit); ; time.Sleep(time.Millisecond) {
@@ -38,12 +38,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("never came: ", what)
+			t.Fatal("timed out waiting for ", what)
 		}
 	}
 }
 
-// patientPlay has a balancer that gives up no attempt because the machine is slow.
+// patientPlay starts a balancer with time-outs so long that no attempt fails because the machine is slow.
 func patientPlay(t *testing.T, text string, change func(cfg *Config)) *play {
 	t.Helper()
 	p := start(t, text)
@@ -58,7 +58,7 @@
 	return p
 }
 
-// playSteps takes steps of an exchange, each with as much time as a slow machine needs.
+// playSteps plays steps of an exchange, each with a time limit of idleLimit.
 func playSteps(t *testing.T, p *play, steps ...string) {
 	t.Helper()
 	for _, step := range steps {
@@ -69,7 +69,7 @@
 	}
 }
 
-// idleClient connects and returns the connection together with its terminal, which has said nothing.
+// idleClient connects without sending anything and returns the connection and the balancer's client for it.
 func idleClient(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
@@ -79,7 +79,7 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(idleLimit))
 	var came *client
-	idleEventually(t, p.server, "the terminal", func() bool {
+	idleEventually(t, p.server, "the client", func() bool {
 		for _, x := range p.server.clients {
 			x.conn.mu.Lock()
 			if x.conn.conn != nil && x.conn.conn.RemoteAddr().String() == c.LocalAddr().String() {
@@ -92,8 +92,7 @@
 	return c.(*net.TCPConn), came
 }
 
-// idleState is the state of a connection as its own system has it: closeWait once the other side has ended in good
-// order, closed after a reset.
+// idleState returns the TCP state of a connection: CLOSE_WAIT once the peer has closed gracefully, CLOSE after a reset.
 func idleState(t *testing.T, c *net.TCPConn) int {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -110,11 +109,12 @@
 	return state & 0xff
 }
 
+// idleCloseWait is the number of state CLOSE_WAIT in include/net/tcp_states.h.
 const idleCloseWait = 8
 
-// A client that has said nothing is sent off, and its request crosses the answer. It is read away: a close would
-// reset the connection, and the answer might be lost with it. So for both reasons to send it off, and also in
-// pieces.
+// An idle client is closed, and its request crosses the final answer, also in pieces. The request must be read and
+// discarded: closing the socket with unread bytes would reset the connection, and the answer might be lost. Both
+// reasons for closing idle clients are covered.
 func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
 	for answer, sendOff := range map[string]func(b *Balancer, x *client){
 		"BUSY\r\n": func(b *Balancer, x *client) { b.step(core.DescriptorsScarce{Missing: 1}) },
@@ -122,7 +122,7 @@
 	} {
 		p := start(t, "")
 		c, x := idleClient(t, p)
-		idleEventually(t, p.server, "old enough to be sent off", func() bool {
+		idleEventually(t, p.server, "the idle client to be closed", func() bool {
 			sendOff(p.server, x)
 			return x.finished
 		})
@@ -135,7 +135,7 @@
 				t.Fatalf("%q crossed by a request: %v", answer, err)
 			}
 		}
-		idleEventually(t, p.server, "the request read away", func() bool {
+		idleEventually(t, p.server, "the request to be discarded", func() bool {
 			x.conn.mu.Lock()
 			defer x.conn.mu.Unlock()
 			return x.conn.discarded == len(request)
@@ -148,7 +148,7 @@
 	}
 }
 
-// One that was sent off and never ends holds its descriptor for a bounded time only.
+// A closed client that never closes its own side occupies a descriptor for a bounded time only.
 func TestASentOffClientThatNeverEndsIsClosed(t *testing.T) {
 	p := start(t, "")
 	c, x := idleClient(t, p)
@@ -164,10 +164,10 @@
 	)
 }
 
-// In a crowd of silent clients only so many are sent off as descriptors are short, though they hold theirs for a
-// while after that.
+// Under an overload of idle clients only as many are closed as descriptors are lacking, although closed clients occupy
+// their descriptors for a while longer.
 func TestACrowdIsSentOffOnce(t *testing.T) {
-	p := start(t, "sockets 200") // crowded from 128 on; requests are refused from 153 on
+	p := start(t, "sockets 200") // scarce from 128 on; requests are rejected from 153 on
 	const silent = 145
 	var clients []net.Conn
 	for range silent {
@@ -178,7 +178,7 @@
 		defer func() { _ = c.Close() }()
 		clients = append(clients, c)
 	}
-	idleEventually(t, p.server, "all taken in", func() bool { return p.server.counters.Accepted >= silent })
+	idleEventually(t, p.server, "all accepted", func() bool { return p.server.counters.Accepted >= silent })
 	var sentOff, saidNothing int64
 	idleEventually(t, p.server, "an answer to each", func() bool {
 		sentOff, saidNothing = p.server.core.Counters.IdleClosed, p.server.core.Counters.IdleTimedOut
@@ -194,15 +194,15 @@
 		answers[string(got)]++
 	}
 	if answers["BUSY\r\n"] != sentOff || answers["ERR\r\n"] != saidNothing {
-		t.Errorf("%v answered, %d sent off, %d ended as they said nothing", answers, sentOff, saidNothing)
+		t.Errorf("%v answered, %d closed for descriptors, %d timed out as idle", answers, sentOff, saidNothing)
 	}
-	// The watch, its dial and some probes hold a descriptor each.
+	// The watch, its dial and some probes use a descriptor each.
 	if short := int64(silent - 127); sentOff == 0 || sentOff > short+8 {
-		t.Errorf("%d of %d sent off, where %d and a few more had to make room", sentOff, silent, short)
+		t.Errorf("%d of %d idle clients closed; want about %d, as many as descriptors are lacking", sentOff, silent, short)
 	}
 }
 
-// A client that asks PING without end and reads no answer is sent away before its answers fill the memory.
+// A client that sends PING without end and reads no answer is closed before the answers fill the memory.
 func TestUnreadAnswersToPingsAreBounded(t *testing.T) {
 	p := start(t, "")
 	c, x := idleClient(t, p)
@@ -216,13 +216,13 @@
 	}()
 	idleEventually(t, p.server, "the flood's end", func() bool {
 		if n := x.conn.backlog(); n > 2*backpressureBytes {
-			t.Errorf("%d bytes of answers wait", n)
+			t.Errorf("%d bytes of answers buffered", n)
 		}
 		return x.finished
 	})
 }
 
-// Hundreds of PINGs in one segment are answered one by one, and so is the request whose first half came with them.
+// Hundreds of PINGs in one segment are answered one by one, and so is the request whose first half arrived with them.
 func TestManyPingsAndHalfARequestInOneSegment(t *testing.T) {
 	p := patientPlay(t, "", nil)
 	c, _ := idleClient(t, p)
@@ -245,7 +245,8 @@
 	}
 }
 
-// Connections that open and end at once, in good order, by reset, or with a request behind them, leave no descriptor.
+// Connections that close immediately after opening leak no descriptor, whether they close gracefully, by reset, or
+// with unread bytes.
 func TestShortVisitsLeaveNoDescriptor(t *testing.T) {
 	p := start(t, "")
 	var before int64
@@ -263,17 +264,17 @@
 		}
 		_ = c.Close()
 	}
-	idleEventually(t, p.server, "all gone", func() bool {
+	idleEventually(t, p.server, "all to be closed", func() bool {
 		b := p.server
 		return b.counters.Accepted >= 40 && len(b.clients) == 0 && len(b.finishing) == 0 && b.sockets.Load() <= before+2
 	})
 }
 
-// Silent clients fill the descriptors while discovery is down: they make room, and who comes with a request is served
-// from what is known.
+// Idle clients exhaust the descriptors while discovery is unavailable. They are closed to free descriptors, and a
+// client with a request is served from the known endpoints.
 func TestACrowdWhileDiscoveryIsDown(t *testing.T) {
-	p := patientPlay(t, "sockets 200", nil) // crowded from 128 on; nobody more is taken in from 177 on
-	// Each call is reset; the port stays, since a server under test elsewhere could get its number.
+	p := patientPlay(t, "sockets 200", nil) // scarce from 128 on; no connection is accepted from 177 on
+	// Each watch is reset. The listener stays open, since a server of another test could be given its port.
 	go func() {
 		for call := range p.watches {
 			_ = call.conn.(*net.TCPConn).SetLinger(0)
@@ -287,18 +288,18 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	idleEventually(t, p.server, "room again", func() bool {
+	idleEventually(t, p.server, "free descriptors", func() bool {
 		b := p.server
 		return b.counters.Accepted == 250 && b.basicLimits().MayTake(int(b.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
-	idleEventually(t, p.server, "the end of all others", func() bool {
+	idleEventually(t, p.server, "the end of all other clients", func() bool {
 		return p.server.core.OpenRequests() == 1 && len(p.server.clients) == 1 && len(p.server.finishing) == 0
 	})
 }
 
-// A server closes its idle probe connection as STATS leaves, directly before or directly after: the probe has failed,
-// which is told once, and the next one goes over a connection of its own.
+// A server closes its idle probe connection just before or just after STATS is sent. The probe fails, which is reported
+// once, and the next probe uses a new connection.
 func TestAnIdleProbeConnectionClosedAsStatsLeaves(t *testing.T) {
 	p, v := leavesPlay(t, true), newLeavesServer(t)
 	b := p.server
@@ -331,7 +332,7 @@
 	leavesRequest(t, p)
 	idle := nextProbe()
 	answered(idle)
-	onServerLoop(t, b, func() { // the end is read, and its event waits behind the probe
+	onServerLoop(t, b, func() { // the end is read, but its event is handled after the probe has started
 		_ = idle.Close()
 		conn := b.probes["own"].conn
 		for end := time.Now().Add(idleLimit); !conn.hasEnded() && time.Now().Before(end); {
--- a/internal/proxy/inherited.go
+++ b/internal/proxy/inherited.go
@@ -11,25 +11,25 @@
 	"oatloft/internal/hint"
 )
 
-const inheritedHint = "see that what starts the balancer hands over the listening socket, " +
-	"and gives its number by PROXY_FD"
+const inheritedHint = "make the service manager pass the listening socket " +
+	"and set PROXY_FD to its descriptor number"
 
-// firstInheritedFD is the first descriptor that is not a standard stream.
+// firstInheritedFD is the lowest descriptor number that is not a standard stream.
 const firstInheritedFD = 3
 
-// takeInherited takes over the listening socket that the platform holds for all processes of this balancer. Each of
-// them closes it, and none shuts it down: what waits in its queue is the next one's then. The error is
-// *ListenFailed.
+// takeInherited takes over the listening socket that the platform keeps open for all processes of this balancer. Each
+// process closes its copy and none shuts the socket down, so that connections in its queue are left to the next
+// process. The error is *ListenFailed.
 func takeInherited(fd, addr string) (net.Listener, error) {
 	number, err := strconv.Atoi(fd)
 	if err != nil || number < firstInheritedFD {
 		return nil, &ListenFailed{
-			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is no descriptor above 2", fd), Do: inheritedHint},
+			hint.Annotated{Where: "PROXY_FD", What: fmt.Sprintf("%q is not a descriptor above 2", fd), Do: inheritedHint},
 		}
 	}
 	want, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
-		return nil, &ListenFailed{hint.Annotated{Where: "listen", Cause: err, Do: "give host:port"}}
+		return nil, &ListenFailed{hint.Annotated{Where: "listen", Cause: err, Do: "use the form host:port"}}
 	}
 	if err := checkListening(number); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 			hint.Annotated{
 				Where: "PROXY_FD",
 				What:  fmt.Sprintf("descriptor %d listens on %v, not on %s (listen)", number, listener.Addr(), addr),
-				Do:    "set listen to the address of the socket that is handed over",
+				Do:    "set listen to the address of the passed socket",
 			},
 		}
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// listensOn tells whether a listener has the wanted address. An address without IP is that of all interfaces.
+// listensOn reports whether a listener has the wanted address. An address without an IP stands for all interfaces.
 func listensOn(listener net.Listener, want *net.TCPAddr) bool {
 	has, ok := listener.Addr().(*net.TCPAddr)
 	if !ok || has.Port != want.Port {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// acceptRetry is the time between two tries to accept where there are no descriptors.
+	// acceptRetry is the interval between attempts to accept while no descriptor is available.
 	acceptRetry = 2 * time.Millisecond
-	// closedListenerPause is the time between two answers that the listener is closed.
+	// closedListenerPause is the delay before Accept returns that the listener is closed.
 	closedListenerPause = 50 * time.Millisecond
 )
 
-// clientListener accepts clients while there are descriptors for them. Without it nbio's accept loop would turn at
-// full speed where they run out, and close what it cannot open.
+// clientListener accepts clients only while descriptors are available. Without it nbio's accept loop would spin when
+// descriptors run out, and close connections that it cannot open.
 type clientListener struct {
 	net.Listener
 	balancer *Balancer
-	file     *os.File // the same socket, for acceptRaw; nil where the standard library accepts
+	file     *os.File // the same socket, for acceptRaw; nil if the standard library accepts
 }
 
 // listen opens the listener that nbio accepts from.
@@ -49,12 +49,12 @@
 	return b.listener, nil
 }
 
-// acceptLoop tells whether nbio's accept loop has ended. It handles one connection after the other: once it has met
-// the closed listener, the loop's queue has all that it accepted.
+// acceptLoop tracks whether nbio's accept loop has ended. The loop handles connections one after the other: once it has
+// encountered the closed listener, the event queue holds all connections that it accepted.
 type acceptLoop struct {
-	closed atomic.Bool // the listener is
+	closed atomic.Bool // the listener is closed
 	once   sync.Once
-	done   chan struct{} // closed once the accept loop has met the closed listener
+	done   chan struct{} // closed once the accept loop has encountered the closed listener
 }
 
 func (a *acceptLoop) finish() { a.once.Do(func() { close(a.done) }) }
@@ -68,7 +68,7 @@
 	}
 }
 
-// Close closes the listener, and ends the accepting.
+// Close closes the listener and stops accepting.
 func (l clientListener) Close() error {
 	l.balancer.acceptLoop.closed.Store(true)
 	if l.file != nil {
@@ -77,8 +77,8 @@
 	return l.Listener.Close()
 }
 
-// Accept returns the next client. nbio's accept loop does not end with its listener, but asks on without a pause:
-// while the last answers are written, it would take the processor from them.
+// Accept returns the next client's connection. nbio's accept loop does not end with its listener, but calls Accept
+// again immediately: without the pause it would use processor time that the last answers need.
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.acceptNext()
 	if errors.Is(err, net.ErrClosed) {
@@ -129,7 +129,7 @@
 	return conn, err
 }
 
-// basicLimits returns the limits that hold where no admission is configured.
+// basicLimits returns the limits in effect if admission is not configured.
 func (b *Balancer) basicLimits() admission.Basic {
 	return admission.Basic{Limit: int(b.descriptorLimit.Load())}
 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -10,7 +10,8 @@
 	"oatloft/internal/core"
 )
 
-// nbio asks a closed listener on and on: that once turned at full speed while the last answers were leaving.
+// nbio keeps calling Accept on a closed listener. Without a pause the accept loop would spin while the last answers are
+// being written.
 func TestClosedListenerDoesNotSpin(t *testing.T) {
 	b := start(t, "").server
 	l := clientListener{Listener: closedListener{}, balancer: b}
@@ -24,8 +25,8 @@
 
 func (closedListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
 
-// Once the reducer has closed its books, nobody more is taken in: a transaction that came then was lost with the
-// process.
+// Once the reducer has finished, no connection is accepted any more: a request admitted after that would be lost when
+// the process exits.
 func TestNobodyComesInAfterTheEnd(t *testing.T) {
 	b, err := New(start(t, "").server.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -37,6 +38,6 @@
 	b.carryOut(core.Exit{})
 	if c, err := net.DialTimeout("tcp", b.Addr(), time.Second); err == nil {
 		_ = c.Close()
-		t.Fatal("taken in")
+		t.Fatal("a connection was accepted after the reducer had finished")
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -11,19 +11,19 @@
 
 const (
 	memoryCheckInterval = 250 * time.Millisecond
-	// stallThreshold is the time between two turns of the loop from which on this process is held to have stood still.
+	// stallThreshold is the interval between two loop iterations above which the process is considered to have stalled.
 	stallThreshold = 50 * time.Millisecond
-	// backlogTime is the time within which what came meanwhile is read.
+	// backlogTime is the time after a stall within which what arrived meanwhile is expected to have been read.
 	backlogTime = time.Second
 )
 
-// loopState is what the loop keeps of its own time.
+// loopState holds the loop's timers.
 type loopState struct {
 	nextFollowAt      time.Time
 	nextMemoryCheckAt time.Time
 }
 
-// runLoop is the loop: it runs until the balancer may exit, or ctx ends.
+// runLoop runs the event loop until the balancer may exit or ctx ends.
 func (b *Balancer) runLoop(ctx context.Context, leave, report <-chan struct{}, reload <-chan Config) error {
 	tick := time.NewTicker(core.TickInterval)
 	defer tick.Stop()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// noteTurn notices if this process has stood still, or has had no processor.
+// noteTurn detects that the process was stalled, for example because it got no processor time.
 func (b *Balancer) noteTurn(now time.Time) {
 	if !b.lastTurnAt.IsZero() && now.Sub(b.lastTurnAt) > stallThreshold {
 		b.backloggedUntil = now.Add(backlogTime)
@@ -59,8 +59,8 @@
 	b.lastTurnAt = now
 }
 
-// handleEvents handles what the callbacks have posted so far. What comes meanwhile wakes the loop again, so that a
-// flood of events cannot keep the clock from ticking. Operators' calls do not queue behind the data's events.
+// handleEvents handles the events posted so far. Later events wake the loop again, so that a flood of events cannot
+// delay the ticker. Management calls are run between events, so that they do not queue behind data.
 func (b *Balancer) handleEvents() {
 	batch, deferred := b.queue.take(b.batch)
 	b.batch = batch
@@ -105,7 +105,7 @@
 	}
 }
 
-// handleTick does what has to be done by the clock.
+// handleTick performs periodic work.
 func (b *Balancer) handleTick(now time.Time) {
 	if b.exiting {
 		b.closeListener()
@@ -133,7 +133,7 @@
 	b.closeFinishing(now, b.checkDescriptors(used))
 }
 
-// checkMemory looks at the memory now and then, and returns what is used in bytes; 0 if it has not looked.
+// checkMemory measures memory usage every memoryCheckInterval and returns it in bytes, or 0 if it was not measured.
 func (b *Balancer) checkMemory(now time.Time) (used int64) {
 	if !now.After(b.loop.nextMemoryCheckAt) {
 		return 0
@@ -146,8 +146,8 @@
 	return used
 }
 
-// checkDescriptors frees descriptors where they are scarce, and returns by how much sooner connections that finish
-// are closed.
+// checkDescriptors frees descriptors if they are scarce. It returns by how much the time-outs of finishing connections
+// are shortened.
 func (b *Balancer) checkDescriptors(usedMemory int64) (sooner time.Duration) {
 	if b.admission != nil {
 		if b.admission.tick(len(b.probes), usedMemory) {
@@ -163,7 +163,7 @@
 	return finishSooner
 }
 
-// expireProbes ends probes that have had no answer in time.
+// expireProbes ends probes whose deadline has passed without an answer.
 func (b *Balancer) expireProbes(now time.Time) {
 	for server, p := range b.probes {
 		if p.pending && now.After(p.deadline) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// closeVictims closes the idle clients that admission has chosen.
+// closeVictims closes the idle clients that admission has selected.
 func (b *Balancer) closeVictims() {
 	if b.admission == nil {
 		return
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -6,20 +6,21 @@
 	"runtime/metrics"
 )
 
-// Share of the configured memory at which the runtime collects garbage harder.
+// The Go runtime's soft memory limit as a share of the configured memory, in tenths. Above it, the garbage collector
+// runs more often.
 const (
 	memoryLimitTenths = 6
 	tenths            = 10
 )
 
-// heapBytes returns the memory that the Go runtime holds, in bytes.
+// heapBytes returns the memory that the Go runtime has mapped and not released to the system, in bytes.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64() - sample[1].Value.Uint64()
 }
 
-// SetLimits fits the Go runtime to the machine that the configuration describes.
+// SetLimits sets the Go runtime's processor and memory limits from the configuration.
 func (c Config) SetLimits() {
 	runtime.GOMAXPROCS(max(1, int(c.Cores+0.5)))
 	if c.MemoryMB > 0 {
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -8,18 +8,19 @@
 	"oatloft/internal/platform"
 )
 
-// migrateTimeout is how long a migration waits for the end of the server's line.
+// migrateTimeout is how long a migration waits for the rest of the server's line.
 const migrateTimeout = time.Second
 
-// migration is a client's state while it waits to be sent to another server. A client whose server is inside a line
-// gets MOVE behind that line. The reducer has closed the request by then, so ends of either side are handled here.
+// migration is a client's state while it waits to be migrated to another server. If the server is in the middle of a
+// line, MOVE is sent after that line. The reducer has closed the request by then, so the end of either connection is
+// handled here.
 type migration struct {
 	deadline       time.Time
-	passedBytes    int  // of the server's line, since the migration began
-	passingRequest bool // the server waits for the end of a line of the client that a bounded link has held back
+	passedBytes    int  // bytes of the server's line forwarded since the migration began
+	passingRequest bool // the rest of the client's line, delayed by a bounded link, is being forwarded
 }
 
-// migrate sends MOVE to a client, or has it wait for the end of the server's line.
+// migrate sends MOVE to a client, immediately or after the end of the server's line.
 func (b *Balancer) migrate(c *client) {
 	if c.fromServer.Between() {
 		b.sendMove(c)
@@ -32,13 +33,14 @@
 	}
 }
 
-// isMigrating tells whether a client waits for the end of its server's line.
+// isMigrating reports whether a client's migration waits for the end of the server's line.
 func (b *Balancer) isMigrating(c *client) bool {
 	_, migrating := b.migrating[c]
 	return migrating
 }
 
-// expireMigrations ends migrations whose server has stopped inside a line: MOVE would be taken for the line's rest.
+// expireMigrations resets clients whose server has stopped inside a line: the client would read MOVE as part of that
+// line.
 func (b *Balancer) expireMigrations(now time.Time) {
 	for c := range b.migrating {
 		if now.After(c.migration.deadline) {
@@ -47,15 +49,15 @@
 	}
 }
 
-// passRestOfAnswer forwards the end of the server's line, and MOVE behind it. Behind BYE or MOVE of the server
-// itself nothing follows.
+// passRestOfAnswer forwards the rest of the server's line and sends MOVE after it. If the line is BYE or MOVE of the
+// server itself, nothing is sent after it.
 func (b *Balancer) passRestOfAnswer(c *client, data []byte) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if end == 0 {
 		c.fromServer.Read(data)
 		c.conn.write(data)
 		c.migration.passedBytes += len(data)
-		if c.migration.passedBytes > backpressureBytes { // no line is so long: it must not fill the memory
+		if c.migration.passedBytes > backpressureBytes { // no valid line is this long; bounds the memory used
 			c.server.pause()
 		}
 		return
@@ -69,14 +71,14 @@
 	b.sendMove(c)
 }
 
-// endMigrating ends the client without MOVE, and drops its server.
+// endMigrating closes the client without MOVE and drops its server.
 func (b *Balancer) endMigrating(c *client, reason core.CloseReason) {
 	b.closeClient(c, reason)
 	c.dropServer()
 }
 
-// clientEndedMigrating ends the server of a client that has ended before MOVE could be sent, in the same way. A
-// client that has only closed its sending side still gets the rest of the line and MOVE.
+// clientEndedMigrating handles the end of a client before MOVE could be sent: the server's connection is closed in the
+// same way. A client that has only closed its sending side still gets the rest of the line and MOVE.
 func (b *Balancer) clientEndedMigrating(c *client, kind eventKind) {
 	if kind != eventReset {
 		c.server.fin(false)
@@ -89,16 +91,16 @@
 	c.server = nil
 }
 
-// sendMove tells a client to connect again, and ends it.
+// sendMove tells a client to reconnect and closes its connections.
 func (b *Balancer) sendMove(c *client) {
 	c.conn.write(platform.Move)
 	b.closeClient(c, core.CloseEOF)
 	c.dropServer()
 }
 
-// finishServerLine has the server's line end soon. The reducer no longer resumes reading of a server whose client
-// was slow. Where a bounded link has let only a part of the client's last line through, the server may answer the
-// rest, and not before.
+// finishServerLine removes what may delay the rest of the server's line. Reading of a server that was paused for a slow
+// client is resumed here, since the reducer no longer does. If a bounded link has delayed the rest of the client's last
+// line, that rest bypasses the queue, since the server may not answer before it has the whole line.
 func (b *Balancer) finishServerLine(c *client) {
 	c.server.resume()
 	if b.zoneLinks == nil {
@@ -110,8 +112,8 @@
 	}
 }
 
-// passRestOfRequest forwards the end of a line of which the server has the beginning. The link's queue counts it as
-// debt.
+// passRestOfRequest forwards the rest of a line whose beginning the server already has. The bytes count against the
+// link's future budget.
 func (b *Balancer) passRestOfRequest(c *client, data []byte) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if end > 0 || c.server == nil || c.server.backlog() > backpressureBytes {
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -12,15 +12,15 @@
 	"oatloft/policy"
 )
 
-// movesPlay has a balancer that moves its clients as it leaves. Client b's request keeps it from ending: its server
-// holds the answer.
+// movesPlay starts a balancer that migrates its clients when it shuts down.
 func movesPlay(t *testing.T) *play {
 	t.Helper()
 	return patientPlay(t, "", func(cfg *Config) { cfg.Core.PassThrough = false })
 }
 
-// movesInsideALine brings a client up whose server has sent the beginning of a line, and has the balancer move it.
-// The move waits for the line's end then, for as long as the test likes.
+// movesInsideALine establishes a client whose server has sent the beginning of a line, and starts the client's
+// migration by a shutdown. The migration waits for the rest of the line, with a deadline that the test does not reach.
+// The unanswered request of client b keeps the balancer from exiting.
 func movesInsideALine(t *testing.T, begun string) (*play, *client) {
 	t.Helper()
 	p := movesPlay(t)
@@ -29,7 +29,7 @@
 	movesRead(t, p, "a", begun)
 	p.leave <- struct{}{}
 	var moved *client
-	idleEventually(t, p.server, "the move", func() bool {
+	idleEventually(t, p.server, "the migration", func() bool {
 		for x := range p.server.migrating {
 			moved = x
 			x.migration.deadline = time.Now().Add(time.Hour)
@@ -39,7 +39,7 @@
 	return p, moved
 }
 
-// movesRead takes these bytes from a peer.
+// movesRead reads exactly the wanted bytes from a peer.
 func movesRead(t *testing.T, p *play, name, want string) {
 	t.Helper()
 	who, err := p.peer(name)
@@ -53,7 +53,7 @@
 	}
 }
 
-// movesEnd takes what is left up to the end.
+// movesEnd reads a peer's remaining bytes up to the end of its connection, and checks them and how it ended.
 func movesEnd(t *testing.T, p *play, name, want string, reset bool) {
 	t.Helper()
 	who, err := p.peer(name)
@@ -67,7 +67,8 @@
 	}
 }
 
-// MOVE comes behind the line that had begun, and nothing of the next line does, however the line's end comes.
+// MOVE follows the line that had begun, and nothing of the next line is forwarded, in whatever pieces the rest of the
+// line arrives.
 func TestMoveComesBehindTheLine(t *testing.T) {
 	for _, x := range []struct {
 		rest []string
@@ -89,7 +90,7 @@
 	}
 }
 
-// A last word of the server that was under way as the move began is the last: no MOVE follows it.
+// If the line in progress is the server's own BYE or MOVE, no MOVE of the balancer follows it.
 func TestNoMoveFollowsTheServersLastWord(t *testing.T) {
 	for begun, rest := range map[string]string{
 		"BY":             "E\r\n",
@@ -103,24 +104,26 @@
 	}
 }
 
-// A server that ends inside its line while the move waits ends its client in the same way, and at once: no end of the
-// line will come.
+// If a server closes or resets in the middle of its line while a migration waits, its client is immediately closed in
+// the same way, since the rest of the line will never arrive.
 func TestAServerThatEndsInsideTheLineEndsItsClient(t *testing.T) {
 	for _, how := range []string{"FIN", "RST"} {
 		p, x := movesInsideALine(t, "half")
 		playSteps(t, p, "task1 "+how)
 		movesEnd(t, p, "a", "", how == "RST")
-		idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.migrating) == 0 && x.server == nil })
+		idleEventually(t, p.server, "the migration's end", func() bool {
+			return len(p.server.migrating) == 0 && x.server == nil
+		})
 	}
 }
 
-// A client that ends before its MOVE: its server is told in the same way. One that only closed its sending gets the
-// rest of the line and MOVE.
+// If a client resets before its MOVE, its server's connection is reset. A client that only closed its sending side gets
+// the rest of the line and MOVE.
 func TestAClientThatEndsBeforeItsMove(t *testing.T) {
 	p, _ := movesInsideALine(t, "half")
 	playSteps(t, p, "a RST")
 	movesEnd(t, p, "task1", "", true)
-	idleEventually(t, p.server, "the move's end", func() bool { return len(p.server.migrating) == 0 })
+	idleEventually(t, p.server, "the migration's end", func() bool { return len(p.server.migrating) == 0 })
 
 	p, _ = movesInsideALine(t, "half")
 	playSteps(t, p, "a FIN")
@@ -129,8 +132,8 @@
 	movesEnd(t, p, "a", " a line\r\nMOVE\r\n", false)
 }
 
-// A server that sends a line without end while the move waits can't fill the memory, and the client is cut when the
-// move's time is over.
+// A server that sends an endless line while a migration waits cannot fill the memory, and the client is reset at the
+// migration's deadline.
 func TestALineWithoutEndIsBoundedWhileItsClientMoves(t *testing.T) {
 	p, x := movesInsideALine(t, "half")
 	go func() {
@@ -141,9 +144,9 @@
 			}
 		}
 	}()
-	idleEventually(t, p.server, "the pause", func() bool {
+	idleEventually(t, p.server, "reading to pause", func() bool {
 		if x.migration.passedBytes > 1<<20 {
-			t.Error(x.migration.passedBytes, "bytes of one line passed")
+			t.Error(x.migration.passedBytes, "bytes of one line forwarded")
 			return true
 		}
 		x.server.mu.Lock()
@@ -151,11 +154,13 @@
 		return x.server.paused
 	})
 	onServerLoop(t, p.server, func() { x.migration.deadline = time.Now().Add(-time.Second) })
-	idleEventually(t, p.server, "the cut", func() bool { return x.finished && len(p.server.migrating) == 0 })
+	idleEventually(t, p.server, "the client to be reset", func() bool {
+		return x.finished && len(p.server.migrating) == 0
+	})
 }
 
-// A shutdown's move crosses UP: whichever comes first, the client gets UP and then MOVE, also where half a line came
-// with UP.
+// A migration for a shutdown coincides with UP. In either order the client gets UP and then MOVE, also if half a line
+// arrived with UP.
 func TestMoveCrossesUp(t *testing.T) {
 	for _, behind := range []string{"", "a line\r\n", "half"} {
 		p := movesPlay(t)
@@ -178,14 +183,14 @@
 	movesEnd(t, p, "task1", "", false)
 }
 
-// A client comes back with its key before its old connection has ended, and the old one ends after that: the new
-// one stays.
+// A client reconnects with its key before its old connection has ended. The later end of the old connection must not
+// affect the new one.
 func TestAClientIsBackBeforeItsOldConnectionEnded(t *testing.T) {
 	for _, end := range []string{"a RST", "a FIN", "task1 RST", "task1 FIN"} {
 		p := patientPlay(t, "", nil)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 			"b > OPEN 2 k c=chat,d=20000,again=1", "task2 < OPEN 2 *", end)
-		idleEventually(t, p.server, "the old one's end", func() bool {
+		idleEventually(t, p.server, "the old connection's end", func() bool {
 			return p.server.core.Counters.ClosedByClient+p.server.core.Counters.ClosedByServer == 1
 		})
 		playSteps(
@@ -201,8 +206,8 @@
 	}
 }
 
-// Servers begin to drain directly before, and directly after, they answer UP: the clients get UP either way, and are
-// moved from there later.
+// Servers begin to drain just before or just after they answer UP. The clients get UP in both cases and are migrated
+// later.
 func TestADrainAtTheMomentOfUp(t *testing.T) {
 	const clients = 12
 	for _, drainFirst := range []bool{true, false} {
@@ -231,11 +236,11 @@
 			up()
 			drain()
 		}
-		idleEventually(t, p.server, "a move", func() bool { return p.server.core.Counters.Migrated > 0 })
+		idleEventually(t, p.server, "a migration", func() bool { return p.server.core.Counters.Migrated > 0 })
 	}
 }
 
-// A server's reset reaches its client as a reset also where the client had closed its sending.
+// A server's reset is passed on as a reset to a client that has closed its sending side.
 func TestAResetReachesAHalfClosedClient(t *testing.T) {
 	p := patientPlay(t, "", nil)
 	playSteps(
@@ -252,7 +257,7 @@
 	movesEnd(t, p, "a", "", true)
 }
 
-// A half-closed client that reads nothing holds its descriptor and its goroutine for a bounded time, also where its
+// A half-closed client that reads nothing occupies its descriptor and goroutine for a bounded time only, also after its
 // server has ended.
 func TestAHalfClosedClientThatNeverReadsIsLetGo(t *testing.T) {
 	p := patientPlay(t, "", nil)
@@ -280,7 +285,8 @@
 		}
 	}()
 	written, polls := int64(0), 0
-	idleEventually(t, p.server, "a full way to the client", func() bool { // also the system's buffers: none moves any more
+	// The system's buffers are full as well once there is no progress in 50 polls.
+	idleEventually(t, p.server, "full buffers to the client", func() bool {
 		if w := x.conn.written.Load(); !x.backpressure[0] || w != written {
 			written, polls = w, 0
 		}
@@ -291,13 +297,13 @@
 	idleEventually(t, p.server, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
 }
 
-// A client's reset arrives together with its FIN and its request, just as its socket is handed over: its request is
-// sent on or not, but nothing of it stays.
+// A client's reset arrives together with its FIN and its request, while its socket is handed over to a tail writer.
+// The request may be forwarded or not, but no client, request or descriptor may be leaked.
 func TestAResetInTheInstantOfTheHandOver(t *testing.T) {
 	const clients = 20
 	p := patientPlay(t, "", nil)
 	p.limit = idleLimit
-	go func() { // whoever gets a request serves it until its client's end
+	go func() { // each attempt is served until its client ends
 		for who := range p.tasks {
 			go func() {
 				_, _ = io.WriteString(who.conn, "UP 1\r\n")
@@ -308,7 +314,7 @@
 	}()
 	for i := range clients {
 		c, x := idleClient(t, p)
-		x.conn.mu.Lock() // the poller waits here until all has come
+		x.conn.mu.Lock() // blocks the poller until everything has arrived
 		_, err := fmt.Fprintf(c, "OPEN %d k c=chat,d=20000\r\n", i)
 		_ = c.CloseWrite()
 		_ = c.SetLinger(0)
@@ -317,10 +323,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		idleEventually(t, p.server, "its end", func() bool { return x.finished })
+		idleEventually(t, p.server, "the client's end", func() bool { return x.finished })
 	}
-	idleEventually(t, p.server, "nothing left of them", func() bool {
-		b := p.server // the watch, its dial and the regions' probes hold some descriptors
+	idleEventually(t, p.server, "everything to be released", func() bool {
+		b := p.server // the watch, its dial and the servers' probes use some descriptors
 		return len(b.clients) == 0 && b.core.OpenRequests() == 0 && len(b.finishing) == 0 && b.sockets.Load() < clients/2
 	})
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,9 +9,9 @@
 	"oatloft/internal/platform"
 )
 
-// readRequest reads the first line of a client, which may come in pieces, and pings before it.
+// readRequest reads a client's first line, which may arrive in pieces, and answers pings before it.
 func (b *Balancer) readRequest(c *client, data []byte) {
-	if c.requestRead { // a client has to wait for its answer
+	if c.requestRead { // a client must not send before its answer
 		b.rejectMalformed(c)
 		return
 	}
@@ -41,7 +41,7 @@
 	c.partialLine = nil
 }
 
-// answerPing answers a front end's health check. It is false if the client sends pings and reads none of the answers.
+// answerPing answers a front end's health check. It reports false if the client does not read the answers.
 func (b *Balancer) answerPing(c *client) bool {
 	b.counters.Pings++
 	if b.core.DrainRequested() || !b.mayPlaceClients() {
@@ -56,7 +56,7 @@
 	return true
 }
 
-// takeRequest takes a client's request, or rejects it. Nothing may follow the request's line before its answer.
+// takeRequest admits or rejects a client's request. No bytes may follow the request line before its answer.
 func (b *Balancer) takeRequest(c *client, line []byte, moreFollows bool) {
 	request, err := platform.ParseOpen(line)
 	if err != nil || moreFollows {
@@ -75,8 +75,8 @@
 	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedAt: request.At})
 }
 
-// admit tells whether a request may be taken. After the reducer has finished its last request none is; without a
-// lease only flows that are established already.
+// admit returns the verdict on a client's request. Once the reducer has finished, every request is rejected; without a
+// lease, all except those of flows that are already established.
 func (b *Balancer) admit(c *client) admission.Verdict {
 	switch {
 	case b.exiting:
@@ -97,7 +97,8 @@
 	b.step(core.InvalidRequest{Client: c.handle})
 }
 
-// limitFirstBytes counts the bytes before a first line, and rejects a client whose address sends too many.
+// limitFirstBytes counts bytes received before the first line is complete. It rejects the client, and reports true, if
+// its address sends too many.
 func (b *Balancer) limitFirstBytes(c *client, n int) bool {
 	if b.admission == nil {
 		return false
@@ -111,12 +112,12 @@
 	return true
 }
 
-// reject answers a client whose request is not taken.
+// reject answers a client with a rejection and closes its connection.
 func (b *Balancer) reject(c *client, verdict admission.Verdict) {
 	b.counters.Rejected++
 	c.finished = true
 	if b.admission != nil {
-		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
+		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "client rejected",
 			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.After))
 	}
 	b.step(core.ClientClosed{Client: c.handle})
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -17,8 +17,8 @@
 	"oatloft/policy"
 )
 
-// A socket that can't be unconnected (connecting to no address fails, as it did on the fleet's bench with
-// EAFNOSUPPORT) must be reset all the same: its other side learns of the end at once.
+// A socket must be reset also where connecting to AF_UNSPEC is not supported (some networks fail with EAFNOSUPPORT):
+// the peer must learn of the end immediately.
 func TestResetNeedsNoUnconnecting(t *testing.T) {
 	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
 	if err != nil {
@@ -62,12 +62,12 @@
 	var b [1]byte
 	var timeout net.Error
 	if _, err := far.Read(b[:]); err == nil || errors.As(err, &timeout) && timeout.Timeout() {
-		t.Fatalf("the other side was not told of the reset: %v", err)
+		t.Fatalf("the peer was not notified of the reset: %v", err)
 	}
 }
 
-// unsafeBalancer starts a balancer without a loop, whose servers and discovery are all at one address, and for
-// which no request may be repeated.
+// unsafeBalancer starts a balancer without running its loop. Its servers and discovery all have the same address, and
+// its class does not allow a request to be executed twice.
 func unsafeBalancer(t *testing.T, addr string) *Balancer {
 	t.Helper()
 	body, err := os.ReadFile("testdata/config.json")
@@ -93,9 +93,9 @@
 	return b
 }
 
-// A region that resets a connection as it comes up has got no byte of the line: a transaction that may not run
-// twice goes on to another region. It was taken for one that may have run where the poller met the reset before the
-// line was written.
+// A server that resets a connection as it is established has received no byte of the request, so that a request that
+// must not run twice is sent to another server. The request must not be treated as possibly executed if the poller
+// encounters the reset before the line is written.
 func TestResetBeforeTheLineNeverRan(t *testing.T) {
 	region, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
@@ -113,7 +113,7 @@
 	)
 	task := conn.client.server
 	if task == nil {
-		t.Fatal("not sent to a region")
+		t.Fatal("no attempt was started")
 	}
 	c, err := region.Accept()
 	if err != nil {
@@ -129,12 +129,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the reset was not met")
+			t.Fatal("the reset was not noticed")
 		}
 	}
 	b.handleEvents()
 	if n := b.core.Counters; n.AttemptsUnreachable != 1 || n.AttemptsReset != 0 || n.Failed != 0 || n.Attempts != 2 {
-		t.Fatalf("unreachable %d, reset %d, failed %d, sent to %d regions",
+		t.Fatalf("unreachable %d, reset %d, failed %d, attempts %d",
 			n.AttemptsUnreachable, n.AttemptsReset, n.Failed, n.Attempts)
 	}
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	idleTimeout  = 500 * time.Millisecond // for clients that have got everything: they have to read it, and to end
-	maxAdoptions = 256                    // connections of the listener's queue at a time, before other events
+	idleTimeout  = 500 * time.Millisecond // for answered clients to read their answers and close
+	maxAdoptions = 256                    // connections taken from the listener's queue before other events are handled
 )
 
-// closing bounds the last phase of a balancer.
+// closing holds the deadlines of the last phase of a balancer's shutdown.
 type closing struct {
-	idleDeadline time.Time // clients that only have to end are waited for until then
-	deadline     time.Time // the loop ends then, whatever is left
+	idleDeadline time.Time // until then, clients that only have to close are waited for
+	deadline     time.Time // the loop ends then unconditionally
 }
 
-// beginShutdown begins the shutdown. A listener that is the platform's is closed at once: what waits in its queue,
-// or comes, is for the process that follows.
+// beginShutdown starts the shutdown. An inherited listener is closed immediately: connections in its queue and later
+// ones are left to the successor process.
 func (b *Balancer) beginShutdown() {
 	b.serving = false
 	if b.inherited != nil {
@@ -35,8 +35,8 @@
 	b.announceLeaving()
 }
 
-// beginClosing begins the last phase: no client waits for an answer, and no request is taken any more. deadline is
-// by the balancer's clock.
+// beginClosing starts the last phase: no client waits for an answer, and no request is admitted any more. deadline is
+// a time of the balancer's clock.
 func (b *Balancer) beginClosing(deadline time.Duration) {
 	b.exiting = true
 	b.closing = closing{
@@ -46,8 +46,9 @@
 	b.closeListener()
 }
 
-// closeListener closes the listener once its queue is empty: the system would reset the connections in it, and with
-// them requests that were sent. If they are too many, or descriptors too few, the rest follows at the next tick.
+// closeListener closes the listener once its queue is empty: the system would reset queued connections, whose requests
+// may have been sent already. If connections are left, because there are too many or descriptors are exhausted, it
+// tries again at the next tick.
 func (b *Balancer) closeListener() {
 	if b.acceptLoop.closed.Load() || b.inherited == nil && !b.acceptQueued() {
 		return
@@ -55,8 +56,8 @@
 	_ = b.listener.Close()
 }
 
-// acceptQueued accepts the connections in the listener's queue, to be rejected as all that come now. It is false if
-// some are left.
+// acceptQueued accepts the connections in the listener's queue, which are rejected like all new connections in this
+// phase. It reports false if connections may be left.
 func (b *Balancer) acceptQueued() bool {
 	raw, ok := rawListener(b.listener)
 	if !ok {
@@ -88,7 +89,8 @@
 	return raw, err == nil
 }
 
-// acceptNow accepts a connection that waits, if there is one. The accept loop may wait for one meanwhile.
+// acceptNow accepts a queued connection, if there is one, without blocking. The accept loop may be waiting on the same
+// listener.
 func acceptNow(listener syscall.RawConn) (fd int, err error) {
 	closed := listener.Control(func(s uintptr) { fd, _, err = accept4(int(s)) })
 	if closed != nil {
@@ -97,7 +99,7 @@
 	return fd, err
 }
 
-// adopt has a connection served like one that nbio's accept loop has accepted.
+// adopt passes a connection to nbio as if nbio's accept loop had accepted it.
 func (b *Balancer) adopt(fd int) {
 	conn, err := newConn(fd)
 	if err != nil {
@@ -118,11 +120,11 @@
 	c := &connection{balancer: b, role: clientRole, conn: polled, state: live, remoteAddr: polled.RemoteAddr()}
 	b.attachSession(polled, c)
 	b.queue.post(event{kind: eventAccepted, conn: c})
-	_, _ = b.engine.AddConn(polled) // a failure closes it, which onClose reports
+	_, _ = b.engine.AddConn(polled) // on failure nbio closes it, and onClose posts the end
 }
 
-// rejectRaw answers a connection for which there is no second descriptor. What has come is read first, so that
-// closing does not turn the answer into a reset.
+// rejectRaw answers a connection for which no second descriptor is available. Received bytes are discarded first, since
+// closing a socket with unread bytes would reset the connection and could destroy the answer.
 func rejectRaw(fd int) {
 	var buffer [readSize]byte
 	for range maxDiscarded / readSize {
@@ -133,14 +135,14 @@
 	_, _ = syscall.Write(fd, platform.AppendShort(nil, 0))
 }
 
-// mayExit tells whether the loop may end: all clients that were accepted have got everything, or the time is over.
+// mayExit reports whether the loop may end: all accepted clients have received everything, or the deadline has passed.
 func (b *Balancer) mayExit(now time.Time) bool {
 	switch {
 	case !b.exiting:
 		return false
 	case now.After(b.closing.deadline):
 		return true
-	case !b.acceptLoop.hasEnded(), !b.queue.empty(): // a connection may have been accepted that the loop does not know
+	case !b.acceptLoop.hasEnded(), !b.queue.empty(): // the loop may not know all accepted connections yet
 		return false
 	case len(b.migrating) > 0, b.admission != nil && b.admission.hasGoodbyes():
 		return false
@@ -153,8 +155,8 @@
 	return true
 }
 
-// Close releases what Run leaves to the end of the process: sockets, and the goroutines that serve them. A program
-// that goes on after Run calls it; what clients have not received then is lost.
+// Close releases the sockets and goroutines that Run leaves open for the end of the process. Programs that continue
+// after Run must call it; data that clients have not received by then is lost.
 func (b *Balancer) Close() {
 	_ = b.listener.Close()
 	for _, c := range b.clients {
--- a/internal/proxy/shutdown_harness_test.go
+++ b/internal/proxy/shutdown_harness_test.go
@@ -14,12 +14,12 @@
 	"oatloft/internal/core"
 )
 
-// shutHold is a listener whose accept loop can be stopped between accept and what follows.
+// shutHold is a listener whose accept loop can be suspended right after accept.
 type shutHold struct {
 	net.Listener
 	mu    sync.Mutex
-	taken chan struct{} // a connection has been accepted, and is held
-	free  chan struct{} // closed: it goes on
+	taken chan struct{} // receives when a connection has been accepted and is suspended
+	free  chan struct{} // closed to resume
 }
 
 func (h *shutHold) Accept() (net.Conn, error) {
@@ -36,7 +36,7 @@
 	return c, err
 }
 
-// hold stops the accept loop at the next connection.
+// hold suspends the accept loop at the next connection.
 func (h *shutHold) hold() (taken, free chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,17 +44,18 @@
 	return h.taken, h.free
 }
 
-// shutBed is a server on scripted regions and discovery, as the exchanges have it.
+// shutBed is a balancer with scripted servers and discovery, as in the exchanges of TestExchanges, and a controlled
+// clock.
 type shutBed struct {
 	*play
 	hold  *shutHold
-	clock time.Duration // the reducer's, which stands still unless a test has time pass
+	clock time.Duration // the reducer's, stopped unless a test advances it
 	mu    sync.Mutex
-	conns []net.Conn // that regions and discovery have taken
+	conns []net.Conn // accepted by servers and discovery
 	group sync.WaitGroup
 }
 
-// takes plays a region, whose probes are answered at once, or discovery.
+// takes plays a server, whose probes are answered immediately, or discovery.
 func (b *shutBed) takes(l net.Listener, discovery bool) {
 	defer b.group.Done()
 	for {
@@ -89,7 +90,7 @@
 	}
 }
 
-// end lets go of all that the test's side holds.
+// end closes the test's listeners and connections.
 func (b *shutBed) end() {
 	for _, l := range b.regions {
 		_ = l.Close()
@@ -160,13 +161,14 @@
 	return b
 }
 
-// notPassing has connections end at the balancer, whose clients are moved when it leaves.
+// notPassing configures a balancer that migrates its clients when it shuts down.
 func notPassing(cfg *Config) { cfg.Core.PassThrough = false }
 
-// stop has the reducer's clock stand still: it takes no time from before its own.
+// stop stops the reducer's clock, by setting its start so far ahead that measured times are earlier than the reducer's
+// own, which it ignores.
 func (b *shutBed) stop(s *Balancer) { s.cfg.StartOfClock = time.Now().Add(24*time.Hour - b.clock) }
 
-// pass lets the reducer's time go by.
+// pass advances the reducer's clock tick by tick.
 func (b *shutBed) pass(d time.Duration) {
 	b.t.Helper()
 	b.onLoop(func(s *Balancer) {
@@ -189,28 +191,28 @@
 	case <-b.server.loopEnded:
 		b.t.Fatal("the loop has ended")
 	case <-time.After(shutPatience):
-		b.t.Fatal("the loop takes no call")
+		b.t.Fatal("the loop accepts no call")
 	}
 }
 
-// until waits for something that holds on the loop.
+// until waits until holds returns true on the loop.
 func (b *shutBed) until(what string, holds func(s *Balancer) bool) {
 	b.t.Helper()
 	for end, ok := time.Now().Add(shutPatience), false; !ok; time.Sleep(time.Millisecond) {
 		if b.onLoop(func(s *Balancer) { ok = holds(s) }); time.Now().After(end) {
-			b.t.Fatal("in vain:", what)
+			b.t.Fatal("timed out waiting for", what)
 		}
 	}
 }
 
-// leaves tells the server to leave, and waits until it has begun.
+// leaves starts the balancer's shutdown and waits until it drains.
 func (b *shutBed) leaves() {
 	b.t.Helper()
 	b.steps("leave")
 	b.until("draining", func(s *Balancer) bool { return s.core.Phase() == core.Draining })
 }
 
-// calls has as much time pass as it takes until discovery is called.
+// calls advances the clock until discovery is called.
 func (b *shutBed) calls() {
 	b.t.Helper()
 	for over := false; !over; {
@@ -220,7 +222,7 @@
 	b.steps("watch1 < GET *")
 }
 
-// closes has as much time pass as it takes until nobody is taken in any more.
+// closes advances the clock until no request is admitted any more.
 func (b *shutBed) closes() {
 	b.t.Helper()
 	for over := false; !over; {
@@ -239,12 +241,12 @@
 	}
 }
 
-// nobodyAsked tells that no attempt has reached a region.
+// nobodyAsked checks that no attempt has reached a server.
 func (b *shutBed) nobodyAsked() {
 	b.t.Helper()
 	select {
 	case <-b.tasks:
-		b.t.Fatal("a request was sent on")
+		b.t.Fatal("a request was forwarded")
 	default:
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -12,20 +12,21 @@
 	"go.uber.org/goleak"
 )
 
-// shutPatience is how long these tests wait for what has to come: no machine is so slow, and no test passes by it.
+// shutPatience bounds waits for expected events. It is longer than any machine needs, and no test passes by reaching
+// it.
 const shutPatience = time.Minute
 
-// killedAfter is how long after SIGTERM, and the longest time that a client waits, SIGKILL may come.
+// killedAfter is the time after which SIGKILL may follow, counted from SIGTERM plus a client's longest waiting time.
 const killedAfter = 700 * time.Millisecond
 
-// Who waits in the listener's queue when the balancer closes it has been taken by this machine, the request perhaps
-// written: the system would reset all of them.
+// Connections in the accept queue must be rejected with an answer when the balancer closes its listener. The system has
+// established them already, and their clients may have sent requests; closing the listener would reset them all.
 func TestWhoWaitsInTheListenersQueueIsTurnedAway(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(
 		func(s *Balancer) { s.sockets.Add(1 << 20) },
-	) // the accept loop waits for descriptors, after one more accept at most
+	) // stops the accept loop for lack of descriptors, after at most one more accept
 	b.steps(`b >> "OPEN 1 k c=chat,d=60000\r\n"`, `c >> "OPEN 2 k c=cha"`, `d >> ""`)
 	b.leaves()
 	b.closes()
@@ -37,7 +38,7 @@
 	b.nobodyAsked()
 }
 
-// A connection that the accept loop has taken is nobody's for a moment: the process must not end in it.
+// Between accept and its registration a connection is unknown to the loop. The process must not exit in that interval.
 func TestWhoIsBeingTakenInAtTheEndIsTurnedAway(t *testing.T) {
 	for name, said := range map[string]string{"whole": `OPEN 1 k c=chat,d=60000\r\n`, "half": `OPEN 1 k`, "nothing": ``} {
 		t.Run(name, func(t *testing.T) {
@@ -47,9 +48,9 @@
 			<-taken
 			b.leaves()
 			b.closes()
-			select { // the loop has had turns, and was not allowed to end
+			select { // the loop has run, and must not have ended
 			case <-b.server.loopEnded:
-				t.Error("ended while a connection was being taken in")
+				t.Error("ended while a connection was being accepted")
 			default:
 			}
 			close(free)
@@ -59,14 +60,14 @@
 	}
 }
 
-// Who rests is told to come again when the balancer closes. A request that is in the socket by then, or comes
-// after, is read away: it is neither sent on nor does it make a reset of the answer.
+// Idle clients are rejected when the balancer closes. A request that is in the socket by then, or arrives later, is
+// read and discarded: it must neither be forwarded nor turn the answer into a reset.
 func TestRequestsInTheMomentOfTheClosing(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
 	b.leaves()
-	b.until("both are known", func(s *Balancer) bool { return len(s.clients) == 2 })
-	b.onLoop(func(s *Balancer) { // nobody reads them
+	b.until("both clients to be known", func(s *Balancer) bool { return len(s.clients) == 2 })
+	b.onLoop(func(s *Balancer) { // leave their requests unread
 		for _, c := range s.clients {
 			c.conn.pause()
 		}
@@ -79,12 +80,12 @@
 	b.nobodyAsked()
 }
 
-// A request in pieces across SIGTERM is served where its end comes while clients are served, and told to come again
-// where it comes after.
+// A request that arrives in pieces around SIGTERM is served if it is complete while clients are still served, and
+// rejected otherwise.
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
-	b.until("the pieces are read", func(s *Balancer) bool {
+	b.until("the pieces to be read", func(s *Balancer) bool {
 		n := 0
 		for _, c := range s.clients {
 			if len(c.partialLine) > 0 {
@@ -109,7 +110,7 @@
 	b.nobodyAsked()
 }
 
-// shutFull is a listener that answers no connection: its queue is full.
+// shutFull returns the address of a listener whose accept queue is full, so that dials to it hang.
 func shutFull(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -133,16 +134,16 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("its queue is never full")
+	t.Fatal("the accept queue is never full")
 	return ""
 }
 
-// Whatever a request waits for at SIGTERM, it gets its one answer before SIGKILL may come, and nothing is sent on
-// after it.
+// Whatever a request waits for at SIGTERM, it gets exactly one answer before SIGKILL may follow, and nothing is
+// forwarded after the answer.
 func TestRequestsUnderWayAtSIGTERMAreAnswered(t *testing.T) {
 	for _, passes := range []bool{true, false} {
 		for name, until := range map[string]func(b *shutBed){
-			"waits for room": func(b *shutBed) {
+			"queued for capacity": func(b *shutBed) {
 				b.onLoop(func(s *Balancer) {
 					for i := range s.cfg.KnownEndpoints.Endpoints {
 						s.cfg.KnownEndpoints.Endpoints[i].State = 1 // draining
@@ -150,7 +151,7 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it is taken", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
+				b.until("the request to be admitted", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
 			},
 			"dialing": func(b *shutBed) {
 				full := shutFull(b.t)
@@ -161,7 +162,7 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it dials", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
+				b.until("the dial", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
 			},
 			"sent":          func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
 			"half answered": func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`) },
@@ -172,27 +173,27 @@
 				b.leaves()
 				const step, most = 100 * time.Millisecond, 2*time.Second + killedAfter - 200*time.Millisecond
 				for passed := time.Duration(0); passed < most; passed += step {
-					b.pass(100 * time.Millisecond) // the loop has a turn between, and must not end
+					b.pass(100 * time.Millisecond) // the loop runs in between, and must not end
 				}
 				b.steps("a < *", "a < FIN")
 				b.closes()
 				b.steps("a FIN", "ended")
 				if n := b.server.core.Unanswered(); n != 0 {
-					t.Error(n, "are still owed an answer")
+					t.Error(n, "requests are unanswered")
 				}
 				if n := b.server.core.Counters; n.Rejected+n.Failed != 1 {
-					t.Errorf("%d told to come again, %d failed: not one", n.Rejected, n.Failed)
+					t.Errorf("%d rejected, %d failed, want one in total", n.Rejected, n.Failed)
 				}
 			})
 		}
 	}
 }
 
-// A client that has closed its sending is over once it has its answer: nobody waits for it any more.
+// A client that has closed its sending side is removed as soon as it has its answer.
 func TestHalfClosedClientsAreOverWithTheirAnswer(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
-	b.until("it has closed its sending", func(s *Balancer) bool {
+	b.until("the client's FIN", func(s *Balancer) bool {
 		for _, c := range s.clients {
 			c.conn.mu.Lock()
 			defer c.conn.mu.Unlock()
@@ -201,23 +202,23 @@
 		return false
 	})
 	b.onLoop(func(s *Balancer) {
-		for _, term := range s.clients { // the answer, and no time for the end by force
+		for _, term := range s.clients { // the final answer, with forceClose out of reach
 			s.finalAnswer(term, []byte("BUSY\r\n"))
 			term.conn.forceCloseAt = time.Now().Add(time.Hour)
 		}
 	})
 	b.steps("a < BUSY", "a < FIN")
-	b.until("it is over", func(s *Balancer) bool { return len(s.finishing) == 0 })
+	b.until("the connection to be released", func(s *Balancer) bool { return len(s.finishing) == 0 })
 }
 
-// A configuration read anew right before SIGTERM, or right after it, counts while clients are still served: news
-// come from where it says. One that comes when all is over changes nothing, and holds nobody up.
+// A configuration that is reloaded just before or just after SIGTERM takes effect while clients are still served:
+// updates come from its discovery address. A reload after that changes nothing and does not delay the exit.
 func TestReloadsAroundSIGTERM(t *testing.T) {
 	for _, first := range []string{"reload", "leave"} {
 		t.Run(first+" first", func(t *testing.T) {
 			b := newShutBed(t, nil)
 			b.calls()
-			b.steps(`rests >> ""`, "a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
+			b.steps(`idle >> ""`, "a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
 			if first == "reload" {
 				b.steps("reload $moved")
 				b.leaves()
@@ -230,15 +231,15 @@
 			b.steps("reload $discovery")
 			b.onLoop(func(s *Balancer) {
 				if s.counters.Reloads != 1 {
-					t.Error(s.counters.Reloads, "configurations were taken")
+					t.Error(s.counters.Reloads, "reloads, want 1")
 				}
 			})
-			b.steps("rests < BUSY", "rests FIN", "ended")
+			b.steps("idle < BUSY", "idle FIN", "ended")
 		})
 	}
 }
 
-// A client whose region stops in the middle of a line at the very end is given the time to be moved behind it.
+// A client whose server is in the middle of a line when the balancer closes gets MOVE after the rest of the line.
 func TestMovesAtTheEndWaitForTheLine(t *testing.T) {
 	b := newShutBed(t, notPassing)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
@@ -248,31 +249,31 @@
 	b.steps("task1 > line", "a < half a line", "a < MOVE", "a < FIN", "a FIN", "ended")
 }
 
-// Small last writes leave at once, by either way in which connections are accepted.
+// TCP_NODELAY is set on connections accepted by either path, so that small last writes are sent immediately.
 func TestAcceptedConnectionsHoldNothingBack(t *testing.T) {
 	b := newShutBed(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) })
-	b.steps(`b >> ""`, `c >> ""`) // one by the accept that waited, perhaps
+	b.steps(`b >> ""`, `c >> ""`) // the pending accept may take one of them
 	b.onLoop(func(s *Balancer) {
 		if !s.acceptQueued() {
-			t.Error("somebody is left in the queue")
+			t.Error("connections are left in the queue")
 		}
 		s.sockets.Add(-1 << 20)
 	})
-	b.until("all are known", func(s *Balancer) bool { return len(s.clients) == 3 })
+	b.until("all clients to be known", func(s *Balancer) bool { return len(s.clients) == 3 })
 	b.onLoop(func(s *Balancer) {
 		for _, term := range s.clients {
 			withDescriptor(term.conn.conn, func(fd int) {
 				if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-					t.Errorf("terminal %d: TCP_NODELAY %d, %v", term.handle, on, err)
+					t.Errorf("client %d: TCP_NODELAY %d, %v", term.handle, on, err)
 				}
 			})
 		}
 	})
 }
 
-// shutDescriptors is how many this process holds.
+// shutDescriptors returns the number of descriptors that this process has open.
 func shutDescriptors(t *testing.T) int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -281,7 +282,7 @@
 	return len(list)
 }
 
-// After a stop nothing is left of a server: no goroutine, no timer, no descriptor. It is stopped both ways, with
+// A stopped balancer leaks no goroutine, timer or descriptor, whether it shuts down or its context ends, with
 // connections in all states.
 func TestNothingIsLeftAfterAStop(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
@@ -293,7 +294,7 @@
 		if leaves {
 			b.leaves()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
-			b.until("nobody stands", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
+			b.until("all requests to end", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
 			b.closes()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
@@ -310,8 +311,8 @@
 	}
 }
 
-// The loop ends once nobody is left who may have to get something, and when its time is up. This is closed alone,
-// so that each reason to stay is met without the others.
+// The loop ends once nothing is outstanding for any client, or at its deadline. Each reason to continue is tested
+// without the others.
 func TestReasonsToStay(t *testing.T) {
 	now := time.Now()
 	ready := func() *Balancer {
@@ -328,14 +329,14 @@
 		return b
 	}
 	if !ready().mayExit(now) {
-		t.Fatal("it stays for nobody")
+		t.Fatal("the loop continues without a reason")
 	}
 	for name, stay := range map[string]func(b *Balancer) (until time.Duration){
 		"accept loop at work": func(b *Balancer) time.Duration {
 			b.acceptLoop = acceptLoop{done: make(chan struct{})}
 			return 2 * time.Second
 		},
-		"events unread": func(b *Balancer) time.Duration {
+		"events queued": func(b *Balancer) time.Duration {
 			b.queue.list = []event{{kind: eventAccepted}}
 			return 2 * time.Second
 		},
@@ -353,7 +354,7 @@
 			b.finishing[&connection{}] = struct{}{}
 			return time.Second
 		},
-		"a refused client": func(b *Balancer) time.Duration {
+		"a rejected client": func(b *Balancer) time.Duration {
 			b.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
@@ -361,13 +362,13 @@
 		b := ready()
 		until := stay(b)
 		if b.mayExit(now) || b.mayExit(now.Add(until-time.Millisecond)) {
-			t.Error(name, "is no reason to stay")
+			t.Error(name, "does not keep the loop running")
 		}
 		if !b.mayExit(now.Add(until + time.Millisecond)) {
-			t.Error(name, "holds it up for ever")
+			t.Error(name, "keeps the loop running past the deadline")
 		}
 		if b.exiting = false; b.mayExit(now.Add(time.Hour)) {
-			t.Error(name, "ends though it serves")
+			t.Error(name, "ends the loop while it serves")
 		}
 	}
 }
--- a/internal/proxy/socket.go
+++ b/internal/proxy/socket.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// withDescriptor does something to a socket, unless nbio has closed it, which only a write tells: the descriptor's
-// number may be another connection's by now.
+// withDescriptor calls do with a socket's descriptor, unless nbio has closed it: the number may then be in use for
+// another connection. Only the error of a write shows that nbio has closed the connection.
 func withDescriptor(polled *nbio.Conn, do func(fd int)) {
 	if _, err := polled.Write(nil); err != nil {
 		return
@@ -24,17 +24,16 @@
 	}
 }
 
-// States of a socket in which the other side has not closed (include/net/tcp_states.h). In the last two only this
-// side has.
+// TCP states in which the peer has not closed (include/net/tcp_states.h). In the two FIN-WAIT states this side has.
 const (
 	tcpEstablished = 1
 	tcpSynRecv     = 3
 	tcpFinWait1    = 4
 	tcpFinWait2    = 5
-	tcpStateMask   = 0xff // of what TCP_INFO begins with
+	tcpStateMask   = 0xff // the state is the first byte of TCP_INFO
 )
 
-// peerHasClosed tells whether the other side has ended, though bytes from before may still wait to be read.
+// peerHasClosed reports whether the peer has closed its sending side. Bytes sent before may still be unread.
 func peerHasClosed(polled *nbio.Conn) bool {
 	closed := true
 	withDescriptor(polled, func(fd int) {
@@ -47,9 +46,10 @@
 	return closed
 }
 
-// removeFromEpoll takes a connection out of nbio's epoll. nbio leaves that to close(2), which does it only for the
-// last descriptor of a socket; while the tail writer has another, events would go on coming under the old number,
-// and nbio would close whoever has got it since. The poller's descriptor is not exported.
+// removeFromEpoll removes a connection from nbio's epoll set. nbio relies on close(2), which removes a socket only with
+// its last descriptor. While the tail writer holds another one, events would still arrive under the old number, and
+// nbio would close the connection that uses that number now. nbio does not export its epoll descriptor, hence the
+// reflection.
 func removeFromEpoll(polled *nbio.Conn) {
 	poller := reflect.ValueOf(polled).Elem().FieldByName("p")
 	if !poller.IsValid() || poller.Kind() != reflect.Pointer {
@@ -62,8 +62,7 @@
 	}
 }
 
-// sinceLastData returns how long the latest bytes have waited to be read, by the system's own account; 0 where it
-// does not tell.
+// sinceLastData returns the time since the system received the latest bytes, or 0 if the system does not report it.
 func (c *connection) sinceLastData() (d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +82,7 @@
 	return d
 }
 
-// dupConn returns the standard library's connection of a copy of fd.
+// dupConn returns a standard-library connection on a duplicate of fd.
 func dupConn(fd int) (net.Conn, error) {
 	duplicate, err := syscall.Dup(fd)
 	if err != nil {
@@ -95,7 +94,7 @@
 	return net.FileConn(f)
 }
 
-// newConn returns the standard library's connection of fd, which it closes if that has worked.
+// newConn returns a standard-library connection on a duplicate of fd. On success it closes fd.
 func newConn(fd int) (net.Conn, error) {
 	conn, err := dupConn(fd)
 	if err == nil {
@@ -104,13 +103,12 @@
 	return conn, err
 }
 
-// acceptRaw accepts a connection without what the standard library does for each: most of those that are refused
-// live for three system calls. It waits for one if told to.
+// acceptRaw accepts a connection without the standard library's per-connection work, since most rejected connections
+// need only three system calls. With wait, it blocks until there is a connection.
 //
-// Whether a call to a socket blocks is a property that all processes share which hold it. Whoever hands a listener
-// to the next process may make it block by that (os/exec does); this one's thread would then stay in accept4 until
-// another connection comes, and hold up the listener's closing. So a shared listener is set not to block before
-// each call.
+// O_NONBLOCK is shared by all processes that hold a socket. A process that passes a listener to another one may make it
+// blocking thereby (os/exec does). A thread of this process would then stay in accept4 until the next connection
+// arrives, and delay the listener's closing. A shared listener is therefore set to non-blocking before each call.
 func acceptRaw(listener syscall.RawConn, wait, shared bool) (fd int, from netip.Addr, err error) {
 	closed := listener.Read(func(s uintptr) bool {
 		if shared {
@@ -127,7 +125,7 @@
 	return fd, from, err
 }
 
-// accept4 accepts a connection that does not block, and repeats the call if a signal interrupts it.
+// accept4 accepts a connection as a non-blocking socket and repeats the call if a signal interrupts it.
 func accept4(listener int) (fd int, addr syscall.Sockaddr, err error) {
 	for {
 		fd, addr, err = syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -147,18 +145,17 @@
 	return netip.Addr{}
 }
 
-// noDescriptor tells whether an error says that the process or the machine has no descriptor left.
+// noDescriptor reports whether err means that the process or the machine has no descriptor left.
 func noDescriptor(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
 const (
-	usualDescriptorLimit = 1024 // where the system does not tell
+	usualDescriptorLimit = 1024 // if the system does not report a limit
 	maxDescriptorLimit   = 1 << 20
 )
 
-// systemDescriptorLimit returns how many descriptors there may be, by the configuration (0 for no limit) and by the
-// system.
+// systemDescriptorLimit returns the number of descriptors that the configuration (0 for no limit) and the system allow.
 func systemDescriptorLimit(configured int) int64 {
 	limit := int64(usualDescriptorLimit)
 	var r syscall.Rlimit
--- a/internal/proxy/tail_writer.go
+++ b/internal/proxy/tail_writer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tailWriter writes to a client that has closed its sending side, for which nbio has no use any more: the socket
-// lives on under a second descriptor, served by the standard library, nbio's own fallback.
+// tailWriter writes to a client that has closed its sending side, whose connection nbio closes. The socket stays open
+// under a second descriptor, served by the standard library, which is also nbio's own fallback.
 type tailWriter struct {
 	owner          *connection
 	conn           net.Conn
@@ -15,12 +15,12 @@
 	cond           *sync.Cond
 	pending        []byte
 	closeRequested bool
-	resetRequested bool // by RST: a FIN before it would end the connection in good order
+	resetRequested bool // close with RST; a FIN before it would end the connection gracefully
 }
 
-// handOverToTail moves the socket from nbio to a tail writer, and with it what nbio has not written yet: nbio would
-// drop that when it closes its descriptor. It is false if there is no descriptor. Where admission is configured,
-// its spare descriptors are for this, since the client's answer depends on it. With mu held.
+// handOverToTail moves the socket from nbio to a tail writer, including the bytes that nbio has not written yet: nbio
+// discards them when it closes its descriptor. It reports false if no descriptor is available. If admission is
+// configured, its spare descriptors are used, since the client's answer depends on this. The caller holds mu.
 func (c *connection) handOverToTail() bool {
 	duplicate := c.duplicate()
 	if duplicate == nil && c.balancer.admission != nil {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// duplicate returns the socket under a second descriptor, nil if there is none.
+// duplicate returns a connection on a second descriptor of the socket, or nil if no descriptor is available.
 func (c *connection) duplicate() (duplicate net.Conn) {
 	withDescriptor(c.conn, func(fd int) {
 		if conn, err := dupConn(fd); err == nil {
@@ -60,7 +60,7 @@
 	t.cond.Signal()
 }
 
-// close ends the writing; the descriptor goes with it, since nothing more can be read either.
+// close ends writing after the pending bytes and closes the descriptor, since nothing more can be read either.
 func (t *tailWriter) close() {
 	t.mu.Lock()
 	t.closeRequested = true
@@ -79,7 +79,7 @@
 	t.close()
 }
 
-// run is the tail writer's goroutine. It ends with close, reset, or an error.
+// run is the tail writer's goroutine. It ends after close, reset or a write error.
 func (t *tailWriter) run() {
 	defer t.finish()
 	for {
@@ -98,13 +98,13 @@
 			if tcp, ok := t.conn.(*net.TCPConn); ok && !reset {
 				_ = tcp.CloseWrite()
 			}
-			_ = t.conn.Close() // nothing is unread: the other side had ended before the tail writer began
+			_ = t.conn.Close() // nothing is unread: the client had closed its sending side before the hand-over
 			return
 		}
 	}
 }
 
-// next waits for data or an end.
+// next waits for pending data or a request to close.
 func (t *tailWriter) next() (data []byte, closed, reset bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 	return data, t.closeRequested, t.resetRequested
 }
 
-// finish reports the end of the connection.
+// finish records the end of the connection and releases its descriptor.
 func (t *tailWriter) finish() {
 	t.owner.balancer.sockets.Add(-1)
 	if t.owner.ticket != 0 {
