--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxRejections is the number of connections that the accepting goroutine rejects before it pauses.
-	maxRejections = 8
+	// maxRejectionsPerBurst is the number of connections that the accepting goroutine rejects before it pauses.
+	maxRejectionsPerBurst = 8
 	// rejectionPause is the length of that pause, during which the runtime polls the network.
 	rejectionPause = 50 * time.Microsecond
 )
@@ -24,11 +24,11 @@
 // each. After each rejection the goroutine yields: on a single core a flood of connections would otherwise occupy the
 // core for 10 ms at a time. Yielding alone is not enough: while any goroutine is runnable, the runtime polls the
 // network (for completed dials, for example) only every 10 ms. The goroutine therefore also pauses after
-// maxRejections rejections.
+// maxRejectionsPerBurst rejections.
 func (a *admissionController) accept(listener syscall.RawConn) (net.Conn, error) {
 	for {
-		if a.rejectedInTurn >= maxRejections {
-			a.rejectedInTurn = 0
+		if a.rejectedInBurst >= maxRejectionsPerBurst {
+			a.rejectedInBurst = 0
 			a.timer.sleep(rejectionPause)
 		}
 		fd, from, err := acceptRaw(listener, true, a.shared)
@@ -46,8 +46,8 @@
 		if conn != nil {
 			return conn, nil
 		}
-		a.rejectedInTurn++
-		a.sayGoodbye(fd, from, verdict)
+		a.rejectedInBurst++
+		a.rejectAndLinger(fd, from, verdict)
 		runtime.Gosched()
 	}
 }
@@ -72,12 +72,12 @@
 	defer a.mu.Unlock()
 	a.gate.Closed(a.now(), a.lastTicket)
 	a.lastTicket = 0
-	return nil, a.curtRefusal()
+	return nil, a.immediateRejection()
 }
 
-// curtRefusal returns the verdict for a connection that is closed right after its answer, because no descriptor is left
-// for a lingering close. The caller holds mu.
-func (a *admissionController) curtRefusal() admission.Verdict {
+// immediateRejection returns the verdict for a connection that is closed right after its answer, because no descriptor
+// is left for a lingering close. The caller holds mu.
+func (a *admissionController) immediateRejection() admission.Verdict {
 	verdict := a.gate.Refusal(a.now(), admission.Exhaustion)
 	verdict.Curt = true
 	return verdict
@@ -105,9 +105,9 @@
 	fd, from, err := acceptRaw(listener, false, a.shared)
 	if err == nil {
 		a.mu.Lock()
-		verdict := a.curtRefusal()
+		verdict := a.immediateRejection()
 		a.mu.Unlock()
-		a.sayGoodbye(fd, from, verdict)
+		a.rejectAndLinger(fd, from, verdict)
 	} else {
 		time.Sleep(exhaustedRetry)
 	}
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -40,13 +40,13 @@
 	cfg        Admission
 
 	// used by the accepting goroutine only
-	rejectedInTurn int
-	timer          *systemTimer
+	rejectedInBurst int
+	timer           *systemTimer
 
 	mu               sync.Mutex
 	gate             *admission.Gate
 	spareDescriptors []*os.File
-	goodbyes         []net.Conn                            // oldest first
+	lingering        []net.Conn                            // oldest first
 	lastTicket       admission.Ticket                      // of a connection not yet opened by nbio; 0 if none
 	pendingVictims   map[admission.Ticket]admission.Victim // to close once the reducer knows them
 }
@@ -85,12 +85,12 @@
 	}
 }
 
-// descriptorsExhausted notifies admission that the process has run out of descriptors. With lend, it also closes
-// the spare descriptors, so that an urgent operation can use them.
-func (a *admissionController) descriptorsExhausted(lend bool) {
+// descriptorsExhausted notifies admission that the process has run out of descriptors. With releaseSpares, it also
+// closes the spare descriptors, so that an urgent operation can use them.
+func (a *admissionController) descriptorsExhausted(releaseSpares bool) {
 	a.mu.Lock()
 	a.gate.Exhausted(a.now())
-	if lend {
+	if releaseSpares {
 		for _, f := range a.spareDescriptors {
 			_ = f.Close()
 		}
@@ -107,7 +107,7 @@
 	for _, f := range a.spareDescriptors {
 		_ = f.Close()
 	}
-	for _, conn := range a.goodbyes {
+	for _, conn := range a.lingering {
 		_ = conn.Close()
 	}
 	a.spareDescriptors = nil
@@ -162,7 +162,7 @@
 
 // tick advances admission's clock and reports the process's resource usage to it; memory is in bytes, or 0 if it was
 // not measured. It reports whether descriptors are scarce.
-func (a *admissionController) tick(probes int, memory int64) (pressed bool) {
+func (a *admissionController) tick(probes int, memory int64) (scarce bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refillSpares()
--- a/internal/proxy/attempt_harness_test.go
+++ b/internal/proxy/attempt_harness_test.go
@@ -165,9 +165,9 @@
 
 // ask connects a client, sends its request, and runs the loop until an attempt has been started. The event that the
 // attempt's connection is established stays in the queue. No timer fires meanwhile, see taken.
-func (h *triesLoop) ask(id string, patience time.Duration) *triesPeer {
+func (h *triesLoop) ask(id string, timeout time.Duration) *triesPeer {
 	h.t.Helper()
-	client := h.client(fmt.Sprintf("OPEN %s k%s c=chat,d=%d\r\n", id, id, patience.Milliseconds()))
+	client := h.client(fmt.Sprintf("OPEN %s k%s c=chat,d=%d\r\n", id, id, timeout.Milliseconds()))
 	h.until("the request", func() bool { h.s.handleEvents(); return h.task(id) != nil })
 	return client
 }
@@ -255,21 +255,21 @@
 
 // ends runs the loop until a peer's connection has ended, and checks the bytes received before. A final * in want
 // matches any rest.
-func (h *triesLoop) ends(who string, p *triesPeer, want string) {
+func (h *triesLoop) ends(name string, p *triesPeer, want string) {
 	h.t.Helper()
-	h.turning("the end of "+who, func() bool { p.read(); return p.end != nil })
+	h.turning("the end of "+name, func() bool { p.read(); return p.end != nil })
 	if got := string(p.got); got != want && !strings.HasSuffix(want, "*") ||
 		!strings.HasPrefix(got, strings.TrimSuffix(want, "*")) {
-		h.t.Fatalf("%s got %q, want %q", who, got, want)
+		h.t.Fatalf("%s got %q, want %q", name, got, want)
 	}
 }
 
 // gets runs the loop until a peer has received as many bytes as wanted, and checks them.
-func (h *triesLoop) gets(who string, p *triesPeer, want string) {
+func (h *triesLoop) gets(name string, p *triesPeer, want string) {
 	h.t.Helper()
-	h.turning("what "+who+" gets", func() bool { p.read(); return len(p.got) >= len(want) || p.end != nil })
+	h.turning("what "+name+" gets", func() bool { p.read(); return len(p.got) >= len(want) || p.end != nil })
 	if string(p.got) != want {
-		h.t.Fatalf("%s got %q, %v; want %q", who, p.got, p.end, want)
+		h.t.Fatalf("%s got %q, %v; want %q", name, p.got, p.end, want)
 	}
 }
 
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -24,19 +24,19 @@
 // updateBackpressure notifies the reducer when the backlog towards the client or the server exceeds
 // backpressureBytes, and when it has fallen below resumeBytes again.
 func (b *Balancer) updateBackpressure(c *client) {
-	for way, conn := range []*connection{c.conn, c.server} {
+	for direction, conn := range []*connection{c.conn, c.server} {
 		if conn == nil {
 			continue
 		}
-		toServer := way == 1
+		toServer := direction == 1
 		backlog := conn.backlog()
 		switch {
-		case !c.backpressure[way] && backlog > backpressureBytes:
-			c.backpressure[way] = true
+		case !c.backpressure[direction] && backlog > backpressureBytes:
+			c.backpressure[direction] = true
 			conn.flushed() // requests an event for when all is written
 			b.step(core.BackpressureChanged{Client: c.handle, ToServer: toServer, Full: true})
-		case c.backpressure[way] && backlog < resumeBytes:
-			c.backpressure[way] = false
+		case c.backpressure[direction] && backlog < resumeBytes:
+			c.backpressure[direction] = false
 			b.step(core.BackpressureChanged{Client: c.handle, ToServer: toServer})
 		}
 	}
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -28,13 +28,13 @@
 	tracing    bool
 	counters   counters
 
-	core       *core.Reducer
-	effects    []core.Effect
-	lineBuffer []byte
-	queue      eventQueue
-	batch      []event
-	loop       loopState
-	lastTurnAt time.Time // start of the loop's latest iteration
+	core            *core.Reducer
+	effects         []core.Effect
+	lineBuffer      []byte
+	queue           eventQueue
+	batch           []event
+	loop            loopState
+	lastIterationAt time.Time // start of the loop's latest iteration
 	// backloggedUntil is the time by which lines that arrived while this process was stalled are expected to have been
 	// read.
 	backloggedUntil time.Time
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -62,8 +62,8 @@
 	switch {
 	case c.finished:
 	case !c.established && !c.requestRead && b.limitFirstBytes(c, len(data)):
-	case c.migration.passingRequest:
-		b.passRestOfRequest(c, data)
+	case c.migration.forwardingRequest:
+		b.forwardRestOfRequest(c, data)
 	case c.established:
 		seen := c.toServer.Read(data)
 		b.counters.LinesIn += int64(seen.Lines)
@@ -177,7 +177,7 @@
 }
 
 // isBacklogged reports whether lines may have waited to be read because this process was stalled.
-func (b *Balancer) isBacklogged() bool { return b.backloggedUntil.After(b.lastTurnAt) }
+func (b *Balancer) isBacklogged() bool { return b.backloggedUntil.After(b.lastIterationAt) }
 
 // timeLeft returns a request's time-out minus the time that the request has waited to be read.
 func (b *Balancer) timeLeft(c *client, timeout time.Duration) time.Duration {
--- a/internal/proxy/client_leaves_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -15,23 +15,23 @@
 	"oatloft/policy"
 )
 
-// leavesPlay starts a balancer whose time-outs are far longer than the grace period for disconnected clients, so that
-// only the client's disconnect can end a request early.
-func leavesPlay(t *testing.T, probes bool) *play {
+// startWithProbes starts a balancer whose time-outs are far longer than the grace period for disconnected clients, so
+// that only the client's disconnect can end a request early.
+func startWithProbes(t *testing.T, probes bool) *play {
 	t.Helper()
-	return patientPlay(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
+	return startWithLongTimeouts(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
 }
 
-// patientDiscovery answers every watch with the latest list and sends keep-alives. On a slow machine the balancer may
+// discoveryServer answers every watch with the latest list and sends keep-alives. On a slow machine the balancer may
 // open several watches.
-type patientDiscovery struct {
+type discoveryServer struct {
 	mu      sync.Mutex
 	list    string
 	watches []net.Conn
 }
 
-func newPatientDiscovery(p *play, list string) *patientDiscovery {
-	d := &patientDiscovery{list: list}
+func newDiscoveryServer(p *play, list string) *discoveryServer {
+	d := &discoveryServer{list: list}
 	go func() {
 		alive := time.NewTicker(500 * time.Millisecond)
 		defer alive.Stop()
@@ -39,11 +39,11 @@
 			select {
 			case watch := <-p.watches:
 				d.mu.Lock()
-				_, _ = io.WriteString(watch.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+patientChunk(d.list))
+				_, _ = io.WriteString(watch.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+discoveryChunk(d.list))
 				d.watches = append(d.watches, watch.conn)
 				d.mu.Unlock()
 			case <-alive.C:
-				d.tell("")
+				d.publish("")
 			case <-p.t.Context().Done():
 				return
 			}
@@ -52,64 +52,64 @@
 	return d
 }
 
-func patientChunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
+func discoveryChunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// tell writes a line to all watches. A non-empty list is also the first line for later watches.
-func (d *patientDiscovery) tell(list string) {
+// publish writes a line to all watches. A non-empty list is also the first line for later watches.
+func (d *discoveryServer) publish(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if list != "" {
 		d.list = list
 	}
 	for _, c := range d.watches {
-		_, _ = io.WriteString(c, patientChunk(list))
+		_, _ = io.WriteString(c, discoveryChunk(list))
 	}
 }
 
-// leavesList publishes a list of one server in the given state and waits until the balancer has applied it. It creates
-// the discovery service if d is nil.
-func leavesList(
+// publishServer publishes a list of one server in the given state and waits until the balancer has applied it. It
+// creates the discovery service if d is nil.
+func publishServer(
 	t *testing.T,
 	p *play,
-	d *patientDiscovery,
+	d *discoveryServer,
 	seq int,
 	addr, health string,
 	state policy.ServerState,
-) *patientDiscovery {
+) *discoveryServer {
 	t.Helper()
 	list := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"own","dial":%q,"site":"a","class":"m","block":0,`+
 		`"health":%q,"share":1.0,"born_ms":0}]}`, seq, addr, health)
 	if d == nil {
-		d = newPatientDiscovery(p, list)
+		d = newDiscoveryServer(p, list)
 	} else {
-		d.tell(list)
+		d.publish(list)
 	}
-	idleEventually(t, p.server, "the list", func() bool {
+	eventually(t, p.server, "the list", func() bool {
 		list := p.server.core.ListedServers()
 		return len(list) == 1 && list[0].ID == "own" && list[0].State == state
 	})
 	return d
 }
 
-// leavesRequest sends a request and waits until the balancer has admitted it.
-func leavesRequest(t *testing.T, p *play) (*net.TCPConn, *client) {
+// sendPendingRequest sends a request and waits until the balancer has admitted it.
+func sendPendingRequest(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
-	c, x := idleClient(t, p)
+	c, x := connectIdle(t, p)
 	if _, err := io.WriteString(c, "OPEN 1 k c=chat,d=120000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	idleEventually(t, p.server, "the request", func() bool { return x.requestRead && p.server.core.Unanswered() == 1 })
+	eventually(t, p.server, "the request", func() bool { return x.requestRead && p.server.core.Unanswered() == 1 })
 	return c, x
 }
 
-// leavesBy disconnects the client and returns once the grace period, in which an attempt may still begin, has passed
+// disconnect disconnects the client and returns once the grace period, in which an attempt may still begin, has passed
 // since the balancer noticed the disconnect.
-func leavesBy(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
+func disconnect(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
 	t.Helper()
 	if reset {
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		idleEventually(
+		eventually(
 			t,
 			p.server,
 			"the client's reset",
@@ -118,19 +118,19 @@
 		return
 	}
 	_ = c.CloseWrite()
-	idleEventually(t, p.server, "the client's end", func() bool {
+	eventually(t, p.server, "the client's end", func() bool {
 		x.conn.mu.Lock()
 		defer x.conn.mu.Unlock()
 		return x.conn.tail != nil
 	})
 	for range 50 { // the end was posted before the hand-over; at least one event is handled between two calls
-		onServerLoop(t, p.server, func() {})
+		runOnLoop(t, p.server, func() {})
 	}
 	time.Sleep(policy.DisconnectGrace + 50*time.Millisecond)
 }
 
-// leavesAnswered checks that a client that closed only its sending side gets exactly one answer.
-func leavesAnswered(t *testing.T, c *net.TCPConn, reset bool) {
+// expectBusy checks that a client that closed only its sending side gets exactly one answer.
+func expectBusy(t *testing.T, c *net.TCPConn, reset bool) {
 	t.Helper()
 	if reset {
 		return
@@ -141,21 +141,21 @@
 	}
 }
 
-// leavesServer is a server that counts its requests and leaves probes to be answered by the test.
-type leavesServer struct {
+// countingServer is a server that counts its requests and leaves probes to be answered by the test.
+type countingServer struct {
 	net.Listener
 	probes   chan net.Conn
 	requests atomic.Int64
 }
 
-func newLeavesServer(t *testing.T) *leavesServer {
+func newCountingServer(t *testing.T) *countingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
+	v := &countingServer{Listener: l, probes: make(chan net.Conn, 99)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -168,7 +168,7 @@
 	return v
 }
 
-func (v *leavesServer) serve(c net.Conn) {
+func (v *countingServer) serve(c net.Conn) {
 	in := newPeer(c).in
 	for {
 		line, err := in.ReadString('\n')
@@ -183,14 +183,14 @@
 	}
 }
 
-// leavesNothingSent checks that the request has ended after the given number of attempts without being sent to the
+// expectNothingSent checks that the request has ended after the given number of attempts without being sent to the
 // server. After its end it cannot be sent any more.
-func leavesNothingSent(t *testing.T, p *play, v *leavesServer, tasks int64) {
+func expectNothingSent(t *testing.T, p *play, v *countingServer, attempts int64) {
 	t.Helper()
-	idleEventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
-	onServerLoop(t, p.server, func() {
-		if n := p.server.core.Counters.Attempts; n != tasks {
-			t.Errorf("%d attempts, want %d", n, tasks)
+	eventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
+	runOnLoop(t, p.server, func() {
+		if n := p.server.core.Counters.Attempts; n != attempts {
+			t.Errorf("%d attempts, want %d", n, attempts)
 		}
 	})
 	if n := v.requests.Load(); n != 0 {
@@ -199,40 +199,40 @@
 }
 
 // A request whose client disconnects while it is queued for capacity must not be sent when capacity becomes available.
-func TestAClientLeavesWhileItsRequestWaitsForRoom(t *testing.T) {
+func TestClientDisconnectsWhileRequestIsQueued(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		p, v := leavesPlay(t, false), newLeavesServer(t)
-		d := leavesList(t, p, nil, 9, v.Addr().String(), "draining", policy.Draining)
-		c, x := leavesRequest(t, p)
-		leavesBy(t, p, c, x, reset)
-		leavesList(t, p, d, 10, v.Addr().String(), "ready", policy.Live)
-		leavesAnswered(t, c, reset)
-		leavesNothingSent(t, p, v, 0)
+		p, v := startWithProbes(t, false), newCountingServer(t)
+		d := publishServer(t, p, nil, 9, v.Addr().String(), "draining", policy.Draining)
+		c, x := sendPendingRequest(t, p)
+		disconnect(t, p, c, x, reset)
+		publishServer(t, p, d, 10, v.Addr().String(), "ready", policy.Live)
+		expectBusy(t, c, reset)
+		expectNothingSent(t, p, v, 0)
 	}
 }
 
 // A request whose client disconnects while it waits for a probe's answer must not be sent when the answer arrives.
-func TestAClientLeavesWhileItsRequestWaitsForAProbe(t *testing.T) {
+func TestClientDisconnectsWhileRequestWaitsForProbe(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		p, v := leavesPlay(t, true), newLeavesServer(t)
-		leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
-		c, x := leavesRequest(t, p)
+		p, v := startWithProbes(t, true), newCountingServer(t)
+		publishServer(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
+		c, x := sendPendingRequest(t, p)
 		var probe net.Conn
 		select {
 		case probe = <-v.probes:
-		case <-time.After(idleLimit):
+		case <-time.After(eventTimeout):
 			t.Fatal("no probe")
 		}
-		leavesBy(t, p, c, x, reset)
+		disconnect(t, p, c, x, reset)
 		_, _ = io.WriteString(probe, "PONG latency_ms=3.5,inflight=1,x0=0.1\r\n")
-		leavesAnswered(t, c, reset)
-		leavesNothingSent(t, p, v, 0)
+		expectBusy(t, c, reset)
+		expectNothingSent(t, p, v, 0)
 	}
 }
 
-// leavesFullListener returns a listener whose accept queue is full: further connections are established only once the
+// newFullListener returns a listener whose accept queue is full: further connections are established only once the
 // test accepts from the queue.
-func leavesFullListener(t *testing.T) *net.TCPListener {
+func newFullListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -266,15 +266,15 @@
 }
 
 // A request whose client disconnects while its attempt dials must not be sent once the connection is established.
-func TestAClientLeavesWhileItsConnectionComesUp(t *testing.T) {
+func TestClientDisconnectsWhileAttemptDials(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		p := leavesPlay(t, false)
-		l := leavesFullListener(t)
-		leavesList(t, p, nil, 9, l.Addr().String(), "ready", policy.Live)
-		c, x := leavesRequest(t, p)
-		idleEventually(t, p.server, "the dial", func() bool { return x.server != nil })
-		leavesBy(t, p, c, x, reset)
-		v := &leavesServer{Listener: l, probes: make(chan net.Conn, 99)}
+		p := startWithProbes(t, false)
+		l := newFullListener(t)
+		publishServer(t, p, nil, 9, l.Addr().String(), "ready", policy.Live)
+		c, x := sendPendingRequest(t, p)
+		eventually(t, p.server, "the dial", func() bool { return x.server != nil })
+		disconnect(t, p, c, x, reset)
+		v := &countingServer{Listener: l, probes: make(chan net.Conn, 99)}
 		go func() { // drain the accept queue
 			for {
 				c, err := l.Accept()
@@ -284,27 +284,27 @@
 				go v.serve(c)
 			}
 		}()
-		leavesAnswered(t, c, reset)
-		leavesNothingSent(t, p, v, 1)
+		expectBusy(t, c, reset)
+		expectNothingSent(t, p, v, 1)
 	}
 }
 
 // No further attempt is made for a disconnected client when its attempt is rejected, fails or is reset, although the
 // request may be retried and a second server is available.
-func TestAClientLeavesBetweenTwoAttempts(t *testing.T) {
+func TestClientDisconnectsBetweenAttempts(t *testing.T) {
 	for _, end := range []string{"task1 > BUSY", "task1 > ERR", "task1 FIN", "task1 RST"} {
-		p := leavesPlay(t, true)
-		c, x := leavesRequest(t, p)
+		p := startWithProbes(t, true)
+		c, x := sendPendingRequest(t, p)
 		playSteps(t, p, "task1 < OPEN 1 *")
-		leavesBy(t, p, c, x, false)
+		disconnect(t, p, c, x, false)
 		playSteps(t, p, end)
-		leavesAnswered(t, c, false)
-		leavesNothingSent(t, p, &leavesServer{}, 1)
+		expectBusy(t, c, false)
+		expectNothingSent(t, p, &countingServer{}, 1)
 	}
-	p := leavesPlay(t, true)
-	c, x := leavesRequest(t, p)
+	p := startWithProbes(t, true)
+	c, x := sendPendingRequest(t, p)
 	playSteps(t, p, "task1 < OPEN 1 *")
-	leavesBy(t, p, c, x, true)
-	movesEnd(t, p, "task1", "", false)
-	leavesNothingSent(t, p, &leavesServer{}, 1)
+	disconnect(t, p, c, x, true)
+	readToEnd(t, p, "task1", "", false)
+	expectNothingSent(t, p, &countingServer{}, 1)
 }
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -47,9 +47,9 @@
 	receiveBuffer int      // of the socket, in bytes; 0 for socketBuffer
 
 	// set while finishing
-	forceCloseAt  time.Time
-	finishedAt    time.Time
-	writtenAtLook int64 // bytes, at the latest check
+	forceCloseAt       time.Time
+	finishedAt         time.Time
+	writtenAtLastCheck int64 // bytes, at the latest check
 
 	mu              sync.Mutex
 	state           connectionState
--- a/internal/proxy/connection_close.go
+++ b/internal/proxy/connection_close.go
@@ -39,7 +39,7 @@
 	c.state = finishing
 	c.finishedAt = time.Now()
 	c.forceCloseAt = c.finishedAt.Add(finishTimeout + c.balancer.testSlack)
-	c.writtenAtLook = c.written.Load()
+	c.writtenAtLastCheck = c.written.Load()
 	c.balancer.finishing[c] = struct{}{}
 }
 
@@ -76,14 +76,14 @@
 		c.tail.close()
 	default:
 		c.state, c.shutDown = finishing, true
-		c.shutBoth()
+		c.shutdownBoth()
 	}
 }
 
-// shutBoth shuts the socket down in both directions. That causes an event for the poller, which closes the
+// shutdownBoth shuts the socket down in both directions. That causes an event for the poller, which closes the
 // descriptor. No other goroutine may use the descriptor afterwards, since its number can be reused for a new
 // connection at any time.
-func (c *connection) shutBoth() {
+func (c *connection) shutdownBoth() {
 	withDescriptor(c.conn, func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 }
 
@@ -123,7 +123,7 @@
 	if c.tail != nil {
 		c.tail.reset()
 	} else {
-		c.shutBoth()
+		c.shutdownBoth()
 	}
 }
 
--- a/internal/proxy/connection_read.go
+++ b/internal/proxy/connection_read.go
@@ -43,7 +43,7 @@
 		limit = maxFirstReads
 	}
 	for reads := 0; ; reads++ {
-		if c.mustStop(reads, limit) {
+		if c.mustStopReading(reads, limit) {
 			return
 		}
 		buf := buffers.Get().(*[]byte)
@@ -69,9 +69,9 @@
 	}
 }
 
-// mustStop reports whether reading must stop for now. A live connection whose peer has not closed is read again later;
-// what a finishing connection has not discarded stays in the socket until it is closed by force.
-func (c *connection) mustStop(reads, limit int) bool {
+// mustStopReading reports whether reading must stop for now. A live connection whose peer has not closed is read again
+// later; what a finishing connection has not discarded stays in the socket until it is closed by force.
+func (c *connection) mustStopReading(reads, limit int) bool {
 	if c.state == live {
 		if (reads >= limit || c.queuedEvents.Load() >= maxReads) && !peerHasClosed(c.conn) {
 			c.balancer.queue.deferRead(c)
--- a/internal/proxy/finishing.go
+++ b/internal/proxy/finishing.go
@@ -8,9 +8,9 @@
 const (
 	// peerReadTimeout is how long a finishing connection waits for its peer to read more.
 	peerReadTimeout = 5 * time.Second
-	// finishSooner is by how much the time-out of a finishing connection is shortened while descriptors are scarce.
-	// The rest suffices for bytes that were in flight when it began to finish.
-	finishSooner = 950 * time.Millisecond
+	// finishTimeoutReduction is by how much the time-out of a finishing connection is shortened while descriptors are
+	// scarce. The rest suffices for bytes that were in flight when it began to finish.
+	finishTimeoutReduction = 950 * time.Millisecond
 )
 
 // collectClosed removes the connections whose descriptors have been released, and extends the time-out of those that
@@ -21,23 +21,23 @@
 			delete(b.finishing, conn)
 			continue
 		}
-		if written := conn.written.Load(); written != conn.writtenAtLook {
-			conn.writtenAtLook, conn.forceCloseAt = written, now.Add(peerReadTimeout)
+		if written := conn.written.Load(); written != conn.writtenAtLastCheck {
+			conn.writtenAtLastCheck, conn.forceCloseAt = written, now.Add(peerReadTimeout)
 		}
 	}
 }
 
-// closeFinishing closes the finishing connections whose time-out, shortened by sooner, has expired. If admission is not
-// configured and descriptors for new requests are nearly exhausted, the connections that have waited longest for their
-// peer to close are closed immediately.
-func (b *Balancer) closeFinishing(now time.Time, sooner time.Duration) {
+// closeFinishing closes the finishing connections whose time-out, shortened by reduction, has expired. If admission is
+// not configured and descriptors for new requests are nearly exhausted, the connections that have waited longest for
+// their peer to close are closed immediately.
+func (b *Balancer) closeFinishing(now time.Time, reduction time.Duration) {
 	closing := 0
 	waiting := make([]*connection, 0, len(b.finishing))
 	for conn := range b.finishing {
 		switch {
 		case conn.hasEnded():
 			closing++
-		case now.After(conn.forceCloseAt.Add(-sooner)):
+		case now.After(conn.forceCloseAt.Add(-reduction)):
 			conn.forceClose()
 			closing++
 		case conn.backlog() == 0:
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -13,27 +13,27 @@
 	"oatloft/policy"
 )
 
-// idleLimit bounds waits for expected events. It leaves room for slow machines; normally a few milliseconds suffice.
-const idleLimit = 20 * time.Second
+// eventTimeout bounds waits for expected events. It leaves room for slow machines; normally a few milliseconds suffice.
+const eventTimeout = 20 * time.Second
 
-// onServerLoop runs do on the balancer's loop, between two events.
-func onServerLoop(t *testing.T, b *Balancer, do func()) {
+// runOnLoop runs do on the balancer's loop, between two events.
+func runOnLoop(t *testing.T, b *Balancer, do func()) {
 	t.Helper()
 	done := make(chan struct{})
 	select {
 	case b.calls <- func() { do(); close(done) }:
 		<-done
-	case <-time.After(idleLimit):
+	case <-time.After(eventTimeout):
 		t.Fatal("the loop accepts no call")
 	}
 }
 
-// idleEventually waits until holds returns true on the balancer's loop.
-func idleEventually(t *testing.T, b *Balancer, what string, holds func() bool) {
+// eventually waits until holds returns true on the balancer's loop.
+func eventually(t *testing.T, b *Balancer, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(idleLimit); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		var ok bool
-		onServerLoop(t, b, func() { ok = holds() })
+		runOnLoop(t, b, func() { ok = holds() })
 		if ok {
 			return
 		}
@@ -43,8 +43,8 @@
 	}
 }
 
-// patientPlay starts a balancer with time-outs so long that no attempt fails because the machine is slow.
-func patientPlay(t *testing.T, text string, change func(cfg *Config)) *play {
+// startWithLongTimeouts starts a balancer with time-outs so long that no attempt fails because the machine is slow.
+func startWithLongTimeouts(t *testing.T, text string, change func(cfg *Config)) *play {
 	t.Helper()
 	p := start(t, text)
 	cfg := p.server.cfg // only a reload changes it
@@ -58,42 +58,42 @@
 	return p
 }
 
-// playSteps plays steps of an exchange, each with a time limit of idleLimit.
+// playSteps plays steps of an exchange, each with a time limit of eventTimeout.
 func playSteps(t *testing.T, p *play, steps ...string) {
 	t.Helper()
 	for _, step := range steps {
-		p.limit = idleLimit
+		p.limit = eventTimeout
 		if err := p.step(step); err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
 	}
 }
 
-// idleClient connects without sending anything and returns the connection and the balancer's client for it.
-func idleClient(t *testing.T, p *play) (*net.TCPConn, *client) {
+// connectIdle connects without sending anything and returns the connection and the balancer's client for it.
+func connectIdle(t *testing.T, p *play) (*net.TCPConn, *client) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(idleLimit))
-	var came *client
-	idleEventually(t, p.server, "the client", func() bool {
+	_ = c.SetDeadline(time.Now().Add(eventTimeout))
+	var found *client
+	eventually(t, p.server, "the client", func() bool {
 		for _, x := range p.server.clients {
 			x.conn.mu.Lock()
 			if x.conn.conn != nil && x.conn.conn.RemoteAddr().String() == c.LocalAddr().String() {
-				came = x
+				found = x
 			}
 			x.conn.mu.Unlock()
 		}
-		return came != nil
+		return found != nil
 	})
-	return c.(*net.TCPConn), came
+	return c.(*net.TCPConn), found
 }
 
-// idleState returns the TCP state of a connection: CLOSE_WAIT once the peer has closed gracefully, CLOSE after a reset.
-func idleState(t *testing.T, c *net.TCPConn) int {
+// tcpState returns the TCP state of a connection: CLOSE_WAIT once the peer has closed gracefully, CLOSE after a reset.
+func tcpState(t *testing.T, c *net.TCPConn) int {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -109,21 +109,21 @@
 	return state & 0xff
 }
 
-// idleCloseWait is the number of state CLOSE_WAIT in include/net/tcp_states.h.
-const idleCloseWait = 8
+// tcpCloseWait is the number of state CLOSE_WAIT in include/net/tcp_states.h.
+const tcpCloseWait = 8
 
 // An idle client is closed, and its request crosses the final answer, also in pieces. The request must be read and
 // discarded: closing the socket with unread bytes would reset the connection, and the answer might be lost. Both
 // reasons for closing idle clients are covered.
-func TestARequestThatCrossesTheSendOffIsReadAway(t *testing.T) {
-	for answer, sendOff := range map[string]func(b *Balancer, x *client){
+func TestRequestCrossingFinalAnswerIsDiscarded(t *testing.T) {
+	for answer, closeIdle := range map[string]func(b *Balancer, x *client){
 		"BUSY\r\n": func(b *Balancer, x *client) { b.step(core.DescriptorsScarce{Missing: 1}) },
 		"ERR\r\n":  func(b *Balancer, x *client) { b.step(core.InvalidRequest{Client: x.handle}) },
 	} {
 		p := start(t, "")
-		c, x := idleClient(t, p)
-		idleEventually(t, p.server, "the idle client to be closed", func() bool {
-			sendOff(p.server, x)
+		c, x := connectIdle(t, p)
+		eventually(t, p.server, "the idle client to be closed", func() bool {
+			closeIdle(p.server, x)
 			return x.finished
 		})
 		if got, err := io.ReadAll(c); string(got) != answer || err != nil {
@@ -135,28 +135,28 @@
 				t.Fatalf("%q crossed by a request: %v", answer, err)
 			}
 		}
-		idleEventually(t, p.server, "the request to be discarded", func() bool {
+		eventually(t, p.server, "the request to be discarded", func() bool {
 			x.conn.mu.Lock()
 			defer x.conn.mu.Unlock()
 			return x.conn.discarded == len(request)
 		})
-		if state := idleState(t, c); state != idleCloseWait {
-			t.Fatalf("%q crossed by a request: the connection is in state %d, want %d", answer, state, idleCloseWait)
+		if state := tcpState(t, c); state != tcpCloseWait {
+			t.Fatalf("%q crossed by a request: the connection is in state %d, want %d", answer, state, tcpCloseWait)
 		}
 		_ = c.Close()
-		idleEventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 })
+		eventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 })
 	}
 }
 
 // A closed client that never closes its own side occupies a descriptor for a bounded time only.
-func TestASentOffClientThatNeverEndsIsClosed(t *testing.T) {
+func TestClosedClientThatNeverClosesIsForceClosed(t *testing.T) {
 	p := start(t, "")
-	c, x := idleClient(t, p)
-	onServerLoop(t, p.server, func() { p.server.step(core.InvalidRequest{Client: x.handle}) })
+	c, x := connectIdle(t, p)
+	runOnLoop(t, p.server, func() { p.server.step(core.InvalidRequest{Client: x.handle}) })
 	if got, err := io.ReadAll(c); string(got) != "ERR\r\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
-	idleEventually(
+	eventually(
 		t,
 		p.server,
 		"the descriptor free again",
@@ -166,11 +166,11 @@
 
 // Under an overload of idle clients only as many are closed as descriptors are lacking, although closed clients occupy
 // their descriptors for a while longer.
-func TestACrowdIsSentOffOnce(t *testing.T) {
+func TestIdleClientsAreClosedOnlyAsNeeded(t *testing.T) {
 	p := start(t, "sockets 200") // scarce from 128 on; requests are rejected from 153 on
-	const silent = 145
+	const idle = 145
 	var clients []net.Conn
-	for range silent {
+	for range idle {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -178,34 +178,34 @@
 		defer func() { _ = c.Close() }()
 		clients = append(clients, c)
 	}
-	idleEventually(t, p.server, "all accepted", func() bool { return p.server.counters.Accepted >= silent })
-	var sentOff, saidNothing int64
-	idleEventually(t, p.server, "an answer to each", func() bool {
-		sentOff, saidNothing = p.server.core.Counters.IdleClosed, p.server.core.Counters.IdleTimedOut
-		return sentOff+saidNothing == silent
+	eventually(t, p.server, "all accepted", func() bool { return p.server.counters.Accepted >= idle })
+	var closed, timedOut int64
+	eventually(t, p.server, "an answer to each", func() bool {
+		closed, timedOut = p.server.core.Counters.IdleClosed, p.server.core.Counters.IdleTimedOut
+		return closed+timedOut == idle
 	})
 	answers := map[string]int64{}
 	for _, c := range clients {
-		_ = c.SetReadDeadline(time.Now().Add(idleLimit))
+		_ = c.SetReadDeadline(time.Now().Add(eventTimeout))
 		got, err := io.ReadAll(c)
 		if err != nil {
 			t.Errorf("got %q, %v", got, err)
 		}
 		answers[string(got)]++
 	}
-	if answers["BUSY\r\n"] != sentOff || answers["ERR\r\n"] != saidNothing {
-		t.Errorf("%v answered, %d closed for descriptors, %d timed out as idle", answers, sentOff, saidNothing)
+	if answers["BUSY\r\n"] != closed || answers["ERR\r\n"] != timedOut {
+		t.Errorf("%v answered, %d closed for descriptors, %d timed out as idle", answers, closed, timedOut)
 	}
 	// The watch, its dial and some probes use a descriptor each.
-	if short := int64(silent - 127); sentOff == 0 || sentOff > short+8 {
-		t.Errorf("%d of %d idle clients closed; want about %d, as many as descriptors are lacking", sentOff, silent, short)
+	if lacking := int64(idle - 127); closed == 0 || closed > lacking+8 {
+		t.Errorf("%d of %d idle clients closed; want about %d, as many as descriptors are lacking", closed, idle, lacking)
 	}
 }
 
 // A client that sends PING without end and reads no answer is closed before the answers fill the memory.
 func TestUnreadAnswersToPingsAreBounded(t *testing.T) {
 	p := start(t, "")
-	c, x := idleClient(t, p)
+	c, x := connectIdle(t, p)
 	pings := bytes.Repeat([]byte("PING\r\n"), 1<<10)
 	go func() {
 		for {
@@ -214,7 +214,7 @@
 			}
 		}
 	}()
-	idleEventually(t, p.server, "the flood's end", func() bool {
+	eventually(t, p.server, "the flood's end", func() bool {
 		if n := x.conn.backlog(); n > 2*backpressureBytes {
 			t.Errorf("%d bytes of answers buffered", n)
 		}
@@ -223,9 +223,9 @@
 }
 
 // Hundreds of PINGs in one segment are answered one by one, and so is the request whose first half arrived with them.
-func TestManyPingsAndHalfARequestInOneSegment(t *testing.T) {
-	p := patientPlay(t, "", nil)
-	c, _ := idleClient(t, p)
+func TestManyPingsAndHalfRequestInOneSegment(t *testing.T) {
+	p := startWithLongTimeouts(t, "", nil)
+	c, _ := connectIdle(t, p)
 	const pings = 300
 	if _, err := io.WriteString(c, strings.Repeat("PING\r\n", pings)+"OPEN 1 k c=ch"); err != nil {
 		t.Fatal(err)
@@ -247,10 +247,10 @@
 
 // Connections that close immediately after opening leak no descriptor, whether they close gracefully, by reset, or
 // with unread bytes.
-func TestShortVisitsLeaveNoDescriptor(t *testing.T) {
+func TestShortConnectionsLeakNoDescriptor(t *testing.T) {
 	p := start(t, "")
 	var before int64
-	idleEventually(t, p.server, "the watch", func() bool { before = p.server.sockets.Load(); return before > 0 })
+	eventually(t, p.server, "the watch", func() bool { before = p.server.sockets.Load(); return before > 0 })
 	for i := range 60 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -264,7 +264,7 @@
 		}
 		_ = c.Close()
 	}
-	idleEventually(t, p.server, "all to be closed", func() bool {
+	eventually(t, p.server, "all to be closed", func() bool {
 		b := p.server
 		return b.counters.Accepted >= 40 && len(b.clients) == 0 && len(b.finishing) == 0 && b.sockets.Load() <= before+2
 	})
@@ -272,8 +272,8 @@
 
 // Idle clients exhaust the descriptors while discovery is unavailable. They are closed to free descriptors, and a
 // client with a request is served from the known endpoints.
-func TestACrowdWhileDiscoveryIsDown(t *testing.T) {
-	p := patientPlay(t, "sockets 200", nil) // scarce from 128 on; no connection is accepted from 177 on
+func TestDescriptorOverloadWhileDiscoveryIsDown(t *testing.T) {
+	p := startWithLongTimeouts(t, "sockets 200", nil) // scarce from 128 on; no connection is accepted from 177 on
 	// Each watch is reset. The listener stays open, since a server of another test could be given its port.
 	go func() {
 		for call := range p.watches {
@@ -288,27 +288,27 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	idleEventually(t, p.server, "free descriptors", func() bool {
+	eventually(t, p.server, "free descriptors", func() bool {
 		b := p.server
 		return b.counters.Accepted == 250 && b.basicLimits().MayTake(int(b.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
-	idleEventually(t, p.server, "the end of all other clients", func() bool {
+	eventually(t, p.server, "the end of all other clients", func() bool {
 		return p.server.core.OpenRequests() == 1 && len(p.server.clients) == 1 && len(p.server.finishing) == 0
 	})
 }
 
 // A server closes its idle probe connection just before or just after STATS is sent. The probe fails, which is reported
 // once, and the next probe uses a new connection.
-func TestAnIdleProbeConnectionClosedAsStatsLeaves(t *testing.T) {
-	p, v := leavesPlay(t, true), newLeavesServer(t)
+func TestIdleProbeConnectionClosedAsStatsIsSent(t *testing.T) {
+	p, v := startWithProbes(t, true), newCountingServer(t)
 	b := p.server
 	nextProbe := func() net.Conn {
 		t.Helper()
 		select {
 		case c := <-v.probes:
 			return c
-		case <-time.After(idleLimit):
+		case <-time.After(eventTimeout):
 			t.Fatal("no probe")
 			return nil
 		}
@@ -316,11 +316,11 @@
 	answered := func(c net.Conn) {
 		t.Helper()
 		_, _ = io.WriteString(c, "PONG latency_ms=3.5,inflight=1,x0=0.1\r\n")
-		idleEventually(t, b, "the answer", func() bool { return !b.probes["own"].pending && b.probes["own"].conn != nil })
+		eventually(t, b, "the answer", func() bool { return !b.probes["own"].pending && b.probes["own"].conn != nil })
 	}
 	failed := func(times int64) {
 		t.Helper()
-		idleEventually(
+		eventually(
 			t,
 			b,
 			"the failure",
@@ -328,24 +328,24 @@
 		)
 	}
 	ask := core.Probe{Server: "own", Address: v.Addr().String(), Timeout: time.Minute}
-	leavesList(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
-	leavesRequest(t, p)
+	publishServer(t, p, nil, 9, v.Addr().String(), "ready", policy.Live)
+	sendPendingRequest(t, p)
 	idle := nextProbe()
 	answered(idle)
-	onServerLoop(t, b, func() { // the end is read, but its event is handled after the probe has started
+	runOnLoop(t, b, func() { // the end is read, but its event is handled after the probe has started
 		_ = idle.Close()
 		conn := b.probes["own"].conn
-		for end := time.Now().Add(idleLimit); !conn.hasEnded() && time.Now().Before(end); {
+		for end := time.Now().Add(eventTimeout); !conn.hasEnded() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		b.startProbe(ask)
 	})
 	failed(1)
-	onServerLoop(t, b, func() { b.startProbe(ask) })
+	runOnLoop(t, b, func() { b.startProbe(ask) })
 	answered(nextProbe())
-	onServerLoop(t, b, func() { b.startProbe(ask) })
+	runOnLoop(t, b, func() { b.startProbe(ask) })
 	_ = nextProbe().Close() // it has read STATS
 	failed(2)
-	onServerLoop(t, b, func() { b.startProbe(ask) })
+	runOnLoop(t, b, func() { b.startProbe(ask) })
 	answered(nextProbe())
 }
--- a/internal/proxy/inherited.go
+++ b/internal/proxy/inherited.go
@@ -77,9 +77,9 @@
 
 // listensOn reports whether a listener has the wanted address. An address without an IP stands for all interfaces.
 func listensOn(listener net.Listener, want *net.TCPAddr) bool {
-	has, ok := listener.Addr().(*net.TCPAddr)
-	if !ok || has.Port != want.Port {
+	actual, ok := listener.Addr().(*net.TCPAddr)
+	if !ok || actual.Port != want.Port {
 		return false
 	}
-	return has.IP.Equal(want.IP) || has.IP.IsUnspecified() && want.IP == nil
+	return actual.IP.Equal(want.IP) || actual.IP.IsUnspecified() && want.IP == nil
 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -27,7 +27,7 @@
 
 // Once the reducer has finished, no connection is accepted any more: a request admitted after that would be lost when
 // the process exits.
-func TestNobodyComesInAfterTheEnd(t *testing.T) {
+func TestNoConnectionIsAcceptedAfterExit(t *testing.T) {
 	b, err := New(start(t, "").server.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -19,8 +19,8 @@
 
 // loopState holds the loop's timers.
 type loopState struct {
-	nextFollowAt      time.Time
-	nextMemoryCheckAt time.Time
+	nextOtherProcessReadAt time.Time
+	nextMemoryCheckAt      time.Time
 }
 
 // runLoop runs the event loop until the balancer may exit or ctx ends.
@@ -45,18 +45,18 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		b.noteTurn(time.Now())
+		b.detectStall(time.Now())
 		b.handleEvents()
 	}
 	return nil
 }
 
-// noteTurn detects that the process was stalled, for example because it got no processor time.
-func (b *Balancer) noteTurn(now time.Time) {
-	if !b.lastTurnAt.IsZero() && now.Sub(b.lastTurnAt) > stallThreshold {
+// detectStall detects that the process was stalled, for example because it got no processor time.
+func (b *Balancer) detectStall(now time.Time) {
+	if !b.lastIterationAt.IsZero() && now.Sub(b.lastIterationAt) > stallThreshold {
 		b.backloggedUntil = now.Add(backlogTime)
 	}
-	b.lastTurnAt = now
+	b.lastIterationAt = now
 }
 
 // handleEvents handles the events posted so far. Later events wake the loop again, so that a flood of events cannot
@@ -110,8 +110,8 @@
 	if b.exiting {
 		b.closeListener()
 	}
-	if now.After(b.loop.nextFollowAt) {
-		b.loop.nextFollowAt = now.Add(followInterval)
+	if now.After(b.loop.nextOtherProcessReadAt) {
+		b.loop.nextOtherProcessReadAt = now.Add(followInterval)
 		b.readOtherProcess()
 	}
 	if b.peers != nil {
@@ -148,10 +148,10 @@
 
 // checkDescriptors frees descriptors if they are scarce. It returns by how much the time-outs of finishing connections
 // are shortened.
-func (b *Balancer) checkDescriptors(usedMemory int64) (sooner time.Duration) {
+func (b *Balancer) checkDescriptors(usedMemory int64) (reduction time.Duration) {
 	if b.admission != nil {
 		if b.admission.tick(len(b.probes), usedMemory) {
-			return finishSooner
+			return finishTimeoutReduction
 		}
 		return 0
 	}
@@ -160,7 +160,7 @@
 		return 0
 	}
 	b.step(core.DescriptorsScarce{Missing: missing})
-	return finishSooner
+	return finishTimeoutReduction
 }
 
 // expireProbes ends probes whose deadline has passed without an answer.
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -15,9 +15,9 @@
 // line, MOVE is sent after that line. The reducer has closed the request by then, so the end of either connection is
 // handled here.
 type migration struct {
-	deadline       time.Time
-	passedBytes    int  // bytes of the server's line forwarded since the migration began
-	passingRequest bool // the rest of the client's line, delayed by a bounded link, is being forwarded
+	deadline          time.Time
+	forwardedBytes    int  // bytes of the server's line forwarded since the migration began
+	forwardingRequest bool // the rest of the client's line, delayed by a bounded link, is being forwarded
 }
 
 // migrate sends MOVE to a client, immediately or after the end of the server's line.
@@ -56,8 +56,8 @@
 	if end == 0 {
 		c.fromServer.Read(data)
 		c.conn.write(data)
-		c.migration.passedBytes += len(data)
-		if c.migration.passedBytes > backpressureBytes { // no valid line is this long; bounds the memory used
+		c.migration.forwardedBytes += len(data)
+		if c.migration.forwardedBytes > backpressureBytes { // no valid line is this long; bounds the memory used
 			c.server.pause()
 		}
 		return
@@ -108,16 +108,16 @@
 	}
 	c.server.setQueue(nil)
 	if !c.toServer.Between() {
-		c.migration.passingRequest = c.conn.bypassQueue()
+		c.migration.forwardingRequest = c.conn.bypassQueue()
 	}
 }
 
-// passRestOfRequest forwards the rest of a line whose beginning the server already has. The bytes count against the
+// forwardRestOfRequest forwards the rest of a line whose beginning the server already has. The bytes count against the
 // link's future budget.
-func (b *Balancer) passRestOfRequest(c *client, data []byte) {
+func (b *Balancer) forwardRestOfRequest(c *client, data []byte) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if end > 0 || c.server == nil || c.server.backlog() > backpressureBytes {
-		c.migration.passingRequest = false
+		c.migration.forwardingRequest = false
 		c.conn.pause()
 	}
 	if end > 0 {
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/migration_test.go
@@ -12,24 +12,24 @@
 	"oatloft/policy"
 )
 
-// movesPlay starts a balancer that migrates its clients when it shuts down.
-func movesPlay(t *testing.T) *play {
+// startMigrating starts a balancer that migrates its clients when it shuts down.
+func startMigrating(t *testing.T) *play {
 	t.Helper()
-	return patientPlay(t, "", func(cfg *Config) { cfg.Core.PassThrough = false })
+	return startWithLongTimeouts(t, "", func(cfg *Config) { cfg.Core.PassThrough = false })
 }
 
-// movesInsideALine establishes a client whose server has sent the beginning of a line, and starts the client's
+// startMigrationInsideLine establishes a client whose server has sent the beginning of a line, and starts the client's
 // migration by a shutdown. The migration waits for the rest of the line, with a deadline that the test does not reach.
 // The unanswered request of client b keeps the balancer from exiting.
-func movesInsideALine(t *testing.T, begun string) (*play, *client) {
+func startMigrationInsideLine(t *testing.T, begun string) (*play, *client) {
 	t.Helper()
-	p := movesPlay(t)
+	p := startMigrating(t)
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 		"b > OPEN 2 k c=chat,d=20000", "task2 < OPEN 2 *", fmt.Sprintf("task1 >> %q", begun))
-	movesRead(t, p, "a", begun)
+	readExactly(t, p, "a", begun)
 	p.leave <- struct{}{}
 	var moved *client
-	idleEventually(t, p.server, "the migration", func() bool {
+	eventually(t, p.server, "the migration", func() bool {
 		for x := range p.server.migrating {
 			moved = x
 			x.migration.deadline = time.Now().Add(time.Hour)
@@ -39,29 +39,29 @@
 	return p, moved
 }
 
-// movesRead reads exactly the wanted bytes from a peer.
-func movesRead(t *testing.T, p *play, name, want string) {
+// readExactly reads exactly the wanted bytes from a peer.
+func readExactly(t *testing.T, p *play, name, want string) {
 	t.Helper()
-	who, err := p.peer(name)
+	remote, err := p.peer(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = who.conn.SetReadDeadline(time.Now().Add(idleLimit))
+	_ = remote.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	got := make([]byte, len(want))
-	if n, err := io.ReadFull(who.in, got); err != nil || string(got) != want {
+	if n, err := io.ReadFull(remote.in, got); err != nil || string(got) != want {
 		t.Fatalf("%s got %q, %v, want %q", name, got[:n], err, want)
 	}
 }
 
-// movesEnd reads a peer's remaining bytes up to the end of its connection, and checks them and how it ended.
-func movesEnd(t *testing.T, p *play, name, want string, reset bool) {
+// readToEnd reads a peer's remaining bytes up to the end of its connection, and checks them and how it ended.
+func readToEnd(t *testing.T, p *play, name, want string, reset bool) {
 	t.Helper()
-	who, err := p.peer(name)
+	remote, err := p.peer(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = who.conn.SetReadDeadline(time.Now().Add(idleLimit))
-	got, err := io.ReadAll(who.in)
+	_ = remote.conn.SetReadDeadline(time.Now().Add(eventTimeout))
+	got, err := io.ReadAll(remote.in)
 	if string(got) != want || reset != errors.Is(err, syscall.ECONNRESET) || !reset && err != nil {
 		t.Fatalf("%s got %q, %v, want %q, reset %v", name, got, err, want, reset)
 	}
@@ -69,7 +69,7 @@
 
 // MOVE follows the line that had begun, and nothing of the next line is forwarded, in whatever pieces the rest of the
 // line arrives.
-func TestMoveComesBehindTheLine(t *testing.T) {
+func TestMoveFollowsTheLine(t *testing.T) {
 	for _, x := range []struct {
 		rest []string
 		want string
@@ -78,40 +78,40 @@
 		{[]string{" a line\r\nthe next\r\n"}, " a line\r\nMOVE\r\n"},
 		{[]string{" a", " line", "\r", "\nthe"}, " a line\r\nMOVE\r\n"},
 	} {
-		p, _ := movesInsideALine(t, "half")
+		p, _ := startMigrationInsideLine(t, "half")
 		for _, part := range x.rest {
 			playSteps(t, p, fmt.Sprintf("task1 >> %q", part))
 			if i := strings.IndexByte(part, '\n'); i < 0 {
-				movesRead(t, p, "a", part)
+				readExactly(t, p, "a", part)
 				x.want = strings.TrimPrefix(x.want, part)
 			}
 		}
-		movesEnd(t, p, "a", x.want, false)
+		readToEnd(t, p, "a", x.want, false)
 	}
 }
 
 // If the line in progress is the server's own BYE or MOVE, no MOVE of the balancer follows it.
-func TestNoMoveFollowsTheServersLastWord(t *testing.T) {
+func TestNoMoveFollowsServersFinalLine(t *testing.T) {
 	for begun, rest := range map[string]string{
 		"BY":             "E\r\n",
 		"BYE inflight=1": "0,queue=2\r\n",
 		"MOV":            "E\r\n",
 		"BYE\r":          "\n",
 	} {
-		p, _ := movesInsideALine(t, begun)
+		p, _ := startMigrationInsideLine(t, begun)
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", rest))
-		movesEnd(t, p, "a", rest, false)
+		readToEnd(t, p, "a", rest, false)
 	}
 }
 
 // If a server closes or resets in the middle of its line while a migration waits, its client is immediately closed in
 // the same way, since the rest of the line will never arrive.
-func TestAServerThatEndsInsideTheLineEndsItsClient(t *testing.T) {
+func TestServerEndInsideLineEndsClient(t *testing.T) {
 	for _, how := range []string{"FIN", "RST"} {
-		p, x := movesInsideALine(t, "half")
+		p, x := startMigrationInsideLine(t, "half")
 		playSteps(t, p, "task1 "+how)
-		movesEnd(t, p, "a", "", how == "RST")
-		idleEventually(t, p.server, "the migration's end", func() bool {
+		readToEnd(t, p, "a", "", how == "RST")
+		eventually(t, p.server, "the migration's end", func() bool {
 			return len(p.server.migrating) == 0 && x.server == nil
 		})
 	}
@@ -119,42 +119,42 @@
 
 // If a client resets before its MOVE, its server's connection is reset. A client that only closed its sending side gets
 // the rest of the line and MOVE.
-func TestAClientThatEndsBeforeItsMove(t *testing.T) {
-	p, _ := movesInsideALine(t, "half")
+func TestClientEndsBeforeMove(t *testing.T) {
+	p, _ := startMigrationInsideLine(t, "half")
 	playSteps(t, p, "a RST")
-	movesEnd(t, p, "task1", "", true)
-	idleEventually(t, p.server, "the migration's end", func() bool { return len(p.server.migrating) == 0 })
+	readToEnd(t, p, "task1", "", true)
+	eventually(t, p.server, "the migration's end", func() bool { return len(p.server.migrating) == 0 })
 
-	p, _ = movesInsideALine(t, "half")
+	p, _ = startMigrationInsideLine(t, "half")
 	playSteps(t, p, "a FIN")
-	movesEnd(t, p, "task1", "", false)
+	readToEnd(t, p, "task1", "", false)
 	playSteps(t, p, `task1 >> " a line\r\n"`)
-	movesEnd(t, p, "a", " a line\r\nMOVE\r\n", false)
+	readToEnd(t, p, "a", " a line\r\nMOVE\r\n", false)
 }
 
 // A server that sends an endless line while a migration waits cannot fill the memory, and the client is reset at the
 // migration's deadline.
-func TestALineWithoutEndIsBoundedWhileItsClientMoves(t *testing.T) {
-	p, x := movesInsideALine(t, "half")
+func TestEndlessLineIsBoundedDuringMigration(t *testing.T) {
+	p, x := startMigrationInsideLine(t, "half")
 	go func() {
-		who, part := p.peers["task1"].conn, []byte(strings.Repeat("x", 32<<10))
+		remote, part := p.peers["task1"].conn, []byte(strings.Repeat("x", 32<<10))
 		for {
-			if _, err := who.Write(part); err != nil {
+			if _, err := remote.Write(part); err != nil {
 				return
 			}
 		}
 	}()
-	idleEventually(t, p.server, "reading to pause", func() bool {
-		if x.migration.passedBytes > 1<<20 {
-			t.Error(x.migration.passedBytes, "bytes of one line forwarded")
+	eventually(t, p.server, "reading to pause", func() bool {
+		if x.migration.forwardedBytes > 1<<20 {
+			t.Error(x.migration.forwardedBytes, "bytes of one line forwarded")
 			return true
 		}
 		x.server.mu.Lock()
 		defer x.server.mu.Unlock()
 		return x.server.paused
 	})
-	onServerLoop(t, p.server, func() { x.migration.deadline = time.Now().Add(-time.Second) })
-	idleEventually(t, p.server, "the client to be reset", func() bool {
+	runOnLoop(t, p.server, func() { x.migration.deadline = time.Now().Add(-time.Second) })
+	eventually(t, p.server, "the client to be reset", func() bool {
 		return x.finished && len(p.server.migrating) == 0
 	})
 }
@@ -163,34 +163,34 @@
 // arrived with UP.
 func TestMoveCrossesUp(t *testing.T) {
 	for _, behind := range []string{"", "a line\r\n", "half"} {
-		p := movesPlay(t)
+		p := startMigrating(t)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *")
 		p.leave <- struct{}{}
-		idleEventually(t, p.server, "the shutdown", func() bool { return p.server.core.ShuttingDown() })
+		eventually(t, p.server, "the shutdown", func() bool { return p.server.core.ShuttingDown() })
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", "UP 1\r\n"+behind))
 		want := "UP 1\r\n" + behind + "MOVE\r\n"
 		if behind == "half" {
-			movesRead(t, p, "a", "UP 1\r\nhalf")
+			readExactly(t, p, "a", "UP 1\r\nhalf")
 			playSteps(t, p, `task1 >> " of it\r\nmore"`)
 			want = " of it\r\nMOVE\r\n"
 		}
-		movesEnd(t, p, "a", want, false)
+		readToEnd(t, p, "a", want, false)
 	}
-	p := movesPlay(t)
+	p := startMigrating(t)
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 	p.leave <- struct{}{}
-	movesEnd(t, p, "a", "MOVE\r\n", false)
-	movesEnd(t, p, "task1", "", false)
+	readToEnd(t, p, "a", "MOVE\r\n", false)
+	readToEnd(t, p, "task1", "", false)
 }
 
 // A client reconnects with its key before its old connection has ended. The later end of the old connection must not
 // affect the new one.
-func TestAClientIsBackBeforeItsOldConnectionEnded(t *testing.T) {
+func TestClientReconnectsBeforeOldConnectionEnds(t *testing.T) {
 	for _, end := range []string{"a RST", "a FIN", "task1 RST", "task1 FIN"} {
-		p := patientPlay(t, "", nil)
+		p := startWithLongTimeouts(t, "", nil)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 			"b > OPEN 2 k c=chat,d=20000,again=1", "task2 < OPEN 2 *", end)
-		idleEventually(t, p.server, "the old connection's end", func() bool {
+		eventually(t, p.server, "the old connection's end", func() bool {
 			return p.server.core.Counters.ClosedByClient+p.server.core.Counters.ClosedByServer == 1
 		})
 		playSteps(
@@ -208,18 +208,18 @@
 
 // Servers begin to drain just before or just after they answer UP. The clients get UP in both cases and are migrated
 // later.
-func TestADrainAtTheMomentOfUp(t *testing.T) {
+func TestDrainCoincidesWithUp(t *testing.T) {
 	const clients = 12
 	for _, drainFirst := range []bool{true, false} {
-		p := patientPlay(t, "", nil)
+		p := startWithLongTimeouts(t, "", nil)
 		for i := range clients {
 			playSteps(t, p, fmt.Sprintf("a%d > OPEN %d k%d c=chat,d=20000", i, i, i), fmt.Sprintf("task%d < OPEN %d *", i, i))
 		}
 		drain := func() {
-			newPatientDiscovery(p, p.vars.Replace(`{"seq":9,"whole":true,"hosts":[`+
+			newDiscoveryServer(p, p.vars.Replace(`{"seq":9,"whole":true,"hosts":[`+
 				`{"host":"r1","dial":"$r1","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0},`+
 				`{"host":"r2","dial":"$r2","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0}]}`))
-			idleEventually(t, p.server, "the drain", func() bool {
+			eventually(t, p.server, "the drain", func() bool {
 				list := p.server.core.ListedServers()
 				return len(list) == 2 && list[0].State == policy.Draining && list[1].State == policy.Draining
 			})
@@ -236,13 +236,13 @@
 			up()
 			drain()
 		}
-		idleEventually(t, p.server, "a migration", func() bool { return p.server.core.Counters.Migrated > 0 })
+		eventually(t, p.server, "a migration", func() bool { return p.server.core.Counters.Migrated > 0 })
 	}
 }
 
 // A server's reset is passed on as a reset to a client that has closed its sending side.
-func TestAResetReachesAHalfClosedClient(t *testing.T) {
-	p := patientPlay(t, "", nil)
+func TestResetReachesHalfClosedClient(t *testing.T) {
+	p := startWithLongTimeouts(t, "", nil)
 	playSteps(
 		t,
 		p,
@@ -254,13 +254,13 @@
 		"task1 < FIN",
 		"task1 RST",
 	)
-	movesEnd(t, p, "a", "", true)
+	readToEnd(t, p, "a", "", true)
 }
 
 // A half-closed client that reads nothing occupies its descriptor and goroutine for a bounded time only, also after its
 // server has ended.
-func TestAHalfClosedClientThatNeverReadsIsLetGo(t *testing.T) {
-	p := patientPlay(t, "", nil)
+func TestHalfClosedClientThatNeverReadsIsClosed(t *testing.T) {
+	p := startWithLongTimeouts(t, "", nil)
 	playSteps(
 		t,
 		p,
@@ -272,21 +272,21 @@
 		"a < UP 1",
 	)
 	var x *client
-	onServerLoop(t, p.server, func() {
+	runOnLoop(t, p.server, func() {
 		for _, x = range p.server.clients {
 		}
 	})
 	go func() {
-		who, part := p.peers["task1"].conn, []byte(strings.Repeat("x", 998)+"\r\n")
+		remote, part := p.peers["task1"].conn, []byte(strings.Repeat("x", 998)+"\r\n")
 		for {
-			if _, err := who.Write(part); err != nil {
+			if _, err := remote.Write(part); err != nil {
 				return
 			}
 		}
 	}()
 	written, polls := int64(0), 0
 	// The system's buffers are full as well once there is no progress in 50 polls.
-	idleEventually(t, p.server, "full buffers to the client", func() bool {
+	eventually(t, p.server, "full buffers to the client", func() bool {
 		if w := x.conn.written.Load(); !x.backpressure[0] || w != written {
 			written, polls = w, 0
 		}
@@ -294,26 +294,26 @@
 		return polls > 50
 	})
 	playSteps(t, p, "task1 RST")
-	idleEventually(t, p.server, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
+	eventually(t, p.server, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
 }
 
 // A client's reset arrives together with its FIN and its request, while its socket is handed over to a tail writer.
 // The request may be forwarded or not, but no client, request or descriptor may be leaked.
-func TestAResetInTheInstantOfTheHandOver(t *testing.T) {
+func TestResetDuringHandOverToTailWriter(t *testing.T) {
 	const clients = 20
-	p := patientPlay(t, "", nil)
-	p.limit = idleLimit
+	p := startWithLongTimeouts(t, "", nil)
+	p.limit = eventTimeout
 	go func() { // each attempt is served until its client ends
-		for who := range p.tasks {
+		for remote := range p.tasks {
 			go func() {
-				_, _ = io.WriteString(who.conn, "UP 1\r\n")
-				_, _ = io.Copy(io.Discard, who.in)
-				_ = who.conn.Close()
+				_, _ = io.WriteString(remote.conn, "UP 1\r\n")
+				_, _ = io.Copy(io.Discard, remote.in)
+				_ = remote.conn.Close()
 			}()
 		}
 	}()
 	for i := range clients {
-		c, x := idleClient(t, p)
+		c, x := connectIdle(t, p)
 		x.conn.mu.Lock() // blocks the poller until everything has arrived
 		_, err := fmt.Fprintf(c, "OPEN %d k c=chat,d=20000\r\n", i)
 		_ = c.CloseWrite()
@@ -323,9 +323,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		idleEventually(t, p.server, "the client's end", func() bool { return x.finished })
+		eventually(t, p.server, "the client's end", func() bool { return x.finished })
 	}
-	idleEventually(t, p.server, "everything to be released", func() bool {
+	eventually(t, p.server, "everything to be released", func() bool {
 		b := p.server // the watch, its dial and the servers' probes use some descriptors
 		return len(b.clients) == 0 && b.core.OpenRequests() == 0 && len(b.finishing) == 0 && b.sockets.Load() < clients/2
 	})
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	idleTimeout  = 500 * time.Millisecond // for answered clients to read their answers and close
-	maxAdoptions = 256                    // connections taken from the listener's queue before other events are handled
+	idleTimeout       = 500 * time.Millisecond // for answered clients to read their answers and close
+	maxAcceptsPerTick = 256                    // connections taken from the listener's queue per tick
 )
 
 // closing holds the deadlines of the last phase of a balancer's shutdown.
@@ -63,11 +63,11 @@
 	if !ok {
 		return true
 	}
-	for range maxAdoptions {
+	for range maxAcceptsPerTick {
 		fd, err := acceptNow(raw)
 		switch {
 		case err == nil:
-			b.adopt(fd)
+			b.addAccepted(fd)
 		case errors.Is(err, syscall.ECONNABORTED):
 		default:
 			return !noDescriptor(err)
@@ -99,8 +99,8 @@
 	return fd, err
 }
 
-// adopt passes a connection to nbio as if nbio's accept loop had accepted it.
-func (b *Balancer) adopt(fd int) {
+// addAccepted passes a connection to nbio as if nbio's accept loop had accepted it.
+func (b *Balancer) addAccepted(fd int) {
 	conn, err := newConn(fd)
 	if err != nil {
 		rejectRaw(fd)
@@ -144,7 +144,7 @@
 		return true
 	case !b.acceptLoop.hasEnded(), !b.queue.empty(): // the loop may not know all accepted connections yet
 		return false
-	case len(b.migrating) > 0, b.admission != nil && b.admission.hasGoodbyes():
+	case len(b.migrating) > 0, b.admission != nil && b.admission.hasLingering():
 		return false
 	}
 	for conn := range b.finishing {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -12,60 +12,60 @@
 	"go.uber.org/goleak"
 )
 
-// shutPatience bounds waits for expected events. It is longer than any machine needs, and no test passes by reaching
-// it.
-const shutPatience = time.Minute
+// shutdownTestTimeout bounds waits for expected events. It is longer than any machine needs, and no test passes by
+// reaching it.
+const shutdownTestTimeout = time.Minute
 
-// killedAfter is the time after which SIGKILL may follow, counted from SIGTERM plus a client's longest waiting time.
-const killedAfter = 700 * time.Millisecond
+// killDelay is the time after which SIGKILL may follow, counted from SIGTERM plus a client's longest waiting time.
+const killDelay = 700 * time.Millisecond
 
 // Connections in the accept queue must be rejected with an answer when the balancer closes its listener. The system has
 // established them already, and their clients may have sent requests; closing the listener would reset them all.
-func TestWhoWaitsInTheListenersQueueIsTurnedAway(t *testing.T) {
-	b := newShutBed(t, nil)
+func TestConnectionsInAcceptQueueAreRejected(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(
 		func(s *Balancer) { s.sockets.Add(1 << 20) },
 	) // stops the accept loop for lack of descriptors, after at most one more accept
 	b.steps(`b >> "OPEN 1 k c=chat,d=60000\r\n"`, `c >> "OPEN 2 k c=cha"`, `d >> ""`)
-	b.leaves()
-	b.closes()
-	for _, who := range []string{"b", "c", "d", "a"} {
-		b.steps(who+" < BUSY", who+" < FIN", who+" FIN")
+	b.beginShutdown()
+	b.awaitClosing()
+	for _, name := range []string{"b", "c", "d", "a"} {
+		b.steps(name+" < BUSY", name+" < FIN", name+" FIN")
 	}
 	b.onLoop(func(s *Balancer) { s.sockets.Add(-1 << 20) })
 	b.steps("ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
 // Between accept and its registration a connection is unknown to the loop. The process must not exit in that interval.
-func TestWhoIsBeingTakenInAtTheEndIsTurnedAway(t *testing.T) {
-	for name, said := range map[string]string{"whole": `OPEN 1 k c=chat,d=60000\r\n`, "half": `OPEN 1 k`, "nothing": ``} {
+func TestConnectionBeingAcceptedDuringExitIsRejected(t *testing.T) {
+	for name, sent := range map[string]string{"whole": `OPEN 1 k c=chat,d=60000\r\n`, "half": `OPEN 1 k`, "nothing": ``} {
 		t.Run(name, func(t *testing.T) {
-			b := newShutBed(t, nil)
-			taken, free := b.hold.hold()
-			b.steps(`a >> "` + said + `"`)
-			<-taken
-			b.leaves()
-			b.closes()
+			b := newShutdownHarness(t, nil)
+			accepted, resume := b.listener.suspend()
+			b.steps(`a >> "` + sent + `"`)
+			<-accepted
+			b.beginShutdown()
+			b.awaitClosing()
 			select { // the loop has run, and must not have ended
 			case <-b.server.loopEnded:
 				t.Error("ended while a connection was being accepted")
 			default:
 			}
-			close(free)
+			close(resume)
 			b.steps("a < BUSY", "a < FIN", "a FIN", "ended")
-			b.nobodyAsked()
+			b.expectNoAttempt()
 		})
 	}
 }
 
 // Idle clients are rejected when the balancer closes. A request that is in the socket by then, or arrives later, is
 // read and discarded: it must neither be forwarded nor turn the answer into a reset.
-func TestRequestsInTheMomentOfTheClosing(t *testing.T) {
-	b := newShutBed(t, nil)
+func TestRequestsDuringClosing(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
-	b.leaves()
+	b.beginShutdown()
 	b.until("both clients to be known", func(s *Balancer) bool { return len(s.clients) == 2 })
 	b.onLoop(func(s *Balancer) { // leave their requests unread
 		for _, c := range s.clients {
@@ -73,17 +73,17 @@
 		}
 	})
 	b.steps("before > OPEN 1 k c=chat,d=60000")
-	b.closes()
+	b.awaitClosing()
 	b.steps("after < BUSY", "after > OPEN 2 k c=chat,d=60000", "after < FIN", "after FIN")
 	b.steps("before < BUSY", "before < FIN", "before FIN")
 	b.steps("ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
 // A request that arrives in pieces around SIGTERM is served if it is complete while clients are still served, and
 // rejected otherwise.
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
-	b := newShutBed(t, nil)
+	b := newShutdownHarness(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
 	b.until("the pieces to be read", func(s *Balancer) bool {
 		n := 0
@@ -94,7 +94,7 @@
 		}
 		return n == 2
 	})
-	b.leaves()
+	b.beginShutdown()
 	b.steps(
 		`a >> "at,d=60000\r\n"`,
 		"task1 < OPEN 1 *",
@@ -105,13 +105,13 @@
 		"task1 FIN",
 		"a < FIN",
 	)
-	b.closes()
+	b.awaitClosing()
 	b.steps("b < BUSY", `b >> "00\r\n"`, "b < FIN", "b FIN", "ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
-// shutFull returns the address of a listener whose accept queue is full, so that dials to it hang.
-func shutFull(t *testing.T) string {
+// fullListenerAddr returns the address of a listener whose accept queue is full, so that dials to it hang.
+func fullListenerAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -140,10 +140,10 @@
 
 // Whatever a request waits for at SIGTERM, it gets exactly one answer before SIGKILL may follow, and nothing is
 // forwarded after the answer.
-func TestRequestsUnderWayAtSIGTERMAreAnswered(t *testing.T) {
-	for _, passes := range []bool{true, false} {
-		for name, until := range map[string]func(b *shutBed){
-			"queued for capacity": func(b *shutBed) {
+func TestRequestsInFlightAtSIGTERMAreAnswered(t *testing.T) {
+	for _, passThrough := range []bool{true, false} {
+		for name, setUp := range map[string]func(b *shutdownHarness){
+			"queued for capacity": func(b *shutdownHarness) {
 				b.onLoop(func(s *Balancer) {
 					for i := range s.cfg.KnownEndpoints.Endpoints {
 						s.cfg.KnownEndpoints.Endpoints[i].State = 1 // draining
@@ -153,8 +153,8 @@
 				b.steps("a > OPEN 1 k c=chat,d=60000")
 				b.until("the request to be admitted", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
 			},
-			"dialing": func(b *shutBed) {
-				full := shutFull(b.t)
+			"dialing": func(b *shutdownHarness) {
+				full := fullListenerAddr(b.t)
 				b.onLoop(func(s *Balancer) {
 					for i := range s.cfg.KnownEndpoints.Endpoints {
 						s.cfg.KnownEndpoints.Endpoints[i].Address = full
@@ -164,19 +164,21 @@
 				b.steps("a > OPEN 1 k c=chat,d=60000")
 				b.until("the dial", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
 			},
-			"sent":          func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
-			"half answered": func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`) },
+			"sent": func(b *shutdownHarness) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
+			"half answered": func(b *shutdownHarness) {
+				b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`)
+			},
 		} {
-			t.Run(fmt.Sprintf("%s, passes %v", name, passes), func(t *testing.T) {
-				b := newShutBed(t, func(cfg *Config) { cfg.Core.PassThrough = passes })
-				until(b)
-				b.leaves()
-				const step, most = 100 * time.Millisecond, 2*time.Second + killedAfter - 200*time.Millisecond
-				for passed := time.Duration(0); passed < most; passed += step {
-					b.pass(100 * time.Millisecond) // the loop runs in between, and must not end
+			t.Run(fmt.Sprintf("%s, passes %v", name, passThrough), func(t *testing.T) {
+				b := newShutdownHarness(t, func(cfg *Config) { cfg.Core.PassThrough = passThrough })
+				setUp(b)
+				b.beginShutdown()
+				const step, maxTime = 100 * time.Millisecond, 2*time.Second + killDelay - 200*time.Millisecond
+				for passed := time.Duration(0); passed < maxTime; passed += step {
+					b.advanceClock(100 * time.Millisecond) // the loop runs in between, and must not end
 				}
 				b.steps("a < *", "a < FIN")
-				b.closes()
+				b.awaitClosing()
 				b.steps("a FIN", "ended")
 				if n := b.server.core.Unanswered(); n != 0 {
 					t.Error(n, "requests are unanswered")
@@ -190,8 +192,8 @@
 }
 
 // A client that has closed its sending side is removed as soon as it has its answer.
-func TestHalfClosedClientsAreOverWithTheirAnswer(t *testing.T) {
-	b := newShutBed(t, nil)
+func TestHalfClosedClientsEndWithTheirAnswer(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
 	b.until("the client's FIN", func(s *Balancer) bool {
 		for _, c := range s.clients {
@@ -202,9 +204,9 @@
 		return false
 	})
 	b.onLoop(func(s *Balancer) {
-		for _, term := range s.clients { // the final answer, with forceClose out of reach
-			s.finalAnswer(term, []byte("BUSY\r\n"))
-			term.conn.forceCloseAt = time.Now().Add(time.Hour)
+		for _, c := range s.clients { // the final answer, with forceClose out of reach
+			s.finalAnswer(c, []byte("BUSY\r\n"))
+			c.conn.forceCloseAt = time.Now().Add(time.Hour)
 		}
 	})
 	b.steps("a < BUSY", "a < FIN")
@@ -216,18 +218,18 @@
 func TestReloadsAroundSIGTERM(t *testing.T) {
 	for _, first := range []string{"reload", "leave"} {
 		t.Run(first+" first", func(t *testing.T) {
-			b := newShutBed(t, nil)
-			b.calls()
+			b := newShutdownHarness(t, nil)
+			b.awaitDiscoveryCall()
 			b.steps(`idle >> ""`, "a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
 			if first == "reload" {
 				b.steps("reload $moved")
-				b.leaves()
+				b.beginShutdown()
 			} else {
-				b.leaves()
+				b.beginShutdown()
 				b.steps("reload $moved")
 			}
 			b.steps("watch2 < GET *", "task1 > UP 1", "a < UP 1", "a FIN", "task1 < FIN", "task1 FIN", "a < FIN")
-			b.closes()
+			b.awaitClosing()
 			b.steps("reload $discovery")
 			b.onLoop(func(s *Balancer) {
 				if s.counters.Reloads != 1 {
@@ -240,18 +242,18 @@
 }
 
 // A client whose server is in the middle of a line when the balancer closes gets MOVE after the rest of the line.
-func TestMovesAtTheEndWaitForTheLine(t *testing.T) {
-	b := newShutBed(t, notPassing)
+func TestMigrationsDuringClosingWaitForTheLine(t *testing.T) {
+	b := newShutdownHarness(t, withoutPassThrough)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
-	b.leaves()
+	b.beginShutdown()
 	b.steps(`task1 >> "UP 1\r\nhalf a "`, "a < UP 1")
-	b.closes()
+	b.awaitClosing()
 	b.steps("task1 > line", "a < half a line", "a < MOVE", "a < FIN", "a FIN", "ended")
 }
 
 // TCP_NODELAY is set on connections accepted by either path, so that small last writes are sent immediately.
-func TestAcceptedConnectionsHoldNothingBack(t *testing.T) {
-	b := newShutBed(t, nil)
+func TestAcceptedConnectionsHaveNoDelay(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) })
 	b.steps(`b >> ""`, `c >> ""`) // the pending accept may take one of them
@@ -263,18 +265,18 @@
 	})
 	b.until("all clients to be known", func(s *Balancer) bool { return len(s.clients) == 3 })
 	b.onLoop(func(s *Balancer) {
-		for _, term := range s.clients {
-			withDescriptor(term.conn.conn, func(fd int) {
+		for _, c := range s.clients {
+			withDescriptor(c.conn.conn, func(fd int) {
 				if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-					t.Errorf("client %d: TCP_NODELAY %d, %v", term.handle, on, err)
+					t.Errorf("client %d: TCP_NODELAY %d, %v", c.handle, on, err)
 				}
 			})
 		}
 	})
 }
 
-// shutDescriptors returns the number of descriptors that this process has open.
-func shutDescriptors(t *testing.T) int {
+// openDescriptors returns the number of descriptors that this process has open.
+func openDescriptors(t *testing.T) int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
@@ -284,26 +286,26 @@
 
 // A stopped balancer leaks no goroutine, timer or descriptor, whether it shuts down or its context ends, with
 // connections in all states.
-func TestNothingIsLeftAfterAStop(t *testing.T) {
+func TestStopLeaksNothing(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
-	play := func(t *testing.T, leaves bool) {
-		b := newShutBed(t, nil)
-		b.calls()
+	run := func(t *testing.T, shutDown bool) {
+		b := newShutdownHarness(t, nil)
+		b.awaitDiscoveryCall()
 		b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 		b.steps("b > OPEN 2 k c=chat,d=60000", "task2 < OPEN 2 *", "b FIN", `c >> "OPEN"`)
-		if leaves {
-			b.leaves()
+		if shutDown {
+			b.beginShutdown()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
 			b.until("all requests to end", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
-			b.closes()
+			b.awaitClosing()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
 	}
 	before := 0
 	for i := range 6 {
-		t.Run(fmt.Sprint(i), func(t *testing.T) { play(t, i%2 == 0) })
+		t.Run(fmt.Sprint(i), func(t *testing.T) { run(t, i%2 == 0) })
 		goleak.VerifyNone(t, ignore)
-		if n := shutDescriptors(t); before == 0 {
+		if n := openDescriptors(t); before == 0 {
 			before = n
 		} else if n > before {
 			t.Errorf("%d descriptors after the first stop, %d after %d more", before, n, i)
@@ -313,7 +315,7 @@
 
 // The loop ends once nothing is outstanding for any client, or at its deadline. Each reason to continue is tested
 // without the others.
-func TestReasonsToStay(t *testing.T) {
+func TestReasonsToKeepRunning(t *testing.T) {
 	now := time.Now()
 	ready := func() *Balancer {
 		b := &Balancer{
@@ -331,7 +333,7 @@
 	if !ready().mayExit(now) {
 		t.Fatal("the loop continues without a reason")
 	}
-	for name, stay := range map[string]func(b *Balancer) (until time.Duration){
+	for name, keepRunning := range map[string]func(b *Balancer) (until time.Duration){
 		"accept loop at work": func(b *Balancer) time.Duration {
 			b.acceptLoop = acceptLoop{done: make(chan struct{})}
 			return 2 * time.Second
@@ -355,12 +357,12 @@
 			return time.Second
 		},
 		"a rejected client": func(b *Balancer) time.Duration {
-			b.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
+			b.admission = &admissionController{lingering: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
 	} {
 		b := ready()
-		until := stay(b)
+		until := keepRunning(b)
 		if b.mayExit(now) || b.mayExit(now.Add(until-time.Millisecond)) {
 			t.Error(name, "does not keep the loop running")
 		}
--- a/internal/proxy/socket.go
+++ b/internal/proxy/socket.go
@@ -151,13 +151,13 @@
 }
 
 const (
-	usualDescriptorLimit = 1024 // if the system does not report a limit
-	maxDescriptorLimit   = 1 << 20
+	defaultDescriptorLimit = 1024 // if the system does not report a limit
+	maxDescriptorLimit     = 1 << 20
 )
 
 // systemDescriptorLimit returns the number of descriptors that the configuration (0 for no limit) and the system allow.
 func systemDescriptorLimit(configured int) int64 {
-	limit := int64(usualDescriptorLimit)
+	limit := int64(defaultDescriptorLimit)
 	var r syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r) == nil {
 		limit = int64(min(r.Cur, maxDescriptorLimit))
