--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -54,7 +54,7 @@
 func newAdmissionController(
 	cfg Admission, seed uint64, now func() time.Duration, log *slog.Logger, limitedLog *logs.Limited,
 ) (*admissionController, error) {
-	gate, err := admission.New(cfg.Config, seed)
+	controller, err := admission.New(cfg.Config, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 		log:            log,
 		limitedLog:     limitedLog,
 		cfg:            cfg,
-		gate:           gate,
+		gate:           controller,
 		timer:          newSystemTimer(),
 		pendingVictims: map[admission.Ticket]admission.Victim{},
 	}
-	gate.Fixed(admission.Spare, maxSpares+cfg.MaxGoodbyes)
-	gate.Fixed(admission.Discovery, discoveryDescriptors)
+	controller.Fixed(admission.Spare, maxSpares+cfg.MaxGoodbyes)
+	controller.Fixed(admission.Discovery, discoveryDescriptors)
 	a.refillSpares()
 	a.loadSnapshot()
 	return a, nil
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -21,12 +21,12 @@
 // startMigrationInsideLine establishes a client whose server has sent the beginning of a line, and starts the client's
 // migration by a shutdown. The migration waits for the rest of the line, with a deadline that the test does not reach.
 // The unanswered request of client b keeps the balancer from exiting.
-func startMigrationInsideLine(t *testing.T, begun string) (*play, *client) {
+func startMigrationInsideLine(t *testing.T, prefix string) (*play, *client) {
 	t.Helper()
 	p := startMigrating(t)
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
-		"b > OPEN 2 k c=chat,d=20000", "task2 < OPEN 2 *", fmt.Sprintf("task1 >> %q", begun))
-	readExactly(t, p, "a", begun)
+		"b > OPEN 2 k c=chat,d=20000", "task2 < OPEN 2 *", fmt.Sprintf("task1 >> %q", prefix))
+	readExactly(t, p, "a", prefix)
 	p.leave <- struct{}{}
 	var moved *client
 	eventually(t, p.server, "the migration", func() bool {
@@ -92,13 +92,13 @@
 
 // If the line in progress is the server's own BYE or MOVE, no MOVE of the balancer follows it.
 func TestNoMoveFollowsServersFinalLine(t *testing.T) {
-	for begun, rest := range map[string]string{
+	for prefix, rest := range map[string]string{
 		"BY":             "E\r\n",
 		"BYE inflight=1": "0,queue=2\r\n",
 		"MOV":            "E\r\n",
 		"BYE\r":          "\n",
 	} {
-		p, _ := startMigrationInsideLine(t, begun)
+		p, _ := startMigrationInsideLine(t, prefix)
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", rest))
 		readToEnd(t, p, "a", rest, false)
 	}
@@ -107,10 +107,10 @@
 // If a server closes or resets in the middle of its line while a migration waits, its client is immediately closed in
 // the same way, since the rest of the line will never arrive.
 func TestServerEndInsideLineEndsClient(t *testing.T) {
-	for _, how := range []string{"FIN", "RST"} {
+	for _, ending := range []string{"FIN", "RST"} {
 		p, x := startMigrationInsideLine(t, "half")
-		playSteps(t, p, "task1 "+how)
-		readToEnd(t, p, "a", "", how == "RST")
+		playSteps(t, p, "task1 "+ending)
+		readToEnd(t, p, "a", "", ending == "RST")
 		eventually(t, p.server, "the migration's end", func() bool {
 			return len(p.server.migrating) == 0 && x.server == nil
 		})
@@ -162,14 +162,14 @@
 // A migration for a shutdown coincides with UP. In either order the client gets UP and then MOVE, also if half a line
 // arrived with UP.
 func TestMoveCrossesUp(t *testing.T) {
-	for _, behind := range []string{"", "a line\r\n", "half"} {
+	for _, following := range []string{"", "a line\r\n", "half"} {
 		p := startMigrating(t)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *")
 		p.leave <- struct{}{}
 		eventually(t, p.server, "the shutdown", func() bool { return p.server.core.ShuttingDown() })
-		playSteps(t, p, fmt.Sprintf("task1 >> %q", "UP 1\r\n"+behind))
-		want := "UP 1\r\n" + behind + "MOVE\r\n"
-		if behind == "half" {
+		playSteps(t, p, fmt.Sprintf("task1 >> %q", "UP 1\r\n"+following))
+		want := "UP 1\r\n" + following + "MOVE\r\n"
+		if following == "half" {
 			readExactly(t, p, "a", "UP 1\r\nhalf")
 			playSteps(t, p, `task1 >> " of it\r\nmore"`)
 			want = " of it\r\nMOVE\r\n"
--- a/internal/proxy/shutdown_harness_test.go
+++ b/internal/proxy/shutdown_harness_test.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// until waits until holds returns true on the loop.
-func (b *shutdownHarness) until(what string, holds func(s *Balancer) bool) {
+// eventually waits until holds returns true on the loop.
+func (b *shutdownHarness) eventually(what string, holds func(s *Balancer) bool) {
 	b.t.Helper()
 	for end, ok := time.Now().Add(shutdownTestTimeout), false; !ok; time.Sleep(time.Millisecond) {
 		if b.onLoop(func(s *Balancer) { ok = holds(s) }); time.Now().After(end) {
@@ -211,15 +211,15 @@
 func (b *shutdownHarness) beginShutdown() {
 	b.t.Helper()
 	b.steps("leave")
-	b.until("draining", func(s *Balancer) bool { return s.core.Phase() == core.Draining })
+	b.eventually("draining", func(s *Balancer) bool { return s.core.Phase() == core.Draining })
 }
 
 // awaitDiscoveryCall advances the clock until discovery is called.
 func (b *shutdownHarness) awaitDiscoveryCall() {
 	b.t.Helper()
-	for over := false; !over; {
+	for called := false; !called; {
 		b.advanceClock(core.TickInterval)
-		b.onLoop(func(s *Balancer) { over = s.core.Counters.Watches > 0 })
+		b.onLoop(func(s *Balancer) { called = s.core.Counters.Watches > 0 })
 	}
 	b.steps("watch1 < GET *")
 }
@@ -227,9 +227,9 @@
 // awaitClosing advances the clock until no request is admitted any more.
 func (b *shutdownHarness) awaitClosing() {
 	b.t.Helper()
-	for over := false; !over; {
+	for exiting := false; !exiting; {
 		b.advanceClock(core.TickInterval)
-		b.onLoop(func(s *Balancer) { over = s.exiting })
+		b.onLoop(func(s *Balancer) { exiting = s.exiting })
 	}
 }
 
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -66,7 +66,7 @@
 	b := newShutdownHarness(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
 	b.beginShutdown()
-	b.until("both clients to be known", func(s *Balancer) bool { return len(s.clients) == 2 })
+	b.eventually("both clients to be known", func(s *Balancer) bool { return len(s.clients) == 2 })
 	b.onLoop(func(s *Balancer) { // leave their requests unread
 		for _, c := range s.clients {
 			c.conn.pause()
@@ -85,7 +85,7 @@
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
 	b := newShutdownHarness(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
-	b.until("the pieces to be read", func(s *Balancer) bool {
+	b.eventually("the pieces to be read", func(s *Balancer) bool {
 		n := 0
 		for _, c := range s.clients {
 			if len(c.partialLine) > 0 {
@@ -151,7 +151,7 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("the request to be admitted", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
+				b.eventually("the request to be admitted", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
 			},
 			"dialing": func(b *shutdownHarness) {
 				full := fullListenerAddr(b.t)
@@ -162,7 +162,7 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("the dial", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
+				b.eventually("the dial", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
 			},
 			"sent": func(b *shutdownHarness) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
 			"half answered": func(b *shutdownHarness) {
@@ -195,7 +195,7 @@
 func TestHalfClosedClientsEndWithTheirAnswer(t *testing.T) {
 	b := newShutdownHarness(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
-	b.until("the client's FIN", func(s *Balancer) bool {
+	b.eventually("the client's FIN", func(s *Balancer) bool {
 		for _, c := range s.clients {
 			c.conn.mu.Lock()
 			defer c.conn.mu.Unlock()
@@ -210,7 +210,7 @@
 		}
 	})
 	b.steps("a < BUSY", "a < FIN")
-	b.until("the connection to be released", func(s *Balancer) bool { return len(s.finishing) == 0 })
+	b.eventually("the connection to be released", func(s *Balancer) bool { return len(s.finishing) == 0 })
 }
 
 // A configuration that is reloaded just before or just after SIGTERM takes effect while clients are still served:
@@ -263,7 +263,7 @@
 		}
 		s.sockets.Add(-1 << 20)
 	})
-	b.until("all clients to be known", func(s *Balancer) bool { return len(s.clients) == 3 })
+	b.eventually("all clients to be known", func(s *Balancer) bool { return len(s.clients) == 3 })
 	b.onLoop(func(s *Balancer) {
 		for _, c := range s.clients {
 			withDescriptor(c.conn.conn, func(fd int) {
@@ -296,7 +296,7 @@
 		if shutDown {
 			b.beginShutdown()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
-			b.until("all requests to end", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
+			b.eventually("all requests to end", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
 			b.awaitClosing()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
