--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -58,7 +58,7 @@
 	starved         bool        // reading waits until the loop has handled its queue
 	paused          bool        // reading waits because of backpressure
 	finPending      bool        // FIN is sent after the buffered bytes
-	established     bool        // the client's flow is; before, reads are limited to what a first line may hold
+	established     bool        // the client's flow is established; until then reads are limited to a first line
 	discarded       int         // bytes discarded while finishing
 	descriptorFreed bool
 	shutDown        bool   // shut down in both directions; the poller closes the descriptor at its next event
