--- a/internal/proxy/lingering_close.go
+++ b/internal/proxy/lingering_close.go
@@ -26,7 +26,7 @@
 // cause a reset that can destroy the answer. At most MaxGoodbyes connections linger; a further one replaces the oldest.
 // With a curt verdict the connection is closed without lingering.
 func (a *admissionController) rejectAndLinger(fd int, from netip.Addr, verdict admission.Verdict) {
-	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "connection rejected",
+	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
 		slog.Any("from", from), slog.Duration("after", verdict.After))
 	if !discardReceived(fd) {
 		_ = syscall.Close(fd)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -117,7 +117,7 @@
 	b.counters.Rejected++
 	c.finished = true
 	if b.admission != nil {
-		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "client rejected",
+		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
 			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.After))
 	}
 	b.step(core.ClientClosed{Client: c.handle})
