--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -12,79 +12,80 @@
 	"go.uber.org/goleak"
 )
 
-// shutPatience is how long these tests wait for what has to come: no machine is so slow, and no test passes by it.
-const shutPatience = time.Minute
+// shutdownTestTimeout bounds waits for expected events. It is longer than any machine needs, and no test passes by
+// reaching it.
+const shutdownTestTimeout = time.Minute
 
-// killedAfter is how long after SIGTERM, and the longest time that a client waits, SIGKILL may come.
-const killedAfter = 700 * time.Millisecond
+// killDelay is the time after which SIGKILL may follow, counted from SIGTERM plus a client's longest waiting time.
+const killDelay = 700 * time.Millisecond
 
-// Who waits in the listener's queue when the balancer closes it has been taken by this machine, the request perhaps
-// written: the system would reset all of them.
-func TestWhoWaitsInTheListenersQueueIsTurnedAway(t *testing.T) {
-	b := newShutBed(t, nil)
+// Connections in the accept queue must be rejected with an answer when the balancer closes its listener. The system has
+// established them already, and their clients may have sent requests; closing the listener would reset them all.
+func TestConnectionsInAcceptQueueAreRejected(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(
 		func(s *Balancer) { s.sockets.Add(1 << 20) },
-	) // the accept loop waits for descriptors, after one more accept at most
+	) // stops the accept loop for lack of descriptors, after at most one more accept
 	b.steps(`b >> "OPEN 1 k c=chat,d=60000\r\n"`, `c >> "OPEN 2 k c=cha"`, `d >> ""`)
-	b.leaves()
-	b.closes()
-	for _, who := range []string{"b", "c", "d", "a"} {
-		b.steps(who+" < BUSY", who+" < FIN", who+" FIN")
+	b.beginShutdown()
+	b.awaitClosing()
+	for _, name := range []string{"b", "c", "d", "a"} {
+		b.steps(name+" < BUSY", name+" < FIN", name+" FIN")
 	}
 	b.onLoop(func(s *Balancer) { s.sockets.Add(-1 << 20) })
 	b.steps("ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
-// A connection that the accept loop has taken is nobody's for a moment: the process must not end in it.
-func TestWhoIsBeingTakenInAtTheEndIsTurnedAway(t *testing.T) {
-	for name, said := range map[string]string{"whole": `OPEN 1 k c=chat,d=60000\r\n`, "half": `OPEN 1 k`, "nothing": ``} {
+// Between accept and its registration a connection is unknown to the loop. The process must not exit in that interval.
+func TestConnectionBeingAcceptedDuringExitIsRejected(t *testing.T) {
+	for name, sent := range map[string]string{"whole": `OPEN 1 k c=chat,d=60000\r\n`, "half": `OPEN 1 k`, "nothing": ``} {
 		t.Run(name, func(t *testing.T) {
-			b := newShutBed(t, nil)
-			taken, free := b.hold.hold()
-			b.steps(`a >> "` + said + `"`)
-			<-taken
-			b.leaves()
-			b.closes()
-			select { // the loop has had turns, and was not allowed to end
+			b := newShutdownHarness(t, nil)
+			accepted, resume := b.listener.suspend()
+			b.steps(`a >> "` + sent + `"`)
+			<-accepted
+			b.beginShutdown()
+			b.awaitClosing()
+			select { // the loop has run, and must not have ended
 			case <-b.server.loopEnded:
-				t.Error("ended while a connection was being taken in")
+				t.Error("ended while a connection was being accepted")
 			default:
 			}
-			close(free)
+			close(resume)
 			b.steps("a < BUSY", "a < FIN", "a FIN", "ended")
-			b.nobodyAsked()
+			b.expectNoAttempt()
 		})
 	}
 }
 
-// Who rests is told to come again when the balancer closes. A request that is in the socket by then, or comes
-// after, is read away: it is neither sent on nor does it make a reset of the answer.
-func TestRequestsInTheMomentOfTheClosing(t *testing.T) {
-	b := newShutBed(t, nil)
+// Idle clients are rejected when the balancer closes. A request that is in the socket by then, or arrives later, is
+// read and discarded: it must neither be forwarded nor turn the answer into a reset.
+func TestRequestsDuringClosing(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps(`before >> ""`, `after >> ""`)
-	b.leaves()
-	b.until("both are known", func(s *Balancer) bool { return len(s.clients) == 2 })
-	b.onLoop(func(s *Balancer) { // nobody reads them
+	b.beginShutdown()
+	b.eventually("both clients to be known", func(s *Balancer) bool { return len(s.clients) == 2 })
+	b.onLoop(func(s *Balancer) { // leave their requests unread
 		for _, c := range s.clients {
 			c.conn.pause()
 		}
 	})
 	b.steps("before > OPEN 1 k c=chat,d=60000")
-	b.closes()
+	b.awaitClosing()
 	b.steps("after < BUSY", "after > OPEN 2 k c=chat,d=60000", "after < FIN", "after FIN")
 	b.steps("before < BUSY", "before < FIN", "before FIN")
 	b.steps("ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
-// A request in pieces across SIGTERM is served where its end comes while clients are served, and told to come again
-// where it comes after.
+// A request that arrives in pieces around SIGTERM is served if it is complete while clients are still served, and
+// rejected otherwise.
 func TestRequestsInPiecesAcrossSIGTERM(t *testing.T) {
-	b := newShutBed(t, nil)
+	b := newShutdownHarness(t, nil)
 	b.steps(`a >> "OPEN 1 k c=ch"`, `b >> "OPEN 2 k c=chat,d=15"`)
-	b.until("the pieces are read", func(s *Balancer) bool {
+	b.eventually("the pieces to be read", func(s *Balancer) bool {
 		n := 0
 		for _, c := range s.clients {
 			if len(c.partialLine) > 0 {
@@ -93,7 +94,7 @@
 		}
 		return n == 2
 	})
-	b.leaves()
+	b.beginShutdown()
 	b.steps(
 		`a >> "at,d=60000\r\n"`,
 		"task1 < OPEN 1 *",
@@ -104,13 +105,13 @@
 		"task1 FIN",
 		"a < FIN",
 	)
-	b.closes()
+	b.awaitClosing()
 	b.steps("b < BUSY", `b >> "00\r\n"`, "b < FIN", "b FIN", "ended")
-	b.nobodyAsked()
+	b.expectNoAttempt()
 }
 
-// shutFull is a listener that answers no connection: its queue is full.
-func shutFull(t *testing.T) string {
+// fullListenerAddr returns the address of a listener whose accept queue is full, so that dials to it hang.
+func fullListenerAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -133,16 +134,16 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("its queue is never full")
+	t.Fatal("the accept queue is never full")
 	return ""
 }
 
-// Whatever a request waits for at SIGTERM, it gets its one answer before SIGKILL may come, and nothing is sent on
-// after it.
-func TestRequestsUnderWayAtSIGTERMAreAnswered(t *testing.T) {
-	for _, passes := range []bool{true, false} {
-		for name, until := range map[string]func(b *shutBed){
-			"waits for room": func(b *shutBed) {
+// Whatever a request waits for at SIGTERM, it gets exactly one answer before SIGKILL may follow, and nothing is
+// forwarded after the answer.
+func TestRequestsInFlightAtSIGTERMAreAnswered(t *testing.T) {
+	for _, passThrough := range []bool{true, false} {
+		for name, setUp := range map[string]func(b *shutdownHarness){
+			"queued for capacity": func(b *shutdownHarness) {
 				b.onLoop(func(s *Balancer) {
 					for i := range s.cfg.KnownEndpoints.Endpoints {
 						s.cfg.KnownEndpoints.Endpoints[i].State = 1 // draining
@@ -150,10 +151,10 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it is taken", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
+				b.eventually("the request to be admitted", func(s *Balancer) bool { return s.core.Unanswered() == 1 })
 			},
-			"dialing": func(b *shutBed) {
-				full := shutFull(b.t)
+			"dialing": func(b *shutdownHarness) {
+				full := fullListenerAddr(b.t)
 				b.onLoop(func(s *Balancer) {
 					for i := range s.cfg.KnownEndpoints.Endpoints {
 						s.cfg.KnownEndpoints.Endpoints[i].Address = full
@@ -161,38 +162,40 @@
 					s.step(*s.cfg.KnownEndpoints)
 				})
 				b.steps("a > OPEN 1 k c=chat,d=60000")
-				b.until("it dials", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
+				b.eventually("the dial", func(s *Balancer) bool { return s.core.Counters.Attempts > 0 && s.core.Unanswered() == 1 })
+			},
+			"sent": func(b *shutdownHarness) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
+			"half answered": func(b *shutdownHarness) {
+				b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`)
 			},
-			"sent":          func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *") },
-			"half answered": func(b *shutBed) { b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", `task1 >> "UP 1"`) },
 		} {
-			t.Run(fmt.Sprintf("%s, passes %v", name, passes), func(t *testing.T) {
-				b := newShutBed(t, func(cfg *Config) { cfg.Core.PassThrough = passes })
-				until(b)
-				b.leaves()
-				const step, most = 100 * time.Millisecond, 2*time.Second + killedAfter - 200*time.Millisecond
-				for passed := time.Duration(0); passed < most; passed += step {
-					b.pass(100 * time.Millisecond) // the loop has a turn between, and must not end
+			t.Run(fmt.Sprintf("%s, passes %v", name, passThrough), func(t *testing.T) {
+				b := newShutdownHarness(t, func(cfg *Config) { cfg.Core.PassThrough = passThrough })
+				setUp(b)
+				b.beginShutdown()
+				const step, maxTime = 100 * time.Millisecond, 2*time.Second + killDelay - 200*time.Millisecond
+				for passed := time.Duration(0); passed < maxTime; passed += step {
+					b.advanceClock(100 * time.Millisecond) // the loop runs in between, and must not end
 				}
 				b.steps("a < *", "a < FIN")
-				b.closes()
+				b.awaitClosing()
 				b.steps("a FIN", "ended")
 				if n := b.server.core.Unanswered(); n != 0 {
-					t.Error(n, "are still owed an answer")
+					t.Error(n, "requests are unanswered")
 				}
 				if n := b.server.core.Counters; n.Rejected+n.Failed != 1 {
-					t.Errorf("%d told to come again, %d failed: not one", n.Rejected, n.Failed)
+					t.Errorf("%d rejected, %d failed, want one in total", n.Rejected, n.Failed)
 				}
 			})
 		}
 	}
 }
 
-// A client that has closed its sending is over once it has its answer: nobody waits for it any more.
-func TestHalfClosedClientsAreOverWithTheirAnswer(t *testing.T) {
-	b := newShutBed(t, nil)
+// A client that has closed its sending side is removed as soon as it has its answer.
+func TestHalfClosedClientsEndWithTheirAnswer(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "a FIN")
-	b.until("it has closed its sending", func(s *Balancer) bool {
+	b.eventually("the client's FIN", func(s *Balancer) bool {
 		for _, c := range s.clients {
 			c.conn.mu.Lock()
 			defer c.conn.mu.Unlock()
@@ -201,79 +204,79 @@
 		return false
 	})
 	b.onLoop(func(s *Balancer) {
-		for _, term := range s.clients { // the answer, and no time for the end by force
-			s.finalAnswer(term, []byte("BUSY\r\n"))
-			term.conn.forceCloseAt = time.Now().Add(time.Hour)
+		for _, c := range s.clients { // the final answer, with forceClose out of reach
+			s.finalAnswer(c, []byte("BUSY\r\n"))
+			c.conn.forceCloseAt = time.Now().Add(time.Hour)
 		}
 	})
 	b.steps("a < BUSY", "a < FIN")
-	b.until("it is over", func(s *Balancer) bool { return len(s.finishing) == 0 })
+	b.eventually("the connection to be released", func(s *Balancer) bool { return len(s.finishing) == 0 })
 }
 
-// A configuration read anew right before SIGTERM, or right after it, counts while clients are still served: news
-// come from where it says. One that comes when all is over changes nothing, and holds nobody up.
+// A configuration that is reloaded just before or just after SIGTERM takes effect while clients are still served:
+// updates come from its discovery address. A reload after that changes nothing and does not delay the exit.
 func TestReloadsAroundSIGTERM(t *testing.T) {
 	for _, first := range []string{"reload", "leave"} {
 		t.Run(first+" first", func(t *testing.T) {
-			b := newShutBed(t, nil)
-			b.calls()
-			b.steps(`rests >> ""`, "a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
+			b := newShutdownHarness(t, nil)
+			b.awaitDiscoveryCall()
+			b.steps(`idle >> ""`, "a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
 			if first == "reload" {
 				b.steps("reload $moved")
-				b.leaves()
+				b.beginShutdown()
 			} else {
-				b.leaves()
+				b.beginShutdown()
 				b.steps("reload $moved")
 			}
 			b.steps("watch2 < GET *", "task1 > UP 1", "a < UP 1", "a FIN", "task1 < FIN", "task1 FIN", "a < FIN")
-			b.closes()
+			b.awaitClosing()
 			b.steps("reload $discovery")
 			b.onLoop(func(s *Balancer) {
 				if s.counters.Reloads != 1 {
-					t.Error(s.counters.Reloads, "configurations were taken")
+					t.Error(s.counters.Reloads, "reloads, want 1")
 				}
 			})
-			b.steps("rests < BUSY", "rests FIN", "ended")
+			b.steps("idle < BUSY", "idle FIN", "ended")
 		})
 	}
 }
 
-// A client whose region stops in the middle of a line at the very end is given the time to be moved behind it.
-func TestMovesAtTheEndWaitForTheLine(t *testing.T) {
-	b := newShutBed(t, notPassing)
+// A client whose server is in the middle of a line when the balancer closes gets MOVE after the rest of the line.
+func TestMigrationsDuringClosingWaitForTheLine(t *testing.T) {
+	b := newShutdownHarness(t, withoutPassThrough)
 	b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *")
-	b.leaves()
+	b.beginShutdown()
 	b.steps(`task1 >> "UP 1\r\nhalf a "`, "a < UP 1")
-	b.closes()
+	b.awaitClosing()
 	b.steps("task1 > line", "a < half a line", "a < MOVE", "a < FIN", "a FIN", "ended")
 }
 
-// Small last writes leave at once, by either way in which connections are accepted.
-func TestAcceptedConnectionsHoldNothingBack(t *testing.T) {
-	b := newShutBed(t, nil)
+// TCP_NODELAY is set on connections accepted by either path, so that small last writes are sent immediately.
+func TestAcceptedConnectionsHaveNoDelay(t *testing.T) {
+	b := newShutdownHarness(t, nil)
 	b.steps("a > PING", "a < PONG")
 	b.onLoop(func(s *Balancer) { s.sockets.Add(1 << 20) })
-	b.steps(`b >> ""`, `c >> ""`) // one by the accept that waited, perhaps
+	b.steps(`b >> ""`, `c >> ""`) // the pending accept may take one of them
 	b.onLoop(func(s *Balancer) {
 		if !s.acceptQueued() {
-			t.Error("somebody is left in the queue")
+			t.Error("connections are left in the queue")
 		}
 		s.sockets.Add(-1 << 20)
 	})
-	b.until("all are known", func(s *Balancer) bool { return len(s.clients) == 3 })
+	b.eventually("all clients to be known", func(s *Balancer) bool { return len(s.clients) == 3 })
 	b.onLoop(func(s *Balancer) {
-		for _, term := range s.clients {
-			withDescriptor(term.conn.conn, func(fd int) {
+		for _, c := range s.clients {
+			withDescriptor(c.conn.conn, func(fd int) {
 				if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-					t.Errorf("terminal %d: TCP_NODELAY %d, %v", term.handle, on, err)
+					t.Errorf("client %d: TCP_NODELAY %d, %v", c.handle, on, err)
 				}
 			})
 		}
 	})
 }
 
-// shutDescriptors is how many this process holds.
-func shutDescriptors(t *testing.T) int {
+// openDescriptors returns the number of descriptors that this process has open.
+func openDescriptors(t *testing.T) int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
@@ -281,28 +284,28 @@
 	return len(list)
 }
 
-// After a stop nothing is left of a server: no goroutine, no timer, no descriptor. It is stopped both ways, with
+// A stopped balancer leaks no goroutine, timer or descriptor, whether it shuts down or its context ends, with
 // connections in all states.
-func TestNothingIsLeftAfterAStop(t *testing.T) {
+func TestStopLeaksNothing(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
-	play := func(t *testing.T, leaves bool) {
-		b := newShutBed(t, nil)
-		b.calls()
+	run := func(t *testing.T, shutDown bool) {
+		b := newShutdownHarness(t, nil)
+		b.awaitDiscoveryCall()
 		b.steps("a > OPEN 1 k c=chat,d=60000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 		b.steps("b > OPEN 2 k c=chat,d=60000", "task2 < OPEN 2 *", "b FIN", `c >> "OPEN"`)
-		if leaves {
-			b.leaves()
+		if shutDown {
+			b.beginShutdown()
 			b.steps("task2 > UP 2", "b < UP 2", "a FIN", "task1 FIN", "task2 FIN")
-			b.until("nobody stands", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
-			b.closes()
+			b.eventually("all requests to end", func(s *Balancer) bool { return s.core.OpenRequests() == 0 })
+			b.awaitClosing()
 			b.steps("c < BUSY", "c FIN", "ended")
 		}
 	}
 	before := 0
 	for i := range 6 {
-		t.Run(fmt.Sprint(i), func(t *testing.T) { play(t, i%2 == 0) })
+		t.Run(fmt.Sprint(i), func(t *testing.T) { run(t, i%2 == 0) })
 		goleak.VerifyNone(t, ignore)
-		if n := shutDescriptors(t); before == 0 {
+		if n := openDescriptors(t); before == 0 {
 			before = n
 		} else if n > before {
 			t.Errorf("%d descriptors after the first stop, %d after %d more", before, n, i)
@@ -310,9 +313,9 @@
 	}
 }
 
-// The loop ends once nobody is left who may have to get something, and when its time is up. This is closed alone,
-// so that each reason to stay is met without the others.
-func TestReasonsToStay(t *testing.T) {
+// The loop ends once nothing is outstanding for any client, or at its deadline. Each reason to continue is tested
+// without the others.
+func TestReasonsToKeepRunning(t *testing.T) {
 	now := time.Now()
 	ready := func() *Balancer {
 		b := &Balancer{
@@ -328,14 +331,14 @@
 		return b
 	}
 	if !ready().mayExit(now) {
-		t.Fatal("it stays for nobody")
+		t.Fatal("the loop continues without a reason")
 	}
-	for name, stay := range map[string]func(b *Balancer) (until time.Duration){
+	for name, keepRunning := range map[string]func(b *Balancer) (until time.Duration){
 		"accept loop at work": func(b *Balancer) time.Duration {
 			b.acceptLoop = acceptLoop{done: make(chan struct{})}
 			return 2 * time.Second
 		},
-		"events unread": func(b *Balancer) time.Duration {
+		"events queued": func(b *Balancer) time.Duration {
 			b.queue.list = []event{{kind: eventAccepted}}
 			return 2 * time.Second
 		},
@@ -353,21 +356,21 @@
 			b.finishing[&connection{}] = struct{}{}
 			return time.Second
 		},
-		"a refused client": func(b *Balancer) time.Duration {
-			b.admission = &admissionController{goodbyes: make([]net.Conn, 1)}
+		"a rejected client": func(b *Balancer) time.Duration {
+			b.admission = &admissionController{lingering: make([]net.Conn, 1)}
 			return 2 * time.Second
 		},
 	} {
 		b := ready()
-		until := stay(b)
+		until := keepRunning(b)
 		if b.mayExit(now) || b.mayExit(now.Add(until-time.Millisecond)) {
-			t.Error(name, "is no reason to stay")
+			t.Error(name, "does not keep the loop running")
 		}
 		if !b.mayExit(now.Add(until + time.Millisecond)) {
-			t.Error(name, "holds it up for ever")
+			t.Error(name, "keeps the loop running past the deadline")
 		}
 		if b.exiting = false; b.mayExit(now.Add(time.Hour)) {
-			t.Error(name, "ends though it serves")
+			t.Error(name, "ends the loop while it serves")
 		}
 	}
 }
