--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -102,7 +102,7 @@
 type MalformedCall struct{ hint.Annotated }
 
 var (
-	errSeveralLines = &MalformedCall{hint.Annotated{What: "more than one line", Do: "make one call per connection"}}
+	errSeveralLines = &MalformedCall{hint.Annotated{What: "more than one line", Do: "make one call a connection"}}
 	errUnendedLine  = &MalformedCall{hint.Annotated{What: "line without its end", Do: "end the line with CR LF or LF"}}
 )
 
@@ -145,7 +145,7 @@
 	words := strings.Fields(string(line))
 	if len(words) == 0 {
 		return Request{}, &MalformedCall{
-			hint.Annotated{What: "no call in the line; calls are " + strings.Join(verbNames, ", "), Do: "use one of these"},
+			hint.Annotated{What: "no call in the line; calls are " + strings.Join(verbNames, ", "), Do: "write one of these"},
 		}
 	}
 	for v, name := range verbNames {
@@ -156,7 +156,7 @@
 	return Request{}, &MalformedCall{
 		hint.Annotated{
 			What: fmt.Sprintf("unknown call %q; calls are %s", words[0], strings.Join(verbNames, ", ")),
-			Do:   "use one of these",
+			Do:   "write one of these",
 		},
 	}
 }
