--- a/internal/coordination/announcement.go
+++ b/internal/coordination/announcement.go
@@ -14,100 +14,102 @@
 	"oatloft/internal/stagger"
 )
 
-// The signals that carry a balancer's announcement. Readings go under membership.RegionKey.
+// The keys of the signals that carry a balancer's announcement. Readings have keys with the prefix
+// membership.ServerKey.
 const (
-	AnnouncementKey = "w"
-	SubsetKey       = "s"
+	AnnouncementKey = "w" // value by Announcement.Encode
+	SubsetKey       = "s" // value by Announcement.EncodeSubset
 )
 
-// Announcement is what a balancer tells the others of itself.
+// Announcement is what a balancer announces to the others.
 type Announcement struct {
 	Zone             string
-	ExplorationSlots int
-	SlotAge          time.Duration
-	Demand           float64 // choices per second
-	ReferenceSize    int
-	Subset           []uint32 // by ServerHash
-	Readings         []string // servers whose readings are to be sent; all if readings are not shared
+	ExplorationSlots int           // number of slots so far
+	SlotAge          time.Duration // since its last exploration slot began
+	Demand           float64       // placements per second
+	ReferenceSize    int           // fleet size by which it divides bounded budgets
+	Subset           []uint32      // hashes by ServerHash
+	Readings         []string      // servers whose readings it announces; all if Config.ShareReadings is off
 }
 
-// Limits of what a member may announce.
+// Limits of announced values.
 const (
 	maxExplorationSlots = 1 << 30
-	maxDemand           = 1e6
-	maxReferenceSize    = 1 << 16
+	maxDemand           = 1e6     // placements per second
+	maxReferenceSize    = 1 << 16 // balancers
 	maxSlotAge          = time.Hour
 )
 
 const (
-	hashBytes          = 4                                // of a server in an announced subset
-	maxSubset          = membership.MaxSignal / hashBytes // a signal has no room for more
-	announcementFields = 5                                // of an announcement, the last of which is the zone
+	serverHashBytes        = 4                                      // per server in an announced subset
+	maxSubsetServers       = membership.MaxSignal / serverHashBytes // as many as fit into a signal
+	announcementFieldCount = 5                                      // the zone is the last and may contain spaces
 )
 
-// Encode returns the announcement as a signal's value, without the subset.
+// Encode returns the signal value of the announcement, without subset and readings.
 func (a Announcement) Encode() []byte {
 	return fmt.Appendf(nil, "%d %d %.2f %d %s",
 		a.ExplorationSlots, a.SlotAge.Milliseconds(), a.Demand, a.ReferenceSize, a.Zone)
 }
 
-// EncodeSubset returns the subset as a signal's value.
+// EncodeSubset returns the signal value of the subset. Servers beyond the first maxSubsetServers are left out.
 func (a Announcement) EncodeSubset() []byte {
-	value := make([]byte, 0, hashBytes*len(a.Subset))
-	for _, hash := range a.Subset[:min(len(a.Subset), maxSubset)] {
+	value := make([]byte, 0, serverHashBytes*len(a.Subset))
+	for _, hash := range a.Subset[:min(len(a.Subset), maxSubsetServers)] {
 		value = binary.BigEndian.AppendUint32(value, hash)
 	}
 	return value
 }
 
-// MalformedAnnouncement is the error that a member's signal is none that a balancer would send. It counts as not
-// sent.
+// MalformedAnnouncement is returned for a signal that no balancer sends. The signal is ignored.
 type MalformedAnnouncement struct{ hint.Annotated }
 
-var errMalformed error = &MalformedAnnouncement{hint.Annotated{
-	What: "a member's words are not four figures and a zone",
-	Do:   "see which program or version speaks at the peers' address",
+var errMalformedAnnouncement error = &MalformedAnnouncement{hint.Annotated{
+	What: "a member's announcement is not four numbers in range and a zone, or its subset is not whole hashes",
+	Do:   "check which program or version sends to the peers address",
 }}
 
-// decode sets what the value of a member's announcement of some age says. The error is *MalformedAnnouncement.
+// decode parses the announcement in a signal's value into m. age is the age of the signal. The error is
+// *MalformedAnnouncement.
 func (m *Member) decode(value []byte, age time.Duration) error {
-	words := strings.SplitN(string(value), " ", announcementFields)
-	if len(words) != announcementFields {
-		return errMalformed
+	fields := strings.SplitN(string(value), " ", announcementFieldCount)
+	if len(fields) != announcementFieldCount {
+		return errMalformedAnnouncement
 	}
-	slots, slotsErr := strconv.Atoi(words[0])
-	slotAge, ageErr := strconv.ParseInt(words[1], 10, 64)
-	demand, demandErr := strconv.ParseFloat(words[2], 64)
-	reference, referenceErr := strconv.Atoi(words[3])
+	slots, slotsErr := strconv.Atoi(fields[0])
+	slotAge, ageErr := strconv.ParseInt(fields[1], 10, 64)
+	demand, demandErr := strconv.ParseFloat(fields[2], 64)
+	reference, referenceErr := strconv.Atoi(fields[3])
 	switch {
 	case errors.Join(slotsErr, ageErr, demandErr, referenceErr) != nil,
 		slots < 0 || slots > maxExplorationSlots,
 		slotAge < 0 || slotAge > maxSlotAge.Milliseconds(),
 		math.IsNaN(demand) || demand < 0 || demand > maxDemand,
 		reference < 0 || reference > maxReferenceSize:
-		return errMalformed
+		return errMalformedAnnouncement
 	}
 	m.ExplorationSlots = slots
 	m.SlotAge = time.Duration(slotAge)*time.Millisecond + age
 	m.Demand = demand
 	m.ReferenceSize = reference
-	m.Zone = words[4]
+	m.Zone = fields[4]
 	m.Reported = true
 	return nil
 }
 
-// decodeSubset sets the subset that a signal's value lists. The error is *MalformedAnnouncement.
+// decodeSubset parses the subset in a signal's value into m. The error is *MalformedAnnouncement.
 func (m *Member) decodeSubset(value []byte) error {
-	if len(value)%hashBytes != 0 {
-		return errMalformed
+	if len(value)%serverHashBytes != 0 {
+		return errMalformedAnnouncement
 	}
-	for ; len(value) > 0; value = value[hashBytes:] {
+	for ; len(value) > 0; value = value[serverHashBytes:] {
 		m.Subset = append(m.Subset, binary.BigEndian.Uint32(value))
 	}
 	return nil
 }
 
-// decodeReading sets the member's reading of a server.
+// decodeReading parses the reading of a server in a signal's value into m. The error is
+// *membership.MalformedMessage.
 func (m *Member) decodeReading(server string, value []byte, age time.Duration) error {
 	reading, err := membership.ParseReading(value)
 	if err != nil {
@@ -120,16 +122,16 @@
 	return nil
 }
 
-// ParseView reads the announcements of a membership view. malformed is how many signals could not be read; they
-// count as not sent.
-func ParseView(p membership.View) (v View, malformed int) {
-	v.Stale, v.Known = p.Stale || p.Superseded, 1+len(p.Members)
-	for _, listed := range p.Members {
-		if listed.State == membership.Gone { // a suspected member counts: most refute it
+// ParseView parses the announcements in a membership view. malformed is the number of signals that could not be parsed
+// and were ignored.
+func ParseView(membershipView membership.View) (v View, malformed int) {
+	v.Stale, v.Known = membershipView.Stale || membershipView.Superseded, 1+len(membershipView.Members)
+	for _, other := range membershipView.Members {
+		if other.State == membership.Gone { // suspects stay listed: most refute the suspicion
 			continue
 		}
-		m := Member{Name: listed.Name, Leaving: listed.State == membership.Leaving}
-		for _, signal := range listed.Signals {
+		m := Member{Name: other.Name, Leaving: other.State == membership.Leaving}
+		for _, signal := range other.Signals {
 			if m.decodeSignal(signal) != nil {
 				malformed++
 			}
@@ -139,7 +141,7 @@
 	return v, malformed
 }
 
-// decodeSignal sets what a signal says; other signals than a coordinator's are passed over.
+// decodeSignal parses a signal into m. Signals with other keys than a coordinator's are ignored.
 func (m *Member) decodeSignal(signal membership.SignalView) error {
 	if server, ok := strings.CutPrefix(signal.Key, membership.ServerKey); ok {
 		return m.decodeReading(server, signal.Value, signal.Age)
--- a/internal/coordination/coordinator.go
+++ b/internal/coordination/coordinator.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// minBalancers is how many balancers look at each server at least: as many as read it for the others.
+	// minBalancers is the least number of subsets that each server is in: as many as there are readers of it.
 	minBalancers = stagger.ReadersPerServer
-	// fullLoad is the load from which on a server has no capacity for new requests, as the decision module holds it.
+	// fullLoad is the load, relative to a server's capacity, from which it has no capacity for new requests. The decision
+	// module uses the same value.
 	fullLoad = 0.8
-	// widenAfter and narrowAfter are the times of subset.Widening.
+	// widenAfter and narrowAfter are the delays of subset.Widening.
 	widenAfter  = time.Second
 	narrowAfter = 10 * time.Second
-	// startParts of the peer timeout: a new balancer waits so long before it plans with others or takes a share.
-	startParts = 3
-	// readingMemory is how long the time of a reading is remembered that was passed on.
-	readingMemory = time.Minute
+	// startDelayDivisor divides the peer timeout: a new balancer waits for that time before it plans subsets and readers
+	// or takes a share of budgets.
+	startDelayDivisor = 3
+	// passedOnRetention is the time for which the time of a passed-on reading is kept.
+	passedOnRetention = time.Minute
 )
 
-// noShare is the divisor by which the decision module takes nothing of bounded budgets.
-const noShare = -1
+// noBudgetShare is the budget divisor with which the decision module takes nothing from bounded budgets.
+const noBudgetShare = -1
 
-// Counts add up what a coordinator has done.
+// Counts counts the activity of a coordinator.
 type Counts struct {
-	Plans    int64 // layouts planned
-	Changes  int64 // of the candidates
-	Widened  int64
-	Narrowed int64
-	Received int64 // others' readings passed on
-	Unsure   int64 // servers of which no reading was usable
-	Dead     int64 // servers that the others cannot reach
-	Nudged   int64 // exploration slots shifted
-	Resumed  int64 // counts of exploration slots taken from the others
+	Plans            int64 // layouts computed
+	CandidateChanges int64 // changes of the candidate list
+	Widened          int64 // steps by which the candidates were widened
+	Narrowed         int64 // steps by which they were narrowed
+	Received         int64 // readings of other members passed on
+	Unusable         int64 // servers without a usable reading of other members
+	Unreachable      int64 // servers that other members report as unreachable
+	SlotShifts       int64 // shifts of exploration slots
+	ResumedSlots     int64 // exploration slot counts taken over from other members
 }
 
-// Coordinator is one balancer's part. It is not safe for concurrent use.
+// Coordinator computes one balancer's subset, readings and shares. It is not safe for concurrent use.
 type Coordinator struct {
 	cfg           Config
 	share         stagger.BudgetShare
@@ -49,33 +51,34 @@
 	widening      subset.Widening
 	subset        []string // of this balancer
 	startedAt     time.Duration
-	passedOn      map[string]time.Duration // time of the reading that was passed on last, by server
+	passedOn      map[string]time.Duration // time of the last reading passed on, by server
 	slotAge       time.Duration            // at the last update
-	candidates    []string                 // given last
-	assigned      []string                 // servers that this balancer reads for all
-	digestInput   []byte                   // of the latest digest, kept for its memory
-	layoutDigest  uint64                   // of what subset and assigned follow from
-	totalRejected int64                    // at the last update
+	candidates    []string                 // as in the last event
+	assigned      []string                 // servers that this balancer reads for all members
+	digestInput   []byte                   // buffer reused by digest
+	layoutDigest  uint64                   // of the inputs of subset and assigned
+	totalRejected int64                    // rejected requests at the last update
 
-	Layouts *Layouts // nil unless others in this process share them
+	Layouts *Layouts // nil unless shared with other coordinators in this process
 	Counts  Counts
 }
 
-// New returns the part of one balancer.
+// New returns the coordinator of one balancer.
 func New(cfg Config) *Coordinator {
 	return &Coordinator{
 		cfg: cfg,
 		share: stagger.BudgetShare{
 			Configured:  cfg.Balancers,
 			ShrinkDelay: cfg.PeerTimeout,
-			StartDelay:  cfg.PeerTimeout / startParts,
+			StartDelay:  cfg.PeerTimeout / startDelayDivisor,
 		},
 		widening: subset.Widening{WidenAfter: widenAfter, NarrowAfter: narrowAfter},
 		passedOn: map[string]time.Duration{},
 	}
 }
 
-// Update takes what is known at a time, and returns events for the decision module and this balancer's announcement.
+// Update takes a view of the members and the local state. It returns events for the decision module and this balancer's
+// announcement.
 func (c *Coordinator) Update(now time.Duration, v View, local Local) (events []policy.Event, a Announcement) {
 	if c.startedAt == 0 {
 		c.startedAt = max(now, 1)
@@ -95,7 +98,7 @@
 	if c.cfg.SubsetSize > 0 {
 		if list := c.selectCandidates(now, local, readings); !slices.Equal(list, c.candidates) {
 			c.candidates = list
-			c.Counts.Changes++
+			c.Counts.CandidateChanges++
 			events = append(events, policy.CandidateSubset{Servers: list})
 		}
 	}
@@ -109,7 +112,8 @@
 	return events, c.announcement(local)
 }
 
-// combineReadings weighs the others' reports, and checks them against this balancer's readings.
+// combineReadings combines the other members' readings by server, weighted by the trust in each member, and checks them
+// against this balancer's own readings.
 func (c *Coordinator) combineReadings(now time.Duration, v View, local Local) map[string]stagger.CombinedReading {
 	present := make(map[string]bool, len(v.Members))
 	reports := map[string][]stagger.Report{}
@@ -129,11 +133,11 @@
 			combined[s.ID] = c.trust.Combine(now, own, list)
 		}
 	}
-	maps.DeleteFunc(c.passedOn, func(_ string, at time.Duration) bool { return now-at > readingMemory })
+	maps.DeleteFunc(c.passedOn, func(_ string, at time.Duration) bool { return now-at > passedOnRetention })
 	return combined
 }
 
-// passReadingsOn returns events for readings that are newer than this balancer's own and than those passed on before.
+// passReadingsOn returns events for readings that are newer than this balancer's own and than the last one passed on.
 func (c *Coordinator) passReadingsOn(
 	now time.Duration, local Local, readings map[string]stagger.CombinedReading,
 ) (events []policy.Event) {
@@ -143,10 +147,10 @@
 		switch {
 		case !ok:
 		case reading.Unreachable:
-			c.Counts.Dead++
+			c.Counts.Unreachable++
 			events = append(events, policy.PeerReading{Server: s.ID, Unreachable: true})
 		case !reading.Usable:
-			c.Counts.Unsure++
+			c.Counts.Unusable++
 		case at > s.ReadAt && at > c.passedOn[s.ID]:
 			c.passedOn[s.ID] = at
 			c.Counts.Received++
@@ -156,8 +160,8 @@
 	return events
 }
 
-// selectCandidates lists the candidates: the subset, and what lies beyond while that has no capacity. Without a
-// subset the list is empty, which means all servers.
+// selectCandidates updates the widening and returns the candidates: the subset, widened by other servers while it has
+// no capacity. Without a subset the list is empty, which means all servers.
 func (c *Coordinator) selectCandidates(
 	now time.Duration, local Local, readings map[string]stagger.CombinedReading,
 ) []string {
@@ -183,7 +187,7 @@
 	return list
 }
 
-// observations returns what is known of the servers with some ids, by the newer of own and others' readings.
+// observations returns the state of the servers with the given ids, by the newer of own and combined readings.
 func observations(
 	now time.Duration, ids []string, local Local, readings map[string]stagger.CombinedReading,
 ) (list []subset.Observation) {
@@ -206,7 +210,7 @@
 	return list
 }
 
-// setStagger fills in the share of bounded budgets, and what balancers are to do one after the other.
+// setStagger sets the divisor of bounded budgets, the stagger offset, the total demand and the exploration slots.
 func (c *Coordinator) setStagger(now time.Duration, v View, local Local, fleet *policy.FleetState) {
 	size := stagger.FleetSize{Present: 1 + len(v.Members), Known: v.Known, Stale: v.Stale}
 	var slotAges []time.Duration
@@ -224,7 +228,7 @@
 	}
 	fleet.BudgetDivisor = c.share.Update(now, size)
 	if fleet.BudgetDivisor == 0 {
-		fleet.BudgetDivisor = noShare
+		fleet.BudgetDivisor = noBudgetShare
 	}
 	if len(present) == 0 {
 		return
@@ -232,19 +236,19 @@
 	fleet.StaggerOffset = stagger.Offset(c.cfg.Name, present)
 	fleet.Demand = stagger.TotalDemand(local.Demand, demands, len(present)-len(demands))
 	if slots := stagger.ResumedSlots(local.ExplorationSlots, slotCounts); slots > local.ExplorationSlots {
-		c.Counts.Resumed++
+		c.Counts.ResumedSlots++
 		fleet.ExplorationSlots = slots
 	}
-	if local.SlotAge < c.slotAge { // once a slot: the others have to see where it is now
+	if local.SlotAge < c.slotAge { // once per slot, so that the others see the effect before the next shift
 		fleet.SlotShift = stagger.SlotShift(local.SlotAge, slotAges, local.SlotPeriod)
 		if fleet.SlotShift != 0 {
-			c.Counts.Nudged++
+			c.Counts.SlotShifts++
 		}
 	}
 	c.slotAge = local.SlotAge
 }
 
-// announcement returns what this balancer tells the others.
+// announcement returns this balancer's announcement.
 func (c *Coordinator) announcement(local Local) Announcement {
 	a := Announcement{
 		Zone:             c.cfg.Zone,
--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -1,9 +1,10 @@
-// Package coordination turns what balancers announce to each other into events for the decision module: candidates
-// (internal/subset), others' readings and the servers to read for all (internal/stagger), and shares, slots and
-// demand (internal/stagger). Each of the three works without the other two.
+// Package coordination converts the announcements of balancers into events for the decision module. It has three
+// functions, which work independently of each other: subsets, which limit the candidate servers (internal/subset);
+// shared readings, which assign servers to readers and combine the readings of all members (internal/stagger); and
+// staggering, which divides bounded budgets, spreads exploration slots and adds up demand (internal/stagger).
 //
-// The package is pure: a view of the members and what this balancer knows itself go in, events and this balancer's
-// own announcement come out. It has no socket and no clock, and decides no placement. Where the view is stale or no
-// other member is present, the module is left as it would be alone: all servers are candidates, own readings, the
-// settings' shares.
+// The package takes a view of the members and the local state of this balancer, and returns events and this balancer's
+// announcement. It uses no socket and no clock, and makes no placement decisions. If the view is stale or no other
+// member is present, the decision module works as in a single balancer: all servers are candidates, only own readings
+// are used, and budgets are divided by the configured number of balancers.
 package coordination
--- a/internal/coordination/layout.go
+++ b/internal/coordination/layout.go
@@ -13,20 +13,21 @@
 	"oatloft/internal/subset"
 )
 
-// layout says who looks at which servers, and who reads which servers for all. It is the same for all who hold the
-// same lists.
+// layout assigns subsets of the servers to members, and to each server the members that read it for all. Balancers with
+// the same lists compute the same layout.
 type layout struct {
 	subsets map[string][]string // servers by member
 	readers map[string][]string // members by server
 }
 
-// Layouts keeps layouts by the digest of what they follow from, for coordinators in one process to share. A nil
-// *Layouts keeps none. Safe for concurrent use.
+// Layouts caches layouts by the digest of their inputs, for coordinators in one process to share. A nil *Layouts caches
+// nothing. It is safe for concurrent use.
 type Layouts struct {
 	mu       sync.Mutex
 	byDigest map[uint64]*layout
 }
 
+// maxLayouts is the number of cached layouts at which the cache is cleared.
 const maxLayouts = 64
 
 func (l *Layouts) get(digest uint64) *layout {
@@ -50,15 +51,15 @@
 	l.byDigest[digest] = planned
 }
 
-// updateLayout sets this balancer's subset and assigned servers, if anything has changed that they follow from. A new
-// balancer waits until it knows the others.
+// updateLayout updates this balancer's subset and assigned servers if the inputs of the layout have changed. With a
+// stale view, or until a new balancer has had time to learn of the others, it has neither.
 func (c *Coordinator) updateLayout(now time.Duration, v View, local Local) {
-	if v.Stale || now-c.startedAt < c.cfg.PeerTimeout/startParts {
+	if v.Stale || now-c.startedAt < c.cfg.PeerTimeout/startDelayDivisor {
 		c.subset, c.assigned, c.layoutDigest = nil, nil, 0
 		return
 	}
 	digest := c.digest(v, local)
-	if digest == c.layoutDigest { // so most updates end here
+	if digest == c.layoutDigest { // true in most updates
 		return
 	}
 	servers := local.liveServers()
@@ -76,8 +77,8 @@
 	}
 }
 
-// digest condenses everything that a layout follows from: the live servers, and the members with their subsets, in
-// the order of their names.
+// digest returns a hash of the inputs of a layout: the live servers, and the members with their subsets in the order of
+// their names. Members are sorted in v.
 func (c *Coordinator) digest(v View, local Local) uint64 {
 	d := digestInput(c.digestInput[:0])
 	for _, s := range local.Servers {
@@ -102,7 +103,7 @@
 	return xxhash.Sum64(d)
 }
 
-// digestInput is the text that a digest is made of.
+// digestInput is the input of the hash function.
 type digestInput []byte
 
 func (d *digestInput) addStrings(parts ...string) {
@@ -122,7 +123,8 @@
 	d.addStrings("")
 }
 
-// layoutMembers returns the members that take part, this one first, with their announced subsets as ids.
+// layoutMembers returns the members in the layout, this one first, with the ids of the servers in their announced
+// subsets.
 func (c *Coordinator) layoutMembers(v View, servers []subset.Server) []subset.Member {
 	byHash := make(map[uint32]string, len(servers))
 	for _, s := range servers {
@@ -145,16 +147,17 @@
 	return members
 }
 
-// plan makes a layout. The members that look at a server read it. A balancer that is alone reads for nobody.
+// plan computes a layout. The readers of a server are chosen among the members that have it in their subsets, if there
+// are enough. A balancer without other members is assigned no servers to read.
 func (c *Coordinator) plan(members []subset.Member, servers []subset.Server) *layout {
 	planned := &layout{readers: map[string][]string{}}
-	lookers := map[string][]string{}
+	probers := map[string][]string{}
 	if c.cfg.SubsetSize > 0 {
 		cfg := subset.Config{Size: c.cfg.SubsetSize, MinBalancers: minBalancers}
 		planned.subsets = subset.Plan(members, servers, cfg)
 		for _, m := range members {
 			for _, id := range planned.subsets[m.Name] {
-				lookers[id] = append(lookers[id], m.Name)
+				probers[id] = append(probers[id], m.Name)
 			}
 		}
 	}
@@ -167,7 +170,7 @@
 	}
 	for _, s := range servers {
 		readers := names
-		if l := lookers[s.ID]; len(l) >= min(stagger.ReadersPerServer, len(names)) {
+		if l := probers[s.ID]; len(l) >= min(stagger.ReadersPerServer, len(names)) {
 			readers = l
 		}
 		planned.readers[s.ID] = stagger.AssignReaders(s.ID, readers)
--- a/internal/coordination/numbered.go
+++ b/internal/coordination/numbered.go
@@ -10,31 +10,31 @@
 	"oatloft/policy"
 )
 
-// Numbered is the part of a balancer that talks to no other, by its own number and the settings' count of
-// balancers. It looks at all servers of its zone and at its subset of the others, and takes its turn where all do
-// something once. It does not know which zones the others are in.
+// Numbered coordinates balancers that don't communicate with each other: each only knows its own number and the
+// configured number of balancers. Its candidates are all servers of its zone and a subset of the others, and its number
+// determines its stagger offset. It does not know the zones of the other balancers.
 type Numbered struct {
-	Number     int
-	Count      int
+	Number     int // of this balancer, from 0
+	Count      int // number of balancers
 	Zone       string
-	SubsetSize int // servers of other zones that it looks at; 0 for all
+	SubsetSize int // candidates among the servers of other zones; 0 for all
 }
 
-// maxNumber bounds a balancer's number.
+// maxNumber limits the number of a balancer.
 const maxNumber = 1 << 16
 
-// MissingNumber is the error that a balancer has no number of its own.
+// MissingNumber is returned if a balancer's number is not in its name.
 type MissingNumber struct{ hint.Annotated }
 
-// ParseNumber reads a balancer's number from the end of its name, such as n17. The error is *MissingNumber.
+// ParseNumber parses a balancer's number from the end of its name, such as n17. The error is *MissingNumber.
 func ParseNumber(name string) (int, error) {
 	digits := name[len(strings.TrimRight(name, "0123456789")):]
 	number, err := strconv.Atoi(digits)
 	if err != nil || number > maxNumber {
 		return 0, &MissingNumber{hint.Annotated{
 			Where: "numbered.number",
-			What:  "the balancer's name " + strconv.Quote(name) + " ends in no number, so it has to be given",
-			Do:    "set numbered.number, from 0 on, another one at each balancer",
+			What:  "the balancer's name " + strconv.Quote(name) + " does not end in a number up to 65536",
+			Do:    "set numbered.number, counting from 0, to a different number on each balancer",
 		}}
 	}
 	return number, nil
@@ -59,8 +59,8 @@
 	return append(events, policy.CandidateSubset{Servers: list})
 }
 
-// split returns the live servers of this balancer's zone, and those of others. Nothing is known of the zones of other
-// balancers, so far servers go without theirs.
+// split returns the live servers in this balancer's zone (near) and those in other zones (far). The zones of the other
+// balancers are unknown, so the zones of far servers are left out.
 func (n Numbered) split(servers []policy.Server) (near []string, far []subset.Server) {
 	for _, s := range servers {
 		switch {
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -7,66 +7,67 @@
 	"oatloft/internal/subset"
 )
 
-// Config says which of the three are on. All members of a cluster must have the same.
+// Config selects the functions in use: subsets, shared readings and staggering. SubsetSize, ShareReadings and Stagger
+// must be the same in all members of a cluster.
 type Config struct {
 	Name          string
 	Zone          string
-	Balancers     int           // by the deployment's settings
-	PeerTimeout   time.Duration // a member that is silent for so long is held gone
-	SubsetSize    int           // servers that a balancer looks at by itself; 0 for all
+	Balancers     int           // as configured for the deployment
+	PeerTimeout   time.Duration // silence after which a member is declared gone
+	SubsetSize    int           // servers that a balancer probes itself; 0 for all
 	ShareReadings bool
 	Stagger       bool
 }
 
-// Enabled tells whether any of the three is on.
+// Enabled reports whether any of the three functions is in use.
 func (c Config) Enabled() bool { return c.SubsetSize > 0 || c.ShareReadings || c.Stagger }
 
-// Member is what another balancer is and has announced. What it has not announced is 0 or nil.
+// Member is another balancer with its announcement. Values that it has not announced are 0 or nil.
 type Member struct {
 	Name             string
 	Zone             string
 	Leaving          bool
-	ExplorationSlots int
-	SlotAge          time.Duration // since its last exploration slot began
-	Demand           float64       // choices per second
-	ReferenceSize    int
-	Subset           []uint32 // servers of its subset, by ServerHash
-	Readings         map[string]stagger.Report
-	Reported         bool // it has made its announcement
+	ExplorationSlots int                       // number of slots so far
+	SlotAge          time.Duration             // since its last exploration slot began
+	Demand           float64                   // placements per second
+	ReferenceSize    int                       // fleet size by which it divides bounded budgets
+	Subset           []uint32                  // hashes of the servers in its subset, by ServerHash
+	Readings         map[string]stagger.Report // by server
+	Reported         bool                      // its announcement has been received
 }
 
-// countsForLayout tells whether a member takes part in subsets and readings.
+// countsForLayout reports whether a member is given a subset and servers to read.
 func (m *Member) countsForLayout() bool { return m.Reported && !m.Leaving }
 
-// View is who is present.
+// View lists the other members that are present.
 type View struct {
-	Stale   bool // nothing in it counts
-	Known   int  // all members not forgotten, including those held gone, and this one
+	Stale   bool // the members must be ignored
+	Known   int  // number of all members not yet forgotten, including gone ones and this one
 	Members []Member
 }
 
-// Server is what this balancer knows of a server by itself.
+// Server is this balancer's own information about a server.
 type Server struct {
 	ID           string
 	Zone         string
 	Live         bool
-	WarmingUp    bool // it started not long ago: what may be sent there is bounded by a budget
-	Load         float64
-	ReadAt       time.Duration // time of its own reading; 0 for none
-	FailedProbes int
+	WarmingUp    bool          // it started recently, so a budget limits its new requests
+	Load         float64       // relative to its capacity
+	ReadAt       time.Duration // time of this balancer's own reading; 0 for none
+	FailedProbes int           // consecutive
 }
 
-// Local is what this balancer knows of itself.
+// Local is the local state of this balancer.
 type Local struct {
 	Servers          []Server
-	ExplorationSlots int
-	SlotAge          time.Duration
+	ExplorationSlots int           // number of slots so far
+	SlotAge          time.Duration // since the last exploration slot began
 	SlotPeriod       time.Duration
-	Demand           float64
-	Rejected         int64 // so far
+	Demand           float64 // placements per second
+	Rejected         int64   // number of rejected requests so far
 }
 
-// liveServers returns the live servers as the subset's planning takes them.
+// liveServers returns the live servers in the form that subset.Plan takes.
 func (l *Local) liveServers() (servers []subset.Server) {
 	for _, s := range l.Servers {
 		if s.Live {
@@ -76,5 +77,5 @@
 	return servers
 }
 
-// ServerHash identifies a server in announced subsets, since ids can be long.
+// ServerHash returns the hash that identifies a server in announced subsets, because ids can be long.
 func ServerHash(server string) uint32 { return uint32(subset.Rank("", server) >> 32) }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,21 +8,21 @@
 	"oatloft/internal/hint"
 )
 
-// Config has the settings of a member.
+// Config holds the settings of a member.
 type Config struct {
 	Cluster     string
 	Name        string
-	Addr        string // where the others reach it
+	Addr        string // address under which other members reach it
 	Join        []string
-	Routes      map[string]string // where to send to a member in place of its own address, by name
-	PeerTimeout time.Duration     // how long a member may be silent until it is held gone; other times follow from it
+	Routes      map[string]string // by member name; replaces the address that the member announces
+	PeerTimeout time.Duration     // silence after which a member is declared gone; other intervals derive from it
 	MaxMembers  int
-	SignalBytes int // of one member's signals, keys included
-	Generation  uint64
+	SignalBytes int    // limit for all signals of one member, keys included
+	Generation  uint64 // larger at each start of the member, such as the time in ms; the largest one of a name wins
 	Seed        uint64
 }
 
-// Limits of the settings.
+// Allowed ranges of the settings; sizes are in bytes.
 const (
 	minPeerTimeout = 300 * time.Millisecond
 	maxPeerTimeout = time.Hour
@@ -32,10 +32,10 @@
 	maxSignalBytes = 1 << 16
 )
 
-// ConfigError is the error that a setting of the peers' section cannot work.
+// ConfigError is returned for an invalid setting in the peers section.
 type ConfigError struct{ hint.Annotated }
 
-// Validate returns an error for the first setting that cannot work: a *ConfigError that names the field.
+// Validate returns a *ConfigError that names the first invalid setting, or nil.
 func (c Config) Validate() error {
 	if err := c.validateNames(); err != nil {
 		return err
@@ -49,7 +49,7 @@
 			hint.Annotated{
 				Where: "peers.silent_after",
 				What:  fmt.Sprintf("%v is outside 300ms to 1h", c.PeerTimeout),
-				Do:    "set a time within",
+				Do:    "set a time in this range",
 			},
 		}
 	case c.MaxMembers < minMembers || c.MaxMembers > maxMembers:
@@ -57,7 +57,7 @@
 			hint.Annotated{
 				Where: "peers.max_members",
 				What:  fmt.Sprintf("%d is outside 2 to 65536", c.MaxMembers),
-				Do:    "set more than there will be balancers",
+				Do:    "set a value above the planned number of balancers",
 			},
 		}
 	case c.SignalBytes < minSignalBytes || c.SignalBytes > maxSignalBytes:
@@ -65,12 +65,12 @@
 			hint.Annotated{
 				Where: "peers.signal_bytes",
 				What:  fmt.Sprintf("%d is outside 64 to 65536", c.SignalBytes),
-				Do:    "set a size within",
+				Do:    "set a size in this range",
 			},
 		}
 	case c.Generation == 0:
 		return &ConfigError{
-			hint.Annotated{Where: "peers", What: "no generation", Do: "set the machine's clock: it stands before 1970"},
+			hint.Annotated{Where: "peers", What: "no generation", Do: "set the machine's clock: it is before 1970"},
 		}
 	}
 	return nil
@@ -81,8 +81,8 @@
 		return &ConfigError{
 			hint.Annotated{
 				Where: "peers.cluster",
-				What:  fmt.Sprintf("needs 1 to %d bytes", MaxName),
-				Do:    "give the same short name at all balancers",
+				What:  fmt.Sprintf("cluster name must have 1 to %d bytes", MaxName),
+				Do:    "set the same short name on all balancers",
 			},
 		}
 	}
@@ -90,8 +90,8 @@
 		return &ConfigError{
 			hint.Annotated{
 				Where: "peers",
-				What:  fmt.Sprintf("the balancer's name needs 1 to %d bytes", MaxName),
-				Do:    "give a name by the configuration or PROXY_NAME",
+				What:  fmt.Sprintf("the balancer's name must have 1 to %d bytes", MaxName),
+				Do:    "set a name in the configuration or in PROXY_NAME",
 			},
 		}
 	}
@@ -103,8 +103,8 @@
 		return &ConfigError{
 			hint.Annotated{
 				Where: "peers.listen",
-				What:  fmt.Sprintf("%q is no IPv4 address and port that others could reach", c.Addr),
-				Do:    "give one, or name it by peers.advertise",
+				What:  fmt.Sprintf("%q is not an IPv4 address and port that other balancers can reach", c.Addr),
+				Do:    "set such an address, or set peers.advertise",
 			},
 		}
 	}
@@ -113,8 +113,8 @@
 			return &ConfigError{
 				hint.Annotated{
 					Where: fmt.Sprintf("peers.join[%d]", i),
-					What:  fmt.Sprintf("%q is no IPv4 address and port", addr),
-					Do:    "give some other balancers' addresses, such as 10.0.0.5:9200",
+					What:  fmt.Sprintf("%q is not an IPv4 address and port", addr),
+					Do:    "list addresses of other balancers, such as 10.0.0.5:9200",
 				},
 			}
 		}
@@ -124,8 +124,8 @@
 			return &ConfigError{
 				hint.Annotated{
 					Where: "peers.reach." + name,
-					What:  fmt.Sprintf("%q is no IPv4 address and port", addr),
-					Do:    "give the one under which that balancer is reached from here",
+					What:  fmt.Sprintf("%q is not an IPv4 address and port", addr),
+					Do:    "set the address under which this balancer reaches that one",
 				},
 			}
 		}
@@ -133,14 +133,14 @@
 	return nil
 }
 
-// parseAddress reads an IPv4 address and a port other than 0.
+// parseAddress parses an IPv4 address with a port other than 0.
 func parseAddress(text string) (addr netip.AddrPort, ok bool) {
 	addr, err := netip.ParseAddrPort(text)
 	return addr, err == nil && addr.Addr().Is4() && addr.Port() != 0
 }
 
-// The times that follow from PeerTimeout. A dead member fails a probe after one or two intervals, is suspected
-// after another, and held gone after a third to two thirds of PeerTimeout more.
+// Intervals derived from PeerTimeout. A dead member fails a probe after one or two probe intervals, is suspected
+// after another one, and is declared gone after another third to two thirds of PeerTimeout.
 
 func (c Config) probeInterval() time.Duration  { return c.PeerTimeout / 6 }
 func (c Config) ackTimeout() time.Duration     { return c.PeerTimeout / 18 }
@@ -150,5 +150,5 @@
 func (c Config) syncInterval() time.Duration   { return 5 * c.PeerTimeout }
 func (c Config) forgetAfter() time.Duration    { return 100 * c.PeerTimeout }
 
-// stallTime is how long no step may have been made without the view being stale.
+// stallTime is the longest time without a step after which the view still counts as current.
 func (c Config) stallTime() time.Duration { return c.PeerTimeout / 2 }
--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -1,31 +1,31 @@
 package membership
 
-// Counters count what a member has done and received, by reason.
+// Counters counts the activity of a member since its start. The JSON keys are read by other programs.
 type Counters struct {
 	In       int64 `json:"In"`  // messages
 	Out      int64 `json:"Out"` // messages
 	BytesIn  int64 `json:"BytesIn"`
 	BytesOut int64 `json:"BytesOut"`
 
-	Malformed    int64 `json:"Malformed"`    // messages, records and datagrams that no balancer of this format would send
-	OtherCluster int64 `json:"OtherCluster"` // messages of another cluster
-	NotForMe     int64 `json:"NotForMe"`     // pings to a member that was at this address before
-	FromMyself   int64 `json:"FromMyself"`
-	TooMany      int64 `json:"TooMany"` // records of members beyond the limit
-	TooLarge     int64 `json:"TooLarge"`
+	Malformed      int64 `json:"Malformed"`    // messages, records and datagrams not in this format version
+	OtherCluster   int64 `json:"OtherCluster"` // messages of another cluster
+	WrongTarget    int64 `json:"NotForMe"`     // pings for another member that had this address before
+	FromSelf       int64 `json:"FromMyself"`   // own messages that came back
+	TooManyMembers int64 `json:"TooMany"`      // records beyond Config.MaxMembers, or with an invalid name or address
+	TooLarge       int64 `json:"TooLarge"`     // not in use
 
 	Probes       int64 `json:"Probes"`
 	ProbesFailed int64 `json:"ProbesFailed"`
 	Suspected    int64 `json:"Suspected"`
-	Refuted      int64 `json:"Refuted"` // suspicions of this member
+	Refuted      int64 `json:"Refuted"` // suspicions of this member that it refuted
 	Gone         int64 `json:"Gone"`
 	Joined       int64 `json:"Joined"`
-	Syncs        int64 `json:"Syncs"` // requested
-	Old          int64 `json:"Old"`   // times in which this process stood still
+	Syncs        int64 `json:"Syncs"` // Sync requests sent to known members
+	Stalls       int64 `json:"Old"`   // times this process did not run for longer than the stall time
 
-	SignalsSet     int64 `json:"SignalsSet"`     // of this member's own
-	SignalsRefused int64 `json:"SignalsRefused"` // of this member's own
-	SignalsDropped int64 `json:"SignalsDropped"` // of others
+	SignalsSet     int64 `json:"SignalsSet"`     // own signals
+	SignalsRefused int64 `json:"SignalsRefused"` // own signals beyond the limits
+	SignalsDropped int64 `json:"SignalsDropped"` // signals of other members
 
-	Displaced int64 `json:"Displaced"` // times another process took this member's name
+	Superseded int64 `json:"Displaced"` // times another process took over this member's name
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,12 +1,13 @@
-// Package membership lets balancers know of each other: which members are present, and the signals that each sends
-// to all. It implements the SWIM membership protocol with Lifeguard's handling of a slow member: probes in turn,
-// probes by way of other members, suspicions that the suspect can refute, and updates that ride on every packet.
+// Package membership maintains the list of balancers in a cluster and distributes the signals that each member
+// publishes. It implements the SWIM membership protocol with Lifeguard's handling of slow members: round-robin probes,
+// indirect probes, suspicions that the suspect can refute, and updates piggybacked on every packet.
 //
-// Machine is the protocol without socket, clock or goroutine: an event and the time go in, effects come out. Host
-// gives it a UDP socket and a goroutine of its own. The goroutine that moves clients' data reads a View and leaves
-// signals, and waits for neither. The package decides nothing about clients or servers.
+// Machine is the protocol without socket, clock or goroutine: it takes an event and the time and returns effects. Host
+// runs a Machine on a UDP socket and a goroutine of its own. The goroutine that forwards clients' data reads a View and
+// sets signals without blocking. The package makes no decisions about clients or servers.
 //
-// Clocks of members are never compared. Only ages travel, and a generation is only compared with others of its name.
+// The clocks of members are never compared. Messages carry ages only, and a generation is compared only with other
+// generations of the same name.
 //
 // Sources: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 // Protocol" (2002); Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Event is something that happened: Tick, Received, SetSignal or Leave.
+// Event is an input of a Machine: Tick, Received, SetSignal or Leave.
 type Event interface{ event() }
 
 type (
-	// Tick lets time pass.
+	// Tick advances the time.
 	Tick struct{}
-	// Received is a message that came. Size is its length in bytes.
+	// Received is a message from another member. Size is its encoded length in bytes.
 	Received struct {
 		Message Message
 		Size    int
 	}
-	// SetSignal sets a signal of this member's own, in place of the one with its key.
+	// SetSignal sets a signal of this member and replaces the one with the same key.
 	SetSignal struct {
 		Key      string
 		Value    []byte
 		Lifetime time.Duration
 	}
-	// Leave tells the others that this member leaves (On), or stays after all.
+	// Leave announces that this member is leaving (On), or that it stays after all.
 	Leave struct{ On bool }
 )
 
@@ -28,23 +28,24 @@
 func (SetSignal) event() {}
 func (Leave) event()     {}
 
-// Effect is what the host has to do: Send, Changed or ViewStale.
+// Effect is an output of a Machine that its host carries out: Send, Changed or ViewStale.
 type Effect interface{ effect() }
 
 type (
-	// Send is a datagram to an address.
+	// Send asks for a datagram to be sent to an address.
 	Send struct {
 		To      string
 		Message *Message
 	}
-	// Changed tells that a member's state has changed.
+	// Changed reports a change of a member's state or generation.
 	Changed struct {
 		Record
 		Before State
-		New    bool // it was not known before
+		New    bool // the member was not known before
 		Reason string
 	}
-	// ViewStale tells that the view is stale (On), after a time in which no step was made, or is good again.
+	// ViewStale reports that the view has become stale (On) because no step was made for a while, or that it is current
+	// again.
 	ViewStale struct{ On bool }
 )
 
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -8,8 +8,9 @@
 	"oatloft/internal/golden"
 )
 
-// Gossip of members of another version is understood, and what is said to them has the same bytes.
-func TestFormOfMessages(t *testing.T) {
+// Balancers of different versions exchange messages, so the encoding of a message must not change and recorded messages
+// must still decode.
+func TestMessageEncoding(t *testing.T) {
 	var filled Message
 	golden.Fill(&filled)
 	filled.FormatVersion, filled.Kind, filled.From.State, filled.Members[0].State = FormatVersion, Gossip, Leaving, Suspect
@@ -36,4 +37,4 @@
 	}
 }
 
-func TestFormOfCounters(t *testing.T) { golden.JSON[Counters](t, "counters.json") }
+func TestCountersJSON(t *testing.T) { golden.JSON[Counters](t, "counters.json") }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// updates are the records and signals that are to be sent on. They ride on every message, those that were sent
-// least first. Merging them is commutative and idempotent, so that updates may come twice, late and by many ways.
+// updates holds the records and signals to be disseminated. They are piggybacked on every message, the least sent ones
+// first. Merging is commutative and idempotent, so an update may arrive late, more than once and over several paths.
 type updates struct {
 	sent  map[updateKey]transmissions
 	count uint64 // updates queued so far
-	// queues holds, for records and for signals, the updates by how often they were sent.
+	// queues holds the updates by the number of times they were sent, for records and for signals.
 	queues [2][][]queuedUpdate
 }
 
-// updateKey names what an update is about: a member's record, or with a key one of its signals.
+// updateKey identifies the subject of an update: a member's record, or one of its signals if key is set.
 type updateKey struct{ owner, key string }
 
-// transmissions is how often an update was sent on.
+// transmissions is the number of times that an update was sent.
 type transmissions struct {
 	count  int
-	update uint64 // the number of the update
+	update uint64 // number of the update
 }
 
-// queuedUpdate is an update's place in a queue. If what it is about has a later update, the place is passed over.
+// queuedUpdate is an entry of a queue. It is skipped if there is a later update of the same subject.
 type queuedUpdate struct {
 	updateKey
 	update uint64
 }
 
-// queueUpdate has the present state of something sent on.
+// queueUpdate schedules the dissemination of the current state of a record or signal.
 func (m *Machine) queueUpdate(k updateKey) {
 	u := &m.updates
 	u.count++
@@ -37,7 +37,7 @@
 	u.enqueue(queuedUpdate{k, u.count}, 0)
 }
 
-// enqueue puts an update behind those that were sent as often.
+// enqueue appends an update to the queue of those that were sent as often.
 func (u *updates) enqueue(q queuedUpdate, times int) {
 	kind := min(len(q.key), 1)
 	for len(u.queues[kind]) <= times {
@@ -46,24 +46,25 @@
 	u.queues[kind][times] = append(u.queues[kind][times], q)
 }
 
-// current tells whether an update is the latest about its key.
+// current reports whether an update is the latest for its key.
 func (u *updates) current(q queuedUpdate) bool { return u.sent[q.updateKey].update == q.update }
 
-// maxTransmissions is how often each member sends an update on: enough for it to reach all in spite of loss.
+// maxTransmissions returns how often each member sends an update: often enough to reach all members despite packet
+// loss.
 func (m *Machine) maxTransmissions() int { return 3 + int(3*math.Log2(float64(len(m.members)+2))) }
 
-// gossip sends updates to some members, if there are any.
+// gossip sends pending updates to random members.
 func (m *Machine) gossip() {
 	if len(m.updates.sent) == 0 || m.stall.stale {
 		return
 	}
-	for _, to := range m.randomMembers(gossipFanout, notGone) {
+	for _, to := range m.randomMembers(gossipFanout, isNotGone) {
 		m.send(to, &Message{Kind: Gossip})
 	}
 }
 
-// addUpdates fills a message to a member with updates. A receiver that is suspected or gone always gets its own
-// record, so that it can refute. While the view is stale nothing else is sent on.
+// addUpdates fills a message to a member with updates. A receiver that is not alive in this member's view always gets
+// its own record, so that it can refute it. While the view is stale, no other updates are sent.
 func (m *Machine) addUpdates(g *Message, to string) {
 	if o := m.members[to]; o != nil && o.State != Alive {
 		g.Members = append(g.Members, o.Record)
@@ -71,18 +72,18 @@
 	if m.stall.stale {
 		return
 	}
-	// Records come before signals, however many there are: a suspect has to learn of it, and others of its answer.
-	left := m.freeBytes(g)
+	// All records come before signals: a suspect has to learn of the suspicion, and the others of its refutation.
+	freeBytes := m.freeBytes(g)
 	var sent []queuedUpdate
 	for kind := range m.updates.queues {
 		for times := range m.updates.queues[kind] {
-			sent = m.addQueue(g, &m.updates.queues[kind][times], &left, sent)
+			sent = m.addQueuedUpdates(g, &m.updates.queues[kind][times], &freeBytes, sent)
 		}
 	}
-	m.countTransmissions(sent) // only now: else an update would go out twice in one message
+	m.countTransmissions(sent) // after the loop, or an update could be added to the message twice
 }
 
-// freeBytes returns how many more bytes a message may have.
+// freeBytes returns the number of bytes that can be added to a message.
 func (m *Machine) freeBytes(g *Message) int {
 	free := MaxPacket - messageOverhead - len(m.cfg.Cluster) - recordSize(m.self) - len(g.Target)
 	for _, r := range g.Members {
@@ -94,8 +95,10 @@
 	return free
 }
 
-// addQueue adds the updates of a queue to a message, up to the first one that it has no room for.
-func (m *Machine) addQueue(g *Message, queue *[]queuedUpdate, freeBytes *int, sent []queuedUpdate) []queuedUpdate {
+// addQueuedUpdates adds the updates of a queue to a message, up to the first one that doesn't fit.
+func (m *Machine) addQueuedUpdates(
+	g *Message, queue *[]queuedUpdate, freeBytes *int, sent []queuedUpdate,
+) []queuedUpdate {
 	taken := 0
 	for _, q := range *queue {
 		if m.updates.current(q) {
@@ -117,14 +120,14 @@
 	return sent
 }
 
-// addUpdate adds an update to a message and returns its size; 0 if there is no room for it. exists is false if what
-// it is about is no longer there.
+// addUpdate adds an update to a message and returns its size, or 0 if it doesn't fit. exists is false if the record is
+// no longer known, or the signal is gone or has expired.
 func (m *Machine) addUpdate(g *Message, k updateKey, freeBytes int) (size int, exists bool) {
 	if k.key == "" {
 		return m.addRecord(g, k.owner, freeBytes)
 	}
 	s := m.signals[k.owner][k.key]
-	if s == nil || m.now-s.givenAt >= s.lifetime() {
+	if s == nil || m.now-s.setAt >= s.lifetime() {
 		return 0, false
 	}
 	record := m.withAge(s)
@@ -153,14 +156,13 @@
 	return size, true
 }
 
-// countTransmissions puts updates that were sent behind those that were sent as often, or drops those sent often
-// enough.
+// countTransmissions moves the updates that were sent to the next queue, or drops them after maxTransmissions.
 func (m *Machine) countTransmissions(sent []queuedUpdate) {
-	most := m.maxTransmissions()
+	limit := m.maxTransmissions()
 	u := &m.updates
 	for _, q := range sent {
 		times := u.sent[q.updateKey].count + 1
-		if times < most {
+		if times < limit {
 			u.sent[q.updateKey] = transmissions{times, q.update}
 			u.enqueue(q, times)
 		} else {
--- a/internal/membership/host.go
+++ b/internal/membership/host.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	maxWaitingMessages = 256 // that were received and not handled yet
-	maxWaitingSignals  = 64
-	listenRetry        = 50 * time.Millisecond
-	minTick            = 5 * time.Millisecond
-	maxTick            = 50 * time.Millisecond
-	ticksPerTimeout    = 60
+	maxWaitingMessages  = 256 // received messages that wait for the machine
+	maxWaitingSignals   = 64  // set signals that wait for the machine
+	listenRetryInterval = 50 * time.Millisecond
+	minTick             = 5 * time.Millisecond
+	maxTick             = 50 * time.Millisecond
+	ticksPerTimeout     = 60 // ticks per PeerTimeout, within minTick and maxTick
 )
 
-// Host gives a Machine its socket, clock and goroutines: one reads the socket, the other one owns the machine.
+// Host runs a Machine on a UDP socket. One goroutine reads the socket, the other one owns the machine.
 type Host struct {
-	// Dropped counts datagrams that came faster than one address may send (Flooding) or than they could be handled
-	// (Full), messages that could not be sent, and signals that came too fast.
+	// Dropped counts datagrams beyond the rate limit of their source address (Flooding), datagrams that found the queue
+	// full (Full), messages that could not be sent (Unsent), and own signals that found the queue full (Signals).
 	Dropped struct{ Flooding, Full, Unsent, Signals atomic.Int64 }
 
 	cfg         Config
-	conn        atomic.Pointer[net.UDPConn] // nil until the address is free
+	conn        atomic.Pointer[net.UDPConn] // nil until the address is available
 	machine     *Machine
 	startedAt   time.Time
 	view        atomic.Pointer[View]
-	publishedAt time.Duration // of the view; for the goroutine that owns the machine
+	publishedAt time.Duration // of the view; used only by the goroutine that owns the machine
 	messages    chan Received
 	signals     chan SetSignal
 	calls       chan func(*Machine)
 	leaving     atomic.Bool
-	malformed   atomic.Int64 // datagrams
+	malformed   atomic.Int64 // datagrams that could not be decoded
 	log         *slog.Logger
 	limitedLog  *logs.Limited
 
@@ -49,12 +49,12 @@
 	goroutines sync.WaitGroup
 }
 
-// ListenFailed is the error that the address cannot be listened on for other balancers.
+// ListenFailed is returned when the address for messages of other balancers cannot be listened on.
 type ListenFailed struct{ hint.Annotated }
 
-// Start opens the socket and starts a host. It listens on cfg.Addr, unless listen names another address. If wait is
-// set and another process has the address, the one of the same balancer before an upgrade, the socket is opened
-// once that has left, and the view is stale until then. The error is *ConfigError or *ListenFailed.
+// Start opens the socket and starts a host. It listens on listen, or on cfg.Addr if listen is empty. If wait is set and
+// the address is in use, as by the predecessor during an upgrade, the socket is opened once the address is available,
+// and the view is stale until then. The error is *ConfigError or *ListenFailed.
 func Start(cfg Config, listen string, wait bool, log *slog.Logger) (*Host, error) {
 	machine, err := New(cfg)
 	if err != nil {
@@ -68,8 +68,8 @@
 		return nil, &ListenFailed{
 			hint.Annotated{
 				Where: "peers.listen",
-				What:  fmt.Sprintf("%q is no IPv4 address and port", listen),
-				Do:    "give an address of this machine and a port, such as 10.0.0.4:9200",
+				What:  fmt.Sprintf("%q is not an IPv4 address and port", listen),
+				Do:    "set an address of this machine and a port, such as 10.0.0.4:9200",
 			},
 		}
 	}
@@ -77,7 +77,7 @@
 	inUse := err != nil && wait && errors.Is(err, syscall.EADDRINUSE)
 	if err != nil && !inUse {
 		return nil, &ListenFailed{
-			hint.Annotated{Where: "peers.listen", Cause: err, Do: "give an address of this machine and a free port"},
+			hint.Annotated{Where: "peers.listen", Cause: err, Do: "set an address of this machine and a free port"},
 		}
 	}
 	h := &Host{
@@ -94,7 +94,7 @@
 	h.view.Store(&View{Self: machine.self, Stale: true})
 	h.conn.Store(conn)
 	h.goroutines.Go(func() {
-		if !inUse || h.listenLater(addr) {
+		if !inUse || h.listenWhenFree(addr) {
 			h.read()
 		}
 	})
@@ -102,14 +102,14 @@
 	return h, nil
 }
 
-// listenLater tries until the address is free, and tells whether it is this process's then; false after Close.
-func (h *Host) listenLater(addr netip.AddrPort) bool {
-	h.log.Info("peers wait for the process before to leave their address", "addr", addr.String())
+// listenWhenFree retries until it can listen on the address. It returns false if the host is closed first.
+func (h *Host) listenWhenFree(addr netip.AddrPort) bool {
+	h.log.Info("waiting for the predecessor to release the peers address", "addr", addr.String())
 	for {
 		select {
 		case <-h.stop:
 			return false
-		case <-time.After(listenRetry):
+		case <-time.After(listenRetryInterval):
 		}
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 		if err != nil {
@@ -117,7 +117,7 @@
 		}
 		h.conn.Store(conn)
 		select {
-		case <-h.stop: // Close has not seen the connection
+		case <-h.stop: // Close may have run before the connection was stored
 			_ = conn.Close()
 			return false
 		default:
@@ -128,8 +128,8 @@
 
 func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
-// View returns what is known. A view that has not been renewed because this process stood still is stale, whatever
-// it says: the goroutine that renews it may run later than the one that asks.
+// View returns the latest published view. One older than the stall time is marked stale: after this process has not run
+// for a while, the caller may run before the goroutine that publishes views.
 func (h *Host) View() View {
 	v := *h.view.Load()
 	if h.now()-v.At > h.cfg.stallTime() {
@@ -138,7 +138,7 @@
 	return v
 }
 
-// Set sets a signal of this member. It does not wait: where too many signals do, this one is dropped and counted.
+// Set sets a signal of this member. It does not block: if the queue is full, the signal is dropped and counted.
 func (h *Host) Set(key string, value []byte, lifetime time.Duration) {
 	select {
 	case h.signals <- SetSignal{Key: key, Value: value, Lifetime: lifetime}:
@@ -147,17 +147,17 @@
 	}
 }
 
-// Leave tells the others that this member leaves, or stays after all. It does not wait, and the last call counts.
+// Leave announces that this member is leaving, or that it stays after all. It does not block, and the last call wins.
 func (h *Host) Leave(on bool) { h.leaving.Store(on) }
 
-// Counts returns the counters. It waits for the goroutine that owns the machine.
+// Counts returns the counters. It blocks until the goroutine that owns the machine answers.
 func (h *Host) Counts() (c Counters) {
 	h.call(func(m *Machine) { c = m.Counters })
 	c.Malformed += h.malformed.Load()
 	return c
 }
 
-// call runs f on the goroutine that owns the machine, and waits for it; after Close it does nothing.
+// call runs f on the goroutine that owns the machine and waits for it to return. After Close it does nothing.
 func (h *Host) call(f func(*Machine)) {
 	done := make(chan struct{})
 	select {
@@ -167,7 +167,7 @@
 	}
 }
 
-// Close ends the host and waits for its goroutines.
+// Close stops the host and waits for its goroutines.
 func (h *Host) Close() {
 	h.closeOnce.Do(func() { close(h.stop) })
 	if conn := h.conn.Load(); conn != nil {
@@ -176,7 +176,7 @@
 	h.goroutines.Wait()
 }
 
-// run owns the machine.
+// run passes events to the machine, which it owns, until Close.
 func (h *Host) run() {
 	tick := time.NewTicker(min(max(h.cfg.PeerTimeout/ticksPerTimeout, minTick), maxTick))
 	defer tick.Stop()
@@ -191,15 +191,15 @@
 		case f := <-h.calls:
 			f(h.machine)
 		case <-tick.C:
-			h.step(Leave{On: h.leaving.Load()}) // does nothing if it is the machine's state already
+			h.step(Leave{On: h.leaving.Load()}) // no effect if the state is unchanged
 			h.step(Tick{})
 		}
 		h.publish()
 	}
 }
 
-// publish renews the view now and then, and at once when it becomes stale or good. Without a socket the first view
-// stands, which is stale.
+// publish replaces the view at most every half gossip interval, and at once when its staleness changes. Until there is
+// a socket, the initial stale view remains.
 func (h *Host) publish() {
 	if h.conn.Load() == nil {
 		return
@@ -215,7 +215,7 @@
 	h.limitedLog.Flush(time.Now())
 }
 
-// step lets the machine take an event, and carries out what it calls for.
+// step passes an event to the machine and carries out the effects.
 func (h *Host) step(event Event) {
 	for _, effect := range h.machine.Step(h.now(), event, nil) {
 		switch effect := effect.(type) {
@@ -225,12 +225,12 @@
 			h.log.Info("peer", "name", effect.Name, "state", effect.State.String(), "was", effect.Before.String(),
 				"generation", effect.Generation, "why", effect.Reason)
 		case ViewStale:
-			h.log.Warn("the view of other balancers is old", "on", effect.On)
+			h.log.Warn("staleness of the view of other balancers has changed", "on", effect.On)
 		}
 	}
 }
 
-// send sends a message. One that cannot be sent is counted; the machine's protocol makes up for loss.
+// send sends a message. A failure is only counted, because the protocol tolerates loss.
 func (h *Host) send(e Send) {
 	to, err := netip.ParseAddrPort(e.To)
 	if err != nil || !to.Addr().Is4() {
@@ -240,7 +240,7 @@
 	packet, err := Encode(e.Message)
 	if err != nil {
 		h.Dropped.Unsent.Add(1)
-		h.limitedLog.Say(time.Now(), slog.LevelError, "peers-encode", "a message that can't be sent", slog.Any("err", err))
+		h.limitedLog.Say(time.Now(), slog.LevelError, "peers-encode", "cannot encode a message", slog.Any("err", err))
 		return
 	}
 	h.machine.Counters.BytesOut += int64(len(packet))
--- a/internal/membership/host_test.go
+++ b/internal/membership/host_test.go
@@ -11,7 +11,7 @@
 	"oatloft/internal/membership"
 )
 
-func host(t *testing.T, name, addr, cluster string, join ...string) *membership.Host {
+func startHost(t *testing.T, name, addr, cluster string, join ...string) *membership.Host {
 	t.Helper()
 	h, err := membership.Start(
 		membership.Config{Cluster: cluster, Name: name, Addr: addr, Join: join, PeerTimeout: time.Second, MaxMembers: 50,
@@ -27,17 +27,17 @@
 	return h
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if is() {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatal(what)
+	t.Fatal(failure)
 }
 
-func sees(h *membership.Host, name string, state membership.State) bool {
+func hasState(h *membership.Host, name string, state membership.State) bool {
 	for _, m := range h.View().Members {
 		if m.Name == name {
 			return m.State == state
@@ -46,7 +46,7 @@
 	return false
 }
 
-// flood sends messages of a member of cluster c and junk to 127.8.20.1:7000, as fast as it goes.
+// flood sends valid messages of a member of cluster c and invalid datagrams to 127.8.20.1:7000 as fast as possible.
 func flood(stop <-chan struct{}) {
 	from := &net.UDPAddr{IP: net.IPv4(127, 8, 20, 9)}
 	conn, err := net.DialUDP("udp4", from, &net.UDPAddr{IP: net.IPv4(127, 8, 20, 1), Port: 7000})
@@ -54,45 +54,46 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	g := membership.Message{
+	message := membership.Message{
 		FormatVersion: membership.FormatVersion,
 		Cluster:       "c",
 		Kind:          membership.Gossip,
 		From:          membership.Record{Name: "noisy", Addr: "127.8.20.9:7000", Generation: 1},
 	}
-	junk := [][]byte{{1}, make([]byte, 65507), []byte("GET / HTTP/1.1\r\n\r\n"), {}}
+	invalid := [][]byte{{1}, make([]byte, 65507), []byte("GET / HTTP/1.1\r\n\r\n"), {}}
 	for n := uint64(1); ; n++ {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		g.Signals = []membership.SignalRecord{{
+		message.Signals = []membership.SignalRecord{{
 			Owner: "noisy", Generation: 1, Key: string(rune('a' + n%26)), Version: n, LifetimeMS: 60000,
 			Value: make([]byte, 200),
 		}}
-		if body, err := membership.Encode(&g); err == nil {
+		if body, err := membership.Encode(&message); err == nil {
 			_, _ = conn.Write(body)
 		}
-		_, _ = conn.Write(junk[n%4])
+		_, _ = conn.Write(invalid[n%4])
 	}
 }
 
-// Two members with wrong entries in their join lists beside the right one, one of another cluster, one who floods and
-// sends junk: the two find each other, hear each other's signals, and are not told dead while it goes on.
-func TestHostsAmongStrangers(t *testing.T) {
-	a := host(t, "a", "127.8.20.1:7000", "c", "127.8.20.1:7000", "127.8.20.2:7000", "127.8.20.99:7000")
-	b := host(t, "b", "127.8.20.2:7000", "c", "127.8.20.1:7000", "127.8.20.3:7000")
-	other := host(t, "x", "127.8.20.3:7000", "another", "127.8.20.1:7000", "127.8.20.2:7000")
+// Two members whose join lists also contain wrong addresses must find each other, receive each other's signals and not
+// declare each other gone, while a member of another cluster sends to them and another sender floods one of them with
+// valid and invalid datagrams.
+func TestHostsWithForeignAndFloodingSenders(t *testing.T) {
+	a := startHost(t, "a", "127.8.20.1:7000", "c", "127.8.20.1:7000", "127.8.20.2:7000", "127.8.20.99:7000")
+	b := startHost(t, "b", "127.8.20.2:7000", "c", "127.8.20.1:7000", "127.8.20.3:7000")
+	foreign := startHost(t, "x", "127.8.20.3:7000", "another", "127.8.20.1:7000", "127.8.20.2:7000")
 	stop := make(chan struct{})
 	defer close(stop)
 	go flood(stop)
 	eventually(
 		t,
-		"they don't find each other",
-		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
+		"members a and b have not found each other",
+		func() bool { return hasState(a, "b", membership.Alive) && hasState(b, "a", membership.Alive) },
 	)
-	eventually(t, "no signal", func() bool {
+	eventually(t, "b's load signal has not reached a", func() bool {
 		b.Set(membership.LoadKey, []byte("7 0"), time.Minute)
 		for _, m := range a.View().Members {
 			for _, s := range m.Signals {
@@ -103,13 +104,14 @@
 		}
 		return false
 	})
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if sees(a, "b", membership.Gone) || sees(b, "a", membership.Gone) || sees(a, "x", membership.Alive) {
-			t.Fatalf("a holds %+v, b holds %+v", a.View().Members, b.View().Members)
+	for deadline := time.Now().Add(3 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if hasState(a, "b", membership.Gone) || hasState(b, "a", membership.Gone) || hasState(a, "x", membership.Alive) {
+			t.Fatalf("wrong state of a member: a has %+v, b has %+v", a.View().Members, b.View().Members)
 		}
 	}
 	if a.Dropped.Flooding.Load() == 0 || a.Counts().Malformed == 0 {
-		t.Errorf("flooding %d, malformed %d: the noise was not there", a.Dropped.Flooding.Load(), a.Counts().Malformed)
+		t.Errorf("%d datagrams over the rate limit, %d malformed; want some of both",
+			a.Dropped.Flooding.Load(), a.Counts().Malformed)
 	}
 	for _, m := range a.View().Members {
 		bytes := 0
@@ -117,19 +119,19 @@
 			bytes += len(s.Key) + len(s.Value)
 		}
 		if bytes > 1024 {
-			t.Errorf("%d bytes are held of %s", bytes, m.Name)
+			t.Errorf("%d bytes of signals stored for %s, over the limit of 1024", bytes, m.Name)
 		}
 	}
-	if c := other.Counts(); c.OtherCluster+a.Counts().OtherCluster == 0 || len(other.View().Members) > 0 {
-		t.Errorf("another cluster: %+v, %d members", c, len(other.View().Members))
+	if c := foreign.Counts(); c.OtherCluster+a.Counts().OtherCluster == 0 || len(foreign.View().Members) > 0 {
+		t.Errorf("member of another cluster: counters %+v, %d members", c, len(foreign.View().Members))
 	}
 	b.Close()
-	eventually(t, "a death is not known", func() bool { return sees(a, "b", membership.Gone) })
+	eventually(t, "a has not declared b gone after it stopped", func() bool { return hasState(a, "b", membership.Gone) })
 }
 
-// What can't work is said before anything is opened.
-func TestConfigThatCannotWork(t *testing.T) {
-	good := membership.Config{
+// An invalid setting is reported in one line that names the setting.
+func TestInvalidConfig(t *testing.T) {
+	valid := membership.Config{
 		Cluster:     "c",
 		Name:        "a",
 		Addr:        "127.8.20.7:7000",
@@ -138,7 +140,7 @@
 		SignalBytes: 100,
 		Generation:  1,
 	}
-	for field, change := range map[string]func(*membership.Config){
+	for field, invalidate := range map[string]func(*membership.Config){
 		"peers.cluster":      func(c *membership.Config) { c.Cluster = "" },
 		"name":               func(c *membership.Config) { c.Name = strings.Repeat("n", 65) },
 		"peers.listen":       func(c *membership.Config) { c.Addr = "0.0.0.0:7000" },
@@ -148,33 +150,33 @@
 		"peers.max_members":  func(c *membership.Config) { c.MaxMembers = 1 },
 		"peers.signal_bytes": func(c *membership.Config) { c.SignalBytes = 1 },
 	} {
-		c := good
-		change(&c)
+		c := valid
+		invalidate(&c)
 		if _, err := membership.New(c); err == nil || !strings.Contains(err.Error(), field) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	if _, err := membership.New(good); err != nil {
+	if _, err := membership.New(valid); err != nil {
 		t.Error(err)
 	}
 }
 
-// The process that follows in an upgrade has the same address: it is there once the one before has left, by its later
-// start, and until then its view is old.
-func TestTheNextProcessTakesTheAddress(t *testing.T) {
-	a := host(t, "a", "127.8.21.1:7000", "c")
-	before := host(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
-	eventually(t, "b is not there", func() bool { return sees(a, "b", membership.Alive) })
-	next := host(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
-	next.Set(membership.ClockKey, []byte("1"), time.Minute)
+// During an upgrade the new process has the address of its predecessor. Its view must stay stale until the predecessor
+// has released the address; then it takes the name over by its later generation.
+func TestSuccessorTakesOverAddress(t *testing.T) {
+	a := startHost(t, "a", "127.8.21.1:7000", "c")
+	predecessor := startHost(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
+	eventually(t, "a does not see b alive", func() bool { return hasState(a, "b", membership.Alive) })
+	successor := startHost(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
+	successor.Set(membership.ClockKey, []byte("1"), time.Minute)
 	time.Sleep(200 * time.Millisecond)
-	if !next.View().Stale || next.Counts().In > 0 {
-		t.Errorf("it takes part beside the one before: %+v", next.View())
+	if !successor.View().Stale || successor.Counts().In > 0 {
+		t.Errorf("the successor takes part before its predecessor has stopped: %+v", successor.View())
 	}
-	before.Close()
-	eventually(t, "the next one is not there", func() bool {
-		v := next.View()
+	predecessor.Close()
+	eventually(t, "a does not see the successor alive", func() bool {
+		v := successor.View()
 		for _, m := range a.View().Members {
 			if m.Name == "b" {
 				return m.State == membership.Alive && m.Generation == v.Self.Generation && !v.Stale && !v.Superseded
@@ -184,16 +186,16 @@
 	})
 }
 
-// Who leaves says so, and who stays after all is alive again: the last word counts, however soon it comes.
-func TestLeavingAndStaying(t *testing.T) {
-	a := host(t, "a", "127.8.22.1:7000", "c")
-	b := host(t, "b", "127.8.22.2:7000", "c", "127.8.22.1:7000")
-	eventually(t, "b is not there", func() bool { return sees(a, "b", membership.Alive) })
+// A member that leaves is seen as leaving, and one that cancels is alive again. The last of many calls counts.
+func TestLeaveAndCancelLeave(t *testing.T) {
+	a := startHost(t, "a", "127.8.22.1:7000", "c")
+	b := startHost(t, "b", "127.8.22.2:7000", "c", "127.8.22.1:7000")
+	eventually(t, "a does not see b alive", func() bool { return hasState(a, "b", membership.Alive) })
 	b.Leave(true)
-	eventually(t, "b does not leave", func() bool { return sees(a, "b", membership.Leaving) })
+	eventually(t, "a does not see b leaving", func() bool { return hasState(a, "b", membership.Leaving) })
 	for range 100 {
 		b.Leave(true)
 		b.Leave(false)
 	}
-	eventually(t, "b does not stay", func() bool { return sees(a, "b", membership.Alive) })
+	eventually(t, "a sees b leaving after it cancelled", func() bool { return hasState(a, "b", membership.Alive) })
 }
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// randomStream keeps the machine's random numbers apart from others of the same seed.
+	// randomStream separates the machine's random numbers from others with the same seed.
 	randomStream = 0x9ee5
-	// gossipFanout is how many members updates are sent to at once.
+	// gossipFanout is the number of members to which updates are sent per gossip interval.
 	gossipFanout = 3
-	// maxSlowdown bounds by how many further times its intervals a slow member slows down.
+	// maxSlowdown limits slowdown: intervals are stretched to at most 1+maxSlowdown times their length.
 	maxSlowdown = 8
 )
 
-// Machine is one member. It is not safe for concurrent use.
+// Machine is the protocol state of one member. It is not safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
@@ -26,10 +26,10 @@
 	effects        []Effect
 	members        map[string]*member
 	signals        map[string]map[string]*signal // by owner and key
-	signalVersion  uint64                        // of the latest signal of this member's own
+	signalVersion  uint64                        // of this member's latest signal
 	sequence       uint32                        // of the latest ping
-	slowdown       int                           // Lifeguard's measure of this member's own health; 0 is well
-	superseded     bool                          // another process goes by this name
+	slowdown       int                           // Lifeguard's local health score; 0 is healthy
+	superseded     bool                          // another process has taken over this name
 	started        bool
 	lastReceivedAt time.Duration // from any member
 
@@ -39,7 +39,7 @@
 	stall    stall
 }
 
-// schedule says when something is done next.
+// schedule holds the times of the next periodic actions.
 type schedule struct {
 	probeAt  time.Duration
 	gossipAt time.Duration
@@ -47,7 +47,7 @@
 	joinAt   time.Duration
 }
 
-// New returns a member that knows of no other.
+// New returns a member that knows no other members.
 func New(cfg Config) (*Machine, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -63,7 +63,8 @@
 	}, nil
 }
 
-// Step takes one event and appends the effects that it calls for. A time before the latest one counts as the latest.
+// Step handles one event and appends the resulting effects to effects. A time before the latest one counts as the
+// latest.
 func (m *Machine) Step(now time.Duration, event Event, effects []Effect) []Effect {
 	m.now, m.effects = max(m.now, now), effects
 	if !m.started {
@@ -101,7 +102,7 @@
 	return m.now + m.cfg.syncInterval()/2 + m.jitter(m.cfg.syncInterval())
 }
 
-// leave changes what this member says of itself: that it leaves, or stays.
+// leave sets this member's state to Leaving, or back to Alive, and announces it.
 func (m *Machine) leave(on bool) {
 	state := Alive
 	if on {
@@ -123,7 +124,7 @@
 	return time.Duration(m.rng.Float64() * float64(d))
 }
 
-// slowed stretches a time by how slow this member has found itself to be.
+// slowed stretches an interval by this member's slowdown (Lifeguard).
 func (m *Machine) slowed(d time.Duration) time.Duration { return d * time.Duration(1+m.slowdown) }
 
 func (m *Machine) tick() {
@@ -149,10 +150,11 @@
 		s.syncAt = m.nextSync()
 		m.requestSyncs(1)
 	}
-	m.endStallWithoutAnswer()
+	m.endStaleViewAfterTimeout()
 }
 
-// checkSuccessor asks now and then whether the process that has taken this member's name is still there.
+// checkSuccessor requests syncs once per PeerTimeout to learn whether the process that has taken over this member's
+// name is still present.
 func (m *Machine) checkSuccessor() {
 	if m.now >= m.schedule.syncAt {
 		m.schedule.syncAt = m.now + m.cfg.PeerTimeout
@@ -160,11 +162,11 @@
 	}
 }
 
-// randomMembers returns up to count random members that match.
-func (m *Machine) randomMembers(count int, match func(*member) bool) []string {
+// randomMembers returns the names of up to count random members for which matches returns true.
+func (m *Machine) randomMembers(count int, matches func(*member) bool) []string {
 	var names []string
 	for name, o := range m.members {
-		if match(o) {
+		if matches(o) {
 			names = append(names, name)
 		}
 	}
@@ -173,4 +175,4 @@
 	return names[:min(count, len(names))]
 }
 
-func notGone(o *member) bool { return o.State != Gone }
+func isNotGone(o *member) bool { return o.State != Gone }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxSuspecters bounds how many members are remembered that suspect a member.
+	// maxSuspecters limits the number of members recorded as suspecting a member.
 	maxSuspecters = 8
-	// referenceMembers is the number of members up to which the times of suspicion are as configured.
+	// referenceMembers is the number of members above which suspicion timeouts are stretched.
 	referenceMembers = 50
-	// confirmingSuspecters is how many further members shorten a suspicion to its least time.
-	confirmingSuspecters = 2
+	// confirmationsForMinTime is the number of further suspecting members that reduce a suspicion to its minimum time.
+	confirmationsForMinTime = 2
 )
 
-// member is what is held of another member.
+// member is the state of another member.
 type member struct {
 	Record
-	changedAt    time.Duration // of State or Generation
+	changedAt    time.Duration // time of the last change of State or Generation
 	lastReceived time.Duration // time of the last message from it; 0 if none
-	retryAt      time.Duration // of a member that is Gone: pinged again then
+	retryAt      time.Duration // time of the next ping if the member is Gone
 
 	suspectedBy     map[string]bool
 	suspectedAt     time.Duration
-	suspectDeadline time.Duration // gone then
+	suspectDeadline time.Duration // time at which the suspect is declared gone
 }
 
-// mergeRecord merges what a member tells of another one. The order of records, and how often they come, makes no
-// difference.
+// mergeRecord merges a record that member by has sent. The result depends neither on the order of records nor on
+// repetitions.
 func (m *Machine) mergeRecord(r Record, reason, by string) {
 	if r.Name == m.self.Name {
 		m.handleOwnRecord(r)
@@ -42,7 +42,7 @@
 		return
 	}
 	if r.State == Gone && by != m.self.Name && r.Generation == o.Generation && m.receivedLately(o) {
-		r.State = Suspect // the member that lost it may be the one that is cut off: let it refute
+		r.State = Suspect // the reporter may be the one that is cut off: allow a refutation
 	}
 	switch {
 	case r == o.Record:
@@ -58,7 +58,7 @@
 
 func (m *Machine) addMember(r Record, reason, by string) {
 	if len(m.members) >= m.cfg.MaxMembers-1 || !r.wellFormed() {
-		m.Counters.TooMany++
+		m.Counters.TooManyMembers++
 		return
 	}
 	o := &member{Record: r, changedAt: m.now}
@@ -69,7 +69,7 @@
 	m.enterState(o, by)
 }
 
-// confirmSuspicion counts another member that suspects o.
+// confirmSuspicion records another member that suspects o.
 func (m *Machine) confirmSuspicion(o *member, by string) {
 	if o.State == Suspect && !o.suspectedBy[by] && len(o.suspectedBy) < maxSuspecters {
 		o.suspectedBy[by] = true
@@ -94,12 +94,12 @@
 		return
 	}
 	m.enterState(o, by)
-	if before.State == Gone && r.State != Gone { // a partition is over, perhaps for many
+	if before.State == Gone && r.State != Gone { // a partition has healed, and more members may be back
 		m.requestSync(r.Name)
 	}
 }
 
-// enterState sets what a member's new state brings with it.
+// enterState resets a member's timers and suspicion for its new state, and disseminates its record.
 func (m *Machine) enterState(o *member, by string) {
 	o.suspectedBy = nil
 	o.retryAt = m.now + m.cfg.PeerTimeout/2 + m.jitter(m.cfg.PeerTimeout)
@@ -111,23 +111,23 @@
 	m.queueUpdate(updateKey{owner: o.Name})
 }
 
-// setSuspectDeadline sets when a suspect is held gone: the sooner, the more members suspect it (Lifeguard). Updates
-// take longer to reach all members the more there are, so the time to refute grows with their number.
+// setSuspectDeadline sets the time at which a suspect is declared gone: the more members suspect it, the sooner
+// (Lifeguard). In a larger cluster updates take longer to reach all members, so the time to refute grows with its size.
 func (m *Machine) setSuspectDeadline(o *member) {
 	stretch := max(1, math.Log(float64(len(m.members)+1))/math.Log(referenceMembers))
-	least := time.Duration(stretch * float64(m.cfg.minSuspectTime()))
-	most := time.Duration(stretch * float64(m.cfg.maxSuspectTime()))
-	wait := most
-	possible := min(confirmingSuspecters, len(m.members)-1)
+	minWait := time.Duration(stretch * float64(m.cfg.minSuspectTime()))
+	maxWait := time.Duration(stretch * float64(m.cfg.maxSuspectTime()))
+	wait := maxWait
+	possible := min(confirmationsForMinTime, len(m.members)-1)
 	if confirmed := len(o.suspectedBy) - 1; possible > 0 && confirmed > 0 {
 		share := math.Log(float64(confirmed)+1) / math.Log(float64(possible)+1)
-		wait = max(least, most-time.Duration(share*float64(most-least)))
+		wait = max(minWait, maxWait-time.Duration(share*float64(maxWait-minWait)))
 	}
 	o.suspectDeadline = o.suspectedAt + m.slowed(wait)
 }
 
-// expireMembers ends suspicions, forgets members that have long been gone, and pings those that are gone now and
-// then, since a partition may be over.
+// expireMembers declares suspects gone whose deadline has passed, forgets members after forgetAfter, and pings gone
+// members periodically, because a partition may have healed.
 func (m *Machine) expireMembers() {
 	for _, name := range m.suspectOrGone() {
 		switch o := m.members[name]; {
@@ -146,7 +146,7 @@
 	}
 }
 
-// suspectOrGone returns the names of members to look at, sorted so that a run can be repeated.
+// suspectOrGone returns the names of members that are suspect or gone, sorted so that runs are reproducible.
 func (m *Machine) suspectOrGone() []string {
 	var names []string
 	for name, o := range m.members {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,29 +1,29 @@
 package membership
 
-// Limits of messages.
+// The version of the message format, and its limits.
 const (
-	FormatVersion = 1
-	MaxName       = 64   // bytes of a name, an address or a key
-	MaxPacket     = 1200 // bytes: small enough that no link on the way has to fragment it
-	MaxSignal     = 512  // bytes of one value
-	MaxKeys       = 256  // signals of one member
+	FormatVersion = 1    // version of the message format
+	MaxName       = 64   // limit for a name, an address or a key, in bytes
+	MaxPacket     = 1200 // bytes; small enough not to be fragmented on the path
+	MaxSignal     = 512  // limit for one value, in bytes
+	MaxKeys       = 256  // limit for the signals of one member
 )
 
-// Kind is what a message asks for or answers.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of message. A Ping names its target, because an address can have another owner by now.
+// The kinds of messages. A Ping names its target, because the address may belong to another member by now.
 const (
 	Ping         Kind = iota
 	Ack               // answers a Ping
 	IndirectPing      // asks the receiver to ping Target
 	Nack              // answers an IndirectPing: Target did not answer the receiver either
-	Sync              // asks for everything
-	Gossip            // a part of the answer to a Sync, or updates
-	kinds
+	Sync              // requests all records and signals
+	Gossip            // carries updates, or a part of the answer to a Sync
+	kindCount
 )
 
-// Message is a datagram. From counts as a record of the sender.
+// Message is the content of a datagram. From is also the sender's record.
 type Message struct {
 	FormatVersion uint8
 	Cluster       string
@@ -31,23 +31,24 @@
 	Kind          Kind
 	Sequence      uint32
 	Target        string
-	Last          bool // of the messages that answer a Sync
+	Last          bool // set on the last message that answers a Sync
 	Members       []Record
 	Signals       []SignalRecord
 }
 
-// SignalRecord is a signal as it travels. AgeMS is how long ago its owner set it, counted by those who passed it on.
+// SignalRecord is the encoded form of a signal. AgeMS is the time since its owner set it, as measured by the members
+// that passed it on.
 type SignalRecord struct {
 	Owner      string
 	Generation uint64
 	Key        string
-	Version    uint64 // among all signals of the owner's generation
+	Version    uint64 // counts all signals set in the owner's generation
 	AgeMS      uint32
 	LifetimeMS uint32
 	Value      []byte
 }
 
-// Upper bounds of the encoded sizes, in bytes, without names and values.
+// Upper limits of the encoded sizes without names and values, in bytes.
 const (
 	recordOverhead  = 20
 	signalOverhead  = 40
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,28 +8,28 @@
 	"oatloft/internal/failpoint"
 )
 
-// probeRelays is how many members are asked to probe for another one.
+// probeRelays is the number of members that are asked for an indirect probe.
 const probeRelays = 3
 
-// probing is the state of probes.
+// probing is the state of this member's probes and of those that it relays.
 type probing struct {
-	order        []string // of members, shuffled anew each round
+	order        []string // members' names, shuffled in each round
 	nextInOrder  int
 	probes       map[uint32]*probe       // by sequence
 	relayed      map[uint32]relayedProbe // by sequence
 	syncSequence uint32                  // of the latest Sync
 }
 
-// probe is a ping that waits for its answer.
+// probe is a ping without an answer so far.
 type probe struct {
 	target   string
 	sentAt   time.Duration
-	indirect bool // other members have been asked as well
-	relays   int  // how many
-	nacks    int  // of the relays
+	indirect bool // indirect probes have been requested
+	relays   int  // number of members asked for an indirect probe
+	nacks    int  // nacks received from the relays
 }
 
-// relayedProbe is a probe made for another member.
+// relayedProbe is a probe on behalf of another member.
 type relayedProbe struct {
 	requester string
 	sequence  uint32 // of the requester's probe
@@ -58,14 +58,14 @@
 	}
 }
 
-// ping sends a ping with a sequence of its own.
+// ping sends a ping with a new sequence number.
 func (m *Machine) ping(to, target string) (sequence uint32) {
 	m.sequence++
 	m.send(to, &Message{Kind: Ping, Sequence: m.sequence, Target: target})
 	return m.sequence
 }
 
-// shuffleOrder begins a new round.
+// shuffleOrder starts a new round of probes in random order.
 func (m *Machine) shuffleOrder() {
 	p := &m.probing
 	p.order, p.nextInOrder = p.order[:0], 0
@@ -76,7 +76,7 @@
 	m.rng.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
 }
 
-// addToOrder adds a new member at a random place among those to come in this round.
+// addToOrder inserts a new member at a random position in the rest of the current round.
 func (m *Machine) addToOrder(name string) {
 	p := &m.probing
 	p.order = append(p.order, name)
@@ -87,8 +87,8 @@
 	}
 }
 
-// expireProbes asks other members where a probe has had no answer for a while, gives up after its interval, and
-// tells the requesters of relayed probes that there was no answer.
+// expireProbes requests indirect probes for probes without an answer after the ack timeout, fails them after the probe
+// interval, and sends a nack to the requesters of relayed probes that have timed out.
 func (m *Machine) expireProbes() {
 	p := &m.probing
 	for _, sequence := range slices.Sorted(maps.Keys(p.probes)) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// probeIndirectly pings the target again, since the first ping may just be lost, and asks other members to.
+// probeIndirectly pings the target again, because the first ping may have been lost, and asks other members to ping it.
 func (m *Machine) probeIndirectly(sequence uint32, p *probe) {
 	p.indirect = true
 	m.send(p.target, &Message{Kind: Ping, Sequence: sequence, Target: p.target})
@@ -119,8 +119,8 @@
 	}
 }
 
-// probeFailed counts a probe without an answer against its target. If relays were silent too, it also counts
-// against this member itself (Lifeguard).
+// probeFailed makes the target of a failed probe a suspect. If relays have not answered either, or there were none to
+// ask, it also increases this member's slowdown (Lifeguard).
 func (m *Machine) probeFailed(p *probe) {
 	m.Counters.ProbesFailed++
 	if p.nacks < p.relays || p.relays == 0 && len(m.members) > 1 {
@@ -135,7 +135,7 @@
 	m.mergeRecord(suspect, "no answer to a probe", m.self.Name)
 }
 
-// relayPing pings a target for another member, as far as there is room.
+// relayPing pings a target on behalf of another member, unless too many relayed probes are pending.
 func (m *Machine) relayPing(requester string, g *Message) {
 	maxRelayed := 4*probeRelays*len(m.members) + probeRelays
 	if m.members[g.Target] == nil || len(m.probing.relayed) >= maxRelayed {
--- a/internal/membership/read.go
+++ b/internal/membership/read.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// messagesPerSecond are taken from one address: three times what a member's probes, updates and answers come to.
+	// messagesPerSecond is the rate limit of one source address: three times the rate of a member's probes, updates and
+	// answers.
 	messagesPerSecond = 100
-	// messageBurst is enough for the answer to a Sync, which comes at once.
+	// messageBurst is the burst limit in messages, enough for the answer to a Sync, which arrives all at once.
 	messageBurst = 300
-	// maxSources bounds how many addresses are remembered.
+	// maxSources limits the number of source addresses with a limiter.
 	maxSources = 4096
-	// readRetry is waited after an error of the socket, such as an ICMP error of an earlier message.
-	readRetry = time.Millisecond
+	// readRetryDelay is the delay after a read error, such as an ICMP error caused by an earlier message.
+	readRetryDelay = time.Millisecond
 )
 
-// read reads datagrams as fast as they come, and passes on no more than each address may send: a sender that floods
-// harms only itself.
+// read reads datagrams as they arrive and drops those beyond the rate limit of their source address, so that a flooding
+// sender only affects itself.
 func (h *Host) read() {
 	conn := h.conn.Load()
-	buffer := make([]byte, MaxPacket+1) // a longer datagram is cut by the system, and seen to be too long
+	buffer := make([]byte, MaxPacket+1) // the system truncates a longer datagram, which Decode then rejects as too long
 	limits := sourceLimits{}
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
@@ -32,7 +33,7 @@
 			case <-h.stop:
 				return
 			default:
-				time.Sleep(readRetry)
+				time.Sleep(readRetryDelay)
 				continue
 			}
 		}
@@ -44,12 +45,12 @@
 	}
 }
 
-// receive passes a datagram on to the goroutine that owns the machine.
+// receive decodes a datagram and passes it to the goroutine that owns the machine.
 func (h *Host) receive(packet []byte, from netip.AddrPort) {
 	message, err := Decode(packet)
 	if err != nil {
 		h.malformed.Add(1)
-		h.limitedLog.Say(time.Now(), slog.LevelWarn, "peers-malformed", "a datagram that is no message",
+		h.limitedLog.Say(time.Now(), slog.LevelWarn, "peers-malformed", "dropped a malformed datagram",
 			slog.String("from", from.String()), slog.Any("err", err))
 		return
 	}
@@ -60,13 +61,13 @@
 	}
 }
 
-// sourceLimits limits how many datagrams are taken from each address.
+// sourceLimits limits the rate of datagrams by source address.
 type sourceLimits map[netip.AddrPort]*rate.Limiter
 
 func (s sourceLimits) allow(from netip.AddrPort) bool {
 	limiter := s[from]
 	if limiter == nil {
-		if len(s) >= maxSources { // most likely forged ones
+		if len(s) >= maxSources { // most are probably forged
 			clear(s)
 		}
 		limiter = rate.NewLimiter(messagesPerSecond, messageBurst)
--- a/internal/membership/reading.go
+++ b/internal/membership/reading.go
@@ -11,24 +11,24 @@
 	"oatloft/internal/hint"
 )
 
-// The keys of the signals that a balancer sets. A server's key is ServerKey and its id.
+// The keys of the signals that a balancer sets.
 const (
-	ServerKey = "r/"
-	ClockKey  = "t"    // exploration slots so far
-	LoadKey   = "load" // open connections, requests without an answer
-	DrainKey  = "drain"
+	ServerKey = "r/"    // prefix of a server's id, for a Reading of the server
+	ClockKey  = "t"     // number of exploration slots so far
+	LoadKey   = "load"  // open connections and unanswered requests
+	DrainKey  = "drain" // this balancer is draining
 )
 
 const (
-	readingFields = 3
-	maxLoad       = 1e6
+	readingFieldCount = 3   // of an encoded reading
+	maxReadingLoad    = 1e6 // relative to the server's capacity
 )
 
-// Reading is what a balancer last knew of a server's load.
+// Reading is a balancer's latest reading of a server.
 type Reading struct {
 	Load         float64       // relative to the server's capacity
-	Age          time.Duration // when the signal was set
-	FailedProbes int           // in a row
+	Age          time.Duration // at the time the signal was set
+	FailedProbes int           // consecutive
 }
 
 // Encode returns the reading as a signal's value.
@@ -36,22 +36,24 @@
 	return fmt.Appendf(nil, "%.3f %d %d", r.Load, r.Age.Milliseconds(), r.FailedProbes)
 }
 
-var errReading error = &MalformedMessage{hint.Annotated{What: "a reading is not three figures", Do: unknownSenderHint}}
+var errMalformedReading error = &MalformedMessage{
+	hint.Annotated{What: "a reading is not three numbers in range", Do: unknownSenderHint},
+}
 
-// ParseReading reads a reading from a signal's value. What no balancer would send is a *MalformedMessage.
+// ParseReading parses the value of a signal. The error is *MalformedMessage.
 func ParseReading(value []byte) (Reading, error) {
 	words := strings.Fields(string(value))
-	if len(words) != readingFields {
-		return Reading{}, errReading
+	if len(words) != readingFieldCount {
+		return Reading{}, errMalformedReading
 	}
 	load, loadErr := strconv.ParseFloat(words[0], 64)
 	ageMS, ageErr := strconv.ParseInt(words[1], 10, 32)
 	failed, failedErr := strconv.ParseInt(words[2], 10, 32)
 	switch {
 	case errors.Join(loadErr, ageErr, failedErr) != nil,
-		math.IsNaN(load) || load < 0 || load > maxLoad,
+		math.IsNaN(load) || load < 0 || load > maxReadingLoad,
 		ageMS < 0 || failed < 0:
-		return Reading{}, errReading
+		return Reading{}, errMalformedReading
 	}
 	return Reading{Load: load, Age: time.Duration(ageMS) * time.Millisecond, FailedProbes: int(failed)}, nil
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -2,10 +2,11 @@
 
 import "cmp"
 
-// State is what is held of a member. At one generation and incarnation, the greater state wins.
+// State is the state of a member. Within one generation and incarnation, the greater state wins.
 type State uint8
 
-// The states. A member says itself that it is Leaving. Suspect and Gone are said by others, and it can refute them.
+// The states of a member. Leaving is announced by the member itself. Suspect and Gone are reported by other members,
+// and the member can refute them.
 const (
 	Alive State = iota
 	Leaving
@@ -13,22 +14,22 @@
 	Gone
 )
 
-// String returns the name as it is logged and sent.
+// String returns the name used in logs and in answers to management calls.
 func (s State) String() string {
 	return [...]string{"alive", "leaving", "suspect", "gone"}[min(s, Gone)]
 }
 
-// Record is what members tell each other of a member.
+// Record is the description of a member that members exchange.
 type Record struct {
 	Name        string
 	Addr        string
 	Generation  uint64 // new at each start of the member
-	Incarnation uint32 // grows as the member refutes what others say of it
+	Incarnation uint32 // increased by the member to refute others' records of it
 	State       State
 }
 
-// newer tells whether r replaces other, a record of the same member. Records of one generation, incarnation and
-// state differ only if a name is used twice; then the address decides, so that all members hold the same.
+// newer reports whether r replaces other, a record of the same member. Records of one generation, incarnation and state
+// differ only if two processes use the same name; the address breaks the tie, so that all members agree.
 func (r Record) newer(other Record) bool {
 	return cmp.Or(
 		cmp.Compare(r.Generation, other.Generation),
@@ -38,7 +39,7 @@
 	) > 0
 }
 
-// wellFormed tells whether a member can be listed by this record.
+// wellFormed reports whether the name and address are present and within MaxName.
 func (r Record) wellFormed() bool {
 	return r.Name != "" && r.Addr != "" && len(r.Name) <= MaxName && len(r.Addr) <= MaxName
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -2,9 +2,9 @@
 
 import "oatloft/internal/failpoint"
 
-// handleOwnRecord answers what others hold of this member. It refutes that it is suspected or gone. If its clock
-// went back between two starts, it takes a generation above the earlier one. If another process goes by its name,
-// the later start has it; of two starts in the same millisecond, the one with the greater address.
+// handleOwnRecord handles another member's record of this member. It refutes that it is suspect or gone. If its clock
+// went back between two starts, it takes a generation above that of the earlier start. If another process uses the same
+// name, the later start keeps it; of two starts in the same millisecond, the one with the greater address.
 func (m *Machine) handleOwnRecord(r Record) {
 	switch {
 	case r.Generation < m.self.Generation:
@@ -14,7 +14,7 @@
 		if r.Addr != m.self.Addr {
 			m.superseded = false
 		}
-		m.restate(r.Generation+1, 0)
+		m.reannounce(r.Generation+1, 0)
 	case r.Addr != m.self.Addr:
 		if r.Addr > m.self.Addr && r.State != Gone {
 			m.supersede(r)
@@ -22,22 +22,23 @@
 	case r.newer(m.self) && !failpoint.On("no-refute"):
 		m.Counters.Refuted++
 		m.slowdown = min(maxSlowdown, m.slowdown+1)
-		m.restate(m.self.Generation, r.Incarnation+1)
+		m.reannounce(m.self.Generation, r.Incarnation+1)
 	}
 }
 
-// supersede gives the name up to another process. From then on this member only asks whether that one is still there.
+// supersede gives up the name to another process. From then on this member only checks whether that process is still
+// present.
 func (m *Machine) supersede(successor Record) {
 	if m.superseded {
 		return
 	}
 	m.superseded, m.schedule.syncAt = true, m.now
-	m.Counters.Displaced++
-	m.emit(Changed{Record: successor, Reason: "another process goes by this name"})
+	m.Counters.Superseded++
+	m.emit(Changed{Record: successor, Reason: "another process has taken over this name"})
 }
 
-// restate tells the others of this member again, by a new generation or incarnation.
-func (m *Machine) restate(generation uint64, incarnation uint32) {
+// reannounce announces this member with a new generation or incarnation.
+func (m *Machine) reannounce(generation uint64, incarnation uint32) {
 	if generation != m.self.Generation {
 		for _, s := range m.signals[m.self.Name] {
 			s.Generation = generation
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,6 +1,6 @@
 package membership
 
-// send sends a message with updates to a member.
+// send adds updates to a message and sends it to a member.
 func (m *Machine) send(name string, g *Message) {
 	o := m.members[name]
 	if o == nil {
@@ -10,7 +10,7 @@
 	m.sendTo(m.route(name, o.Addr), g)
 }
 
-// sendTo sends a message to an address. A superseded member only asks: it sends neither record nor updates.
+// sendTo sends a message to an address. The messages of a superseded member contain neither its record nor updates.
 func (m *Machine) sendTo(addr string, g *Message) {
 	g.FormatVersion, g.Cluster, g.From = FormatVersion, m.cfg.Cluster, m.self
 	if m.superseded {
@@ -21,7 +21,7 @@
 	m.emit(Send{To: addr, Message: g})
 }
 
-// route returns where to send to a member.
+// route returns the address for messages to a member: the configured route, or else addr.
 func (m *Machine) route(name, addr string) string {
 	if to := m.cfg.Routes[name]; to != "" {
 		return to
--- a/internal/membership/signal.go
+++ b/internal/membership/signal.go
@@ -8,30 +8,28 @@
 	"oatloft/internal/failpoint"
 )
 
-// signal is a signal as it is held. Of two versions the later wins; of one version, the greater age.
+// signal is a stored signal. The later of two versions wins; within one version, the greater age.
 type signal struct {
 	SignalRecord
-	givenAt time.Duration // by this member's clock
+	setAt time.Duration // by this member's clock
 }
 
 func (s *signal) lifetime() time.Duration { return time.Duration(s.LifetimeMS) * time.Millisecond }
 
-// withAge returns a signal as it is sent now. Its age is rounded up, so that it is never taken for younger than it
-// is.
+// withAge returns a signal with its current age, rounded up so that the signal never appears younger than it is.
 func (m *Machine) withAge(s *signal) SignalRecord {
 	r := s.SignalRecord
-	age := (m.now - s.givenAt + time.Millisecond - 1) / time.Millisecond
+	age := (m.now - s.setAt + time.Millisecond - 1) / time.Millisecond
 	r.AgeMS = uint32(min(math.MaxUint32, age))
 	return r
 }
 
-// setSignal sets a signal of this member's own. One that is too large, or one too many, is refused: no other member
-// would keep it.
+// setSignal sets a signal of this member. A signal beyond the limits is refused, because other members would drop it.
 func (m *Machine) setSignal(event SetSignal) {
 	own := m.signals[m.self.Name]
 	used := 0
 	for key, s := range own {
-		if m.now-s.givenAt >= s.lifetime() {
+		if m.now-s.setAt >= s.lifetime() {
 			delete(own, key)
 		} else if key != event.Key {
 			used += len(key) + len(s.Value)
@@ -48,7 +46,7 @@
 	}
 	m.signalVersion++
 	m.Counters.SignalsSet++
-	own[event.Key] = &signal{givenAt: m.now, SignalRecord: SignalRecord{
+	own[event.Key] = &signal{setAt: m.now, SignalRecord: SignalRecord{
 		Owner:      m.self.Name,
 		Generation: m.self.Generation,
 		Key:        event.Key,
@@ -59,69 +57,68 @@
 	m.queueUpdate(updateKey{m.self.Name, event.Key})
 }
 
-// mergeSignal merges a signal that another member has sent. Of its own signals this member knows best itself. A
-// signal of a start that is over, or of one not known yet, is dropped; the latter comes again.
+// mergeSignal merges a signal received from another member. This member's own signals are ignored. A signal of an
+// earlier generation of its owner, or of one not known yet, is dropped; the latter is received again later.
 func (m *Machine) mergeSignal(r SignalRecord) {
 	if r.Owner == m.self.Name {
 		return
 	}
-	if !r.wellFormed() || !m.ofCurrentStart(r) {
+	if !r.wellFormed() || !m.ofCurrentGeneration(r) {
 		m.Counters.SignalsDropped++
 		return
 	}
-	held := m.signals[r.Owner]
-	if held == nil {
-		held = map[string]*signal{}
-		m.signals[r.Owner] = held
+	stored := m.signals[r.Owner]
+	if stored == nil {
+		stored = map[string]*signal{}
+		m.signals[r.Owner] = stored
 	}
-	givenAt := m.now - time.Duration(r.AgeMS)*time.Millisecond
-	if s := held[r.Key]; s != nil {
+	setAt := m.now - time.Duration(r.AgeMS)*time.Millisecond
+	if s := stored[r.Key]; s != nil {
 		if r.Version == s.Version {
-			s.givenAt = min(s.givenAt, givenAt)
+			s.setAt = min(s.setAt, setAt)
 		}
 		if r.Version <= s.Version && !failpoint.On("back-in-time") {
 			return
 		}
 	}
 	r.Value = slices.Clone(r.Value)
-	held[r.Key] = &signal{SignalRecord: r, givenAt: givenAt}
+	stored[r.Key] = &signal{SignalRecord: r, setAt: setAt}
 	m.limitSignals(r.Owner)
-	if held[r.Key] != nil {
+	if stored[r.Key] != nil {
 		m.queueUpdate(updateKey{r.Owner, r.Key})
 	}
 }
 
-// wellFormed tells whether a signal that was sent may be kept.
+// wellFormed reports whether a received signal is within the limits and its lifetime.
 func (s *SignalRecord) wellFormed() bool {
 	return s.Key != "" && len(s.Key) <= MaxName && len(s.Value) <= MaxSignal && s.Version != 0 && s.AgeMS < s.LifetimeMS
 }
 
-// ofCurrentStart tells whether a signal is of its owner's present generation.
-func (m *Machine) ofCurrentStart(r SignalRecord) bool {
+// ofCurrentGeneration reports whether a signal belongs to its owner's current generation.
+func (m *Machine) ofCurrentGeneration(r SignalRecord) bool {
 	o := m.members[r.Owner]
 	return o != nil && (r.Generation == o.Generation || failpoint.On("earlier-start"))
 }
 
-// limitSignals keeps a member's signals within what it may hold: the earliest versions are dropped. Of a signal
-// beyond its lifetime the version is kept for a while, so that an earlier one that was long on its way cannot take
-// its place.
+// limitSignals drops a member's earliest versions beyond the limits. The version of an expired signal is kept for
+// another lifetime, and at least PeerTimeout, so that a delayed earlier version cannot replace it.
 func (m *Machine) limitSignals(owner string) {
-	held := m.signals[owner]
+	stored := m.signals[owner]
 	used := 0
-	for key, s := range held {
-		switch age := m.now - s.givenAt; {
+	for key, s := range stored {
+		switch age := m.now - s.setAt; {
 		case age >= s.lifetime()+max(s.lifetime(), m.cfg.PeerTimeout):
-			delete(held, key)
+			delete(stored, key)
 			continue
 		case age >= s.lifetime():
 			s.Value = nil
 		}
 		used += len(key) + len(s.Value)
 	}
-	for used > m.cfg.SignalBytes || len(held) > MaxKeys {
-		first := earliest(held)
+	for used > m.cfg.SignalBytes || len(stored) > MaxKeys {
+		first := earliest(stored)
 		used -= len(first.Key) + len(first.Value)
-		delete(held, first.Key)
+		delete(stored, first.Key)
 		m.Counters.SignalsDropped++
 	}
 }
@@ -135,7 +132,7 @@
 	return first
 }
 
-// dropSignals drops the signals of a member's earlier starts.
+// dropSignals drops a member's signals from before a generation.
 func (m *Machine) dropSignals(owner string, generation uint64) {
 	for key, s := range m.signals[owner] {
 		if s.Generation < generation {
--- a/internal/membership/stall.go
+++ b/internal/membership/stall.go
@@ -6,18 +6,19 @@
 	"oatloft/internal/failpoint"
 )
 
-// stall tracks times in which this process did not run, after which its view is stale.
+// stall tracks periods in which this process did not run, as on a paused host. After one the view is stale.
 type stall struct {
-	lastStepAt   time.Duration
-	stale        bool
-	staleSince   time.Duration
-	syncSequence uint32 // of the latest Sync before the stall; answers to later ones have not waited through it
+	lastStepAt          time.Duration
+	stale               bool
+	staleSince          time.Duration
+	lastSyncBeforeStall uint32 // of the last Sync before the stall; answers to later ones were sent after it
 }
 
-// handleStall deals with a time in which this process did not run. What it holds is stale: other members may have
-// been replaced, and none could answer. The time counts against nobody.
+// handleStall marks the view stale after a period in which this process did not run: other members may have been
+// replaced, and their answers were not handled. Pending probes are dropped and suspicions extended by the period, so
+// that it is not counted against any member.
 func (m *Machine) handleStall(gap time.Duration) {
-	m.Counters.Old++
+	m.Counters.Stalls++
 	clear(m.probing.probes)
 	clear(m.probing.relayed)
 	for _, o := range m.members {
@@ -26,7 +27,7 @@
 		}
 	}
 	m.stall.staleSince, m.lastReceivedAt = m.now, m.now
-	m.stall.syncSequence = m.probing.syncSequence
+	m.stall.lastSyncBeforeStall = m.probing.syncSequence
 	if !m.stall.stale {
 		m.stall.stale = true
 		m.emit(ViewStale{On: true})
@@ -35,23 +36,23 @@
 	m.requestSyncs(probeRelays)
 }
 
-// endStale makes the view good again: a member has answered with everything, or there is none to answer.
-func (m *Machine) endStale() {
+// endStaleView makes the view current again, after a full answer to a Sync or a timeout.
+func (m *Machine) endStaleView() {
 	if m.stall.stale && !failpoint.On("old-for-ever") {
 		m.stall.stale = false
 		m.emit(ViewStale{})
 	}
 }
 
-// endStallWithoutAnswer makes the view good after a while in any case. Where all members have stalled at once, or
-// none can be asked, what has come since is all there is.
-func (m *Machine) endStallWithoutAnswer() {
+// endStaleViewAfterTimeout makes the view current again PeerTimeout after the stall even without an answer. If all
+// members stalled at once, or none can be reached, there is nothing better to wait for.
+func (m *Machine) endStaleViewAfterTimeout() {
 	if m.stall.stale && m.now-m.stall.staleSince > m.cfg.PeerTimeout {
-		m.endStale()
+		m.endStaleView()
 	}
 }
 
-// answersCurrentSync tells whether a message answers a Sync of after the last stall.
+// answersCurrentSync reports whether a message answers a Sync that was requested after the last stall.
 func (m *Machine) answersCurrentSync(g *Message) bool {
-	return g.Kind == Gossip && int32(g.Sequence-m.stall.syncSequence) > 0 && g.Sequence != 0
+	return g.Kind == Gossip && int32(g.Sequence-m.stall.lastSyncBeforeStall) > 0 && g.Sequence != 0
 }
--- a/internal/membership/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -1,7 +1,7 @@
-// Package stepped lets many members of internal/membership live side by side in stepped time, without sockets:
-// messages take a while, get lost, come twice; links are cut, one way or both; members stop, go on, die and start
-// again. The same seed gives the same run. It owns the network between them and the judgement of what they hold;
-// tests and oatlab build on it.
+// Package stepped simulates a cluster of members of internal/membership in one process, without sockets and in
+// simulated time that advances in steps. Messages are delayed, lost and duplicated, links are cut in one or both
+// directions, and members stall, resume, die and restart. The same seed gives the same run. The package also checks the
+// members' views. It is used by tests and by oatlab.
 package stepped
 
 import (
@@ -13,46 +13,47 @@
 	"oatloft/internal/membership"
 )
 
-// Net is how messages fare.
+// Net holds the conditions of the simulated network. Loss and Double are probabilities per message, Double that of a
+// second copy.
 type Net struct {
 	Delay, Jitter time.Duration
 	Loss, Double  float64
 }
 
-// Node is one member's place. M is nil while it is dead.
+// Node is one simulated member. M is nil while it is dead.
 type Node struct {
 	Name, Addr string
 	M          *membership.Machine
-	Stopped    bool
+	Stalled    bool
 	index      int
-	starts     uint64
-	waiting    []membership.Received // for a stopped one, as its socket would keep
-	clock      uint64                // that generations are taken from
-	sent       int64
-	loss       float64
+	starts     uint64                // number of starts
+	received   []membership.Received // while stalled, as in a socket buffer
+	generation uint64                // of the latest start
+	sentBytes  int64                 // bytes
+	lossRate   float64               // probability per message sent or received
 }
 
-// World is one run.
+// World is a simulated cluster.
 type World struct {
 	Now   time.Duration
 	Nodes []*Node
 	Net   Net
-	Tick  time.Duration
+	Tick  time.Duration // length of a step
 
-	SilentAfter time.Duration
-	Bytes       int64
-	Faults      []string // what no rule allows
-	Changes     func(at *Node, c membership.Changed)
+	PeerTimeout time.Duration
+	Bytes       int64                                // sent by all members
+	Faults      []string                             // violations found, at most 20
+	Changes     func(at *Node, c membership.Changed) // called for each change, unless nil
 
-	rng    *rand.Rand
-	q      queue
-	seq    int
-	byAddr map[string]*Node
-	cut    map[[2]int]bool
-	seen   map[observationKey]signalVersion // latest signal seen
+	rng          *rand.Rand
+	packets      packetQueue
+	lastSequence int // of the last packet
+	byAddr       map[string]*Node
+	cutLinks     map[[2]int]bool                  // links from one node to another
+	latestSeen   map[observationKey]signalVersion // latest version of each signal
 }
 
-// observationKey is a signal as one start of an observer sees it.
+// observationKey identifies a signal as seen by an observer since its latest start.
 type observationKey struct {
 	observer   *Node
 	starts     uint64
@@ -64,48 +65,48 @@
 }
 
 type packet struct {
-	at   time.Duration
-	seq  int
-	to   *Node
-	from int
-	r    membership.Received
+	arrivesAt time.Duration
+	sequence  int
+	to        *Node
+	from      int
+	message   membership.Received
 }
 
-type queue []packet
+type packetQueue []packet
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q packetQueue) Len() int { return len(q) }
+func (q packetQueue) Less(i, j int) bool {
+	return q[i].arrivesAt < q[j].arrivesAt || q[i].arrivesAt == q[j].arrivesAt && q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(packet)) }
-func (q *queue) Pop() any {
+func (q packetQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *packetQueue) Push(x any)   { *q = append(*q, x.(packet)) }
+func (q *packetQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// New starts n members that all join by the first two.
-func New(n int, seed uint64, silentAfter time.Duration, net Net) (*World, error) {
+// New starts n members. The join list of each has the first two.
+func New(n int, seed uint64, peerTimeout time.Duration, net Net) (*World, error) {
 	w := &World{
 		Net:         net,
-		Tick:        max(silentAfter/60, 5*time.Millisecond),
-		SilentAfter: silentAfter,
+		Tick:        max(peerTimeout/60, 5*time.Millisecond),
+		PeerTimeout: peerTimeout,
 		rng:         rand.New(rand.NewPCG(seed, 3)),
 		byAddr:      map[string]*Node{},
-		cut:         map[[2]int]bool{},
-		seen:        map[observationKey]signalVersion{},
+		cutLinks:    map[[2]int]bool{},
+		latestSeen:  map[observationKey]signalVersion{},
 		Now:         time.Second,
 	}
 	for i := range n {
-		d := &Node{
-			index: i,
-			Name:  fmt.Sprintf("b%04d", i),
-			Addr:  fmt.Sprintf("127.8.%d.%d:7000", i/250, i%250+1),
-			clock: 1000,
+		node := &Node{
+			index:      i,
+			Name:       fmt.Sprintf("b%04d", i),
+			Addr:       fmt.Sprintf("127.8.%d.%d:7000", i/250, i%250+1),
+			generation: 1000,
 		}
-		w.Nodes = append(w.Nodes, d)
-		w.byAddr[d.Addr] = d
+		w.Nodes = append(w.Nodes, node)
+		w.byAddr[node.Addr] = node
 	}
 	for i := range w.Nodes {
 		if err := w.Start(i); err != nil {
@@ -115,135 +116,136 @@
 	return w, nil
 }
 
-// Start has a member begin, with nothing known but the join list.
+// Start starts member i, which initially knows only its join list.
 func (w *World) Start(i int) (err error) {
-	d := w.Nodes[i]
-	d.starts++
-	d.clock += 1000
+	node := w.Nodes[i]
+	node.starts++
+	node.generation += 1000
 	cfg := membership.Config{
 		Cluster:     "c",
-		Name:        d.Name,
-		Addr:        d.Addr,
-		PeerTimeout: w.SilentAfter,
+		Name:        node.Name,
+		Addr:        node.Addr,
+		PeerTimeout: w.PeerTimeout,
 		MaxMembers:  4096,
 		SignalBytes: 4096,
-		Generation:  d.clock,
+		Generation:  node.generation,
 		Seed:        w.rng.Uint64(),
 		Join:        []string{w.Nodes[0].Addr, w.Nodes[min(1, len(w.Nodes)-1)].Addr},
 	}
-	d.M, err = membership.New(cfg)
-	d.Stopped, d.waiting = false, nil
+	node.M, err = membership.New(cfg)
+	node.Stalled, node.received = false, nil
 	return err
 }
 
-// Kill ends a member at once; Stop has one stand still (On) or go on; what comes meanwhile waits, as far as there
-// is room.
+// Kill stops member i without notice to the others, until Start is called for it.
 func (w *World) Kill(i int) { w.Nodes[i].M = nil }
 
-// Stop has a member stand still, or go on.
-func (w *World) Stop(i int, on bool) {
-	d := w.Nodes[i]
-	d.Stopped = on
-	if !on && d.M != nil {
-		for _, r := range d.waiting {
+// SetStalled stalls or resumes member i. Up to 256 messages received in the meantime are delivered when it resumes.
+func (w *World) SetStalled(i int, on bool) {
+	node := w.Nodes[i]
+	node.Stalled = on
+	if !on && node.M != nil {
+		for _, r := range node.received {
 			w.step(i, r)
 		}
-		d.waiting = nil
+		node.received = nil
 	}
 }
 
-// Cut has messages from one member to another lost, or pass again. Lossy has a member lose a part of all, both ways.
-func (w *World) Cut(from, to int, on bool) { w.cut[[2]int{from, to}] = on }
+// SetLinkCut cuts or restores the link in the direction from one member to another.
+func (w *World) SetLinkCut(from, to int, on bool) { w.cutLinks[[2]int{from, to}] = on }
 
-// Lossy has a member lose a part of what it sends and gets.
-func (w *World) Lossy(i int, part float64) { w.Nodes[i].loss = part }
+// SetLossRate sets the probability of loss for the messages that member i sends or receives.
+func (w *World) SetLossRate(i int, rate float64) { w.Nodes[i].lossRate = rate }
 
-// Set gives a signal.
-func (w *World) Set(i int, key string, value []byte, life time.Duration) {
-	if w.Nodes[i].M != nil && !w.Nodes[i].Stopped {
-		w.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: life})
+// Set sets a signal of member i, unless it is dead or stalled.
+func (w *World) Set(i int, key string, value []byte, lifetime time.Duration) {
+	if w.Nodes[i].M != nil && !w.Nodes[i].Stalled {
+		w.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: lifetime})
 	}
 }
 
-// Leave has a member say that it leaves.
+// Leave announces that member i is leaving, or that it stays after all.
 func (w *World) Leave(i int, on bool) { w.step(i, membership.Leave{On: on}) }
 
-// Run lets time pass.
+// Run advances the time by d, delivers messages and ticks the members.
 func (w *World) Run(d time.Duration) {
 	for end := w.Now + d; w.Now < end; {
 		w.Now += w.Tick
-		for len(w.q) > 0 && w.q[0].at <= w.Now {
-			p := heap.Pop(&w.q).(packet)
+		for len(w.packets) > 0 && w.packets[0].arrivesAt <= w.Now {
+			next := heap.Pop(&w.packets).(packet)
 			switch {
-			case p.to.M == nil:
-			case p.to.Stopped:
-				if len(p.to.waiting) < 256 {
-					p.to.waiting = append(p.to.waiting, p.r)
+			case next.to.M == nil:
+			case next.to.Stalled:
+				if len(next.to.received) < 256 {
+					next.to.received = append(next.to.received, next.message)
 				}
 			default:
-				w.step(p.to.index, p.r)
+				w.step(next.to.index, next.message)
 			}
 		}
 		for i, d := range w.Nodes {
-			if d.M != nil && !d.Stopped {
+			if d.M != nil && !d.Stalled {
 				w.step(i, membership.Tick{})
 			}
 		}
 	}
 }
 
-func (w *World) step(i int, ev membership.Event) {
-	d := w.Nodes[i]
-	if d.M == nil {
+func (w *World) step(i int, event membership.Event) {
+	node := w.Nodes[i]
+	if node.M == nil {
 		return
 	}
-	for _, e := range d.M.Step(w.Now, ev, nil) {
+	for _, e := range node.M.Step(w.Now, event, nil) {
 		switch e := e.(type) {
 		case membership.Send:
 			w.send(i, e)
 		case membership.Changed:
 			if w.Changes != nil {
-				w.Changes(d, e)
+				w.Changes(node, e)
 			}
 		}
 	}
 }
 
 func (w *World) send(from int, e membership.Send) {
-	b, err := membership.Encode(e.Message)
+	encoded, err := membership.Encode(e.Message)
 	if err != nil {
-		w.fault("%s sends what can't be sent: %v", w.Nodes[from].Name, err)
+		w.fault("%s sent a message that cannot be encoded: %v", w.Nodes[from].Name, err)
 		return
 	}
-	w.Bytes += int64(len(b))
-	w.Nodes[from].sent += int64(len(b))
-	d := w.byAddr[e.To]
-	if d == nil {
+	w.Bytes += int64(len(encoded))
+	w.Nodes[from].sentBytes += int64(len(encoded))
+	receiver := w.byAddr[e.To]
+	if receiver == nil {
 		return
 	}
-	to := d.index
-	if w.cut[[2]int{from, to}] || w.lost(w.Net.Loss) || w.lost(w.Nodes[from].loss) || w.lost(d.loss) {
+	to := receiver.index
+	if w.cutLinks[[2]int{from, to}] || w.happens(w.Net.Loss) ||
+		w.happens(w.Nodes[from].lossRate) || w.happens(receiver.lossRate) {
 		return
 	}
-	for range 1 + w.chance(w.Net.Double) {
-		g, err := membership.Decode(b)
+	for range 1 + w.oneWithProbability(w.Net.Double) {
+		message, err := membership.Decode(encoded)
 		if err != nil {
-			w.fault("%s sends what can't be read: %v", w.Nodes[from].Name, err)
+			w.fault("%s sent a message that cannot be decoded: %v", w.Nodes[from].Name, err)
 			return
 		}
-		w.seq++
+		w.lastSequence++
 		heap.Push(
-			&w.q,
-			packet{at: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)), seq: w.seq, to: d, from: from,
-				r: membership.Received{Message: g, Size: len(b)}},
+			&w.packets,
+			packet{arrivesAt: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)),
+				sequence: w.lastSequence, to: receiver, from: from,
+				message: membership.Received{Message: message, Size: len(encoded)}},
 		)
 	}
 }
 
-func (w *World) lost(p float64) bool { return p > 0 && w.rng.Float64() < p }
+func (w *World) happens(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-func (w *World) chance(p float64) int {
-	if w.lost(p) {
+func (w *World) oneWithProbability(p float64) int {
+	if w.happens(p) {
 		return 1
 	}
 	return 0
@@ -255,82 +257,85 @@
 	}
 }
 
-// Sent is how many bytes a member has sent.
-func (w *World) Sent(i int) int64 { return w.Nodes[i].sent }
+// SentBytes returns the number of bytes that member i has sent.
+func (w *World) SentBytes(i int) int64 { return w.Nodes[i].sentBytes }
 
-// Agreed tells what is missing until every living member holds every other living one alive (or leaving), and every
-// dead one gone; "" if nothing is.
-func (w *World) Agreed() string {
-	for i, d := range w.Nodes {
-		if d.M == nil || d.Stopped {
+// Disagreement describes the first view found in which a running member is not alive or leaving by its current
+// generation, or a dead or stalled one is not gone. It returns "" if all running members agree.
+func (w *World) Disagreement() string {
+	for i, node := range w.Nodes {
+		if node.M == nil || node.Stalled {
 			continue
 		}
-		held := make(map[string]membership.Record, len(w.Nodes))
-		if d.M.EachMember(func(r membership.Record) { held[r.Name] = r }) {
-			return d.Name + "'s view is old"
+		known := make(map[string]membership.Record, len(w.Nodes))
+		if node.M.EachMember(func(r membership.Record) { known[r.Name] = r }) {
+			return node.Name + "'s view is stale"
 		}
-		for j, o := range w.Nodes {
-			r, known := held[o.Name]
-			switch lives := o.M != nil && !o.Stopped; {
+		for j, other := range w.Nodes {
+			r, exists := known[other.Name]
+			switch running := other.M != nil && !other.Stalled; {
 			case i == j:
-			case lives && !known:
-				return fmt.Sprintf("%s does not know %s", d.Name, o.Name)
-			case lives && r.State >= membership.Suspect:
-				return fmt.Sprintf("%s holds %s, who lives, to be %v", d.Name, o.Name, r.State)
-			case lives && r.Generation != o.M.Self().Generation:
-				return fmt.Sprintf("%s knows %s by an earlier start", d.Name, o.Name)
-			case !lives && known && r.State != membership.Gone:
-				return fmt.Sprintf("%s holds %s, who is dead, to be %v", d.Name, o.Name, r.State)
+			case running && !exists:
+				return fmt.Sprintf("%s does not know %s", node.Name, other.Name)
+			case running && r.State >= membership.Suspect:
+				return fmt.Sprintf("%s sees running member %s as %v", node.Name, other.Name, r.State)
+			case running && r.Generation != other.M.Self().Generation:
+				return fmt.Sprintf("%s knows %s by an earlier generation", node.Name, other.Name)
+			case !running && exists && r.State != membership.Gone:
+				return fmt.Sprintf("%s sees dead member %s as %v", node.Name, other.Name, r.State)
 			}
 		}
 	}
 	return ""
 }
 
-// Settle runs until all agree, and returns how long that took, or what was missing when the time was over.
-func (w *World) Settle(most time.Duration) (time.Duration, string) {
-	began, missing := w.Now, ""
-	for w.Now-began < most {
-		if missing = w.Agreed(); missing == "" {
-			return w.Now - began, ""
+// Settle runs until all members agree and returns the time that took. If they don't agree within the limit, it also
+// returns the disagreement.
+func (w *World) Settle(limit time.Duration) (time.Duration, string) {
+	start, disagreement := w.Now, ""
+	for w.Now-start < limit {
+		if disagreement = w.Disagreement(); disagreement == "" {
+			return w.Now - start, ""
 		}
-		w.Watch()
-		w.Run(w.SilentAfter / 12)
+		w.CheckSignals()
+		w.Run(w.PeerTimeout / 12)
 	}
-	return most, missing
+	return limit, disagreement
 }
 
-// Watch looks at all signals that members hold: none may go back, nor be held beyond its life.
-func (w *World) Watch() {
-	for _, d := range w.Nodes {
-		if d.M == nil || d.Stopped {
+// CheckSignals records a fault for each signal that has gone back to an earlier version or is visible after its
+// lifetime, and for each member with more than 4096 bytes of signals.
+func (w *World) CheckSignals() {
+	for _, node := range w.Nodes {
+		if node.M == nil || node.Stalled {
 			continue
 		}
-		for _, o := range d.M.View().Members {
-			bytes := 0
-			for _, s := range o.Signals {
-				bytes += len(s.Key) + len(s.Value)
-				key := observationKey{d, d.starts, o.Name, s.Key}
-				was := w.seen[key]
-				if o.Generation < was.generation || o.Generation == was.generation && s.Version < was.version {
+		for _, other := range node.M.View().Members {
+			size := 0
+			for _, s := range other.Signals {
+				size += len(s.Key) + len(s.Value)
+				key := observationKey{node, node.starts, other.Name, s.Key}
+				previous := w.latestSeen[key]
+				if other.Generation < previous.generation ||
+					other.Generation == previous.generation && s.Version < previous.version {
 					w.fault(
-						"%s went back with %s of %s: generation %d version %d after %d, %d",
-						d.Name,
+						"%s went back with signal %s of %s: generation %d version %d after generation %d version %d",
+						node.Name,
 						s.Key,
-						o.Name,
-						o.Generation,
+						other.Name,
+						other.Generation,
 						s.Version,
-						was.generation,
-						was.version,
+						previous.generation,
+						previous.version,
 					)
 				}
 				if s.Age >= s.Lifetime {
-					w.fault("%s holds %s of %s beyond its life", d.Name, s.Key, o.Name)
+					w.fault("%s has signal %s of %s beyond its lifetime", node.Name, s.Key, other.Name)
 				}
-				w.seen[key] = signalVersion{o.Generation, s.Version}
+				w.latestSeen[key] = signalVersion{other.Generation, s.Version}
 			}
-			if bytes > 4096 {
-				w.fault("%s holds %d bytes of %s's signals", d.Name, bytes, o.Name)
+			if size > 4096 {
+				w.fault("%s has %d bytes of signals of %s, over the limit of 4096", node.Name, size, other.Name)
 			}
 		}
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -8,10 +8,11 @@
 	"oatloft/internal/failpoint"
 )
 
-// syncPartBytes is the room for records and signals in a message that answers a Sync, in bytes.
+// syncPartBytes is the space for records and signals in one message that answers a Sync, in bytes. The rest of
+// MaxPacket is for the message's other fields.
 const syncPartBytes = MaxPacket - 200
 
-// join asks those addresses of the join list for everything at which no present member is listed.
+// join sends a Sync to each address of the join list at which no present member is listed.
 func (m *Machine) join() {
 	m.schedule.joinAt = m.now + m.cfg.PeerTimeout/2 + m.jitter(m.cfg.PeerTimeout)
 	listed := map[string]bool{m.self.Addr: true}
@@ -29,22 +30,22 @@
 	}
 }
 
-// requestSyncs asks some random members for everything.
+// requestSyncs sends a Sync to up to count random members.
 func (m *Machine) requestSyncs(count int) {
-	for _, to := range m.randomMembers(count, notGone) {
+	for _, to := range m.randomMembers(count, isNotGone) {
 		m.requestSync(to)
 	}
 }
 
-// requestSync asks a member for everything that it knows.
+// requestSync asks a member for all its records and signals.
 func (m *Machine) requestSync(name string) {
 	m.Counters.Syncs++
 	m.probing.syncSequence++
 	m.send(name, &Message{Kind: Sync, Sequence: m.probing.syncSequence})
 }
 
-// answerSync answers a Sync with everything, in as many messages as it takes. The last one does not end the
-// receiver's stale view if this member's own view is stale.
+// answerSync answers a Sync with all records and signals, in as many messages as needed. If this member's own view is
+// stale, the last message is not marked as such, so that it does not end the receiver's stale view.
 func (m *Machine) answerSync(g *Message) {
 	records := m.allRecords()
 	answer := &syncAnswer{machine: m, to: m.route(g.From.Name, g.From.Addr), sequence: g.Sequence}
@@ -61,20 +62,20 @@
 	m.sendTo(answer.to, answer.part)
 }
 
-// syncAnswer collects the messages that answer a Sync.
+// syncAnswer builds and sends the messages that answer a Sync.
 type syncAnswer struct {
 	machine   *Machine
 	to        string
 	sequence  uint32
 	part      *Message
-	freeBytes int // in part
+	freeBytes int // left in part
 }
 
 func (a *syncAnswer) begin() {
 	a.part, a.freeBytes = &Message{Kind: Gossip, Sequence: a.sequence}, syncPartBytes
 }
 
-// reserve makes sure that the part has so many bytes left: it sends one that is full.
+// reserve takes size bytes of the current part. If they don't fit, it sends the part and begins another one.
 func (a *syncAnswer) reserve(size int) {
 	if a.freeBytes < size {
 		a.machine.sendTo(a.to, a.part)
@@ -83,7 +84,7 @@
 	a.freeBytes -= size
 }
 
-// allRecords returns this member's record and those of all others, by name.
+// allRecords returns the records of this member and of all others, sorted by name.
 func (m *Machine) allRecords() []Record {
 	records := []Record{m.self}
 	for _, o := range m.members {
@@ -93,11 +94,11 @@
 	return records
 }
 
-// allSignals returns the live signals of some members, by owner and key.
+// allSignals returns the unexpired signals of the given members, sorted by owner and key.
 func (m *Machine) allSignals(owners []Record) (signals []SignalRecord) {
 	for _, owner := range owners {
 		for _, s := range m.signals[owner.Name] {
-			if m.now-s.givenAt < s.lifetime() {
+			if m.now-s.setAt < s.lifetime() {
 				signals = append(signals, m.withAge(s))
 			}
 		}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// View is what a member knows at one time.
+// View is a snapshot of the cluster as one member sees it.
 type View struct {
-	At         time.Duration
+	At         time.Duration // time of the snapshot, by this member's clock
 	Self       Record
-	Stale      bool // this process stood still: nothing in the view may be acted on yet
-	Isolated   bool // nothing has been received for as long as a member may be silent
-	Superseded bool // another process goes by this name
+	Stale      bool // this process has not run for a while: the view must not be acted on yet
+	Isolated   bool // nothing has been received for PeerTimeout
+	Superseded bool // another process has taken over this name
 	Members    []MemberView
-	Slowdown   int // further times its usual intervals by which this member has slowed down
-	SignalsOut int // signals of its own
+	Slowdown   int // this member's intervals are 1+Slowdown times their usual length
+	SignalsOut int // number of this member's own signals
 }
 
-// MemberView is one other member.
+// MemberView is another member in a View.
 type MemberView struct {
 	Record
-	InState      time.Duration // how long it has been in its state
+	InState      time.Duration // time since it entered its state or generation
 	LastReceived time.Duration // time of the last message from it; 0 if none
 	Signals      []SignalView
 }
 
-// SignalView is a signal within its lifetime.
+// SignalView is an unexpired signal in a View.
 type SignalView struct {
 	Key      string
 	Version  uint64
@@ -35,7 +35,7 @@
 	Value    []byte
 }
 
-// View returns what is known now.
+// View returns a snapshot of the current state.
 func (m *Machine) View() View {
 	v := View{
 		At:         m.now,
@@ -58,10 +58,10 @@
 	return v
 }
 
-// liveSignals returns the signals of a member that are within their lifetimes.
+// liveSignals returns the unexpired signals of a member, sorted by key.
 func (m *Machine) liveSignals(owner string) (list []SignalView) {
 	for _, s := range m.signals[owner] {
-		age := m.now - s.givenAt
+		age := m.now - s.setAt
 		if age >= s.lifetime() {
 			continue
 		}
@@ -71,7 +71,7 @@
 	return list
 }
 
-// EachMember calls visit for each other member, in no order, and tells whether the view is stale.
+// EachMember calls visit for each other member, in no particular order, and reports whether the view is stale.
 func (m *Machine) EachMember(visit func(Record)) (stale bool) {
 	for _, o := range m.members {
 		visit(o.Record)
@@ -79,5 +79,5 @@
 	return m.stall.stale
 }
 
-// Self returns what this member says of itself.
+// Self returns this member's own record.
 func (m *Machine) Self() Record { return m.self }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -6,28 +6,34 @@
 	"oatloft/internal/hint"
 )
 
-// A message travels in protobuf's wire format, by this schema:
+// Messages are encoded in the protobuf wire format with this schema:
 //
 //	message Record  { string name = 1; string addr = 2; uint64 generation = 3; uint32 incarnation = 4;
 //	                  uint32 state = 5; }
 //	message Signal  { string owner = 1; uint64 generation = 2; string key = 3; uint64 version = 4; uint32 age_ms = 5;
-//	                  uint32 life_ms = 6; bytes value = 7; }
-//	message Message { uint32 form = 1; string cluster = 2; Record from = 3; uint32 kind = 4; uint32 seq = 5;
-//	                  string target = 6; bool last = 7; repeated Record members = 8; repeated Signal signals = 9; }
+//	                  uint32 lifetime_ms = 6; bytes value = 7; }
+//	message Message { uint32 format_version = 1; string cluster = 2; Record from = 3; uint32 kind = 4;
+//	                  uint32 sequence = 5; string target = 6; bool last = 7; repeated Record members = 8;
+//	                  repeated Signal signals = 9; }
 //
-// Figures that are 0 and texts that are empty are left out, unknown fields are passed over: a later form can add
-// some. Nothing that comes from outside may ask for much: a datagram is bounded, and all in it is a part of it.
+// Numbers that are 0 and empty strings are omitted. Unknown fields are skipped, so that a later format version can add
+// fields. Decoding allocates no more than a datagram can contain, whose length is limited.
 
-// MalformedMessage is a datagram or signal that no balancer of this form would send. It is dropped and counted.
+// MalformedMessage is returned for a datagram or signal that no balancer of this format version sends. The receiver
+// drops and counts it.
 type MalformedMessage struct{ hint.Annotated }
 
-const unknownSenderHint = "see what else sends to the peers' address, " +
-	"and that all balancers run versions that know each other"
+const unknownSenderHint = "check which other programs send to the peers address, " +
+	"and that all balancers run compatible versions"
 
 var (
-	errTooLong   error = &MalformedMessage{hint.Annotated{What: "longer than a packet may be", Do: unknownSenderHint}}
-	errMalformed error = &MalformedMessage{hint.Annotated{What: "not in the wire format", Do: unknownSenderHint}}
-	errLongName  error = &MalformedMessage{hint.Annotated{What: "a name longer than names are", Do: unknownSenderHint}}
+	errPacketTooLong error = &MalformedMessage{
+		hint.Annotated{What: "longer than the maximum packet size", Do: unknownSenderHint},
+	}
+	errMalformed   error = &MalformedMessage{hint.Annotated{What: "not in the wire format", Do: unknownSenderHint}}
+	errNameTooLong error = &MalformedMessage{
+		hint.Annotated{What: "a name longer than the maximum name length", Do: unknownSenderHint},
+	}
 )
 
 func appendNumber(b []byte, field protowire.Number, v uint64) []byte {
@@ -63,7 +69,7 @@
 	return appendText(b, 7, s.Value)
 }
 
-// Encode writes a message. One longer than the bound is an error: the machine keeps its messages within it.
+// Encode returns the encoding of a message. It is an error if that exceeds MaxPacket; a Machine's messages never do.
 func Encode(g *Message) ([]byte, error) {
 	b := appendNumber(make([]byte, 0, MaxPacket), 1, uint64(g.FormatVersion))
 	b = appendText(b, 2, g.Cluster)
@@ -79,13 +85,13 @@
 		b = protowire.AppendBytes(protowire.AppendTag(b, 9, protowire.BytesType), g.Signals[i].encode())
 	}
 	if len(b) > MaxPacket {
-		return b, errTooLong
+		return b, errPacketTooLong
 	}
 	return b, nil
 }
 
-// eachField calls of for each field: v for a figure, part for a text or a message.
-func eachField(b []byte, of func(field protowire.Number, v uint64, part []byte) error) error {
+// eachField calls visit for each field, with v for a number and part for a string, bytes or a nested message.
+func eachField(b []byte, visit func(field protowire.Number, v uint64, part []byte) error) error {
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -99,7 +105,7 @@
 			v, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
 			part, n = protowire.ConsumeBytes(b)
-		default: // of a later form: groups and fixed ones are not in this one
+		default: // of a later format version: this one has no groups or fixed-size fields
 			n = protowire.ConsumeFieldValue(field, kind, b)
 			field = 0
 		}
@@ -107,14 +113,14 @@
 			return errMalformed
 		}
 		b = b[n:]
-		if err := of(field, v, part); err != nil {
+		if err := visit(field, v, part); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// assign takes a figure that has to fit a smaller type.
+// assign converts a number to a smaller type, and returns an error if it doesn't fit.
 func assign[T uint8 | uint32](to *T, v uint64) error {
 	if *to = T(v); uint64(*to) != v {
 		return errMalformed
@@ -162,10 +168,10 @@
 	})
 }
 
-// Decode reads a datagram. What is not whole or is longer than a packet may be is an error.
+// Decode parses a datagram. A truncated one, or one longer than MaxPacket, is an error.
 func Decode(b []byte) (g Message, err error) {
 	if len(b) > MaxPacket {
-		return g, errTooLong
+		return g, errPacketTooLong
 	}
 	err = eachField(b, func(field protowire.Number, v uint64, part []byte) error {
 		switch field {
@@ -194,7 +200,7 @@
 	})
 	if err == nil &&
 		(len(g.From.Name) > MaxName || len(g.From.Addr) > MaxName || len(g.Cluster) > MaxName || len(g.Target) > MaxName) {
-		err = errLongName
+		err = errNameTooLong
 	}
 	return g, err
 }
