--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -1,6 +1,6 @@
 package membership
 
-// Counters counts the activity of a member since its start. The JSON keys are read by other programs.
+// Counters counts the activity of a member since its start. The JSON keys must not change.
 type Counters struct {
 	In       int64 `json:"In"`  // messages
 	Out      int64 `json:"Out"` // messages
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -196,10 +196,10 @@
 	}
 	w.Run(2 * peerTimeout)
 	w.CheckSignals()
-	for _, d := range w.Nodes {
-		for _, o := range d.M.View().Members {
+	for _, node := range w.Nodes {
+		for _, o := range node.M.View().Members {
 			if len(o.Signals) != 12 || string(o.Signals[0].Value) != "39" || o.Signals[0].Age < 2*peerTimeout {
-				t.Fatalf("%s has wrong signals of %s: %+v", d.Name, o.Name, o.Signals)
+				t.Fatalf("%s has wrong signals of %s: %+v", node.Name, o.Name, o.Signals)
 			}
 		}
 	}
@@ -250,8 +250,8 @@
 	if !w.Nodes[3].M.View().Superseded {
 		t.Fatal("the earlier process is not superseded")
 	}
-	if o := w.Nodes[0].M.View().Members[2]; o.Addr != "127.8.9.9:7000" {
-		t.Errorf("the others have the record %+v", o)
+	if record := w.Nodes[0].M.View().Members[2]; record.Addr != "127.8.9.9:7000" {
+		t.Errorf("the others have the record %+v", record)
 	}
 	w.Run(6 * peerTimeout) // the later process never answers, is declared gone, and loses the name
 	if v := w.Nodes[3].M.View(); v.Superseded || v.Self.Generation <= 1<<40 {
@@ -356,7 +356,7 @@
 // Any datagram is decoded or rejected. What is decoded must not make the machine exceed MaxMembers or send messages
 // longer than MaxPacket.
 func FuzzDatagram(f *testing.F) {
-	good, err := membership.Encode(
+	valid, err := membership.Encode(
 		&membership.Message{
 			FormatVersion: membership.FormatVersion,
 			Cluster:       "c",
@@ -370,8 +370,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
-	f.Add(good[:len(good)/2])
+	f.Add(valid)
+	f.Add(valid[:len(valid)/2])
 	f.Add([]byte{0x9f})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -29,8 +29,8 @@
 	suspectDeadline time.Duration // time at which the suspect is declared gone
 }
 
-// mergeRecord merges a record that member by has sent. The result depends neither on the order of records nor on
-// repetitions.
+// mergeRecord merges a record that member by, which can be this one, reports for a reason. The result depends neither
+// on the order of records nor on repetitions.
 func (m *Machine) mergeRecord(r Record, reason, by string) {
 	if r.Name == m.self.Name {
 		m.handleOwnRecord(r)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -42,7 +42,7 @@
 	Owner      string
 	Generation uint64
 	Key        string
-	Version    uint64 // counts all signals set in the owner's generation
+	Version    uint64 // increases with each signal that the owner sets
 	AgeMS      uint32
 	LifetimeMS uint32
 	Value      []byte
--- a/internal/membership/reading.go
+++ b/internal/membership/reading.go
@@ -37,18 +37,18 @@
 }
 
 var errMalformedReading error = &MalformedMessage{
-	hint.Annotated{What: "a reading is not three numbers in range", Do: unknownSenderHint},
+	hint.Annotated{What: "a reading is not three numbers in range", Do: malformedMessageHint},
 }
 
 // ParseReading parses the value of a signal. The error is *MalformedMessage.
 func ParseReading(value []byte) (Reading, error) {
-	words := strings.Fields(string(value))
-	if len(words) != readingFieldCount {
+	fields := strings.Fields(string(value))
+	if len(fields) != readingFieldCount {
 		return Reading{}, errMalformedReading
 	}
-	load, loadErr := strconv.ParseFloat(words[0], 64)
-	ageMS, ageErr := strconv.ParseInt(words[1], 10, 32)
-	failed, failedErr := strconv.ParseInt(words[2], 10, 32)
+	load, loadErr := strconv.ParseFloat(fields[0], 64)
+	ageMS, ageErr := strconv.ParseInt(fields[1], 10, 32)
+	failed, failedErr := strconv.ParseInt(fields[2], 10, 32)
 	switch {
 	case errors.Join(loadErr, ageErr, failedErr) != nil,
 		math.IsNaN(load) || load < 0 || load > maxReadingLoad,
--- a/internal/membership/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -26,7 +26,7 @@
 	M          *membership.Machine
 	Stalled    bool
 	index      int
-	starts     uint64                // number of starts
+	startCount uint64                // number of starts
 	received   []membership.Received // while stalled, as in a socket buffer
 	generation uint64                // of the latest start
 	sentBytes  int64                 // bytes
@@ -56,14 +56,16 @@
 // observationKey identifies a signal as seen by an observer since its latest start.
 type observationKey struct {
 	observer   *Node
-	starts     uint64
+	start      uint64
 	owner, key string
 }
 
+// signalVersion is a version of a signal in a generation of its owner.
 type signalVersion struct {
 	generation, version uint64
 }
 
+// packet is a message in transit.
 type packet struct {
 	arrivesAt time.Duration
 	sequence  int
@@ -72,6 +74,7 @@
 	message   membership.Received
 }
 
+// packetQueue is a heap of packets by time of arrival, and by sequence among equal ones.
 type packetQueue []packet
 
 func (q packetQueue) Len() int { return len(q) }
@@ -119,7 +122,7 @@
 // Start starts member i, which initially knows only its join list.
 func (w *World) Start(i int) (err error) {
 	node := w.Nodes[i]
-	node.starts++
+	node.startCount++
 	node.generation += 1000
 	cfg := membership.Config{
 		Cluster:     "c",
@@ -184,8 +187,8 @@
 				w.step(next.to.index, next.message)
 			}
 		}
-		for i, d := range w.Nodes {
-			if d.M != nil && !d.Stalled {
+		for i, node := range w.Nodes {
+			if node.M != nil && !node.Stalled {
 				w.step(i, membership.Tick{})
 			}
 		}
@@ -242,8 +245,10 @@
 	}
 }
 
+// happens returns true with probability p.
 func (w *World) happens(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
+// oneWithProbability returns 1 with probability p, and 0 otherwise.
 func (w *World) oneWithProbability(p float64) int {
 	if w.happens(p) {
 		return 1
@@ -314,7 +319,7 @@
 			size := 0
 			for _, s := range other.Signals {
 				size += len(s.Key) + len(s.Value)
-				key := observationKey{node, node.starts, other.Name, s.Key}
+				key := observationKey{node, node.startCount, other.Name, s.Key}
 				previous := w.latestSeen[key]
 				if other.Generation < previous.generation ||
 					other.Generation == previous.generation && s.Version < previous.version {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -23,16 +23,16 @@
 // drops and counts it.
 type MalformedMessage struct{ hint.Annotated }
 
-const unknownSenderHint = "check which other programs send to the peers address, " +
+const malformedMessageHint = "check which other programs send to the peers address, " +
 	"and that all balancers run compatible versions"
 
 var (
 	errPacketTooLong error = &MalformedMessage{
-		hint.Annotated{What: "longer than the maximum packet size", Do: unknownSenderHint},
+		hint.Annotated{What: "longer than the maximum packet size", Do: malformedMessageHint},
 	}
-	errMalformed   error = &MalformedMessage{hint.Annotated{What: "not in the wire format", Do: unknownSenderHint}}
+	errMalformed   error = &MalformedMessage{hint.Annotated{What: "not in the wire format", Do: malformedMessageHint}}
 	errNameTooLong error = &MalformedMessage{
-		hint.Annotated{What: "a name longer than the maximum name length", Do: unknownSenderHint},
+		hint.Annotated{What: "a name longer than the maximum name length", Do: malformedMessageHint},
 	}
 )
 
