--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -65,31 +65,31 @@
 
 // addUpdates fills a message to a member with updates. A receiver that is not alive in this member's view always gets
 // its own record, so that it can refute it. While the view is stale, no other updates are sent.
-func (m *Machine) addUpdates(g *Message, to string) {
+func (m *Machine) addUpdates(message *Message, to string) {
 	if o := m.members[to]; o != nil && o.State != Alive {
-		g.Members = append(g.Members, o.Record)
+		message.Members = append(message.Members, o.Record)
 	}
 	if m.stall.stale {
 		return
 	}
 	// All records come before signals: a suspect has to learn of the suspicion, and the others of its refutation.
-	freeBytes := m.freeBytes(g)
+	freeBytes := m.freeBytes(message)
 	var sent []queuedUpdate
 	for kind := range m.updates.queues {
 		for times := range m.updates.queues[kind] {
-			sent = m.addQueuedUpdates(g, &m.updates.queues[kind][times], &freeBytes, sent)
+			sent = m.addQueuedUpdates(message, &m.updates.queues[kind][times], &freeBytes, sent)
 		}
 	}
 	m.countTransmissions(sent) // after the loop, or an update could be added to the message twice
 }
 
 // freeBytes returns the number of bytes that can be added to a message.
-func (m *Machine) freeBytes(g *Message) int {
-	free := MaxPacket - messageOverhead - len(m.cfg.Cluster) - recordSize(m.self) - len(g.Target)
-	for _, r := range g.Members {
+func (m *Machine) freeBytes(message *Message) int {
+	free := MaxPacket - messageOverhead - len(m.cfg.Cluster) - recordSize(m.self) - len(message.Target)
+	for _, r := range message.Members {
 		free -= recordSize(r)
 	}
-	for _, s := range g.Signals {
+	for _, s := range message.Signals {
 		free -= signalSize(s)
 	}
 	return free
@@ -97,12 +97,12 @@
 
 // addQueuedUpdates adds the updates of a queue to a message, up to the first one that doesn't fit.
 func (m *Machine) addQueuedUpdates(
-	g *Message, queue *[]queuedUpdate, freeBytes *int, sent []queuedUpdate,
+	message *Message, queue *[]queuedUpdate, freeBytes *int, sent []queuedUpdate,
 ) []queuedUpdate {
 	taken := 0
 	for _, q := range *queue {
 		if m.updates.current(q) {
-			size, exists := m.addUpdate(g, q.updateKey, *freeBytes)
+			size, exists := m.addUpdate(message, q.updateKey, *freeBytes)
 			switch {
 			case !exists:
 				delete(m.updates.sent, q.updateKey)
@@ -122,9 +122,9 @@
 
 // addUpdate adds an update to a message and returns its size, or 0 if it doesn't fit. exists is false if the record is
 // no longer known, or the signal is gone or has expired.
-func (m *Machine) addUpdate(g *Message, k updateKey, freeBytes int) (size int, exists bool) {
+func (m *Machine) addUpdate(message *Message, k updateKey, freeBytes int) (size int, exists bool) {
 	if k.key == "" {
-		return m.addRecord(g, k.owner, freeBytes)
+		return m.addRecord(message, k.owner, freeBytes)
 	}
 	s := m.signals[k.owner][k.key]
 	if s == nil || m.now-s.setAt >= s.lifetime() {
@@ -135,11 +135,11 @@
 	if size > freeBytes {
 		return 0, true
 	}
-	g.Signals = append(g.Signals, record)
+	message.Signals = append(message.Signals, record)
 	return size, true
 }
 
-func (m *Machine) addRecord(g *Message, name string, freeBytes int) (size int, exists bool) {
+func (m *Machine) addRecord(message *Message, name string, freeBytes int) (size int, exists bool) {
 	r := m.self
 	if name != m.self.Name {
 		o := m.members[name]
@@ -152,7 +152,7 @@
 	if size > freeBytes {
 		return 0, true
 	}
-	g.Members = append(g.Members, r)
+	message.Members = append(message.Members, r)
 	return size, true
 }
 
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,24 +14,24 @@
 
 const peerTimeout = 3 * time.Second
 
-func newCluster(t *testing.T, n int, seed uint64, net stepped.Net) *stepped.World {
+func newCluster(t *testing.T, n int, seed uint64, net stepped.Net) *stepped.Cluster {
 	t.Helper()
-	w, err := stepped.New(n, seed, peerTimeout, net)
+	cluster, err := stepped.New(n, seed, peerTimeout, net)
 	if err != nil {
 		t.Fatal(err)
 	}
-	settleWithin(t, w, 3*peerTimeout)
-	return w
+	settleWithin(t, cluster, 3*peerTimeout)
+	return cluster
 }
 
-func settleWithin(t *testing.T, w *stepped.World, limit time.Duration) time.Duration {
+func settleWithin(t *testing.T, cluster *stepped.Cluster, limit time.Duration) time.Duration {
 	t.Helper()
-	took, missing := w.Settle(limit)
+	took, missing := cluster.Settle(limit)
 	if missing != "" {
 		t.Fatalf("after %v: %s", limit, missing)
 	}
-	if len(w.Faults) > 0 {
-		t.Fatal(w.Faults)
+	if len(cluster.Faults) > 0 {
+		t.Fatal(cluster.Faults)
 	}
 	return took
 }
@@ -45,14 +45,14 @@
 		for _, loss := range []float64{0, 0.1} {
 			net := lanConditions
 			net.Loss, net.Double = loss, loss/2
-			w := newCluster(t, n, uint64(n), net)
-			w.Changes = func(at *stepped.Node, c membership.Changed) {
-				if c.State == membership.Gone && c.Name != w.Nodes[n-1].Name {
+			cluster := newCluster(t, n, uint64(n), net)
+			cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+				if c.State == membership.Gone && c.Name != cluster.Nodes[n-1].Name {
 					t.Errorf("%d members, loss %v: %s declared %s gone, which is alive", n, loss, at.Name, c.Name)
 				}
 			}
-			w.Kill(n - 1)
-			if took := settleWithin(t, w, 4*peerTimeout); took > peerTimeout*3/2 {
+			cluster.Kill(n - 1)
+			if took := settleWithin(t, cluster, 4*peerTimeout); took > peerTimeout*3/2 {
 				t.Errorf("%d members, loss %v: all know of the death only after %v", n, loss, took)
 			}
 		}
@@ -63,27 +63,27 @@
 // again.
 func TestPartitionHeals(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newCluster(t, 8, seed, lanConditions)
+		cluster := newCluster(t, 8, seed, lanConditions)
 		setPartition := func(on bool) {
 			for i := range 8 {
 				for j := range 8 {
 					if i/4 != j/4 {
-						w.SetLinkCut(i, j, on)
+						cluster.SetLinkCut(i, j, on)
 					}
 				}
 			}
 		}
 		setPartition(true)
-		w.Run(8 * time.Second)
-		w.Kill(2)
-		w.Kill(6)
-		w.Run(4 * time.Second)
-		if err := w.Start(6); err != nil { // it can't reach any address of its join list
+		cluster.Run(8 * time.Second)
+		cluster.Kill(2)
+		cluster.Kill(6)
+		cluster.Run(4 * time.Second)
+		if err := cluster.Start(6); err != nil { // it can't reach any address of its join list
 			t.Fatal(err)
 		}
-		w.Run(8 * time.Second)
+		cluster.Run(8 * time.Second)
 		setPartition(false)
-		if took := settleWithin(t, w, 10*peerTimeout); took > 5*peerTimeout {
+		if took := settleWithin(t, cluster, 10*peerTimeout); took > 5*peerTimeout {
 			t.Errorf("seed %d: the halves have merged only after %v", seed, took)
 		}
 	}
@@ -91,38 +91,38 @@
 
 // A link that is cut in one direction must not get a member declared gone, because indirect probes get through.
 func TestOneWayLink(t *testing.T) {
-	w := newCluster(t, 5, 1, lanConditions)
+	cluster := newCluster(t, 5, 1, lanConditions)
 	gone := 0
-	w.Changes = func(_ *stepped.Node, c membership.Changed) {
+	cluster.Changes = func(_ *stepped.Node, c membership.Changed) {
 		if c.State == membership.Gone {
 			gone++
 		}
 	}
-	w.SetLinkCut(3, 4, true)
-	w.Run(60 * time.Second)
+	cluster.SetLinkCut(3, 4, true)
+	cluster.Run(60 * time.Second)
 	if gone > 0 {
 		t.Errorf("a live member was declared gone %d times", gone)
 	}
-	settleWithin(t, w, peerTimeout)
+	settleWithin(t, cluster, peerTimeout)
 }
 
 // A member that was stalled for 30 s must mark its view stale in its first step, disseminate nothing from it, and not
 // declare live members gone because of the stall. The others then see it alive again.
 func TestStalledMember(t *testing.T) {
-	w := newCluster(t, 5, 2, lanConditions)
-	w.SetStalled(4, true)
-	w.Run(30 * time.Second)
-	if v := w.Nodes[0].M.View(); v.Members[3].State != membership.Gone {
+	cluster := newCluster(t, 5, 2, lanConditions)
+	cluster.SetStalled(4, true)
+	cluster.Run(30 * time.Second)
+	if v := cluster.Nodes[0].M.View(); v.Members[3].State != membership.Gone {
 		t.Fatalf("the others see the stalled member as %v", v.Members[3].State)
 	}
-	w.Kill(0)
+	cluster.Kill(0)
 	becameStale := false
-	w.Changes = func(at *stepped.Node, c membership.Changed) {
-		if at.Name == w.Nodes[4].Name && c.State == membership.Gone && c.Name != w.Nodes[0].Name {
+	cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+		if at.Name == cluster.Nodes[4].Name && c.State == membership.Gone && c.Name != cluster.Nodes[0].Name {
 			t.Errorf("the stalled member declared %s gone", c.Name)
 		}
 	}
-	for _, e := range w.Nodes[4].M.Step(w.Now, membership.Tick{}, nil) {
+	for _, e := range cluster.Nodes[4].M.Step(cluster.Now, membership.Tick{}, nil) {
 		if a, ok := e.(membership.ViewStale); ok && a.On {
 			becameStale = true
 		}
@@ -130,50 +130,50 @@
 			t.Errorf("the stalled member sent stale updates: %+v", s.Message)
 		}
 	}
-	if !becameStale || !w.Nodes[4].M.View().Stale {
+	if !becameStale || !cluster.Nodes[4].M.View().Stale {
 		t.Error("the stalled member's view is not stale")
 	}
-	w.SetStalled(4, false)
-	settleWithin(t, w, 4*peerTimeout)
+	cluster.SetStalled(4, false)
+	settleWithin(t, cluster, 4*peerTimeout)
 }
 
 // A member with 90% packet loss may itself be declared gone, but must not get the other members declared gone.
 func TestMemberWithHeavyLoss(t *testing.T) {
-	w := newCluster(t, 8, 3, lanConditions)
-	w.SetLossRate(7, 0.9)
+	cluster := newCluster(t, 8, 3, lanConditions)
+	cluster.SetLossRate(7, 0.9)
 	falselyGone := map[string]int{}
-	w.Changes = func(at *stepped.Node, c membership.Changed) {
-		if c.State == membership.Gone && c.Name != w.Nodes[7].Name && at != w.Nodes[7] {
+	cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+		if c.State == membership.Gone && c.Name != cluster.Nodes[7].Name && at != cluster.Nodes[7] {
 			falselyGone[c.Name]++
 		}
 	}
-	w.Run(5 * time.Minute)
+	cluster.Run(5 * time.Minute)
 	if len(falselyGone) > 0 {
 		t.Errorf("live members declared gone, with the number of times: %v", falselyGone)
 	}
-	w.SetLossRate(7, 0)
-	settleWithin(t, w, 10*peerTimeout)
+	cluster.SetLossRate(7, 0)
+	settleWithin(t, cluster, 10*peerTimeout)
 }
 
 // When all members are killed at once and restart under the same names within 2 s, the records and signals of the
 // earlier generations must disappear.
 func TestRestartOfAllMembers(t *testing.T) {
-	w := newCluster(t, 6, 4, lanConditions)
+	cluster := newCluster(t, 6, 4, lanConditions)
 	for i := range 6 {
-		w.Set(i, "t", []byte{byte(i)}, time.Hour)
+		cluster.Set(i, "t", []byte{byte(i)}, time.Hour)
 	}
-	w.Run(peerTimeout)
+	cluster.Run(peerTimeout)
 	for i := range 6 {
-		w.Kill(i)
+		cluster.Kill(i)
 	}
-	w.Run(2 * time.Second)
+	cluster.Run(2 * time.Second)
 	for i := range 6 {
-		if err := w.Start(i); err != nil {
+		if err := cluster.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	settleWithin(t, w, 3*peerTimeout)
-	for _, o := range w.Nodes[0].M.View().Members {
+	settleWithin(t, cluster, 3*peerTimeout)
+	for _, o := range cluster.Nodes[0].M.View().Members {
 		if len(o.Signals) > 0 {
 			t.Errorf("%s has signals of its earlier generation: %v", o.Name, o.Signals)
 		}
@@ -184,57 +184,57 @@
 func TestSignalPropagation(t *testing.T) {
 	net := lanConditions
 	net.Loss, net.Double = 0.1, 0.1
-	w := newCluster(t, 10, 5, net)
+	cluster := newCluster(t, 10, 5, net)
 	for round := range 40 {
 		for i := range 10 {
 			for k := range 12 {
-				w.Set(i, fmt.Sprint("k", k), fmt.Appendf(nil, "%d", round), 20*time.Second)
+				cluster.Set(i, fmt.Sprint("k", k), fmt.Appendf(nil, "%d", round), 20*time.Second)
 			}
 		}
-		w.Run(500 * time.Millisecond)
-		w.CheckSignals()
+		cluster.Run(500 * time.Millisecond)
+		cluster.CheckSignals()
 	}
-	w.Run(2 * peerTimeout)
-	w.CheckSignals()
-	for _, node := range w.Nodes {
+	cluster.Run(2 * peerTimeout)
+	cluster.CheckSignals()
+	for _, node := range cluster.Nodes {
 		for _, o := range node.M.View().Members {
 			if len(o.Signals) != 12 || string(o.Signals[0].Value) != "39" || o.Signals[0].Age < 2*peerTimeout {
 				t.Fatalf("%s has wrong signals of %s: %+v", node.Name, o.Name, o.Signals)
 			}
 		}
 	}
-	w.Run(20 * time.Second)
-	if n := len(w.Nodes[0].M.View().Members[3].Signals); n > 0 {
+	cluster.Run(20 * time.Second)
+	if n := len(cluster.Nodes[0].M.View().Members[3].Signals); n > 0 {
 		t.Errorf("%d signals are left after their lifetime", n)
 	}
-	if len(w.Faults) > 0 {
-		t.Error(w.Faults)
+	if len(cluster.Faults) > 0 {
+		t.Error(cluster.Faults)
 	}
 	for k := range 300 { // beyond the limit: refused by their owner, not dropped by the others
-		w.Set(1, fmt.Sprint("many", k), make([]byte, 100), time.Hour)
+		cluster.Set(1, fmt.Sprint("many", k), make([]byte, 100), time.Hour)
 	}
-	w.Run(2 * peerTimeout)
-	w.CheckSignals()
-	if c := w.Nodes[1].M.Counters; c.SignalsRefused == 0 || len(w.Faults) > 0 {
-		t.Errorf("refused %d, faults %v", c.SignalsRefused, w.Faults)
+	cluster.Run(2 * peerTimeout)
+	cluster.CheckSignals()
+	if c := cluster.Nodes[1].M.Counters; c.SignalsRefused == 0 || len(cluster.Faults) > 0 {
+		t.Errorf("refused %d, faults %v", c.SignalsRefused, cluster.Faults)
 	}
 }
 
 // Of two live processes with one name, the later start keeps it. The other one is superseded and takes no part until
 // the later one is gone.
 func TestDuplicateName(t *testing.T) {
-	w := newCluster(t, 4, 6, lanConditions)
+	cluster := newCluster(t, 4, 6, lanConditions)
 	successor, err := membership.New(
-		membership.Config{Cluster: "c", Name: w.Nodes[3].Name, Addr: "127.8.9.9:7000", PeerTimeout: peerTimeout,
-			MaxMembers: 100, SignalBytes: 1000, Generation: 1 << 40, Seed: 1, Join: []string{w.Nodes[0].Addr}},
+		membership.Config{Cluster: "c", Name: cluster.Nodes[3].Name, Addr: "127.8.9.9:7000", PeerTimeout: peerTimeout,
+			MaxMembers: 100, SignalBytes: 1000, Generation: 1 << 40, Seed: 1, Join: []string{cluster.Nodes[0].Addr}},
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The later process announces itself to the others, which tell the earlier one.
 	for i := range 3 {
-		w.Nodes[i].M.Step(
-			w.Now,
+		cluster.Nodes[i].M.Step(
+			cluster.Now,
 			membership.Received{
 				Message: membership.Message{
 					FormatVersion: membership.FormatVersion,
@@ -246,18 +246,18 @@
 			nil,
 		)
 	}
-	w.Run(peerTimeout)
-	if !w.Nodes[3].M.View().Superseded {
+	cluster.Run(peerTimeout)
+	if !cluster.Nodes[3].M.View().Superseded {
 		t.Fatal("the earlier process is not superseded")
 	}
-	if record := w.Nodes[0].M.View().Members[2]; record.Addr != "127.8.9.9:7000" {
+	if record := cluster.Nodes[0].M.View().Members[2]; record.Addr != "127.8.9.9:7000" {
 		t.Errorf("the others have the record %+v", record)
 	}
-	w.Run(6 * peerTimeout) // the later process never answers, is declared gone, and loses the name
-	if v := w.Nodes[3].M.View(); v.Superseded || v.Self.Generation <= 1<<40 {
+	cluster.Run(6 * peerTimeout) // the later process never answers, is declared gone, and loses the name
+	if v := cluster.Nodes[3].M.View(); v.Superseded || v.Self.Generation <= 1<<40 {
 		t.Errorf("the earlier process has not taken the name back: %+v", v)
 	}
-	settleWithin(t, w, 3*peerTimeout)
+	settleWithin(t, cluster, 3*peerTimeout)
 }
 
 // generateMessages generates messages with records of two members and signals of the sender.
@@ -313,8 +313,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, g := range list {
-				m.Step(time.Second, membership.Received{Message: g}, nil)
+			for _, message := range list {
+				m.Step(time.Second, membership.Received{Message: message}, nil)
 			}
 			text := ""
 			for _, o := range m.View().Members {
@@ -336,19 +336,19 @@
 	if testing.Short() {
 		t.Skip("takes some seconds")
 	}
-	w, err := stepped.New(60, 1, peerTimeout, lanConditions)
+	cluster, err := stepped.New(60, 1, peerTimeout, lanConditions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	settleWithin(t, w, 20*peerTimeout)
-	w.Run(20 * time.Second)
-	before := w.Bytes
-	w.Run(10 * time.Second)
-	if rate := (w.Bytes - before) / 60 / 10; rate > 1000 {
+	settleWithin(t, cluster, 20*peerTimeout)
+	cluster.Run(20 * time.Second)
+	before := cluster.Bytes
+	cluster.Run(10 * time.Second)
+	if rate := (cluster.Bytes - before) / 60 / 10; rate > 1000 {
 		t.Errorf("%d bytes per second and member at rest", rate)
 	}
-	w.Kill(50)
-	if took := settleWithin(t, w, 4*peerTimeout); took > 2*peerTimeout {
+	cluster.Kill(50)
+	if took := settleWithin(t, cluster, 4*peerTimeout); took > 2*peerTimeout {
 		t.Errorf("all know of the death only after %v", took)
 	}
 }
@@ -375,7 +375,7 @@
 	f.Add([]byte{0x9f})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, err := membership.Decode(b)
+		message, err := membership.Decode(b)
 		if err != nil {
 			return
 		}
@@ -394,7 +394,9 @@
 			t.Fatal(err)
 		}
 		for now := range 40 {
-			for _, e := range m.Step(time.Duration(now)*peerTimeout/20, membership.Received{Message: g, Size: len(b)}, nil) {
+			for _, e := range m.Step(
+				time.Duration(now)*peerTimeout/20, membership.Received{Message: message, Size: len(b)}, nil,
+			) {
 				if s, ok := e.(membership.Send); ok {
 					if _, err := membership.Encode(s.Message); err != nil {
 						t.Fatal(err)
@@ -412,15 +414,15 @@
 // All members stall at once, as on a paused host. Each then has a stale view, and without a timeout each would wait
 // forever for an answer from a member whose view is not stale. Found by generated fault injection.
 func TestAllMembersStall(t *testing.T) {
-	w := newCluster(t, 4, 7, lanConditions)
+	cluster := newCluster(t, 4, 7, lanConditions)
 	for i := range 4 {
-		w.SetStalled(i, true)
+		cluster.SetStalled(i, true)
 	}
-	w.Run(10 * time.Second)
+	cluster.Run(10 * time.Second)
 	for i := range 4 {
-		w.SetStalled(i, false)
+		cluster.SetStalled(i, false)
 	}
-	if took := settleWithin(t, w, 10*peerTimeout); took > 2*peerTimeout {
+	if took := settleWithin(t, cluster, 10*peerTimeout); took > 2*peerTimeout {
 		t.Errorf("the members agree only after %v", took)
 	}
 }
@@ -434,23 +436,23 @@
 		if net.Double = 0.3; seed%2 == 0 {
 			net.Jitter = 600 * time.Millisecond
 		}
-		w := newCluster(t, 5, seed, net)
+		cluster := newCluster(t, 5, seed, net)
 		stalled := int(seed % 5)
-		w.SetStalled(stalled, true)
+		cluster.SetStalled(stalled, true)
 		for round := range 90 {
 			for i := range 5 {
 				if round < 20 {
-					w.Set(i, fmt.Sprint("k", round%4), fmt.Appendf(nil, "%d", round), 400*time.Millisecond)
+					cluster.Set(i, fmt.Sprint("k", round%4), fmt.Appendf(nil, "%d", round), 400*time.Millisecond)
 				}
-				w.Set(i, "clock", fmt.Appendf(nil, "%d", round), 400*time.Millisecond)
+				cluster.Set(i, "clock", fmt.Appendf(nil, "%d", round), 400*time.Millisecond)
 			}
-			w.Run(100 * time.Millisecond)
-			if w.CheckSignals(); round == 70 {
-				w.SetStalled(stalled, false)
+			cluster.Run(100 * time.Millisecond)
+			if cluster.CheckSignals(); round == 70 {
+				cluster.SetStalled(stalled, false)
 			}
 		}
-		if len(w.Faults) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.Faults)
+		if len(cluster.Faults) > 0 {
+			t.Fatalf("seed %d: %v", seed, cluster.Faults)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -136,38 +136,38 @@
 }
 
 // relayPing pings a target on behalf of another member, unless too many relayed probes are pending.
-func (m *Machine) relayPing(requester string, g *Message) {
+func (m *Machine) relayPing(requester string, message *Message) {
 	maxRelayed := 4*probeRelays*len(m.members) + probeRelays
-	if m.members[g.Target] == nil || len(m.probing.relayed) >= maxRelayed {
+	if m.members[message.Target] == nil || len(m.probing.relayed) >= maxRelayed {
 		return
 	}
-	sequence := m.ping(g.Target, g.Target)
+	sequence := m.ping(message.Target, message.Target)
 	m.probing.relayed[sequence] = relayedProbe{
 		requester: requester,
-		sequence:  g.Sequence,
+		sequence:  message.Sequence,
 		deadline:  m.now + m.cfg.ackTimeout(),
-		target:    g.Target,
+		target:    message.Target,
 	}
 }
 
-func (m *Machine) handleAck(from string, g *Message) {
+func (m *Machine) handleAck(from string, message *Message) {
 	p := &m.probing
-	if relayed, ok := p.relayed[g.Sequence]; ok && relayed.target == from {
-		delete(p.relayed, g.Sequence)
+	if relayed, ok := p.relayed[message.Sequence]; ok && relayed.target == from {
+		delete(p.relayed, message.Sequence)
 		m.send(relayed.requester, &Message{Kind: Ack, Sequence: relayed.sequence, Target: from})
 		return
 	}
-	if pending := p.probes[g.Sequence]; pending != nil && pending.target == g.Target {
-		delete(p.probes, g.Sequence)
+	if pending := p.probes[message.Sequence]; pending != nil && pending.target == message.Target {
+		delete(p.probes, message.Sequence)
 		m.slowdown = max(0, m.slowdown-1)
 	}
 }
 
-func (m *Machine) handleNack(g *Message) {
+func (m *Machine) handleNack(message *Message) {
 	if failpoint.On("crash-on-nack") {
 		panic("a nack")
 	}
-	if pending := m.probing.probes[g.Sequence]; pending != nil && pending.target == g.Target {
+	if pending := m.probing.probes[message.Sequence]; pending != nil && pending.target == message.Target {
 		pending.nacks++
 	}
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -1,46 +1,47 @@
 package membership
 
 // handleMessage merges the content of a message and answers it.
-func (m *Machine) handleMessage(g *Message) {
-	if !m.accepts(g) {
+func (m *Machine) handleMessage(message *Message) {
+	if !m.accepts(message) {
 		return
 	}
 	m.lastReceivedAt = m.now
-	m.mergeMembers(g)
-	m.mergeSignals(g)
-	if m.superseded && g.Kind != Gossip {
+	m.mergeMembers(message)
+	m.mergeSignals(message)
+	if m.superseded && message.Kind != Gossip {
 		return
 	}
-	switch g.Kind {
+	switch message.Kind {
 	case Ping:
-		if g.Target != m.self.Name {
+		if message.Target != m.self.Name {
 			m.Counters.WrongTarget++
 			return
 		}
-		m.reply(g, &Message{Kind: Ack, Sequence: g.Sequence, Target: g.Target})
+		m.reply(message, &Message{Kind: Ack, Sequence: message.Sequence, Target: message.Target})
 	case IndirectPing:
-		m.relayPing(g.From.Name, g)
+		m.relayPing(message.From.Name, message)
 	case Ack:
-		m.handleAck(g.From.Name, g)
+		m.handleAck(message.From.Name, message)
 	case Nack:
-		m.handleNack(g)
+		m.handleNack(message)
 	case Sync:
-		m.answerSync(g)
+		m.answerSync(message)
 	case Gossip:
-		if g.Last && (g.Sequence == m.probing.syncSequence || m.stall.stale && m.answersCurrentSync(g)) {
+		if message.Last && (message.Sequence == m.probing.syncSequence || m.stall.stale && m.answersCurrentSync(message)) {
 			m.endStaleView()
 		}
 	}
 }
 
 // accepts reports whether a message is valid and from another member of this cluster. Rejected messages are counted.
-func (m *Machine) accepts(g *Message) bool {
+func (m *Machine) accepts(message *Message) bool {
 	switch {
-	case g.FormatVersion != FormatVersion || g.Kind >= kindCount || g.From.State > Gone:
+	case message.FormatVersion != FormatVersion || message.Kind >= kindCount || message.From.State > Gone:
 		m.Counters.Malformed++
-	case g.Cluster != m.cfg.Cluster:
+	case message.Cluster != m.cfg.Cluster:
 		m.Counters.OtherCluster++
-	case g.From.Name == m.self.Name && g.From.Generation == m.self.Generation && g.From.Addr == m.self.Addr:
+	case message.From.Name == m.self.Name && message.From.Generation == m.self.Generation &&
+		message.From.Addr == m.self.Addr:
 		m.Counters.FromSelf++
 	default:
 		return true
@@ -50,15 +51,15 @@
 
 // mergeMembers merges the sender's record and the records that it passes on. A sender without a generation has been
 // superseded by another process of its name; its own record is ignored.
-func (m *Machine) mergeMembers(g *Message) {
-	from := g.From.Name
-	if g.From.Generation > 0 {
-		m.mergeRecord(g.From, "announced by the member itself", from)
+func (m *Machine) mergeMembers(message *Message) {
+	from := message.From.Name
+	if message.From.Generation > 0 {
+		m.mergeRecord(message.From, "announced by the member itself", from)
 	}
-	if o := m.members[from]; o != nil && o.Generation == g.From.Generation {
+	if o := m.members[from]; o != nil && o.Generation == message.From.Generation {
 		o.lastReceived = m.now
 	}
-	for _, r := range g.Members {
+	for _, r := range message.Members {
 		if r.State > Gone || len(r.Name) > MaxName || len(r.Addr) > MaxName {
 			m.Counters.Malformed++
 			continue
@@ -69,9 +70,9 @@
 
 // mergeSignals merges the signals of a message. While the view is stale, only answers to a current Sync are used: other
 // messages may have waited in the socket during the stall, and the ages of their signals don't include that time.
-func (m *Machine) mergeSignals(g *Message) {
-	for _, s := range g.Signals {
-		if m.stall.stale && !m.answersCurrentSync(g) {
+func (m *Machine) mergeSignals(message *Message) {
+	for _, s := range message.Signals {
+		if m.stall.stale && !m.answersCurrentSync(message) {
 			m.Counters.SignalsDropped++
 			continue
 		}
@@ -81,13 +82,13 @@
 
 // reply sends an answer to the sender's address. It does not look the address up by name, because the sender may be
 // unknown or another process may be listed under its name.
-func (m *Machine) reply(g *Message, answer *Message) {
-	if o := m.members[g.From.Name]; o != nil {
-		if o.Addr == g.From.Addr {
-			m.send(g.From.Name, answer)
+func (m *Machine) reply(message *Message, answer *Message) {
+	if o := m.members[message.From.Name]; o != nil {
+		if o.Addr == message.From.Addr {
+			m.send(message.From.Name, answer)
 			return
 		}
 		answer.Members = append(answer.Members, o.Record) // tells the sender which process has its name
 	}
-	m.sendTo(m.route(g.From.Name, g.From.Addr), answer)
+	m.sendTo(m.route(message.From.Name, message.From.Addr), answer)
 }
--- a/internal/membership/stall.go
+++ b/internal/membership/stall.go
@@ -53,6 +53,6 @@
 }
 
 // answersCurrentSync reports whether a message answers a Sync that was requested after the last stall.
-func (m *Machine) answersCurrentSync(g *Message) bool {
-	return g.Kind == Gossip && int32(g.Sequence-m.stall.lastSyncBeforeStall) > 0 && g.Sequence != 0
+func (m *Machine) answersCurrentSync(message *Message) bool {
+	return message.Kind == Gossip && int32(message.Sequence-m.stall.lastSyncBeforeStall) > 0 && message.Sequence != 0
 }
--- a/internal/membership/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -33,8 +33,8 @@
 	lossRate   float64               // probability per message sent or received
 }
 
-// World is a simulated cluster.
-type World struct {
+// Cluster is a simulated cluster with its network and its clock.
+type Cluster struct {
 	Now   time.Duration
 	Nodes []*Node
 	Net   Net
@@ -90,8 +90,8 @@
 }
 
 // New starts n members. The join list of each has the first two.
-func New(n int, seed uint64, peerTimeout time.Duration, net Net) (*World, error) {
-	w := &World{
+func New(n int, seed uint64, peerTimeout time.Duration, net Net) (*Cluster, error) {
+	c := &Cluster{
 		Net:         net,
 		Tick:        max(peerTimeout/60, 5*time.Millisecond),
 		PeerTimeout: peerTimeout,
@@ -108,32 +108,32 @@
 			Addr:       fmt.Sprintf("127.8.%d.%d:7000", i/250, i%250+1),
 			generation: 1000,
 		}
-		w.Nodes = append(w.Nodes, node)
-		w.byAddr[node.Addr] = node
+		c.Nodes = append(c.Nodes, node)
+		c.byAddr[node.Addr] = node
 	}
-	for i := range w.Nodes {
-		if err := w.Start(i); err != nil {
+	for i := range c.Nodes {
+		if err := c.Start(i); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return c, nil
 }
 
 // Start starts member i, which initially knows only its join list.
-func (w *World) Start(i int) (err error) {
-	node := w.Nodes[i]
+func (c *Cluster) Start(i int) (err error) {
+	node := c.Nodes[i]
 	node.startCount++
 	node.generation += 1000
 	cfg := membership.Config{
 		Cluster:     "c",
 		Name:        node.Name,
 		Addr:        node.Addr,
-		PeerTimeout: w.PeerTimeout,
+		PeerTimeout: c.PeerTimeout,
 		MaxMembers:  4096,
 		SignalBytes: 4096,
 		Generation:  node.generation,
-		Seed:        w.rng.Uint64(),
-		Join:        []string{w.Nodes[0].Addr, w.Nodes[min(1, len(w.Nodes)-1)].Addr},
+		Seed:        c.rng.Uint64(),
+		Join:        []string{c.Nodes[0].Addr, c.Nodes[min(1, len(c.Nodes)-1)].Addr},
 	}
 	node.M, err = membership.New(cfg)
 	node.Stalled, node.received = false, nil
@@ -141,42 +141,42 @@
 }
 
 // Kill stops member i without notice to the others, until Start is called for it.
-func (w *World) Kill(i int) { w.Nodes[i].M = nil }
+func (c *Cluster) Kill(i int) { c.Nodes[i].M = nil }
 
 // SetStalled stalls or resumes member i. Up to 256 messages received in the meantime are delivered when it resumes.
-func (w *World) SetStalled(i int, on bool) {
-	node := w.Nodes[i]
+func (c *Cluster) SetStalled(i int, on bool) {
+	node := c.Nodes[i]
 	node.Stalled = on
 	if !on && node.M != nil {
 		for _, r := range node.received {
-			w.step(i, r)
+			c.step(i, r)
 		}
 		node.received = nil
 	}
 }
 
 // SetLinkCut cuts or restores the link in the direction from one member to another.
-func (w *World) SetLinkCut(from, to int, on bool) { w.cutLinks[[2]int{from, to}] = on }
+func (c *Cluster) SetLinkCut(from, to int, on bool) { c.cutLinks[[2]int{from, to}] = on }
 
 // SetLossRate sets the probability of loss for the messages that member i sends or receives.
-func (w *World) SetLossRate(i int, rate float64) { w.Nodes[i].lossRate = rate }
+func (c *Cluster) SetLossRate(i int, rate float64) { c.Nodes[i].lossRate = rate }
 
 // Set sets a signal of member i, unless it is dead or stalled.
-func (w *World) Set(i int, key string, value []byte, lifetime time.Duration) {
-	if w.Nodes[i].M != nil && !w.Nodes[i].Stalled {
-		w.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: lifetime})
+func (c *Cluster) Set(i int, key string, value []byte, lifetime time.Duration) {
+	if c.Nodes[i].M != nil && !c.Nodes[i].Stalled {
+		c.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: lifetime})
 	}
 }
 
 // Leave announces that member i is leaving, or that it stays after all.
-func (w *World) Leave(i int, on bool) { w.step(i, membership.Leave{On: on}) }
+func (c *Cluster) Leave(i int, on bool) { c.step(i, membership.Leave{On: on}) }
 
 // Run advances the time by d, delivers messages and ticks the members.
-func (w *World) Run(d time.Duration) {
-	for end := w.Now + d; w.Now < end; {
-		w.Now += w.Tick
-		for len(w.packets) > 0 && w.packets[0].arrivesAt <= w.Now {
-			next := heap.Pop(&w.packets).(packet)
+func (c *Cluster) Run(d time.Duration) {
+	for end := c.Now + d; c.Now < end; {
+		c.Now += c.Tick
+		for len(c.packets) > 0 && c.packets[0].arrivesAt <= c.Now {
+			next := heap.Pop(&c.packets).(packet)
 			switch {
 			case next.to.M == nil:
 			case next.to.Stalled:
@@ -184,99 +184,99 @@
 					next.to.received = append(next.to.received, next.message)
 				}
 			default:
-				w.step(next.to.index, next.message)
+				c.step(next.to.index, next.message)
 			}
 		}
-		for i, node := range w.Nodes {
+		for i, node := range c.Nodes {
 			if node.M != nil && !node.Stalled {
-				w.step(i, membership.Tick{})
+				c.step(i, membership.Tick{})
 			}
 		}
 	}
 }
 
-func (w *World) step(i int, event membership.Event) {
-	node := w.Nodes[i]
+func (c *Cluster) step(i int, event membership.Event) {
+	node := c.Nodes[i]
 	if node.M == nil {
 		return
 	}
-	for _, e := range node.M.Step(w.Now, event, nil) {
+	for _, e := range node.M.Step(c.Now, event, nil) {
 		switch e := e.(type) {
 		case membership.Send:
-			w.send(i, e)
+			c.send(i, e)
 		case membership.Changed:
-			if w.Changes != nil {
-				w.Changes(node, e)
+			if c.Changes != nil {
+				c.Changes(node, e)
 			}
 		}
 	}
 }
 
-func (w *World) send(from int, e membership.Send) {
+func (c *Cluster) send(from int, e membership.Send) {
 	encoded, err := membership.Encode(e.Message)
 	if err != nil {
-		w.fault("%s sent a message that cannot be encoded: %v", w.Nodes[from].Name, err)
+		c.fault("%s sent a message that cannot be encoded: %v", c.Nodes[from].Name, err)
 		return
 	}
-	w.Bytes += int64(len(encoded))
-	w.Nodes[from].sentBytes += int64(len(encoded))
-	receiver := w.byAddr[e.To]
+	c.Bytes += int64(len(encoded))
+	c.Nodes[from].sentBytes += int64(len(encoded))
+	receiver := c.byAddr[e.To]
 	if receiver == nil {
 		return
 	}
 	to := receiver.index
-	if w.cutLinks[[2]int{from, to}] || w.happens(w.Net.Loss) ||
-		w.happens(w.Nodes[from].lossRate) || w.happens(receiver.lossRate) {
+	if c.cutLinks[[2]int{from, to}] || c.happens(c.Net.Loss) ||
+		c.happens(c.Nodes[from].lossRate) || c.happens(receiver.lossRate) {
 		return
 	}
-	for range 1 + w.oneWithProbability(w.Net.Double) {
+	for range 1 + c.oneWithProbability(c.Net.Double) {
 		message, err := membership.Decode(encoded)
 		if err != nil {
-			w.fault("%s sent a message that cannot be decoded: %v", w.Nodes[from].Name, err)
+			c.fault("%s sent a message that cannot be decoded: %v", c.Nodes[from].Name, err)
 			return
 		}
-		w.lastSequence++
+		c.lastSequence++
 		heap.Push(
-			&w.packets,
-			packet{arrivesAt: w.Now + w.Net.Delay + time.Duration(w.rng.Float64()*float64(w.Net.Jitter)),
-				sequence: w.lastSequence, to: receiver, from: from,
+			&c.packets,
+			packet{arrivesAt: c.Now + c.Net.Delay + time.Duration(c.rng.Float64()*float64(c.Net.Jitter)),
+				sequence: c.lastSequence, to: receiver, from: from,
 				message: membership.Received{Message: message, Size: len(encoded)}},
 		)
 	}
 }
 
 // happens returns true with probability p.
-func (w *World) happens(p float64) bool { return p > 0 && w.rng.Float64() < p }
+func (c *Cluster) happens(p float64) bool { return p > 0 && c.rng.Float64() < p }
 
 // oneWithProbability returns 1 with probability p, and 0 otherwise.
-func (w *World) oneWithProbability(p float64) int {
-	if w.happens(p) {
+func (c *Cluster) oneWithProbability(p float64) int {
+	if c.happens(p) {
 		return 1
 	}
 	return 0
 }
 
-func (w *World) fault(format string, args ...any) {
-	if len(w.Faults) < 20 {
-		w.Faults = append(w.Faults, fmt.Sprintf("%v: ", w.Now)+fmt.Sprintf(format, args...))
+func (c *Cluster) fault(format string, args ...any) {
+	if len(c.Faults) < 20 {
+		c.Faults = append(c.Faults, fmt.Sprintf("%v: ", c.Now)+fmt.Sprintf(format, args...))
 	}
 }
 
 // SentBytes returns the number of bytes that member i has sent.
-func (w *World) SentBytes(i int) int64 { return w.Nodes[i].sentBytes }
+func (c *Cluster) SentBytes(i int) int64 { return c.Nodes[i].sentBytes }
 
 // Disagreement describes the first view found in which a running member is not alive or leaving by its current
 // generation, or a dead or stalled one is not gone. It returns "" if all running members agree.
-func (w *World) Disagreement() string {
-	for i, node := range w.Nodes {
+func (c *Cluster) Disagreement() string {
+	for i, node := range c.Nodes {
 		if node.M == nil || node.Stalled {
 			continue
 		}
-		known := make(map[string]membership.Record, len(w.Nodes))
+		known := make(map[string]membership.Record, len(c.Nodes))
 		if node.M.EachMember(func(r membership.Record) { known[r.Name] = r }) {
 			return node.Name + "'s view is stale"
 		}
-		for j, other := range w.Nodes {
+		for j, other := range c.Nodes {
 			r, exists := known[other.Name]
 			switch running := other.M != nil && !other.Stalled; {
 			case i == j:
@@ -296,22 +296,22 @@
 
 // Settle runs until all members agree and returns the time that took. If they don't agree within the limit, it also
 // returns the disagreement.
-func (w *World) Settle(limit time.Duration) (time.Duration, string) {
-	start, disagreement := w.Now, ""
-	for w.Now-start < limit {
-		if disagreement = w.Disagreement(); disagreement == "" {
-			return w.Now - start, ""
+func (c *Cluster) Settle(limit time.Duration) (time.Duration, string) {
+	start, disagreement := c.Now, ""
+	for c.Now-start < limit {
+		if disagreement = c.Disagreement(); disagreement == "" {
+			return c.Now - start, ""
 		}
-		w.CheckSignals()
-		w.Run(w.PeerTimeout / 12)
+		c.CheckSignals()
+		c.Run(c.PeerTimeout / 12)
 	}
 	return limit, disagreement
 }
 
 // CheckSignals records a fault for each signal that has gone back to an earlier version or is visible after its
 // lifetime, and for each member with more than 4096 bytes of signals.
-func (w *World) CheckSignals() {
-	for _, node := range w.Nodes {
+func (c *Cluster) CheckSignals() {
+	for _, node := range c.Nodes {
 		if node.M == nil || node.Stalled {
 			continue
 		}
@@ -320,10 +320,10 @@
 			for _, s := range other.Signals {
 				size += len(s.Key) + len(s.Value)
 				key := observationKey{node, node.startCount, other.Name, s.Key}
-				previous := w.latestSeen[key]
+				previous := c.latestSeen[key]
 				if other.Generation < previous.generation ||
 					other.Generation == previous.generation && s.Version < previous.version {
-					w.fault(
+					c.fault(
 						"%s went back with signal %s of %s: generation %d version %d after generation %d version %d",
 						node.Name,
 						s.Key,
@@ -335,12 +335,12 @@
 					)
 				}
 				if s.Age >= s.Lifetime {
-					w.fault("%s has signal %s of %s beyond its lifetime", node.Name, s.Key, other.Name)
+					c.fault("%s has signal %s of %s beyond its lifetime", node.Name, s.Key, other.Name)
 				}
-				w.latestSeen[key] = signalVersion{other.Generation, s.Version}
+				c.latestSeen[key] = signalVersion{other.Generation, s.Version}
 			}
 			if size > 4096 {
-				w.fault("%s has %d bytes of signals of %s, over the limit of 4096", node.Name, size, other.Name)
+				c.fault("%s has %d bytes of signals of %s, over the limit of 4096", node.Name, size, other.Name)
 			}
 		}
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -46,9 +46,9 @@
 
 // answerSync answers a Sync with all records and signals, in as many messages as needed. If this member's own view is
 // stale, the last message is not marked as such, so that it does not end the receiver's stale view.
-func (m *Machine) answerSync(g *Message) {
+func (m *Machine) answerSync(message *Message) {
 	records := m.allRecords()
-	answer := &syncAnswer{machine: m, to: m.route(g.From.Name, g.From.Addr), sequence: g.Sequence}
+	answer := &syncAnswer{machine: m, to: m.route(message.From.Name, message.From.Addr), sequence: message.Sequence}
 	answer.begin()
 	for _, r := range records {
 		answer.reserve(recordSize(r))
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -70,19 +70,19 @@
 }
 
 // Encode returns the encoding of a message. It is an error if that exceeds MaxPacket; a Machine's messages never do.
-func Encode(g *Message) ([]byte, error) {
-	b := appendNumber(make([]byte, 0, MaxPacket), 1, uint64(g.FormatVersion))
-	b = appendText(b, 2, g.Cluster)
-	b = appendText(b, 3, g.From.encode())
-	b = appendNumber(b, 4, uint64(g.Kind))
-	b = appendNumber(b, 5, uint64(g.Sequence))
-	b = appendText(b, 6, g.Target)
-	b = appendNumber(b, 7, protowire.EncodeBool(g.Last))
-	for i := range g.Members {
-		b = protowire.AppendBytes(protowire.AppendTag(b, 8, protowire.BytesType), g.Members[i].encode())
+func Encode(message *Message) ([]byte, error) {
+	b := appendNumber(make([]byte, 0, MaxPacket), 1, uint64(message.FormatVersion))
+	b = appendText(b, 2, message.Cluster)
+	b = appendText(b, 3, message.From.encode())
+	b = appendNumber(b, 4, uint64(message.Kind))
+	b = appendNumber(b, 5, uint64(message.Sequence))
+	b = appendText(b, 6, message.Target)
+	b = appendNumber(b, 7, protowire.EncodeBool(message.Last))
+	for i := range message.Members {
+		b = protowire.AppendBytes(protowire.AppendTag(b, 8, protowire.BytesType), message.Members[i].encode())
 	}
-	for i := range g.Signals {
-		b = protowire.AppendBytes(protowire.AppendTag(b, 9, protowire.BytesType), g.Signals[i].encode())
+	for i := range message.Signals {
+		b = protowire.AppendBytes(protowire.AppendTag(b, 9, protowire.BytesType), message.Signals[i].encode())
 	}
 	if len(b) > MaxPacket {
 		return b, errPacketTooLong
@@ -169,38 +169,39 @@
 }
 
 // Decode parses a datagram. A truncated one, or one longer than MaxPacket, is an error.
-func Decode(b []byte) (g Message, err error) {
+func Decode(b []byte) (message Message, err error) {
 	if len(b) > MaxPacket {
-		return g, errPacketTooLong
+		return message, errPacketTooLong
 	}
 	err = eachField(b, func(field protowire.Number, v uint64, part []byte) error {
 		switch field {
 		case 1:
-			return assign(&g.FormatVersion, v)
+			return assign(&message.FormatVersion, v)
 		case 2:
-			g.Cluster = string(part)
+			message.Cluster = string(part)
 		case 3:
-			return g.From.decode(part)
+			return message.From.decode(part)
 		case 4:
-			return assign((*uint8)(&g.Kind), v)
+			return assign((*uint8)(&message.Kind), v)
 		case 5:
-			return assign(&g.Sequence, v)
+			return assign(&message.Sequence, v)
 		case 6:
-			g.Target = string(part)
+			message.Target = string(part)
 		case 7:
-			g.Last = v != 0
+			message.Last = v != 0
 		case 8:
-			g.Members = append(g.Members, Record{})
-			return g.Members[len(g.Members)-1].decode(part)
+			message.Members = append(message.Members, Record{})
+			return message.Members[len(message.Members)-1].decode(part)
 		case 9:
-			g.Signals = append(g.Signals, SignalRecord{})
-			return g.Signals[len(g.Signals)-1].decode(part)
+			message.Signals = append(message.Signals, SignalRecord{})
+			return message.Signals[len(message.Signals)-1].decode(part)
 		}
 		return nil
 	})
 	if err == nil &&
-		(len(g.From.Name) > MaxName || len(g.From.Addr) > MaxName || len(g.Cluster) > MaxName || len(g.Target) > MaxName) {
+		(len(message.From.Name) > MaxName || len(message.From.Addr) > MaxName ||
+			len(message.Cluster) > MaxName || len(message.Target) > MaxName) {
 		err = errNameTooLong
 	}
-	return g, err
+	return message, err
 }
