--- a/internal/testrun/pages_test.go
+++ b/internal/testrun/pages_test.go
@@ -172,7 +172,7 @@
 	imports      map[string]bool                // each import path, and each end of one that begins at a slash
 	declared     map[string]map[string]bool     // by package: what is declared at package level
 	members      map[string]map[string][]string // by package and type, members and embedded types
-	words        map[string]bool                // identifiers, and words of string literals and of settings
+	words        map[string]bool                // what is declared, members, words of string literals and of settings
 	literals     map[string]bool                // whole string literals
 	keys         map[string]bool                // JSON keys by struct tags, labels of CUE and of JSON files
 	standardRoot string
@@ -429,7 +429,8 @@
 	return nil
 }
 
-// readGo takes the declarations, members, identifiers and string literals of a Go file.
+// readGo takes the declarations, members, selected names and string literals of a Go file. Names of local variables
+// and parameters do not count: a function that is gone often leaves its name to one.
 func (t *tree) readGo(file *ast.File) {
 	of := strings.TrimSuffix(file.Name.Name, "_test")
 	if t.declared[of] == nil {
@@ -437,6 +438,7 @@
 	}
 	for _, name := range topNames(file) {
 		t.declared[of][name] = true
+		t.words[name] = true
 	}
 	for _, imported := range file.Imports {
 		if name, err := strconv.Unquote(imported.Path.Value); err == nil {
@@ -451,8 +453,8 @@
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
-		case *ast.Ident:
-			t.words[node.Name] = true
+		case *ast.SelectorExpr:
+			t.words[node.Sel.Name] = true
 		case *ast.BasicLit:
 			t.readLiteral(node)
 		case *ast.TypeSpec:
@@ -520,6 +522,7 @@
 		t.members[of] = map[string][]string{}
 	}
 	t.members[of][member] = []string{}
+	t.words[member] = true
 }
 
 // readTag takes the JSON key of a struct tag.
