--- a/internal/testrun/pages_test.go
+++ b/internal/testrun/pages_test.go
@@ -48,6 +48,7 @@
 	wordForm       = regexp.MustCompile(`[A-Za-z]\w*`)
 	cueLabel       = regexp.MustCompile(`(?m)(?:^|[{,\s])"?#?([A-Za-z][\w-]*)"?[?!]?:`)
 	placeholder    = regexp.MustCompile(`^[A-Z]+$`)
+	notTheTree     = regexp.MustCompile(`^(\.git|journal|bin[^/]*|found|logs)$`) // .gitignore's folders among them
 	madeForm       = regexp.MustCompile(`^(\w+)-[A-Z]+-(\w+)\.json$`)
 )
 
@@ -376,7 +377,7 @@
 			return err
 		}
 		relative = filepath.ToSlash(relative)
-		if relative == ".git" || relative == "journal" {
+		if entry.IsDir() && notTheTree.MatchString(relative) {
 			return filepath.SkipDir
 		}
 		addEnds(held.paths, relative)
