--- /dev/null
+++ b/internal/bandwidth/allocator.go
@@ -0,0 +1,397 @@
+package bandwidth
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"oatloft/internal/failpoint"
+	"oatloft/internal/revision"
+)
+
+// Demand is the rate at which one balancer would send the bytes of one class and tenant over a link.
+type Demand struct {
+	Class   string
+	Tenant  string
+	Rate    float64 // bytes per second
+	Waiting int     // most connections waiting at once; the weight among balancers that get too little
+}
+
+// Ask is a balancer's request for its part of one link.
+type Ask struct {
+	Link        string
+	GrantedRate float64 // bytes per second granted to it and not expired; 0 if none
+	SafeRate    float64 // bytes per second it falls back to, by the table it follows
+	Demands     []Demand
+}
+
+// Request is what a balancer sends the coordinator at one time. It carries an increasing number, and the number of the
+// last response that the balancer has applied: it never applies an earlier one after that.
+type Request struct {
+	Number  uint64
+	Applied uint64
+	Links   []Ask
+}
+
+// FlowRate is the planned rate of one class and tenant. The rates are the weights among the flows of one priority.
+type FlowRate struct {
+	Class  string
+	Tenant string
+	Rate   float64 // bytes per second
+}
+
+// Guarantee is the rate that a class gets before the rest is divided by priority.
+type Guarantee struct {
+	Class string
+	Rate  float64 // bytes per second
+}
+
+// Grant is a balancer's part of one link.
+type Grant struct {
+	Link       string
+	Rate       float64 // bytes per second
+	Flows      []FlowRate
+	Guarantees []Guarantee
+	Saturated  []string // classes that get less than they demand, over all balancers
+}
+
+// Response answers the Request of the same number.
+type Response struct {
+	Number uint64
+	Links  []Grant
+}
+
+// Allocator grants parts of the links; it runs at the member that coordinates. Its invariant for each link of size C:
+// the sum over all processes of the highest rate that each may use now (any grant that may still be in force there, or
+// its safe part if that is more) is at most C. This holds also where a grant or its response is lost or late, or was
+// given by an earlier Allocator.
+//
+// Times may come from any clock that does not stop. The time passed to Allocate must be read when the request arrives,
+// before the check that this member is still the coordinator.
+type Allocator struct {
+	settings      Settings
+	links         map[string]*linkState
+	tenantWeights map[string]float64
+	learnUntil    time.Duration // until then, grants of an earlier Allocator may be in force
+}
+
+// linkState is the allocation of one link.
+type linkState struct {
+	revision.Link
+	holders     map[string]*holderState
+	holderNames []string      // keys of holders, sorted
+	departed    []grantRecord // safe parts of processes that left: one that was cut off may go on using its part
+	committed   float64       // sum over the holders; includes what has expired since the last plan
+	dirty       bool
+	plannedAt   time.Duration
+	saturated   []string
+}
+
+// holderState is one process's part of a link.
+type holderState struct {
+	outstanding []grantRecord
+	safeRate    float64
+	demands     []Demand
+	requestedAt time.Duration
+	left        bool
+	committed   float64 // highest rate at the last count
+	planned     float64
+	flows       []FlowRate
+	guarantees  []Guarantee
+}
+
+// grantRecord is one grant to a process, by the number of the request that it answered.
+type grantRecord struct {
+	number    uint64
+	rate      float64
+	grantedAt time.Duration
+}
+
+// NewAllocator returns an Allocator that has granted nothing. Elected must be called before Allocate.
+func NewAllocator(settings Settings) *Allocator {
+	return &Allocator{settings: settings, links: map[string]*linkState{}}
+}
+
+// SetTable applies the links of the revision in force and the tenants' weights. A grant stays counted until the process
+// acknowledges a lower one or the grant expires.
+func (al *Allocator) SetTable(table []revision.Link, tenantWeights map[string]float64) {
+	al.tenantWeights = tenantWeights
+	before := al.links
+	al.links = map[string]*linkState{}
+	for _, l := range table {
+		state := before[Name(l.From, l.To)]
+		if state == nil {
+			state = &linkState{holders: map[string]*holderState{}}
+		}
+		state.Link, state.dirty = l, true
+		for _, p := range state.holders { // each may follow either table until its next request
+			p.safeRate = max(p.safeRate, al.settings.safeRate(l.Bytes))
+			state.committed += max(0, p.safeRate-p.committed)
+			p.committed = max(p.committed, p.safeRate)
+		}
+		al.links[Name(l.From, l.To)] = state
+	}
+}
+
+// Elected starts a new term: what earlier coordinators granted is unknown.
+func (al *Allocator) Elected(now time.Duration) {
+	al.learnUntil = now + al.settings.grantTTL()
+	if failpoint.On("links-no-wait") {
+		al.learnUntil = now
+	}
+	for _, l := range al.links {
+		l.holders, l.holderNames, l.departed, l.committed, l.dirty = map[string]*holderState{}, nil, nil, 0, true
+	}
+}
+
+// HolderLeft stops grants to a process that has ended, is about to end, or is unreachable. Its grants count until they
+// expire, and its safe part for some time after that, since it may go on serving its connections.
+func (al *Allocator) HolderLeft(holder string) {
+	for _, l := range al.links {
+		if p := l.holders[holder]; p != nil {
+			p.left, p.demands, l.dirty = true, nil, true
+		}
+	}
+}
+
+// maxRate returns the highest rate at which a process may send, given the grants that are still in force.
+func (p *holderState) maxRate(now, ttl time.Duration) float64 {
+	p.outstanding = slices.DeleteFunc(p.outstanding, func(g grantRecord) bool { return now > g.grantedAt+ttl })
+	rate := p.safeRate
+	for _, g := range p.outstanding {
+		rate = max(rate, g.rate)
+	}
+	return rate
+}
+
+// reserved returns the rate reserved on a link for processes that have not asked: each may use its safe part.
+func (al *Allocator) reserved(l *linkState) float64 {
+	excess, safeRate := 0.0, al.settings.safeRate(l.Bytes)
+	for _, d := range l.departed { // an earlier table may have given it more than is reserved for it by this one
+		excess += max(0, d.rate-safeRate)
+	}
+	return float64(max(0, al.settings.Holders-len(l.holders)))*safeRate + min(excess, l.Bytes/2)
+}
+
+// recount computes the committed rates again. It removes processes that left once their grants have expired, and after
+// departedRetention their safe parts.
+func (l *linkState) recount(now, ttl time.Duration, maxDeparted int) {
+	l.departed = slices.DeleteFunc(l.departed, func(d grantRecord) bool { return now > d.grantedAt+departedRetention })
+	l.holderNames = slices.DeleteFunc(l.holderNames, func(h string) bool {
+		p := l.holders[h]
+		if !p.left || p.maxRate(now, ttl) > p.safeRate || len(p.outstanding) > 0 {
+			return false
+		}
+		l.departed = append(l.departed, grantRecord{rate: p.safeRate, grantedAt: now})
+		delete(l.holders, h)
+		return true
+	})
+	l.committed = 0
+	for _, p := range l.holders {
+		p.committed = p.maxRate(now, ttl)
+		l.committed += p.committed
+	}
+	l.departed = l.departed[max(0, len(l.departed)-maxDeparted):]
+}
+
+const (
+	// How long the safe part of a process that left is counted: it may have been cut off and still serve its connections.
+	departedRetention = 10 * time.Minute
+	// Up to this many holders, each request replans the link; with more, a plan is made at most once per planInterval,
+	// since it visits all of them.
+	smallHolderCount = 16
+	planInterval     = 20 * time.Millisecond
+	// A smaller change triggers no early request: a fraction of the link's rate, and a hundred times that of a part's.
+	minRateChange       = 0.002
+	ackDelay            = 20 * time.Millisecond  // until the early request of a process whose rate was cut
+	retryDelayPerHolder = 500 * time.Microsecond // between two early requests, over all holders of a link
+)
+
+// Allocate answers a process's request; nothing is granted in any other way. again is the time until the process should
+// ask again, 0 for its regular interval: short for a process that was granted less than it had, since others wait for
+// its acknowledgement, and a little longer for one whose share is still granted to others.
+func (al *Allocator) Allocate(
+	holder string, request Request, now time.Duration,
+) (response Response, again time.Duration) {
+	response.Number = request.Number
+	names := slices.Sorted(maps.Keys(al.links))
+	for _, name := range names {
+		l := al.links[name]
+		i := slices.IndexFunc(request.Links, func(x Ask) bool { return x.Link == name })
+		if i < 0 {
+			continue // it sends nothing there or follows an earlier table: a safe part is reserved for it
+		}
+		linkRequest, p := request.Links[i], l.holders[holder]
+		if p == nil {
+			p = &holderState{safeRate: al.settings.safeRate(l.Bytes)}
+			p.committed = p.safeRate
+			l.committed += p.safeRate
+			l.holders[holder] = p
+			l.holderNames = append(l.holderNames, holder)
+			slices.Sort(l.holderNames)
+		}
+		p.acknowledge(request.Applied, linkRequest.GrantedRate, now)
+		p.safeRate, p.demands, p.requestedAt =
+			max(linkRequest.SafeRate, al.settings.safeRate(l.Bytes)), linkRequest.Demands, now
+		l.dirty, p.left = true, false
+		if len(l.holders) <= smallHolderCount || now >= l.plannedAt+planInterval {
+			al.replan(l, now)
+		}
+		free := l.Bytes - al.reserved(l) - (l.committed - p.committed)
+		rate := max(p.planned, p.safeRate)
+		if now < al.learnUntil { // unknown grants may be in force: it gets no more than it has
+			rate = min(rate, max(linkRequest.GrantedRate, p.safeRate))
+		}
+		rate = max(0, min(rate, free))
+		p.outstanding = append(p.outstanding, grantRecord{request.Number, rate, now})
+		l.committed -= p.committed
+		p.committed = p.maxRate(now, al.settings.grantTTL())
+		l.committed += p.committed
+		switch minChange := max(minRateChange*l.Bytes, minRateChange*100*p.planned); {
+		case linkRequest.GrantedRate-rate > minChange:
+			again = ackDelay
+		case again == 0 && p.planned-rate > minChange && now >= al.learnUntil:
+			again = max(2*ackDelay, time.Duration(len(l.holders))*retryDelayPerHolder)
+		}
+		response.Links = append(response.Links,
+			Grant{Link: name, Rate: rate, Flows: p.flows, Guarantees: p.guarantees, Saturated: l.saturated})
+	}
+	return response, again
+}
+
+// acknowledge replaces the grants up to a number by the rate that the process reports as granted.
+func (p *holderState) acknowledge(number uint64, granted float64, now time.Duration) {
+	at, known := now, false
+	if failpoint.On("links-freed-early") && len(p.outstanding) > 0 {
+		p.outstanding, granted = p.outstanding[:0], 0
+	}
+	rest := p.outstanding[:0]
+	for _, g := range p.outstanding {
+		if g.number > number {
+			rest = append(rest, g)
+		} else if g.number == number {
+			at, known = g.grantedAt, true
+		}
+	}
+	p.outstanding = rest
+	if granted > 0 {
+		if !known {
+			at = now // granted by another Allocator
+		}
+		p.outstanding = append(p.outstanding, grantRecord{number, granted, at})
+	}
+}
+
+// replan divides a link by the demands of all holders.
+func (al *Allocator) replan(l *linkState, now time.Duration) {
+	if !l.dirty {
+		return
+	}
+	l.recount(now, al.settings.grantTTL(), al.settings.Holders)
+	l.dirty, l.plannedAt = false, now
+	var classes []string
+	classDemand, flows := map[string]float64{}, map[[2]string]*flowDemand{}
+	for _, h := range l.holderNames {
+		p := l.holders[h]
+		// No recent request: its grants count until they expire, but it gets no share of the plan.
+		if now > p.requestedAt+al.settings.Lease/2 {
+			p.demands = nil
+		}
+		for _, w := range p.demands {
+			if _, ok := classDemand[w.Class]; !ok {
+				classes = append(classes, w.Class)
+			}
+			classDemand[w.Class] += w.Rate
+			f := flows[[2]string{w.Class, w.Tenant}]
+			if f == nil {
+				f = &flowDemand{class: w.Class, tenant: w.Tenant,
+					holders: make([]*holderState, 0, len(l.holderNames)), claims: make([]claim, 0, len(l.holderNames))}
+				flows[[2]string{w.Class, w.Tenant}] = f
+			}
+			f.demand += w.Rate
+			f.holders, f.claims = append(f.holders, p), append(f.claims, claim{float64(max(1, w.Waiting)), w.Rate})
+		}
+	}
+	order := slices.SortedFunc(maps.Values(flows), func(a, b *flowDemand) int {
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.tenant, b.tenant))
+	})
+	list := classRules(&l.Link, classes)
+	demands := make([]float64, len(list))
+	for i, r := range list {
+		demands[i] = classDemand[r.name]
+	}
+	total := l.Bytes - al.reserved(l)
+	for range 3 { // a holder planned below its safe part still has that part, which the others must make up for
+		classRates, guaranteed := divideByPriority(total, l.Bytes, list, demands)
+		l.saturated = nil
+		for _, h := range l.holderNames {
+			p := l.holders[h]
+			p.planned, p.flows, p.guarantees = 0, nil, nil
+			if n := len(p.demands); n > 0 { // new slices: responses refer to the previous ones
+				p.flows, p.guarantees = make([]FlowRate, 0, n), make([]Guarantee, 0, n)
+			}
+		}
+		for i, r := range list {
+			if classRates[i] < 0.95*demands[i] {
+				l.saturated = append(l.saturated, r.name)
+			}
+			from := slices.IndexFunc(order, func(f *flowDemand) bool { return f.class == r.name })
+			to := max(from, 0)
+			for from = to; to < len(order) && order[to].class == r.name; to++ {
+			}
+			claims := make([]claim, 0, to-from)
+			for _, f := range order[from:to] {
+				claims = append(claims, claim{tenantWeight(al.tenantWeights, f.tenant), f.demand})
+			}
+			for j, rate := range weightedMaxMin(classRates[i], claims) {
+				order[from+j].distribute(rate, guaranteed[i]/max(classRates[i], 1e-9))
+			}
+		}
+		missing, sum := 0.0, 0.0
+		for _, h := range l.holderNames {
+			p := l.holders[h]
+			missing += max(0, p.safeRate-p.planned)
+			sum += max(p.planned, p.safeRate)
+		}
+		// The rest that nobody demands is at hand for whoever needs it next.
+		if unassigned := l.Bytes - al.reserved(l) - sum; unassigned >= 0 {
+			for _, h := range l.holderNames {
+				p := l.holders[h]
+				p.planned = max(p.planned, p.safeRate) + unassigned/float64(len(l.holderNames))
+			}
+			return
+		}
+		total = max(0, l.Bytes-al.reserved(l)-missing)
+	}
+}
+
+// flowDemand is the demand of one class and tenant over all processes that carry them.
+type flowDemand struct {
+	class, tenant string
+	demand        float64
+	holders       []*holderState
+	claims        []claim
+}
+
+// distribute divides rate among the holders; guaranteedShare is the fraction of it that is guaranteed.
+func (f *flowDemand) distribute(rate, guaranteedShare float64) {
+	for i, r := range weightedMaxMin(rate, f.claims) {
+		p := f.holders[i]
+		p.planned += r
+		p.flows = append(p.flows, FlowRate{f.class, f.tenant, r})
+		if n := len(p.guarantees); n > 0 && p.guarantees[n-1].Class == f.class {
+			p.guarantees[n-1].Rate += r * guaranteedShare
+		} else {
+			p.guarantees = append(p.guarantees, Guarantee{f.class, r * guaranteedShare})
+		}
+	}
+}
+
+// tenantWeight returns a tenant's weight among the others, 1 where none is set.
+func tenantWeight(weights map[string]float64, tenant string) float64 {
+	if w := weights[tenant]; w > 0 {
+		return w
+	}
+	return 1
+}
--- a/internal/bandwidth/bench_test.go
+++ b/internal/bandwidth/bench_test.go
@@ -9,10 +9,10 @@
 	"oatloft/internal/revision"
 )
 
-// BenchmarkLink steps a link of 1 MB/s over so many processes, with a bulk class at full tilt at all of them and messages of the first class
-// of 1,000 bytes at some: the part of the link that is used, the most in 100 ms over what it takes, what messages take on it when idle and
-// beside the bulk, and how long it takes until the link is used again to 94% once all that was used at a fifth of the processes is used at
-// the others.
+// BenchmarkLink simulates a link of 1 MB/s shared by n processes, with a saturating bulk class at all of them and
+// messages of 1,000 bytes of the first class at some. It reports the share of the link that is used, the highest use in
+// 100 ms, the delay of the messages on an idle link and with bulk traffic, and how long it takes until the link is used
+// to 94% again after the load moves from a fifth of the processes to the others.
 func BenchmarkLink(b *testing.B) {
 	for _, n := range []int{1, 5, 10, 60, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -20,28 +20,28 @@
 				var p50, p99 [2]time.Duration
 				var used, most float64
 				for busy := range 2 {
-					c := newCluster(n, three(1e6), true)
+					c := newCluster(n, threeClassLink(1e6), true)
 					var tops []*sender
 					for i := range min(n, 10) {
-						tops = append(tops, c.add(i, "top", "t", 1000, time.Duration(min(n, 10))*20*time.Millisecond))
+						tops = append(tops, c.addSender(i, "top", "t", 1000, time.Duration(min(n, 10))*20*time.Millisecond))
 					}
 					for i := range n * busy {
-						c.add(i, "bulk", "t", 0, 0)
+						c.addSender(i, "bulk", "t", 0, 0)
 						c.run(step)
 					}
 					c.run(3 * time.Second)
 					for _, x := range tops {
-						x.took = nil
+						x.delays = nil
 					}
 					used = 0
 					for range 50 {
-						_, sum := c.over(100 * time.Millisecond)
+						_, sum := c.usage(100 * time.Millisecond)
 						used += sum / 50
 						most = max(most, sum)
 					}
 					var all []time.Duration
 					for _, x := range tops {
-						all = append(all, x.took...)
+						all = append(all, x.delays...)
 					}
 					p50[busy], p99[busy] = quantile(all, 0.5), quantile(all, 0.99)
 				}
@@ -52,19 +52,19 @@
 				b.ReportMetric(p99[0].Seconds()*1e3, "idle-p99-ms")
 				b.ReportMetric(p99[1].Seconds()*1e3, "bulk-p99-ms")
 				if n >= 5 {
-					c := newCluster(n, three(1e6), true)
+					c := newCluster(n, threeClassLink(1e6), true)
 					first := n / 5
 					for i := range first {
-						c.add(i, "bulk", "t", 0, 0)
+						c.addSender(i, "bulk", "t", 0, 0)
 					}
-					b.ReportMetric(c.until(0.94, 10*time.Second).Seconds()*1e3, "lent-ms")
-					for _, s := range c.sides[:first] {
-						s.senders[0].waits = 1
+					b.ReportMetric(c.untilUsed(0.94, 10*time.Second).Seconds()*1e3, "lent-ms")
+					for _, s := range c.members[:first] {
+						s.senders[0].pending = 1
 					}
 					for i := first; i < n; i++ {
-						c.add(i, "bulk", "t", 0, 0)
+						c.addSender(i, "bulk", "t", 0, 0)
 					}
-					b.ReportMetric(c.until(0.94, 10*time.Second).Seconds()*1e3, "back-ms")
+					b.ReportMetric(c.untilUsed(0.94, 10*time.Second).Seconds()*1e3, "back-ms")
 				}
 				b.ReportMetric(0, "ns/op")
 			}
@@ -72,14 +72,15 @@
 	}
 }
 
-// BenchmarkShares tells what each class gets of what it asks for, as a part of the link, with all asking at full tilt where they are.
+// BenchmarkShares reports each class's share of the link with all classes saturating it at the given processes.
 func BenchmarkShares(b *testing.B) {
 	for _, x := range []struct {
 		name string
 		at   map[string][]int
 	}{
 		{"one/all", map[string][]int{"top": {0}, "mid": {0}, "bulk": {0}}},
-		{"ten/spread", map[string][]int{"top": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "mid": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "bulk": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}},
+		{"ten/spread", map[string][]int{"top": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "mid": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9},
+			"bulk": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}},
 		{"ten/apart", map[string][]int{"top": {0}, "mid": {1}, "bulk": {2, 3, 4, 5, 6, 7, 8, 9}}},
 		{"ten/without-top", map[string][]int{"mid": {1}, "bulk": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}},
 	} {
@@ -89,14 +90,14 @@
 				if x.name == "one/all" {
 					n = 1
 				}
-				c := newCluster(n, three(1e6), true)
+				c := newCluster(n, threeClassLink(1e6), true)
 				for _, class := range []string{"top", "mid", "bulk"} {
 					for _, at := range x.at[class] {
-						c.add(at, class, "t", 0, 0)
+						c.addSender(at, class, "t", 0, 0)
 					}
 				}
 				c.run(3 * time.Second)
-				got, sum := c.over(5 * time.Second)
+				got, sum := c.usage(5 * time.Second)
 				for _, class := range []string{"top", "mid", "bulk"} {
 					b.ReportMetric(100*got[class], "%"+class)
 				}
@@ -107,67 +108,68 @@
 	}
 }
 
-// BenchmarkAsk is what one question costs the member that coordinates, by members, with four links of three classes that all ask for, and
-// how long the question and its answer are.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkRequest measures what one request costs the member that coordinates, by number of members, with demand for
+// four links of three classes, and the size of the request and its response.
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{3, 30, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			k := NewKeeper(Settings{Lease: 2 * time.Second, SafePart: 0.04, Holders: 2 * n})
-			part, err := NewPart(k.set)
+			al := NewAllocator(Settings{Lease: 2 * time.Second, SafePart: 0.04, Holders: 2 * n})
+			part, err := NewPart(al.settings)
 			if err != nil {
 				b.Fatal(err)
 			}
-			part.keeper = k
-			table := append([]revision.Link{}, three(1e6), three(1e6), three(1e6), three(1e6))
+			part.allocator = al
+			table := append([]revision.Link{},
+				threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6))
 			var asks []Ask
 			for i := range table {
 				table[i].To = fmt.Sprint("zone", i)
-				a := Ask{Link: Name("a", table[i].To), Safe: 100, Held: 1000}
+				a := Ask{Link: Name("a", table[i].To), SafeRate: 100, GrantedRate: 1000}
 				for _, c := range []string{"top", "mid", "bulk"} {
-					a.Wants = append(a.Wants, Want{c, "tenant", 123456.789, 3})
+					a.Demands = append(a.Demands, Demand{c, "tenant", 123456.789, 3})
 				}
 				asks = append(asks, a)
 			}
-			k.SetTable(table, nil)
-			k.Elected(-time.Hour)
-			asker, err := NewPart(k.set)
+			al.SetTable(table, nil)
+			al.Elected(-time.Hour)
+			requester, err := NewPart(al.settings)
 			if err != nil {
 				b.Fatal(err)
 			}
-			asker.Bind(func() []Ask { return asks }, func([]Grant, time.Time) {}, nil)
+			requester.Bind(func() []Ask { return asks }, func([]Grant, time.Time) {}, nil)
 			now, bytes := time.Duration(0), 0
 			names := make([]string, n)
 			for i := range names {
 				names[i] = fmt.Sprint("holder", i)
 			}
 			b.ResetTimer()
-			spent := used()
+			spent := processorTime()
 			for i := range b.N {
 				now += 250 * time.Millisecond / time.Duration(n)
-				body := asker.Demand()
+				body := requester.Demand()
 				answer, _ := part.Grant(names[i%n], body, now)
-				asker.Granted(answer, epoch.Add(now))
+				requester.Granted(answer, epoch.Add(now))
 				bytes += len(body) + len(answer)
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
-			b.ReportMetric(float64((used()-spent).Nanoseconds())/float64(b.N), "processor-ns/op")
+			b.ReportMetric(float64((processorTime()-spent).Nanoseconds())/float64(b.N), "processor-ns/op")
 		})
 	}
 }
 
-// used is the processor's time of this process, which other processes on a busy machine don't add to.
-func used() time.Duration {
+// processorTime returns the processor time of this process, which other processes on a busy machine don't add to.
+func processorTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkTurn is what a turn costs: one that is taken at once, and one that is waited for.
-func BenchmarkTurn(b *testing.B) {
+// BenchmarkScheduling measures the cost of sending at once, and of sending after a wait in the queue.
+func BenchmarkScheduling(b *testing.B) {
 	for _, wait := range []bool{false, true} {
 		b.Run(fmt.Sprint("wait=", wait), func(b *testing.B) {
 			s := NewShaper[int](0)
-			s.SetLink(0, three(1e9), 1e9, nil)
+			s.SetLink(0, threeClassLink(1e9), 1e9, nil)
 			f := s.Flow("bulk", "t")
 			now := time.Duration(0)
 			b.ReportAllocs()
--- a/internal/bandwidth/defects_test.go
+++ b/internal/bandwidth/defects_test.go
@@ -10,10 +10,11 @@
 	"oatloft/internal/failpoint"
 )
 
-// Each defect that is built into the lending is found by drawn runs. go test -tags defects -run Defects -v ./internal/bandwidth
+// TestDefectsAreFound checks that generated runs detect each failpoint built into the allocation.
+// Run with: go test -tags defects -run Defects -v ./internal/bandwidth
 func TestDefectsAreFound(t *testing.T) {
 	defer failpoint.Choose("")
-	runs := rapid.Custom(drawnRun)
+	runs := rapid.Custom(generatedRun)
 	for _, name := range []string{"links-freed-early", "links-no-wait", "links-held-on", "links-late-answer"} {
 		failpoint.Choose(name)
 		seed := 0
--- a/internal/bandwidth/golden_test.go
+++ b/internal/bandwidth/golden_test.go
@@ -8,18 +8,18 @@
 	"oatloft/internal/golden"
 )
 
-// Messages about links to and from balancers of another version keep their bytes.
-func TestFormOfMessages(t *testing.T) {
-	var asks, readAsks Asks
+// TestMessageEncoding checks that messages to and from balancers of another version keep their encoding.
+func TestMessageEncoding(t *testing.T) {
+	var asks, readAsks Request
 	golden.Fill(&asks)
-	golden.Check(t, "demand.bin", asks.wire())
-	if err := readAsks.read(golden.Read(t, "demand.bin")); err != nil || cmp.Diff(asks, readAsks) != "" {
+	golden.Check(t, "demand.bin", asks.encode())
+	if err := readAsks.decode(golden.Read(t, "demand.bin")); err != nil || cmp.Diff(asks, readAsks) != "" {
 		t.Error(err, cmp.Diff(asks, readAsks))
 	}
-	var grants, readGrants Grants
+	var grants, readGrants Response
 	golden.Fill(&grants)
-	golden.Check(t, "grants.bin", grants.wire())
-	if err := readGrants.read(golden.Read(t, "grants.bin")); err != nil || cmp.Diff(grants, readGrants) != "" {
+	golden.Check(t, "grants.bin", grants.encode())
+	if err := readGrants.decode(golden.Read(t, "grants.bin")); err != nil || cmp.Diff(grants, readGrants) != "" {
 		t.Error(err, cmp.Diff(grants, readGrants))
 	}
 }
--- a/internal/bandwidth/links.go
+++ b/internal/bandwidth/links.go
@@ -1,9 +1,11 @@
-// Package bandwidth bounds the bytes that pass between two zones: each link, an ordered pair of zones, is divided among the balancers
-// that carry its bytes, and at each of them among classes and tenants. It owns the arithmetic of dividing (this file), who is lent
-// how much for how long (keeper.go, at the member that coordinates), whose turn it is (shaper.go, at every balancer), and the words
-// between these (part.go). It is pure but for part.go's lock: no socket, no clock, no goroutine. It must never let the parts that are
-// lent, together with the safe parts that need no lending, sum to more than a link; and it must never drop or reorder a byte: all
-// that it can do is say "not yet".
+// Package bandwidth bounds the bytes that pass between two zones. Each link, an ordered pair of zones, is divided among
+// the balancers that send over it, and at each balancer among classes and tenants. links.go holds the arithmetic of the
+// division, allocator.go the grants made by the member that coordinates, shaper.go the scheduling at every balancer,
+// part.go the exchange between balancers, and wire.go its encoding. Apart from the lock and the counter in part.go the
+// package is pure: it uses no socket, clock or goroutine.
+//
+// The granted parts, together with the safe parts that need no grant, never sum to more than a link. Bytes are never
+// dropped or reordered, only delayed.
 package bandwidth
 
 import (
@@ -16,83 +18,90 @@
 	"oatloft/internal/revision"
 )
 
-// Settings are what all balancers have to hold in common. Check tells what can't work.
+// Settings must be the same at all balancers. Check validates them.
 type Settings struct {
-	Lease    time.Duration // a part that was lent holds so long after it was asked for, by the asking balancer's clock
-	SafePart float64       // of a link: what all balancers together have without asking, in (0, 0.5]
-	Holders  int           // processes at most over which the safe part is split evenly, two for each balancer that may be upgraded
+	Lease    time.Duration // of a grant from the time of its request, by the requesting balancer's clock
+	SafePart float64       // fraction of a link that all balancers together may use without a grant, in (0, 0.5]
+	Holders  int           // most processes that share the safe part evenly, two for each balancer that may be upgraded
 }
 
-// Unfit is a setting that can't work.
-type Unfit struct{ Field, Value, Why, Do string }
+// InvalidSetting is a setting outside its valid range.
+type InvalidSetting struct{ Field, Value, Reason, Remedy string }
 
-// Error names the field, its value and what is wrong with it.
-func (e *Unfit) Error() string { return fmt.Sprintf("%s: %s %s", e.Field, e.Value, e.Why) }
+// Error returns the field, its value and what is wrong with it.
+func (e *InvalidSetting) Error() string { return fmt.Sprintf("%s: %s %s", e.Field, e.Value, e.Reason) }
 
-// Hint is what an operator can do about it.
-func (e *Unfit) Hint() string { return e.Do }
+// Hint returns what an operator can do about it.
+func (e *InvalidSetting) Hint() string { return e.Remedy }
 
-// Check names the first setting that can't work, as an *Unfit.
+// Check returns the first invalid setting as an *InvalidSetting.
 func (s Settings) Check() error {
 	switch {
 	case s.Lease < 200*time.Millisecond || s.Lease > time.Minute:
-		return &Unfit{"links.lease", s.Lease.String(), "is outside 200ms to 1m", "set a lease of about eight times the time between two renewals"}
+		return &InvalidSetting{"links.lease", s.Lease.String(), "is outside 200ms to 1m",
+			"set a lease of about eight times the interval between two renewals"}
 	case !(s.SafePart > 0 && s.SafePart <= 0.5):
-		return &Unfit{"links.safe_part", fmt.Sprint(s.SafePart), "is outside (0, 0.5]", "set the part of a link that balancers may use without being heard; 0.04 leaves 95% to be lent"}
+		return &InvalidSetting{"links.safe_part", fmt.Sprint(s.SafePart), "is outside (0, 0.5]",
+			"set the fraction of a link that balancers may use without a grant; 0.04 leaves 95% to be granted"}
 	case s.Holders < 1:
-		return &Unfit{"links holders", fmt.Sprint(s.Holders), "is below 1", "set the settings' number of balancers"}
+		return &InvalidSetting{"links holders", fmt.Sprint(s.Holders), "is below 1",
+			"set the number of balancers in the settings"}
 	}
 	return nil
 }
 
-// held is how long after a grant was given the giver has to count it: clocks' rates differ by 10% at most, and a little for what is
-// rounded.
-func (s Settings) held() time.Duration { return s.Lease*12/10 + 100*time.Millisecond }
+// grantTTL returns how long the coordinator counts a grant after giving it: the lease plus 20%, since clock rates
+// differ by at most 10%, plus 100 ms for rounding.
+func (s Settings) grantTTL() time.Duration { return s.Lease*12/10 + 100*time.Millisecond }
 
-// safe is one process's part of a link of so many bytes a second that it has without asking.
-func (s Settings) safe(bytes float64) float64 { return bytes * s.SafePart / float64(s.Holders) }
+// safeRate returns the bytes per second of a link that one process may use without a grant.
+func (s Settings) safeRate(linkRate float64) float64 {
+	return linkRate * s.SafePart / float64(s.Holders)
+}
 
-// Name is how a link is called in messages, metrics and logs.
+// Name returns a link's name in messages, metrics and logs.
 func Name(from, to string) string { return from + ">" + to }
 
-// Floor is the part of a link that a class without a least part of its own is sure of while it asks, so that nobody starves.
-const Floor = 0.005
+// DefaultMinShare is the fraction of a link guaranteed to an active class without a minimum share of its own, so that
+// no class starves.
+const DefaultMinShare = 0.005
 
-// rule is what a link's table says of one class.
-type rule struct {
-	name          string
-	priority      int
-	least, weight float64 // least is a part of the link; all sum to 1 at most
+// classRule is a link table's entry for one class.
+type classRule struct {
+	name             string
+	priority         int
+	minShare, weight float64 // minShare is a fraction of the link; all sum to at most 1
 }
 
-// rules are those of a link for the classes that are named or ask; a class that the table doesn't name comes last.
-func rules(l *revision.Link, asking []string) []rule {
-	var list []rule
+// classRules returns the rules of the configured and the active classes. Active classes that the table does not name
+// come last.
+func classRules(l *revision.Link, active []string) []classRule {
+	var list []classRule
 	last := 0
 	for _, c := range l.Classes {
-		r := rule{c.Name, max(c.Priority, 1), c.MinShare, c.Weight}
+		r := classRule{c.Name, max(c.Priority, 1), c.MinShare, c.Weight}
 		if r.weight <= 0 {
 			r.weight = 1
 		}
 		last = max(last, r.priority)
 		list = append(list, r)
 	}
-	for _, name := range asking {
-		if !slices.ContainsFunc(list, func(r rule) bool { return r.name == name }) {
-			list = append(list, rule{name, last + 1, 0, 1})
+	for _, name := range active {
+		if !slices.ContainsFunc(list, func(r classRule) bool { return r.name == name }) {
+			list = append(list, classRule{name, last + 1, 0, 1})
 		}
 	}
 	sum := 0.0
 	for i := range list {
-		list[i].least = max(list[i].least, Floor)
-		sum += list[i].least
+		list[i].minShare = max(list[i].minShare, DefaultMinShare)
+		sum += list[i].minShare
 	}
 	if sum > 1 {
 		for i := range list {
-			list[i].least /= sum
+			list[i].minShare /= sum
 		}
 	}
-	slices.SortStableFunc(list, func(a, b rule) int {
+	slices.SortStableFunc(list, func(a, b classRule) int {
 		if a.priority != b.priority {
 			return a.priority - b.priority
 		}
@@ -101,62 +110,63 @@
 	return list
 }
 
-// item is one of those that something is divided among.
-type item struct{ weight, want float64 }
+// claim is one participant in a division.
+type claim struct{ weight, demand float64 }
 
-// fill divides total among items by weight, nobody getting more than it wants: what one leaves the others share. The result sums to
-// total, or to all wants if that is less.
-func fill(total float64, items []item) []float64 {
-	got := make([]float64, len(items))
-	order := make([]int, 0, len(items))
-	for i, x := range items {
-		if x.want > 0 && x.weight > 0 {
+// weightedMaxMin divides total among claims by weighted max-min fairness: no claim gets more than its demand, and what
+// it leaves goes to the others. The result sums to total, or to all demands if that is less.
+func weightedMaxMin(total float64, claims []claim) []float64 {
+	rates := make([]float64, len(claims))
+	order := make([]int, 0, len(claims))
+	for i, x := range claims {
+		if x.demand > 0 && x.weight > 0 {
 			order = append(order, i)
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		if d := items[a].want/items[a].weight - items[b].want/items[b].weight; d != 0 && !math.IsNaN(d) {
+		if d := claims[a].demand/claims[a].weight - claims[b].demand/claims[b].weight; d != 0 && !math.IsNaN(d) {
 			return int(math.Copysign(1, d))
 		}
 		return a - b
 	})
-	weights := make([]float64, len(order)+1) // of those from here on
+	weights := make([]float64, len(order)+1) // sums over this and the following claims
 	for j := len(order) - 1; j >= 0; j-- {
-		weights[j] = weights[j+1] + items[order[j]].weight
+		weights[j] = weights[j+1] + claims[order[j]].weight
 	}
 	for j, i := range order {
-		got[i] = min(max(0, total)*items[i].weight/weights[j], items[i].want)
-		total -= got[i]
+		rates[i] = min(max(0, total)*claims[i].weight/weights[j], claims[i].demand)
+		total -= rates[i]
 	}
-	return got
+	return rates
 }
 
-// divide gives each class its least part of size as far as it wants it, then the rest by priority, within one by weight. total is what
-// there is to divide, size what the least parts are parts of. The second result is how much of each is its least part.
-func divide(total, size float64, list []rule, wants []float64) (got, least []float64) {
-	items := make([]item, len(list))
+// divideByPriority gives each class its minimum share of size as far as it demands it, then divides the rest by
+// priority and, within a priority, by weight. total is the rate to divide, size the rate that the minimum shares are
+// fractions of. The second result is the part of each class's rate that comes from its minimum share.
+func divideByPriority(total, size float64, list []classRule, demands []float64) (rates, guaranteed []float64) {
+	claims := make([]claim, len(list))
 	for i, r := range list {
-		items[i] = item{r.least, min(wants[i], r.least*size)}
+		claims[i] = claim{r.minShare, min(demands[i], r.minShare*size)}
 	}
-	got = fill(total, items)
-	least = slices.Clone(got)
-	for _, g := range got {
-		total -= g
+	rates = weightedMaxMin(total, claims)
+	guaranteed = slices.Clone(rates)
+	for _, rate := range rates {
+		total -= rate
 	}
 	for from := 0; from < len(list); {
 		to := from
 		for to < len(list) && list[to].priority == list[from].priority {
 			to++
 		}
-		items = items[:0]
+		claims = claims[:0]
 		for i := from; i < to; i++ {
-			items = append(items, item{list[i].weight, wants[i] - got[i]})
+			claims = append(claims, claim{list[i].weight, demands[i] - rates[i]})
 		}
-		for i, more := range fill(total, items) {
-			got[from+i] += more
-			total -= more
+		for i, extra := range weightedMaxMin(total, claims) {
+			rates[from+i] += extra
+			total -= extra
 		}
 		from = to
 	}
-	return got, least
+	return rates, guaranteed
 }
--- a/internal/bandwidth/part.go
+++ b/internal/bandwidth/part.go
@@ -10,143 +10,145 @@
 	"oatloft/internal/revision"
 )
 
-// Part is one process's side towards the others: it asks by what the data path measures, keeps what was lent, and lends where this member
-// coordinates. It is safe for concurrent use, and nothing in it waits for anybody.
+// Part is one process's side of the exchange: it requests what the data path demands, passes on what was granted, and
+// grants at the member that coordinates. It is safe for concurrent use and never blocks on another process.
 type Part struct {
-	set      Settings
-	measure  func() []Ask             // what the data path saw since it was last asked; nil before SetMeasure
-	lent     func([]Grant, time.Time) // told of what was lent, and until when
-	complain func(error)              // told of an *Unreadable
-	mu       sync.Mutex
-	keeper   *Keeper
-	number   uint64
-	took     uint64
-	unread   atomic.Int64
+	settings    Settings
+	measure     func() []Ask             // returns the demand since the last call; nil before Bind
+	applyGrants func([]Grant, time.Time) // receives the grants and the time at which they expire
+	reportError func(error)              // receives an *Undecodable
+	mu          sync.Mutex
+	allocator   *Allocator
+	lastRequest uint64
+	lastApplied uint64
+	undecodable atomic.Int64
 }
 
-// NewPart is one for settings that Check has found to work.
-func NewPart(set Settings) (*Part, error) {
-	if err := set.Check(); err != nil {
+// NewPart returns a Part with these settings, or the error of their Check.
+func NewPart(settings Settings) (*Part, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Part{set: set, keeper: NewKeeper(set)}, nil
+	return &Part{settings: settings, allocator: NewAllocator(settings)}, nil
 }
 
-// Settings are those it was made with.
-func (p *Part) Settings() Settings { return p.set }
+// Settings returns the settings that the Part was created with.
+func (p *Part) Settings() Settings { return p.settings }
 
-// Safe is this process's part of a link of so many bytes a second that it has without asking.
-func (p *Part) Safe(bytes float64) float64 { return p.set.safe(bytes) }
+// Safe returns the bytes per second of a link that this process may use without a grant.
+func (p *Part) Safe(linkRate float64) float64 { return p.settings.safeRate(linkRate) }
 
-// Bind ties the data path to it: measure is asked at each renewal, lent is told what came of it,
-// and complain of messages that can't be read. All are called on the caller's goroutine
-// of Demand and Granted, one at a time, and must not call back.
-func (p *Part) Bind(measure func() []Ask, lent func([]Grant, time.Time), complain func(error)) {
+// Bind connects the data path: measure is called for each request, applyGrants with each response, and reportError with
+// messages that cannot be decoded. They are called one at a time on the goroutine that calls Demand, Granted or Grant,
+// and must not call back.
+func (p *Part) Bind(measure func() []Ask, applyGrants func([]Grant, time.Time), reportError func(error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.measure, p.lent, p.complain = measure, lent, complain
+	p.measure, p.applyGrants, p.reportError = measure, applyGrants, reportError
 }
 
-// SetTable takes the links of the revision that is in force, and the tenants' shares.
-func (p *Part) SetTable(table []revision.Link, shares map[string]float64) {
+// SetTable applies the links of the revision in force, and the tenants' weights.
+func (p *Part) SetTable(table []revision.Link, tenantWeights map[string]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keeper.SetTable(table, shares)
+	p.allocator.SetTable(table, tenantWeights)
 }
 
-// Unreadable is a message between balancers that can't be read.
-type Unreadable struct {
-	From  string // who sent it; "" for the member that coordinates
+// Undecodable is a message between balancers that cannot be decoded.
+type Undecodable struct {
+	From  string // the sender; "" for the member that coordinates
 	Cause error
 }
 
-// Error says whose it is and why.
-func (e *Unreadable) Error() string {
+// Error returns the sender and the cause.
+func (e *Undecodable) Error() string {
 	from := e.From
 	if from == "" {
 		from = "the coordinator"
 	}
-	return fmt.Sprintf("links: a message of %s can't be read: %v", from, e.Cause)
+	return fmt.Sprintf("links: cannot decode a message from %s: %v", from, e.Cause)
 }
 
-// Unwrap is the cause.
-func (e *Unreadable) Unwrap() error { return e.Cause }
+// Unwrap returns the cause.
+func (e *Undecodable) Unwrap() error { return e.Cause }
 
-// Hint is what an operator can do about it.
-func (e *Unreadable) Hint() string {
-	return "see whether it runs another version; until it can be read its links fall back to their safe parts"
+// Hint returns what an operator can do about it.
+func (e *Undecodable) Hint() string {
+	return "check whether it runs another version; its links use their safe parts until its messages can be decoded"
 }
 
-// Demand is what to ask with now.
+// Demand returns the next request, encoded.
 func (p *Part) Demand() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.number++
-	a := Asks{Number: p.number, Took: p.took}
+	p.lastRequest++
+	request := Request{Number: p.lastRequest, Applied: p.lastApplied}
 	if p.measure != nil {
-		a.Links = p.measure()
+		request.Links = p.measure()
 	}
-	return a.wire()
+	return request.encode()
 }
 
-// Granted takes an answer to what was asked at a time of this process's clock. Answers to earlier questions are passed over.
-func (p *Part) Granted(body []byte, asked time.Time) {
+// Granted applies a response to the request made at requestedAt, by this process's clock. It ignores responses to
+// earlier requests than the last one answered.
+func (p *Part) Granted(body []byte, requestedAt time.Time) {
 	if len(body) == 0 {
 		return
 	}
-	var g Grants
+	var response Response
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.read("", body, &g) {
+	if !p.decode("", body, &response) {
 		return
 	}
-	if g.Number <= p.took && !failpoint.On("links-late-answer") || g.Number > p.number {
+	if response.Number <= p.lastApplied && !failpoint.On("links-late-answer") || response.Number > p.lastRequest {
 		return
 	}
-	p.took = g.Number
-	if p.lent != nil {
-		p.lent(g.Links, asked.Add(p.set.Lease))
+	p.lastApplied = response.Number
+	if p.applyGrants != nil {
+		p.applyGrants(response.Links, requestedAt.Add(p.settings.Lease))
 	}
 }
 
-// Grant answers another process's question, at the member that coordinates: now is when the question came, before it was made sure that this
-// member still does. Where again is above 0 the asker should do so after that, since a part of a link changes hands.
+// Grant answers another process's request at the member that coordinates. now is when the request arrived, before the
+// check that this member still coordinates. If again is above 0, the process should ask again after that time, since
+// part of a link is changing hands.
 func (p *Part) Grant(holder string, body []byte, now time.Duration) (answer []byte, again time.Duration) {
-	var a Asks
+	var request Request
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.read(holder, body, &a) {
+	if !p.decode(holder, body, &request) {
 		return nil, 0
 	}
-	g, again := p.keeper.Ask(holder, a, now)
-	return g.wire(), again
+	response, again := p.allocator.Allocate(holder, request, now)
+	return response.encode(), again
 }
 
-func (p *Part) read(from string, body []byte, into interface{ read([]byte) error }) bool {
-	err := into.read(body)
+func (p *Part) decode(from string, body []byte, into interface{ decode([]byte) error }) bool {
+	err := into.decode(body)
 	if err == nil {
 		return true
 	}
-	p.unread.Add(1)
-	if p.complain != nil {
-		p.complain(&Unreadable{from, err})
+	p.undecodable.Add(1)
+	if p.reportError != nil {
+		p.reportError(&Undecodable{from, err})
 	}
 	return false
 }
 
-// Elected tells that this member coordinates from now on.
+// Elected notifies the Part that this member coordinates from now on.
 func (p *Part) Elected(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keeper.Elected(now)
+	p.allocator.Elected(now)
 }
 
-// HolderLeft tells that a process has left, or is held to have lapsed.
+// HolderLeft notifies the Part that a process has left or is considered expired.
 func (p *Part) HolderLeft(holder string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keeper.Left(holder)
+	p.allocator.HolderLeft(holder)
 }
 
-// Unread is how many messages couldn't be read.
-func (p *Part) Unread() int64 { return p.unread.Load() }
+// Unread returns the number of messages that could not be decoded.
+func (p *Part) Unread() int64 { return p.undecodable.Load() }
--- a/internal/bandwidth/shaper.go
+++ b/internal/bandwidth/shaper.go
@@ -11,119 +11,127 @@
 	"oatloft/internal/revision"
 )
 
-// Of one turn, in bytes and times of the link's present rate.
+// Sizes and times of one quantum, and of the burst, at the link's current rate.
 const (
-	turnTime   = 1 * time.Millisecond
-	turnLeast  = 128
-	turnMost   = 8 << 10
-	depthTime  = 20 * time.Millisecond   // of what may have piled up unused
-	depthLeast = 2 << 10                 // so that a message of the first priority finds room
-	laterPart  = 0.35                    // of what piled up in depthTime: all that later priorities may have of it
-	pressGap   = 5 * time.Millisecond    // within which one that had its turn waits again, if it has more
-	pressLeast = 50 * time.Millisecond   // from then on one that waits may want any amount, or one that doesn't no more
-	wantsLeast = 100 * time.Millisecond  // of a time that figures are taken of
-	calmTime   = 250 * time.Microsecond  // a later priority's turn ...
-	calmPile   = 1500 * time.Microsecond // ... and what may pile up for it at least, while the first priority sends
-	calmFor    = 500 * time.Millisecond  // and so long after it did
-	calmLook   = 100 * time.Millisecond  // after which what may pile up is set anew ...
-	calmMore   = 0.015                   // ... higher where more of the rate than that was lost, lower where a third of it was
+	quantumTime        = 1 * time.Millisecond
+	minQuantumBytes    = 128
+	maxQuantumBytes    = 8 << 10
+	burstTime          = 20 * time.Millisecond // of the burst, which is unused capacity that accumulated
+	minBurstBytes      = 2 << 10               // so that a message of the first priority fits
+	lowerPriorityShare = 0.35                  // fraction of burstTime that lower priorities may use
+	// A flow that queues again within this time after it was served has more to send.
+	requeueGap = 5 * time.Millisecond
+	// A flow backlogged this long may demand any amount; one idle this long demands no more.
+	minBacklogTime        = 50 * time.Millisecond
+	minMeasureTime        = 100 * time.Millisecond  // shortest time that demand is measured over
+	lowLatencyQuantumTime = 250 * time.Microsecond  // of a quantum while the first priority sends
+	minLowerBurstTime     = 1500 * time.Microsecond // least burst of lower priorities while the first priority sends
+	lowLatencyHold        = 500 * time.Millisecond  // how long both apply after the first priority last sent
+	adaptInterval         = 100 * time.Millisecond  // between two adjustments of the lower priorities' burst
+	// The lower priorities' burst grows if more than this fraction of the rate went unused, and shrinks below a third of
+	// it.
+	highLossShare = 0.015
 )
 
-// Shaper says whose turn it is to send over one link, at one balancer. Its rate is what was lent while that lasts, then the safe part.
-// Each class is first sure of its least part, as far as it asks, then turns go by priority, within one by weight, within a class to its
-// tenants by theirs, and among those that wait in one tenant's queue in their order. Of what may pile up while nobody sends, most is kept
-// for the first priority, so that its messages don't wait behind what others have just sent; this gives a later rank nothing less, since
-// what it is kept from is filled once.
+// Shaper schedules the bytes sent over one link at one balancer. Its rate is the granted one until the grant expires,
+// then the safe part. Each class first gets its guaranteed rate as far as it demands it. The rest is scheduled by
+// priority, within a priority by weight, within a class by the tenants' weights, and within a flow in order of arrival.
+// Most of the burst that accumulates while nobody sends is reserved for the first priority, so that its messages don't
+// wait behind what others have just sent. Lower priorities lose no rate by this, since the reserve is filled only once.
 //
-// W is who waits. A Shaper is not safe for concurrent use. Times are any clock's that never goes back.
+// W is the type of the waiting senders. A Shaper is not safe for concurrent use. Times may come from any clock that
+// never goes back.
 type Shaper[W any] struct {
-	link    revision.Link
-	shares  map[string]float64
-	safe    float64
-	rate    float64
-	until   time.Duration // of what was lent; 0 if nothing
-	tokens  float64
-	last    time.Duration
-	quantum float64
-	depth   float64
-	kept    float64       // of it for earlier priorities, from the last's view
-	calm    bool          // turns are small, since the first priority has sent
-	calmTo  time.Duration // until then
-	pile    time.Duration // what may pile up for later priorities then
-	lost    float64       // bytes that found no room though somebody waited, since ...
-	look    time.Duration // ... which is looked at then
-	classes []*class[W]   // in order
-	waiting int
-	measure time.Duration // since when the flows' figures count
-	wants   []Want        // the figures before these
-	short   []string
-	clocks  map[int]float64 // by priority: the turns of the class that was served last
+	link            revision.Link
+	tenantWeights   map[string]float64
+	safeRate        float64
+	rate            float64
+	grantExpiry     time.Duration // 0 if there is no grant
+	tokens          float64
+	lastRefill      time.Duration
+	quantum         float64
+	burst           float64
+	reservedBurst   float64       // part of the burst reserved for earlier priorities, as the last priority sees it
+	lowLatency      bool          // quanta are small, since the first priority has sent
+	lowLatencyUntil time.Duration // when lowLatency ends
+	lowerBurstTime  time.Duration // burst of lower priorities while lowLatency is set
+	overflow        float64       // bytes that exceeded the burst while somebody waited, since the last adjustment
+	nextAdapt       time.Duration // when lowerBurstTime is next adjusted
+	classes         []*class[W]   // sorted by priority and name
+	waiting         int
+	measuredSince   time.Duration // start of the current demand measurement
+	lastDemands     []Demand      // result of the previous measurement
+	saturated       []string
+	virtualTimes    map[int]float64 // by priority: that of the class served last
 }
 
+// class is the scheduling state of one class.
 type class[W any] struct {
-	rule
-	rank    float64 // of its priority, 0 for the first, 1 for the last
-	sure    *rate.Limiter
-	share   float64 // weight by which its priority's turns go
-	turns   float64 // served over weight
-	clock   float64 // the turns of the flow that was served last
-	flows   []*Flow[W]
-	waiting int
+	classRule
+	rank            float64 // relative rank of its priority, 0 for the first, 1 for the last
+	guaranteed      *rate.Limiter
+	planWeight      float64 // weight within its priority
+	virtualTime     float64 // bytes served over weight
+	flowVirtualTime float64 // that of the flow served last
+	flows           []*Flow[W]
+	waiting         int
 }
 
-// Flow is one class's and tenant's queue. It stays valid for as long as the Shaper does.
+// Flow is the queue of one class and tenant. It stays valid as long as its Shaper does.
 type Flow[W any] struct {
-	class   *class[W]
-	tenant  string
-	weight  float64
-	turns   float64
-	queue   []W
-	head    int
-	used    int64 // bytes since the figures were last taken
-	total   int64
-	since   time.Duration // when somebody began to wait
-	waited  time.Duration // of the time since the figures were last taken
-	left    time.Duration // when the last one that waited had its turn
-	pressed time.Duration // since when somebody waits but for moments
-	senders int           // most that waited at once
-	given   int           // last, and how much of that it was sure of
-	sure    int
+	class           *class[W]
+	tenant          string
+	weight          float64
+	virtualTime     float64
+	queue           []W
+	head            int
+	measuredBytes   int64 // bytes since the last measurement
+	totalBytes      int64
+	waitingSince    time.Duration // when the queue last became non-empty
+	waitTime        time.Duration // time since the last measurement in which the queue was not empty
+	emptiedAt       time.Duration // when the queue last became empty
+	backloggedSince time.Duration // since when the queue has been non-empty but for gaps of at most requeueGap
+	maxWaiting      int           // most senders waiting at once since the last measurement
+	lastTaken       int           // bytes last charged
+	lastGuaranteed  int           // guaranteed bytes among these
 }
 
-// NewShaper is one with nothing lent.
+// NewShaper returns a Shaper without a grant.
 func NewShaper[W any](now time.Duration) *Shaper[W] {
-	return &Shaper[W]{last: now, measure: now, pile: calmPile, clocks: map[int]float64{}}
+	return &Shaper[W]{lastRefill: now, measuredSince: now, lowerBurstTime: minLowerBurstTime,
+		virtualTimes: map[int]float64{}}
 }
 
-// SetLink takes the link's table, this process's safe part in bytes a second, and the tenants' shares. Who waits goes on waiting.
-func (s *Shaper[W]) SetLink(now time.Duration, l revision.Link, safe float64, shares map[string]float64) {
+// SetLink applies the link's table entry, this process's safe part in bytes per second, and the tenants' weights.
+// Waiting senders keep waiting.
+func (s *Shaper[W]) SetLink(now time.Duration, l revision.Link, safeRate float64, tenantWeights map[string]float64) {
 	s.refill(now)
-	s.link, s.safe, s.shares = l, safe, shares
-	s.order()
-	if s.until == 0 {
-		s.fall()
+	s.link, s.safeRate, s.tenantWeights = l, safeRate, tenantWeights
+	s.sortClasses()
+	if s.grantExpiry == 0 {
+		s.fallBack()
 	}
 }
 
-// order sorts the classes by the table.
-func (s *Shaper[W]) order() {
+// sortClasses applies the table's rules and sorts the classes by them.
+func (s *Shaper[W]) sortClasses() {
 	names := make([]string, len(s.classes))
 	for i, c := range s.classes {
 		names[i] = c.name
 	}
 	var list []*class[W]
 	ranks := 0
-	for i, r := range rules(&s.link, names) {
+	for i, r := range classRules(&s.link, names) {
 		if i > 0 && r.priority != list[i-1].priority {
 			ranks++
 		}
-		c := &class[W]{sure: rate.NewLimiter(0, turnMost)}
+		c := &class[W]{guaranteed: rate.NewLimiter(0, maxQuantumBytes)}
 		if j := slices.IndexFunc(s.classes, func(c *class[W]) bool { return c.name == r.name }); j >= 0 {
 			c = s.classes[j]
 		}
-		c.rule, c.rank = r, float64(ranks)
+		c.classRule, c.rank = r, float64(ranks)
 		for _, f := range c.flows {
-			f.weight = share(s.shares, f.tenant)
+			f.weight = tenantWeight(s.tenantWeights, f.tenant)
 		}
 		list = append(list, c)
 	}
@@ -133,7 +141,7 @@
 	s.classes = list
 }
 
-// Flow is the queue of a class and tenant, made where it is new.
+// Flow returns the queue of a class and tenant, and creates it if there is none.
 func (s *Shaper[W]) Flow(name, tenant string) *Flow[W] {
 	for range 2 {
 		for _, c := range s.classes {
@@ -145,146 +153,154 @@
 					return f
 				}
 			}
-			f := &Flow[W]{class: c, tenant: tenant, weight: share(s.shares, tenant)}
+			f := &Flow[W]{class: c, tenant: tenant, weight: tenantWeight(s.tenantWeights, tenant)}
 			c.flows = append(c.flows, f)
 			return f
 		}
-		s.classes = append(s.classes, &class[W]{rule: rule{name: name}, sure: rate.NewLimiter(0, turnMost)})
-		s.order()
-		if s.until == 0 {
-			s.fall()
+		s.classes = append(s.classes,
+			&class[W]{classRule: classRule{name: name}, guaranteed: rate.NewLimiter(0, maxQuantumBytes)})
+		s.sortClasses()
+		if s.grantExpiry == 0 {
+			s.fallBack()
 		} else {
-			s.assure(s.last, nil)
+			s.setGuarantees(s.lastRefill, nil)
 		}
 	}
-	panic("links: a class that was added is not there")
+	panic("links: class missing after it was added")
 }
 
-// Lend takes what was lent until a time.
+// Lend applies a grant until its expiry.
 func (s *Shaper[W]) Lend(now time.Duration, g Grant, until time.Duration) {
 	s.refill(now)
 	if until <= now {
 		return
 	}
-	s.until, s.short = until, g.Short
-	s.pace(g.Bytes)
+	s.grantExpiry, s.saturated = until, g.Saturated
+	s.setRate(g.Rate)
 	for _, c := range s.classes {
-		c.share = 0
+		c.planWeight = 0
 	}
-	for _, x := range g.Got {
+	for _, x := range g.Flows {
 		for _, c := range s.classes {
 			if c.name == x.Class {
-				c.share += x.Bytes
+				c.planWeight += x.Rate
 			}
 		}
 	}
-	for _, c := range s.classes { // one that has just begun isn't in the plan yet
-		c.share = max(c.share, c.weight*g.Bytes/100)
+	for _, c := range s.classes { // a class that has just become active isn't in the plan yet
+		c.planWeight = max(c.planWeight, c.weight*g.Rate/100)
 	}
-	s.assure(now, g.Sure)
+	s.setGuarantees(now, g.Guarantees)
 }
 
-// assure sets what classes are sure of: what the plan says, then, as far as the rate goes, their least part of it for those that weren't
-// there when it was made.
-func (s *Shaper[W]) assure(now time.Duration, sure []Sure) {
+// setGuarantees sets the classes' guaranteed rates: the planned ones first, then, as far as the rate goes, the minimum
+// share of classes that the plan does not have.
+func (s *Shaper[W]) setGuarantees(now time.Duration, guarantees []Guarantee) {
 	left := s.rate
 	for _, planned := range []bool{true, false} {
 		for _, c := range s.classes {
-			i := slices.IndexFunc(sure, func(x Sure) bool { return x.Class == c.name })
+			i := slices.IndexFunc(guarantees, func(x Guarantee) bool { return x.Class == c.name })
 			if (i >= 0) != planned {
 				continue
 			}
-			bytes := c.least * s.rate
+			classRate := c.minShare * s.rate
 			if planned {
-				bytes = sure[i].Bytes
+				classRate = guarantees[i].Rate
 			}
-			bytes = max(0, min(bytes, left))
-			left -= bytes
-			c.sure.SetLimitAt(at(now), rate.Limit(bytes))
-			c.sure.SetBurstAt(at(now), int(math.Ceil(max(quantum(s.rate, turnTime), bytes*depthTime.Seconds()))))
+			classRate = max(0, min(classRate, left))
+			left -= classRate
+			c.guaranteed.SetLimitAt(limiterTime(now), rate.Limit(classRate))
+			c.guaranteed.SetBurstAt(limiterTime(now),
+				int(math.Ceil(max(quantumBytes(s.rate, quantumTime), classRate*burstTime.Seconds()))))
 		}
 	}
 }
 
-// fall has the safe part hold, divided by the table alone.
-func (s *Shaper[W]) fall() {
-	s.until, s.short = 0, nil
-	s.pace(s.safe)
+// fallBack applies the safe part, divided by the table alone.
+func (s *Shaper[W]) fallBack() {
+	s.grantExpiry, s.saturated = 0, nil
+	s.setRate(s.safeRate)
 	for _, c := range s.classes {
-		c.share = c.weight
+		c.planWeight = c.weight
 	}
-	s.assure(s.last, nil)
+	s.setGuarantees(s.lastRefill, nil)
 }
 
-func (s *Shaper[W]) pace(bytes float64) {
-	s.rate = bytes
-	s.depth = max(bytes*depthTime.Seconds(), depthLeast)
-	s.tokens = min(s.tokens, s.depth)
-	s.settle()
+// setRate sets the rate and the burst that follows from it.
+func (s *Shaper[W]) setRate(bytesPerSecond float64) {
+	s.rate = bytesPerSecond
+	s.burst = max(bytesPerSecond*burstTime.Seconds(), minBurstBytes)
+	s.tokens = min(s.tokens, s.burst)
+	s.setQuantum()
 }
 
-// settle sets turns, and what may pile up for later priorities. Whatever they send in one go the next message of the first priority waits
-// behind: a wire that is used nearly whole works off what came late only slowly. So what later priorities may have at once is as little as
-// this process can make use of, by how late it gets its processor.
-func (s *Shaper[W]) settle() {
-	turn, pile := turnTime, time.Duration(laterPart*float64(depthTime))
-	if s.calm {
-		turn, pile = calmTime, s.pile
+// setQuantum sets the quantum and the burst of lower priorities. A message of the first priority waits behind whatever
+// lower priorities sent in one go, and a nearly saturated wire works off such a delay only slowly. So lower priorities
+// get the smallest burst that this process can use, given how late it is scheduled on its processor.
+func (s *Shaper[W]) setQuantum() {
+	quantumTarget, lowerBurst := quantumTime, time.Duration(lowerPriorityShare*float64(burstTime))
+	if s.lowLatency {
+		quantumTarget, lowerBurst = lowLatencyQuantumTime, s.lowerBurstTime
 	}
-	s.quantum = quantum(s.rate, turn)
-	s.kept = s.depth - max(s.rate*pile.Seconds(), 2*s.quantum)
+	s.quantum = quantumBytes(s.rate, quantumTarget)
+	s.reservedBurst = s.burst - max(s.rate*lowerBurst.Seconds(), 2*s.quantum)
 }
 
-func quantum(bytes float64, turn time.Duration) float64 {
-	return min(max(bytes*turn.Seconds(), turnLeast), turnMost)
+// quantumBytes returns the bytes of a quantum at a rate.
+func quantumBytes(bytesPerSecond float64, target time.Duration) float64 {
+	return min(max(bytesPerSecond*target.Seconds(), minQuantumBytes), maxQuantumBytes)
 }
 
-// at puts a time on the bucket's clock.
-func at(t time.Duration) time.Time { return time.Unix(0, 0).Add(t) }
+// limiterTime converts a time to the rate limiters' clock.
+func limiterTime(t time.Duration) time.Time { return time.Unix(0, 0).Add(t) }
 
+// refill adds the tokens up to now. It ends an expired grant and adapts the lower priorities' burst.
 func (s *Shaper[W]) refill(now time.Duration) {
-	if s.until > 0 && now >= s.until && !failpoint.On("links-held-on") { // first of all, so that a process that was stopped sends nothing by what has lapsed
-		s.grow(s.until)
-		s.fall()
-	}
-	s.grow(now)
-	calm := now < s.calmTo
-	if calm && now >= s.look {
-		switch lost := s.lost / max(s.rate*calmLook.Seconds(), 1); {
-		case lost > calmMore:
-			s.pile = min(s.pile*3/2, time.Duration(laterPart*float64(depthTime)))
-		case lost < calmMore/3:
-			s.pile = max(s.pile*19/20, calmPile)
+	// First of all, so that a process that was stopped sends nothing by an expired grant.
+	if s.grantExpiry > 0 && now >= s.grantExpiry && !failpoint.On("links-held-on") {
+		s.addTokens(s.grantExpiry)
+		s.fallBack()
+	}
+	s.addTokens(now)
+	lowLatency := now < s.lowLatencyUntil
+	if lowLatency && now >= s.nextAdapt {
+		switch lossShare := s.overflow / max(s.rate*adaptInterval.Seconds(), 1); {
+		case lossShare > highLossShare:
+			s.lowerBurstTime = min(s.lowerBurstTime*3/2, time.Duration(lowerPriorityShare*float64(burstTime)))
+		case lossShare < highLossShare/3:
+			s.lowerBurstTime = max(s.lowerBurstTime*19/20, minLowerBurstTime)
 		}
-		s.lost, s.look = 0, now+calmLook
-		s.calm = false
+		s.overflow, s.nextAdapt = 0, now+adaptInterval
+		s.lowLatency = false
 	}
-	if calm != s.calm {
-		s.calm = calm
-		s.settle()
+	if lowLatency != s.lowLatency {
+		s.lowLatency = lowLatency
+		s.setQuantum()
 	}
 }
 
-func (s *Shaper[W]) grow(now time.Duration) {
-	if now > s.last {
-		s.tokens += s.rate * (now - s.last).Seconds()
-		if over := s.tokens - s.depth; over > 0 {
-			s.tokens = s.depth
+// addTokens adds the tokens up to now at the present rate.
+func (s *Shaper[W]) addTokens(now time.Duration) {
+	if now > s.lastRefill {
+		s.tokens += s.rate * (now - s.lastRefill).Seconds()
+		if excess := s.tokens - s.burst; excess > 0 {
+			s.tokens = s.burst
 			if s.waiting > 0 {
-				s.lost += over
+				s.overflow += excess
 			}
 		}
-		s.last = now
+		s.lastRefill = now
 	}
 }
 
-// free is what a class may have now.
-func (s *Shaper[W]) free(c *class[W]) float64 { return s.tokens - c.rank*s.kept }
+// available returns the bytes that a class may send now.
+func (s *Shaper[W]) available(c *class[W]) float64 { return s.tokens - c.rank*s.reservedBurst }
 
-// Take asks for up to most bytes at once: so many may pass now, or none if somebody waits whose turn comes before, or too little is there.
+// Take requests up to most bytes without waiting. It returns how many may pass now, or 0 if a waiting sender comes
+// first or too little is available.
 func (s *Shaper[W]) Take(now time.Duration, f *Flow[W], most int) int {
 	s.refill(now)
-	free := s.free(f.class)
+	available := s.available(f.class)
 	if s.waiting > 0 {
 		for _, c := range s.classes {
 			if c.waiting == 0 {
@@ -293,51 +309,52 @@
 			if c.priority <= f.class.priority {
 				return 0
 			}
-			free -= max(0, min(c.sure.TokensAt(at(now)), s.quantum)) // that is sure of its turn first
+			available -= max(0, min(c.guaranteed.TokensAt(limiterTime(now)), s.quantum)) // guaranteed first
 		}
 	}
-	if free < min(s.quantum, float64(most)) {
+	if available < min(s.quantum, float64(most)) {
 		return 0
 	}
-	n := min(float64(most), free, turnMost)
+	n := min(float64(most), available, maxQuantumBytes)
 	if f.class.rank > 0 {
 		n = min(n, s.quantum)
 	}
-	s.begin(f)
-	return s.give(f, int(n), now)
+	s.catchUp(f)
+	return s.charge(f, int(n), now)
 }
 
-// Wait puts one at the end of its queue.
+// Wait appends a sender to the flow's queue.
 func (s *Shaper[W]) Wait(now time.Duration, f *Flow[W], w W) {
 	if f.waiting() == 0 {
-		if f.since = now; now-f.left > pressGap {
-			f.pressed = now
+		if f.waitingSince = now; now-f.emptiedAt > requeueGap {
+			f.backloggedSince = now
 		}
 	}
-	s.begin(f)
+	s.catchUp(f)
 	if f.head > 32 && f.head > len(f.queue)/2 {
 		f.queue = slices.Delete(f.queue, 0, f.head)
 		f.head = 0
 	}
 	f.queue = append(f.queue, w)
-	f.senders = max(f.senders, f.waiting())
+	f.maxWaiting = max(f.maxWaiting, f.waiting())
 	f.class.waiting++
 	s.waiting++
 }
 
-// begin has who comes after a rest begin where the others are: nobody saves up turns.
-func (s *Shaper[W]) begin(f *Flow[W]) {
+// catchUp advances the virtual time of a flow or class that was idle to that of the others: idle time earns no credit.
+func (s *Shaper[W]) catchUp(f *Flow[W]) {
 	if f.waiting() == 0 {
-		f.turns = max(f.turns, f.class.clock)
+		f.virtualTime = max(f.virtualTime, f.class.flowVirtualTime)
 	}
 	if f.class.waiting == 0 {
-		f.class.turns = max(f.class.turns, s.clocks[f.class.priority])
+		f.class.virtualTime = max(f.class.virtualTime, s.virtualTimes[f.class.priority])
 	}
 }
 
 func (f *Flow[W]) waiting() int { return len(f.queue) - f.head }
 
-// Next takes the one out of its queue whose turn it is now, and says how many bytes may pass. It is false if nobody's is.
+// Next removes the sender that is served now from its queue and returns how many bytes it may send. ok is false if none
+// may send yet.
 func (s *Shaper[W]) Next(now time.Duration) (w W, f *Flow[W], n int, ok bool) {
 	if s.waiting == 0 {
 		return w, nil, 0, false
@@ -345,7 +362,7 @@
 	s.refill(now)
 	var next *class[W]
 	for _, c := range s.classes {
-		if c.waiting > 0 && s.tokens >= s.quantum && c.sure.TokensAt(at(now)) >= s.quantum {
+		if c.waiting > 0 && s.tokens >= s.quantum && c.guaranteed.TokensAt(limiterTime(now)) >= s.quantum {
 			next = c
 			break
 		}
@@ -355,78 +372,80 @@
 			if c.waiting == 0 || next != nil && c.priority != next.priority {
 				continue
 			}
-			if next == nil || c.turns < next.turns {
+			if next == nil || c.virtualTime < next.virtualTime {
 				next = c
 			}
 		}
-		if s.free(next) < s.quantum {
+		if s.available(next) < s.quantum {
 			return w, nil, 0, false
 		}
 	}
 	for _, x := range next.flows {
-		if x.waiting() > 0 && (f == nil || x.turns < f.turns) {
+		if x.waiting() > 0 && (f == nil || x.virtualTime < f.virtualTime) {
 			f = x
 		}
 	}
 	w = f.queue[f.head]
-	var none W
-	f.queue[f.head] = none
+	var zero W
+	f.queue[f.head] = zero
 	f.head++
 	next.waiting--
 	s.waiting--
 	if f.waiting() == 0 {
-		f.waited += now - max(f.since, s.measure)
-		f.left = now
+		f.waitTime += now - max(f.waitingSince, s.measuredSince)
+		f.emptiedAt = now
 		f.queue, f.head = f.queue[:0], 0
 	}
-	return w, f, s.give(f, int(s.quantum), now), true
+	return w, f, s.charge(f, int(s.quantum), now), true
 }
 
-func (s *Shaper[W]) give(f *Flow[W], n int, now time.Duration) int {
+// charge takes n bytes from the link's tokens and the class's guarantee.
+func (s *Shaper[W]) charge(f *Flow[W], n int, now time.Duration) int {
 	s.tokens -= float64(n)
 	if f.class.rank == 0 && s.classes[len(s.classes)-1].rank > 0 {
-		s.calmTo = now + calmFor
+		s.lowLatencyUntil = now + lowLatencyHold
 	}
-	s.clocks[f.class.priority], f.class.clock = f.class.turns, f.turns
-	s.count(f, n)
-	f.given, f.sure = n, 0
-	if sure := int(f.class.sure.TokensAt(at(now))); sure > 0 {
-		f.sure = min(n, sure)
-		f.class.sure.AllowN(at(now), f.sure)
+	s.virtualTimes[f.class.priority], f.class.flowVirtualTime = f.class.virtualTime, f.virtualTime
+	s.account(f, n)
+	f.lastTaken, f.lastGuaranteed = n, 0
+	if guaranteed := int(f.class.guaranteed.TokensAt(limiterTime(now))); guaranteed > 0 {
+		f.lastGuaranteed = min(n, guaranteed)
+		f.class.guaranteed.AllowN(limiterTime(now), f.lastGuaranteed)
 	}
 	return n
 }
 
-func (s *Shaper[W]) count(f *Flow[W], n int) {
-	f.used += int64(n)
-	f.total += int64(n)
-	f.class.turns += float64(n) / max(f.class.share, 1e-9)
-	f.turns += float64(n) / f.weight
+// account adds n bytes to the flow's counters and to the virtual times.
+func (s *Shaper[W]) account(f *Flow[W], n int) {
+	f.measuredBytes += int64(n)
+	f.totalBytes += int64(n)
+	f.class.virtualTime += float64(n) / max(f.class.planWeight, 1e-9)
+	f.virtualTime += float64(n) / f.weight
 }
 
-// Return gives back what was given and not used.
+// Return gives back bytes that were charged and not used.
 func (s *Shaper[W]) Return(f *Flow[W], n int) {
-	s.tokens = min(s.depth, s.tokens+float64(n))
-	s.count(f, -n)
-	if back := f.sure - max(0, f.given-n); back > 0 { // what was used counts as sure first
-		f.class.sure.AllowN(at(s.last), -back)
-		f.sure -= back
+	s.tokens = min(s.burst, s.tokens+float64(n))
+	s.account(f, -n)
+	if refund := f.lastGuaranteed - max(0, f.lastTaken-n); refund > 0 { // used bytes count as guaranteed first
+		f.class.guaranteed.AllowN(limiterTime(s.lastRefill), -refund)
+		f.lastGuaranteed -= refund
 	}
 }
 
-// Owe counts bytes that passed without asking, such as first lines: they are saved later.
+// Owe charges bytes that passed without asking, such as first lines; later ones wait for them.
 func (s *Shaper[W]) Owe(now time.Duration, f *Flow[W], n int) {
 	s.refill(now)
-	s.give(f, n, now)
+	s.charge(f, n, now)
 }
 
-// Soon is how long it takes until Next can say more, an hour if nobody waits.
+// Soon returns the time until Next may serve another sender, an hour if none waits.
 func (s *Shaper[W]) Soon(now time.Duration) time.Duration {
 	if s.waiting == 0 {
 		return time.Hour
 	}
 	s.refill(now)
-	lacks := math.Inf(1)
+	seconds := math.Inf(1)
 	first := 0
 	for _, c := range s.classes {
 		if c.waiting == 0 {
@@ -434,22 +453,22 @@
 		}
 		if first == 0 || c.priority == first {
 			first = c.priority
-			lacks = min(lacks, (s.quantum-s.free(c))/max(s.rate, 1))
+			seconds = min(seconds, (s.quantum-s.available(c))/max(s.rate, 1))
 		}
-		sure := (s.quantum - c.sure.TokensAt(at(now))) / max(float64(c.sure.Limit()), 1e-9)
-		lacks = min(lacks, max(sure, (s.quantum-s.tokens)/max(s.rate, 1)))
+		guaranteed := (s.quantum - c.guaranteed.TokensAt(limiterTime(now))) / max(float64(c.guaranteed.Limit()), 1e-9)
+		seconds = min(seconds, max(guaranteed, (s.quantum-s.tokens)/max(s.rate, 1)))
 	}
-	soon := time.Duration(min(max(lacks, 0), 1) * float64(time.Second))
-	if s.until > 0 {
-		soon = min(soon, s.until-now)
+	delay := time.Duration(min(max(seconds, 0), 1) * float64(time.Second))
+	if s.grantExpiry > 0 {
+		delay = min(delay, s.grantExpiry-now)
 	}
-	return max(soon, 100*time.Microsecond)
+	return max(delay, 100*time.Microsecond)
 }
 
-// Waiting is how many wait.
+// Waiting returns the number of waiting senders.
 func (s *Shaper[W]) Waiting() int { return s.waiting }
 
-// Drain takes out all that wait: the link is bounded no more.
+// Drain removes and returns all waiting senders. It is called when the link is no longer bounded.
 func (s *Shaper[W]) Drain() (all []W) {
 	for _, c := range s.classes {
 		for _, f := range c.flows {
@@ -462,52 +481,53 @@
 	return all
 }
 
-// Wants are the figures since they were last taken: what each class and tenant would send if it were not held back, in bytes a second.
-// One that was held back for nearly all of the time may want any amount, and is taken to want the link.
+// Wants returns what each class and tenant would send without shaping, in bytes per second since the last measurement.
+// A flow that was backlogged nearly all of the time may demand any amount, and is taken to demand the whole link.
 func (s *Shaper[W]) Wants(now time.Duration) Ask {
 	s.refill(now)
-	a := Ask{Link: Name(s.link.From, s.link.To), Safe: s.safe}
-	if s.until > 0 {
-		a.Held = s.rate
+	a := Ask{Link: Name(s.link.From, s.link.To), SafeRate: s.safeRate}
+	if s.grantExpiry > 0 {
+		a.GrantedRate = s.rate
 	}
-	if now-s.measure < wantsLeast { // a question out of turn: what so short a time tells is chance
-		a.Wants = s.wants
+	if now-s.measuredSince < minMeasureTime { // an early request: over so short a time the figures are chance
+		a.Demands = s.lastDemands
 		return a
 	}
-	span := (now - s.measure).Seconds()
+	span := (now - s.measuredSince).Seconds()
 	for _, c := range s.classes {
 		for _, f := range c.flows {
-			waited := f.waited
+			waitTime := f.waitTime
 			if f.waiting() > 0 {
-				waited += now - max(f.since, s.measure)
+				waitTime += now - max(f.waitingSince, s.measuredSince)
 			}
-			if f.used > 0 || waited > 0 {
-				part := waited.Seconds() / span
-				w := Want{c.name, f.tenant, s.link.Bytes, f.senders}
-				idle := now - f.left
+			if f.measuredBytes > 0 || waitTime > 0 {
+				waitShare := waitTime.Seconds() / span
+				w := Demand{c.name, f.tenant, s.link.Bytes, f.maxWaiting}
+				idle := now - f.emptiedAt
 				if f.waiting() > 0 {
 					idle = 0
 				}
 				switch {
-				case idle <= pressGap && now-f.pressed >= pressLeast || part >= 0.9 && idle < pressLeast:
-				case part >= 0.5 && idle >= pressLeast: // it pressed, and has ended
-					w.Bytes = turnLeast
+				case idle <= requeueGap && now-f.backloggedSince >= minBacklogTime || waitShare >= 0.9 && idle < minBacklogTime:
+				case waitShare >= 0.5 && idle >= minBacklogTime: // its backlog has ended
+					w.Rate = minQuantumBytes
 				default:
-					w.Bytes = min(s.link.Bytes, 1.1*float64(max(0, f.used))/span/(1-part)+float64(turnLeast))
+					w.Rate = min(s.link.Bytes, 1.1*float64(max(0, f.measuredBytes))/span/(1-waitShare)+float64(minQuantumBytes))
 				}
-				a.Wants = append(a.Wants, w)
+				a.Demands = append(a.Demands, w)
 			}
-			f.used, f.waited, f.senders = 0, 0, f.waiting()
+			f.measuredBytes, f.waitTime, f.maxWaiting = 0, 0, f.waiting()
 		}
 	}
-	s.measure, s.wants = now, a.Wants
+	s.measuredSince, s.lastDemands = now, a.Demands
 	return a
 }
 
-// Short are the classes for which the link is full: by what was told with the grant, or, where none counts, those that wait here.
+// Short returns the classes for which the link is saturated: as the grant reports, or without a grant those waiting
+// here.
 func (s *Shaper[W]) Short() []string {
-	if s.until > 0 {
-		return s.short
+	if s.grantExpiry > 0 {
+		return s.saturated
 	}
 	var list []string
 	for _, c := range s.classes {
@@ -518,22 +538,23 @@
 	return list
 }
 
-// Figures are what a link's shaper has let pass, and holds.
+// Figures are a link's counters and state.
 type Figures struct {
 	Link    string           `json:"link"`
 	Rate    float64          `json:"bytes_per_second"`
-	Lent    bool             `json:"lent"` // and not lapsed
+	Granted bool             `json:"lent"` // and not expired
 	Waiting int              `json:"waiting"`
 	Bytes   map[string]int64 `json:"bytes"` // by class
 }
 
-// Figures tells them.
+// Figures returns the counters and state.
 func (s *Shaper[W]) Figures(now time.Duration) Figures {
 	s.refill(now)
-	f := Figures{Link: Name(s.link.From, s.link.To), Rate: math.Round(s.rate), Lent: s.until > 0, Waiting: s.waiting, Bytes: map[string]int64{}}
+	f := Figures{Link: Name(s.link.From, s.link.To), Rate: math.Round(s.rate), Granted: s.grantExpiry > 0,
+		Waiting: s.waiting, Bytes: map[string]int64{}}
 	for _, c := range s.classes {
 		for _, x := range c.flows {
-			f.Bytes[c.name] += x.total
+			f.Bytes[c.name] += x.totalBytes
 		}
 	}
 	return f
--- a/internal/bandwidth/wire.go
+++ b/internal/bandwidth/wire.go
@@ -9,69 +9,75 @@
 	"oatloft/internal/hint"
 )
 
-// Questions and answers travel in protobuf's wire format, by this schema. This file owns it; it must never take a torn message for a shorter
-// one, nor a figure that no balancer can mean.
+// Requests and responses use protobuf's wire format with the schema below. A truncated message is never accepted as a
+// shorter one, nor a figure that no balancer can mean.
 //
-//	message Asks   { uint32 form = 1; uint64 number = 2; uint64 took = 3; repeated Ask links = 4; uint32 end = 15; }
-//	message Ask    { string link = 1; double held = 2; double safe = 3; repeated Want wants = 4; }
-//	message Want   { string class = 1; string tenant = 2; float bytes = 3; uint32 senders = 4; }
-//	message Grants { uint32 form = 1; uint64 number = 2; repeated Grant links = 4; uint32 end = 15; }
-//	message Grant  { string link = 1; double bytes = 2; repeated Got got = 3; repeated Sure sure = 4; repeated string short = 5; }
-//	message Got    { string class = 1; string tenant = 2; float bytes = 3; }
-//	message Sure   { string class = 1; float bytes = 2; }
+//	message Request   { uint32 version = 1; uint64 number = 2; uint64 applied = 3; repeated Ask links = 4;
+//	                    uint32 end = 15; }
+//	message Ask       { string link = 1; double granted_rate = 2; double safe_rate = 3; repeated Demand demands = 4; }
+//	message Demand    { string class = 1; string tenant = 2; float rate = 3; uint32 waiting = 4; }
+//	message Response  { uint32 version = 1; uint64 number = 2; repeated Grant links = 4; uint32 end = 15; }
+//	message Grant     { string link = 1; double rate = 2; repeated FlowRate flows = 3;
+//	                    repeated Guarantee guarantees = 4; repeated string saturated = 5; }
+//	message FlowRate  { string class = 1; string tenant = 2; float rate = 3; }
+//	message Guarantee { string class = 1; float rate = 2; }
 //
-// Figures that the bound rests on travel whole, others with seven digits. Those that are 0 and texts that are empty are left out; unknown
-// fields are passed over, so that a later version may add some. One that changes what these mean raises the form. What ends
-// it is the number of links and one more, so that a message that was cut between two of its fields is known for torn.
+// Figures that the sum over a link depends on are sent as doubles, others as floats with seven digits. Zero figures and
+// empty strings are omitted. Unknown fields are skipped, so that a later version may add some; a version that changes
+// the meaning of these fields raises the version number. The field end holds the number of links plus one, so that a
+// message that was cut between two fields is recognized as truncated.
 
 const (
-	form        = 1
-	longest     = 1 << 20 // bytes of a message
-	mostEntries = 1 << 14 // of all lists in a message
+	messageVersion  = 1
+	maxMessageBytes = 1 << 20 // bytes of a message
+	maxEntries      = 1 << 14 // of all length-delimited fields in a message
 )
 
-// Malformed is a question or an answer on parts of links that no balancer of this form would send. It counts as not heard.
+// Malformed is a message that no balancer of this version would send. It is handled as if it had been lost.
 type Malformed struct{ hint.Annotated }
 
-const sameVersion = "run versions that know each other at all balancers; links are lent again once they do"
+// versionHint is the remedy for all malformed messages.
+const versionHint = "run compatible versions at all balancers; links are granted again once they do"
 
 var (
-	errForm  error = &Malformed{hint.Annotated{What: "of another form", Do: sameVersion}}
-	errTorn  error = &Malformed{hint.Annotated{What: "torn, or not in the wire format", Do: sameVersion}}
-	errLong  error = &Malformed{hint.Annotated{What: "longer than a message may be", Do: sameVersion}}
-	errField error = &Malformed{hint.Annotated{What: "a figure that can't be", Do: sameVersion}}
+	errVersion  error = &Malformed{hint.Annotated{What: "unsupported message version", Do: versionHint}}
+	errCorrupt  error = &Malformed{hint.Annotated{What: "message truncated, or not in the wire format", Do: versionHint}}
+	errTooLarge error = &Malformed{hint.Annotated{What: "message too large", Do: versionHint}}
+	errValue    error = &Malformed{hint.Annotated{What: "invalid value", Do: versionHint}}
 )
 
-func putText(b []byte, field protowire.Number, s string) []byte {
+// appendText appends a string, omitted if it is empty. The three functions below omit zeros.
+func appendText(b []byte, field protowire.Number, s string) []byte {
 	if s == "" {
 		return b
 	}
 	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s)
 }
 
-func putNumber(b []byte, field protowire.Number, v uint64) []byte {
+func appendUint(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 }
 
-func putWhole(b []byte, field protowire.Number, v float64) []byte {
+func appendDouble(b []byte, field protowire.Number, v float64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), math.Float64bits(v))
 }
 
-func putShort(b []byte, field protowire.Number, v float64) []byte {
+func appendFloat(b []byte, field protowire.Number, v float64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendFixed32(protowire.AppendTag(b, field, protowire.Fixed32Type), math.Float32bits(float32(v)))
 }
 
-// putPart appends a message inside a message: its length is known once it is written, and moves it by a byte where that takes two.
-func putPart(b []byte, field protowire.Number, write func([]byte) []byte) []byte {
+// appendMessage appends a nested message. Its length is known only after encoding; where the length takes two bytes or
+// more, the content is moved.
+func appendMessage(b []byte, field protowire.Number, write func([]byte) []byte) []byte {
 	b = protowire.AppendTag(b, field, protowire.BytesType)
 	at := len(b)
 	b = write(append(b, 0))
@@ -84,188 +90,191 @@
 	return b
 }
 
-func (a *Asks) wire() []byte {
-	b := putNumber(make([]byte, 0, 1024), 1, form)
-	b = putNumber(putNumber(b, 2, a.Number), 3, a.Took)
+func (a *Request) encode() []byte {
+	b := appendUint(make([]byte, 0, 1024), 1, messageVersion)
+	b = appendUint(appendUint(b, 2, a.Number), 3, a.Applied)
 	for _, l := range a.Links {
-		b = putPart(b, 4, func(b []byte) []byte {
-			b = putWhole(putWhole(putText(b, 1, l.Link), 2, l.Held), 3, l.Safe)
-			for _, w := range l.Wants {
-				b = putPart(b, 4, func(b []byte) []byte {
-					return putNumber(putShort(putText(putText(b, 1, w.Class), 2, w.Tenant), 3, w.Bytes), 4, uint64(max(0, w.Senders)))
+		b = appendMessage(b, 4, func(b []byte) []byte {
+			b = appendDouble(appendDouble(appendText(b, 1, l.Link), 2, l.GrantedRate), 3, l.SafeRate)
+			for _, w := range l.Demands {
+				b = appendMessage(b, 4, func(b []byte) []byte {
+					return appendUint(appendFloat(appendText(appendText(b, 1, w.Class), 2, w.Tenant), 3, w.Rate),
+						4, uint64(max(0, w.Waiting)))
 				})
 			}
 			return b
 		})
 	}
-	return putNumber(b, 15, uint64(len(a.Links))+1)
+	return appendUint(b, 15, uint64(len(a.Links))+1)
 }
 
-func (g *Grants) wire() []byte {
-	b := putNumber(putNumber(make([]byte, 0, 1024), 1, form), 2, g.Number)
+func (g *Response) encode() []byte {
+	b := appendUint(appendUint(make([]byte, 0, 1024), 1, messageVersion), 2, g.Number)
 	for _, l := range g.Links {
-		b = putPart(b, 4, func(b []byte) []byte {
-			b = putWhole(putText(b, 1, l.Link), 2, l.Bytes)
-			for _, x := range l.Got {
-				b = putPart(b, 3, func(b []byte) []byte { return putShort(putText(putText(b, 1, x.Class), 2, x.Tenant), 3, x.Bytes) })
+		b = appendMessage(b, 4, func(b []byte) []byte {
+			b = appendDouble(appendText(b, 1, l.Link), 2, l.Rate)
+			for _, x := range l.Flows {
+				b = appendMessage(b, 3, func(b []byte) []byte {
+					return appendFloat(appendText(appendText(b, 1, x.Class), 2, x.Tenant), 3, x.Rate)
+				})
 			}
-			for _, x := range l.Sure {
-				b = putPart(b, 4, func(b []byte) []byte { return putShort(putText(b, 1, x.Class), 2, x.Bytes) })
+			for _, x := range l.Guarantees {
+				b = appendMessage(b, 4, func(b []byte) []byte { return appendFloat(appendText(b, 1, x.Class), 2, x.Rate) })
 			}
-			for _, x := range l.Short {
+			for _, x := range l.Saturated {
 				b = protowire.AppendString(protowire.AppendTag(b, 5, protowire.BytesType), x)
 			}
 			return b
 		})
 	}
-	return putNumber(b, 15, uint64(len(g.Links))+1)
+	return appendUint(b, 15, uint64(len(g.Links))+1)
 }
 
-// field is one of a message: a number, a figure, or a part.
+// field is one field of a message: a number, a rate, or length-delimited bytes.
 type field struct {
-	is    protowire.Number
-	kind  protowire.Type
-	n     uint64
-	part  []byte
-	whole float64
+	number protowire.Number
+	kind   protowire.Type
+	uint   uint64
+	bytes  []byte
+	float  float64
 }
 
-// reading goes over a message; its bound is on all that one holds.
-type reading struct{ entries int }
+// decoder walks one message; its limit is on all length-delimited fields together.
+type decoder struct{ lengthDelimited int }
 
-func (r *reading) fields(b []byte, of func(f field) error) error {
+func (r *decoder) eachField(b []byte, visit func(f field) error) error {
 	for len(b) > 0 {
-		is, kind, n := protowire.ConsumeTag(b)
+		number, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return errTorn
+			return errCorrupt
 		}
 		b = b[n:]
-		f := field{is: is, kind: kind}
+		f := field{number: number, kind: kind}
 		switch kind {
 		case protowire.VarintType:
-			f.n, n = protowire.ConsumeVarint(b)
+			f.uint, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			f.part, n = protowire.ConsumeBytes(b)
-			if r.entries++; r.entries > mostEntries {
-				return errLong
+			f.bytes, n = protowire.ConsumeBytes(b)
+			if r.lengthDelimited++; r.lengthDelimited > maxEntries {
+				return errTooLarge
 			}
 		case protowire.Fixed64Type:
 			var v uint64
 			v, n = protowire.ConsumeFixed64(b)
-			f.whole = math.Float64frombits(v)
+			f.float = math.Float64frombits(v)
 		case protowire.Fixed32Type:
 			var v uint32
 			v, n = protowire.ConsumeFixed32(b)
-			f.whole = float64(math.Float32frombits(v))
-		default: // groups are in no form of it
+			f.float = float64(math.Float32frombits(v))
+		default: // no version has groups
 			n = -1
 		}
 		if n < 0 {
-			return errTorn
+			return errCorrupt
 		}
 		b = b[n:]
-		if err := of(f); err != nil {
+		if err := visit(f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// figure takes one, text and count likewise; a field of the same number and another kind is no message of this form.
-func (f *field) figure(to *float64) error {
-	if f.kind != protowire.Fixed64Type && f.kind != protowire.Fixed32Type || !(f.whole >= 0) || math.IsInf(f.whole, 0) {
-		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
+// rate stores a rate, text a string, uint64 a number. A field number with another wire type is malformed.
+func (f *field) rate(target *float64) error {
+	if f.kind != protowire.Fixed64Type && f.kind != protowire.Fixed32Type || !(f.float >= 0) || math.IsInf(f.float, 0) {
+		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.number), Cause: errValue, Do: versionHint}}
 	}
-	*to = f.whole
+	*target = f.float
 	return nil
 }
 
-func (f *field) text(to *string) error {
+func (f *field) text(target *string) error {
 	if f.kind != protowire.BytesType {
-		return errTorn
+		return errCorrupt
 	}
-	*to = string(f.part)
+	*target = string(f.bytes)
 	return nil
 }
 
-func (f *field) count(to *uint64, most uint64) error {
-	if f.kind != protowire.VarintType || f.n > most {
-		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.is), Cause: errField, Do: sameVersion}}
+func (f *field) uint64(target *uint64, most uint64) error {
+	if f.kind != protowire.VarintType || f.uint > most {
+		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.number), Cause: errValue, Do: versionHint}}
 	}
-	*to = f.n
+	*target = f.uint
 	return nil
 }
 
-// message reads what both have in common, and their links by a function.
-func (r *reading) message(b []byte, number, took *uint64, link func([]byte) error) error {
-	if len(b) > longest {
-		return errLong
+// envelope decodes the fields that both messages have, and calls link for each link.
+func (r *decoder) envelope(b []byte, number, applied *uint64, link func([]byte) error) error {
+	if len(b) > maxMessageBytes {
+		return errTooLarge
 	}
-	var is, links, end uint64
-	err := r.fields(b, func(f field) error {
-		if is == 0 && f.is != 1 {
-			return errForm
+	var version, linkCount, endMark uint64
+	err := r.eachField(b, func(f field) error {
+		if version == 0 && f.number != 1 {
+			return errVersion
 		}
-		switch f.is {
+		switch f.number {
 		case 1:
-			if err := f.count(&is, math.MaxUint32); err != nil || is != form {
-				return errForm
+			if err := f.uint64(&version, math.MaxUint32); err != nil || version != messageVersion {
+				return errVersion
 			}
 		case 2:
-			return f.count(number, math.MaxUint64)
+			return f.uint64(number, math.MaxUint64)
 		case 3:
-			return f.count(took, math.MaxUint64)
+			return f.uint64(applied, math.MaxUint64)
 		case 4:
-			if links++; f.kind != protowire.BytesType {
-				return errTorn
+			if linkCount++; f.kind != protowire.BytesType {
+				return errCorrupt
 			}
-			return link(f.part)
+			return link(f.bytes)
 		case 15:
-			return f.count(&end, mostEntries+1)
+			return f.uint64(&endMark, maxEntries+1)
 		}
 		return nil
 	})
 	switch {
 	case err != nil:
 		return err
-	case is != form:
-		return errForm
-	case end != links+1:
-		return errTorn
+	case version != messageVersion:
+		return errVersion
+	case endMark != linkCount+1:
+		return errCorrupt
 	}
 	return nil
 }
 
-func (a *Asks) read(b []byte) error {
-	var r reading
-	return r.message(b, &a.Number, &a.Took, func(b []byte) error {
+func (a *Request) decode(b []byte) error {
+	var r decoder
+	return r.envelope(b, &a.Number, &a.Applied, func(b []byte) error {
 		var l Ask
-		err := r.fields(b, func(f field) error {
-			switch f.is {
+		err := r.eachField(b, func(f field) error {
+			switch f.number {
 			case 1:
 				return f.text(&l.Link)
 			case 2:
-				return f.figure(&l.Held)
+				return f.rate(&l.GrantedRate)
 			case 3:
-				return f.figure(&l.Safe)
+				return f.rate(&l.SafeRate)
 			case 4:
-				var w Want
+				var w Demand
 				var n uint64
-				err := r.fields(f.part, func(f field) error {
-					switch f.is {
+				err := r.eachField(f.bytes, func(f field) error {
+					switch f.number {
 					case 1:
 						return f.text(&w.Class)
 					case 2:
 						return f.text(&w.Tenant)
 					case 3:
-						return f.figure(&w.Bytes)
+						return f.rate(&w.Rate)
 					case 4:
-						return f.count(&n, math.MaxInt32)
+						return f.uint64(&n, math.MaxInt32)
 					}
 					return nil
 				})
-				w.Senders = int(n)
-				l.Wants = append(l.Wants, w)
+				w.Waiting = int(n)
+				l.Demands = append(l.Demands, w)
 				return err
 			}
 			return nil
@@ -275,49 +284,49 @@
 	})
 }
 
-func (g *Grants) read(b []byte) error {
-	var r reading
-	var none uint64
-	return r.message(b, &g.Number, &none, func(b []byte) error {
+func (g *Response) decode(b []byte) error {
+	var r decoder
+	var unused uint64
+	return r.envelope(b, &g.Number, &unused, func(b []byte) error {
 		var l Grant
-		err := r.fields(b, func(f field) error {
-			switch f.is {
+		err := r.eachField(b, func(f field) error {
+			switch f.number {
 			case 1:
 				return f.text(&l.Link)
 			case 2:
-				return f.figure(&l.Bytes)
+				return f.rate(&l.Rate)
 			case 3:
-				var x Got
-				err := r.fields(f.part, func(f field) error {
-					switch f.is {
+				var x FlowRate
+				err := r.eachField(f.bytes, func(f field) error {
+					switch f.number {
 					case 1:
 						return f.text(&x.Class)
 					case 2:
 						return f.text(&x.Tenant)
 					case 3:
-						return f.figure(&x.Bytes)
+						return f.rate(&x.Rate)
 					}
 					return nil
 				})
-				l.Got = append(l.Got, x)
+				l.Flows = append(l.Flows, x)
 				return err
 			case 4:
-				var x Sure
-				err := r.fields(f.part, func(f field) error {
-					switch f.is {
+				var x Guarantee
+				err := r.eachField(f.bytes, func(f field) error {
+					switch f.number {
 					case 1:
 						return f.text(&x.Class)
 					case 2:
-						return f.figure(&x.Bytes)
+						return f.rate(&x.Rate)
 					}
 					return nil
 				})
-				l.Sure = append(l.Sure, x)
+				l.Guarantees = append(l.Guarantees, x)
 				return err
 			case 5:
 				var class string
 				err := f.text(&class)
-				l.Short = append(l.Short, class)
+				l.Saturated = append(l.Saturated, class)
 				return err
 			}
 			return nil
