--- a/internal/bandwidth/allocator.go
+++ b/internal/bandwidth/allocator.go
@@ -125,10 +125,10 @@
 			state = &linkState{holders: map[string]*holderState{}}
 		}
 		state.Link, state.dirty = l, true
-		for _, p := range state.holders { // each may follow either table until its next request
-			p.safeRate = max(p.safeRate, al.settings.safeRate(l.Bytes))
-			state.committed += max(0, p.safeRate-p.committed)
-			p.committed = max(p.committed, p.safeRate)
+		for _, h := range state.holders { // each may follow either table until its next request
+			h.safeRate = max(h.safeRate, al.settings.safeRate(l.Bytes))
+			state.committed += max(0, h.safeRate-h.committed)
+			h.committed = max(h.committed, h.safeRate)
 		}
 		al.links[Name(l.From, l.To)] = state
 	}
@@ -149,17 +149,17 @@
 // expire, and its safe part for some time after that, since it may go on serving its connections.
 func (al *Allocator) HolderLeft(holder string) {
 	for _, l := range al.links {
-		if p := l.holders[holder]; p != nil {
-			p.left, p.demands, l.dirty = true, nil, true
+		if h := l.holders[holder]; h != nil {
+			h.left, h.demands, l.dirty = true, nil, true
 		}
 	}
 }
 
 // maxRate returns the highest rate at which a process may send, given the grants that are still in force.
-func (p *holderState) maxRate(now, ttl time.Duration) float64 {
-	p.outstanding = slices.DeleteFunc(p.outstanding, func(g grantRecord) bool { return now > g.grantedAt+ttl })
-	rate := p.safeRate
-	for _, g := range p.outstanding {
+func (h *holderState) maxRate(now, ttl time.Duration) float64 {
+	h.outstanding = slices.DeleteFunc(h.outstanding, func(g grantRecord) bool { return now > g.grantedAt+ttl })
+	rate := h.safeRate
+	for _, g := range h.outstanding {
 		rate = max(rate, g.rate)
 	}
 	return rate
@@ -178,19 +178,19 @@
 // departedRetention their safe parts.
 func (l *linkState) recount(now, ttl time.Duration, maxDeparted int) {
 	l.departed = slices.DeleteFunc(l.departed, func(d grantRecord) bool { return now > d.grantedAt+departedRetention })
-	l.holderNames = slices.DeleteFunc(l.holderNames, func(h string) bool {
-		p := l.holders[h]
-		if !p.left || p.maxRate(now, ttl) > p.safeRate || len(p.outstanding) > 0 {
+	l.holderNames = slices.DeleteFunc(l.holderNames, func(name string) bool {
+		h := l.holders[name]
+		if !h.left || h.maxRate(now, ttl) > h.safeRate || len(h.outstanding) > 0 {
 			return false
 		}
-		l.departed = append(l.departed, grantRecord{rate: p.safeRate, grantedAt: now})
-		delete(l.holders, h)
+		l.departed = append(l.departed, grantRecord{rate: h.safeRate, grantedAt: now})
+		delete(l.holders, name)
 		return true
 	})
 	l.committed = 0
-	for _, p := range l.holders {
-		p.committed = p.maxRate(now, ttl)
-		l.committed += p.committed
+	for _, h := range l.holders {
+		h.committed = h.maxRate(now, ttl)
+		l.committed += h.committed
 	}
 	l.departed = l.departed[max(0, len(l.departed)-maxDeparted):]
 }
@@ -202,7 +202,8 @@
 	// since it visits all of them.
 	smallHolderCount = 16
 	planInterval     = 20 * time.Millisecond
-	// A smaller change triggers no early request: a fraction of the link's rate, and a hundred times that of a part's.
+	// An early request needs a change of more than this fraction of the link's rate, and of more than a hundred times this
+	// fraction of the process's planned rate.
 	minRateChange       = 0.002
 	ackDelay            = 20 * time.Millisecond  // until the early request of a process whose rate was cut
 	retryDelayPerHolder = 500 * time.Microsecond // between two early requests, over all holders of a link
@@ -222,64 +223,64 @@
 		if i < 0 {
 			continue // it sends nothing there or follows an earlier table: a safe part is reserved for it
 		}
-		linkRequest, p := request.Links[i], l.holders[holder]
-		if p == nil {
-			p = &holderState{safeRate: al.settings.safeRate(l.Bytes)}
-			p.committed = p.safeRate
-			l.committed += p.safeRate
-			l.holders[holder] = p
+		linkRequest, h := request.Links[i], l.holders[holder]
+		if h == nil {
+			h = &holderState{safeRate: al.settings.safeRate(l.Bytes)}
+			h.committed = h.safeRate
+			l.committed += h.safeRate
+			l.holders[holder] = h
 			l.holderNames = append(l.holderNames, holder)
 			slices.Sort(l.holderNames)
 		}
-		p.acknowledge(request.Applied, linkRequest.GrantedRate, now)
-		p.safeRate, p.demands, p.requestedAt =
+		h.acknowledge(request.Applied, linkRequest.GrantedRate, now)
+		h.safeRate, h.demands, h.requestedAt =
 			max(linkRequest.SafeRate, al.settings.safeRate(l.Bytes)), linkRequest.Demands, now
-		l.dirty, p.left = true, false
+		l.dirty, h.left = true, false
 		if len(l.holders) <= smallHolderCount || now >= l.plannedAt+planInterval {
 			al.replan(l, now)
 		}
-		free := l.Bytes - al.reserved(l) - (l.committed - p.committed)
-		rate := max(p.planned, p.safeRate)
+		free := l.Bytes - al.reserved(l) - (l.committed - h.committed)
+		rate := max(h.planned, h.safeRate)
 		if now < al.learnUntil { // unknown grants may be in force: it gets no more than it has
-			rate = min(rate, max(linkRequest.GrantedRate, p.safeRate))
+			rate = min(rate, max(linkRequest.GrantedRate, h.safeRate))
 		}
 		rate = max(0, min(rate, free))
-		p.outstanding = append(p.outstanding, grantRecord{request.Number, rate, now})
-		l.committed -= p.committed
-		p.committed = p.maxRate(now, al.settings.grantTTL())
-		l.committed += p.committed
-		switch minChange := max(minRateChange*l.Bytes, minRateChange*100*p.planned); {
+		h.outstanding = append(h.outstanding, grantRecord{request.Number, rate, now})
+		l.committed -= h.committed
+		h.committed = h.maxRate(now, al.settings.grantTTL())
+		l.committed += h.committed
+		switch minChange := max(minRateChange*l.Bytes, minRateChange*100*h.planned); {
 		case linkRequest.GrantedRate-rate > minChange:
 			again = ackDelay
-		case again == 0 && p.planned-rate > minChange && now >= al.learnUntil:
+		case again == 0 && h.planned-rate > minChange && now >= al.learnUntil:
 			again = max(2*ackDelay, time.Duration(len(l.holders))*retryDelayPerHolder)
 		}
 		response.Links = append(response.Links,
-			Grant{Link: name, Rate: rate, Flows: p.flows, Guarantees: p.guarantees, Saturated: l.saturated})
+			Grant{Link: name, Rate: rate, Flows: h.flows, Guarantees: h.guarantees, Saturated: l.saturated})
 	}
 	return response, again
 }
 
 // acknowledge replaces the grants up to a number by the rate that the process reports as granted.
-func (p *holderState) acknowledge(number uint64, granted float64, now time.Duration) {
-	at, known := now, false
-	if failpoint.On("links-freed-early") && len(p.outstanding) > 0 {
-		p.outstanding, granted = p.outstanding[:0], 0
+func (h *holderState) acknowledge(number uint64, granted float64, now time.Duration) {
+	grantedAt, known := now, false
+	if failpoint.On("links-freed-early") && len(h.outstanding) > 0 {
+		h.outstanding, granted = h.outstanding[:0], 0
 	}
-	rest := p.outstanding[:0]
-	for _, g := range p.outstanding {
+	rest := h.outstanding[:0]
+	for _, g := range h.outstanding {
 		if g.number > number {
 			rest = append(rest, g)
 		} else if g.number == number {
-			at, known = g.grantedAt, true
+			grantedAt, known = g.grantedAt, true
 		}
 	}
-	p.outstanding = rest
+	h.outstanding = rest
 	if granted > 0 {
 		if !known {
-			at = now // granted by another Allocator
+			grantedAt = now // granted by another Allocator
 		}
-		p.outstanding = append(p.outstanding, grantRecord{number, granted, at})
+		h.outstanding = append(h.outstanding, grantRecord{number, granted, grantedAt})
 	}
 }
 
@@ -292,73 +293,73 @@
 	l.dirty, l.plannedAt = false, now
 	var classes []string
 	classDemand, flows := map[string]float64{}, map[[2]string]*flowDemand{}
-	for _, h := range l.holderNames {
-		p := l.holders[h]
+	for _, name := range l.holderNames {
+		h := l.holders[name]
 		// No recent request: its grants count until they expire, but it gets no share of the plan.
-		if now > p.requestedAt+al.settings.Lease/2 {
-			p.demands = nil
+		if now > h.requestedAt+al.settings.Lease/2 {
+			h.demands = nil
 		}
-		for _, w := range p.demands {
-			if _, ok := classDemand[w.Class]; !ok {
-				classes = append(classes, w.Class)
+		for _, d := range h.demands {
+			if _, ok := classDemand[d.Class]; !ok {
+				classes = append(classes, d.Class)
 			}
-			classDemand[w.Class] += w.Rate
-			f := flows[[2]string{w.Class, w.Tenant}]
+			classDemand[d.Class] += d.Rate
+			f := flows[[2]string{d.Class, d.Tenant}]
 			if f == nil {
-				f = &flowDemand{class: w.Class, tenant: w.Tenant,
+				f = &flowDemand{class: d.Class, tenant: d.Tenant,
 					holders: make([]*holderState, 0, len(l.holderNames)), claims: make([]claim, 0, len(l.holderNames))}
-				flows[[2]string{w.Class, w.Tenant}] = f
+				flows[[2]string{d.Class, d.Tenant}] = f
 			}
-			f.demand += w.Rate
-			f.holders, f.claims = append(f.holders, p), append(f.claims, claim{float64(max(1, w.Waiting)), w.Rate})
+			f.demand += d.Rate
+			f.holders, f.claims = append(f.holders, h), append(f.claims, claim{float64(max(1, d.Waiting)), d.Rate})
 		}
 	}
-	order := slices.SortedFunc(maps.Values(flows), func(a, b *flowDemand) int {
+	sortedFlows := slices.SortedFunc(maps.Values(flows), func(a, b *flowDemand) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.tenant, b.tenant))
 	})
-	list := classRules(&l.Link, classes)
-	demands := make([]float64, len(list))
-	for i, r := range list {
+	rules := classRules(&l.Link, classes)
+	demands := make([]float64, len(rules))
+	for i, r := range rules {
 		demands[i] = classDemand[r.name]
 	}
 	total := l.Bytes - al.reserved(l)
 	for range 3 { // a holder planned below its safe part still has that part, which the others must make up for
-		classRates, guaranteed := divideByPriority(total, l.Bytes, list, demands)
+		classRates, guaranteed := divideByPriority(total, l.Bytes, rules, demands)
 		l.saturated = nil
-		for _, h := range l.holderNames {
-			p := l.holders[h]
-			p.planned, p.flows, p.guarantees = 0, nil, nil
-			if n := len(p.demands); n > 0 { // new slices: responses refer to the previous ones
-				p.flows, p.guarantees = make([]FlowRate, 0, n), make([]Guarantee, 0, n)
+		for _, name := range l.holderNames {
+			h := l.holders[name]
+			h.planned, h.flows, h.guarantees = 0, nil, nil
+			if n := len(h.demands); n > 0 { // new slices: responses refer to the previous ones
+				h.flows, h.guarantees = make([]FlowRate, 0, n), make([]Guarantee, 0, n)
 			}
 		}
-		for i, r := range list {
+		for i, r := range rules {
 			if classRates[i] < 0.95*demands[i] {
 				l.saturated = append(l.saturated, r.name)
 			}
-			from := slices.IndexFunc(order, func(f *flowDemand) bool { return f.class == r.name })
+			from := slices.IndexFunc(sortedFlows, func(f *flowDemand) bool { return f.class == r.name })
 			to := max(from, 0)
-			for from = to; to < len(order) && order[to].class == r.name; to++ {
+			for from = to; to < len(sortedFlows) && sortedFlows[to].class == r.name; to++ {
 			}
 			claims := make([]claim, 0, to-from)
-			for _, f := range order[from:to] {
+			for _, f := range sortedFlows[from:to] {
 				claims = append(claims, claim{tenantWeight(al.tenantWeights, f.tenant), f.demand})
 			}
 			for j, rate := range weightedMaxMin(classRates[i], claims) {
-				order[from+j].distribute(rate, guaranteed[i]/max(classRates[i], 1e-9))
+				sortedFlows[from+j].distribute(rate, guaranteed[i]/max(classRates[i], 1e-9))
 			}
 		}
 		missing, sum := 0.0, 0.0
-		for _, h := range l.holderNames {
-			p := l.holders[h]
-			missing += max(0, p.safeRate-p.planned)
-			sum += max(p.planned, p.safeRate)
+		for _, name := range l.holderNames {
+			h := l.holders[name]
+			missing += max(0, h.safeRate-h.planned)
+			sum += max(h.planned, h.safeRate)
 		}
 		// The rest that nobody demands is at hand for whoever needs it next.
 		if unassigned := l.Bytes - al.reserved(l) - sum; unassigned >= 0 {
-			for _, h := range l.holderNames {
-				p := l.holders[h]
-				p.planned = max(p.planned, p.safeRate) + unassigned/float64(len(l.holderNames))
+			for _, name := range l.holderNames {
+				h := l.holders[name]
+				h.planned = max(h.planned, h.safeRate) + unassigned/float64(len(l.holderNames))
 			}
 			return
 		}
@@ -377,13 +378,13 @@
 // distribute divides rate among the holders; guaranteedShare is the fraction of it that is guaranteed.
 func (f *flowDemand) distribute(rate, guaranteedShare float64) {
 	for i, r := range weightedMaxMin(rate, f.claims) {
-		p := f.holders[i]
-		p.planned += r
-		p.flows = append(p.flows, FlowRate{f.class, f.tenant, r})
-		if n := len(p.guarantees); n > 0 && p.guarantees[n-1].Class == f.class {
-			p.guarantees[n-1].Rate += r * guaranteedShare
+		h := f.holders[i]
+		h.planned += r
+		h.flows = append(h.flows, FlowRate{f.class, f.tenant, r})
+		if n := len(h.guarantees); n > 0 && h.guarantees[n-1].Class == f.class {
+			h.guarantees[n-1].Rate += r * guaranteedShare
 		} else {
-			p.guarantees = append(p.guarantees, Guarantee{f.class, r * guaranteedShare})
+			h.guarantees = append(h.guarantees, Guarantee{f.class, r * guaranteedShare})
 		}
 	}
 }
--- a/internal/bandwidth/bench_test.go
+++ b/internal/bandwidth/bench_test.go
@@ -121,14 +121,14 @@
 			part.allocator = al
 			table := append([]revision.Link{},
 				threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6))
-			var asks []Ask
+			var linkRequests []Ask
 			for i := range table {
 				table[i].To = fmt.Sprint("zone", i)
 				a := Ask{Link: Name("a", table[i].To), SafeRate: 100, GrantedRate: 1000}
 				for _, c := range []string{"top", "mid", "bulk"} {
 					a.Demands = append(a.Demands, Demand{c, "tenant", 123456.789, 3})
 				}
-				asks = append(asks, a)
+				linkRequests = append(linkRequests, a)
 			}
 			al.SetTable(table, nil)
 			al.Elected(-time.Hour)
@@ -136,7 +136,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			requester.Bind(func() []Ask { return asks }, func([]Grant, time.Time) {}, nil)
+			requester.Bind(func() []Ask { return linkRequests }, func([]Grant, time.Time) {}, nil)
 			now, bytes := time.Duration(0), 0
 			names := make([]string, n)
 			for i := range names {
--- a/internal/bandwidth/golden_test.go
+++ b/internal/bandwidth/golden_test.go
@@ -10,16 +10,17 @@
 
 // TestMessageEncoding checks that messages to and from balancers of another version keep their encoding.
 func TestMessageEncoding(t *testing.T) {
-	var asks, readAsks Request
-	golden.Fill(&asks)
-	golden.Check(t, "demand.bin", asks.encode())
-	if err := readAsks.decode(golden.Read(t, "demand.bin")); err != nil || cmp.Diff(asks, readAsks) != "" {
-		t.Error(err, cmp.Diff(asks, readAsks))
+	var request, decodedRequest Request
+	golden.Fill(&request)
+	golden.Check(t, "demand.bin", request.encode())
+	if err := decodedRequest.decode(golden.Read(t, "demand.bin")); err != nil || cmp.Diff(request, decodedRequest) != "" {
+		t.Error(err, cmp.Diff(request, decodedRequest))
 	}
-	var grants, readGrants Response
-	golden.Fill(&grants)
-	golden.Check(t, "grants.bin", grants.encode())
-	if err := readGrants.decode(golden.Read(t, "grants.bin")); err != nil || cmp.Diff(grants, readGrants) != "" {
-		t.Error(err, cmp.Diff(grants, readGrants))
+	var response, decodedResponse Response
+	golden.Fill(&response)
+	golden.Check(t, "grants.bin", response.encode())
+	if err := decodedResponse.decode(golden.Read(t, "grants.bin")); err != nil ||
+		cmp.Diff(response, decodedResponse) != "" {
+		t.Error(err, cmp.Diff(response, decodedResponse))
 	}
 }
--- a/internal/bandwidth/links.go
+++ b/internal/bandwidth/links.go
@@ -143,9 +143,9 @@
 // divideByPriority gives each class its minimum share of size as far as it demands it, then divides the rest by
 // priority and, within a priority, by weight. total is the rate to divide, size the rate that the minimum shares are
 // fractions of. The second result is the part of each class's rate that comes from its minimum share.
-func divideByPriority(total, size float64, list []classRule, demands []float64) (rates, guaranteed []float64) {
-	claims := make([]claim, len(list))
-	for i, r := range list {
+func divideByPriority(total, size float64, rules []classRule, demands []float64) (rates, guaranteed []float64) {
+	claims := make([]claim, len(rules))
+	for i, r := range rules {
 		claims[i] = claim{r.minShare, min(demands[i], r.minShare*size)}
 	}
 	rates = weightedMaxMin(total, claims)
@@ -153,14 +153,14 @@
 	for _, rate := range rates {
 		total -= rate
 	}
-	for from := 0; from < len(list); {
+	for from := 0; from < len(rules); {
 		to := from
-		for to < len(list) && list[to].priority == list[from].priority {
+		for to < len(rules) && rules[to].priority == rules[from].priority {
 			to++
 		}
 		claims = claims[:0]
 		for i := from; i < to; i++ {
-			claims = append(claims, claim{list[i].weight, demands[i] - rates[i]})
+			claims = append(claims, claim{rules[i].weight, demands[i] - rates[i]})
 		}
 		for i, extra := range weightedMaxMin(total, claims) {
 			rates[from+i] += extra
--- a/internal/bandwidth/links_test.go
+++ b/internal/bandwidth/links_test.go
@@ -133,11 +133,11 @@
 	allocator := NewAllocator(settings)
 	allocator.SetTable(table, nil)
 	allocator.Elected(0)
-	var all []*process
+	var processes []*process
 	started := 0
 	start := func() {
 		started++
-		all = append(all, startProcess(settings, fmt.Sprint("p", started),
+		processes = append(processes, startProcess(settings, fmt.Sprint("p", started),
 			rapid.Float64Range(0.955, 1.045).Draw(t, "rate"), table, now))
 	}
 	for range rapid.IntRange(1, 5).Draw(t, "processes") {
@@ -156,7 +156,7 @@
 			d.to.part.Granted(d.body, epoch.Add(d.requestedAt))
 		}
 		deliveries = pending
-		p := all[rapid.IntRange(0, len(all)-1).Draw(t, "who")]
+		p := processes[rapid.IntRange(0, len(processes)-1).Draw(t, "who")]
 		switch rapid.SampledFrom([]string{"ask", "ask", "ask", "ask", "ask", "ask",
 			"stop", "leave", "lapse", "elect", "size", "start"}).Draw(t, "what") {
 		case "ask":
@@ -185,14 +185,14 @@
 			p.stopped = !p.stopped
 		case "leave":
 			allocator.HolderLeft(p.name)
-			all = slices.DeleteFunc(all, func(x *process) bool { return x == p })
-			if len(all) == 0 {
+			processes = slices.DeleteFunc(processes, func(x *process) bool { return x == p })
+			if len(processes) == 0 {
 				start()
 			}
 		case "lapse": // considered expired, but it goes on using its grants
 			allocator.HolderLeft(p.name)
 		case "start":
-			if len(all) < settings.Holders {
+			if len(processes) < settings.Holders {
 				start()
 			}
 		case "elect":
@@ -209,7 +209,7 @@
 		}
 		for i, l := range table {
 			sum, allFollow := 0.0, true
-			for _, p := range all {
+			for _, p := range processes {
 				allFollow = allFollow && p.table[i].Bytes == l.Bytes
 				p.readClock(now)
 				p.shapers[i].refill(p.now)
@@ -223,7 +223,7 @@
 			}
 			if sum > bounds[i]*(1+1e-9) {
 				return fmt.Errorf("at %v %d processes may send %v bytes per second over link %d with a bound of %v",
-					now, len(all), sum, i, bounds[i])
+					now, len(processes), sum, i, bounds[i])
 			}
 		}
 	}
--- a/internal/bandwidth/part.go
+++ b/internal/bandwidth/part.go
@@ -89,8 +89,8 @@
 	return request.encode()
 }
 
-// Granted applies a response to the request made at requestedAt, by this process's clock. It ignores responses to
-// earlier requests than the last one answered.
+// Granted applies a response to the request made at requestedAt, by this process's clock. It ignores a response that is
+// no newer than the last one applied, or that answers no request made so far.
 func (p *Part) Granted(body []byte, requestedAt time.Time) {
 	if len(body) == 0 {
 		return
--- a/internal/bandwidth/shaper.go
+++ b/internal/bandwidth/shaper.go
@@ -26,7 +26,7 @@
 	minMeasureTime        = 100 * time.Millisecond  // shortest time that demand is measured over
 	lowLatencyQuantumTime = 250 * time.Microsecond  // of a quantum while the first priority sends
 	minLowerBurstTime     = 1500 * time.Microsecond // least burst of lower priorities while the first priority sends
-	lowLatencyHold        = 500 * time.Millisecond  // how long both apply after the first priority last sent
+	lowLatencyTime        = 500 * time.Millisecond  // how long both apply after the first priority last sent
 	adaptInterval         = 100 * time.Millisecond  // between two adjustments of the lower priorities' burst
 	// The lower priorities' burst grows if more than this fraction of the rate went unused, and shrinks below a third of
 	// it.
@@ -92,7 +92,7 @@
 	emptiedAt       time.Duration // when the queue last became empty
 	backloggedSince time.Duration // since when the queue has been non-empty but for gaps of at most requeueGap
 	maxWaiting      int           // most senders waiting at once since the last measurement
-	lastTaken       int           // bytes last charged
+	lastCharged     int           // bytes last charged
 	lastGuaranteed  int           // guaranteed bytes among these
 }
 
@@ -403,11 +403,11 @@
 func (s *Shaper[W]) charge(f *Flow[W], n int, now time.Duration) int {
 	s.tokens -= float64(n)
 	if f.class.rank == 0 && s.classes[len(s.classes)-1].rank > 0 {
-		s.lowLatencyUntil = now + lowLatencyHold
+		s.lowLatencyUntil = now + lowLatencyTime
 	}
 	s.virtualTimes[f.class.priority], f.class.flowVirtualTime = f.class.virtualTime, f.virtualTime
 	s.account(f, n)
-	f.lastTaken, f.lastGuaranteed = n, 0
+	f.lastCharged, f.lastGuaranteed = n, 0
 	if guaranteed := int(f.class.guaranteed.TokensAt(limiterTime(now))); guaranteed > 0 {
 		f.lastGuaranteed = min(n, guaranteed)
 		f.class.guaranteed.AllowN(limiterTime(now), f.lastGuaranteed)
@@ -427,7 +427,7 @@
 func (s *Shaper[W]) Return(f *Flow[W], n int) {
 	s.tokens = min(s.burst, s.tokens+float64(n))
 	s.account(f, -n)
-	if refund := f.lastGuaranteed - max(0, f.lastTaken-n); refund > 0 { // used bytes count as guaranteed first
+	if refund := f.lastGuaranteed - max(0, f.lastCharged-n); refund > 0 { // used bytes count as guaranteed first
 		f.class.guaranteed.AllowN(limiterTime(s.lastRefill), -refund)
 		f.lastGuaranteed -= refund
 	}
@@ -502,7 +502,7 @@
 			}
 			if f.measuredBytes > 0 || waitTime > 0 {
 				waitShare := waitTime.Seconds() / span
-				w := Demand{c.name, f.tenant, s.link.Bytes, f.maxWaiting}
+				d := Demand{c.name, f.tenant, s.link.Bytes, f.maxWaiting}
 				idle := now - f.emptiedAt
 				if f.waiting() > 0 {
 					idle = 0
@@ -510,11 +510,11 @@
 				switch {
 				case idle <= requeueGap && now-f.backloggedSince >= minBacklogTime || waitShare >= 0.9 && idle < minBacklogTime:
 				case waitShare >= 0.5 && idle >= minBacklogTime: // its backlog has ended
-					w.Rate = minQuantumBytes
+					d.Rate = minQuantumBytes
 				default:
-					w.Rate = min(s.link.Bytes, 1.1*float64(max(0, f.measuredBytes))/span/(1-waitShare)+float64(minQuantumBytes))
+					d.Rate = min(s.link.Bytes, 1.1*float64(max(0, f.measuredBytes))/span/(1-waitShare)+float64(minQuantumBytes))
 				}
-				a.Demands = append(a.Demands, w)
+				a.Demands = append(a.Demands, d)
 			}
 			f.measuredBytes, f.waitTime, f.maxWaiting = 0, 0, f.waiting()
 		}
--- a/internal/bandwidth/wire.go
+++ b/internal/bandwidth/wire.go
@@ -90,27 +90,29 @@
 	return b
 }
 
-func (a *Request) encode() []byte {
+// encode returns the request in the wire format.
+func (request *Request) encode() []byte {
 	b := appendUint(make([]byte, 0, 1024), 1, messageVersion)
-	b = appendUint(appendUint(b, 2, a.Number), 3, a.Applied)
-	for _, l := range a.Links {
+	b = appendUint(appendUint(b, 2, request.Number), 3, request.Applied)
+	for _, l := range request.Links {
 		b = appendMessage(b, 4, func(b []byte) []byte {
 			b = appendDouble(appendDouble(appendText(b, 1, l.Link), 2, l.GrantedRate), 3, l.SafeRate)
-			for _, w := range l.Demands {
+			for _, d := range l.Demands {
 				b = appendMessage(b, 4, func(b []byte) []byte {
-					return appendUint(appendFloat(appendText(appendText(b, 1, w.Class), 2, w.Tenant), 3, w.Rate),
-						4, uint64(max(0, w.Waiting)))
+					return appendUint(appendFloat(appendText(appendText(b, 1, d.Class), 2, d.Tenant), 3, d.Rate),
+						4, uint64(max(0, d.Waiting)))
 				})
 			}
 			return b
 		})
 	}
-	return appendUint(b, 15, uint64(len(a.Links))+1)
+	return appendUint(b, 15, uint64(len(request.Links))+1)
 }
 
-func (g *Response) encode() []byte {
-	b := appendUint(appendUint(make([]byte, 0, 1024), 1, messageVersion), 2, g.Number)
-	for _, l := range g.Links {
+// encode returns the response in the wire format.
+func (response *Response) encode() []byte {
+	b := appendUint(appendUint(make([]byte, 0, 1024), 1, messageVersion), 2, response.Number)
+	for _, l := range response.Links {
 		b = appendMessage(b, 4, func(b []byte) []byte {
 			b = appendDouble(appendText(b, 1, l.Link), 2, l.Rate)
 			for _, x := range l.Flows {
@@ -127,14 +129,14 @@
 			return b
 		})
 	}
-	return appendUint(b, 15, uint64(len(g.Links))+1)
+	return appendUint(b, 15, uint64(len(response.Links))+1)
 }
 
 // field is one field of a message: a number, a rate, or length-delimited bytes.
 type field struct {
 	number protowire.Number
 	kind   protowire.Type
-	uint   uint64
+	varint uint64
 	bytes  []byte
 	float  float64
 }
@@ -142,7 +144,8 @@
 // decoder walks one message; its limit is on all length-delimited fields together.
 type decoder struct{ lengthDelimited int }
 
-func (r *decoder) eachField(b []byte, visit func(f field) error) error {
+// eachField calls visit for each field of a message.
+func (d *decoder) eachField(b []byte, visit func(f field) error) error {
 	for len(b) > 0 {
 		number, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -152,10 +155,10 @@
 		f := field{number: number, kind: kind}
 		switch kind {
 		case protowire.VarintType:
-			f.uint, n = protowire.ConsumeVarint(b)
+			f.varint, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
-			if r.lengthDelimited++; r.lengthDelimited > maxEntries {
+			if d.lengthDelimited++; d.lengthDelimited > maxEntries {
 				return errTooLarge
 			}
 		case protowire.Fixed64Type:
@@ -180,7 +183,7 @@
 	return nil
 }
 
-// rate stores a rate, text a string, uint64 a number. A field number with another wire type is malformed.
+// rate stores a rate, text a string, integer a number. A field number with another wire type is malformed.
 func (f *field) rate(target *float64) error {
 	if f.kind != protowire.Fixed64Type && f.kind != protowire.Fixed32Type || !(f.float >= 0) || math.IsInf(f.float, 0) {
 		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.number), Cause: errValue, Do: versionHint}}
@@ -197,40 +200,40 @@
 	return nil
 }
 
-func (f *field) uint64(target *uint64, most uint64) error {
-	if f.kind != protowire.VarintType || f.uint > most {
+func (f *field) integer(target *uint64, most uint64) error {
+	if f.kind != protowire.VarintType || f.varint > most {
 		return &Malformed{hint.Annotated{Where: fmt.Sprintf("field %d", f.number), Cause: errValue, Do: versionHint}}
 	}
-	*target = f.uint
+	*target = f.varint
 	return nil
 }
 
 // envelope decodes the fields that both messages have, and calls link for each link.
-func (r *decoder) envelope(b []byte, number, applied *uint64, link func([]byte) error) error {
+func (d *decoder) envelope(b []byte, number, applied *uint64, link func([]byte) error) error {
 	if len(b) > maxMessageBytes {
 		return errTooLarge
 	}
 	var version, linkCount, endMark uint64
-	err := r.eachField(b, func(f field) error {
+	err := d.eachField(b, func(f field) error {
 		if version == 0 && f.number != 1 {
 			return errVersion
 		}
 		switch f.number {
 		case 1:
-			if err := f.uint64(&version, math.MaxUint32); err != nil || version != messageVersion {
+			if err := f.integer(&version, math.MaxUint32); err != nil || version != messageVersion {
 				return errVersion
 			}
 		case 2:
-			return f.uint64(number, math.MaxUint64)
+			return f.integer(number, math.MaxUint64)
 		case 3:
-			return f.uint64(applied, math.MaxUint64)
+			return f.integer(applied, math.MaxUint64)
 		case 4:
 			if linkCount++; f.kind != protowire.BytesType {
 				return errCorrupt
 			}
 			return link(f.bytes)
 		case 15:
-			return f.uint64(&endMark, maxEntries+1)
+			return f.integer(&endMark, maxEntries+1)
 		}
 		return nil
 	})
@@ -245,11 +248,12 @@
 	return nil
 }
 
-func (a *Request) decode(b []byte) error {
-	var r decoder
-	return r.envelope(b, &a.Number, &a.Applied, func(b []byte) error {
+// decode reads a request. After an error its content is undefined.
+func (request *Request) decode(b []byte) error {
+	var d decoder
+	return d.envelope(b, &request.Number, &request.Applied, func(b []byte) error {
 		var l Ask
-		err := r.eachField(b, func(f field) error {
+		err := d.eachField(b, func(f field) error {
 			switch f.number {
 			case 1:
 				return f.text(&l.Link)
@@ -258,38 +262,39 @@
 			case 3:
 				return f.rate(&l.SafeRate)
 			case 4:
-				var w Demand
-				var n uint64
-				err := r.eachField(f.bytes, func(f field) error {
+				var demand Demand
+				var waiting uint64
+				err := d.eachField(f.bytes, func(f field) error {
 					switch f.number {
 					case 1:
-						return f.text(&w.Class)
+						return f.text(&demand.Class)
 					case 2:
-						return f.text(&w.Tenant)
+						return f.text(&demand.Tenant)
 					case 3:
-						return f.rate(&w.Rate)
+						return f.rate(&demand.Rate)
 					case 4:
-						return f.uint64(&n, math.MaxInt32)
+						return f.integer(&waiting, math.MaxInt32)
 					}
 					return nil
 				})
-				w.Waiting = int(n)
-				l.Demands = append(l.Demands, w)
+				demand.Waiting = int(waiting)
+				l.Demands = append(l.Demands, demand)
 				return err
 			}
 			return nil
 		})
-		a.Links = append(a.Links, l)
+		request.Links = append(request.Links, l)
 		return err
 	})
 }
 
-func (g *Response) decode(b []byte) error {
-	var r decoder
+// decode reads a response. After an error its content is undefined.
+func (response *Response) decode(b []byte) error {
+	var d decoder
 	var unused uint64
-	return r.envelope(b, &g.Number, &unused, func(b []byte) error {
+	return d.envelope(b, &response.Number, &unused, func(b []byte) error {
 		var l Grant
-		err := r.eachField(b, func(f field) error {
+		err := d.eachField(b, func(f field) error {
 			switch f.number {
 			case 1:
 				return f.text(&l.Link)
@@ -297,7 +302,7 @@
 				return f.rate(&l.Rate)
 			case 3:
 				var x FlowRate
-				err := r.eachField(f.bytes, func(f field) error {
+				err := d.eachField(f.bytes, func(f field) error {
 					switch f.number {
 					case 1:
 						return f.text(&x.Class)
@@ -312,7 +317,7 @@
 				return err
 			case 4:
 				var x Guarantee
-				err := r.eachField(f.bytes, func(f field) error {
+				err := d.eachField(f.bytes, func(f field) error {
 					switch f.number {
 					case 1:
 						return f.text(&x.Class)
@@ -331,7 +336,7 @@
 			}
 			return nil
 		})
-		g.Links = append(g.Links, l)
+		response.Links = append(response.Links, l)
 		return err
 	})
 }
--- a/internal/bandwidth/wire_test.go
+++ b/internal/bandwidth/wire_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-var someAsks = Request{Number: 7, Applied: 6, Links: []Ask{
+var sampleRequest = Request{Number: 7, Applied: 6, Links: []Ask{
 	{Link: "nrb>mba", GrantedRate: 1234.5678901, SafeRate: 0.8, Demands: []Demand{
 		{"chat", "acme", 0.5, 0}, {"bulk", "", 2e6, 300},
 		{Class: "bulk", Tenant: string(bytes.Repeat([]byte("t"), 200))}}},
 	{Link: "mba>nrb"}}}
 
-var someGrants = Response{Number: 7, Links: []Grant{{"nrb>mba", 1e5 / 3,
+var sampleResponse = Response{Number: 7, Links: []Grant{{"nrb>mba", 1e5 / 3,
 	[]FlowRate{{"chat", "acme", 0.5}, {"bulk", "", 1e6}}, []Guarantee{{"chat", 0.25}}, []string{"bulk", ""}}, {}}}
 
 // TestWire checks that messages are decoded as they were encoded, whatever field a later version adds, and that a
@@ -23,7 +23,7 @@
 func TestWire(t *testing.T) {
 	later := protowire.AppendString(protowire.AppendTag(nil, 1000, protowire.BytesType), "more")
 	later = protowire.AppendFixed32(protowire.AppendTag(later, 1001, protowire.Fixed32Type), 5)
-	for i, x := range []struct{ body, again []byte }{{someAsks.encode(), nil}, {someGrants.encode(), nil}} {
+	for i, x := range []struct{ body, again []byte }{{sampleRequest.encode(), nil}, {sampleResponse.encode(), nil}} {
 		var a Request
 		var g Response
 		read := func(b []byte) error {
@@ -37,7 +37,7 @@
 			if err := read(append(bytes.Clone(x.body), more...)); err != nil {
 				t.Fatal(err)
 			}
-			if i == 0 && !reflect.DeepEqual(a, someAsks) || i == 1 && !reflect.DeepEqual(g, someGrants) {
+			if i == 0 && !reflect.DeepEqual(a, sampleRequest) || i == 1 && !reflect.DeepEqual(g, sampleResponse) {
 				t.Errorf("%+v %+v", a, g)
 			}
 		}
@@ -96,8 +96,8 @@
 // FuzzWire checks that arbitrary bytes are rejected or decoded within limits, and that what was decoded can be encoded
 // and decoded again.
 func FuzzWire(f *testing.F) {
-	f.Add(someAsks.encode())
-	f.Add(someGrants.encode())
+	f.Add(sampleRequest.encode())
+	f.Add(sampleResponse.encode())
 	f.Add([]byte{8, 1, 34, 2, 34, 0, 120, 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var a, again Request
