--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -1,5 +1,5 @@
-// Discovery's HTTP: the call for a watch, and its chunked answer read as it comes. This file owns the
-// state of one answer and must never hold a list of regions: it hands each list on as it is read.
+// Discovery over HTTP: the watch request, and the reader of its chunked response. The reader keeps the state of one
+// response only and passes each server list on as soon as it is complete.
 
 package platform
 
@@ -17,69 +17,74 @@
 	"oatloft/policy"
 )
 
-// AppendWatch appends the call for all changes after seq, from now on.
+// AppendWatch appends the request for all changes after seq.
 func AppendWatch(dst []byte, host string, seq int64) []byte {
-	return fmt.Appendf(dst, "GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", seq, host)
+	return fmt.Appendf(dst,
+		"GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", seq, host)
 }
 
-type list struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+// serverList is one list in a watch response.
+type serverList struct {
+	Seq   int64       `json:"seq"`
+	Whole bool        `json:"whole"`
+	Hosts []listEntry `json:"hosts"`
 }
 
-type host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Born   float64 `json:"born_ms"`
+// listEntry is one server of a list.
+type listEntry struct {
+	Host       string  `json:"host"`
+	Dial       string  `json:"dial"`
+	Site       string  `json:"site"`
+	Block      int     `json:"block"`
+	Health     string  `json:"health"`
+	Share      float64 `json:"share"`
+	BornMillis float64 `json:"born_ms"`
 }
 
-var states = map[string]policy.ServerState{"ready": policy.Live, "draining": policy.Draining, "gone": policy.Gone}
+// serverStates maps the health values of an entry.
+var serverStates = map[string]policy.ServerState{"ready": policy.Live, "draining": policy.Draining, "gone": policy.Gone}
 
-// ParseList reads one list, in which every entry can be read. Times of start come on the balancer's clock, whose zero
-// stands at zero.
-func ParseList(body []byte, zero time.Time) (core.EndpointsListed, error) {
-	var l list
+// ParseList parses a list and fails if any entry is invalid. Start times are relative to clockStart, the zero of the
+// balancer's clock.
+func ParseList(body []byte, clockStart time.Time) (core.EndpointsListed, error) {
+	var l serverList
 	if err := json.Unmarshal(body, &l); err != nil {
-		return core.EndpointsListed{}, noList(err)
+		return core.EndpointsListed{}, invalidList(err)
 	}
-	out := l.listed()
-	for _, h := range l.Hosts {
-		r, err := h.region(zero)
+	out := l.event()
+	for _, entry := range l.Hosts {
+		endpoint, err := entry.endpoint(clockStart)
 		if err != nil {
 			return core.EndpointsListed{}, err
 		}
-		out.Endpoints = append(out.Endpoints, r)
+		out.Endpoints = append(out.Endpoints, endpoint)
 	}
 	return out, nil
 }
 
-// parseReadable reads one list of a watch. An entry that can't be read keeps nobody from the others: unread is told of it.
-func parseReadable(body []byte, zero time.Time, unread func(error)) (core.EndpointsListed, error) {
-	out, err := ParseList(body, zero)
+// parseTolerant parses one list of a watch. It skips invalid entries and passes an error for each to reportInvalid, so
+// that one bad entry does not keep the others from being used.
+func parseTolerant(body []byte, clockStart time.Time, reportInvalid func(error)) (core.EndpointsListed, error) {
+	out, err := ParseList(body, clockStart)
 	if err == nil {
 		return out, nil
 	}
 	var l struct {
-		list
+		serverList
 		Hosts []json.RawMessage `json:"hosts"`
 	}
-	if json.Unmarshal(body, &l) != nil { // it isn't an entry that is at fault
+	if json.Unmarshal(body, &l) != nil { // the fault is not in an entry
 		return core.EndpointsListed{}, err
 	}
-	out = l.listed()
+	out = l.event()
 	for _, text := range l.Hosts {
-		r, name, err := parseEntry(text, zero)
+		endpoint, name, err := parseEntry(text, clockStart)
 		if err == nil {
-			out.Endpoints = append(out.Endpoints, r)
+			out.Endpoints = append(out.Endpoints, endpoint)
 			continue
 		}
-		if unread != nil {
-			unread(err)
+		if reportInvalid != nil {
+			reportInvalid(err)
 		}
 		if name != "" {
 			out.Malformed = append(out.Malformed, name)
@@ -88,129 +93,133 @@
 	return out, nil
 }
 
-// parseEntry reads one entry. The name is given also where the rest can't be read.
-func parseEntry(text []byte, zero time.Time) (r core.Endpoint, name string, err error) {
-	var h host
-	if cause := json.Unmarshal(text, &h); cause != nil { // the fields that can be read are set all the same
-		return r, h.Host, &Unlisted{hint.Annotated{Where: fmt.Sprintf("list of regions: host %q", h.Host), Cause: cause,
-			Do: "mend that entry where discovery has it from"}}
+// parseEntry parses one entry. It returns the name even if the rest is invalid.
+func parseEntry(text []byte, clockStart time.Time) (endpoint core.Endpoint, name string, err error) {
+	var e listEntry
+	if cause := json.Unmarshal(text, &e); cause != nil { // valid fields are set nevertheless
+		return endpoint, e.Host, &InvalidList{hint.Annotated{Where: fmt.Sprintf("server list: host %q", e.Host), Cause: cause,
+			Do: "correct that entry in discovery's source"}}
 	}
-	r, err = h.region(zero)
-	return r, h.Host, err
+	endpoint, err = e.endpoint(clockStart)
+	return endpoint, e.Host, err
 }
 
-func noList(cause error) error {
-	return &Unlisted{hint.Annotated{Where: "list of regions", Cause: cause, Do: "see what discovery answers to GET /registry/instances"}}
+func invalidList(cause error) error {
+	return &InvalidList{hint.Annotated{Where: "server list", Cause: cause,
+		Do: "check what discovery answers to GET /registry/instances"}}
 }
 
-func (l *list) listed() core.EndpointsListed {
+func (l *serverList) event() core.EndpointsListed {
 	if l.Whole {
 		return core.EndpointsListed{Kind: policy.ListFull, Version: l.Seq}
 	}
 	return core.EndpointsListed{Kind: policy.ListDelta, Version: l.Seq}
 }
 
-func (h *host) region(zero time.Time) (core.Endpoint, error) {
-	state, ok := states[h.Health]
-	if !ok || h.Host == "" {
-		return core.Endpoint{}, &Unlisted{hint.Annotated{Where: "list of regions", What: fmt.Sprintf("host %q has health %q", h.Host, h.Health),
-			Do: "mend that entry where discovery has it from: health is ready, draining or gone"}}
+func (e *listEntry) endpoint(clockStart time.Time) (core.Endpoint, error) {
+	state, ok := serverStates[e.Health]
+	if !ok || e.Host == "" {
+		return core.Endpoint{}, &InvalidList{hint.Annotated{Where: "server list",
+			What: fmt.Sprintf("host %q has health %q", e.Host, e.Health),
+			Do:   "correct that entry in discovery's source: health is ready, draining or gone"}}
 	}
 	started := time.Duration(0)
-	if born := h.Born * 1000; born > 0 && born < math.MaxInt64 {
-		started = max(0, time.UnixMicro(int64(born)).Sub(zero))
+	if micros := e.BornMillis * 1000; micros > 0 && micros < math.MaxInt64 {
+		started = max(0, time.UnixMicro(int64(micros)).Sub(clockStart))
 	}
-	return core.Endpoint{Address: h.Dial, Server: policy.Server{ID: h.Host, Zone: h.Site,
-		Cell: h.Block, State: state, Weight: h.Share, StartedAt: started}}, nil
+	return core.Endpoint{Address: e.Dial, Server: policy.Server{ID: e.Host, Zone: e.Site,
+		Cell: e.Block, State: state, Weight: e.Share, StartedAt: started}}, nil
 }
 
-// WatchReader reads a watch's answer piece by piece.
+// WatchReader parses the response to a watch as it arrives in pieces.
 type WatchReader struct {
-	Zero    time.Time
-	Unread  func(error) // is told of entries that can't be read; may be nil
-	buf     []byte      // what is not read yet: of the head, or of the chunks' framing
-	line    []byte      // of the body: a list or line that has begun
-	handed  bool        // of the body: the list on this line is handed over, its line's end is still to come
-	nest    nesting
-	head    bool // the head is read
-	chunked bool
-	left    int // of the chunk being read
-	skip    int // of the line end behind it
+	Zero      time.Time
+	Unread    func(error) // called with the error of each invalid entry; may be nil
+	pending    []byte      // data not parsed yet: of the head, or of the chunk framing
+	line      []byte      // incomplete list or line of the body
+	delivered bool        // the list on this line is delivered, and the end of the line has not arrived yet
+	nesting   nesting
+	headRead  bool // the head is complete
+	chunked   bool
+	chunkLeft int // bytes of the current chunk still to read
+	skipBytes int // bytes still to skip of the line end behind the chunk
 }
 
-const maxBody = 4 << 20 // no list is longer
+const maxListBytes = 4 << 20 // longest list, and longest chunk
 
-// Unlisted is a list of regions that can't be read. The one held stays.
-type Unlisted struct{ hint.Annotated }
+// InvalidList is a server list, or an entry of one, that cannot be parsed. The previous list stays in use.
+type InvalidList struct{ hint.Annotated }
 
-// NoWatch is an answer of discovery's that is no watch. Discovery is asked again by itself.
-type NoWatch struct{ hint.Annotated }
+// InvalidWatch is a response that is not a valid watch. The balancer asks discovery again on its own.
+type InvalidWatch struct{ hint.Annotated }
 
-var errWatch error = &NoWatch{hint.Annotated{What: "discovery answered in a form that is no watch", Do: "see that discovery's address is right, and what stands before it"}}
+var errNotWatch error = &InvalidWatch{hint.Annotated{
+	What: "discovery's response is not a watch", Do: "check discovery's address, and any proxy in front of it"}}
 
-var errEnded error = &NoWatch{hint.Annotated{What: "discovery ended the watch", Do: "see whether discovery restarts, or ends long calls"}}
+var errWatchEnded error = &InvalidWatch{hint.Annotated{
+	What: "discovery ended the watch", Do: "check whether discovery restarts, or ends long requests"}}
 
-// Read takes the next piece and hands over what it completes: each list, and nil for an empty line.
-// After an error the answer is of no more use.
-func (w *WatchReader) Read(data []byte, got func(*core.EndpointsListed)) error {
-	w.buf = append(w.buf, data...)
-	if !w.head {
-		end := bytes.Index(w.buf, []byte("\r\n\r\n"))
+// Read parses the next piece and calls deliver for what it completes: with each list, and with nil for an empty line.
+// The reader cannot be used after an error.
+func (w *WatchReader) Read(data []byte, deliver func(*core.EndpointsListed)) error {
+	w.pending = append(w.pending, data...)
+	if !w.headRead {
+		end := bytes.Index(w.pending, []byte("\r\n\r\n"))
 		if end < 0 {
-			if len(w.buf) > 16<<10 {
-				return errWatch
+			if len(w.pending) > 16<<10 {
+				return errNotWatch
 			}
 			return nil
 		}
-		if err := w.readHead(w.buf[:end]); err != nil {
+		if err := w.readHead(w.pending[:end]); err != nil {
 			return err
 		}
-		w.buf = w.buf[end+4:]
+		w.pending = w.pending[end+4:]
 	}
-	for len(w.buf) > 0 {
+	for len(w.pending) > 0 {
 		if !w.chunked {
-			if err := w.body(w.buf, got); err != nil {
+			if err := w.readBody(w.pending, deliver); err != nil {
 				return err
 			}
-			w.buf = nil
+			w.pending = nil
 			break
 		}
-		if w.left > 0 {
-			n := min(w.left, len(w.buf))
-			if err := w.body(w.buf[:n], got); err != nil {
+		if w.chunkLeft > 0 {
+			n := min(w.chunkLeft, len(w.pending))
+			if err := w.readBody(w.pending[:n], deliver); err != nil {
 				return err
 			}
-			w.buf = w.buf[n:]
-			if w.left -= n; w.left == 0 {
-				w.skip = 2
+			w.pending = w.pending[n:]
+			if w.chunkLeft -= n; w.chunkLeft == 0 {
+				w.skipBytes = 2
 			}
 			continue
 		}
-		if w.skip > 0 {
-			n := min(w.skip, len(w.buf))
-			w.skip -= n
-			w.buf = w.buf[n:]
+		if w.skipBytes > 0 {
+			n := min(w.skipBytes, len(w.pending))
+			w.skipBytes -= n
+			w.pending = w.pending[n:]
 			continue
 		}
-		i := bytes.Index(w.buf, []byte("\r\n"))
+		i := bytes.Index(w.pending, []byte("\r\n"))
 		if i < 0 {
-			if len(w.buf) > 1024 {
-				return errWatch
+			if len(w.pending) > 1024 {
+				return errNotWatch
 			}
 			break
 		}
-		text, _, _ := bytes.Cut(w.buf[:i], []byte(";"))
+		text, _, _ := bytes.Cut(w.pending[:i], []byte(";"))
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 16, 32)
-		if err != nil || size > maxBody {
-			return errWatch
+		if err != nil || size > maxListBytes {
+			return errNotWatch
 		}
 		if size == 0 {
-			return errEnded
+			return errWatchEnded
 		}
-		w.left = int(size)
-		w.buf = w.buf[i+2:]
+		w.chunkLeft = int(size)
+		w.pending = w.pending[i+2:]
 	}
-	w.buf = append([]byte(nil), w.buf...)
+	w.pending = append([]byte(nil), w.pending...)
 	return nil
 }
 
@@ -218,7 +227,8 @@
 	lines := bytes.Split(head, []byte("\r\n"))
 	parts := bytes.SplitN(lines[0], []byte(" "), 3)
 	if len(parts) < 2 || !bytes.HasPrefix(parts[0], []byte("HTTP/1.")) || string(parts[1]) != "200" {
-		return &NoWatch{hint.Annotated{What: fmt.Sprintf("discovery answered %q", lines[0]), Do: "look at discovery: it is down, or has too many callers"}}
+		return &InvalidWatch{hint.Annotated{What: fmt.Sprintf("discovery answered %q", lines[0]),
+			Do: "check discovery: it is down or overloaded"}}
 	}
 	for _, line := range lines[1:] {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -228,12 +238,12 @@
 			}
 		}
 	}
-	w.head = true
+	w.headRead = true
 	return nil
 }
 
-// readCodings takes the codings of the body, which may come one by one in several fields. None was asked for but chunked,
-// which every caller has to know.
+// readCodings parses the transfer codings of the body, which may be spread over several header fields. The request
+// asked for none but chunked, which every HTTP/1.1 client must understand.
 func (w *WatchReader) readCodings(value []byte) error {
 	for coding := range bytes.SplitSeq(value, []byte(",")) {
 		coding, _, _ = bytes.Cut(coding, []byte(";"))
@@ -242,27 +252,28 @@
 			w.chunked = true
 		case "identity", "":
 		default:
-			return &NoWatch{hint.Annotated{What: fmt.Sprintf("discovery answered in the coding %q", coding), Do: "have what stands before discovery pass its answers on as they are"}}
+			return &InvalidWatch{hint.Annotated{What: fmt.Sprintf("discovery used the transfer coding %q", coding),
+				Do: "have the proxy in front of discovery pass its responses on unchanged"}}
 		}
 	}
 	return nil
 }
 
-// body takes a piece of the body: one object after the other, each on one line or indented over many, and empty lines
-// between them. A list is handed over with its last brace: what ends its line may never come.
-func (w *WatchReader) body(data []byte, got func(*core.EndpointsListed)) error {
+// readBody parses a piece of the body: objects, each on one line or indented over several, with empty lines between
+// them. A list is delivered at its last brace, since the end of its line may never arrive.
+func (w *WatchReader) readBody(data []byte, deliver func(*core.EndpointsListed)) error {
 	for len(data) > 0 {
 		part := data
 		if i := bytes.IndexByte(data, '\n'); i >= 0 {
 			part = data[:i+1]
 		}
-		n, listEnds := w.nest.read(part)
+		n, listEnds := w.nesting.advance(part)
 		part, data = part[:n], data[n:]
 		lineEnds := part[n-1] == '\n'
-		inside := w.nest.depth > 0 && !w.nest.quoted && !failpoint.On("fit-list") // no string goes over a line's end
-		if !listEnds && (!lineEnds || inside) {
-			if w.line = append(w.line, part...); len(w.line) > maxBody {
-				return errWatch
+		insideList := w.nesting.depth > 0 && !w.nesting.quoted && !failpoint.On("fit-list") // strings end with their line
+		if !listEnds && (!lineEnds || insideList) {
+			if w.line = append(w.line, part...); len(w.line) > maxListBytes {
+				return errNotWatch
 			}
 			continue
 		}
@@ -272,44 +283,45 @@
 		}
 		w.line = w.line[:0]
 		line = bytes.TrimSpace(line)
-		handed := w.handed
-		w.handed = !lineEnds
+		delivered := w.delivered
+		w.delivered = !lineEnds
 		if len(line) == 0 {
-			if !handed {
-				got(nil)
+			if !delivered {
+				deliver(nil)
 			}
 			continue
 		}
-		l, err := parseReadable(line, w.Zero, w.Unread)
+		l, err := parseTolerant(line, w.Zero, w.Unread)
 		if err != nil {
 			return err
 		}
-		got(&l)
+		deliver(&l)
 	}
 	return nil
 }
 
-// nesting follows how deep a text stands inside objects and lists, piece by piece.
+// nesting tracks the depth of objects and arrays in a text that arrives in pieces.
 type nesting struct {
 	depth           int
 	quoted, escaped bool
 }
 
-// read stops behind the brace that closes the outermost object, and tells so.
-func (n *nesting) read(text []byte) (read int, closed bool) {
+// advance reads text up to the brace that closes the outermost object. It returns the number of bytes read, and whether
+// it found that brace.
+func (state *nesting) advance(text []byte) (n int, closed bool) {
 	for i, c := range text {
 		switch {
-		case n.escaped:
-			n.escaped = false
-		case n.quoted && c == '\\':
-			n.escaped = true
+		case state.escaped:
+			state.escaped = false
+		case state.quoted && c == '\\':
+			state.escaped = true
 		case c == '"':
-			n.quoted = !n.quoted
-		case n.quoted:
+			state.quoted = !state.quoted
+		case state.quoted:
 		case c == '{' || c == '[':
-			n.depth++
+			state.depth++
 		case c == '}' || c == ']':
-			if n.depth--; n.depth == 0 && c == '}' {
+			if state.depth--; state.depth == 0 && c == '}' {
 				return i + 1, true
 			}
 		}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -15,14 +15,15 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// reading is what a reader makes of one answer: "-" for an empty line, each list, and each entry that can't be read.
-type reading struct {
+// readResult is what the reader returned for one response: "-" for an empty line, each list, and "!" for each invalid
+// entry.
+type readResult struct {
 	text string
 	err  error
 }
 
-// readAnswer reads text in pieces of a size, from a buffer that is used again.
-func readAnswer(text string, size int) (r reading) {
+// readAnswer reads text in pieces of one size, from a buffer that is reused.
+func readAnswer(text string, size int) (r readResult) {
 	w := WatchReader{Zero: time.UnixMilli(1000), Unread: func(err error) { r.text += "!" }}
 	buf := make([]byte, size)
 	for rest := []byte(text); len(rest) > 0 && r.err == nil; {
@@ -46,8 +47,8 @@
 	return r
 }
 
-// wantReading reads an answer in pieces of all sizes.
-func wantReading(t *testing.T, text, want string, fails bool) {
+// checkReading reads a response in pieces of all sizes.
+func checkReading(t *testing.T, text, want string, fails bool) {
 	t.Helper()
 	for size := 1; size <= len(text); size++ {
 		if r := readAnswer(text, size); r.text != want || (r.err != nil) != fails {
@@ -58,8 +59,9 @@
 
 func entry(name, health string) string { return fmt.Sprintf(`{"host":%q,"health":%q}`, name, health) }
 
-// One entry that can't be read keeps nobody from the others, whatever is wrong with it: a drain beside it is heard.
-func TestBadEntryIsLeftOut(t *testing.T) {
+// TestInvalidEntryIsSkipped checks that an invalid entry, whatever its fault, does not affect the other entries of its
+// list, such as a drain.
+func TestInvalidEntryIsSkipped(t *testing.T) {
 	good := entry("a", "draining") + "," + entry("b", "gone")
 	for bad, named := range map[string]string{
 		entry("x", "odd"):                  " ?x",
@@ -81,53 +83,55 @@
 		for _, hosts := range []string{bad + "," + good, good + "," + bad} {
 			list := `{"seq":8,"whole":true,"hosts":[` + hosts + "]}"
 			want := fmt.Sprintf("!(8 a:%d b:%d%s)-", policy.Draining, policy.Gone, named)
-			wantReading(t, chunkedHead+chunk(list+"\n")+chunk("\n"), want, false)
+			checkReading(t, chunkedHead+chunk(list+"\n")+chunk("\n"), want, false)
 			if _, err := ParseList([]byte(list), time.Now()); err == nil {
-				t.Errorf("%s: a configuration may not hold it", bad)
+				t.Errorf("%s: accepted in a configuration", bad)
 			}
 		}
 	}
 }
 
-// What is wrong is told in one line that names the server and says what to do.
-func TestBadEntryIsNamed(t *testing.T) {
-	var told []string
+// TestInvalidEntryIsReported checks that the error is one line that names the server or field, and has a hint.
+func TestInvalidEntryIsReported(t *testing.T) {
+	var reported []string
 	w := WatchReader{Unread: func(err error) {
-		var unread *Unlisted
-		if !errors.As(err, &unread) {
+		var invalid *InvalidList
+		if !errors.As(err, &invalid) {
 			t.Errorf("%T", err)
 		}
-		told = append(told, hint.Line(err))
+		reported = append(reported, hint.Line(err))
 	}}
 	list := `{"seq":8,"hosts":[` + entry("x", "odd") + `,{"host":"y","share":"all"}]}`
-	if err := w.Read([]byte("HTTP/1.1 200 OK\r\n\r\n"+list+"\n"), func(*core.EndpointsListed) {}); err != nil || len(told) != 2 {
-		t.Fatal(told, err)
+	if err := w.Read([]byte("HTTP/1.1 200 OK\r\n\r\n"+list+"\n"),
+		func(*core.EndpointsListed) {}); err != nil || len(reported) != 2 {
+		t.Fatal(reported, err)
 	}
-	for i, words := range [][]string{{"list of regions", `"x"`, `"odd"`, "do: "}, {"list of regions", "share", "do: "}} {
+	for i, words := range [][]string{{"server list", `"x"`, `"odd"`, "do: "}, {"server list", "share", "do: "}} {
 		for _, word := range words {
-			if !strings.Contains(told[i], word) || strings.Contains(told[i], "\n") {
-				t.Errorf("%q doesn't say %s", told[i], word)
+			if !strings.Contains(reported[i], word) || strings.Contains(reported[i], "\n") {
+				t.Errorf("%q doesn't contain %s", reported[i], word)
 			}
 		}
 	}
 }
 
-// A list counts with its last brace: the line's end may come much later, or the answer may end before it. What ends the
-// line then is no empty line.
-func TestListIsWholeWithItsLastBrace(t *testing.T) {
+// TestListEndsWithItsLastBrace checks that a list is delivered at its last brace, since the line end may come much
+// later or the response may end before it, and that the line end then does not count as an empty line.
+func TestListEndsWithItsLastBrace(t *testing.T) {
 	list := `{"seq":8,"hosts":[` + entry("a", "draining") + "]}"
 	read := fmt.Sprintf("(8 a:%d)", policy.Draining)
-	wantReading(t, chunkedHead+chunk(list), read, false)
-	wantReading(t, chunkedHead+chunk(list)+"0\r\n\r\n", read, true)
-	wantReading(t, chunkedHead+chunk(list)+chunk("\r\n")+chunk("\n")+chunk(list)+chunk("  ")+chunk("\n")+chunk(list+"\n"), read+"-"+read+read, false)
-	wantReading(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list, read, false)
-	wantReading(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list+"\n\n"+list+"\n", read+"-"+read, false)
-	wantReading(t, chunkedHead+chunk(list[:len(list)-1])+"0\r\n\r\n", "", true)
+	checkReading(t, chunkedHead+chunk(list), read, false)
+	checkReading(t, chunkedHead+chunk(list)+"0\r\n\r\n", read, true)
+	checkReading(t, chunkedHead+chunk(list)+chunk("\r\n")+chunk("\n")+chunk(list)+chunk("  ")+chunk("\n")+chunk(list+"\n"),
+		read+"-"+read+read, false)
+	checkReading(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list, read, false)
+	checkReading(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list+"\n\n"+list+"\n", read+"-"+read, false)
+	checkReading(t, chunkedHead+chunk(list[:len(list)-1])+"0\r\n\r\n", "", true)
 }
 
-// The codings of the body are those of HTTP: several in one field or in several, in any case, with parameters. One that
-// nobody asked for is named.
-func TestCodings(t *testing.T) {
+// TestTransferCodings checks that the transfer codings are parsed as HTTP defines them: several in one field or in
+// several, in any case, with parameters. The error for an unexpected coding names it.
+func TestTransferCodings(t *testing.T) {
 	list := `{"seq":8}` + "\n"
 	for _, x := range []struct {
 		fields string
@@ -144,19 +148,20 @@
 		if x.chunks {
 			body = chunk(list)
 		}
-		wantReading(t, "HTTP/1.1 200 OK\r\n"+x.fields+"\r\n"+body, "(8)", false)
+		checkReading(t, "HTTP/1.1 200 OK\r\n"+x.fields+"\r\n"+body, "(8)", false)
 	}
-	for _, fields := range []string{"Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: chunked\r\nTransfer-Encoding: br\r\n"} {
+	for _, fields := range []string{"Transfer-Encoding: gzip, chunked\r\n",
+		"Transfer-Encoding: chunked\r\nTransfer-Encoding: br\r\n"} {
 		r := readAnswer("HTTP/1.1 200 OK\r\n"+fields+"\r\n"+chunk(list), 4096)
-		var no *NoWatch
+		var no *InvalidWatch
 		if !errors.As(r.err, &no) || !strings.Contains(r.err.Error(), "coding") || r.text != "" {
 			t.Errorf("%q: %q, %v", fields, r.text, r.err)
 		}
 	}
 }
 
-// Neither a head, nor a line of the framing, nor a list takes more memory than its bound.
-func TestAnswersAreBounded(t *testing.T) {
+// TestWatchMemoryIsBounded checks that a head, a line of the chunk framing and a list are limited in memory.
+func TestWatchMemoryIsBounded(t *testing.T) {
 	endless := map[string][2]string{
 		"head":         {"HTTP/1.1 200 OK\r\n", "X-More: yes\r\n"},
 		"size":         {chunkedHead, "0"},
@@ -173,8 +178,8 @@
 			piece := []byte(strings.Repeat(x[1], 4<<10))
 			err := w.Read([]byte(x[0]), func(*core.EndpointsListed) {})
 			for read := 0; err == nil; read += len(piece) {
-				if held := len(w.buf) + len(w.line); held > maxBody+len(piece) || read > 2*maxBody {
-					t.Fatalf("%d bytes held of %d, and no error", held, read)
+				if buffered := len(w.pending) + len(w.line); buffered > maxListBytes+len(piece) || read > 2*maxListBytes {
+					t.Fatalf("%d bytes buffered of %d, and no error", buffered, read)
 				}
 				err = w.Read(piece, func(*core.EndpointsListed) {})
 			}
@@ -182,7 +187,7 @@
 	}
 }
 
-// Each answer's reading is the same whatever the pieces, and nothing crashes the reader.
+// FuzzWatchReader checks that a response is parsed alike in pieces of any size, and that no input crashes the reader.
 func FuzzWatchReader(f *testing.F) {
 	list := `{"seq":8,"whole":true,"hosts":[` + entry("a", "draining") + "," + entry("b", "ready") + "]}"
 	for _, text := range []string{
@@ -205,10 +210,10 @@
 			t.Fatalf("%q, %v in one piece; %q, %v in pieces of %d", whole.text, whole.err, inPieces.text, inPieces.err, size)
 		}
 		if whole.err != nil && hint.Of(whole.err) == "" {
-			t.Fatalf("%T says nothing to do", whole.err)
+			t.Fatalf("%T has no hint", whole.err)
 		}
 		if i := bytes.IndexByte([]byte(whole.text), '('); i >= 0 && !bytes.HasPrefix(text, []byte("HTTP/1.")) {
-			t.Fatal("a list out of no answer")
+			t.Fatal("a list without a response")
 		}
 	})
 }
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pieces cuts data as the bytes of cuts say; the rest is one piece.
+// pieces cuts data into pieces with lengths from cuts; the rest is one piece.
 func pieces(data, cuts []byte) (list [][]byte) {
 	for _, c := range cuts {
 		n := min(int(c)+1, len(data))
@@ -22,11 +22,13 @@
 	return list
 }
 
-// A client's first line: what is taken goes on unchanged but for the time left, is no longer than it came, and is read the same
-// again. What isn't taken has an error, and no line crashes the reader.
+// FuzzParseOpen checks that an accepted first line is passed on unchanged except for the time left, does not grow, and
+// is parsed to the same values again. Any other line is an error, and no line crashes the parser.
 func FuzzParseOpen(f *testing.F) {
-	for _, line := range []string{"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=0.25,again=1,mid=1,new=x=y\r\n", "OPEN 1 2 d=0005,c=x\r\n",
-		"OPEN 1 2 c=x,d=.5\r\n", "OPEN 1 2 c=x,d=5.\r\n", "OPEN 1 2 c=x,d=4294967.29,at=s\r\n", "OPEN 1 2 c=x,d=5\n", "OPEN 1 2 c=x,d=5\r\r\n", "", "\r\n"} {
+	for _, line := range []string{"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=0.25,again=1,mid=1,new=x=y\r\n",
+		"OPEN 1 2 d=0005,c=x\r\n",
+		"OPEN 1 2 c=x,d=.5\r\n", "OPEN 1 2 c=x,d=5.\r\n", "OPEN 1 2 c=x,d=4294967.29,at=s\r\n", "OPEN 1 2 c=x,d=5\n",
+		"OPEN 1 2 c=x,d=5\r\r\n", "", "\r\n"} {
 		f.Add([]byte(line), int64(1987))
 	}
 	f.Fuzz(func(t *testing.T, line []byte, left int64) {
@@ -38,11 +40,12 @@
 		if err != nil {
 			return
 		}
-		if !bytes.HasSuffix(line, []byte("\r\n")) || bytes.IndexByte(line, '\n') != len(line)-1 || o.ID == "" || o.Key == "" || o.Class == "" {
+		if !bytes.HasSuffix(line, []byte("\r\n")) || bytes.IndexByte(line, '\n') != len(line)-1 ||
+			o.ID == "" || o.Key == "" || o.Class == "" {
 			t.Fatalf("%q passed as %+v", line, o)
 		}
-		if o.Timeout < 0 || o.Timeout > maxWait {
-			t.Fatalf("%q waits %v", line, o.Timeout)
+		if o.Timeout < 0 || o.Timeout > maxTimeout {
+			t.Fatalf("%q has the timeout %v", line, o.Timeout)
 		}
 		out := o.AppendLine(nil, min(o.Timeout, time.Duration(left)))
 		if len(out) > len(line) {
@@ -59,11 +62,14 @@
 	})
 }
 
-// A server's answer: whatever the pieces that it comes in, it is read as the whole is, and no more is kept than a line.
+// FuzzServerLine checks that a server's answer is read alike in pieces of any size, and that at most a line is
+// buffered.
 func FuzzServerLine(f *testing.F) {
 	long := strings.Repeat("x", MaxLine)
-	for _, text := range []string{"UP 1\r\n", "UP 1\r\nLOAD 3\r\nrest", "UP\r\n", "UP \r\n", "UP 1\n", "UP\x001\r\n", "up 1\r\n", "\r\n", "BUSY 5\r\nUP 1\r\n",
-		"BYE inflight=7\r\n", "MOVE\r\n", "ERR", "SYNTAX\r\n", "PONG x0=1\r\n", "UP " + long[:MaxLine-5] + "\r\n", "UP " + long[:MaxLine-4] + "\r\n", long} {
+	for _, text := range []string{"UP 1\r\n", "UP 1\r\nLOAD 3\r\nrest", "UP\r\n", "UP \r\n", "UP 1\n", "UP\x001\r\n",
+		"up 1\r\n", "\r\n", "BUSY 5\r\nUP 1\r\n",
+		"BYE inflight=7\r\n", "MOVE\r\n", "ERR", "SYNTAX\r\n", "PONG x0=1\r\n", "UP " + long[:MaxLine-5] + "\r\n",
+		"UP " + long[:MaxLine-4] + "\r\n", long} {
 		f.Add([]byte(text), []byte{0, 1, 2, 200})
 		f.Add([]byte(text), []byte{})
 	}
@@ -76,8 +82,8 @@
 		var r LineReader
 		for i, piece := range pieces(text, cuts) {
 			all, first, done := r.Read(bytes.Clone(piece))
-			if len(r.begun) >= MaxLine {
-				t.Fatal(len(r.begun), "bytes are kept")
+			if len(r.partial) >= MaxLine {
+				t.Fatal(len(r.partial), "bytes are buffered")
 			}
 			if !done {
 				continue
@@ -88,20 +94,22 @@
 			if word := AnswerOf(all[:first]); word != AnswerOf(text[:wantEnd]) || first == 0 && word != Line {
 				t.Fatalf("%q in pieces: %v", text, word)
 			} else if word == Up && (first < len("UP 1\r\n") || !bytes.HasSuffix(all[:first], []byte("\r\n"))) {
-				t.Fatalf("%q is taken for UP", all[:first])
+				t.Fatalf("%q is accepted as UP", all[:first])
 			}
 			return
 		}
 		if wantDone {
-			t.Fatalf("%q in pieces was never whole", text)
+			t.Fatalf("%q in pieces was never complete", text)
 		}
 	})
 }
 
-// A stream behind UP: whatever the pieces that it comes in, it is read as its whole lines are.
+// FuzzScan checks that a stream behind UP is read in pieces of any size as its whole lines are.
 func FuzzScan(f *testing.F) {
-	for _, text := range []string{"one\r\nLOAD 12.5\r\nLOADED\r\n\r\nMOVE\r\nhalf", "BYE\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\rx\r\n",
-		"BYE inflight=7,queue=2,util=0.61,more=123456\r\n", "BYE\r\nmore\r\n", "BYE\r\nLOAD 1\r\n", "LOAD 1234567890123456789012345678901\r\n",
+	for _, text := range []string{"one\r\nLOAD 12.5\r\nLOADED\r\n\r\nMOVE\r\nhalf",
+		"BYE\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\r\rx\r\n",
+		"BYE inflight=7,queue=2,util=0.61,more=123456\r\n", "BYE\r\nmore\r\n", "BYE\r\nLOAD 1\r\n",
+		"LOAD 1234567890123456789012345678901\r\n",
 		"LOAD 123456789012345678901234567\r\n", "\n\n\nMOVE\n", "LOAD 0x1p4\r\n"} {
 		f.Add([]byte(text), []byte{0, 0, 3, 31, 30})
 	}
@@ -113,7 +121,7 @@
 			case Load:
 				want.Load, want.Told = true, 0
 				if len(line) < 32 {
-					want.Told = loadOf(line)
+					want.Told = parseLoad(line)
 				}
 			case Bye, MoveAway:
 				want.Lines++
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -1,7 +1,7 @@
-// Package platform owns how the platform's messages look: the lines between terminals, the balancer and
-// the regions in this file, and discovery's HTTP in discovery.go. It turns bytes into values and values
-// into bytes, as slices of the buffer they came in. It must never keep state of a transaction, open a
-// connection or decide anything; a second front would stand beside it and speak to the same core.
+// Package platform encodes and parses the platform's messages: the lines between clients, the balancer and servers in
+// this file, and discovery's HTTP in discovery.go. It converts between bytes and values, as slices of the buffer that
+// they arrived in. It keeps no state of a request, opens no connection and makes no decisions, so that a second front
+// end could be built on the same core.
 package platform
 
 import (
@@ -15,38 +15,38 @@
 	"oatloft/policy"
 )
 
-// maxWait is the longest that a terminal may say it waits: the platform's longest time, 2^32 microseconds (71 minutes), which
-// connections from before the run say where they end at the balancer.
-const maxWait = 1 << 32 * time.Microsecond
+// maxTimeout is the longest timeout that a client may send: the platform's longest time, 2^32 microseconds (71
+// minutes), which connections from before the run state if they end at the balancer.
+const maxTimeout = 1 << 32 * time.Microsecond
 
-// MaxLine is how long a line may be, its end included.
+// MaxLine is the greatest length of a line in bytes, with its end.
 const MaxLine = 4096
 
-// The lines that the balancer itself sends.
+// Lines that the balancer itself sends.
 var (
 	Pong   = []byte("PONG\r\n")
-	No     = []byte("NO\r\n") // in standby, to PING
+	No     = []byte("NO\r\n") // the answer to PING in standby
 	Failed = []byte("ERR\r\n")
 	Move   = []byte("MOVE\r\n")
 	Stats  = []byte("STATS\r\n")
 )
 
-// Malformed is a line in a form that nobody of the platform sends. It is answered ERR.
+// Malformed is a line in a form that no part of the platform sends. It is answered with ERR.
 type Malformed struct{ hint.Annotated }
 
-// ErrMalformed tells of a first line in a form that no terminal sends.
-var ErrMalformed error = &Malformed{hint.Annotated{What: "malformed first line", Do: "see which program connects: clients begin with OPEN"}}
+// ErrMalformed is returned for a first line in a form that no client sends.
+var ErrMalformed error = &Malformed{hint.Annotated{
+	What: "malformed first line", Do: "check which program connects: clients begin with OPEN"}}
 
-// Open is a terminal's first line.
+// Open is a client's first line.
 type Open struct {
 	policy.Request
-	At       string // the region that held the connection before the run
-	left     [2]int // where the time that the terminal waits stands in the line
-	template []byte // the line; shared with the buffer until Keep
+	At          string // the server that had the connection before the run
+	timeoutSpan [2]int // start and end of the timeout in the line
+	template    []byte // the line; shares memory with the buffer until Keep
 }
 
-// Cut returns the first whole line of data, its end included, or nil; tooLong tells that what is there
-// can't become a line.
+// Cut returns the first whole line of data with its end, or nil. tooLong reports that data cannot become a line.
 func Cut(data []byte) (line []byte, tooLong bool) {
 	i := bytes.IndexByte(data, '\n')
 	if i < 0 {
@@ -55,35 +55,37 @@
 	return data[:i+1], i+1 > MaxLine
 }
 
-// LineReader gathers the first line of a stream that comes in pieces, and keeps no more than a line's beginning.
-type LineReader struct{ begun []byte }
+// LineReader collects the first line of a stream that arrives in pieces. It keeps no more than the beginning of that
+// line.
+type LineReader struct{ partial []byte }
 
-// Read takes the next piece. Once done, all is what has come so far and first the length of its first line, which is 0 where
-// what has come can't become a line. The reader is new then. all shares its memory with data, or is valid until the next call.
+// Read takes the next piece. Once done is true, all is the data so far and first the length of its first line, or 0 if
+// the data cannot become a line. The reader is then reset. all shares memory with data, or is valid until the next
+// call.
 func (r *LineReader) Read(data []byte) (all []byte, first int, done bool) {
-	if len(r.begun) > 0 {
-		data = append(r.begun, data...)
+	if len(r.partial) > 0 {
+		data = append(r.partial, data...)
 	}
 	line, tooLong := Cut(data)
 	switch {
 	case tooLong:
-		r.begun = nil
+		r.partial = nil
 		return data, 0, true
 	case line == nil:
-		r.begun = append(r.begun[:0], data...)
+		r.partial = append(r.partial[:0], data...)
 		return nil, 0, false
 	}
-	r.begun = nil
+	r.partial = nil
 	return data, len(line), true
 }
 
-// trim takes a line's end off.
-func trim(line []byte) []byte {
+// trimLineEnd removes a line's end.
+func trimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// readable tells that a line's text holds the characters only that the platform's lines are made of.
-func readable(text []byte) bool {
+// printable reports whether text holds only the characters that the platform uses in its lines.
+func printable(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c > '~' {
 			return false
@@ -92,25 +94,25 @@
 	return true
 }
 
-// IsPing tells of the front's question whether the balancer is there.
-func IsPing(line []byte) bool { return string(trim(line)) == "PING" }
+// IsPing reports whether a line is the health check of the front.
+func IsPing(line []byte) bool { return string(trimLineEnd(line)) == "PING" }
 
-// ParseOpen reads a first line.
+// ParseOpen parses a client's first line.
 func ParseOpen(line []byte) (Open, error) {
 	o := Open{template: line}
 	if !bytes.HasSuffix(line, []byte("\r\n")) {
 		return o, ErrMalformed
 	}
-	if !readable(line[:len(line)-2]) {
+	if !printable(line[:len(line)-2]) {
 		return o, ErrMalformed
 	}
-	parts := bytes.SplitN(trim(line), []byte(" "), 4)
+	parts := bytes.SplitN(trimLineEnd(line), []byte(" "), 4)
 	if len(parts) != 4 || string(parts[0]) != "OPEN" || len(parts[1]) == 0 || len(parts[2]) == 0 ||
 		bytes.IndexByte(parts[3], ' ') >= 0 {
 		return o, ErrMalformed
 	}
 	o.ID, o.Key = string(parts[1]), string(parts[2])
-	at := len(trim(line)) - len(parts[3])
+	at := len(trimLineEnd(line)) - len(parts[3])
 	for rest := parts[3]; len(rest) > 0; {
 		pair := rest
 		if i := bytes.IndexByte(rest, ','); i >= 0 {
@@ -134,35 +136,35 @@
 		case "mid":
 			o.MidFlow = string(value) == "1"
 		case "d":
-			if len(bytes.Trim(value, "0123456789.")) > 0 || o.left[1] > 0 { // no sign, no exponent, no word
+			if len(bytes.Trim(value, "0123456789.")) > 0 || o.timeoutSpan[1] > 0 { // no sign, exponent or name such as inf
 				return o, ErrMalformed
 			}
 			ms, err := strconv.ParseFloat(string(value), 64)
-			if err != nil || ms > float64(maxWait.Milliseconds()) {
+			if err != nil || ms > float64(maxTimeout.Milliseconds()) {
 				return o, ErrMalformed
 			}
 			o.Timeout = time.Duration(ms * float64(time.Millisecond))
-			o.left = [2]int{at + 2, at + len(pair)}
+			o.timeoutSpan = [2]int{at + 2, at + len(pair)}
 		}
 		at += len(pair) + 1
 	}
-	if o.Class == "" || o.left[1] == 0 {
+	if o.Class == "" || o.timeoutSpan[1] == 0 {
 		return o, ErrMalformed
 	}
 	return o, nil
 }
 
-// Keep copies the line, which has to outlive the buffer that it was read into.
+// Keep copies the line, so that it outlives the buffer that it was read into.
 func (o *Open) Keep() { o.template = bytes.Clone(o.template) }
 
-// AppendLine appends the first line as it came, but for the time left.
+// AppendLine appends the first line unchanged, except for the time left.
 func (o *Open) AppendLine(dst []byte, left time.Duration) []byte {
-	dst = append(dst, o.template[:o.left[0]]...)
+	dst = append(dst, o.template[:o.timeoutSpan[0]]...)
 	dst = strconv.AppendInt(dst, max(0, left.Milliseconds()), 10)
-	return append(dst, o.template[o.left[1]:]...)
+	return append(dst, o.template[o.timeoutSpan[1]:]...)
 }
 
-// AppendShort appends the short-on-capacity reply.
+// AppendShort appends the rejection for lack of capacity, with the time to retry after.
 func AppendShort(dst []byte, after time.Duration) []byte {
 	dst = append(dst, "BUSY"...)
 	if after > 0 {
@@ -171,10 +173,10 @@
 	return append(dst, "\r\n"...)
 }
 
-// Word says what a region's line means.
+// Word is the kind of a server's line.
 type Word int
 
-// The words. Line is any other.
+// Kinds of lines that a server sends. Line is any other line.
 const (
 	Line Word = iota
 	Up
@@ -186,19 +188,22 @@
 	PongBack
 )
 
-var words = map[string]Word{"UP": Up, "BYE": Bye, "MOVE": MoveAway, "ERR": Err, "BUSY": Busy, "LOAD": Load, "PONG": PongBack}
+// serverWords maps the first words of a server's lines.
+var serverWords = map[string]Word{
+	"UP": Up, "BYE": Bye, "MOVE": MoveAway, "ERR": Err, "BUSY": Busy, "LOAD": Load, "PONG": PongBack,
+}
 
-// WordOf reads a region's line, whole or without its end.
+// WordOf returns the kind of a server's line, given with or without its end.
 func WordOf(line []byte) Word {
-	word, _, _ := bytes.Cut(trim(line), []byte(" "))
-	return words[string(word)]
+	word, _, _ := bytes.Cut(trimLineEnd(line), []byte(" "))
+	return serverWords[string(word)]
 }
 
-// AnswerOf reads a server's answer to a first line or to a probe: a whole line, as LineReader found it. One that is spoilt, or
-// says UP with no receipt, is none of the answers that prove something.
+// AnswerOf returns the kind of a server's answer to a first line or a probe: a whole line, as LineReader returned it. A
+// malformed line, or an UP without a receipt, is returned as Line, since it proves nothing.
 func AnswerOf(line []byte) Word {
 	text, ended := bytes.CutSuffix(line, []byte("\r\n"))
-	if !ended || len(line) > MaxLine || !readable(text) {
+	if !ended || len(line) > MaxLine || !printable(text) {
 		return Line
 	}
 	word := WordOf(text)
@@ -208,10 +213,10 @@
 	return word
 }
 
-// ParseStats reads the load report behind an answer; nil where there is none. Columns are mapped as on
-// the bench's wire, and those that mean nothing to the module are passed over.
+// ParseStats parses the load report in an answer; it returns nil if there is none. Columns are mapped as in the bench's
+// wire format, and those without a meaning to the policy are ignored.
 func ParseStats(line []byte) *policy.LoadReport {
-	_, rest, _ := bytes.Cut(trim(line), []byte(" "))
+	_, rest, _ := bytes.Cut(trimLineEnd(line), []byte(" "))
 	if len(rest) == 0 {
 		return nil
 	}
@@ -239,9 +244,9 @@
 	return r
 }
 
-// loadOf reads a load note's figure, 0 where there is none that could be a load.
-func loadOf(line []byte) float64 {
-	_, figure, _ := bytes.Cut(trim(line), []byte(" "))
+// parseLoad parses the number in a load report line; it returns 0 if it is not a valid load.
+func parseLoad(line []byte) float64 {
+	_, figure, _ := bytes.Cut(trimLineEnd(line), []byte(" "))
 	x, err := strconv.ParseFloat(string(figure), 64)
 	if err != nil || !(x > 0) || math.IsInf(x, 0) {
 		return 0
@@ -249,24 +254,24 @@
 	return x
 }
 
-// Scan follows one stream of lines piece by piece, without keeping more of it than a line's beginning.
+// Scan follows a stream of lines that arrives in pieces. It keeps no more than the beginning of a line.
 type Scan struct {
-	head [32]byte // of the line that has begun: a load note whole
-	n    int      // how much of it came, up to len(head)
+	lineStart    [32]byte // beginning of the current line; enough for a whole load report line
+	lineStartLen int      // bytes in lineStart
 }
 
-// Between tells that the stream stands between two lines.
-func (s *Scan) Between() bool { return s.n == 0 }
+// Between reports whether the stream is between two lines.
+func (s *Scan) Between() bool { return s.lineStartLen == 0 }
 
-// Seen is what a piece of a stream held.
+// Seen is a summary of one piece of a stream.
 type Seen struct {
-	Lines int // ends of lines, load notes apart
+	Lines int // line ends, except those of load report lines
 	Load  bool
-	Told  float64 // by the last load note, in microseconds of work a second; 0 if it is no number above 0
-	Last  Word    // what the last line but load notes says: Bye or MoveAway, or Line for any other and where none ended
+	Told  float64 // by the last load report line, in microseconds of work per second; 0 if it is not a number above 0
+	Last  Word    // kind of the last line but load reports: Bye or MoveAway, or Line for any other or none
 }
 
-// Read takes the next piece.
+// Read scans the next piece.
 func (s *Scan) Read(data []byte) (seen Seen) {
 	for len(data) > 0 {
 		i := bytes.IndexByte(data, '\n')
@@ -274,14 +279,14 @@
 		if i >= 0 {
 			part = data[:i]
 		}
-		s.n += copy(s.head[s.n:], part)
+		s.lineStartLen += copy(s.lineStart[s.lineStartLen:], part)
 		if i < 0 {
 			return seen
 		}
-		switch w := WordOf(s.head[:s.n]); w {
+		switch w := WordOf(s.lineStart[:s.lineStartLen]); w {
 		case Load:
-			seen.Load, seen.Told = true, loadOf(s.head[:s.n])
-			if s.n == len(s.head) { // its figure may have been cut
+			seen.Load, seen.Told = true, parseLoad(s.lineStart[:s.lineStartLen])
+			if s.lineStartLen == len(s.lineStart) { // its number may have been cut off
 				seen.Told = 0
 			}
 		case Bye, MoveAway:
@@ -291,7 +296,7 @@
 			seen.Last = Line
 			seen.Lines++
 		}
-		s.n = 0
+		s.lineStartLen = 0
 		data = data[i+1:]
 	}
 	return seen
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -1,7 +1,6 @@
-// Package settings owns the one mapping from the names of the platform's settings to policy.Config. It
-// serves both forms in which they come: the dotted pairs of the bench's wire, and the nested JSON of a
-// balancer's configuration, which Flatten turns into such pairs. It must never know where settings come
-// from, and never decide by them.
+// Package settings maps the names of the platform's settings to policy.Config, in both forms that they have: the dotted
+// pairs of the bench's wire format, and the nested JSON of a balancer's configuration, which Flatten converts to such
+// pairs. It neither reads settings from their source nor makes decisions by them.
 package settings
 
 import (
@@ -14,15 +13,15 @@
 	"oatloft/internal/hint"
 )
 
-// Fields are the name=value parts of one line. The first bad or missing value stays in err, so that a
-// line can be read in one go and checked once.
+// Fields are the name=value pairs of one line. Err keeps the first missing or invalid value, so that a line can be read
+// completely and checked once.
 type Fields struct {
 	values map[string]string
 	Err    error
 }
 
-// Parse splits the parts of a line. A field of free text takes up the rest of the line, and so do
-// the settings, whose paths stand there without a name in front.
+// Parse splits a line at spaces into name=value pairs; the dotted paths of settings are names like any other. It
+// records an error for a part without an equals sign and stops there.
 func Parse(rest string) *Fields {
 	f := &Fields{values: make(map[string]string, 12)}
 	for rest != "" {
@@ -45,23 +44,23 @@
 	return f
 }
 
-// Unfit is a setting of the platform, or a part of a line, that is missing or can't be read.
-type Unfit struct{ hint.Annotated }
+// Invalid is a platform setting, or a part of a line, that is missing or cannot be parsed.
+type Invalid struct{ hint.Annotated }
 
-// Fail keeps the first fault.
+// Fail records an error, unless there is one already.
 func (f *Fields) Fail(format string, args ...any) {
 	if f.Err == nil {
-		f.Err = &Unfit{hint.Annotated{What: fmt.Sprintf(format, args...), Do: "mend it where the settings come from"}}
+		f.Err = &Invalid{hint.Annotated{What: fmt.Sprintf(format, args...), Do: "correct it in the source of the settings"}}
 	}
 }
 
-// Has tells whether a part is there.
+// Has reports whether the line has a value of that name.
 func (f *Fields) Has(name string) bool { _, ok := f.values[name]; return ok }
 
-// Text is the part as it came.
+// Text returns a value unchanged, or an empty string.
 func (f *Fields) Text(name string) string { return f.values[name] }
 
-// Required is a part that must be there.
+// Required returns a value, and records an error if it is missing.
 func (f *Fields) Required(name string) string {
 	v := f.values[name]
 	if v == "" || v == Null {
@@ -70,10 +69,10 @@
 	return v
 }
 
-// Null stands where a figure is not known, in lists above all.
+// Null stands for a value that is not known, mostly in lists.
 const Null = "null"
 
-// Number reads a finite figure; absent counts as 0.
+// Number parses a finite number; a missing value is 0.
 func (f *Fields) Number(name string) float64 {
 	v, ok := f.values[name]
 	if !ok || v == Null {
@@ -86,16 +85,16 @@
 	return x
 }
 
-// ParseNumber reads a finite number.
+// ParseNumber parses a finite number.
 func ParseNumber(v string) (float64, error) {
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, &Unfit{hint.Annotated{What: fmt.Sprintf("%q is not a number", v), Do: "write a finite figure"}}
+		return 0, &Invalid{hint.Annotated{What: fmt.Sprintf("%q is not a number", v), Do: "write a finite number"}}
 	}
 	return x, nil
 }
 
-// Integer reads a whole number; absent counts as 0.
+// Integer parses a whole number; a missing value is 0.
 func (f *Fields) Integer(name string) int {
 	x := f.Number(name)
 	if x != math.Trunc(x) || math.Abs(x) > math.MaxInt32 {
@@ -105,10 +104,10 @@
 	return int(x)
 }
 
-// maxMillis keeps every time, and sums of a few, within a time.Duration.
+// maxMillis, in milliseconds, keeps each duration, and sums of a few, within the range of time.Duration.
 const maxMillis = 1e12
 
-// Millis reads a time in milliseconds.
+// Millis parses a duration in milliseconds.
 func (f *Fields) Millis(name string) time.Duration {
 	x := f.Number(name)
 	if math.Abs(x) > maxMillis {
@@ -118,7 +117,7 @@
 	return time.Duration(math.Round(x*1000)) * time.Microsecond
 }
 
-// Flag reads 1 or 0.
+// Flag parses 1 or true as true, and 0, false or a missing value as false.
 func (f *Fields) Flag(name string) bool {
 	switch f.values[name] {
 	case "1", "true":
@@ -130,7 +129,8 @@
 	return false
 }
 
-// OneOf looks a word up; an unknown word is an error, because acting on a guess could break a rule.
+// OneOf returns the value that words has for a required field. An unknown word is an error, since acting on a guess
+// could break a rule.
 func OneOf[T any](f *Fields, name string, words map[string]T) T {
 	v, ok := words[f.Required(name)]
 	if !ok {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,17 +14,17 @@
 	"oatloft/policy"
 )
 
-var effects = map[string]policy.Idempotency{
+var idempotencies = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentByKey,
 	"unsafe": policy.NotIdempotent,
 }
 
-var scopes = map[string]policy.KeyScope{
+var keyScopes = map[string]policy.KeyScope{
 	"all": policy.KeyScopeAll, "zone": policy.KeyScopeZone, "cell": policy.KeyScopeCell,
 }
 
-// Config reads the settings that an instance is started with. Keys it does not know are ignored.
+// Config returns the configuration that an instance starts with. Unknown settings are ignored.
 func Config(f *Fields) policy.Config {
 	c := policy.Config{
 		Zone:                  f.Text("zone"),
@@ -50,49 +50,51 @@
 	if !f.Flag("limits.retry-after") {
 		c.MaxRetryAfter = 0
 	}
-	messageAims := numberList(f, "family-info.message-aim-ms")
-	for i := range count(f, "classes") {
-		c.Classes = append(c.Classes, class(f, fmt.Sprintf("classes.%d.", i), at(messageAims, i)))
+	messageObjectives := numberList(f, "family-info.message-aim-ms")
+	for i := range itemCount(f, "classes") {
+		c.Classes = append(c.Classes, parseClass(f, fmt.Sprintf("classes.%d.", i), valueAt(messageObjectives, i)))
 	}
 	quotas := numberList(f, "family-info.tenant-quota-connections")
-	for i := range count(f, "tenants") {
+	for i := range itemCount(f, "tenants") {
 		c.Tenants = append(c.Tenants, policy.Tenant{
 			Name:            f.Required(fmt.Sprintf("tenants.%d.name", i)),
-			ConnectionQuota: at(quotas, i),
+			ConnectionQuota: valueAt(quotas, i),
 		})
 	}
 	return c
 }
 
-func class(f *Fields, path string, messageAim float64) policy.Class {
+func parseClass(f *Fields, path string, messageObjective float64) policy.Class {
 	c := policy.Class{
 		Name:                    f.Required(path + "name"),
 		LatencyObjective:        f.Millis(path + "aim-ms"),
-		MessageLatencyObjective: millis(messageAim),
-		Idempotency:             OneOf(f, path+"semantics", effects),
+		MessageLatencyObjective: millis(messageObjective),
+		Idempotency:             OneOf(f, path+"semantics", idempotencies),
 		KeyTTL:                  f.Millis(path + "key-ttl-ms"),
 	}
 	if failpoint.On("fit-class") && c.Name != "chat" {
 		c.Idempotency = policy.Idempotent
 	}
 	if c.Idempotency == policy.IdempotentByKey {
-		c.KeyScope = OneOf(f, path+"group", scopes)
+		c.KeyScope = OneOf(f, path+"group", keyScopes)
 	}
 	return c
 }
 
-// maxItems bounds the lists of a setup line, so that a wrong count can't ask for endless work.
-const maxItems = 10000
+// maxListItems is the highest item count accepted for a list, so that a wrong count cannot cause endless work.
+const maxListItems = 10000
 
-func count(f *Fields, name string) int {
+// itemCount returns the number of items in a list of objects.
+func itemCount(f *Fields, name string) int {
 	n := f.Integer(name + ".count")
-	if n < 0 || n > maxItems {
+	if n < 0 || n > maxListItems {
 		f.Fail("%s.count: %d is out of range", name, n)
 		return 0
 	}
 	return n
 }
 
+// numberList parses numbers separated by commas; Null becomes 0.
 func numberList(f *Fields, name string) []float64 {
 	var list []float64
 	if v := f.Text(name); v == "" || v == Null {
@@ -105,7 +107,7 @@
 		}
 		x, err := ParseNumber(v)
 		if err != nil || x > maxMillis || x < -maxMillis {
-			f.Fail("%s: %q is no usable number", name, v)
+			f.Fail("%s: %q is not a number in the valid range", name, v)
 			return nil
 		}
 		list = append(list, x)
@@ -113,28 +115,27 @@
 	return list
 }
 
-// at tolerates lists that are shorter than they should be: a missing figure counts as not told. A
-// single figure stands for all.
-func at(list []float64, i int) float64 {
+// valueAt returns an item of a list, or 0, which means unset, if the list is shorter than it should be.
+func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
 	return 0
 }
 
-// millis turns a figure in milliseconds into a duration.
+// millis converts milliseconds to a duration.
 func millis(x float64) time.Duration {
 	return time.Duration(math.Round(x*1000)) * time.Microsecond
 }
 
-// Flatten turns settings that came as nested JSON into the dotted pairs that Config reads: plain lists
-// become one value with commas, lists of objects a count and numbered items.
+// Flatten converts nested JSON settings to the dotted pairs that Config reads: lists of plain values become one value
+// separated by commas, lists of objects a count and numbered items.
 func Flatten(body []byte) (*Fields, error) {
 	var tree map[string]any
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	if err := d.Decode(&tree); err != nil {
-		return nil, &Unfit{hint.Annotated{Where: "settings", Cause: err, Do: "mend the JSON"}}
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.UseNumber()
+	if err := decoder.Decode(&tree); err != nil {
+		return nil, &Invalid{hint.Annotated{Where: "settings", Cause: err, Do: "correct the JSON"}}
 	}
 	f := &Fields{values: map[string]string{}}
 	f.flatten("", tree)
