--- a/internal/bandwidth/wire_test.go
+++ b/internal/bandwidth/wire_test.go
@@ -47,8 +47,8 @@
 			}
 		}
 		for name, b := range map[string][]byte{
-			"another form": append([]byte{8, 2}, x.body[2:]...),
-			"JSON":         []byte(`{"n":7,"k":6}`),
+			"another version": append([]byte{8, 2}, x.body[2:]...),
+			"JSON":            []byte(`{"n":7,"k":6}`),
 			"too long": append(bytes.Clone(x.body),
 				protowire.AppendBytes(protowire.AppendTag(nil, 1000, protowire.BytesType), make([]byte, maxMessageBytes))...),
 		} {
@@ -58,10 +58,10 @@
 		}
 	}
 	for name, a := range map[string]Request{
-		"below nothing":  {Links: []Ask{{GrantedRate: -1}}},
-		"without end":    {Links: []Ask{{SafeRate: 1 / zero}}},
-		"no number":      {Links: []Ask{{Demands: []Demand{{Rate: zero / zero}}}}},
-		"more than fits": {Links: []Ask{{Demands: make([]Demand, maxEntries+1)}}},
+		"negative":         {Links: []Ask{{GrantedRate: -1}}},
+		"infinite":         {Links: []Ask{{SafeRate: 1 / zero}}},
+		"not a number":     {Links: []Ask{{Demands: []Demand{{Rate: zero / zero}}}}},
+		"too many entries": {Links: []Ask{{Demands: make([]Demand, maxEntries+1)}}},
 	} {
 		if err := new(Request).decode(a.encode()); err == nil {
 			t.Errorf("%s was decoded", name)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -104,11 +104,13 @@
 	return endpoint, e.Host, err
 }
 
+// invalidList returns the error for a list that cannot be parsed as a whole.
 func invalidList(cause error) error {
 	return &InvalidList{hint.Annotated{Where: "server list", Cause: cause,
 		Do: "check what discovery answers to GET /registry/instances"}}
 }
 
+// event returns the core's event for the list, without its servers.
 func (l *serverList) event() core.EndpointsListed {
 	if l.Whole {
 		return core.EndpointsListed{Kind: policy.ListFull, Version: l.Seq}
@@ -116,6 +118,7 @@
 	return core.EndpointsListed{Kind: policy.ListDelta, Version: l.Seq}
 }
 
+// endpoint returns the core's form of an entry.
 func (e *listEntry) endpoint(clockStart time.Time) (core.Endpoint, error) {
 	state, ok := serverStates[e.Health]
 	if !ok || e.Host == "" {
@@ -133,9 +136,9 @@
 
 // WatchReader parses the response to a watch as it arrives in pieces.
 type WatchReader struct {
-	Zero      time.Time
+	Zero      time.Time   // zero of the balancer's clock
 	Unread    func(error) // called with the error of each invalid entry; may be nil
-	pending    []byte      // data not parsed yet: of the head, or of the chunk framing
+	pending   []byte      // data not parsed yet: of the head, or of the chunk framing
 	line      []byte      // incomplete list or line of the body
 	delivered bool        // the list on this line is delivered, and the end of the line has not arrived yet
 	nesting   nesting
@@ -223,6 +226,7 @@
 	return nil
 }
 
+// readHead parses the status line and the header fields.
 func (w *WatchReader) readHead(head []byte) error {
 	lines := bytes.Split(head, []byte("\r\n"))
 	parts := bytes.SplitN(lines[0], []byte(" "), 3)
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -188,15 +188,15 @@
 	PongBack
 )
 
-// serverWords maps the first words of a server's lines.
-var serverWords = map[string]Word{
+// lineKinds maps the first word of a server's line to its kind.
+var lineKinds = map[string]Word{
 	"UP": Up, "BYE": Bye, "MOVE": MoveAway, "ERR": Err, "BUSY": Busy, "LOAD": Load, "PONG": PongBack,
 }
 
 // WordOf returns the kind of a server's line, given with or without its end.
 func WordOf(line []byte) Word {
 	word, _, _ := bytes.Cut(trimLineEnd(line), []byte(" "))
-	return serverWords[string(word)]
+	return lineKinds[string(word)]
 }
 
 // AnswerOf returns the kind of a server's answer to a first line or a probe: a whole line, as LineReader returned it. A
@@ -265,8 +265,8 @@
 
 // Seen is a summary of one piece of a stream.
 type Seen struct {
-	Lines int // line ends, except those of load report lines
-	Load  bool
+	Lines int     // line ends, except those of load report lines
+	Load  bool    // a load report line ended
 	Told  float64 // by the last load report line, in microseconds of work per second; 0 if it is not a number above 0
 	Last  Word    // kind of the last line but load reports: Bye or MoveAway, or Line for any other or none
 }
