--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -50,19 +50,19 @@
 // Every effect of every balancer in fifty generated deployments is the one that was recorded: no refactoring may change one.
 func TestEffectsAreAsRecorded(t *testing.T) {
 	var out bytes.Buffer
-	for _, d := range small(50, func(d *generate.Deployment) bool { return d.Balancers <= 12 && d.Regions <= 60 }) {
+	for _, d := range smallDeployments(50, func(d *generate.Deployment) bool { return d.Balancers <= 12 && d.Servers <= 60 }) {
 		sum, n := sha256.New(), 0
-		p, err := Open(d, false, Break{})
+		s, err := NewSite(d, false, Defect{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Trace = func(slot int, now time.Duration, effects []core.Effect) {
+		s.Trace = func(slot int, now time.Duration, effects []core.Effect) {
 			for _, e := range effects {
 				n++
 				fmt.Fprint(sum, slot, " ", int64(now), " ", describeEffect(e))
 			}
 		}
-		p.Run()
+		s.Run()
 		fmt.Fprintf(&out, "%d %d %x\n", d.Seed, n, sum.Sum(nil))
 	}
 	golden.Check(t, "effects.txt", out.Bytes())
