--- a/internal/generate/deployment.go
+++ b/internal/generate/deployment.go
@@ -1,9 +1,10 @@
-// Package generate draws whole deployments: the settings that balancers are told, in the form in which they are told, and what
-// nobody tells them: sizes, traffic, how late reports and lists come, what goes wrong when.
+// Package generate creates random deployments for tests and for oatlab: the settings that balancers are configured
+// with, and the properties that they are not given, such as server capacities, traffic, the delays of load reports and
+// endpoint lists, and the incidents during the run.
 //
-// It is for tests and the laboratory. It owns the ranges, and must never hold a figure that is some deployment's own: what is
-// drawn follows from the seed alone. Settings are made twice, as JSON that oatloft's readers read and as the module's
-// settings without them, so that a reader that is fitted to one form is found.
+// A deployment follows from the seed alone, and no range is fitted to a particular deployment. Settings are written in
+// two forms, as the JSON that oatloft parses and as the core configuration that has to result, so that a parser that
+// handles only one form of the input is detected.
 package generate
 
 import (
@@ -18,58 +19,59 @@
 	"oatloft/policy"
 )
 
-// Class is a class of requests, as it is told and as it is.
+// Class is a class of requests with its settings and its traffic.
 type Class struct {
 	policy.Class
-	ClientTimeout                time.Duration // a terminal of it waits so long for its answer
-	RequestShare                 float64       // of those that come
-	RelativeLoad, PriorityWeight float64       // of one connection; the mean connection's work is 1
+	ClientTimeout                time.Duration // how long a client waits for its answer
+	RequestShare                 float64       // fraction of all requests
+	RelativeLoad, PriorityWeight float64       // of one connection; the mean connection has load 1
 }
 
-// Trouble is something that happens at a time.
+// Incident is a fault or a change of traffic that starts at a given time.
 type Incident struct {
 	Kind          IncidentKind
 	At, Duration  time.Duration
-	AffectedShare float64 // of all that it may strike
-	Factor        float64 // traffic, for a burst
+	AffectedShare float64 // fraction of what the incident may affect
+	Factor        float64 // of the traffic in a burst, and of the longest connect delay
 }
 
-// Kind of trouble.
+// IncidentKind is the kind of an incident.
 type IncidentKind string
 
-// The troubles.
+// The kinds of incidents.
 const (
-	RollingReplacement IncidentKind = "roll"           // regions drain, stop, and are replaced by cold ones
-	ServerLoss         IncidentKind = "lost"           // regions vanish, and come back cold
-	ServerHang         IncidentKind = "hang"           // regions take connections and return nothing
-	SlowConnects       IncidentKind = "late set-ups"   // connections to regions come up late
-	ServerSlowdown     IncidentKind = "slow"           // regions do less
-	ServerErrors       IncidentKind = "errors"         // regions fail, or reset what has begun
-	SilentWatches      IncidentKind = "silent watches" // all open watches say nothing more; some regions drain right after
-	BrokenWatches      IncidentKind = "reset watches"  // all open watches break; some regions drain right after
-	DiscoveryOutage    IncidentKind = "no discovery"   // discovery is down; some regions drain as it returns
-	PlannedRestart     IncidentKind = "restart"        // balancers are told to end, one part after the other
-	ProcessKill        IncidentKind = "kill"           // balancers are killed at once, and come back
-	TrafficBurst       IncidentKind = "burst"          // more come
+	RollingReplacement IncidentKind = "roll"           // servers drain, stop and are replaced by new ones, which warm up
+	ServerLoss         IncidentKind = "lost"           // servers become unreachable, then restart and warm up
+	ServerHang         IncidentKind = "hang"           // servers accept connections but do not reply
+	SlowConnects       IncidentKind = "late set-ups"   // connections to servers are established late
+	ServerSlowdown     IncidentKind = "slow"           // servers have less capacity
+	ServerErrors       IncidentKind = "errors"         // servers fail, or reset connections that they accepted
+	SilentWatches      IncidentKind = "silent watches" // open watches deliver nothing more; some servers drain right after
+	BrokenWatches      IncidentKind = "reset watches"  // open watches are closed; some servers drain right after
+	DiscoveryOutage    IncidentKind = "no discovery"   // discovery is unavailable; some servers drain as it comes back
+	PlannedRestart     IncidentKind = "restart"        // balancers shut down and restart one after the other
+	ProcessKill        IncidentKind = "kill"           // balancers are killed at the same time, and come back
+	TrafficBurst       IncidentKind = "burst"          // more requests arrive
 )
 
-var incidentKinds = []IncidentKind{RollingReplacement, ServerLoss, ServerHang, SlowConnects, ServerSlowdown, ServerErrors, SilentWatches, BrokenWatches, DiscoveryOutage, PlannedRestart, ProcessKill, TrafficBurst}
+var incidentKinds = []IncidentKind{RollingReplacement, ServerLoss, ServerHang, SlowConnects, ServerSlowdown,
+	ServerErrors, SilentWatches, BrokenWatches, DiscoveryOutage, PlannedRestart, ProcessKill, TrafficBurst}
 
-// Deployment is one place.
+// Deployment is one generated deployment.
 type Deployment struct {
 	Seed                      int
-	Zones, Balancers, Servers int  // no zones: nobody names any
-	UnevenZones               bool // half of the regions stand in the first zone, half of the balancers in the last
+	Zones, Balancers, Servers int  // without zones, endpoints and balancers have no zone name
+	UnevenZones               bool // half of the servers are in the first zone, half of the balancers in the last
 	Cells                     int
 	Classes                   []Class
 	Tenants                   []policy.Tenant
-	TenantShares              []float64 // of those that come, by tenant
-	Groups                    int       // that connections belong to; 0 for none
+	TenantShares              []float64 // fraction of the requests of each tenant
+	Groups                    int       // number of connection groups; 0 for none
 
 	TimerResolution, ConnectTimeout time.Duration
 	MaxAttempts                     int
 	ProbesEnabled                   bool
-	ReportFields                    []string // of reports
+	ReportFields                    []string // of load reports
 	MaxRetryAfter                   time.Duration
 	PushUpdates, IndentedLists      bool
 	PollInterval, DrainGrace        time.Duration
@@ -77,27 +79,29 @@
 	WarmUpDuration, OverloadWindow  time.Duration
 	OverloadMultiple                float64
 	CrossZoneCost                   float64
-	PassThrough                     bool // open connections go on through another balancer
+	PassThrough                     bool // established connections continue through another balancer
 
-	// What nobody tells.
-	ServerCapacity                                        float64       // mean connections that fill a region
-	Load                                                  float64       // of all regions
-	ConnectionLifetime                                    time.Duration // of a connection, in the mean
+	// Properties that balancers are not configured with.
+	ServerCapacity                                        float64       // mean number of connections that fill a server
+	Load                                                  float64       // of all servers, as a fraction of their capacity
+	ConnectionLifetime                                    time.Duration // mean lifetime
 	ReportDelay, ReportInterval                           time.Duration
-	DiscoveryDelay                                        time.Duration // from a change until discovery tells it
+	DiscoveryDelay                                        time.Duration // from a change until discovery publishes it
 	SetupTime, NetworkLatency, ReconnectDelay, RetryDelay time.Duration
-	TrafficSkew                                           float64 // traffic of one balancer over the mean of the others
-	DrainDuration                                         time.Duration
-	CloseOnDrain, ConnectionLoads                         bool // draining regions send their connections away; regions tell connections' loads
-	CachedList                                            bool // a new process knows the list of before
-	Incidents                                             []Incident
+	// Traffic of the first balancer over the mean of the others.
+	TrafficSkew   float64
+	DrainDuration time.Duration
+	// Draining servers close their connections; servers report the load of connections.
+	CloseOnDrain, ConnectionLoads bool
+	CachedList                    bool // a new process starts with a cached endpoint list
+	Incidents                     []Incident
 }
 
 func randomDuration(t *rapid.T, name string, low, high time.Duration) time.Duration {
 	return time.Duration(spreadInt(t, name, int(low/time.Millisecond), int(high/time.Millisecond))) * time.Millisecond
 }
 
-// wide draws small, large and other numbers alike: rapid's own ranges prefer small ones.
+// spreadInt makes small, large and other numbers equally likely, because rapid's own ranges favor small ones.
 func spreadInt(t *rapid.T, name string, low, high int) int {
 	switch n := rapid.IntRange(0, high-low).Draw(t, name); rapid.IntRange(0, 2).Draw(t, name+", counted from") {
 	case 0:
@@ -113,7 +117,7 @@
 	return low + (high-low)*float64(spreadInt(t, name, 0, 1000))/1000
 }
 
-// someOf draws any of a list, in its order.
+// randomSubset returns a random subset of a list, in the list's order.
 func randomSubset(t *rapid.T, name string, all []string) (list []string) {
 	bits := rapid.IntRange(0, 1<<len(all)-1).Draw(t, name)
 	for i, s := range all {
@@ -124,51 +128,69 @@
 	return list
 }
 
-// Of is the deployment of a seed, the same one each time.
+// FromSeed returns the deployment of a seed. The same seed always gives the same deployment.
 func FromSeed(seed int) Deployment {
 	d := rapid.Custom(NewDeployment).Example(seed)
 	d.Seed = seed
 	return d
 }
 
-// Draw draws one.
+// NewDeployment generates a deployment.
 func NewDeployment(t *rapid.T) Deployment {
 	ms := time.Millisecond
-	d := Deployment{Zones: rapid.IntRange(0, 6).Draw(t, "zones"), Balancers: spreadInt(t, "balancers", 1, 300), Servers: spreadInt(t, "regions", 2, 90),
-		UnevenZones: rapid.IntRange(0, 3).Draw(t, "lopsided") == 0, Cells: rapid.IntRange(1, 4).Draw(t, "cells"),
+	d := Deployment{Zones: rapid.IntRange(0, 6).Draw(t, "zones"), Balancers: spreadInt(t, "balancers", 1, 300),
+		Servers:     spreadInt(t, "servers", 2, 90),
+		UnevenZones: rapid.IntRange(0, 3).Draw(t, "uneven zones") == 0, Cells: rapid.IntRange(1, 4).Draw(t, "cells"),
 		Groups:          rapid.SampledFrom([]int{0, 3, 40}).Draw(t, "groups"),
-		TimerResolution: randomDuration(t, "tick", ms, 20*ms), ConnectTimeout: randomDuration(t, "connect time-out", 80*ms, time.Second),
-		MaxAttempts: rapid.IntRange(1, 8).Draw(t, "attempts"), ProbesEnabled: rapid.IntRange(0, 9).Draw(t, "probes") > 0,
+		TimerResolution: randomDuration(t, "tick", ms, 20*ms),
+		ConnectTimeout:  randomDuration(t, "connect time-out", 80*ms, time.Second),
+		MaxAttempts:     rapid.IntRange(1, 8).Draw(t, "attempts"), ProbesEnabled: rapid.IntRange(0, 9).Draw(t, "probes") > 0,
 		ReportFields: randomSubset(t, "fields", []string{"rif", "inflight", "queue", "util", "busy", "x0", "x1", "lat_ms"}),
 		PushUpdates:  rapid.Bool().Draw(t, "pushed"), IndentedLists: rapid.Bool().Draw(t, "indented"),
-		PollInterval: randomDuration(t, "ask every", 2*time.Second, 30*time.Second), DrainGrace: randomDuration(t, "grace", 250*ms, 3*time.Second),
-		WarmUpInitialCapacity: randomFloat(t, "cold from", 0.05, 0.9), WarmUpDuration: randomDuration(t, "cold for", 2*time.Second, 40*time.Second),
-		OverloadWindow: randomDuration(t, "fall time", 300*ms, 5*time.Second), OverloadMultiple: randomFloat(t, "fall multiple", 1.2, 6),
-		CrossZoneCost: randomFloat(t, "crossing", 0, 0.4), PassThrough: rapid.IntRange(0, 2).Draw(t, "pass") == 0,
-		ServerCapacity: randomFloat(t, "fill", 12, 150), Load: randomFloat(t, "load", 0.25, 0.75), ConnectionLifetime: randomDuration(t, "life", 2*time.Second, 3*time.Minute),
-		ReportDelay: randomDuration(t, "report late", 0, 500*ms), ReportInterval: randomDuration(t, "report every", 50*ms, 900*ms),
-		DiscoveryDelay: randomDuration(t, "list lag", 5*ms, 2*time.Second), SetupTime: randomDuration(t, "set-up", 2*ms, 60*ms), NetworkLatency: randomDuration(t, "way", ms, 18*ms),
-		ReconnectDelay: randomDuration(t, "rejoin", 60*ms, 1500*ms), RetryDelay: randomDuration(t, "come again", 20*ms, 2*time.Second),
-		TrafficSkew: randomFloat(t, "skew", 1, 8), DrainDuration: randomDuration(t, "drain for", 3*time.Second, 20*time.Second),
-		CloseOnDrain: rapid.Bool().Draw(t, "go away"), ConnectionLoads: rapid.Bool().Draw(t, "loads"), CachedList: rapid.Bool().Draw(t, "known")}
+		PollInterval:          randomDuration(t, "poll interval", 2*time.Second, 30*time.Second),
+		DrainGrace:            randomDuration(t, "grace", 250*ms, 3*time.Second),
+		WarmUpInitialCapacity: randomFloat(t, "initial capacity", 0.05, 0.9),
+		WarmUpDuration:        randomDuration(t, "warm-up duration", 2*time.Second, 40*time.Second),
+		OverloadWindow:        randomDuration(t, "overload window", 300*ms, 5*time.Second),
+		OverloadMultiple:      randomFloat(t, "overload multiple", 1.2, 6),
+		CrossZoneCost:         randomFloat(t, "cross-zone cost", 0, 0.4),
+		PassThrough:           rapid.IntRange(0, 2).Draw(t, "pass") == 0,
+		ServerCapacity:        randomFloat(t, "fill", 12, 150), Load: randomFloat(t, "load", 0.25, 0.75),
+		ConnectionLifetime: randomDuration(t, "life", 2*time.Second, 3*time.Minute),
+		ReportDelay:        randomDuration(t, "report delay", 0, 500*ms),
+		ReportInterval:     randomDuration(t, "report interval", 50*ms, 900*ms),
+		DiscoveryDelay:     randomDuration(t, "discovery delay", 5*ms, 2*time.Second),
+		SetupTime:          randomDuration(t, "set-up", 2*ms, 60*ms), NetworkLatency: randomDuration(t, "way", ms, 18*ms),
+		ReconnectDelay: randomDuration(t, "rejoin", 60*ms, 1500*ms),
+		RetryDelay:     randomDuration(t, "retry delay", 20*ms, 2*time.Second),
+		TrafficSkew:    randomFloat(t, "skew", 1, 8),
+		DrainDuration:  randomDuration(t, "drain duration", 3*time.Second, 20*time.Second),
+		CloseOnDrain:   rapid.Bool().Draw(t, "close on drain"), ConnectionLoads: rapid.Bool().Draw(t, "loads"),
+		CachedList: rapid.Bool().Draw(t, "cached list")}
 	if rapid.Bool().Draw(t, "advice") {
-		d.MaxRetryAfter = randomDuration(t, "longest advice", 100*ms, 5*time.Second)
+		d.MaxRetryAfter = randomDuration(t, "max retry-after", 100*ms, 5*time.Second)
 	}
-	maxCapacity := 5000 / float64(d.Servers) / d.Load // so much can be stepped: as many stand, and 400 a second come
+	// Limits the simulation to 5000 connections, and to 400 new ones a second.
+	maxCapacity := 5000 / float64(d.Servers) / d.Load
 	d.ServerCapacity = max(6, min(d.ServerCapacity, maxCapacity))
 	if connections := d.ServerCapacity * d.Load * float64(d.Servers); connections/d.ConnectionLifetime.Seconds() > 400 {
 		d.ConnectionLifetime = time.Duration(connections / 400 * float64(time.Second))
 	}
 	totalShare, totalLoad := 0.0, 0.0
 	for i := range rapid.IntRange(1, 5).Draw(t, "classes") {
-		c := Class{Class: policy.Class{Name: randomName(t, "class", i), LatencyObjective: randomDuration(t, "aim", 50*ms, 3*time.Second), Idempotency: policy.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))},
-			ClientTimeout: randomDuration(t, "give up", 300*ms, time.Minute), RequestShare: randomFloat(t, "part", 0.1, 1), RelativeLoad: randomFloat(t, "work", 0.2, 3), PriorityWeight: randomFloat(t, "worth", 0.5, 4)}
+		c := Class{Class: policy.Class{Name: randomName(t, "class", i),
+			LatencyObjective: randomDuration(t, "aim", 50*ms, 3*time.Second),
+			Idempotency:      policy.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))},
+			ClientTimeout: randomDuration(t, "client timeout", 300*ms, time.Minute),
+			RequestShare:  randomFloat(t, "part", 0.1, 1), RelativeLoad: randomFloat(t, "work", 0.2, 3),
+			PriorityWeight: randomFloat(t, "worth", 0.5, 4)}
 		c.LatencyObjective = min(c.LatencyObjective, c.ClientTimeout)
-		if rapid.Bool().Draw(t, "messages have an aim") {
-			c.MessageLatencyObjective = randomDuration(t, "message aim", 60*ms, 500*ms)
+		if rapid.Bool().Draw(t, "has message objective") {
+			c.MessageLatencyObjective = randomDuration(t, "message objective", 60*ms, 500*ms)
 		}
 		if c.Idempotency == policy.IdempotentByKey {
-			c.KeyScope, c.KeyTTL = policy.KeyScope(rapid.IntRange(0, 2).Draw(t, "scope")), randomDuration(t, "key's time", 300*ms, 20*time.Second)
+			c.KeyScope, c.KeyTTL = policy.KeyScope(rapid.IntRange(0, 2).Draw(t, "scope")),
+				randomDuration(t, "key TTL", 300*ms, 20*time.Second)
 		}
 		totalShare, totalLoad = totalShare+c.RequestShare, totalLoad+c.RequestShare*c.RelativeLoad
 		d.Classes = append(d.Classes, c)
@@ -182,21 +204,25 @@
 		fraction := remaining * randomFloat(t, "fraction", 0.05, 0.9)
 		remaining -= fraction
 		d.TenantShares = append(d.TenantShares, fraction)
-		d.Tenants = append(d.Tenants, policy.Tenant{Name: randomName(t, "tenant", i), ConnectionQuota: float64(rapid.SampledFrom([]int{0, 1, 20, 300, 6000}).Draw(t, "share"))})
+		d.Tenants = append(d.Tenants,
+			policy.Tenant{Name: randomName(t, "tenant", i),
+				ConnectionQuota: float64(rapid.SampledFrom([]int{0, 1, 20, 300, 6000}).Draw(t, "share"))})
 	}
-	for range rapid.IntRange(1, 4).Draw(t, "troubles") {
-		d.Incidents = append(d.Incidents, Incident{Kind: incidentKinds[spreadInt(t, "trouble", 0, len(incidentKinds)-1)], At: randomDuration(t, "at", 4*time.Second, 16*time.Second),
-			Duration: randomDuration(t, "for", time.Second, 8*time.Second), AffectedShare: randomFloat(t, "part struck", 0.1, 0.6), Factor: randomFloat(t, "times", 1.3, 2.5)})
+	for range rapid.IntRange(1, 4).Draw(t, "incidents") {
+		d.Incidents = append(d.Incidents, Incident{Kind: incidentKinds[spreadInt(t, "incident", 0, len(incidentKinds)-1)],
+			At:            randomDuration(t, "at", 4*time.Second, 16*time.Second),
+			Duration:      randomDuration(t, "for", time.Second, 8*time.Second),
+			AffectedShare: randomFloat(t, "affected share", 0.1, 0.6), Factor: randomFloat(t, "times", 1.3, 2.5)})
 	}
 	return d
 }
 
-// name is a word that nobody can have fitted to.
+// randomName returns a random word with an index, so that no code can be fitted to the name.
 func randomName(t *rapid.T, label string, i int) string {
 	return rapid.StringMatching(`[a-z][a-z0-9-]{0,9}`).Draw(t, label) + fmt.Sprint(i)
 }
 
-// Zone is the name of a zone.
+// ZoneName returns the name of a zone.
 func (d *Deployment) ZoneName(i int) string {
 	if d.Zones == 0 {
 		return ""
@@ -204,7 +230,7 @@
 	return fmt.Sprintf("%c%d", 'z'-byte(i), d.Seed%97)
 }
 
-// RegionZone and BalancerZone tell where the i-th stands.
+// ServerZone returns the zone of the i-th server.
 func (d *Deployment) ServerZone(i int) int {
 	if d.Zones == 0 || d.UnevenZones && i%2 == 0 {
 		return 0
@@ -212,7 +238,7 @@
 	return i % d.Zones
 }
 
-// BalancerZone is the zone of the i-th balancer.
+// BalancerZone returns the zone of the i-th balancer.
 func (d *Deployment) BalancerZone(i int) int {
 	if d.Zones == 0 {
 		return 0
@@ -223,12 +249,12 @@
 	return i % d.Zones
 }
 
-// Has tells whether a trouble is among the deployment's.
-func (d *Deployment) HasIncident(k IncidentKind) bool {
-	return slices.ContainsFunc(d.Incidents, func(t Incident) bool { return t.Kind == k })
+// HasIncident reports whether the deployment has an incident of a kind.
+func (d *Deployment) HasIncident(kind IncidentKind) bool {
+	return slices.ContainsFunc(d.Incidents, func(incident Incident) bool { return incident.Kind == kind })
 }
 
-// Longest is the longest time that a class waits.
+// MaxClientTimeout returns the longest client timeout of all classes.
 func (d *Deployment) MaxClientTimeout() (longest time.Duration) {
 	for _, c := range d.Classes {
 		longest = max(longest, c.ClientTimeout)
@@ -236,10 +262,13 @@
 	return longest
 }
 
-// Core is what a balancer has to make of the settings, made without their readers.
+// CoreConfig returns the core configuration that has to result from ConfigJSON, built without the parsers.
 func (d *Deployment) CoreConfig(zone int, seed int64) core.Config {
-	p := policy.Config{Zone: d.ZoneName(zone), Balancers: d.Balancers, TimerResolution: d.TimerResolution, MaxAttempts: d.MaxAttempts, ProbesEnabled: d.ProbesEnabled, MaxRetryAfter: d.MaxRetryAfter,
-		PollEndpointList: true, PollInterval: d.PollInterval, CrossZoneCost: d.CrossZoneCost, WarmUpInitialCapacity: d.WarmUpInitialCapacity, WarmUpDuration: d.WarmUpDuration, OverloadMultiple: d.OverloadMultiple, OverloadWindow: d.OverloadWindow,
+	p := policy.Config{Zone: d.ZoneName(zone), Balancers: d.Balancers, TimerResolution: d.TimerResolution,
+		MaxAttempts: d.MaxAttempts, ProbesEnabled: d.ProbesEnabled, MaxRetryAfter: d.MaxRetryAfter,
+		PollEndpointList: true, PollInterval: d.PollInterval, CrossZoneCost: d.CrossZoneCost,
+		WarmUpInitialCapacity: d.WarmUpInitialCapacity, WarmUpDuration: d.WarmUpDuration,
+		OverloadMultiple: d.OverloadMultiple, OverloadWindow: d.OverloadWindow,
 		Tenants: d.Tenants}
 	if d.PushUpdates {
 		p.PollInterval = max(d.DrainGrace, 100*time.Millisecond)
@@ -247,15 +276,17 @@
 	for _, c := range d.Classes {
 		p.Classes = append(p.Classes, c.Class)
 	}
-	return core.Config{Policy: p, Seed: seed, ConnectTimeout: d.ConnectTimeout, ProbeTimeout: 300 * time.Millisecond, MaxClientTimeout: d.MaxClientTimeout(), PassThrough: d.PassThrough}
+	return core.Config{Policy: p, Seed: seed, ConnectTimeout: d.ConnectTimeout, ProbeTimeout: 300 * time.Millisecond,
+		MaxClientTimeout: d.MaxClientTimeout(), PassThrough: d.PassThrough}
 }
 
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
-// JSON is the configuration of a balancer, with a list of regions that it knows, or none.
+// ConfigJSON returns the configuration file of a balancer, with a cached endpoint list unless it is nil.
 func (d *Deployment) ConfigJSON(zone int, seed uint64, cachedList []byte) []byte {
 	type object = map[string]any
-	limits := object{"max-attempts": d.MaxAttempts, "probes": d.ProbesEnabled, "retry-after": d.MaxRetryAfter > 0, "connect-timeout-ms": milliseconds(d.ConnectTimeout),
+	limits := object{"max-attempts": d.MaxAttempts, "probes": d.ProbesEnabled, "retry-after": d.MaxRetryAfter > 0,
+		"connect-timeout-ms": milliseconds(d.ConnectTimeout),
 		"max-retry-after-ms": max(1, milliseconds(d.MaxRetryAfter))}
 	membershipMode, reporting, proxyMode := "on_request", "pull", "proxy"
 	if d.PushUpdates {
@@ -266,7 +297,9 @@
 	}
 	messageObjectives, classes, tenants, quotas := []any{}, []any{}, []any{}, []any{}
 	for _, c := range d.Classes {
-		entry := object{"name": c.Name, "aim-ms": milliseconds(c.LatencyObjective), "give-up-ms": milliseconds(c.ClientTimeout), "semantics": []string{"safe", "keyed", "unsafe"}[c.Idempotency], "stream": true}
+		entry := object{"name": c.Name, "aim-ms": milliseconds(c.LatencyObjective),
+			"give-up-ms": milliseconds(c.ClientTimeout), "semantics": []string{"safe", "keyed", "unsafe"}[c.Idempotency],
+			"stream": true}
 		if c.Idempotency == policy.IdempotentByKey {
 			entry["group"], entry["key-ttl-ms"] = []string{"all", "zone", "cell"}[c.KeyScope], milliseconds(c.KeyTTL)
 		}
@@ -281,24 +314,29 @@
 		tenants = append(tenants, object{"name": t.Name, "fraction": d.TenantShares[i]})
 		quotas = append(quotas, t.ConnectionQuota)
 	}
-	settings := object{"zone": d.ZoneName(zone), "balancers": d.Balancers, "granularity-ms": milliseconds(d.TimerResolution), "membership-mode": membershipMode, "limits": limits,
-		"reporting": object{"how": reporting, "columns": d.ReportFields}, "family-info": object{"groups": d.Groups > 0, "mode": proxyMode, "message-aim-ms": messageObjectives, "tenant-quota-connections": quotas},
-		"rules": object{"ask-every-ms": milliseconds(d.PollInterval), "drain-grace-ms": milliseconds(d.DrainGrace), "cold-from": d.WarmUpInitialCapacity, "cold-ms": milliseconds(d.WarmUpDuration),
+	settings := object{"zone": d.ZoneName(zone), "balancers": d.Balancers,
+		"granularity-ms": milliseconds(d.TimerResolution), "membership-mode": membershipMode, "limits": limits,
+		"reporting": object{"how": reporting, "columns": d.ReportFields},
+		"family-info": object{"groups": d.Groups > 0, "mode": proxyMode, "message-aim-ms": messageObjectives,
+			"tenant-quota-connections": quotas},
+		"rules": object{"ask-every-ms": milliseconds(d.PollInterval), "drain-grace-ms": milliseconds(d.DrainGrace),
+			"cold-from": d.WarmUpInitialCapacity, "cold-ms": milliseconds(d.WarmUpDuration),
 			"fall-multiple": d.OverloadMultiple, "tip-after-ms": milliseconds(d.OverloadWindow)},
 		"penalties": object{"cross-zone": d.CrossZoneCost}, "classes": classes, "tenants": tenants}
-	file := object{"name": "drawn", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": fmt.Sprintf("%x", seed), "settings": settings,
-		"limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 512}}
+	file := object{"name": "drawn", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": fmt.Sprintf("%x", seed),
+		"settings": settings,
+		"limits":   object{"cores": 0.5, "memory_mb": 64, "sockets": 512}}
 	if cachedList != nil {
 		file["known"] = json.RawMessage(cachedList)
 	}
 	body, err := json.Marshal(file)
 	if err != nil {
-		panic(err) // there is nothing in it that JSON can't hold
+		panic(err) // every value of the file can be marshaled
 	}
 	return body
 }
 
-// Host is one entry of discovery's list.
+// Endpoint is one entry of the endpoint list of discovery.
 type Endpoint struct {
 	ID          string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -310,12 +348,12 @@
 	StartedAtMS float64 `json:"born_ms"`
 }
 
-// List is a list as discovery writes it, its line's end included.
+// ListJSON returns an endpoint list as discovery writes it, with the newline at its end.
 func (d *Deployment) ListJSON(version int64, full bool, endpoints []Endpoint) []byte {
 	list := struct {
-		Seq   int64      `json:"seq"`
-		Whole bool       `json:"whole"`
-		Hosts []Endpoint `json:"hosts"`
+		Version   int64      `json:"seq"`
+		Full      bool       `json:"whole"`
+		Endpoints []Endpoint `json:"hosts"`
 	}{version, full, endpoints}
 	body, err := json.Marshal(list)
 	if d.IndentedLists {
@@ -327,8 +365,8 @@
 	return append(body, '\n')
 }
 
-// Report is the line with which a region answers a probe: the deployment's fields, for one that holds so many connections at
-// so much of what it can do.
+// ReportLine returns a server's answer to a probe, with the deployment's report fields. load is the server's load as a
+// fraction of its capacity, inFlight its number of connections.
 func (d *Deployment) ReportLine(load, inFlight float64) string {
 	line := "PONG"
 	for i, f := range d.ReportFields {
--- a/internal/generate/deployment_test.go
+++ b/internal/generate/deployment_test.go
@@ -15,7 +15,7 @@
 	"oatloft/policy"
 )
 
-// Whatever the deployment, the program's readers make of its settings what they say, and of its lists and reports as well.
+// The parsers of the configuration, of endpoint lists and of load reports read the generated values of any deployment.
 func TestReadersParseGeneratedDeployments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := generate.NewDeployment(t)
@@ -33,7 +33,9 @@
 		}
 		epoch := time.Unix(1_700_000_000, 0)
 		startedAt := float64(epoch.Add(time.Hour).UnixMilli())
-		list := d.ListJSON(3, true, []generate.Endpoint{{ID: "x", Address: "10.0.0.1:9", Zone: d.ZoneName(zone), Cell: 2, Health: "draining", Weight: 0.5, StartedAtMS: startedAt}})
+		list := d.ListJSON(3, true, []generate.Endpoint{
+			{ID: "x", Address: "10.0.0.1:9", Zone: d.ZoneName(zone), Cell: 2, Health: "draining", Weight: 0.5,
+				StartedAtMS: startedAt}})
 		reader := platform.WatchReader{Zero: epoch}
 		var got []core.EndpointsListed
 		data := append([]byte("HTTP/1.1 200 OK\r\n\r\n"), bytes.Repeat(list, 2)...)
@@ -44,8 +46,10 @@
 			}
 			data = data[n:]
 		}
-		server := policy.Server{ID: "x", Zone: d.ZoneName(zone), Cell: 2, State: policy.Draining, Weight: 0.5, StartedAt: time.Hour}
-		if len(got) != 2 || got[1].Kind != policy.ListFull || got[1].Version != 3 || !cmp.Equal(got[1].Endpoints, []core.Endpoint{{Server: server, Address: "10.0.0.1:9"}}) {
+		server := policy.Server{ID: "x", Zone: d.ZoneName(zone), Cell: 2, State: policy.Draining, Weight: 0.5,
+			StartedAt: time.Hour}
+		if len(got) != 2 || got[1].Kind != policy.ListFull || got[1].Version != 3 ||
+			!cmp.Equal(got[1].Endpoints, []core.Endpoint{{Server: server, Address: "10.0.0.1:9"}}) {
 			t.Fatalf("%+v", got)
 		}
 		r := platform.ParseStats([]byte(d.ReportLine(0.5, 7)))
@@ -56,8 +60,11 @@
 		for _, f := range []struct {
 			present   bool
 			want, got float64
-		}{{reported["x0"], 0.5, figureOf(r, func(r *policy.LoadReport) float64 { return r.Load })}, {reported["util"] || reported["busy"], 0.5, figureOf(r, func(r *policy.LoadReport) float64 { return r.Utilization })},
-			{reported["rif"] || reported["inflight"], 7, figureOf(r, func(r *policy.LoadReport) float64 { return r.InFlight })}} {
+		}{{reported["x0"], 0.5, figureOf(r, func(r *policy.LoadReport) float64 { return r.Load })},
+			{reported["util"] || reported["busy"], 0.5,
+				figureOf(r, func(r *policy.LoadReport) float64 { return r.Utilization })},
+			{reported["rif"] || reported["inflight"], 7,
+				figureOf(r, func(r *policy.LoadReport) float64 { return r.InFlight })}} {
 			if f.present && f.got != f.want || !f.present && f.got >= 0 {
 				t.Fatalf("fields %v: %+v", d.ReportFields, r)
 			}
@@ -72,7 +79,7 @@
 	return figure(r)
 }
 
-// The ranges are used: no seed range draws one kind of deployment only.
+// Each range is used: among 200 seeds, every property and every kind of incident occurs.
 func TestGeneratedDeploymentsVary(t *testing.T) {
 	seen := map[string]int{}
 	count := func(name string, holds bool) {
@@ -87,11 +94,11 @@
 		count("few balancers", d.Balancers < 5)
 		count("middling balancers", d.Balancers > 60 && d.Balancers < 240)
 		count("many balancers", d.Balancers > 250)
-		count("few regions", d.Servers < 5)
-		count("many regions", d.Servers > 70)
+		count("few servers", d.Servers < 5)
+		count("many servers", d.Servers > 70)
 		count("pushed", d.PushUpdates)
 		count("indented", d.IndentedLists)
-		count("no advice", d.MaxRetryAfter == 0)
+		count("no retry-after", d.MaxRetryAfter == 0)
 		count("no load in reports", d.ProbesEnabled && !bytes.Contains([]byte(d.ReportLine(1, 1)), []byte("x0")))
 		count("no probes", !d.ProbesEnabled)
 		count("short deadlines", d.MaxClientTimeout() < time.Second)
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -1,4 +1,4 @@
-// Plays of drawn deployments, and what is asked of one as a whole.
+// Comparison of a generated deployment's run with a baseline, and the criteria that a run has to meet.
 
 package simulation
 
@@ -16,22 +16,25 @@
 	"oatloft/internal/hint"
 )
 
-// Played is a deployment's play, and the same one with the policy that sees the true state late.
+// Played holds the results of a deployment's run with its own balancers (Own) and with the baseline (Seer): one policy
+// in place of all balancers that knows the true state with a delay.
 type Played struct {
 	D         generate.Deployment
 	Own, Seer Evaluation
 }
 
-// PlayDrawn plays the deployment of a seed.
+// CompareSeed runs the deployment of a seed.
 func CompareSeed(seed int) (Played, error) { return CompareDeployment(generate.FromSeed(seed)) }
 
-// PlayDeployment plays a deployment.
+// CompareDeployment runs a deployment with its balancers and with the baseline.
 func CompareDeployment(d generate.Deployment) (Played, error) {
 	result := Played{D: d}
 	for _, baseline := range []bool{false, true} {
 		s, err := NewSite(d, baseline, Defect{})
 		if err != nil {
-			return result, &InvalidSettingsError{hint.Annotated{Where: fmt.Sprintf("deployment %d", d.Seed), Cause: err, Do: "look into what the generator drew: its settings have to be sound"}}
+			return result, &InvalidSettingsError{hint.Annotated{
+				Where: fmt.Sprintf("deployment %d", d.Seed), Cause: err,
+				Do: "check the settings that the generator creates: they have to be valid"}}
 		}
 		s.Run()
 		if baseline {
@@ -43,11 +46,12 @@
 	return result, nil
 }
 
-// Share is what was served of what the seer served.
+// Share returns the score of the run as a fraction of the baseline's score.
 func (p *Played) Share() float64 { return p.Own.Score() / max(1e-9, p.Seer.Score()) }
 
-// Broke is what broke in a play: rules, and the gate that a day has to pass whatever the deployment: half of what the seer serves, in
-// all and of each class with a twentieth of the worth, unless it serves under 0.3 of it, and a third of each such tenant.
+// Broke returns the violated rules and the missed criteria. Whatever the deployment, a run has to serve half of what
+// the baseline serves, in total and for each class; for each tenant, a third. Classes and tenants count if they have
+// more than a twentieth of the priority weight and the baseline serves at least 0.3 of it.
 func (p *Played) Broke() (list []string) {
 	for _, rule := range slices.Sorted(maps.Keys(p.Own.Violations)) {
 		list = append(list, fmt.Sprintf("%s (%d)", rule, p.Own.Violations[rule]))
@@ -55,10 +59,11 @@
 	if p.Own.Score() < 0.5*p.Seer.Score() {
 		list = append(list, fmt.Sprintf("served %.2f of %.2f", p.Own.Score(), p.Seer.Score()))
 	}
-	compareParts := func(label string, own, seer [][2]float64, minShare float64) {
-		for i := range own {
-			ownShare, baselineShare := own[i][0]/max(1e-9, own[i][1]), seer[i][0]/max(1e-9, seer[i][1])
-			if own[i][1] > p.Own.Demanded/20 && seer[i][1] > p.Seer.Demanded/20 && baselineShare >= 0.3 && ownShare < minShare*baselineShare {
+	compareParts := func(label string, ownSums, baseline [][2]float64, minShare float64) {
+		for i := range ownSums {
+			ownShare, baselineShare := ownSums[i][0]/max(1e-9, ownSums[i][1]), baseline[i][0]/max(1e-9, baseline[i][1])
+			if ownSums[i][1] > p.Own.Demanded/20 && baseline[i][1] > p.Seer.Demanded/20 && baselineShare >= 0.3 &&
+				ownShare < minShare*baselineShare {
 				list = append(list, fmt.Sprintf("%s %d served %.2f of %.2f", label, i, ownShare, baselineShare))
 			}
 		}
@@ -68,7 +73,8 @@
 	return list
 }
 
-// PlayMany plays the deployments of seeds, side by side, and hands each over in order.
+// PlayMany runs the deployments of n consecutive seeds concurrently, and calls report for each one in the order of
+// seeds.
 func PlayMany(from, n int, report func(Played)) error {
 	results := make([]chan Played, n)
 	for i := range results {
@@ -96,9 +102,9 @@
 	return workers.Wait()
 }
 
-// Describe says in a few words what a deployment is like.
+// Describe summarizes the properties of a deployment in one line.
 func Describe(d generate.Deployment) string {
-	delivery, fields, retryAfter := "asked for", strings.Join(d.ReportFields, " "), "no advice"
+	delivery, fields, retryAfter := "polled", strings.Join(d.ReportFields, " "), "no retry-after"
 	if d.PushUpdates {
 		delivery = "pushed"
 	}
@@ -112,30 +118,34 @@
 		fields = "no probes"
 	}
 	if d.MaxRetryAfter > 0 {
-		retryAfter = "advice"
+		retryAfter = "retry-after"
 	}
 	kinds := []string{}
-	for _, t := range d.Incidents {
-		kinds = append(kinds, string(t.Kind))
+	for _, incident := range d.Incidents {
+		kinds = append(kinds, string(incident.Kind))
 	}
-	return fmt.Sprintf("%d balancers, %d regions, %d zones; fields %s; lists %s; %d attempts, %s; fill %.0f, load %.2f, life %.0f s, cold %.2f for %.0f s, x%.1f; %s",
-		d.Balancers, d.Servers, d.Zones, fields, delivery, d.MaxAttempts, retryAfter, d.ServerCapacity, d.Load, d.ConnectionLifetime.Seconds(), d.WarmUpInitialCapacity, d.WarmUpDuration.Seconds(), d.OverloadMultiple,
+	return fmt.Sprintf("%d balancers, %d servers, %d zones; report fields %s; lists %s; %d attempts, %s; "+
+		"server capacity %.0f, load %.2f, lifetime %.0f s, warm-up from %.2f in %.0f s, overload at x%.1f; %s",
+		d.Balancers, d.Servers, d.Zones, fields, delivery, d.MaxAttempts, retryAfter, d.ServerCapacity, d.Load,
+		d.ConnectionLifetime.Seconds(), d.WarmUpInitialCapacity, d.WarmUpDuration.Seconds(), d.OverloadMultiple,
 		strings.Join(kinds, ", "))
 }
 
-// Causes are the parts of the worth that were lost here and not by the seer, the largest first.
+// Causes lists the causes of the priority weight that was lost in the run and not in the baseline, the largest loss
+// first. Differences up to 0.01 of the demand are left out.
 func (p *Played) Causes() string {
-	type part struct {
+	type loss struct {
 		cause lossCause
 		share float64
 	}
-	var list []part
+	var list []loss
 	for _, cause := range slices.Sorted(maps.Keys(p.Own.LossByCause)) {
-		if share := p.Own.LossByCause[cause]/max(1e-9, p.Own.Demanded) - p.Seer.LossByCause[cause]/max(1e-9, p.Seer.Demanded); share > 0.01 {
-			list = append(list, part{cause, share})
+		if share := p.Own.LossByCause[cause]/max(1e-9, p.Own.Demanded) -
+			p.Seer.LossByCause[cause]/max(1e-9, p.Seer.Demanded); share > 0.01 {
+			list = append(list, loss{cause, share})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b part) int { return cmp.Compare(b.share, a.share) })
+	slices.SortStableFunc(list, func(a, b loss) int { return cmp.Compare(b.share, a.share) })
 	parts := []string{}
 	for _, c := range list {
 		parts = append(parts, fmt.Sprintf("%s %.2f", c.cause, c.share))
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -13,8 +13,10 @@
 	"oatloft/internal/generate"
 )
 
-// TestDefectsAreFound plays drawn deployments with each fit to one deployment built in, until a rule breaks that holds without it, or
-// much less is served. Tried are those in which the literal figure isn't the deployment's own, of a size that is soon played.
+// TestDefectsAreFound runs generated deployments without and with each failpoint that fits the program to one
+// deployment, until the failpoint causes a violation that does not occur without it, or much less is served. Only
+// deployments are used whose own settings differ from the value that the failpoint hard-codes, and which are small
+// enough to run quickly.
 func TestDefectsAreFound(t *testing.T) {
 	defer failpoint.Choose("")
 	const maxTries, minDifference = 12, 0.15
@@ -44,33 +46,34 @@
 		found, tried := "", 0
 		for seed := 0; found == "" && tried < maxTries; seed++ {
 			d := generate.FromSeed(seed)
-			if connections := d.ServerCapacity * d.Load * float64(d.Servers); d.Balancers > 150 || connections > 2500 || connections/d.ConnectionLifetime.Seconds() > 150 || !defect.where(&d) {
+			if connections := d.ServerCapacity * d.Load * float64(d.Servers); d.Balancers > 150 || connections > 2500 ||
+				connections/d.ConnectionLifetime.Seconds() > 150 || !defect.where(&d) {
 				continue
 			}
 			tried++
-			var played [2]Played
+			var results [2]Played
 			for i, chosen := range []string{"", defect.name} {
 				failpoint.Choose(chosen)
 				var err error
-				if played[i], err = CompareDeployment(d); err != nil {
+				if results[i], err = CompareDeployment(d); err != nil {
 					t.Fatal(err)
 				}
 			}
-			without, with := &played[0], &played[1]
+			without, with := &results[0], &results[1]
 			for _, rule := range slices.Sorted(maps.Keys(with.Own.Violations)) {
 				if without.Own.Violations[rule] == 0 {
 					found += fmt.Sprintf("%s (%d) ", rule, with.Own.Violations[rule])
 				}
 			}
 			if with.Share() < without.Share()-minDifference {
-				found += fmt.Sprintf("serves %.2f in place of %.2f", with.Share(), without.Share())
+				found += fmt.Sprintf("served %.2f instead of %.2f", with.Share(), without.Share())
 			}
 			if found != "" {
 				t.Logf("| %s | %d | %s | %s |", defect.name, seed, found, Describe(d))
 			}
 		}
 		if found == "" {
-			t.Errorf("%s is not found by %d deployments", defect.name, tried)
+			t.Errorf("%s: not detected by %d deployments", defect.name, tried)
 		}
 	}
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -12,7 +12,8 @@
 	"oatloft/internal/golden"
 )
 
-// describeEffect writes an effect in words of this file alone, so that renaming a type or field changes nothing.
+// describeEffect formats an effect without the names of types and fields, so that renaming one does not change the
+// digest.
 func describeEffect(e core.Effect) string {
 	switch e := e.(type) {
 	case core.Dial:
@@ -47,10 +48,13 @@
 	return fmt.Sprintf("unknown %T\n", e)
 }
 
-// Every effect of every balancer in fifty generated deployments is the one that was recorded: no refactoring may change one.
+// Guards against unintended changes of behavior: the digest of all effects of every balancer in fifty generated
+// deployments has to match the recorded one.
 func TestEffectsAreAsRecorded(t *testing.T) {
 	var out bytes.Buffer
-	for _, d := range smallDeployments(50, func(d *generate.Deployment) bool { return d.Balancers <= 12 && d.Servers <= 60 }) {
+	for _, d := range smallDeployments(50, func(d *generate.Deployment) bool {
+		return d.Balancers <= 12 && d.Servers <= 60
+	}) {
 		sum, n := sha256.New(), 0
 		s, err := NewSite(d, false, Defect{})
 		if err != nil {
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -1,9 +1,10 @@
-// Package simulation steps hundreds to thousands of balancers' modules side by side against stepped regions, without sockets: how
-// their choices add up. Reports are late and noisy, words of other balancers come late, regions are cold at first and fall
-// over when pushed; balancers are killed and come back, grow, shrink, lose sight of each other, lie.
+// Package simulation runs hundreds to thousands of balancer policies against simulated servers, without sockets, to
+// measure the combined effect of their decisions. Load reports are late and noisy, updates from peers arrive late,
+// servers warm up and fail when overloaded; balancers are killed and restarted, are added, lose contact with their
+// peers, and send false readings.
 //
-// It owns the stepped world and counts what happens there. All decisions are policy's and together's; the same seed gives
-// the same run on any machine, however many cores step it.
+// Environment implements the simulated servers and traffic and collects statistics; all decisions are those of packages
+// policy and coordination. The same seed gives the same run on any machine, whatever the number of cores.
 package simulation
 
 import (
@@ -23,43 +24,45 @@
 	"oatloft/policy"
 )
 
-// Settings of a run.
+// Settings are the parameters of a run.
 type Settings struct {
 	Balancers, Servers, Zones int
 	Seed                      uint64
-	ServerCapacity            float64       // connections that fill a region
-	Load                      float64       // of all regions, in the mean, before anything happens
-	ConnectionLifetime        time.Duration // of a connection
-	ReportDelay               time.Duration // of reports, half of it at least
-	Lag                       time.Duration // of words
-	Skew                      float64       // traffic of the first balancer, over the mean of the others; 0 for 1
+	ServerCapacity            float64       // connections that fill a server
+	Load                      float64       // mean load of all servers at the start, as a fraction of their capacity
+	ConnectionLifetime        time.Duration // mean lifetime
+	ReportDelay               time.Duration // longest delay of load reports; the shortest is half of it
+	Lag                       time.Duration // delay of updates from peers
+	Skew                      float64       // traffic of the first balancer over the mean of the others; 0 for 1
 	SubsetSize                int
 	ShareReadings, Stagger    bool
-	Slow                      float64 // part of the regions' capacity that is gone at the first tenth of them, from the start
+	Slow                      float64 // fraction of its capacity that each server of the first tenth lacks from the start
 }
 
-// The step, and what happens with each.
+// Time step, update interval, and the servers' warm-up and overload behavior.
 const (
 	stepDuration          = 100 * time.Millisecond
 	minUpdateInterval     = 500 * time.Millisecond
-	warmUpInitialCapacity = 0.34
+	warmUpInitialCapacity = 0.34 // fraction of the full capacity
 	warmUpDuration        = 8600 * time.Millisecond
-	overloadMultiple      = 4.0 // a region that is sent so many times what it can do now ...
-	overloadWindow        = time.Second
-	reportNoise           = 0.05
+	// A server that is warming up fails when its load stays above this multiple of its current capacity for
+	// overloadWindow.
+	overloadMultiple = 4.0
+	overloadWindow   = time.Second
+	reportNoise      = 0.05 // standard deviation of reported loads, as a fraction
 )
 
-// region is a stepped server.
+// fleetServer is a simulated server.
 type fleetServer struct {
 	policy.Server
-	warmingSince   time.Duration // cold since then, below 0 for warm
+	warmingSince   time.Duration // start of the warm-up; negative for a warmed-up server
 	connections    float64
 	slowdown       float64
-	history        []float64 // held, latest last, one a step
-	newConnections int       // newcomers in this second
-	probes         int       // in this second
+	history        []float64 // number of connections after each step, latest last
+	newConnections int       // in the current second
+	probes         int       // in the current second
 	overloadedFor  time.Duration
-	byBalancer     map[*balancer]int // connections there
+	byBalancer     map[*balancer]int // number of connections by balancer
 	downUntil      time.Duration
 }
 
@@ -76,17 +79,17 @@
 	attempt int
 }
 
-// balancer is one module with its part of the talk.
+// balancer is one policy with its coordinator.
 type balancer struct {
 	name, zone     string
 	policy         *policy.Balancer
 	coordinator    *coordination.Coordinator
-	conns          map[string]*conn // those that stand, and those that have no answer yet (on is nil)
+	conns          map[string]*conn // established connections, and those without an answer yet (server is nil)
 	readings       map[string]reading
 	sentReports    []sentReport // latest last
-	group          int          // sees those of its group; below 0 nobody
+	group          int          // partition whose members it sees; negative if it sees nobody
 	dead           bool
-	falseLoad      float64 // says that all regions read this; 0 for no lie
+	falseLoad      float64 // load that it sends as the reading of every server if sendsFalseLoad is set
 	sendsFalseLoad bool
 	rng            *rand.Rand
 	effects        []effect
@@ -107,15 +110,15 @@
 	coordination.Member
 }
 
-// want is an effect on the world, carried out in order once all have been stepped: with a region a probe, or a connection
-// that stands; without one a refusal, or a move.
+// effect is a change of the environment, applied in a fixed order after all balancers have been stepped. With a server,
+// it is a probe or an established connection; without one, a rejection or a migration.
 type effect struct {
 	probe, migrate bool
 	id             string
 	server         *fleetServer
 }
 
-// World is one run.
+// Environment is the state of one run.
 type Environment struct {
 	Now      time.Duration
 	Settings Settings
@@ -129,13 +132,13 @@
 	layouts          coordination.Layouts
 	nextServer       int
 	lastID           int
-	listVersion      int // of the list of regions
+	listVersion      int // of the endpoint list
 	endpoints        []policy.Server
-	endpointsVersion int // version that servers are of
+	endpointsVersion int // list version from which endpoints was built
 	departures       map[time.Duration][]departure
-	reconnects       map[time.Duration][]string // keys
+	reconnects       map[time.Duration][]string // keys of the connections that clients open again, by time
 	current          SecondStats
-	trafficFactor    float64 // over what was at the start
+	trafficFactor    float64 // multiple of the traffic at the start
 	received         [][]coordination.Member
 }
 
@@ -144,34 +147,39 @@
 	connID   string
 }
 
-// Counts add up over the run.
+// Counts are totals over the run.
 type Counts struct {
 	Requests, Established, Rejected, RejectedWithCapacity, Migrations, Overloaded, Plans int
 }
 
-// Second is what one second came to.
+// SecondStats are the statistics of one second.
 type SecondStats struct {
-	Probes                       int     // of all
-	MaxServerProbes              int     // at the region asked most
-	LoadImbalance                float64 // load of the fullest warm region over the mean
-	MaxBalancersPerServer        int     // most balancers with connections at one region
+	Probes                       int     // of all servers
+	MaxServerProbes              int     // at the server that was probed most
+	LoadImbalance                float64 // highest load of a warmed-up server over their mean load
+	MaxBalancersPerServer        int     // largest number of balancers with connections at one server
 	Rejected                     int
-	RejectedWithCapacity         int     // of these, while a region had room
-	MinCandidates, MaxCandidates int     // balancers that look at a region
-	MaxWarmUpLoad                float64 // most that a cold region was sent over what it could do
+	RejectedWithCapacity         int     // while a server had free capacity
+	MinCandidates, MaxCandidates int     // number of balancers that have a server in their subset
+	MaxWarmUpLoad                float64 // highest load of a server that is warming up, over its current capacity
 	newConnections               map[string]int
 }
 
-// NoFleet is a fleet that can't be stepped.
+// InvalidSettingsError reports settings that cannot be simulated.
 type InvalidSettingsError struct{ hint.Annotated }
 
-// New starts a fleet that has been at work for a while: connections stand where the load is even.
+// NewEnvironment starts an environment in a steady state, with established connections spread evenly over the servers.
 func NewEnvironment(set Settings) (*Environment, error) {
-	if set.Balancers < 1 || set.Servers < 2 || set.Zones < 1 || !(set.ServerCapacity > 1) || !(set.Load > 0) || set.ConnectionLifetime < time.Second {
-		return nil, &InvalidSettingsError{hint.Annotated{What: fmt.Sprintf("%d balancers, %d regions, %d zones, fill %v, load %v, life %v: no such fleet", set.Balancers, set.Servers, set.Zones, set.ServerCapacity, set.Load, set.ConnectionLifetime),
-			Do: "give at least 1 balancer, 2 regions, 1 zone, a fill above 1, a load above 0, a life of 1s"}}
-	}
-	e := &Environment{Settings: set, Now: time.Hour, byID: map[string]*fleetServer{}, rng: rand.New(rand.NewPCG(set.Seed, 11)), departures: map[time.Duration][]departure{},
+	if set.Balancers < 1 || set.Servers < 2 || set.Zones < 1 || !(set.ServerCapacity > 1) || !(set.Load > 0) ||
+		set.ConnectionLifetime < time.Second {
+		return nil, &InvalidSettingsError{hint.Annotated{
+			What: fmt.Sprintf(
+				"invalid settings: %d balancers, %d servers, %d zones, server capacity %v, load %v, connection lifetime %v",
+				set.Balancers, set.Servers, set.Zones, set.ServerCapacity, set.Load, set.ConnectionLifetime),
+			Do: "give at least 1 balancer, 2 servers, 1 zone, a server capacity above 1, a load above 0, a lifetime of 1s"}}
+	}
+	e := &Environment{Settings: set, Now: time.Hour, byID: map[string]*fleetServer{},
+		rng: rand.New(rand.NewPCG(set.Seed, 11)), departures: map[time.Duration][]departure{},
 		reconnects: map[time.Duration][]string{}, trafficFactor: 1, endpointsVersion: -1}
 	e.AddServers(set.Servers, false)
 	for i := range int(float64(set.Servers) * 0.1) {
@@ -180,10 +188,11 @@
 	if err := e.AddBalancers(set.Balancers); err != nil {
 		return nil, err
 	}
-	for i := range int(set.Load * set.ServerCapacity * float64(set.Servers)) { // who stands already
+	for i := range int(set.Load * set.ServerCapacity * float64(set.Servers)) { // connections that are established already
 		b, srv := e.balancers[i%len(e.balancers)], e.servers[i%len(e.servers)]
 		id := e.newID()
-		e.handleEvent(b, policy.AdoptedConnection{Request: policy.Request{ID: id, Key: id, Class: "c", Timeout: time.Second}, Server: srv.ID})
+		e.handleEvent(b, policy.AdoptedConnection{Request: policy.Request{ID: id, Key: id, Class: "c", Timeout: time.Second},
+			Server: srv.ID})
 		b.conns[id] = &conn{key: id}
 		e.establish(b, id, srv)
 	}
@@ -198,13 +207,14 @@
 
 func nextStep(t time.Duration) time.Duration { return t.Truncate(stepDuration) + stepDuration }
 
-// AddRegions has regions come up.
-func (e *Environment) AddServers(n int, cold bool) {
+// AddServers adds n servers. With warmingUp set, they start to warm up.
+func (e *Environment) AddServers(n int, warmingUp bool) {
 	for range n {
 		id := fmt.Sprintf("r%05d", e.nextServer)
-		srv := &fleetServer{Server: policy.Server{ID: id, Zone: fmt.Sprint("z", e.nextServer%e.Settings.Zones), Weight: 1}, warmingSince: -1, byBalancer: map[*balancer]int{}, history: []float64{0}}
+		srv := &fleetServer{Server: policy.Server{ID: id, Zone: fmt.Sprint("z", e.nextServer%e.Settings.Zones), Weight: 1},
+			warmingSince: -1, byBalancer: map[*balancer]int{}, history: []float64{0}}
 		e.nextServer++
-		if cold {
+		if warmingUp {
 			srv.warmingSince, srv.StartedAt = e.Now, e.Now
 		}
 		e.byID[id] = srv
@@ -213,7 +223,7 @@
 	e.listVersion++
 }
 
-// Drop has regions go, the oldest first: their connections come again.
+// RemoveServers removes the n oldest servers. Their clients connect again.
 func (e *Environment) RemoveServers(n int) {
 	for _, srv := range e.servers[:n] {
 		delete(e.byID, srv.ID)
@@ -230,11 +240,12 @@
 	}
 }
 
-// Add has balancers start, all at once.
+// AddBalancers starts n balancers at the same time.
 func (e *Environment) AddBalancers(n int) error {
 	for range n {
 		i := len(e.balancers)
-		b := &balancer{name: fmt.Sprintf("b%05d", i), zone: fmt.Sprint("z", i%e.Settings.Zones), rng: rand.New(rand.NewPCG(e.Settings.Seed, uint64(100+i)))}
+		b := &balancer{name: fmt.Sprintf("b%05d", i), zone: fmt.Sprint("z", i%e.Settings.Zones),
+			rng: rand.New(rand.NewPCG(e.Settings.Seed, uint64(100+i)))}
 		if err := e.startBalancer(b); err != nil {
 			return err
 		}
@@ -244,13 +255,20 @@
 }
 
 func (e *Environment) startBalancer(b *balancer) (err error) {
-	policyConfig := policy.Config{Zone: b.zone, Balancers: e.Settings.Balancers, Classes: []policy.Class{{Name: "c", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: time.Second}},
-		TimerResolution: stepDuration, MaxAttempts: 4, ProbesEnabled: true, PollInterval: 10 * time.Second, CrossZoneCost: 0.02, WarmUpInitialCapacity: warmUpInitialCapacity, WarmUpDuration: warmUpDuration, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow}
+	policyConfig := policy.Config{Zone: b.zone, Balancers: e.Settings.Balancers,
+		Classes: []policy.Class{
+			{Name: "c", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: time.Second}},
+		TimerResolution: stepDuration, MaxAttempts: 4, ProbesEnabled: true, PollInterval: 10 * time.Second,
+		CrossZoneCost: 0.02, WarmUpInitialCapacity: warmUpInitialCapacity, WarmUpDuration: warmUpDuration,
+		OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow}
 	if b.policy, err = policy.New(policyConfig, int64(b.rng.Uint64()>>1)); err != nil {
 		return err
 	}
-	b.conns, b.readings, b.sentReports, b.dead, b.listVersion, b.coordinator, b.candidates = map[string]*conn{}, map[string]reading{}, nil, false, -1, nil, nil
-	config := coordination.Config{Name: b.name, Zone: b.zone, Balancers: e.Settings.Balancers, PeerTimeout: 3 * time.Second, SubsetSize: e.Settings.SubsetSize, ShareReadings: e.Settings.ShareReadings, Stagger: e.Settings.Stagger}
+	b.conns, b.readings, b.sentReports, b.dead, b.listVersion, b.coordinator, b.candidates =
+		map[string]*conn{}, map[string]reading{}, nil, false, -1, nil, nil
+	config := coordination.Config{Name: b.name, Zone: b.zone, Balancers: e.Settings.Balancers,
+		PeerTimeout: 3 * time.Second, SubsetSize: e.Settings.SubsetSize, ShareReadings: e.Settings.ShareReadings,
+		Stagger: e.Settings.Stagger}
 	if config.Enabled() {
 		b.coordinator = coordination.New(config)
 		b.coordinator.Layouts = &e.layouts
@@ -261,7 +279,7 @@
 	return nil
 }
 
-// refresh makes the list that discovery gives.
+// buildEndpoints builds the endpoint list of the current version.
 func (e *Environment) buildEndpoints() {
 	if e.endpointsVersion != e.listVersion {
 		e.endpointsVersion, e.endpoints = e.listVersion, nil
@@ -271,7 +289,8 @@
 	}
 }
 
-// every is how often a balancer looks at what the others say: with thousands of them, less often.
+// updateInterval returns the time between two updates from peers. It grows with the fleet when there are thousands of
+// balancers.
 func (e *Environment) updateInterval() time.Duration {
 	return max(minUpdateInterval, time.Duration(len(e.balancers)/1000)*time.Second/2)
 }
@@ -284,7 +303,7 @@
 	e.handleEvent(b, policy.ServerList{Kind: policy.ListFull, Servers: e.endpoints})
 }
 
-// Kill ends balancers at once; their connections come again. Back starts all of them that are dead.
+// KillBalancers kills n balancers at the same time. Their clients connect again.
 func (e *Environment) KillBalancers(n int) {
 	for _, b := range e.balancers {
 		if n <= 0 || b.dead {
@@ -301,7 +320,7 @@
 	}
 }
 
-// Back starts all balancers that are dead.
+// RestartBalancers starts all balancers that were killed.
 func (e *Environment) RestartBalancers() error {
 	for _, b := range e.balancers {
 		if b.dead {
@@ -313,7 +332,8 @@
 	return nil
 }
 
-// Split has every nth balancer see its own kind alone; 1 joins all again, 0 leaves each alone.
+// Partition splits the balancers into n groups that see only their own members. 1 joins all balancers again, 0 isolates
+// each one.
 func (e *Environment) Partition(n int) {
 	for i, b := range e.balancers {
 		if b.group = -1; n > 0 {
@@ -322,23 +342,23 @@
 	}
 }
 
-// Lie has the first balancers say that all regions read x.
+// SendFalseLoad makes the first n balancers send load as their reading of every server.
 func (e *Environment) SendFalseLoad(n int, load float64) {
 	for _, b := range e.balancers[:n] {
 		b.falseLoad, b.sendsFalseLoad = load, true
 	}
 }
 
-// Traffic sets how many come, over what came at the start.
+// SetTraffic sets the traffic as a multiple of that at the start.
 func (e *Environment) SetTraffic(factor float64) { e.trafficFactor = factor }
 
-// again has a client come back within a second.
+// reconnect makes a client connect again within a second.
 func (e *Environment) reconnect(key string) {
 	t := nextStep(e.Now + time.Duration(e.rng.Float64()*float64(time.Second)))
 	e.reconnects[t] = append(e.reconnects[t], key)
 }
 
-// stands notes a connection that stands from now on.
+// establish records that a connection is established, and schedules its end.
 func (e *Environment) establish(b *balancer, id string, srv *fleetServer) {
 	c := b.conns[id]
 	c.server = srv
@@ -357,7 +377,7 @@
 	}
 }
 
-// ended has a connection end.
+// endConnection ends an established connection.
 func (e *Environment) endConnection(b *balancer, id string) {
 	c := b.conns[id]
 	if c == nil || c.server == nil || b.dead {
@@ -365,15 +385,17 @@
 	}
 	e.release(b, c)
 	delete(b.conns, id)
-	e.handleEvent(b, policy.AttemptEnded{ID: id, Attempt: c.attempt, Server: c.server.ID, Result: policy.ResultOK, Final: true})
+	e.handleEvent(b, policy.AttemptEnded{ID: id, Attempt: c.attempt, Server: c.server.ID, Result: policy.ResultOK,
+		Final: true})
 }
 
-// x is what a region holds over what it can do.
+// loadRatio returns the load of a server with so many connections, as a fraction of its current capacity.
 func (e *Environment) loadRatio(srv *fleetServer, connections float64) float64 {
 	return connections / (e.Settings.ServerCapacity * (1 - srv.slowdown) * srv.warmUpFactor(e.Now))
 }
 
-// event steps a module, and answers what can be answered at once; what changes the world is kept for later.
+// handleEvent steps a policy and handles its actions. Changes of the environment are queued until all balancers have
+// been stepped.
 func (e *Environment) handleEvent(b *balancer, ev policy.Event) {
 	for _, action := range b.policy.Step(e.Now, ev, nil) {
 		switch a := action.(type) {
@@ -388,15 +410,18 @@
 			connections := srv.history[max(0, len(srv.history)-delay)]
 			load := max(0, e.loadRatio(srv, connections)*(1+reportNoise*b.rng.NormFloat64()))
 			b.readings[srv.ID] = reading{load: load, readAt: e.Now}
-			e.handleEvent(b, policy.ProbeResult{Server: a.Server, Report: &policy.LoadReport{Load: load, Utilization: -1, InFlight: connections, BacklogSeconds: -1}})
+			e.handleEvent(b, policy.ProbeResult{Server: a.Server,
+				Report: &policy.LoadReport{Load: load, Utilization: -1, InFlight: connections, BacklogSeconds: -1}})
 		case policy.Send:
 			c, srv := b.conns[a.ID], e.byID[a.Server]
 			if c.attempt++; srv == nil || srv.downUntil > e.Now {
-				e.handleEvent(b, policy.AttemptEnded{ID: a.ID, Attempt: c.attempt, Server: a.Server, Result: policy.ResultUnreachable})
+				e.handleEvent(b, policy.AttemptEnded{ID: a.ID, Attempt: c.attempt, Server: a.Server,
+					Result: policy.ResultUnreachable})
 				continue
 			}
 			b.effects = append(b.effects, effect{id: a.ID, server: srv})
-			e.handleEvent(b, policy.AttemptEstablished{ID: a.ID, Attempt: c.attempt, Server: a.Server, Latency: 20 * time.Millisecond})
+			e.handleEvent(b, policy.AttemptEstablished{ID: a.ID, Attempt: c.attempt, Server: a.Server,
+				Latency: 20 * time.Millisecond})
 		case policy.Reject:
 			b.effects = append(b.effects, effect{id: a.ID})
 		case policy.Migrate:
@@ -405,7 +430,7 @@
 	}
 }
 
-// Step lets a tenth of a second pass.
+// Step advances the time by one step of 100 ms.
 func (e *Environment) Step() {
 	e.Now += stepDuration
 	e.buildEndpoints()
@@ -416,7 +441,8 @@
 	delete(e.departures, now)
 	arrivals := e.reconnects[now]
 	delete(e.reconnects, now)
-	rate := e.trafficFactor * e.Settings.Load * e.Settings.ServerCapacity * float64(e.Settings.Servers) / e.Settings.ConnectionLifetime.Seconds() * stepDuration.Seconds()
+	rate := e.trafficFactor * e.Settings.Load * e.Settings.ServerCapacity * float64(e.Settings.Servers) /
+		e.Settings.ConnectionLifetime.Seconds() * stepDuration.Seconds()
 	for n := int(rate + e.rng.Float64()); n > 0; n-- {
 		arrivals = append(arrivals, "")
 	}
@@ -456,7 +482,7 @@
 	e.recordStep()
 }
 
-// turn is one balancer's part of a step. It touches nothing but its own.
+// stepBalancer runs one balancer's part of a step. Balancers run concurrently, so it changes only the balancer's state.
 func (e *Environment) stepBalancer(b *balancer, requests []string) {
 	e.deliverList(b)
 	if b.coordinator != nil && e.Now >= b.nextUpdate {
@@ -471,7 +497,8 @@
 	e.handleEvent(b, policy.TimerFired{Token: "tick"})
 }
 
-// tell gathers what each said a lag ago: what the others know of it now.
+// collectReports collects what peers have received from each balancer by now: its latest report that is at least Lag
+// old.
 func (e *Environment) collectReports(alive []*balancer) {
 	e.received = e.received[:0]
 	if e.Settings.SubsetSize == 0 && !e.Settings.ShareReadings && !e.Settings.Stagger {
@@ -496,7 +523,7 @@
 	}
 }
 
-// view is what a balancer sees of the others, own what it knows itself.
+// peerView returns what a balancer has received from its peers.
 func (e *Environment) peerView(b *balancer) coordination.View {
 	view := coordination.View{Known: 1}
 	if b.group >= 0 && b.group < len(e.received) {
@@ -513,11 +540,13 @@
 
 func (e *Environment) localState(b *balancer) coordination.Local {
 	activity := b.policy.Activity()
-	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
-		Demand: activity.Demand, Rejected: b.rejected}
+	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge,
+		SlotPeriod: activity.SlotPeriod, Demand: activity.Demand, Rejected: b.rejected}
 	for _, s := range e.endpoints {
 		r := b.readings[s.ID]
-		own.Servers = append(own.Servers, coordination.Server{ID: s.ID, Zone: s.Zone, Live: true, WarmingUp: s.StartedAt > 0 && e.Now-s.StartedAt < warmUpDuration, Load: r.load, ReadAt: r.readAt, FailedProbes: r.failedProbes})
+		own.Servers = append(own.Servers, coordination.Server{ID: s.ID, Zone: s.Zone, Live: true,
+			WarmingUp: s.StartedAt > 0 && e.Now-s.StartedAt < warmUpDuration,
+			Load:      r.load, ReadAt: r.readAt, FailedProbes: r.failedProbes})
 	}
 	return own
 }
@@ -530,8 +559,8 @@
 		}
 		e.handleEvent(b, ev)
 	}
-	member := coordination.Member{Name: b.name, Zone: b.zone, Reported: true, ExplorationSlots: state.ExplorationSlots, SlotAge: state.SlotAge, Demand: state.Demand,
-		ReferenceSize: state.ReferenceSize, Subset: state.Subset}
+	member := coordination.Member{Name: b.name, Zone: b.zone, Reported: true, ExplorationSlots: state.ExplorationSlots,
+		SlotAge: state.SlotAge, Demand: state.Demand, ReferenceSize: state.ReferenceSize, Subset: state.Subset}
 	if e.Settings.ShareReadings {
 		member.Readings = map[string]stagger.Report{}
 		for _, id := range state.Readings {
@@ -539,7 +568,8 @@
 			case b.sendsFalseLoad:
 				member.Readings[id] = stagger.Report{Load: b.falseLoad, Age: e.Settings.Lag}
 			case ok && e.Now-r.readAt < 5*time.Second:
-				member.Readings[id] = stagger.Report{Load: r.load, Age: e.Now - r.readAt + e.Settings.Lag, FailedProbes: r.failedProbes}
+				member.Readings[id] = stagger.Report{Load: r.load, Age: e.Now - r.readAt + e.Settings.Lag,
+					FailedProbes: r.failedProbes}
 			}
 		}
 	}
@@ -549,7 +579,7 @@
 	}
 }
 
-// apply carries out what all wanted, in the order of their names.
+// applyEffects applies the queued effects of all balancers, in the order of the balancers' names.
 func (e *Environment) applyEffects(alive []*balancer) {
 	for _, b := range alive {
 		effects := b.effects
@@ -584,25 +614,25 @@
 	}
 }
 
-// room tells whether a warm region could take more newcomers than one.
+// hasCapacity reports whether a warmed-up server has capacity for more than one new connection.
 func (e *Environment) hasCapacity() bool {
 	return slices.ContainsFunc(e.servers, func(srv *fleetServer) bool {
 		return srv.warmUpFactor(e.Now) >= 1 && e.loadRatio(srv, srv.connections) < 0.75
 	})
 }
 
-// note ends a step: what is reported from now on, who falls over, and once a second the figures.
+// recordStep records the load of each server, detects overloaded servers, and completes the statistics of each second.
 func (e *Environment) recordStep() {
 	for _, srv := range e.servers {
 		srv.history = append(srv.history, srv.connections)
 		if len(srv.history) > 64 {
 			srv.history = slices.Delete(srv.history, 0, 32)
 		}
-		x := e.loadRatio(srv, srv.connections)
+		load := e.loadRatio(srv, srv.connections)
 		if srv.warmUpFactor(e.Now) < 1 {
-			e.current.MaxWarmUpLoad = max(e.current.MaxWarmUpLoad, x)
+			e.current.MaxWarmUpLoad = max(e.current.MaxWarmUpLoad, load)
 		}
-		if x <= overloadMultiple || srv.warmUpFactor(e.Now) >= 1 {
+		if load <= overloadMultiple || srv.warmUpFactor(e.Now) >= 1 {
 			srv.overloadedFor = 0
 		} else if srv.overloadedFor += stepDuration; srv.overloadedFor >= overloadWindow && srv.downUntil < e.Now {
 			srv.downUntil = e.Now + 5*time.Second
@@ -618,34 +648,35 @@
 			candidates[id]++
 		}
 	}
-	total, maxLoad, warm := 0.0, 0.0, 0.0
+	total, maxLoad, warmedUp := 0.0, 0.0, 0.0
 	e.current.MinCandidates, e.current.newConnections = math.MaxInt, map[string]int{}
 	for _, srv := range e.servers {
 		e.current.MaxServerProbes = max(e.current.MaxServerProbes, srv.probes)
 		e.current.MaxBalancersPerServer = max(e.current.MaxBalancersPerServer, len(srv.byBalancer))
-		e.current.MinCandidates, e.current.MaxCandidates = min(e.current.MinCandidates, candidates[srv.ID]), max(e.current.MaxCandidates, candidates[srv.ID])
+		e.current.MinCandidates, e.current.MaxCandidates = min(e.current.MinCandidates, candidates[srv.ID]),
+			max(e.current.MaxCandidates, candidates[srv.ID])
 		e.current.newConnections[srv.ID] = srv.newConnections
 		srv.probes, srv.newConnections = 0, 0
 		if srv.warmUpFactor(e.Now) >= 1 {
-			x := e.loadRatio(srv, srv.connections)
-			total, maxLoad, warm = total+x, max(maxLoad, x), warm+1
+			load := e.loadRatio(srv, srv.connections)
+			total, maxLoad, warmedUp = total+load, max(maxLoad, load), warmedUp+1
 		}
 	}
 	if total > 0 {
-		e.current.LoadImbalance = maxLoad / (total / warm)
+		e.current.LoadImbalance = maxLoad / (total / warmedUp)
 	}
 	e.Seconds = append(e.Seconds, e.current)
 	e.current = SecondStats{}
 }
 
-// Run lets time pass.
+// Run advances the time by d.
 func (e *Environment) Run(d time.Duration) {
 	for end := e.Now + d; e.Now < end; {
 		e.Step()
 	}
 }
 
-// Mean is the mean of a figure over seconds.
+// Mean returns the mean of a figure over seconds.
 func Mean(list []SecondStats, figure func(SecondStats) float64) float64 {
 	total := 0.0
 	for _, s := range list {
@@ -654,7 +685,8 @@
 	return total / float64(max(1, len(list)))
 }
 
-// Crowded is the most newcomers that one region got in a slot of eight seconds, over the mean of all regions.
+// ArrivalConcentration returns the highest number of new connections at one server over the mean of all servers, within
+// a slot of eight seconds.
 func ArrivalConcentration(list []SecondStats) (worst float64) {
 	for from := 0; from+8 <= len(list); from += 8 {
 		arrivals, total := map[string]int{}, 0
@@ -671,7 +703,8 @@
 	return worst
 }
 
-// SettledAfter is how many seconds it took until a figure stayed within its bound for three, or all of them.
+// SecondsUntilStable returns the number of seconds until a figure stayed within its bound for three seconds in a row,
+// or the length of the list if it never did.
 func SecondsUntilStable(list []SecondStats, withinBound func(SecondStats) bool) int {
 	for i := range list {
 		if i+3 <= len(list) && withinBound(list[i]) && withinBound(list[i+1]) && withinBound(list[i+2]) {
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -11,8 +11,8 @@
 	"oatloft/internal/coordination"
 )
 
-func fleetSettings(balancers, regions int, with func(*Settings)) Settings {
-	set := Default(balancers, regions, 5)
+func fleetSettings(balancers, servers int, with func(*Settings)) Settings {
+	set := Default(balancers, servers, 5)
 	set.ServerCapacity = 40
 	with(&set)
 	return set
@@ -20,7 +20,7 @@
 
 func allModes(s *Settings) { s.SubsetSize, s.ShareReadings, s.Stagger = 4, true, true }
 
-// The same seed gives the same run, on however many cores.
+// The same seed gives the same run, whatever the number of cores.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func() []SecondStats {
 		e, err := NewEnvironment(fleetSettings(20, 10, allModes))
@@ -37,8 +37,9 @@
 	}
 }
 
-// Regions are replaced, balancers killed by seven in ten, and both halves then believe to be alone: no cold region is pushed
-// over, alone or together, and together no worse than alone.
+// Servers that are warming up are not overloaded while seven in ten balancers were killed, servers are replaced, and
+// the fleet is partitioned into two halves that each assume to be the whole fleet. This holds with and without
+// coordination.
 func TestWarmingUpServersNotOverloaded(t *testing.T) {
 	for name, with := range map[string]func(*Settings){"alone": func(*Settings) {}, "together": allModes} {
 		e, err := NewEnvironment(fleetSettings(24, 12, with))
@@ -59,14 +60,15 @@
 		for _, s := range e.Seconds {
 			maxLoad = max(maxLoad, s.MaxWarmUpLoad)
 		}
-		t.Logf("%s: at most %.2f of what a cold region can do, %d refused", name, maxLoad, e.Counts.Rejected)
+		t.Logf("%s: at most %.2f of the capacity of a server that is warming up, %d rejected", name, maxLoad,
+			e.Counts.Rejected)
 		if e.Counts.Overloaded > 0 || maxLoad == 0 {
-			t.Errorf("%s: %d cold regions fell over, at most %.2f", name, e.Counts.Overloaded, maxLoad)
+			t.Errorf("%s: %d servers overloaded during warm-up, maximum load %.2f", name, e.Counts.Overloaded, maxLoad)
 		}
 	}
 }
 
-// One member says that all regions are empty, or full. The load stays as even as it is without that.
+// One member reports a load of 0, or an overload, for all servers. The load stays as balanced as without it.
 func TestFalseReadingsMoveNoLoad(t *testing.T) {
 	imbalance := func(falseLoad float64) float64 {
 		e, err := NewEnvironment(fleetSettings(20, 10, func(s *Settings) { s.ShareReadings = true }))
@@ -82,12 +84,12 @@
 	honest := imbalance(math.NaN())
 	for _, falseLoad := range []float64{0, 3} {
 		if got := imbalance(falseLoad); got > honest+0.1 {
-			t.Errorf("with one that says %v the fullest region is at %.2f of the mean, %.2f without", falseLoad, got, honest)
+			t.Errorf("with a false reading of %v the highest load is %.2f of the mean, %.2f without", falseLoad, got, honest)
 		}
 	}
 }
 
-// All peers are lost at once: within two seconds each acts alone, and the load stays even.
+// All peers are lost at the same time: within two seconds each balancer acts alone, and the load stays balanced.
 func TestAllPeersLost(t *testing.T) {
 	e, err := NewEnvironment(fleetSettings(20, 10, allModes))
 	if err != nil {
@@ -98,12 +100,12 @@
 	e.Run(2 * time.Second)
 	for _, b := range e.balancers {
 		if n := len(b.candidates); n != 0 && n != len(e.servers) {
-			t.Fatalf("%s alone looks at %d of %d regions", b.name, n, len(e.servers))
+			t.Fatalf("%s without peers has %d of %d servers in its subset", b.name, n, len(e.servers))
 		}
 	}
 	e.Run(10 * time.Second)
 	if got := Mean(e.Seconds[14:], func(s SecondStats) float64 { return s.LoadImbalance }); got > 1.5 {
-		t.Errorf("the fullest region is at %.2f of the mean", got)
+		t.Errorf("the highest load is %.2f of the mean", got)
 	}
 }
 
@@ -111,7 +113,7 @@
 	return Mean(e.Seconds[from:], func(s SecondStats) float64 { return s.LoadImbalance })
 }
 
-// One balancer gets ten times the mean. Together the load is no less even than alone.
+// One balancer gets ten times the mean traffic. With coordination the load is as balanced as without.
 func TestSkewedTraffic(t *testing.T) {
 	run := func(with func(*Settings)) float64 {
 		set := fleetSettings(20, 12, with)
@@ -124,13 +126,14 @@
 		return meanImbalance(e, 8)
 	}
 	alone, together := run(func(*Settings) {}), run(allModes)
-	t.Logf("fullest over mean: %.2f alone, %.2f together", alone, together)
+	t.Logf("highest load over mean: %.2f alone, %.2f together", alone, together)
 	if together > alone+0.15 {
-		t.Errorf("fullest over mean: %.2f alone, %.2f together", alone, together)
+		t.Errorf("highest load over mean: %.2f alone, %.2f together", alone, together)
 	}
 }
 
-// Words that come five seconds late bring no readings; all goes on as with own ones.
+// Updates that arrive five seconds late are too old for their readings to be used. Balancers rely on their own
+// readings.
 func TestReportsFiveSecondsLate(t *testing.T) {
 	set := fleetSettings(20, 12, allModes)
 	set.Lag = 5 * time.Second
@@ -141,16 +144,16 @@
 	e.Run(20 * time.Second)
 	for _, b := range e.balancers {
 		if b.coordinator.Counts.Received > 0 {
-			t.Fatalf("%s took %d readings", b.name, b.coordinator.Counts.Received)
+			t.Fatalf("%s used %d readings", b.name, b.coordinator.Counts.Received)
 		}
 	}
 	if got := meanImbalance(e, 8); got > 1.6 {
-		t.Errorf("fullest over mean: %.2f", got)
+		t.Errorf("highest load over mean: %.2f", got)
 	}
 }
 
-// The fleet doubles within a step while half of the regions are new: none is pushed over, and ten seconds later every region
-// is looked at by as many as each other, within one.
+// The fleet doubles within a step while half of the servers are new: no server is overloaded, and 24 seconds later all
+// servers are in the subsets of equally many balancers, plus or minus one.
 func TestFleetDoublesDuringReplacement(t *testing.T) {
 	e, err := NewEnvironment(fleetSettings(20, 12, allModes))
 	if err != nil {
@@ -162,7 +165,7 @@
 	if err := e.AddBalancers(20); err != nil {
 		t.Fatal(err)
 	}
-	e.Run(24 * time.Second) // subsets that had no room have come back by then
+	e.Run(24 * time.Second) // by then, subsets that had no capacity are used again
 	candidates := map[string]int{}
 	for _, b := range e.balancers {
 		_, state := b.coordinator.Update(e.Now, e.peerView(b), e.localState(b))
@@ -179,12 +182,12 @@
 		fewest, most = min(fewest, candidates[srv.ID]), max(most, candidates[srv.ID])
 	}
 	if e.Counts.Overloaded > 0 || most-fewest > 1 || fewest == 0 {
-		t.Errorf("%d fell over; regions are looked at by %d to %d", e.Counts.Overloaded, fewest, most)
+		t.Errorf("%d overloaded; servers are in the subsets of %d to %d balancers", e.Counts.Overloaded, fewest, most)
 	}
 }
 
-// All regions of one balancer's subset become slow: its newcomers find room elsewhere, before the subset is looked beyond or by
-// that, and nobody is refused beside room.
+// All servers of one balancer's subset become slow: the balancer extends its subset, or uses servers outside it, so
+// that new connections go to other servers and requests are not rejected while there is capacity.
 func TestWholeSubsetSlow(t *testing.T) {
 	e, err := NewEnvironment(fleetSettings(12, 24, func(s *Settings) { s.SubsetSize = 3 }))
 	if err != nil {
@@ -210,6 +213,7 @@
 		}
 	}
 	if elsewhere <= onSlow || b.rejected-rejectedBefore > 2 {
-		t.Errorf("%d stand at the slow ones, %d elsewhere, %d refused", onSlow, elsewhere, b.rejected-rejectedBefore)
+		t.Errorf("%d connections at the slow servers, %d elsewhere, %d rejected", onSlow, elsewhere,
+			b.rejected-rejectedBefore)
 	}
 }
--- a/internal/simulation/evaluation.go
+++ b/internal/simulation/evaluation.go
@@ -1,6 +1,7 @@
-// The judgement of a drawn deployment's play: the platform's rules, seen from outside, and what each loss of worth came from. Beside
-// the balancers one policy plays in place of all that sees the true state late. This file must never change what happens, the seer
-// apart, which is all of its play.
+// Evaluation of a generated deployment's run: the platform's rules as observed from outside the balancers, and the
+// causes of lost priority weight. For comparison, a baseline runs the same deployment: one policy in place of all
+// balancers that knows the true state with a delay. Except for the baseline, and for servers that overload during their
+// warm-up, this file does not influence the run.
 
 package simulation
 
@@ -14,34 +15,34 @@
 	"oatloft/policy"
 )
 
-// loss says why a terminal that wants to be connected isn't, or is badly served.
+// lossCause is the reason why a client that wants to be connected is not connected, or is served badly.
 type lossCause string
 
 const (
 	lossNoBalancer           lossCause = "no balancer"
-	lossConnecting           lossCause = "waits for its set-up"
-	lossRejectedWithCapacity lossCause = "refused beside room"
-	lossNoList               lossCause = "refused, no list yet"
-	lossWarmUpUnused         lossCause = "refused beside an idle cold budget"
-	lossNoCapacity           lossCause = "refused, all full"
+	lossConnecting           lossCause = "connecting"
+	lossRejectedWithCapacity lossCause = "rejected despite free capacity"
+	lossNoList               lossCause = "rejected before the first endpoint list"
+	lossWarmUpUnused         lossCause = "rejected despite unused warm-up capacity"
+	lossNoCapacity           lossCause = "rejected for lack of capacity"
 	lossFailed               lossCause = "failed"
-	lossMigrating            lossCause = "moved, not back yet"
+	lossMigrating            lossCause = "migrating"
 	lossDisconnected         lossCause = "connection broken"
-	lossSilentServer         lossCause = "stands at a silent region"
-	lossOverloaded           lossCause = "stands at an overloaded region"
-	lossOtherZone            lossCause = "stands in another zone"
+	lossSilentServer         lossCause = "connected to a silent server"
+	lossOverloaded           lossCause = "connected to an overloaded server"
+	lossOtherZone            lossCause = "connected to another zone"
 	lossNone                 lossCause = ""
 )
 
-const timingSlack = 50 * time.Millisecond // the platform's, on sockets
+const timingSlack = 50 * time.Millisecond // tolerance of the platform's time limits, as on sockets
 
-// Judge keeps to what a play showed.
+// Evaluation holds the results of a run.
 type Evaluation struct {
-	Violations                           map[string]int // by rule
-	First                                []string       // what broke first
-	Demanded, Served                     float64        // worth, by the second
+	Violations                           map[string]int // number of violations by rule
+	First                                []string       // the first violations
+	Demanded, Served                     float64        // priority weight times seconds
 	LossByCause                          map[lossCause]float64
-	ByClass, ByTenant                    [][2]float64 // got, wanted
+	ByClass, ByTenant                    [][2]float64 // served, demanded
 	Placed, Refused, Failed, Late, Dials int
 	Fell                                 int
 	ProbesSent                           int
@@ -59,7 +60,7 @@
 	}
 }
 
-// Broken is how many faults there were.
+// Broken returns the number of violations.
 func (v *Evaluation) Broken() (n int) {
 	for _, k := range v.Violations {
 		n += k
@@ -67,23 +68,23 @@
 	return n
 }
 
-// Score is the part of the worth that was served.
+// Score returns the served fraction of the demanded priority weight.
 func (v *Evaluation) Score() float64 { return v.Served / max(1e-9, v.Demanded) }
 
 func (v *Evaluation) recordConnect(s *Site, r *request) {
 	v.Dials++
 	if r.attempts++; r.attempts > s.Deployment.MaxAttempts {
-		v.violation(s, "attempts", "%s has %d of %d", r.id, r.attempts, s.Deployment.MaxAttempts)
+		v.violation(s, "attempts", "%s has had %d attempts of at most %d", r.id, r.attempts, s.Deployment.MaxAttempts)
 	}
 }
 
 func (v *Evaluation) recordProbe(s *Site, b *balancerProcess) {
 	if v.ProbesSent++; !s.Deployment.ProbesEnabled {
-		v.violation(s, "probes", "balancer %d probes where none are allowed", b.slot)
+		v.violation(s, "probes", "balancer %d sends probes although they are disabled", b.slot)
 	}
 }
 
-// told tells whether a balancer counts as told of a region's being bad, and since when.
+// notifiedOf reports whether a balancer has to know by now that a server is unavailable, and since when.
 func (s *Site) notifiedOf(b *balancerProcess, srv *siteServer) (time.Duration, bool) {
 	if srv.unavailableSince == 0 {
 		return 0, false
@@ -95,12 +96,13 @@
 	switch pollInterval := s.Deployment.PollInterval; {
 	case s.discoveryDown:
 		return 0, false
-	case b.watchSilentSince > 0 && (b.watchRequestedAt < b.watchSilentSince || at < b.watchRequestedAt): // the silent watch missed it, not the call that broke it off
+	// The silent watch missed the change, not the request that replaced it.
+	case b.watchSilentSince > 0 && (b.watchRequestedAt < b.watchSilentSince || at < b.watchRequestedAt):
 		at = max(at, b.watchSilentSince+6*time.Second)
 	case s.Deployment.PushUpdates:
 		at = max(at, b.startedAt)
 	case b.watch != nil && b.watch.open:
-		return 0, false // on its way
+		return 0, false // the update is on its way
 	default:
 		if b.watchFailed {
 			pollInterval *= 4
@@ -113,33 +115,38 @@
 	return at, at <= s.now
 }
 
-// sent judges a line that leaves for a region.
+// checkSend checks a request that is sent to a server.
 func (v *Evaluation) checkSend(s *Site, b *balancerProcess, r *request, a *attempt) {
 	srv := a.server
-	if at, notified := s.notifiedOf(b, srv); notified && s.now > at+s.Deployment.DrainGrace+timingSlack && r.client.movedFrom == nil {
-		v.violation(s, "drains", "balancer %d sends %s to %s, told %v ago of its being %s (grace %v)", b.slot, r.id, srv.Endpoint.ID, s.now-at, srv.Health, s.Deployment.DrainGrace)
+	if at, notified := s.notifiedOf(b, srv); notified && s.now > at+s.Deployment.DrainGrace+timingSlack &&
+		r.client.movedFrom == nil {
+		v.violation(s, "drains", "balancer %d sends %s to %s %v after it was notified that the server is %s (grace %v)",
+			b.slot, r.id, srv.Endpoint.ID, s.now-at, srv.Health, s.Deployment.DrainGrace)
 	}
 	if ranOn := r.mayHaveRunOn; ranOn != nil {
 		class := r.client.class.Class
-		outOfScope := class.KeyScope == policy.KeyScopeZone && ranOn.zoneIndex != srv.zoneIndex || class.KeyScope == policy.KeyScopeCell && ranOn.Cell != srv.Cell
-		if class.Idempotency == policy.NotIdempotent || class.Idempotency == policy.IdempotentByKey && (outOfScope || s.now > r.mayHaveRunAt+class.KeyTTL+timingSlack) {
-			v.violation(s, "repeats", "%s (%s) is repeated at %s after it may have run at %s", r.id, class.Name, srv.Endpoint.ID, ranOn.Endpoint.ID)
+		outOfScope := class.KeyScope == policy.KeyScopeZone && ranOn.zoneIndex != srv.zoneIndex ||
+			class.KeyScope == policy.KeyScopeCell && ranOn.Cell != srv.Cell
+		if class.Idempotency == policy.NotIdempotent ||
+			class.Idempotency == policy.IdempotentByKey && (outOfScope || s.now > r.mayHaveRunAt+class.KeyTTL+timingSlack) {
+			v.violation(s, "repeats", "%s (%s) is sent again to %s after %s may have executed it", r.id, class.Name,
+				srv.Endpoint.ID, ranOn.Endpoint.ID)
 		}
 	}
 }
 
-// answered judges a final answer; without one of the balancer's own it is the region's.
+// checkAnswer checks a final answer. A nil answer stands for one from the server.
 func (v *Evaluation) checkAnswer(s *Site, r *request, answer *core.Answer) {
 	if r == nil {
-		v.violation(s, "one answer", "an answer to nobody")
+		v.violation(s, "one answer", "answer for an unknown client")
 		return
 	}
 	if r.answered {
-		v.violation(s, "one answer", "%s is answered twice", r.id)
+		v.violation(s, "one answer", "%s was answered twice", r.id)
 	}
 	r.answered = true
 	if s.now > r.deadline+timingSlack {
-		v.violation(s, "in time", "%s is answered %v late", r.id, s.now-r.deadline)
+		v.violation(s, "answer deadline", "%s was answered %v after its deadline", r.id, s.now-r.deadline)
 	}
 	if answer == nil {
 		if v.Placed++; s.now > r.receivedAt+r.client.class.LatencyObjective {
@@ -147,27 +154,31 @@
 		}
 		return
 	}
-	if r.task != nil {
-		v.violation(s, "one task at once", "%s is answered with a task out", r.id)
+	if r.attempt != nil {
+		v.violation(s, "one attempt at a time", "%s was answered while an attempt is in progress", r.id)
 	}
-	if class := r.client.class; answer.Rejected && r.mayHaveRunOn != nil && (class.Idempotency == policy.NotIdempotent || class.Idempotency == policy.IdempotentByKey && class.KeyScope != policy.KeyScopeAll) {
-		v.violation(s, "repeats", "%s (%s) is told to try again after it may have run at %s", r.id, class.Name, r.mayHaveRunOn.Endpoint.ID)
+	if class := r.client.class; answer.Rejected && r.mayHaveRunOn != nil &&
+		(class.Idempotency == policy.NotIdempotent ||
+			class.Idempotency == policy.IdempotentByKey && class.KeyScope != policy.KeyScopeAll) {
+		v.violation(s, "repeats", "%s (%s) was asked to retry after %s may have executed it", r.id, class.Name,
+			r.mayHaveRunOn.Endpoint.ID)
 	}
 	if answer.RetryAfter > s.Deployment.MaxRetryAfter {
-		v.violation(s, "advice", "%s is to stay away for %v of %v", r.id, answer.RetryAfter, s.Deployment.MaxRetryAfter)
+		v.violation(s, "advice", "%s got a retry-after of %v, the limit is %v", r.id, answer.RetryAfter,
+			s.Deployment.MaxRetryAfter)
 	}
 }
 
 func (v *Evaluation) checkDeadline(s *Site, r *request) {
 	s.schedule(timingSlack, func() {
 		if !r.answered && !r.closed {
-			v.violation(s, "in time", "%s (%s) has no answer after its time", r.id, r.client.class.Name)
+			v.violation(s, "answer deadline", "%s (%s) has no answer after its deadline", r.id, r.client.class.Name)
 			r.answered = true
 		}
 	})
 }
 
-// refused says why a terminal was.
+// recordRejection counts a request that was rejected or failed, and returns the cause of the loss.
 func (v *Evaluation) recordRejection(s *Site, r *request, rejected bool) lossCause {
 	if !rejected {
 		v.Failed++
@@ -190,9 +201,10 @@
 	return cause
 }
 
-// bears is how much work a cold region bears in the settings' time, pushed how much it got in it.
+// warmUpLimit returns the load that a server may receive within the overload window while it warms up.
 func (s *Site) warmUpLimit(srv *siteServer) float64 {
-	return s.Deployment.OverloadMultiple * s.currentCapacity(srv) / s.Deployment.WarmUpDuration.Seconds() * s.Deployment.OverloadWindow.Seconds()
+	return s.Deployment.OverloadMultiple * s.currentCapacity(srv) / s.Deployment.WarmUpDuration.Seconds() *
+		s.Deployment.OverloadWindow.Seconds()
 }
 
 func (s *Site) recentWarmUpLoad(srv *siteServer) (sum float64) {
@@ -204,10 +216,12 @@
 	return sum
 }
 
-// chilled counts what a cold region is sent, and has it fall over.
+// recordWarmUpArrival counts the load that a server receives while it warms up, and crashes the server on overload.
 func (v *Evaluation) recordWarmUpArrival(s *Site, b *balancerProcess, srv *siteServer, a *attempt) {
-	srv.warmUpArrivals = slices.DeleteFunc(srv.warmUpArrivals, func(arrival warmUpArrival) bool { return arrival.at <= s.now-s.Deployment.OverloadWindow })
-	srv.warmUpArrivals = append(srv.warmUpArrivals, warmUpArrival{s.now, a.request.client.class.RelativeLoad, b != nil && b.receivedVersion >= srv.startVersion})
+	srv.warmUpArrivals = slices.DeleteFunc(srv.warmUpArrivals,
+		func(arrival warmUpArrival) bool { return arrival.at <= s.now-s.Deployment.OverloadWindow })
+	srv.warmUpArrivals = append(srv.warmUpArrivals, warmUpArrival{s.now, a.request.client.class.RelativeLoad,
+		b != nil && b.receivedVersion >= srv.startVersion})
 	sum, informedSum := 0.0, 0.0
 	for _, arrival := range srv.warmUpArrivals {
 		if sum += arrival.load; arrival.informed {
@@ -219,10 +233,11 @@
 		return
 	}
 	v.Fell++
-	if !srv.overloadChecked && informedSum > sum*2/3 {
-		v.violation(s, "cold", "%s is sent %.1f within %v, %.1f of it by who had been told; it bears %.1f", srv.Endpoint.ID, sum, s.Deployment.OverloadWindow, informedSum, limit)
+	if !srv.overloadedBefore && informedSum > sum*2/3 {
+		v.violation(s, "cold", "%s received a load of %.1f within %v, %.1f of it from notified balancers; its limit is %.1f",
+			srv.Endpoint.ID, sum, s.Deployment.OverloadWindow, informedSum, limit)
 	}
-	srv.overloadChecked = true
+	srv.overloadedBefore = true
 	s.crashServer(srv)
 	s.schedule(overloadDowntime, func() {
 		if srv.state == policy.Live {
@@ -231,39 +246,45 @@
 	})
 }
 
-// stops judges what still stands at a region that drained: of those told ten seconds and more before, next to nobody. A part of
-// them leaves in each moment, so the bound is one of chance.
+// checkDrained checks how many connections are still established at a server that stops after its drain. Of those whose
+// balancer was notified more than 10 s ago, almost none may be left. Connections migrate at random times, so the bound
+// allows for random variation.
 func (v *Evaluation) checkDrained(s *Site, srv *siteServer) {
 	if s.baseline {
 		return
 	}
 	established := 0
 	for _, a := range srv.attempts {
-		if r := a.request; r.client.established == a && r.task == a && !r.balancer.dead && srv.responsive() {
-			if at, notified := s.notifiedOf(r.balancer, srv); notified && s.now-at > 10*time.Second && s.now-r.receivedAt > 12*time.Second {
+		if r := a.request; r.client.established == a && r.attempt == a && !r.balancer.dead && srv.responsive() {
+			if at, notified := s.notifiedOf(r.balancer, srv); notified && s.now-at > 10*time.Second &&
+				s.now-r.receivedAt > 12*time.Second {
 				established++
 			}
 		}
 	}
 	if allowed := 0.007 * srv.capacity; float64(established) > allowed+3*math.Sqrt(allowed)+3 {
-		v.violation(s, "moved in time", "%d stand at %s as it stops, told 10 s ago and more", established, srv.Endpoint.ID)
+		v.violation(s, "migrated in time",
+			"%d connections are established at %s as it stops, more than 10 s after their balancers were notified",
+			established, srv.Endpoint.ID)
 	}
 }
 
-// killed judges what a planned restart cut off.
+// checkExit checks that a planned restart leaves no request unanswered and no connection established.
 func (v *Evaluation) checkExit(s *Site, b *balancerProcess) {
 	for _, r := range b.requestOrder {
 		switch {
 		case r.closed:
-		case !r.answered && s.now > r.receivedAt+time.Second: // who comes in the last moment is not seen by the reducer in time on any day
-			v.violation(s, "answers at the end", "balancer %d ends and owes %s its answer, %v old", b.slot, r.id, s.now-r.receivedAt)
+		// A request that arrives in the last moment may not reach the reducer in time.
+		case !r.answered && s.now > r.receivedAt+time.Second:
+			v.violation(s, "answered before exit", "balancer %d exits with request %s unanswered after %v", b.slot, r.id,
+				s.now-r.receivedAt)
 		case r.answered && r.client.established != nil && !s.Deployment.PassThrough:
-			v.violation(s, "moved at the end", "balancer %d ends while %s stands", b.slot, r.id)
+			v.violation(s, "migrated before exit", "balancer %d exits while %s is established", b.slot, r.id)
 		}
 	}
 }
 
-// sample counts the worth that is served, and why the rest is not; and looks for who stands in silence.
+// sample adds up the served priority weight and the causes of the rest, and detects connections to silent servers.
 func (v *Evaluation) sample(s *Site) {
 	s.clients = slices.DeleteFunc(s.clients, func(c *client) bool { return s.now >= c.end && c.request == nil })
 	if s.now < time.Hour+settlePeriod {
@@ -294,22 +315,26 @@
 				v.LossByCause[lossOtherZone] += weight * crossZoneCost
 			}
 			if !s.baseline && a.awaitingReply && !a.server.responsive() && s.now-a.lastReceived > 7*time.Second+timingSlack {
-				v.violation(s, "silent", "%s stands at %s, silent for %v", a.request.id, a.server.Endpoint.ID, s.now-a.lastReceived)
+				v.violation(s, "silent", "%s is connected to %s, which has been silent for %v", a.request.id, a.server.Endpoint.ID,
+					s.now-a.lastReceived)
 				a.lastReceived = s.now
 			}
 		}
 		v.Demanded += weight
 		v.Served += served
-		v.ByClass[c.classIndex][0], v.ByClass[c.classIndex][1] = v.ByClass[c.classIndex][0]+served, v.ByClass[c.classIndex][1]+weight
+		v.ByClass[c.classIndex][0], v.ByClass[c.classIndex][1] = v.ByClass[c.classIndex][0]+served,
+			v.ByClass[c.classIndex][1]+weight
 		if c.tenantIndex >= 0 {
-			v.ByTenant[c.tenantIndex][0], v.ByTenant[c.tenantIndex][1] = v.ByTenant[c.tenantIndex][0]+served, v.ByTenant[c.tenantIndex][1]+weight
+			v.ByTenant[c.tenantIndex][0], v.ByTenant[c.tenantIndex][1] = v.ByTenant[c.tenantIndex][0]+served,
+				v.ByTenant[c.tenantIndex][1]+weight
 		}
 	}
 }
 
-// The seer: one policy in place of all balancers. It knows what it placed, and of all else the true state of a while ago.
+// The baseline is one policy in place of all balancers. It knows its own placements at once, and the rest of the true
+// state with a delay.
 
-// seat places a terminal at the region that is best by what is known.
+// placeByBaseline connects a client to the best server by the baseline's knowledge.
 func (s *Site) placeByBaseline(c *client, at *siteServer) {
 	var best *siteServer
 	if c.requests++; at != nil && available(at) {
@@ -322,10 +347,12 @@
 				crossZoneCost = s.Deployment.CrossZoneCost
 			}
 			load := (srv.load + c.class.RelativeLoad) / s.currentCapacity(srv)
-			if s.knownImpairedServer(srv) || load > 0.95 || s.warmUpFactor(srv) < 1 && s.recentWarmUpLoad(srv)+c.class.RelativeLoad > s.warmUpLimit(srv) {
+			if s.knownImpairedServer(srv) || load > 0.95 ||
+				s.warmUpFactor(srv) < 1 && s.recentWarmUpLoad(srv)+c.class.RelativeLoad > s.warmUpLimit(srv) {
 				continue
 			}
-			if cost := crossZoneCost + load/50 + max(0, load-0.85); cost < lowestCost { // all that is not full serves alike
+			// Servers with free capacity differ little.
+			if cost := crossZoneCost + load/50 + max(0, load-0.85); cost < lowestCost {
 				best, lowestCost = srv, cost
 			}
 		}
@@ -339,7 +366,7 @@
 	s.Evaluation.Dials++
 	r := &request{id: c.key, client: c, receivedAt: s.now}
 	a := &attempt{request: r, server: best, startedAt: s.now}
-	r.task = a
+	r.attempt = a
 	if s.warmUpFactor(best) < 1 && at == nil {
 		s.Evaluation.recordWarmUpArrival(s, nil, best, a)
 	}
@@ -361,7 +388,7 @@
 
 func (s *Site) knownImpairedServer(srv *siteServer) bool { return srv.knownImpaired }
 
-// unseat takes a terminal from its region; it comes again.
+// disconnect ends a client's connection to its server. The client connects again.
 func (s *Site) disconnect(a *attempt, cause lossCause) {
 	c := a.request.client
 	s.release(a)
@@ -371,7 +398,7 @@
 	}
 }
 
-// seen has the seer learn the state of now a while later, and lead away who stands where nothing is returned.
+// updateBaseline gives the baseline the current state after a delay, and disconnects clients from impaired servers.
 func (s *Site) updateBaseline() {
 	for _, srv := range s.servers {
 		if impaired := !srv.responsive() || srv.state != policy.Live || srv.errorRate > 0; impaired != srv.impaired {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Row is what one fleet came to over the same course of events: calm, seven in ten balancers killed and back two seconds
-// later, half as many balancers more, a third of the regions gone at once, and half as many new, cold ones.
+// ScenarioResult holds the results of one fleet in a fixed scenario: a steady phase; 70% of the balancers are killed
+// and restarted two seconds later; the number of balancers grows by half; a third of the servers is removed at the same
+// time and half as many servers as at the start, which are warming up, are added.
 type ScenarioResult struct {
 	Settings
-	Probes       float64 // a second at the region asked most, in the mean of the calm seconds
+	Probes       float64 // probes per second at the server that is probed most, mean of the steady phase
 	AllProbes    float64
-	Owners       float64 // balancers with connections at the region that has most of them
-	Crowded      float64 // most newcomers at one region in a slot, over the mean
-	Worst        float64 // load of the fullest region over the mean, in the mean of the calm seconds
-	Spread       int     // balancers that look at a region, the most less the fewest, at the end
-	Wave, Shrunk int     // seconds until the load was spread as before again: after the kill, after the loss of regions
-	Beside       int     // refusals while a warm region had room
+	Owners       float64 // largest number of balancers with connections at one server, mean of the steady phase
+	Crowded      float64 // most new connections at one server within a slot, over the mean
+	Worst        float64 // highest load of a server over the mean, mean of the steady phase
+	Spread       int     // balancers that have a server in their subset: maximum minus minimum at the end
+	Wave, Shrunk int     // seconds until the load was balanced again: after the kill, after the change of servers
+	Beside       int     // rejections while a warmed-up server had capacity
 	Refused      int
-	Fell         int // cold regions pushed over
+	Fell         int // servers that were overloaded during their warm-up
 	Moves        int
 	Elapsed      time.Duration
 }
 
-// Play runs the course.
+// Play runs the scenario.
 func Play(set Settings) (ScenarioResult, error) {
 	began := time.Now()
 	result := ScenarioResult{Settings: set}
@@ -58,12 +59,13 @@
 	result.Shrunk = SecondsUntilStable(env.Seconds[from:], balanced)
 	last := env.Seconds[len(env.Seconds)-1]
 	result.Spread = last.MaxCandidates - last.MinCandidates
-	result.Beside, result.Refused, result.Fell, result.Moves = env.Counts.RejectedWithCapacity, env.Counts.Rejected, env.Counts.Overloaded, env.Counts.Migrations
+	result.Beside, result.Refused, result.Fell, result.Moves = env.Counts.RejectedWithCapacity, env.Counts.Rejected,
+		env.Counts.Overloaded, env.Counts.Migrations
 	result.Elapsed = time.Since(began)
 	return result, nil
 }
 
-// Means are the ways of acting together that are compared, by name.
+// Means returns the modes of coordination that are compared, by name.
 func Means(size int) []struct {
 	Name string
 	With func(*Settings)
@@ -80,8 +82,9 @@
 	}
 }
 
-// Default is a fleet in the middle of what deployments have, of that size.
-func Default(balancers, regions int, seed uint64) Settings {
-	return Settings{Balancers: balancers, Servers: regions, Zones: min(3, max(1, regions/4)), Seed: seed, ServerCapacity: 100, Load: 0.55, ConnectionLifetime: 40 * time.Second,
+// Default returns settings that are typical of deployments, for a number of balancers and servers.
+func Default(balancers, servers int, seed uint64) Settings {
+	return Settings{Balancers: balancers, Servers: servers, Zones: min(3, max(1, servers/4)), Seed: seed,
+		ServerCapacity: 100, Load: 0.55, ConnectionLifetime: 40 * time.Second,
 		ReportDelay: 400 * time.Millisecond, Lag: time.Second, Skew: cmp.Or(0.0, 1)}
 }
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -1,7 +1,6 @@
-// A drawn deployment stepped: reducers with their modules, as many as the deployment has balancers, against regions, discovery and
-// terminals that do what deployments do to them. Each balancer reads its configuration and its lists with oatloft's own readers.
-// This file owns what happens; judge.go, beside it, owns the rules and the counts. It must never tell a balancer what a socket
-// would not tell it.
+// Simulation of a generated deployment: one core reducer with its policy for each balancer, against simulated servers,
+// discovery and clients. Each balancer parses its configuration and its endpoint lists with oatloft's own parsers, and
+// receives only what it could receive through sockets. The rules that are checked are in evaluation.go.
 
 package simulation
 
@@ -20,33 +19,33 @@
 )
 
 const (
-	settlePeriod         = 3 * time.Second  // before anything counts
-	runDuration          = 24 * time.Second // a play's length; nobody comes in its last part
+	settlePeriod         = 3 * time.Second  // before the evaluation starts
+	runDuration          = 24 * time.Second // of the evaluated part of a run
 	sampleInterval       = 100 * time.Millisecond
-	historyInterval      = 50 * time.Millisecond // of what reports tell
+	historyInterval      = 50 * time.Millisecond // resolution of the load history for reports
 	overloadDowntime     = 5 * time.Second
 	maxRequestsPerClient = 12
 )
 
-// host is a stepped region.
+// siteServer is a simulated server.
 type siteServer struct {
 	generate.Endpoint
 	index, zoneIndex          int
-	capacity                  float64 // connections of mean work that fill it
-	speed                     float64 // of what it can do
+	capacity                  float64 // connections of mean load that fill it
+	speed                     float64 // fraction of its capacity that is available
 	startedAt                 time.Duration
-	state                     policy.ServerState // as discovery has it
-	listVersion, startVersion int64              // of its last change; of its last start
-	unavailableVersion        int64              // of the first change since it was ready ...
-	unavailableSince          time.Duration      // ... and when discovery told that; 0 for not yet
+	state                     policy.ServerState // as known to discovery
+	listVersion, startVersion int64              // list versions of its last change and of its last start
+	unavailableVersion        int64              // list version of the first change since it was ready
+	unavailableSince          time.Duration      // when discovery published that change; 0 if not yet
 	down, hung                bool
 	errorRate                 float64
 	load                      float64
 	attempts                  []*attempt
 	history                   []loadSample // latest last
 	warmUpArrivals            []warmUpArrival
-	overloadChecked           bool // it fell once
-	impaired, knownImpaired   bool // to the seer
+	overloadedBefore          bool // it was overloaded before; later overloads are not reported as violations
+	impaired, knownImpaired   bool // actual state, and state known to the baseline
 }
 
 type loadSample struct{ load, inFlight float64 }
@@ -57,21 +56,21 @@
 	informed bool
 }
 
-// task is a routed task.
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	request          *request
 	number           int
 	server           *siteServer
 	startedAt        time.Duration
 	connected        bool
-	sent, mayHaveRun bool // the line has left; it may have run
-	inFlight         bool // the region has it
-	index            int  // in the region's list
+	sent, mayHaveRun bool // the request was sent; the server may have executed it
+	inFlight         bool // the server has accepted it
+	index            int  // in the server's list of attempts
 	lastReceived     time.Duration
-	awaitingReply    bool // a line waits for its reply
+	awaitingReply    bool // data was sent to the server and not yet answered
 }
 
-// client is a terminal that wants to be connected for a while.
+// client is a client that wants to be connected for a time.
 type client struct {
 	key, group, tenant      string
 	class                   *generate.Class
@@ -80,12 +79,13 @@
 	start, end              time.Duration
 	requests                int
 	request                 *request
-	established             *attempt    // where it stands
-	movedFrom               *siteServer // it stood there, and its packets now come elsewhere
-	cause                   lossCause
+	established             *attempt // the attempt by which it is connected
+	// Server of its established connection, whose packets now arrive at another balancer.
+	movedFrom *siteServer
+	cause     lossCause
 }
 
-// request is one connection of a terminal to a balancer.
+// request is one connection of a client to a balancer.
 type request struct {
 	id            string
 	client        *client
@@ -95,10 +95,10 @@
 	receivedAt    time.Duration
 	answered      bool
 	closed        bool
-	task          *attempt
+	attempt       *attempt
 	attempts      int
-	reestablished bool        // the run: the platform names its region
-	mayHaveRunOn  *siteServer // where it first may have run
+	reestablished bool        // it names the server to which it was connected before the run
+	mayHaveRunOn  *siteServer // the first server that may have executed it
 	mayHaveRunAt  time.Duration
 }
 
@@ -106,7 +106,7 @@
 type balancerProcess struct {
 	slot, zone            int
 	reducer               *core.Reducer
-	dead, closedToClients bool // closed: nobody new is sent here
+	dead, closedToClients bool // closedToClients: it gets no new requests
 	startedAt             time.Duration
 	requests              map[core.Handle]*request
 	requestOrder          []*request
@@ -115,7 +115,7 @@
 	watchFailed           bool
 	watchSilentSince      time.Duration
 	receivedVersion       int64
-	notified              map[*siteServer]time.Duration // of its being bad
+	notified              map[*siteServer]time.Duration // when it was notified that a server is unavailable
 	shuttingDown          bool
 }
 
@@ -126,10 +126,11 @@
 	version        int64
 }
 
-// Place is a deployment at work.
+// Site is a running simulation of a deployment.
 type Site struct {
-	Deployment                      generate.Deployment
-	Trace                           func(slot int, now time.Duration, effects []core.Effect) // called before a balancer's effects are carried out; may be nil
+	Deployment generate.Deployment
+	// Trace is called before a balancer's effects are applied; it may be nil.
+	Trace                           func(slot int, now time.Duration, effects []core.Effect)
 	Evaluation                      Evaluation
 	baseline                        bool
 	defect                          Defect
@@ -139,9 +140,9 @@
 	scheduled                       [][]func()
 	ticks                           int
 	servers                         []*siteServer
-	listVersion                     int64 // of the list
+	listVersion                     int64 // version of the endpoint list
 	published                       []publication
-	discoveryDown                   bool // discovery
+	discoveryDown                   bool // discovery is unavailable
 	discoveryUpAt                   time.Duration
 	balancers                       []*balancerProcess
 	trafficWeights                  []float64
@@ -166,20 +167,22 @@
 	s.scheduled[at] = append(s.scheduled[at], f)
 }
 
-// between draws a time.
+// randomDuration returns a random duration between low and high.
 func (s *Site) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.rng.Float64()*float64(high-low))
 }
 
-// Break is a balancer that is broken on purpose: told other settings than hold, or news of the list so late.
+// Defect is a deliberate defect of the balancers: Alter changes their configuration, UpdateDelay delays list updates.
 type Defect struct {
 	Alter       func(*core.Config)
 	UpdateDelay time.Duration
 }
 
-// Open starts a deployment: with its balancers, or with one policy in place of all that sees the true state late.
+// NewSite starts a deployment with its balancers or, if baseline is set, with one policy in place of all of them that
+// knows the true state with a delay.
 func NewSite(d generate.Deployment, baseline bool, defect Defect) (*Site, error) {
-	s := &Site{Deployment: d, baseline: baseline, defect: defect, now: time.Hour, epoch: time.Unix(1_700_000_000, 0), rng: rand.New(rand.NewPCG(uint64(d.Seed), 77)), trafficFactor: 1}
+	s := &Site{Deployment: d, baseline: baseline, defect: defect, now: time.Hour, epoch: time.Unix(1_700_000_000, 0),
+		rng: rand.New(rand.NewPCG(uint64(d.Seed), 77)), trafficFactor: 1}
 	s.Evaluation.reset(s)
 	for i := range d.Servers {
 		s.addServer(s.Deployment.ServerZone(i), -1)
@@ -209,17 +212,21 @@
 			}
 		})
 	}
-	for _, t := range d.Incidents {
-		s.schedule(t.At, func() { s.startIncident(t) })
+	for _, incident := range d.Incidents {
+		s.schedule(incident.At, func() { s.startIncident(incident) })
 	}
 	return s, nil
 }
 
 func (s *Site) newClient(start time.Duration) *client {
-	c := &client{key: fmt.Sprint("k", s.lastID), start: start, end: start + time.Duration(s.rng.ExpFloat64()*float64(s.Deployment.ConnectionLifetime)) + 500*time.Millisecond, tenantIndex: -1}
+	c := &client{key: fmt.Sprint("k", s.lastID), start: start,
+		end:         start + time.Duration(s.rng.ExpFloat64()*float64(s.Deployment.ConnectionLifetime)) +
+			500*time.Millisecond,
+		tenantIndex: -1}
 	s.lastID++
 	at := s.rng.Float64()
-	for c.classIndex = 0; c.classIndex < len(s.Deployment.Classes)-1 && at > s.Deployment.Classes[c.classIndex].RequestShare; c.classIndex++ {
+	for c.classIndex = 0; c.classIndex < len(s.Deployment.Classes)-1 &&
+		at > s.Deployment.Classes[c.classIndex].RequestShare; c.classIndex++ {
 		at -= s.Deployment.Classes[c.classIndex].RequestShare
 	}
 	c.class = &s.Deployment.Classes[c.classIndex]
@@ -242,8 +249,11 @@
 func (s *Site) addServer(zone int, startedAt time.Duration) *siteServer {
 	n := len(s.servers)
 	weight := []float64{1, 1, 1.5, 0.6}[n%4]
-	srv := &siteServer{Endpoint: generate.Endpoint{ID: fmt.Sprintf("s-%04x%02d", (n*40503+s.Deployment.Seed*977)%65536, n%100), Zone: s.Deployment.ZoneName(zone), Class: "m", Cell: n % s.Deployment.Cells, Health: "ready", Weight: weight},
-		index: n, zoneIndex: zone, capacity: weight * s.Deployment.ServerCapacity, speed: 1, startedAt: startedAt, history: []loadSample{{}}}
+	srv := &siteServer{Endpoint: generate.Endpoint{
+		ID: fmt.Sprintf("s-%04x%02d", (n*40503+s.Deployment.Seed*977)%65536, n%100), Zone: s.Deployment.ZoneName(zone),
+		Class: "m", Cell: n % s.Deployment.Cells, Health: "ready", Weight: weight},
+		index: n, zoneIndex: zone, capacity: weight * s.Deployment.ServerCapacity, speed: 1, startedAt: startedAt,
+		history: []loadSample{{}}}
 	srv.Address = fmt.Sprintf("10.0.%d.%d:9000", n/250, n%250)
 	if startedAt > 0 {
 		srv.StartedAtMS = s.unixMillis(startedAt)
@@ -257,12 +267,13 @@
 	return float64(s.epoch.Add(at).UnixMicro()) / 1000
 }
 
-// ramp and x are what a region can do now, and how loaded it is.
+// warmUpFactor returns the available fraction of a server's capacity during its warm-up, and 1 after it.
 func (s *Site) warmUpFactor(srv *siteServer) float64 {
 	if srv.startedAt < 0 || s.now-srv.startedAt >= s.Deployment.WarmUpDuration {
 		return 1
 	}
-	return s.Deployment.WarmUpInitialCapacity + (1-s.Deployment.WarmUpInitialCapacity)*float64(s.now-srv.startedAt)/float64(s.Deployment.WarmUpDuration)
+	return s.Deployment.WarmUpInitialCapacity +
+		(1-s.Deployment.WarmUpInitialCapacity)*float64(s.now-srv.startedAt)/float64(s.Deployment.WarmUpDuration)
 }
 
 func (s *Site) currentCapacity(srv *siteServer) float64 {
@@ -271,10 +282,10 @@
 
 func (s *Site) loadRatio(srv *siteServer) float64 { return srv.load / s.currentCapacity(srv) }
 
-// sound tells that a region answers.
+// responsive reports whether a server replies.
 func (srv *siteServer) responsive() bool { return !srv.down && !srv.hung }
 
-// change has discovery learn something of a region; it tells it a lag later.
+// changeState changes a server's state in discovery, which publishes it after the discovery delay.
 func (s *Site) changeState(srv *siteServer, to policy.ServerState, started bool) {
 	srv.state = to
 	srv.Health = []string{"ready", "draining", "gone"}[to]
@@ -315,7 +326,7 @@
 
 func httpChunk(body []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(body), body) }
 
-// whole is the list as discovery has told it.
+// fullList returns the endpoint list as published by discovery.
 func (s *Site) fullList() []byte {
 	at, endpoints := map[*siteServer]int{}, []generate.Endpoint{}
 	for _, pub := range s.published {
@@ -326,11 +337,11 @@
 			endpoints = append(endpoints, pub.endpoint)
 		}
 	}
-	endpoints = slices.DeleteFunc(endpoints, func(h generate.Endpoint) bool { return h.Health == "gone" })
+	endpoints = slices.DeleteFunc(endpoints, func(endpoint generate.Endpoint) bool { return endpoint.Health == "gone" })
 	return s.Deployment.ListJSON(int64(len(s.published)), true, endpoints)
 }
 
-// start has a new process come up in a balancer's place.
+// startBalancer starts a new process of a balancer.
 func (s *Site) startBalancer(slot int, first bool) error {
 	zone := s.Deployment.BalancerZone(slot)
 	var cachedList []byte
@@ -348,7 +359,8 @@
 	if err != nil {
 		return err
 	}
-	b := &balancerProcess{slot: slot, zone: zone, reducer: reducer, startedAt: s.now, watchRequestedAt: s.now, requests: map[core.Handle]*request{}, notified: map[*siteServer]time.Duration{}}
+	b := &balancerProcess{slot: slot, zone: zone, reducer: reducer, startedAt: s.now, watchRequestedAt: s.now,
+		requests: map[core.Handle]*request{}, notified: map[*siteServer]time.Duration{}}
 	s.balancers[slot] = b
 	if cachedList != nil {
 		list, err := platform.ParseList(cachedList, s.epoch)
@@ -363,7 +375,7 @@
 	return nil
 }
 
-// do steps a balancer.
+// dispatch passes an event to a balancer, or schedules it if the defect delays updates.
 func (s *Site) dispatch(b *balancerProcess, ev core.Event) {
 	if b.dead || s.baseline {
 		return
@@ -388,7 +400,7 @@
 	}
 }
 
-// Run plays the deployment to its end.
+// Run runs the deployment to its end.
 func (s *Site) Run() {
 	for end := s.now + settlePeriod + runDuration; s.now < end; {
 		s.now += core.TickInterval
@@ -419,7 +431,7 @@
 	}
 }
 
-// asks has a terminal come to a balancer; at names the region where it stood before the play.
+// connect makes a client send a request to a balancer. If not nil, at is the server of its connection before the run.
 func (s *Site) connect(c *client, at *siteServer) {
 	if s.now >= c.end || c.request != nil || c.established != nil {
 		return
@@ -438,11 +450,14 @@
 	s.lastID++
 	c.requests++
 	timeout := time.Duration((0.5 + 0.5*s.rng.Float64()) * float64(c.class.ClientTimeout)).Truncate(time.Millisecond)
-	r := &request{id: fmt.Sprint("r", s.lastID), client: c, balancer: b, handle: s.lastHandle, deadline: s.now + timeout, receivedAt: s.now}
+	r := &request{id: fmt.Sprint("r", s.lastID), client: c, balancer: b, handle: s.lastHandle, deadline: s.now + timeout,
+		receivedAt: s.now}
 	c.request, c.cause = r, lossConnecting
 	b.requests[r.handle] = r
 	b.requestOrder = append(b.requestOrder, r)
-	ev := core.RequestReceived{Client: r.handle, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Timeout: timeout, MidFlow: c.movedFrom != nil}}
+	ev := core.RequestReceived{Client: r.handle,
+		Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant,
+			Timeout: timeout, MidFlow: c.movedFrom != nil}}
 	if r.reestablished = at != nil; r.reestablished {
 		ev.EstablishedAt = at.Endpoint.ID
 	}
@@ -451,7 +466,7 @@
 	s.schedule(timeout+core.TickInterval, func() { s.Evaluation.checkDeadline(s, r) })
 }
 
-// front is a balancer of a zone, or of any where it has none.
+// pickBalancer returns a random balancer of a zone, or of any zone if that zone has none.
 func (s *Site) pickBalancer(zone int) *balancerProcess {
 	for _, anyZone := range []bool{false, true} {
 		total := 0.0
@@ -472,15 +487,15 @@
 	return nil
 }
 
-// again has a terminal come once more.
+// retry makes a client connect again after a delay.
 func (s *Site) retry(c *client, wait time.Duration) {
 	if c.requests > maxRequestsPerClient && c.cause != lossMigrating && c.cause != lossDisconnected {
-		return // it is not seen again
+		return // the client gives up
 	}
 	s.schedule(wait, func() { s.connect(c, nil) })
 }
 
-// free takes a routed task from its region.
+// release removes an attempt from its server.
 func (s *Site) release(a *attempt) {
 	if a == nil || !a.inFlight {
 		return
@@ -502,14 +517,15 @@
 	a.server.load += a.request.client.class.RelativeLoad
 }
 
-// over ends a terminal's connection to its balancer. Where it still wants to be connected it comes again after a while.
+// endRequest ends a client's connection to its balancer. The client connects again after a delay if it still wants to
+// be connected.
 func (s *Site) endRequest(r *request, cause lossCause, delay time.Duration) {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	s.release(r.task)
-	r.task = nil
+	s.release(r.attempt)
+	r.attempt = nil
 	delete(r.balancer.requests, r.handle)
 	c := r.client
 	if c.request == r {
@@ -518,7 +534,7 @@
 	}
 }
 
-// effect carries out what a balancer wants.
+// applyEffect applies an effect of a balancer.
 func (s *Site) applyEffect(b *balancerProcess, e core.Effect) {
 	switch e := e.(type) {
 	case core.Probe:
@@ -529,11 +545,11 @@
 		s.sendRequest(b, e)
 	case core.CloseAttempt:
 		if r := b.requests[e.Client]; r != nil {
-			if a := r.task; a != nil {
+			if a := r.attempt; a != nil {
 				s.recordPossibleRun(r, a)
 			}
-			s.release(r.task)
-			r.task = nil
+			s.release(r.attempt)
+			r.attempt = nil
 		}
 	case core.Answer:
 		r := b.requests[e.Client]
@@ -550,18 +566,18 @@
 	case core.Forward:
 		r := b.requests[e.Client]
 		switch {
-		case r == nil || r.task == nil:
+		case r == nil || r.attempt == nil:
 		case e.ToServer:
-			s.receiveData(r, r.task)
+			s.receiveData(r, r.attempt)
 		case !r.answered:
 			s.Evaluation.checkAnswer(s, r, nil)
-			r.client.established = r.task
+			r.client.established = r.attempt
 		}
 	case core.CloseServer:
 		if r := b.requests[e.Client]; r != nil {
-			s.release(r.task)
-			r.task = nil
-			if e.Reason == core.CloseEOF && r.client.end > s.now { // the terminal goes on waiting for the region's end
+			s.release(r.attempt)
+			r.attempt = nil
+			if e.Reason == core.CloseEOF && r.client.end > s.now { // the client still waits for the server to close
 				s.endRequest(r, lossDisconnected, s.Deployment.ReconnectDelay)
 			}
 		}
@@ -572,7 +588,7 @@
 	case core.MigrateClient:
 		r := b.requests[e.Client]
 		if r == nil || r.client.established == nil {
-			s.Evaluation.violation(s, "moved", "%d is moved and doesn't stand", e.Client)
+			s.Evaluation.violation(s, "moved", "client %d is migrated but not connected", e.Client)
 			return
 		}
 		s.Evaluation.migrations++
@@ -611,7 +627,8 @@
 func (s *Site) answerProbe(b *balancerProcess, e core.Probe) {
 	srv := s.serverByID(e.Server)
 	s.Evaluation.recordProbe(s, b)
-	wait, ev := s.latency(b, srv)*2+s.randomDuration(time.Millisecond, 10*time.Millisecond), core.ProbeFinished{Server: e.Server}
+	wait, ev := s.latency(b, srv)*2+s.randomDuration(time.Millisecond, 10*time.Millisecond),
+		core.ProbeFinished{Server: e.Server}
 	switch {
 	case srv.hung, srv.down && srv.state != policy.Gone:
 		wait, ev.Result = e.Timeout, policy.ResultTimedOut
@@ -622,7 +639,8 @@
 	default:
 		samplesAgo := int((s.Deployment.ReportDelay + s.randomDuration(0, s.Deployment.ReportInterval)) / historyInterval)
 		sample := srv.history[max(0, len(srv.history)-1-samplesAgo)]
-		ev.Report = platform.ParseStats([]byte(s.Deployment.ReportLine(max(0, sample.load*(1+reportNoise*s.rng.NormFloat64())), sample.inFlight)))
+		ev.Report = platform.ParseStats([]byte(s.Deployment.ReportLine(
+			max(0, sample.load*(1+reportNoise*s.rng.NormFloat64())), sample.inFlight)))
 	}
 	s.schedule(wait, func() { s.dispatch(b, ev) })
 }
@@ -630,34 +648,36 @@
 func (s *Site) connectAttempt(b *balancerProcess, e core.Dial) {
 	r, srv := b.requests[e.Client], s.serverByID(e.Server)
 	if r == nil || srv == nil {
-		s.Evaluation.violation(s, "nobody", "%d dials %s for nobody", e.Client, e.Server)
+		s.Evaluation.violation(s, "nobody", "attempt for unknown client %d or server %s", e.Client, e.Server)
 		return
 	}
-	if r.task != nil {
-		s.Evaluation.violation(s, "one task at once", "%s dials %s with a task out at %s", r.id, e.Server, r.task.server.Endpoint.ID)
-		s.release(r.task)
+	if r.attempt != nil {
+		s.Evaluation.violation(s, "one attempt at a time", "%s connects to %s while an attempt at %s is in progress", r.id,
+			e.Server, r.attempt.server.Endpoint.ID)
+		s.release(r.attempt)
 	}
 	s.Evaluation.recordConnect(s, r)
 	a := &attempt{request: r, number: e.Attempt, server: srv, startedAt: s.now}
-	r.task = a
-	delay, outcome := s.latency(b, srv)+time.Millisecond, core.Event(core.AttemptConnected{Client: e.Client, Attempt: e.Attempt})
+	r.attempt = a
+	delay, outcome := s.latency(b, srv)+time.Millisecond,
+		core.Event(core.AttemptConnected{Client: e.Client, Attempt: e.Attempt})
 	if s.rng.Float64() < s.slowConnectShare {
 		delay += s.randomDuration(0, s.maxConnectDelay)
 	}
 	if srv.down {
 		if srv.state != policy.Gone {
-			outcome = nil // its machine is silent
+			outcome = nil // a lost machine does not respond
 		} else {
 			outcome = core.AttemptClosed{Client: e.Client, Attempt: e.Attempt, Reason: core.CloseRefused}
 		}
 	}
 	if outcome != nil {
 		s.schedule(delay, func() {
-			if r.task != a {
+			if r.attempt != a {
 				return
 			}
-			if _, up := outcome.(core.AttemptConnected); !up {
-				r.task = nil
+			if _, connected := outcome.(core.AttemptConnected); !connected {
+				r.attempt = nil
 			} else if srv.down {
 				return
 			}
@@ -667,25 +687,26 @@
 	}
 	if !r.reestablished {
 		s.schedule(s.Deployment.ConnectTimeout+2*core.TickInterval, func() {
-			if r.task == a && !a.connected && !b.dead {
-				s.Evaluation.violation(s, "connect time-out", "%s has dialed %s for longer than %v", r.id, e.Server, s.Deployment.ConnectTimeout)
+			if r.attempt == a && !a.connected && !b.dead {
+				s.Evaluation.violation(s, "connect time-out", "%s has been connecting to %s for longer than %v", r.id, e.Server,
+					s.Deployment.ConnectTimeout)
 			}
 		})
 	}
 }
 
-// line sends a first line: from now on it may run.
+// sendRequest sends a request to its server. From then on the server may execute it.
 func (s *Site) sendRequest(b *balancerProcess, e core.SendRequest) {
 	r := b.requests[e.Client]
-	if r == nil || r.task == nil {
-		s.Evaluation.violation(s, "nobody", "%d sends a line with no task", e.Client)
+	if r == nil || r.attempt == nil {
+		s.Evaluation.violation(s, "nobody", "request sent without an attempt for client %d", e.Client)
 		return
 	}
-	a := r.task
+	a := r.attempt
 	s.Evaluation.checkSend(s, b, r, a)
-	a.sent, a.mayHaveRun, a.startedAt = true, true, s.now // a key's time counts from here
+	a.sent, a.mayHaveRun, a.startedAt = true, true, s.now // the TTL of an idempotency key starts here
 	s.schedule(core.TickInterval, func() {
-		if r.task != a {
+		if r.attempt != a {
 			return
 		}
 		if !s.receiveRequest(b, a) {
@@ -695,10 +716,10 @@
 	})
 }
 
-// ends tells a balancer how a task ended.
+// endAttempt notifies a balancer of the end of an attempt.
 func (s *Site) endAttempt(a *attempt, reason core.CloseReason, mayHaveRun bool) {
 	r := a.request
-	if r.task != a {
+	if r.attempt != a {
 		return
 	}
 	if s.baseline {
@@ -709,13 +730,13 @@
 		s.recordPossibleRun(r, a)
 	}
 	s.release(a)
-	if r.task = nil; r.client.established == a {
+	if r.attempt = nil; r.client.established == a {
 		r.client.established = nil
 	}
 	s.dispatch(r.balancer, core.AttemptClosed{Client: r.handle, Attempt: a.number, Reason: reason})
 }
 
-// arrives has a region take a line, or not.
+// receiveRequest makes a server accept or reject a request.
 func (s *Site) receiveRequest(b *balancerProcess, a *attempt) bool {
 	srv, r := a.server, a.request
 	latency := s.latency(b, srv)
@@ -730,7 +751,7 @@
 		return true
 	case srv.down || srv.hung:
 		return true
-	case movedFrom != nil && movedFrom != srv: // it is open elsewhere
+	case movedFrom != nil && movedFrom != srv: // the connection is established at another server
 		s.schedule(latency, func() { s.endAttempt(a, core.CloseReset, true) })
 		return true
 	case movedFrom == nil && (srv.state != policy.Live || srv.load > 1.3*s.currentCapacity(srv)):
@@ -744,15 +765,16 @@
 		s.schedule(latency+s.Deployment.SetupTime, func() { s.endAttempt(a, reason, true) })
 		return true
 	}
-	setup := time.Duration(float64(s.Deployment.SetupTime) * (0.5 + s.rng.Float64()) * (1 + 8*max(0, s.loadRatio(srv)-0.8)) / max(0.1, srv.speed))
+	setup := time.Duration(float64(s.Deployment.SetupTime) * (0.5 + s.rng.Float64()) *
+		(1 + 8*max(0, s.loadRatio(srv)-0.8)) / max(0.1, srv.speed))
 	s.schedule(latency+setup, func() { s.acceptAttempt(a) })
 	return true
 }
 
-// up tells that a region serves; a hung one does so when it goes on.
+// acceptAttempt makes a server accept an attempt. A hung server does so when it recovers.
 func (s *Site) acceptAttempt(a *attempt) {
 	r := a.request
-	if r.task != a || !a.inFlight {
+	if r.attempt != a || !a.inFlight {
 		return
 	}
 	if a.server.hung {
@@ -764,13 +786,15 @@
 	if s.Deployment.ConnectionLoads {
 		payload.HasLoad, payload.Load = true, r.client.class.RelativeLoad*1000
 	}
-	if s.dispatch(r.balancer, core.AttemptAccepted{Client: r.handle, Attempt: a.number, Payload: payload}); r.task != a || r.client.established != a {
+	if s.dispatch(r.balancer,
+		core.AttemptAccepted{Client: r.handle, Attempt: a.number, Payload: payload}); r.attempt != a ||
+		r.client.established != a {
 		return
 	}
 	s.schedule(s.randomDuration(0, 2*time.Second), func() { s.sendClientData(a) })
 	s.schedule(max(0, r.client.end-s.now), func() {
 		switch {
-		case r.task != a || r.client.established != a:
+		case r.attempt != a || r.client.established != a:
 		case s.rng.IntN(2) == 0 && a.server.responsive():
 			s.endAttempt(a, core.CloseFinished, true)
 		default:
@@ -779,7 +803,7 @@
 	})
 }
 
-// leaves has a terminal go that has had enough.
+// closeClient makes a client close its connection at the end of its lifetime.
 func (s *Site) closeClient(r *request) {
 	s.dispatch(r.balancer, core.ClientClosed{Client: r.handle, Reason: core.CloseReset})
 	s.endRequest(r, lossNone, 0)
@@ -787,23 +811,25 @@
 
 var sampleLine = core.Payload{Data: []byte("x\r\n"), Lines: 1}
 
-// talks has a terminal send its line.
+// sendClientData makes a client send data every two seconds.
 func (s *Site) sendClientData(a *attempt) {
-	if r := a.request; r.task == a && r.client.established == a && !r.balancer.dead {
+	if r := a.request; r.attempt == a && r.client.established == a && !r.balancer.dead {
 		s.schedule(2*time.Second, func() { s.sendClientData(a) })
 		s.dispatch(r.balancer, core.DataReceived{Client: r.handle, Payload: sampleLine})
 	}
 }
 
-// returns has a region return a line.
+// receiveData makes a server receive data and reply to it.
 func (s *Site) receiveData(r *request, a *attempt) {
 	a.awaitingReply = true
-	s.schedule(s.latency(r.balancer, a.server)*2+time.Duration(max(0, s.loadRatio(a.server)-1)*float64(400*time.Millisecond)), func() { s.replyData(r, a) })
+	s.schedule(
+		s.latency(r.balancer, a.server)*2+time.Duration(max(0, s.loadRatio(a.server)-1)*float64(400*time.Millisecond)),
+		func() { s.replyData(r, a) })
 }
 
 func (s *Site) replyData(r *request, a *attempt) {
 	switch {
-	case r.task != a || r.balancer.dead || a.server.down:
+	case r.attempt != a || r.balancer.dead || a.server.down:
 	case a.server.hung:
 		s.schedule(250*time.Millisecond, func() { s.replyData(r, a) })
 	default:
@@ -812,7 +838,7 @@
 	}
 }
 
-// call is a call to discovery.
+// openWatch handles a balancer's request for a watch at discovery.
 func (s *Site) openWatch(b *balancerProcess, version int64) {
 	if b.watch != nil && b.watch.answered {
 		b.previousWatch = b.watch
@@ -840,12 +866,13 @@
 			body = httpChunk(s.Deployment.ListJSON(int64(len(s.published)), false, endpoints))
 		}
 		w.open, b.watchFailed, b.watchSilentSince, b.previousWatch = true, false, 0, nil
-		s.deliverWatchData(b, w, append([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), body...), int64(len(s.published)))
+		s.deliverWatchData(b, w, append([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), body...),
+			int64(len(s.published)))
 		s.schedule(2*time.Second, func() { s.sendHeartbeat(b, w) })
 	})
 }
 
-// beats is the empty line of a watch on which nothing changes.
+// sendHeartbeat sends the empty line that keeps an idle watch alive.
 func (s *Site) sendHeartbeat(b *balancerProcess, w *watch) {
 	if b.dead || !w.open || w.silent || b.watch != w && b.previousWatch != w {
 		return
@@ -863,7 +890,7 @@
 	b.receivedVersion = max(b.receivedVersion, version)
 }
 
-// deliver brings bytes of a watch, in pieces.
+// deliverWatchData delivers data of a watch in random pieces.
 func (s *Site) deliverWatchData(b *balancerProcess, w *watch, data []byte, version int64) {
 	s.recordNotification(b, version)
 	for len(data) > 0 {
@@ -892,10 +919,11 @@
 	}
 }
 
-// exit is a balancer's own end.
+// exitBalancer handles a balancer's own exit.
 func (s *Site) exitBalancer(b *balancerProcess) { s.stopBalancer(b, true) }
 
-// kill ends a process. Its terminals come again, or go on through another balancer where packets pass through.
+// stopBalancer ends a process. Its clients connect again; with pass-through, established connections continue through
+// another balancer.
 func (s *Site) stopBalancer(b *balancerProcess, graceful bool) {
 	if b.dead {
 		return
@@ -919,12 +947,13 @@
 			})
 			continue
 		}
-		s.endRequest(r, lossDisconnected, s.randomDuration(50*time.Millisecond, s.Deployment.ReconnectDelay+100*time.Millisecond))
+		s.endRequest(r, lossDisconnected,
+			s.randomDuration(50*time.Millisecond, s.Deployment.ReconnectDelay+100*time.Millisecond))
 	}
 	b.requestOrder = nil
 }
 
-// some picks a part of the regions, at least one.
+// pickServers returns a random selection of the eligible servers, at least one if there is any.
 func (s *Site) pickServers(share float64, eligible func(*siteServer) bool) (list []*siteServer) {
 	for _, srv := range s.servers {
 		if eligible(srv) {
@@ -937,7 +966,7 @@
 
 func available(srv *siteServer) bool { return srv.state == policy.Live && !srv.down }
 
-// drain has a region go: it is replaced by a cold one at once, and stops after a while.
+// drainServer drains a server, adds a replacement that is warming up at once, and stops the server after a while.
 func (s *Site) drainServer(srv *siteServer) {
 	if !available(srv) {
 		return
@@ -947,7 +976,7 @@
 	if s.Deployment.CloseOnDrain {
 		for _, a := range slices.Clone(srv.attempts) {
 			s.schedule(s.randomDuration(100*time.Millisecond, 3*time.Second), func() {
-				if r := a.request; r.task == a && r.client.established == a && srv.responsive() {
+				if r := a.request; r.attempt == a && r.client.established == a && srv.responsive() {
 					s.endAttempt(a, core.CloseMigrated, true)
 				}
 			})
@@ -960,7 +989,7 @@
 	})
 }
 
-// crash resets all connections of a region, whose machine lives.
+// crashServer resets all connections of a server whose machine still responds.
 func (s *Site) crashServer(srv *siteServer) {
 	srv.down = true
 	for _, a := range slices.Clone(srv.attempts) {
@@ -972,10 +1001,10 @@
 	}
 }
 
-// returnsCold has a region that was down be back.
+// restartServer restarts a server that was down. It is warming up again.
 func (s *Site) restartServer(srv *siteServer) {
 	srv.down, srv.hung, srv.startedAt, srv.warmUpArrivals = false, false, s.now, nil
-	srv.StartedAtMS, srv.startVersion = s.unixMillis(s.now), math.MaxInt64 // nobody knows yet
+	srv.StartedAtMS, srv.startVersion = s.unixMillis(s.now), math.MaxInt64 // no balancer is notified yet
 	s.changeState(srv, policy.Live, true)
 }
 
@@ -985,8 +1014,8 @@
 			s.schedule(period*time.Duration(i)/time.Duration(max(1, n))+core.TickInterval, func() { f(i) })
 		}
 	}
-	drainSome := func(in time.Duration) {
-		s.schedule(in, func() {
+	drainSome := func(delay time.Duration) {
+		s.schedule(delay, func() {
 			for _, srv := range s.pickServers(incident.AffectedShare/2, available) {
 				s.drainServer(srv)
 			}
@@ -998,9 +1027,9 @@
 		spread(incident.Duration, len(list), func(i int) { s.drainServer(list[i]) })
 	case generate.ServerLoss:
 		for _, srv := range s.pickServers(incident.AffectedShare, available) {
-			srv.down = true // silent: the machine is gone
+			srv.down = true // the machine is lost and does not respond
 			s.schedule(incident.Duration, func() {
-				s.crashServer(srv) // what it held is reset once it is back
+				s.crashServer(srv) // existing connections are reset when the machine is back
 				s.restartServer(srv)
 			})
 		}
@@ -1015,7 +1044,8 @@
 			s.schedule(2*incident.Duration, func() { srv.speed = 1 })
 		}
 	case generate.SlowConnects:
-		s.slowConnectShare, s.maxConnectDelay = incident.AffectedShare, time.Duration(incident.Factor*float64(600*time.Millisecond))
+		s.slowConnectShare, s.maxConnectDelay = incident.AffectedShare,
+			time.Duration(incident.Factor*float64(600*time.Millisecond))
 		s.schedule(2*incident.Duration, func() { s.slowConnectShare = 0 })
 	case generate.ServerErrors:
 		for _, srv := range s.pickServers(incident.AffectedShare/2, available) {
@@ -1037,7 +1067,8 @@
 	case generate.DiscoveryOutage:
 		s.discoveryDown, s.discoveryUpAt = true, max(s.discoveryUpAt, s.now+incident.Duration)
 		s.breakWatches()
-		s.schedule(incident.Duration, func() { s.discoveryDown = s.now+core.TickInterval < s.discoveryUpAt }) // one outage may go on into the next
+		// Outages may overlap.
+		s.schedule(incident.Duration, func() { s.discoveryDown = s.now+core.TickInterval < s.discoveryUpAt })
 		drainSome(incident.Duration)
 	case generate.PlannedRestart:
 		spread(incident.Duration+8*time.Second, len(s.balancers), func(i int) { s.shutDownBalancer(i) })
@@ -1057,7 +1088,7 @@
 func (s *Site) restartBalancer(slot int) {
 	if s.balancers[slot].dead {
 		if err := s.startBalancer(slot, false); err != nil {
-			s.Evaluation.violation(s, "start", "balancer %d doesn't start again: %v", slot, err)
+			s.Evaluation.violation(s, "start", "balancer %d failed to restart: %v", slot, err)
 		}
 	}
 }
@@ -1071,7 +1102,7 @@
 	}
 }
 
-// restart is a planned one.
+// shutDownBalancer shuts a balancer down for a planned restart.
 func (s *Site) shutDownBalancer(slot int) {
 	b := s.balancers[slot]
 	if b.dead || b.shuttingDown {
--- a/internal/simulation/site_test.go
+++ b/internal/simulation/site_test.go
@@ -12,11 +12,12 @@
 	"oatloft/internal/generate"
 )
 
-// small are the first deployments that a busy machine plays in a moment, picked by size and by what a test is about.
+// smallDeployments returns the first n deployments that match and are small enough to run quickly on a busy machine.
 func smallDeployments(n int, matches func(*generate.Deployment) bool) (list []generate.Deployment) {
 	for seed := 0; len(list) < n; seed++ {
 		d := generate.FromSeed(seed)
-		if connections := d.ServerCapacity * d.Load * float64(d.Servers); d.Balancers <= 25 && connections < 800 && connections/d.ConnectionLifetime.Seconds() < 60 && matches(&d) {
+		if connections := d.ServerCapacity * d.Load * float64(d.Servers); d.Balancers <= 25 && connections < 800 &&
+			connections/d.ConnectionLifetime.Seconds() < 60 && matches(&d) {
 			list = append(list, d)
 		}
 	}
@@ -25,7 +26,8 @@
 
 func anyDeployment(*generate.Deployment) bool { return true }
 
-// No rule breaks in drawn deployments, and as much is served as a day's gate asks. oatlab crowd --drawn plays more.
+// Generated deployments violate no rule, and the balancers serve as much as the criteria require. oatlab crowd --drawn
+// runs more deployments.
 func TestGeneratedDeployments(t *testing.T) {
 	served := 0.0
 	for _, d := range smallDeployments(8, anyDeployment) {
@@ -38,15 +40,15 @@
 			t.Errorf("seed %d: %v\n%s\n%s", d.Seed, failures, Describe(d), p.Own.First)
 		}
 		if p.Own.Placed == 0 || p.Own.Demanded == 0 || p.Seer.Demanded == 0 {
-			t.Errorf("seed %d plays nothing: %+v", d.Seed, p.Own)
+			t.Errorf("seed %d: no connection was established or demanded: %+v", d.Seed, p.Own)
 		}
 	}
 	if served < 8*0.7 {
-		t.Errorf("served %.2f of what the policy serves that sees all, in the mean", served/8)
+		t.Errorf("served %.2f of what the baseline serves, in the mean", served/8)
 	}
 }
 
-// The same seed gives the same play.
+// The same seed gives the same results.
 func TestSameDeploymentSameResult(t *testing.T) {
 	d := smallDeployments(1, anyDeployment)[0]
 	a, err := CompareDeployment(d)
@@ -55,33 +57,42 @@
 	}
 	b, err := CompareDeployment(d)
 	if diff := cmp.Diff(a, b, cmp.Exporter(func(reflect.Type) bool { return true })); err != nil || diff != "" {
-		t.Errorf("%v: two plays differ: %s", err, diff)
+		t.Errorf("%v: two runs differ: %s", err, diff)
 	}
 }
 
-// Breaks that one deployment's figures hide are found by the rules, each by the one that it breaks.
+// Each defect, such as a setting replaced by a fixed value, violates the rule that it breaks in deployments whose own
+// settings differ from that value.
 func TestDefectsBreakTheirRule(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
 		defect     Defect
-		where      func(*generate.Deployment) bool // the figure that is put in isn't the deployment's
+		where      func(*generate.Deployment) bool // selects deployments whose own setting differs from the defect's value
 	}{
-		{"news of a drain count only after 1.5 s", "drains", Defect{UpdateDelay: 1500 * time.Millisecond}, anyDeployment},
-		{"a literal cold bound", "cold", Defect{Alter: func(c *core.Config) {
-			c.Policy.Balancers, c.Policy.OverloadMultiple, c.Policy.OverloadWindow, c.Policy.WarmUpDuration = 1, 8, 5*time.Second, time.Second
+		{"drain notifications take effect only after 1.5 s", "drains", Defect{UpdateDelay: 1500 * time.Millisecond},
+			anyDeployment},
+		{"a fixed warm-up bound", "cold", Defect{Alter: func(c *core.Config) {
+			c.Policy.Balancers, c.Policy.OverloadMultiple, c.Policy.OverloadWindow, c.Policy.WarmUpDuration = 1, 8,
+				5*time.Second, time.Second
 		}}, anyDeployment},
-		{"a literal number of attempts", "attempts", Defect{Alter: func(c *core.Config) { c.Policy.MaxAttempts = 6 }}, func(d *generate.Deployment) bool { return d.MaxAttempts < 4 }},
-		{"a literal advice", "advice", Defect{Alter: func(c *core.Config) { c.Policy.MaxRetryAfter = 2 * time.Second }}, func(d *generate.Deployment) bool { return d.MaxRetryAfter < time.Second }},
-		{"probes whatever the settings say", "probes", Defect{Alter: func(c *core.Config) { c.Policy.ProbesEnabled = true }}, func(d *generate.Deployment) bool { return !d.ProbesEnabled }},
-		{"a literal effect", "repeats", Defect{Alter: func(c *core.Config) {
+		{"a fixed number of attempts", "attempts", Defect{Alter: func(c *core.Config) { c.Policy.MaxAttempts = 6 }},
+			func(d *generate.Deployment) bool { return d.MaxAttempts < 4 }},
+		{"a fixed retry-after", "advice", Defect{Alter: func(c *core.Config) { c.Policy.MaxRetryAfter = 2 * time.Second }},
+			func(d *generate.Deployment) bool { return d.MaxRetryAfter < time.Second }},
+		{"probes despite the settings", "probes", Defect{Alter: func(c *core.Config) { c.Policy.ProbesEnabled = true }},
+			func(d *generate.Deployment) bool { return !d.ProbesEnabled }},
+		{"a fixed idempotency", "repeats", Defect{Alter: func(c *core.Config) {
 			for i := range c.Policy.Classes {
 				c.Policy.Classes[i].Idempotency = 0
 			}
 		}}, anyDeployment},
-		{"a literal connect time-out", "connect time-out", Defect{Alter: func(c *core.Config) { c.ConnectTimeout = 2 * time.Second }}, func(d *generate.Deployment) bool {
-			return d.ConnectTimeout < 600*time.Millisecond && d.HasIncident(generate.ServerLoss)
-		}},
-		{"standing connections go on elsewhere, they don't", "moved at the end", Defect{Alter: func(c *core.Config) { c.PassThrough = true }}, func(d *generate.Deployment) bool { return !d.PassThrough && d.HasIncident(generate.PlannedRestart) }},
+		{"a fixed connect time-out", "connect time-out",
+			Defect{Alter: func(c *core.Config) { c.ConnectTimeout = 2 * time.Second }}, func(d *generate.Deployment) bool {
+				return d.ConnectTimeout < 600*time.Millisecond && d.HasIncident(generate.ServerLoss)
+			}},
+		{"pass-through assumed where it is disabled", "migrated before exit",
+			Defect{Alter: func(c *core.Config) { c.PassThrough = true }},
+			func(d *generate.Deployment) bool { return !d.PassThrough && d.HasIncident(generate.PlannedRestart) }},
 	} {
 		found, tried := 0, 0
 		for _, d := range smallDeployments(12, c.where) {
@@ -97,12 +108,12 @@
 			tried++
 		}
 		if t.Logf("%s: %d in %d", c.name, found, tried); found == 0 {
-			t.Errorf("%s is not found by %d deployments", c.name, tried)
+			t.Errorf("%s: no violation in %d deployments", c.name, tried)
 		}
 	}
 }
 
-// FuzzDrawnDeployments looks for deployments that break a rule.
+// FuzzGeneratedDeployments searches for deployments that violate a rule.
 func FuzzGeneratedDeployments(f *testing.F) {
 	f.Fuzz(rapid.MakeFuzz(func(t *rapid.T) {
 		s, err := NewSite(generate.NewDeployment(t), false, Defect{})
