--- a/internal/generate/deployment.go
+++ b/internal/generate/deployment.go
@@ -139,8 +139,8 @@
 func NewDeployment(t *rapid.T) Deployment {
 	ms := time.Millisecond
 	d := Deployment{Zones: rapid.IntRange(0, 6).Draw(t, "zones"), Balancers: spreadInt(t, "balancers", 1, 300),
-		Servers:     spreadInt(t, "servers", 2, 90),
-		UnevenZones: rapid.IntRange(0, 3).Draw(t, "uneven zones") == 0, Cells: rapid.IntRange(1, 4).Draw(t, "cells"),
+		Servers:     spreadInt(t, "regions", 2, 90),
+		UnevenZones: rapid.IntRange(0, 3).Draw(t, "lopsided") == 0, Cells: rapid.IntRange(1, 4).Draw(t, "cells"),
 		Groups:          rapid.SampledFrom([]int{0, 3, 40}).Draw(t, "groups"),
 		TimerResolution: randomDuration(t, "tick", ms, 20*ms),
 		ConnectTimeout:  randomDuration(t, "connect time-out", 80*ms, time.Second),
@@ -153,7 +153,7 @@
 		WarmUpDuration:        randomDuration(t, "warm-up duration", 2*time.Second, 40*time.Second),
 		OverloadWindow:        randomDuration(t, "overload window", 300*ms, 5*time.Second),
 		OverloadMultiple:      randomFloat(t, "overload multiple", 1.2, 6),
-		CrossZoneCost:         randomFloat(t, "cross-zone cost", 0, 0.4),
+		CrossZoneCost:         randomFloat(t, "crossing", 0, 0.4),
 		PassThrough:           rapid.IntRange(0, 2).Draw(t, "pass") == 0,
 		ServerCapacity:        randomFloat(t, "fill", 12, 150), Load: randomFloat(t, "load", 0.25, 0.75),
 		ConnectionLifetime: randomDuration(t, "life", 2*time.Second, 3*time.Minute),
@@ -166,7 +166,7 @@
 		TrafficSkew:    randomFloat(t, "skew", 1, 8),
 		DrainDuration:  randomDuration(t, "drain duration", 3*time.Second, 20*time.Second),
 		CloseOnDrain:   rapid.Bool().Draw(t, "close on drain"), ConnectionLoads: rapid.Bool().Draw(t, "loads"),
-		CachedList: rapid.Bool().Draw(t, "cached list")}
+		CachedList: rapid.Bool().Draw(t, "known")}
 	if rapid.Bool().Draw(t, "advice") {
 		d.MaxRetryAfter = randomDuration(t, "max retry-after", 100*ms, 5*time.Second)
 	}
@@ -208,8 +208,8 @@
 			policy.Tenant{Name: randomName(t, "tenant", i),
 				ConnectionQuota: float64(rapid.SampledFrom([]int{0, 1, 20, 300, 6000}).Draw(t, "share"))})
 	}
-	for range rapid.IntRange(1, 4).Draw(t, "incidents") {
-		d.Incidents = append(d.Incidents, Incident{Kind: incidentKinds[spreadInt(t, "incident", 0, len(incidentKinds)-1)],
+	for range rapid.IntRange(1, 4).Draw(t, "troubles") {
+		d.Incidents = append(d.Incidents, Incident{Kind: incidentKinds[spreadInt(t, "trouble", 0, len(incidentKinds)-1)],
 			At:            randomDuration(t, "at", 4*time.Second, 16*time.Second),
 			Duration:      randomDuration(t, "for", time.Second, 8*time.Second),
 			AffectedShare: randomFloat(t, "affected share", 0.1, 0.6), Factor: randomFloat(t, "times", 1.3, 2.5)})
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -104,7 +104,7 @@
 
 // Describe summarizes the properties of a deployment in one line.
 func Describe(d generate.Deployment) string {
-	delivery, fields, retryAfter := "polled", strings.Join(d.ReportFields, " "), "no retry-after"
+	delivery, fields, retryAfter := "polled", strings.Join(d.ReportFields, " "), "no advice"
 	if d.PushUpdates {
 		delivery = "pushed"
 	}
@@ -118,7 +118,7 @@
 		fields = "no probes"
 	}
 	if d.MaxRetryAfter > 0 {
-		retryAfter = "retry-after"
+		retryAfter = "advice"
 	}
 	kinds := []string{}
 	for _, incident := range d.Incidents {
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -220,7 +220,7 @@
 
 func (s *Site) newClient(start time.Duration) *client {
 	c := &client{key: fmt.Sprint("k", s.lastID), start: start,
-		end:         start + time.Duration(s.rng.ExpFloat64()*float64(s.Deployment.ConnectionLifetime)) +
+		end: start + time.Duration(s.rng.ExpFloat64()*float64(s.Deployment.ConnectionLifetime)) +
 			500*time.Millisecond,
 		tenantIndex: -1}
 	s.lastID++
