--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -19,7 +19,7 @@
 // enough to run quickly.
 func TestDefectsAreFound(t *testing.T) {
 	defer failpoint.Choose("")
-	const maxTries, minDifference = 12, 0.15 // deployments for each failpoint; loss of Played.Share that counts as detected
+	const maxTries, minDifference = 12, 0.15 // deployments per failpoint; least drop of the share
 	for _, defect := range []struct {
 		name  string
 		where func(*generate.Deployment) bool
