--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -13,35 +13,35 @@
 	"oatloft/internal/revision"
 )
 
-// Methods of the calls between members. Other versions know them by these names.
+// Methods of the calls between members. Members of other versions use the same names.
 const (
-	methodRenew   = "renew"   // a lease
-	methodJoin    = "join"    // a process is to be listed
-	methodLeave   = "leave"   // a process gives up its lease for good
-	methodEnded   = "ended"   // another process of the caller has ended
-	methodOperate = "operate" // an operator's call
+	methodRenew   = "renew"   // renews a lease
+	methodJoin    = "join"    // adds a process to the lease holders
+	methodLeave   = "leave"   // gives up a process's lease for good
+	methodEnded   = "ended"   // reports that another process of the caller's balancer has ended
+	methodOperate = "operate" // carries out an operator's order
 )
 
 const (
-	maxInFlight       = 64 // of the leader's commands
+	maxInFlight       = 64 // commands of the leader that are being committed
 	commitTimeout     = 5 * time.Second
-	commitRetry       = 20 * time.Millisecond // the log does not take entries now
+	commitRetry       = 20 * time.Millisecond // delay after the log has not accepted an entry
 	minConfirmTimeout = 200 * time.Millisecond
-	maxLeaderStep     = 50 * time.Millisecond // between two looks of a leader ...
-	proposalStep      = 10 * time.Millisecond // ... and while a proposal is under way
-	leaseSteps        = 16                    // looks of a leader in the time of a lease
+	maxLeaderStep     = 50 * time.Millisecond // longest interval between steps of the leader
+	proposalStep      = 10 * time.Millisecond // the same while a proposal is pending
+	leaseSteps        = 16                    // steps of the leader per lease duration
 )
 
-// machine is the host as the log's state machine. Its methods run on the log's goroutine.
+// machine implements the log's state machine on a Host. Its methods run on the log's goroutine.
 type machine Host
 
 var _ consensus.Machine = (*machine)(nil)
 
-// Apply takes a committed entry. One that cannot be read does nothing, at all members alike.
+// Apply applies a committed entry. An entry that cannot be decoded is skipped, at all members alike.
 func (m *machine) Apply(_ uint64, entry []byte) {
 	command, err := revision.ReadCommand(entry)
 	if err != nil {
-		m.log.Error("a settled entry can't be read", "err", err)
+		m.log.Error("revisions: skipped a committed entry that cannot be decoded", "err", err)
 		return
 	}
 	m.mu.Lock()
@@ -61,8 +61,8 @@
 	signal(m.wakeCoordinator)
 }
 
-// releaseBandwidth tells of holders that use nothing of links any more: one that has left, or the earlier processes
-// of one that joins.
+// releaseBandwidth reports the holders that no longer use links: a holder that has left, or the earlier processes of
+// a holder that joins. It is called with mu held.
 func (m *machine) releaseBandwidth(command revision.Command, before []revision.HolderEntry) {
 	if m.cfg.Bandwidth == nil {
 		return
@@ -79,14 +79,14 @@
 	}
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *machine) Snapshot() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Snapshot()
 }
 
-// Restore takes a snapshot in place of the state.
+// Restore replaces the state with a snapshot.
 func (m *machine) Restore(_ uint64, snapshot []byte) error {
 	state := &revision.State{}
 	if err := state.Restore(snapshot); err != nil {
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// commit has a command committed. The error is the state's refusal, or *NotCommitted if the outcome is not known.
+// commit commits a command to the log and returns its result. The error is the state's rejection of the command, or
+// *NotCommitted if the outcome is unknown.
 func (h *Host) commit(ctx context.Context, command revision.Command) (revision.Result, error) {
 	command.Nonce = rand.Uint64() | 1
 	w := make(chan revision.Result, 1)
@@ -117,12 +118,12 @@
 	select {
 	case result := <-w:
 		return result, result.Err
-	default: // a snapshot has come in place of the entry
-		return revision.Result{}, &NotCommitted{"it may have been settled long ago"}
+	default: // a snapshot was restored instead of applying the entry
+		return revision.Result{}, &NotCommitted{"a snapshot replaced its log entry"}
 	}
 }
 
-// coordinate is the goroutine that does the leader's work while this process leads.
+// coordinate runs the leader's steps while this process leads. It is a goroutine of its own.
 func (h *Host) coordinate() {
 	for {
 		wait := h.leadStep()
@@ -137,7 +138,7 @@
 	}
 }
 
-// leadStep does what a leader has to do now, and returns when to look again.
+// leadStep commits the commands that are due if this process leads, and returns the time until the next step.
 func (h *Host) leadStep() time.Duration {
 	leader := h.node.Leader()
 	h.mu.Lock()
@@ -170,7 +171,8 @@
 	return min(maxLeaderStep, h.cfg.Lease/leaseSteps)
 }
 
-// commitInBackground has one of the leader's commands committed, unless it is on its way already. With mu held.
+// commitInBackground commits one of the leader's commands in a goroutine, unless the same command is being committed
+// or maxInFlight is reached. It is called with mu held.
 func (h *Host) commitInBackground(command revision.Command) {
 	id := fmt.Sprint(h.term, command.Op, command.Holder, command.ProposalID, command.Epoch, command.Key)
 	if h.inFlight[id] || len(h.inFlight) >= maxInFlight {
@@ -201,7 +203,7 @@
 	})
 }
 
-// beginTerm begins the leader's term, unless another one leads by now. With mu held.
+// beginTerm begins the leader's term, unless leadership has changed meanwhile. It is called with mu held.
 func (h *Host) beginTerm(logTerm, number uint64) {
 	if h.leader == nil || h.term != logTerm || h.leader.Term() != 0 {
 		return
@@ -212,8 +214,8 @@
 	}
 }
 
-// lockAsLeader makes sure that this process leads, later than the call began. It returns with mu held if there is
-// no error (*NotLeader).
+// lockAsLeader confirms that this process still leads after the call began. It returns with mu held unless it
+// returns an error, which is a *NotLeader.
 func (h *Host) lockAsLeader(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, max(h.cfg.Lease/2, minConfirmTimeout))
 	defer cancel()
@@ -233,7 +235,7 @@
 	return nil
 }
 
-// serve answers other members' calls.
+// serve handles calls of other members.
 func (h *Host) serve(ctx context.Context, from, method string, body []byte) ([]byte, error) {
 	switch method {
 	case methodRenew:
@@ -267,7 +269,7 @@
 		text, err := h.executeOrder(ctx, order)
 		return []byte(text), err
 	}
-	return nil, &revision.Corrupt{Cause: "no such call: " + method}
+	return nil, &revision.Corrupt{Cause: "unknown method: " + method}
 }
 
 func unmarshal(body []byte, to any) error {
@@ -286,8 +288,8 @@
 	return err
 }
 
-// serveRenew answers a renewal, once it is sure, after the renewal came, that this process leads. What is granted
-// of links counts from before that.
+// serveRenew answers a renewal once this process is confirmed to lead after receiving it. Bandwidth grants count from
+// the time of receipt, which precedes the confirmation.
 func (h *Host) serveRenew(ctx context.Context, body []byte) ([]byte, error) {
 	var request revision.RenewRequest
 	if err := unmarshal(body, &request); err != nil {
--- a/internal/revision/host/ended.go
+++ b/internal/revision/host/ended.go
@@ -7,15 +7,15 @@
 	"oatloft/internal/revision"
 )
 
-// Bounds of the time between two looks for ended processes.
+// Interval between checks for ended processes.
 const (
 	minWatchInterval = 100 * time.Millisecond
 	maxWatchInterval = 2 * time.Second
-	watchParts       = 4 // looks in the time of a lease
+	watchParts       = 4 // checks per lease duration
 )
 
-// watchEnded reports this balancer's ended processes to the leader, so that nobody waits for their leases. It looks
-// again and again, because a process may end after the next one has started.
+// watchEnded reports this balancer's ended processes to the leader, so that no member waits for their leases. It
+// checks periodically, because a process may end after its successor has started.
 func (h *Host) watchEnded() {
 	interval := min(max(h.cfg.Lease/watchParts, minWatchInterval), maxWatchInterval)
 	for {
@@ -28,7 +28,7 @@
 	}
 }
 
-// reportEnded reports each ended process, up to the first call that fails.
+// reportEnded reports each ended process and stops at the first call that fails.
 func (h *Host) reportEnded() {
 	leader := h.node.Leader()
 	if leader.Name == "" {
@@ -40,14 +40,15 @@
 			return
 		}
 		h.processes.remove(generation)
-		h.log.Info("revisions: an earlier process has ended without a word", "generation", generation)
+		h.log.Info("revisions: another process of this balancer has ended without giving up its lease",
+			"generation", generation)
 	}
 }
 
-// processEnded ends the lease of a process that another process of the same balancer has seen end.
+// processEnded ends the lease of a process that another process of the same balancer has reported as ended.
 func (h *Host) processEnded(ctx context.Context, from string, holder revision.Holder) error {
 	if from != holder.Name {
-		return &revision.Corrupt{Cause: from + " tells that a process of " + holder.Name + " has ended"}
+		return &revision.Corrupt{Cause: from + " reports that a process of " + holder.Name + " has ended"}
 	}
 	if err := h.lockAsLeader(ctx); err != nil {
 		return err
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -14,37 +14,37 @@
 const (
 	// callTimeout bounds a call to join or to leave, and one that reports an ended process.
 	callTimeout = 2 * time.Second
-	// minRenewTimeout is the least time a renewal's answer is waited for.
+	// minRenewTimeout is the shortest timeout of a renewal call.
 	minRenewTimeout = time.Second
-	// maxCalls is how many calls to leaders may be under way.
+	// maxCalls is the number of calls in flight above which no further call is started.
 	maxCalls = 3
-	// minRetryAfter is the least time between a failed call and the next one.
+	// minRetryAfter is the shortest delay between a failed call and the next one.
 	minRetryAfter = 10 * time.Millisecond
-	// minIdle is the least time between two looks of the lease holder that have nothing to do.
+	// minIdle is the shortest interval between steps of the lease holder while it has nothing to do.
 	minIdle = 5 * time.Millisecond
-	// minWait keeps the lease holder's timer from spinning.
+	// minWait is the shortest timer of the lease holder, which keeps its loop from spinning.
 	minWait = time.Millisecond
 )
 
-// Parts of a lease's length after which a lease holder acts.
+// Intervals of the lease holder, as divisors of the lease duration.
 const (
-	renewParts = 8  // renews in the usual case
-	retryParts = 16 // calls again after a failure
-	idleParts  = 64 // looks again while no leader answers
+	renewParts = 8  // between renewals
+	retryParts = 16 // before a retry after a failed call
+	idleParts  = 64 // between steps while no leader answers
 )
 
-// leaseHolder is the goroutine that holds this balancer's lease: it joins, renews and leaves, and publishes what
-// the member says. It reports an acknowledgement to the leader only once the proxy's loop has given it.
+// leaseHolder holds this balancer's lease in a goroutine of its own: it joins, renews and leaves, and publishes the
+// member's lease. It passes an acknowledgement on to the leader only after the proxy's loop has given it.
 type leaseHolder struct {
 	*Host
 	member *revision.Member
 	log    *slog.Logger
 
-	calls        int // under way
+	calls        int // in flight
 	lastCall     time.Duration
 	nextCall     time.Duration
-	calledLeader consensus.LeaderInfo // to which the calls under way were sent
-	knownLeader  consensus.LeaderInfo // as last seen
+	calledLeader consensus.LeaderInfo // the leader that the last call was sent to
+	knownLeader  consensus.LeaderInfo // the leader at the last step
 	answers      chan answer
 	joined       chan error
 	joining      bool
@@ -57,7 +57,7 @@
 
 // answer is the outcome of a call to the leader.
 type answer struct {
-	seq         uint64 // of a renewal; 0 for the call to leave
+	seq         uint64 // of a renewal; 0 for a call to leave
 	requestedAt time.Duration
 	reply       revision.RenewReply
 	err         error
@@ -96,7 +96,7 @@
 	}
 }
 
-// untilNextStep returns when to look again: at the next call, or when the lease expires.
+// untilNextStep returns the time until the next call or the expiry of the lease, whichever is earlier.
 func (h *leaseHolder) untilNextStep() time.Duration {
 	wait := max(h.nextCall-h.now(), 0)
 	if l := h.member.Lease(); l.Phase == revision.Active && l.Until != revision.Forever {
@@ -115,13 +115,13 @@
 		h.knownLeader, h.nextCall = leader, now
 	}
 	switch {
-	case h.left || leader.Name == "" || h.calls > maxCalls: // nobody to call, or nobody answers
+	case h.left || leader.Name == "" || h.calls > maxCalls: // no call to make, no leader, or calls remain unanswered
 	case h.member.HasLeft():
 		if h.calls == 0 {
 			h.callLeave(leader)
 		}
-	case h.member.Lease().Phase == revision.Released: // until the loop has acknowledged it
-	case h.calls > 0 && sameLeader(leader, h.calledLeader) && now < h.lastCall+h.cfg.Lease/2: // an answer may still come
+	case h.member.Lease().Phase == revision.Released: // wait for the loop's acknowledgement
+	case h.calls > 0 && sameLeader(leader, h.calledLeader) && now < h.lastCall+h.cfg.Lease/2: // await the answer
 	case now >= h.nextCall:
 		h.nextCall = now + h.cfg.Lease/renewParts
 		h.callRenew(leader, now)
@@ -133,7 +133,7 @@
 
 func sameLeader(a, b consensus.LeaderInfo) bool { return a.Term == b.Term && a.Name == b.Name }
 
-// callRenew asks the leader for a renewal. A grant counts from requestedAt, which was read before anything was sent.
+// callRenew asks the leader for a renewal. A grant counts from requestedAt, which is read before the request is sent.
 func (h *leaseHolder) callRenew(leader consensus.LeaderInfo, requestedAt time.Duration) {
 	request := h.member.NextRequest()
 	totals := &h.totals
@@ -154,7 +154,7 @@
 	})
 }
 
-// callLeave tells the leader that this process has given its lease back.
+// callLeave notifies the leader that this process has given up its lease.
 func (h *leaseHolder) callLeave(leader consensus.LeaderInfo) {
 	holder := h.member.Holder
 	h.startCall(leader, h.now(), func() answer {
@@ -162,7 +162,7 @@
 	})
 }
 
-// startCall runs a call to the leader in a goroutine of its own, which ends with the call's timeout.
+// startCall runs a call to the leader in a goroutine of its own. The call's timeout bounds the goroutine's life.
 func (h *leaseHolder) startCall(leader consensus.LeaderInfo, now time.Duration, call func() answer) {
 	h.calls++
 	h.lastCall, h.calledLeader = now, leader
@@ -175,7 +175,7 @@
 	}()
 }
 
-// callLeader calls a method of the leader with a JSON request; reply is nil where the answer carries nothing.
+// callLeader calls a method of the leader with a JSON request; reply is nil for methods whose answer has no body.
 func (h *Host) callLeader(
 	leader consensus.LeaderInfo, method string, request, reply any, timeout time.Duration,
 ) error {
@@ -231,7 +231,7 @@
 		h.join()
 		return
 	}
-	h.nextCall = now + h.cfg.Lease/renewParts // until the settings fit
+	h.nextCall = now + h.cfg.Lease/renewParts // retry until the settings are compatible
 }
 
 func (h *leaseHolder) handleLeft() {
@@ -242,7 +242,8 @@
 	}
 }
 
-// join has this process listed among the holders, once other processes of this balancer can see when it ends.
+// join adds this process to the lease holders, after its process file lets other processes of this balancer detect
+// its end.
 func (h *leaseHolder) join() {
 	h.joining = true
 	leader, generation := h.node.Leader(), h.member.Holder.Generation
@@ -254,7 +255,7 @@
 	}
 	go func() {
 		if err := h.processes.create(generation); err != nil { // not fatal: the next process or an operator ends the lease
-			h.log.Warn("revisions: nobody will see this process end", "err", hint.Line(err))
+			h.log.Warn("revisions: other processes will not detect the end of this process", "err", hint.Line(err))
 		}
 		err := h.callLeader(leader, methodJoin, request, nil, callTimeout)
 		select {
@@ -273,7 +274,7 @@
 	}
 }
 
-// logAnswer logs when calls begin to fail, and when they succeed again.
+// logAnswer logs the first failure of calls to the leader, and the first success after failures.
 func (h *leaseHolder) logAnswer(err error) {
 	failure := ""
 	if err != nil {
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -1,9 +1,10 @@
 // Package host runs the state machines of internal/revision on a replicated log (internal/consensus). It owns the
-// goroutines, the clocks and the calls between members, and it publishes the lease that says by which revision this
-// balancer may place new clients.
+// goroutines, the clocks and the calls between members, and it publishes the lease that determines by which revision
+// this balancer may place new clients.
 //
-// The machines decide who may route by what; this package only carries their decisions. The goroutine that moves
-// clients' data never waits for it: that goroutine reads Lease by an atomic load.
+// The state machines decide which balancer may route by which revision; this package only transports their
+// decisions. The goroutine that forwards clients' data never blocks on it: that goroutine reads Lease by an atomic
+// load.
 package host
 
 import (
@@ -20,20 +21,20 @@
 	"oatloft/internal/revision/lease"
 )
 
-// The types that the proxy's loop sees are declared in package lease, which does not import the log, so that a
+// The types that the proxy's loop uses are declared in package lease, which does not import the log, so that a
 // program can be built without it.
 type (
-	// Phase says whether a lease allows placing new clients.
+	// Phase is the state of a lease.
 	Phase = lease.Phase
-	// Lease says by which revision new clients may be placed.
+	// Lease determines by which revision new clients may be placed.
 	Lease = lease.Lease
-	// Bandwidth carries the shares of links.
+	// Bandwidth exchanges demand for and grants of link bandwidth.
 	Bandwidth = lease.Bandwidth
-	// Config has the settings of a host.
+	// Config holds the settings of a host.
 	Config = lease.Config
 )
 
-// The phases.
+// Phases of a lease.
 const (
 	Learning  = lease.Learning
 	Active    = lease.Active
@@ -45,7 +46,7 @@
 	lease.Start = func(cfg Config, log *slog.Logger) (lease.Host, error) {
 		h, err := Start(cfg, log)
 		if err != nil {
-			return nil, err // not h: a nil *Host is no nil lease.Host
+			return nil, err // not h: a nil *Host in a lease.Host compares unequal to nil
 		}
 		return h, nil
 	}
@@ -70,36 +71,36 @@
 	minHistory = 2
 )
 
-// acknowledgement says that the proxy's loop has gone by a lease since a time.
+// acknowledgement records since when the proxy's loop has used a lease.
 type acknowledgement struct {
 	seq uint64
 	at  int64 // microseconds of wall clock
 }
 
-// Host is one balancer's part in revisions. Its methods are safe for concurrent use, except that Acknowledge is for
-// one goroutine.
+// Host takes part in agreeing on revisions for one balancer. Its methods are safe for concurrent use, except that
+// Acknowledge is for one goroutine.
 type Host struct {
 	cfg  Config
 	log  *slog.Logger
 	node Node
-	base time.Time // durations count from here, on the monotonic clock
+	base time.Time // origin of the host's durations, on the monotonic clock
 
 	lease           atomic.Pointer[Lease]
 	acknowledged    atomic.Uint64
 	acksMu          sync.Mutex
-	acks            []acknowledgement // that the lease holder has not seen yet
+	acks            []acknowledgement // not yet collected by the lease holder
 	totals          [4]atomic.Int64
 	wakeHolder      chan struct{}
 	wakeCoordinator chan struct{}
 	leave           chan chan struct{}
 	processes       *processFiles
-	released        atomic.Bool // the leader knows that this process has left
+	released        atomic.Bool // the leader has confirmed that this process has left
 
 	mu       sync.Mutex // guards the fields below
 	state    *revision.State
 	waiting  map[uint64]chan revision.Result // by the command's nonce
 	leader   *revision.Leader                // nil while another member leads
-	term     uint64                          // of the log, in which leader leads
+	term     uint64                          // the log's term in which leader leads
 	inFlight map[string]bool                 // the leader's commands that are being committed
 
 	ctx        context.Context
@@ -107,8 +108,8 @@
 	goroutines sync.WaitGroup
 }
 
-// Start starts a host; it joins the others in the background. The error is about the settings or the folder; it is
-// no error that no other member answers.
+// Start starts a host, which joins the other members in the background. It returns an error for invalid settings or
+// an unusable folder, but not if no other member answers.
 func Start(cfg Config, log *slog.Logger) (*Host, error) {
 	return start(cfg, log, func(machine consensus.Machine, handler consensus.Handler) (Node, error) {
 		node, err := consensus.Start(consensusConfig(cfg.Log), machine, handler, log)
@@ -119,7 +120,7 @@
 	})
 }
 
-// consensusConfig returns the settings of the log.
+// consensusConfig converts the settings of the log to those of package consensus.
 func consensusConfig(log lease.Log) consensus.Config {
 	cfg := consensus.Config{
 		Cluster:      log.Cluster,
@@ -138,17 +139,17 @@
 	return cfg
 }
 
-// validate checks the settings that are the host's own.
+// validate checks the host's own settings; consensus.Start checks those of the log.
 func validate(cfg Config) error {
 	switch {
 	case cfg.Name == "":
 		return &ConfigError{"name", "is empty"}
 	case cfg.Lease < MinLease || cfg.Lease > MaxLease:
-		return &ConfigError{"lease", cfg.Lease.String() + " is not in " + MinLease.String() + " to " + MaxLease.String()}
+		return &ConfigError{"lease", cfg.Lease.String() + " is outside " + MinLease.String() + " to " + MaxLease.String()}
 	case cfg.Deadline < cfg.Lease/2:
 		return &ConfigError{"deadline", cfg.Deadline.String() + " is under half the lease"}
 	case cfg.History < minHistory:
-		return &ConfigError{"history", "under 2: there must be something to go back to"}
+		return &ConfigError{"history", "is under 2: a rollback needs an earlier revision"}
 	}
 	return nil
 }
@@ -196,7 +197,7 @@
 	return h, nil
 }
 
-// check returns why this balancer cannot route by a revision's text, or nil.
+// check returns an error if this balancer cannot route by a revision's text.
 func (h *Host) check(text json.RawMessage) error {
 	content, err := revision.Decode(text)
 	if err != nil {
@@ -205,7 +206,7 @@
 	return h.cfg.Check(content)
 }
 
-// now returns the time since the host's start, by the monotonic clock.
+// now returns the time since the host's start, on the monotonic clock.
 func (h *Host) now() time.Duration { return time.Since(h.base) }
 
 // signal wakes the goroutine that receives from c; it does not block.
@@ -216,10 +217,10 @@
 	}
 }
 
-// Lease returns what holds now. It is never nil and takes no lock.
+// Lease returns the current lease, which is never nil. It takes no lock.
 func (h *Host) Lease() *Lease { return h.lease.Load() }
 
-// Acknowledge says that the calling goroutine goes by the lease with this Seq, and by no earlier one.
+// Acknowledge reports that the calling goroutine uses the lease with this Seq, and no earlier one.
 func (h *Host) Acknowledge(seq uint64) {
 	if h.acknowledged.Load() == seq {
 		return
@@ -231,17 +232,17 @@
 	signal(h.wakeHolder)
 }
 
-// SetTotals sets the running totals of this process: new clients and routed requests asked for, refused, failed, and
-// answered late.
-func (h *Host) SetTotals(asked, refused, failed, late int64) {
-	for i, n := range [...]int64{asked, refused, failed, late} {
+// SetTotals sets the running totals of this process, over new clients and routed requests: all of them, and those
+// rejected, failed, and answered late.
+func (h *Host) SetTotals(requests, rejected, failed, late int64) {
+	for i, n := range [...]int64{requests, rejected, failed, late} {
 		h.totals[i].Store(n)
 	}
 }
 
-// Leave gives the lease back for good: no new clients are placed from now on. It returns once the leader knows, or
-// when ctx ends. In the second case the lease expires by itself; where on_cut is hold, it stays listed until a
-// later process or an operator ends it.
+// Leave gives up the lease for good: no new clients are placed from now on. It returns once the leader has confirmed,
+// or when ctx ends. In the second case the lease expires after its duration; if on_cut is hold, the lease persists
+// until a later process or an operator ends it.
 func (h *Host) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -258,7 +259,7 @@
 	}
 }
 
-// Close ends the host's goroutines and its lease, and waits for them.
+// Close stops the host's goroutines, waits for them, and ends the lease.
 func (h *Host) Close() {
 	h.stop()
 	h.goroutines.Wait()
@@ -270,7 +271,7 @@
 		Content: old.Content,
 		Phase:   Expired,
 		Seq:     old.Seq + 1,
-		Reason:  "it has been closed",
+		Reason:  "the host has been closed",
 	})
-	h.processes.close(h.released.Load()) // last: from here on others take this process for ended
+	h.processes.close(h.released.Load()) // last: from here on other processes consider this one ended
 }
--- a/internal/revision/host/main_test.go
+++ b/internal/revision/host/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind.
+// TestMain checks that the tests leak no goroutines.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -16,18 +16,18 @@
 const (
 	// operateTimeout bounds an operator's call.
 	operateTimeout = 5 * time.Second
-	// statusTimeout bounds what a call waits for where an answer without the leader is worth something.
+	// statusTimeout bounds the wait for the leader in calls that can be answered without it.
 	statusTimeout = time.Second
-	// leaderTimeout bounds one call to a leader, after which another one is looked for.
+	// leaderTimeout bounds one call to a leader, after which the call is retried at the leader known by then.
 	leaderTimeout = 4 * time.Second
-	// leaderRetry is the time between two calls.
+	// leaderRetry is the delay between two calls.
 	leaderRetry = 50 * time.Millisecond
-	// maxWaitingNames is how many members an answer names that a proposal waits for.
+	// maxWaitingNames is the number of members that an answer names of those a proposal waits for.
 	maxWaitingNames = 8
 )
 
-// Operate carries out an operator's order, the words after "revision", at whichever member leads. The error has a
-// hint; one that begins with revision.RetryLaterPrefix may be followed by the same call again.
+// Operate carries out an operator's order, the words after "revision", at the current leader. The error has a hint;
+// if it begins with revision.RetryLaterPrefix, the same call may be retried.
 func (h *Host) Operate(ctx context.Context, words string) (string, error) {
 	order, err := revision.ParseOrder(words)
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	switch order.Verb {
 	case revision.VerbPropose:
-		if incompatible := h.check(order.Text); incompatible != nil { // other members check for themselves
+		if incompatible := h.check(order.Text); incompatible != nil { // each other member checks against its settings
 			return h.earlierOutcome(ctx, order.Key, incompatible)
 		}
 	case revision.VerbStatus:
@@ -46,8 +46,8 @@
 	return h.callAnyLeader(ctx, words)
 }
 
-// earlierOutcome returns the outcome of a proposal that does not fit this balancer now: it may have been handed in
-// before, when it did. Otherwise the error is incompatible.
+// earlierOutcome returns the outcome of a proposal that is incompatible with this balancer's current settings but may
+// have been submitted earlier, when it was compatible. If there is no outcome, it returns the error incompatible.
 func (h *Host) earlierOutcome(ctx context.Context, key string, incompatible error) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -58,11 +58,11 @@
 	return "", incompatible
 }
 
-// callAnyLeader has an order carried out by the leader, and looks for another one while none answers.
+// callAnyLeader sends an order to the leader, and retries at the leader known by then until one answers or ctx ends.
 func (h *Host) callAnyLeader(ctx context.Context, words string) (string, error) {
-	cause := "none is known"
+	cause := "no leader is known"
 	timeout := leaderTimeout
-	if end, ok := ctx.Deadline(); ok { // a leader that does not answer must not hold up a caller that waits less
+	if end, ok := ctx.Deadline(); ok { // an unresponsive leader must not delay the caller beyond its deadline
 		timeout = min(timeout, time.Until(end))
 	}
 	for {
@@ -80,13 +80,13 @@
 		case <-ctx.Done():
 			return "", &NoLeader{cause}
 		case <-h.ctx.Done():
-			return "", &NoLeader{"this balancer ends"}
+			return "", &NoLeader{"the balancer is shutting down"}
 		case <-time.After(leaderRetry):
 		}
 	}
 }
 
-// mayRetry tells whether, by this error, nothing is known to have been done, so that another member may be asked.
+// mayRetry reports whether the error does not show that anything was done, so that another member may be called.
 func mayRetry(err error) bool {
 	return strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) ||
 		errors.As(err, new(*consensus.Unreachable)) ||
@@ -94,7 +94,7 @@
 		errors.As(err, new(*consensus.NotLeader))
 }
 
-// executeOrder carries out an order at the leader.
+// executeOrder carries out an order on the leader.
 func (h *Host) executeOrder(ctx context.Context, order revision.Order) (string, error) {
 	if err := h.lockAsLeader(ctx); err != nil {
 		return "", err
@@ -132,7 +132,7 @@
 	return string(r.Text), nil
 }
 
-// replaceVoter has a voter replaced. It is called with mu held, and unlocks it meanwhile.
+// replaceVoter replaces a voter of the log. It is called with mu held, and unlocks it during the call.
 func (h *Host) replaceVoter(ctx context.Context, order revision.Order) (string, error) {
 	h.mu.Unlock()
 	err := h.node.Replace(ctx, order.Name, order.NewName)
@@ -143,7 +143,7 @@
 	return "voter " + order.Name + " replaced by " + order.NewName, nil
 }
 
-// commitUnlocked has a command committed. It is called with mu held, and unlocks it meanwhile.
+// commitUnlocked commits a command. It is called with mu held, and unlocks it during the commit.
 func (h *Host) commitUnlocked(ctx context.Context, command revision.Command) error {
 	h.mu.Unlock()
 	defer h.mu.Lock()
@@ -151,7 +151,7 @@
 	return err
 }
 
-// propose commits a proposal, unless its key is known. With mu held, but for the commit.
+// propose commits a proposal, unless its key is known. It is called with mu held, and unlocks it during the commit.
 func (h *Host) propose(ctx context.Context, order revision.Order) (string, error) {
 	if text, err := h.outcome(order.Key); !errors.As(err, new(*UnknownKey)) {
 		return text, err
@@ -167,7 +167,7 @@
 	return h.outcome(order.Key)
 }
 
-// proposal returns the command of an operator's proposal or rollback.
+// proposal returns the command for an operator's proposal or rollback.
 func proposal(state *revision.State, order revision.Order) (revision.Command, error) {
 	command := revision.Command{
 		Op:         revision.OpPropose,
@@ -195,7 +195,7 @@
 	return command, nil
 }
 
-// outcome returns what is known of a proposal. With mu held.
+// outcome describes the state or outcome of a proposal. It is called with mu held.
 func (h *Host) outcome(key string) (string, error) {
 	if p := h.state.Pending; p != nil && p.Key == key {
 		return revision.PendingText(key, h.waitingText()), nil
@@ -214,7 +214,7 @@
 	return revision.SettledText(outcome.Number, hash, key), nil
 }
 
-// waitingText describes what the pending proposal waits for. With mu held.
+// waitingText describes what the pending proposal waits for. It is called with mu held.
 func (h *Host) waitingText() string {
 	step := "check"
 	if h.state.Stopped() {
--- a/internal/revision/host/processes.go
+++ b/internal/revision/host/processes.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// maxProcessFiles is how many files are looked at in one turn.
+	// maxProcessFiles is the number of files that one check examines.
 	maxProcessFiles = 64
-	// leftoverAge is the age at which a file that was never finished is removed.
+	// leftoverAge is the age above which a file whose creation was not completed is removed.
 	leftoverAge = time.Minute
-	// maxProcessFile bounds what is read of a file, in bytes.
+	// maxProcessFile bounds the part of a file that is read, in bytes.
 	maxProcessFile = 64
 
 	processFolderMode = 0o700
 	processFileMode   = 0o600
 )
 
-// processFiles lets the processes of one balancer see each other's end. Each process holds the lock of a file of
-// its own, named by its generation, from before it joins until its end; the system releases the lock however the
-// process ends. A file that is missing, unreadable or copied says nothing. Safe for concurrent use.
+// processFiles lets the processes of one balancer detect each other's end. Each process locks a file of its own,
+// named by its generation, from before it joins until its end; the system releases the lock however the process
+// ends. A file that is missing, unreadable or copied is no evidence of an end. It is safe for concurrent use.
 type processFiles struct {
-	folder string // empty where there is none: nothing is known of other processes
+	folder string // empty if none is configured: other processes are not observed
 	mu     sync.Mutex
 	own    map[uint64]*os.File // locked by this process, by generation
 }
@@ -49,7 +49,7 @@
 	return filepath.Join(p.folder, strconv.FormatUint(generation, 10))
 }
 
-// create makes this process known under a generation. The error is *GenerationInUse or *ProcessFileFailed.
+// create creates this process's file for a generation. The error is *GenerationInUse or *ProcessFileFailed.
 func (p *processFiles) create(generation uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +67,8 @@
 	return &ProcessFileFailed{p.folder, err}
 }
 
-// createLocked creates the file of a generation and locks it. The file gets its name once it is locked, so that a
-// named file whose lock is free belongs to a process that has ended.
+// createLocked creates and locks the file of a generation. The file is renamed to its final name only once it is
+// locked, so that a file with a final name and a free lock belongs to a process that has ended.
 func (p *processFiles) createLocked(generation uint64) (*os.File, error) {
 	if err := os.MkdirAll(p.folder, processFolderMode); err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 	return f, nil
 }
 
-// lockAndName locks a new file, writes which file it is, and gives it its name.
+// lockAndName locks a new file, writes its inode number to it, and renames it to its final name.
 func lockAndName(f *os.File, unnamed, path string) error {
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return os.Rename(unnamed, path)
 }
 
-// inode identifies a file, so that it can be told from a copy.
+// inode returns a file's identity, by which a copy of the file can be detected.
 func inode(f *os.File) string {
 	var s unix.Stat_t
 	if unix.Fstat(int(f.Fd()), &s) != nil {
@@ -116,7 +116,7 @@
 	if p.folder == "" {
 		return nil
 	}
-	files, _ := os.ReadDir(p.folder) // an unreadable folder says nothing
+	files, _ := os.ReadDir(p.folder) // an unreadable folder is no evidence of an end
 	for _, file := range files[:min(len(files), maxProcessFiles)] {
 		generation, err := strconv.ParseUint(file.Name(), 10, 64)
 		if err != nil {
@@ -130,14 +130,15 @@
 	return generations
 }
 
-// removeLeftover removes a file without a generation's name, if it is old: its process was killed while creating it.
+// removeLeftover removes a file that is not named by a generation, if it is older than leftoverAge: its process was
+// killed while creating it.
 func (p *processFiles) removeLeftover(file os.DirEntry) {
 	if info, err := file.Info(); err == nil && time.Since(info.ModTime()) > leftoverAge {
 		_ = os.Remove(filepath.Join(p.folder, file.Name()))
 	}
 }
 
-// hasEnded tells whether nobody holds a file's lock, and the file is not a copy.
+// hasEnded reports whether a file's lock is free and the file is not a copy.
 func hasEnded(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
@@ -154,7 +155,8 @@
 // remove removes the file of a process that has ended.
 func (p *processFiles) remove(generation uint64) { _ = os.Remove(p.path(generation)) }
 
-// close releases this process's locks. If the leader knows that the process has left, its files are removed.
+// close releases this process's locks. If left, the leader has confirmed that the process has left, and its files are
+// removed.
 func (p *processFiles) close(left bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/revision/host/publish.go
+++ b/internal/revision/host/publish.go
@@ -7,28 +7,28 @@
 	"oatloft/internal/revision"
 )
 
-// maxUnacknowledged is how many published leases are remembered for a loop that has not acknowledged them.
+// maxUnacknowledged is the number of published leases that are kept until the proxy's loop acknowledges them.
 const maxUnacknowledged = 64
 
-// noNumber says that the proxy's loop goes by no revision. Numbers of revisions begin at 0.
+// noNumber means that the proxy's loop uses no revision. Revision numbers begin at 0.
 const noNumber = -1
 
-// Reasons in the log line that a revision is no longer gone by.
+// Reasons in the log line about a revision that the proxy's loop no longer uses.
 const (
 	releasedBetween = "between" // the next revision is about to be in force
 	releasedLapsed  = "lapsed"  // the lease has expired
 	releasedLeft    = "left"    // the process has left
 )
 
-// published is what the lease holder has published, and what the proxy's loop has acknowledged of it.
+// published records the leases that the lease holder has published and the proxy's loop has acknowledged.
 type published struct {
 	unacknowledged []revision.Lease // oldest first
 	contentHash    string
 	content        *revision.Content // the revision with contentHash
-	activeNumber   int64             // of the revision the loop goes by; noNumber if none
+	activeNumber   int64             // the revision that the loop uses; noNumber if none
 }
 
-// publish makes the member's lease the one that the proxy's loop reads, if anything is new.
+// publish makes the member's lease visible to the proxy's loop, if it has changed.
 func (h *leaseHolder) publish() {
 	l := h.member.Lease()
 	old := h.lease.Load()
@@ -60,7 +60,7 @@
 	}
 }
 
-// publicPhase returns the phase that the proxy's loop sees.
+// publicPhase converts a member's phase to the phase that the proxy's loop sees.
 func publicPhase(phase revision.LeasePhase) Phase {
 	switch phase {
 	case revision.Active:
@@ -73,7 +73,7 @@
 	return Learning
 }
 
-// contentOf returns the decoded content of a lease's revision; nil until one is known. A text is decoded once.
+// contentOf returns the decoded content of a lease's revision, or nil until one is known. Each text is decoded once.
 func (h *leaseHolder) contentOf(l revision.Lease) *revision.Content {
 	p := &h.published
 	if l.Text != nil && p.contentHash != l.Hash {
@@ -84,7 +84,7 @@
 	return p.content
 }
 
-// remember notes a lease that the loop has yet to acknowledge.
+// remember keeps a lease until the loop acknowledges it. Beyond maxUnacknowledged the oldest is dropped.
 func (h *leaseHolder) remember(l revision.Lease) {
 	p := &h.published
 	p.unacknowledged = append(p.unacknowledged, l)
@@ -93,7 +93,7 @@
 	}
 }
 
-// expiryTime returns when, by the wall clock, a lease has expired: at until if that has passed, else now.
+// expiryTime returns the wall-clock time at which a lease expired: until if that has passed, otherwise now.
 func expiryTime(until time.Time) time.Time {
 	expired := time.Now()
 	if !until.IsZero() && until.Before(expired) {
@@ -102,8 +102,7 @@
 	return time.Now().Add(-time.Since(expired))
 }
 
-// collectAcks hands the loop's acknowledgements on to the member: each of them, however short the loop went by the
-// lease.
+// collectAcks passes each of the loop's acknowledgements on to the member, however briefly the loop used the lease.
 func (h *leaseHolder) collectAcks() {
 	h.acksMu.Lock()
 	acks := h.acks
@@ -117,7 +116,7 @@
 	}
 }
 
-// takeAcknowledged drops the remembered leases up to seq and returns the latest of them.
+// takeAcknowledged removes the unacknowledged leases up to seq and returns the latest of them.
 func (h *leaseHolder) takeAcknowledged(seq uint64) (latest revision.Lease, ok bool) {
 	p := &h.published
 	for len(p.unacknowledged) > 0 && p.unacknowledged[0].Seq <= seq {
@@ -127,14 +126,14 @@
 	return latest, ok
 }
 
-// logAcknowledged logs that the loop has gone by a lease since at, in microseconds of wall clock.
+// logAcknowledged logs that the loop has used a lease since at, in microseconds of wall clock.
 func (h *leaseHolder) logAcknowledged(l revision.Lease, at int64) {
 	p := &h.published
 	if l.Phase != revision.Active {
 		if p.activeNumber != noNumber {
 			h.logRelease(at, releaseReason(l.Phase))
 		}
-		h.nextCall = 0 // report it at once
+		h.nextCall = 0 // report the acknowledgement immediately
 		return
 	}
 	number := int64(l.Number)
@@ -150,7 +149,7 @@
 	h.nextCall = 0
 }
 
-// releaseReason names why the loop no longer goes by a revision.
+// releaseReason returns the reason why the loop no longer uses a revision.
 func releaseReason(phase revision.LeasePhase) string {
 	switch phase {
 	case revision.Suspended:
--- a/internal/revision/host/status.go
+++ b/internal/revision/host/status.go
@@ -12,10 +12,10 @@
 	"oatloft/internal/revision"
 )
 
-// maxStatusMembers is how many members a status names.
+// maxStatusMembers is the number of members that a status names.
 const maxStatusMembers = 16
 
-// listRevision describes the revision after a number in one line; "-" if there is none.
+// listRevision describes the first kept revision after a number in one line, or returns "-" if there is none.
 func listRevision(state *revision.State, after uint64) string {
 	first, last := state.History[0].Number, state.InForce().Number
 	number := after + 1 // 0 for revision.Latest
@@ -53,7 +53,7 @@
 	return s
 }
 
-// leaderStatus is the leader's part of a status. With mu held.
+// leaderStatus returns the leader's part of a status. It is called with mu held.
 func (h *Host) leaderStatus() string {
 	s := h.state
 	inForce := s.InForce()
@@ -91,8 +91,8 @@
 	return strings.Join(names, ",")
 }
 
-// membersText counts and names the balancers that hold leases, and tells whether any of them holds on where it is
-// cut off.
+// membersText counts and names the balancers that hold leases, and returns "hold" as onCut if any of them keeps its
+// lease during a partition, otherwise "refuse".
 func membersText(s *revision.State) (members, onCut string) {
 	onCut = "refuse"
 	var names []string
@@ -120,7 +120,7 @@
 	return "open"
 }
 
-// status is this balancer's own part of a status, followed by the leader's if one can be reached.
+// status returns this balancer's own part of a status, followed by the leader's part if a leader can be reached.
 func (h *Host) status(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -130,14 +130,14 @@
 	if node.Fault != nil {
 		own += fmt.Sprintf(" fault=%q", hint.Line(node.Fault))
 	}
-	leaders, err := h.callAnyLeader(ctx, string(revision.VerbStatus))
+	leaderPart, err := h.callAnyLeader(ctx, string(revision.VerbStatus))
 	if err != nil {
 		return own + " leader=none"
 	}
-	return own + " " + leaders
+	return own + " " + leaderPart
 }
 
-// leaseText describes a lease. One that has ended by its time is called expired before it is marked so.
+// leaseText describes a lease. An active lease past its end is described as expired even before its phase changes.
 func leaseText(l *Lease, now time.Time) string {
 	phase := l.Phase
 	if phase == Active && !l.Allows(now) {
