--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -25,11 +25,11 @@
 const (
 	maxInFlight       = 64 // commands of the leader that are being committed
 	commitTimeout     = 5 * time.Second
-	commitRetry       = 20 * time.Millisecond // delay after the log has not accepted an entry
+	commitRetryDelay  = 20 * time.Millisecond // delay after the log has not accepted an entry
 	minConfirmTimeout = 200 * time.Millisecond
-	maxLeaderStep     = 50 * time.Millisecond // longest interval between steps of the leader
-	proposalStep      = 10 * time.Millisecond // the same while a proposal is pending
-	leaseSteps        = 16                    // steps of the leader per lease duration
+	maxLeaderInterval = 50 * time.Millisecond // longest interval between steps of the leader
+	proposalInterval  = 10 * time.Millisecond // the same while a proposal is pending
+	stepsPerLease     = 16                    // steps of the leader per lease duration
 )
 
 // machine implements the log's state machine on a Host. Its methods run on the log's goroutine.
@@ -147,7 +147,7 @@
 		h.leader, h.term = nil, 0
 	}
 	if !leader.IsSelf {
-		return max(h.cfg.Lease/4, maxLeaderStep)
+		return max(h.cfg.Lease/4, maxLeaderInterval)
 	}
 	if h.leader == nil {
 		h.term = leader.Term
@@ -160,15 +160,15 @@
 	}
 	if h.leader.Term() == 0 {
 		h.commitInBackground(revision.Command{Op: revision.OpBeginTerm, By: h.cfg.Name})
-		return maxLeaderStep
+		return maxLeaderInterval
 	}
 	for _, command := range h.leader.NextCommands(h.now(), h.state) {
 		h.commitInBackground(command)
 	}
 	if h.state.Pending != nil {
-		return min(proposalStep, h.cfg.Lease/leaseSteps)
+		return min(proposalInterval, h.cfg.Lease/stepsPerLease)
 	}
-	return min(maxLeaderStep, h.cfg.Lease/leaseSteps)
+	return min(maxLeaderInterval, h.cfg.Lease/stepsPerLease)
 }
 
 // commitInBackground commits one of the leader's commands in a goroutine, unless the same command is being committed
@@ -195,7 +195,7 @@
 		h.mu.Unlock()
 		if errors.As(err, new(*NotCommitted)) {
 			select {
-			case <-time.After(commitRetry):
+			case <-time.After(commitRetryDelay):
 			case <-h.ctx.Done():
 			}
 		}
--- a/internal/revision/host/ended.go
+++ b/internal/revision/host/ended.go
@@ -9,15 +9,15 @@
 
 // Interval between checks for ended processes.
 const (
-	minWatchInterval = 100 * time.Millisecond
-	maxWatchInterval = 2 * time.Second
-	watchParts       = 4 // checks per lease duration
+	minCheckInterval = 100 * time.Millisecond
+	maxCheckInterval = 2 * time.Second
+	checksPerLease   = 4 // checks per lease duration
 )
 
 // watchEnded reports this balancer's ended processes to the leader, so that no member waits for their leases. It
 // checks periodically, because a process may end after its successor has started.
 func (h *Host) watchEnded() {
-	interval := min(max(h.cfg.Lease/watchParts, minWatchInterval), maxWatchInterval)
+	interval := min(max(h.cfg.Lease/checksPerLease, minCheckInterval), maxCheckInterval)
 	for {
 		h.reportEnded()
 		select {
--- a/internal/revision/host/errors.go
+++ b/internal/revision/host/errors.go
@@ -40,10 +40,10 @@
 }
 
 // ConfigError is the error of a setting with which a host cannot start.
-type ConfigError struct{ Field, Why string }
+type ConfigError struct{ Field, Reason string }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Why }
+func (e *ConfigError) Error() string { return "revisions." + e.Field + ": " + e.Reason }
 
 // Hint implements hint.Hinter.
 func (e *ConfigError) Hint() string { return "correct the field in the edge file" }
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -20,13 +20,13 @@
 }
 
 type fakeNode struct {
-	log     *fakeLog
-	name    string
-	m       consensus.Machine
-	h       consensus.Handler
-	applied int
-	changed chan struct{}
-	cut     bool
+	log         *fakeLog
+	name        string
+	m           consensus.Machine
+	h           consensus.Handler
+	applied     int
+	changed     chan struct{}
+	partitioned bool
 }
 
 func newFakeLog() *fakeLog { return &fakeLog{nodes: map[string]*fakeNode{}} }
@@ -42,8 +42,8 @@
 	}
 }
 
-// lead makes a member the leader, or none if name is "".
-func (l *fakeLog) lead(name string) {
+// setLeader makes a member the leader, or none if name is "".
+func (l *fakeLog) setLeader(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leader = name
@@ -53,10 +53,10 @@
 	}
 }
 
-func (l *fakeLog) cut(name string, cut bool) {
+func (l *fakeLog) setPartitioned(name string, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.nodes[name].cut = cut
+	l.nodes[name].partitioned = cut
 }
 
 func (n *fakeNode) catchUp() {
@@ -68,7 +68,7 @@
 func (n *fakeNode) Propose(_ context.Context, entry []byte) error {
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
-	if n.log.leader != n.name || n.cut {
+	if n.log.leader != n.name || n.partitioned {
 		return errors.New("does not lead")
 	}
 	n.log.entries = append(n.log.entries, entry)
@@ -81,7 +81,7 @@
 func (n *fakeNode) Confirm(context.Context) (uint64, error) {
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
-	if n.log.leader != n.name || n.cut {
+	if n.log.leader != n.name || n.partitioned {
 		return 0, errors.New("does not lead")
 	}
 	return n.log.term, nil
@@ -99,13 +99,13 @@
 
 func (n *fakeNode) Call(ctx context.Context, name, method string, body []byte) ([]byte, error) {
 	n.log.mu.Lock()
-	o := n.log.nodes[name]
-	out := n.cut || o == nil || o.cut
+	target := n.log.nodes[name]
+	unreachable := n.partitioned || target == nil || target.partitioned
 	n.log.mu.Unlock()
-	if out {
+	if unreachable {
 		return nil, fmt.Errorf("%s cannot be reached", name)
 	}
-	return o.h(ctx, n.name, method, body)
+	return target.h(ctx, n.name, method, body)
 }
 
 func (n *fakeNode) Replace(context.Context, string, string) error {
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -18,19 +18,19 @@
 	minRenewTimeout = time.Second
 	// maxCalls is the number of calls in flight above which no further call is started.
 	maxCalls = 3
-	// minRetryAfter is the shortest delay between a failed call and the next one.
-	minRetryAfter = 10 * time.Millisecond
-	// minIdle is the shortest interval between steps of the lease holder while it has nothing to do.
-	minIdle = 5 * time.Millisecond
-	// minWait is the shortest timer of the lease holder, which keeps its loop from spinning.
-	minWait = time.Millisecond
+	// minRetryDelay is the shortest delay between a failed call and the next one.
+	minRetryDelay = 10 * time.Millisecond
+	// minIdleInterval is the shortest interval between steps of the lease holder while it has nothing to do.
+	minIdleInterval = 5 * time.Millisecond
+	// minTimerWait is the shortest timer of the lease holder, which keeps its loop from spinning.
+	minTimerWait = time.Millisecond
 )
 
 // Intervals of the lease holder, as divisors of the lease duration.
 const (
-	renewParts = 8  // between renewals
-	retryParts = 16 // before a retry after a failed call
-	idleParts  = 64 // between steps while no leader answers
+	renewalsPerLease  = 8  // between renewals
+	retriesPerLease   = 16 // before a retry after a failed call
+	idleStepsPerLease = 64 // between steps while no leader answers
 )
 
 // leaseHolder holds this balancer's lease in a goroutine of its own: it joins, renews and leaves, and publishes the
@@ -102,7 +102,7 @@
 	if l := h.member.Lease(); l.Phase == revision.Active && l.Until != revision.Forever {
 		wait = min(wait, max(l.Until-h.now(), 0))
 	}
-	return max(wait, minWait)
+	return max(wait, minTimerWait)
 }
 
 func (h *leaseHolder) step() {
@@ -123,11 +123,11 @@
 	case h.member.Lease().Phase == revision.Released: // wait for the loop's acknowledgement
 	case h.calls > 0 && sameLeader(leader, h.calledLeader) && now < h.lastCall+h.cfg.Lease/2: // await the answer
 	case now >= h.nextCall:
-		h.nextCall = now + h.cfg.Lease/renewParts
+		h.nextCall = now + h.cfg.Lease/renewalsPerLease
 		h.callRenew(leader, now)
 	}
 	if h.nextCall <= now {
-		h.nextCall = now + max(h.cfg.Lease/idleParts, minIdle)
+		h.nextCall = now + max(h.cfg.Lease/idleStepsPerLease, minIdleInterval)
 	}
 }
 
@@ -207,7 +207,7 @@
 	now := h.now()
 	if a.err != nil {
 		h.logAnswer(a.err)
-		h.nextCall = now + max(h.cfg.Lease/retryParts, minRetryAfter)
+		h.nextCall = now + max(h.cfg.Lease/retriesPerLease, minRetryDelay)
 		return
 	}
 	if a.seq == 0 {
@@ -223,7 +223,7 @@
 	if a.reply.Known || h.joining {
 		return
 	}
-	h.nextCall = now + minRetryAfter
+	h.nextCall = now + minRetryDelay
 	if !h.member.HasText() {
 		return
 	}
@@ -231,7 +231,7 @@
 		h.join()
 		return
 	}
-	h.nextCall = now + h.cfg.Lease/renewParts // retry until the settings are compatible
+	h.nextCall = now + h.cfg.Lease/renewalsPerLease // retry until the settings are compatible
 }
 
 func (h *leaseHolder) handleLeft() {
@@ -270,7 +270,7 @@
 	h.logAnswer(err)
 	h.nextCall = 0
 	if err != nil {
-		h.nextCall = h.now() + h.cfg.Lease/retryParts
+		h.nextCall = h.now() + h.cfg.Lease/retriesPerLease
 	}
 }
 
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -16,18 +16,18 @@
 // balancer is a host with a loop that acknowledges leases immediately, unless it is stopped.
 type balancer struct {
 	*Host
-	name    string
-	stopped atomic.Bool
-	unfit   atomic.Pointer[string] // note of the revision that is incompatible with its settings
-	rung    chan struct{}
-	end     chan struct{}
-	once    sync.Once
+	name             string
+	stopped          atomic.Bool
+	incompatibleNote atomic.Pointer[string] // note of the revision that is incompatible with its settings
+	leaseChanged     chan struct{}
+	end              chan struct{}
+	once             sync.Once
 }
 
-type unfit struct{ note string }
+type incompatibleError struct{ note string }
 
-func (e *unfit) Error() string { return "class " + e.note + " is unknown here" }
-func (e *unfit) Hint() string  { return "load settings with this class" }
+func (e *incompatibleError) Error() string { return "class " + e.note + " is unknown here" }
+func (e *incompatibleError) Hint() string  { return "load settings with this class" }
 
 func (b *balancer) config(hold bool) Config {
 	return Config{
@@ -39,14 +39,14 @@
 		History:         10,
 		HistoryBytes:    1 << 20,
 		Check: func(c *revision.Content) error {
-			if u := b.unfit.Load(); u != nil && *u == c.Note {
-				return &unfit{c.Note}
+			if note := b.incompatibleNote.Load(); note != nil && *note == c.Note {
+				return &incompatibleError{c.Note}
 			}
 			return nil
 		},
 		LeaseChanged: func() {
 			select {
-			case b.rung <- struct{}{}:
+			case b.leaseChanged <- struct{}{}:
 			default:
 			}
 		},
@@ -56,7 +56,7 @@
 func (b *balancer) loop() {
 	for {
 		select {
-		case <-b.rung:
+		case <-b.leaseChanged:
 			if !b.stopped.Load() {
 				b.Acknowledge(b.Lease().Seq)
 			}
@@ -67,22 +67,22 @@
 }
 
 func newBalancer(name string) *balancer {
-	return &balancer{name: name, rung: make(chan struct{}, 1), end: make(chan struct{})}
+	return &balancer{name: name, leaseChanged: make(chan struct{}, 1), end: make(chan struct{})}
 }
 
 func (b *balancer) close() {
 	b.once.Do(func() { b.Close(); close(b.end) })
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// fleet starts n members, named from a on, over a fake log with a as the leader.
-func fleet(t *testing.T, n int, hold bool) (*fakeLog, []*balancer) {
+// startBalancers starts n members, named from a on, over a fake log with a as the leader.
+func startBalancers(t *testing.T, n int, hold bool) (*fakeLog, []*balancer) {
 	l := newFakeLog()
 	var all []*balancer
 	for i := range n {
 		b := newBalancer(string(rune('a' + i)))
-		h, err := start(b.config(hold), quiet(), l.node(b.name))
+		h, err := start(b.config(hold), discardLogger(), l.node(b.name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,12 +91,12 @@
 		t.Cleanup(b.close)
 		all = append(all, b)
 	}
-	l.lead("a")
-	waitFor(t, "all active with revision 0", func() bool { return allBy(all, 0) })
+	l.setLeader("a")
+	waitFor(t, "all active with revision 0", func() bool { return allActive(all, 0) })
 	return l, all
 }
 
-func allBy(all []*balancer, n uint64) bool {
+func allActive(all []*balancer, n uint64) bool {
 	for _, b := range all {
 		if p := b.Lease(); !p.Allows(time.Now()) || p.Number != n {
 			return false
@@ -118,12 +118,12 @@
 	return string(revision.Encode(&revision.Content{Form: revision.Form, Note: note}))
 }
 
-// settled submits a proposal and waits for its outcome.
-func (b *balancer) settled(t *testing.T, key, words string) (string, error) {
+// awaitOutcome submits a proposal and waits for its outcome.
+func (b *balancer) awaitOutcome(t *testing.T, key, words string) (string, error) {
 	t.Helper()
 	var got string
 	var err error
-	waitFor(t, "outcome of "+key, func() bool {
+	waitFor(t, key+" has an outcome", func() bool {
 		if got, err = b.Operate(context.Background(), words); err != nil &&
 			strings.HasPrefix(err.Error(), revision.RetryLaterPrefix) {
 			return false
@@ -137,44 +137,45 @@
 // mustSettle submits a proposal, and fails the test unless it becomes the revision with a number.
 func (b *balancer) mustSettle(t *testing.T, key, words string, number int) {
 	t.Helper()
-	got, err := b.settled(t, key, words)
+	got, err := b.awaitOutcome(t, key, words)
 	if err != nil || !strings.HasPrefix(got, fmt.Sprintf("settled %d ", number)) {
 		t.Fatal(key, got, err)
 	}
 }
 
 // A proposal comes into force at all members, or at none if one of them is incompatible with it.
-func TestEverywhereOrNowhere(t *testing.T) {
-	_, all := fleet(t, 3, false)
-	got, err := all[1].settled(t, "k1", "propose k1 0 - - op "+text("one"))
+func TestProposalAppliesToAllOrNone(t *testing.T) {
+	_, all := startBalancers(t, 3, false)
+	got, err := all[1].awaitOutcome(t, "k1", "propose k1 0 - - op "+text("one"))
 	if err != nil || !strings.HasPrefix(got, "settled 1 ") {
 		t.Fatal(got, err)
 	}
-	waitFor(t, "all active with revision 1", func() bool { return allBy(all, 1) })
+	waitFor(t, "all active with revision 1", func() bool { return allActive(all, 1) })
 	if p := all[2].Lease(); p.Content == nil || p.Content.Note != "one" {
 		t.Fatalf("%+v", p)
 	}
 	note := "two"
-	all[2].unfit.Store(&note)
-	if got, err = all[0].settled(t, "k2", "propose k2 1 - - op "+text("two")); err == nil ||
+	all[2].incompatibleNote.Store(&note)
+	if got, err = all[0].awaitOutcome(t, "k2", "propose k2 1 - - op "+text("two")); err == nil ||
 		!strings.Contains(err.Error(), "for c: class two is unknown here") {
 		t.Fatal(got, err)
 	}
-	if !allBy(all, 1) {
-		waitFor(t, "all active with revision 1 again", func() bool { return allBy(all, 1) })
+	if !allActive(all, 1) {
+		waitFor(t, "all active with revision 1 again", func() bool { return allActive(all, 1) })
 	}
-	if got, err = all[0].settled(t, "k1", "propose k1 0 - - op "+text("one")); err != nil ||
+	if got, err = all[0].awaitOutcome(t, "k1", "propose k1 0 - - op "+text("one")); err != nil ||
 		!strings.HasPrefix(got, "settled 1 ") {
 		t.Fatal("the same key again:", got, err)
 	}
-	if _, err = all[0].settled(t, "k3", "rollback k3 0 - - op 0"); err == nil ||
+	if _, err = all[0].awaitOutcome(t, "k3", "rollback k3 0 - - op 0"); err == nil ||
 		!strings.Contains(err.Error(), "revision 1 is in force") {
 		t.Fatal(err)
 	}
-	if got, err = all[2].settled(t, "k4", "rollback k4 1 - - op 0"); err != nil || !strings.HasPrefix(got, "settled 2 ") {
+	if got, err = all[2].awaitOutcome(t, "k4", "rollback k4 1 - - op 0"); err != nil ||
+		!strings.HasPrefix(got, "settled 2 ") {
 		t.Fatal(got, err)
 	}
-	waitFor(t, "all active with revision 2", func() bool { return allBy(all, 2) })
+	waitFor(t, "all active with revision 2", func() bool { return allActive(all, 2) })
 	line, err := all[1].Operate(context.Background(), "list 1")
 	if err != nil || !strings.HasPrefix(line, "2 hash=") || !strings.Contains(line, "kind=rollback-of-0") {
 		t.Fatal(line, err)
@@ -186,18 +187,18 @@
 }
 
 // A proposal whose leader loses leadership between any two steps is completed by the next leader.
-func TestLeadersEnd(t *testing.T) {
-	l, all := fleet(t, 3, false)
+func TestProposalSurvivesLeaderChange(t *testing.T) {
+	l, all := startBalancers(t, 3, false)
 	for i := range 12 {
 		key := fmt.Sprintf("k%d", i)
 		words := fmt.Sprintf("propose %s - - - op %s", key, text(key))
 		go all[i%3].Operate(context.Background(), words)
 		time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-		l.lead(all[(i+1)%3].name)
-		if got, err := all[(i+2)%3].settled(t, key, words); err != nil {
+		l.setLeader(all[(i+1)%3].name)
+		if got, err := all[(i+2)%3].awaitOutcome(t, key, words); err != nil {
 			t.Fatal(key, got, err)
 		}
-		waitFor(t, "all active", func() bool { return allBy(all, uint64(i+1)) })
+		waitFor(t, "all active", func() bool { return allActive(all, uint64(i+1)) })
 	}
 }
 
@@ -205,94 +206,95 @@
 // proceed.
 func TestPartition(t *testing.T) {
 	for _, hold := range []bool{false, true} {
-		l, all := fleet(t, 3, hold)
-		l.cut("c", true)
-		got, err := all[0].settled(t, "k", "propose k 0 - - op "+text("x"))
+		l, all := startBalancers(t, 3, hold)
+		l.setPartitioned("c", true)
+		got, err := all[0].awaitOutcome(t, "k", "propose k 0 - - op "+text("x"))
 		if hold {
-			if err == nil || !strings.Contains(err.Error(), "for c: no answer") || !allBy(all, 0) {
+			if err == nil || !strings.Contains(err.Error(), "for c: no answer") || !allActive(all, 0) {
 				t.Fatal(got, err)
 			}
 		} else if err != nil || all[2].Lease().Allows(time.Now()) {
 			t.Fatal(got, err)
 		}
-		l.cut("c", false)
+		l.setPartitioned("c", false)
 		if !hold {
-			waitFor(t, "c has rejoined", func() bool { return allBy(all, 1) })
+			waitFor(t, "c has rejoined", func() bool { return allActive(all, 1) })
 		}
 	}
 }
 
-// names reports whether the error of a failed proposal names a balancer; on a busy machine it may name others too.
-func names(err error, name string) bool {
+// namesBalancer reports whether the error of a failed proposal contains a balancer's name; on a busy machine it may
+// contain others too.
+func namesBalancer(err error, name string) bool {
 	return err != nil && (strings.Contains(err.Error(), " "+name+":") || strings.Contains(err.Error(), " "+name+","))
 }
 
 // A member whose loop does not acknowledge the suspension keeps a revision from being settled until it acknowledges
 // or its lease expires.
-func TestStopWaitsForAcknowledgement(t *testing.T) {
-	_, all := fleet(t, 3, true)
+func TestSuspensionWaitsForAcknowledgement(t *testing.T) {
+	_, all := startBalancers(t, 3, true)
 	all[1].stopped.Store(true)
-	if got, err := all[0].settled(t, "k", "propose k 0 - 1s op "+text("x")); !names(err, "b") {
+	if got, err := all[0].awaitOutcome(t, "k", "propose k 0 - 1s op "+text("x")); !namesBalancer(err, "b") {
 		t.Fatal(got, err)
 	}
 	all[1].stopped.Store(false)
 	all[1].Acknowledge(all[1].Lease().Seq)
-	if got, err := all[0].settled(t, "k2", "propose k2 0 - 1s op "+text("x")); err != nil {
+	if got, err := all[0].awaitOutcome(t, "k2", "propose k2 0 - 1s op "+text("x")); err != nil {
 		t.Fatal(got, err)
 	}
 }
 
 func TestLeave(t *testing.T) {
-	_, all := fleet(t, 3, true)
+	_, all := startBalancers(t, 3, true)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	all[2].Leave(ctx)
 	if ctx.Err() != nil || all[2].Lease().Phase != Expired {
 		t.Fatal("left", ctx.Err(), all[2].Lease())
 	}
-	if got, err := all[0].settled(t, "k", "propose k 0 - - op "+text("x")); err != nil {
+	if got, err := all[0].awaitOutcome(t, "k", "propose k 0 - - op "+text("x")); err != nil {
 		t.Fatal(got, err)
 	}
 	all[1].close()
-	if _, err := all[0].settled(t, "k2", "propose k2 1 - 300ms op "+text("y")); err == nil {
+	if _, err := all[0].awaitOutcome(t, "k2", "propose k2 1 - 300ms op "+text("y")); err == nil {
 		t.Fatal("settled without b")
 	}
 	if got, err := all[0].Operate(ctx, "forget b"); err != nil {
 		t.Fatal(got, err)
 	}
-	if got, err := all[0].settled(t, "k3", "propose k3 1 - 300ms op "+text("y")); err != nil {
+	if got, err := all[0].awaitOutcome(t, "k3", "propose k3 1 - 300ms op "+text("y")); err != nil {
 		t.Fatal(got, err)
 	}
 }
 
-// The guard rolls a revision back when rejections rise, without an operator, also after a change of leader.
+// The guard rolls a revision back without an operator, once, when rejections rise, also after a change of leader.
 func TestGuard(t *testing.T) {
-	l, all := fleet(t, 3, false)
-	var asked int64
-	figures := func(bad bool) {
-		asked += 100
+	l, all := startBalancers(t, 3, false)
+	var requests int64
+	setTotals := func(bad bool) {
+		requests += 100
 		for _, b := range all {
 			if bad {
-				b.SetTotals(asked, asked/2, 0, 0)
+				b.SetTotals(requests, requests/2, 0, 0)
 			} else {
-				b.SetTotals(asked, 0, 0, 0)
+				b.SetTotals(requests, 0, 0, 0)
 			}
 		}
 	}
-	figures(false)
-	if got, err := all[0].settled(t, "k", "propose k 0 20s - op "+text("x")); err != nil {
+	setTotals(false)
+	if got, err := all[0].awaitOutcome(t, "k", "propose k 0 20s - op "+text("x")); err != nil {
 		t.Fatal(got, err)
 	}
-	if _, err := all[0].settled(t, "k2", "propose k2 1 - - op "+text("y")); err == nil ||
+	if _, err := all[0].awaitOutcome(t, "k2", "propose k2 1 - - op "+text("y")); err == nil ||
 		!strings.Contains(err.Error(), "is watched") {
 		t.Fatal(err)
 	}
 	waitFor(t, "the rollback", func() bool {
-		figures(true)
-		if asked == 300 {
-			l.lead("b")
+		setTotals(true)
+		if requests == 300 {
+			l.setLeader("b")
 		}
-		return allBy(all, 2)
+		return allActive(all, 2)
 	})
 	if line, err := all[1].Operate(context.Background(), "list 1"); err != nil ||
 		!strings.Contains(line, "kind=guard-back-to-0") {
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -20,8 +20,8 @@
 	statusTimeout = time.Second
 	// leaderTimeout bounds one call to a leader, after which the call is retried at the leader known by then.
 	leaderTimeout = 4 * time.Second
-	// leaderRetry is the delay between two calls.
-	leaderRetry = 50 * time.Millisecond
+	// leaderRetryDelay is the delay between two calls.
+	leaderRetryDelay = 50 * time.Millisecond
 	// maxWaitingNames is the number of members that an answer names of those a proposal waits for.
 	maxWaitingNames = 8
 )
@@ -81,7 +81,7 @@
 			return "", &NoLeader{cause}
 		case <-h.ctx.Done():
 			return "", &NoLeader{"the balancer is shutting down"}
-		case <-time.After(leaderRetry):
+		case <-time.After(leaderRetryDelay):
 		}
 	}
 }
--- a/internal/revision/host/processes.go
+++ b/internal/revision/host/processes.go
@@ -21,8 +21,8 @@
 	maxProcessFiles = 64
 	// leftoverAge is the age above which a file whose creation was not completed is removed.
 	leftoverAge = time.Minute
-	// maxProcessFile bounds the part of a file that is read, in bytes.
-	maxProcessFile = 64
+	// maxProcessFileBytes bounds the part of a file that is read, in bytes.
+	maxProcessFileBytes = 64
 
 	processFolderMode = 0o700
 	processFileMode   = 0o600
@@ -56,7 +56,7 @@
 	if p.folder == "" || p.own[generation] != nil {
 		return nil
 	}
-	f, err := p.createLocked(generation)
+	f, err := p.createAndLock(generation)
 	if err == nil {
 		p.own[generation] = f
 		return nil
@@ -67,9 +67,9 @@
 	return &ProcessFileFailed{p.folder, err}
 }
 
-// createLocked creates and locks the file of a generation. The file is renamed to its final name only once it is
+// createAndLock creates and locks the file of a generation. The file is renamed to its final name only once it is
 // locked, so that a file with a final name and a free lock belongs to a process that has ended.
-func (p *processFiles) createLocked(generation uint64) (*os.File, error) {
+func (p *processFiles) createAndLock(generation uint64) (*os.File, error) {
 	if err := os.MkdirAll(p.folder, processFolderMode); err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil && !failpoint.On("ended-unlocked") {
 		return false
 	}
-	content, err := io.ReadAll(io.LimitReader(f, maxProcessFile))
+	content, err := io.ReadAll(io.LimitReader(f, maxProcessFileBytes))
 	return err == nil && len(content) > 0 && string(content) == inode(f)
 }
 
--- a/internal/revision/host/processes_test.go
+++ b/internal/revision/host/processes_test.go
@@ -13,14 +13,14 @@
 	"oatloft/internal/revision/lease"
 )
 
-// process starts a process of the named balancer, as under a supervisor that holds its listening socket: earlier
+// startProcess starts a process of the named balancer, as under a supervisor that holds its listening socket: earlier
 // processes are known only by their files in folder.
-func process(t *testing.T, l *fakeLog, name, folder string, gen uint64) *balancer {
+func startProcess(t *testing.T, l *fakeLog, name, folder string, gen uint64) *balancer {
 	t.Helper()
 	b := newBalancer(name)
 	cfg := b.config(true)
 	cfg.Generation, cfg.Log = gen, lease.Log{Folder: folder}
-	h, err := start(cfg, quiet(), l.node(name))
+	h, err := start(cfg, discardLogger(), l.node(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	return b
 }
 
-// holders lists the lease holders in the state of the first balancer.
+// holders lists the lease holders in the state of the leader, the first balancer.
 func holders(all []*balancer) string {
 	h := all[0].Host
 	h.mu.Lock()
@@ -44,52 +44,52 @@
 
 const firstGeneration, secondGeneration, thirdGeneration = 10, 20, 30
 
-func atWork(all ...*balancer) func() bool { return func() bool { return allBy(all, 0) } }
+func allActiveAtZero(all ...*balancer) func() bool { return func() bool { return allActive(all, 0) } }
 
-// killings are scenarios in which processes of balancer c are killed. Each returns the holders of c that remain.
-var killings = map[string]func(t *testing.T, l *fakeLog, c func(generation uint64) *balancer) (holders string){
+// killScenarios are scenarios in which processes of balancer c are killed. Each returns the holders of c that remain.
+var killScenarios = map[string]func(t *testing.T, l *fakeLog, c func(generation uint64) *balancer) (holders string){
 	"before joining": func(t *testing.T, l *fakeLog, c func(uint64) *balancer) string {
-		l.lead("")
+		l.setLeader("")
 		b := c(firstGeneration)
 		if err := b.processes.create(firstGeneration); err != nil {
 			t.Fatal(err)
 		}
 		b.close()
-		l.lead("a")
+		l.setLeader("a")
 		c(secondGeneration)
 		return "c/20"
 	},
 	"while active, then restarted": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
 		b := c(firstGeneration)
-		waitFor(t, "the process is active", atWork(b))
+		waitFor(t, "the process is active", allActiveAtZero(b))
 		b.close()
 		c(secondGeneration)
 		return "c/20"
 	},
 	"the first, when the second has just started": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
 		b := c(firstGeneration)
-		waitFor(t, "the first is active", atWork(b))
+		waitFor(t, "the first is active", allActiveAtZero(b))
 		c(secondGeneration)
 		b.close()
 		return "c/20"
 	},
 	"the first, when the second is active": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
 		b := c(firstGeneration)
-		waitFor(t, "the first is active", atWork(b))
-		waitFor(t, "the second is active", atWork(c(secondGeneration)))
+		waitFor(t, "the first is active", allActiveAtZero(b))
+		waitFor(t, "the second is active", allActiveAtZero(c(secondGeneration)))
 		b.close()
 		return "c/20"
 	},
 	"the second, overlapping the first": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
-		waitFor(t, "the first is active", atWork(c(firstGeneration)))
+		waitFor(t, "the first is active", allActiveAtZero(c(firstGeneration)))
 		b := c(secondGeneration)
-		waitFor(t, "the second is active", atWork(b))
+		waitFor(t, "the second is active", allActiveAtZero(b))
 		b.close()
 		return "c/10"
 	},
 	"both": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
 		b, d := c(firstGeneration), c(secondGeneration)
-		waitFor(t, "both are active", atWork(b, d))
+		waitFor(t, "both are active", allActiveAtZero(b, d))
 		b.close()
 		d.close()
 		c(thirdGeneration)
@@ -97,7 +97,7 @@
 	},
 	"the second of three": func(t *testing.T, _ *fakeLog, c func(uint64) *balancer) string {
 		b, d, e := c(firstGeneration), c(secondGeneration), c(thirdGeneration)
-		waitFor(t, "all are active", atWork(b, d, e))
+		waitFor(t, "all are active", allActiveAtZero(b, d, e))
 		d.close()
 		return "c/10 c/30"
 	},
@@ -107,13 +107,13 @@
 // of its balancer, or the overlapping one of an upgrade, reports its end, and a proposal is settled without an
 // operator's forget.
 func TestKilledAtEachStep(t *testing.T) {
-	for step, play := range killings {
+	for step, run := range killScenarios {
 		t.Run(step, func(t *testing.T) {
-			l, all := fleet(t, 2, true)
+			l, all := startBalancers(t, 2, true)
 			folder := t.TempDir()
-			want := "a/1 b/1 " + play(t, l, func(gen uint64) *balancer { return process(t, l, "c", folder, gen) })
+			want := "a/1 b/1 " + run(t, l, func(gen uint64) *balancer { return startProcess(t, l, "c", folder, gen) })
 			waitFor(t, "the holders are "+want, func() bool { return holders(all) == want })
-			if got, err := all[0].settled(t, "k", "propose k 0 - - op "+text("one")); err != nil ||
+			if got, err := all[0].awaitOutcome(t, "k", "propose k 0 - - op "+text("one")); err != nil ||
 				!strings.HasPrefix(got, "settled 1 ") {
 				t.Fatal(got, err)
 			}
@@ -127,7 +127,7 @@
 
 // A process is not reported as ended because it does not respond, or because its folder was moved away or replaced by
 // a copy. A proposal waits for the process and fails.
-func TestNotTakenForEnded(t *testing.T) {
+func TestNotReportedAsEnded(t *testing.T) {
 	for name, change := range map[string]func(t *testing.T, folder string, b *balancer){
 		"unresponsive": func(*testing.T, string, *balancer) {},
 		"moved away": func(t *testing.T, folder string, _ *balancer) {
@@ -142,15 +142,15 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, all := fleet(t, 2, true)
+			l, all := startBalancers(t, 2, true)
 			folder := filepath.Join(t.TempDir(), "c")
-			b := process(t, l, "c", folder, 10)
-			waitFor(t, "the process is active", atWork(b))
+			b := startProcess(t, l, "c", folder, 10)
+			waitFor(t, "the process is active", allActiveAtZero(b))
 			b.stopped.Store(true)
 			change(t, folder, b)
-			next := process(t, l, "c", folder, 20)
-			waitFor(t, "the next is active", atWork(next))
-			if got, err := all[0].settled(t, "k", "propose k 0 - 1500ms op "+text("one")); err == nil ||
+			next := startProcess(t, l, "c", folder, 20)
+			waitFor(t, "the next is active", allActiveAtZero(next))
+			if got, err := all[0].awaitOutcome(t, "k", "propose k 0 - 1500ms op "+text("one")); err == nil ||
 				!strings.Contains(err.Error(), "nowhere") {
 				t.Fatal(got, err)
 			}
@@ -163,11 +163,11 @@
 
 // A process that leaves removes its file, a balancer may report only its own processes as ended, and a second process
 // of the same generation gets an error.
-func TestFilesOfProcesses(t *testing.T) {
-	l, all := fleet(t, 2, true)
+func TestProcessFiles(t *testing.T) {
+	l, all := startBalancers(t, 2, true)
 	folder := t.TempDir()
-	b := process(t, l, "c", folder, 10)
-	waitFor(t, "the process is active", atWork(b))
+	b := startProcess(t, l, "c", folder, 10)
+	waitFor(t, "the process is active", allActiveAtZero(b))
 	if err := os.WriteFile(folder+"/no-folder", nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 		}
 	})
 	b.close()
-	if files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes)); len(files) != 1 { // the incomplete file of other
+	if files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes)); len(files) != 1 { // other's incomplete file
 		t.Errorf("%d files are left: %v", len(files), files)
 	}
 	waitFor(t, "the process is no longer a holder", func() bool { return holders(all) == "a/1 b/1" })
--- a/internal/revision/host/publish.go
+++ b/internal/revision/host/publish.go
@@ -15,9 +15,9 @@
 
 // Reasons in the log line about a revision that the proxy's loop no longer uses.
 const (
-	releasedBetween = "between" // the next revision is about to be in force
-	releasedLapsed  = "lapsed"  // the lease has expired
-	releasedLeft    = "left"    // the process has left
+	releasedSuspended = "between" // the next revision is about to be in force
+	releasedExpired   = "lapsed"  // the lease has expired
+	releasedLeft      = "left"    // the process has left
 )
 
 // published records the leases that the lease holder has published and the proxy's loop has acknowledged.
@@ -49,10 +49,10 @@
 		Reason:  l.Reason,
 	}
 	if old.Seq != l.Seq {
-		h.remember(l)
+		h.addUnacknowledged(l)
 	}
 	if l.Phase == revision.Expired && h.published.activeNumber != noNumber && old.Phase == Active {
-		h.logRelease(expiryTime(old.Until).UnixMicro(), releasedLapsed)
+		h.logRelease(expiryTime(old.Until).UnixMicro(), releasedExpired)
 	}
 	h.lease.Store(next)
 	if h.cfg.LeaseChanged != nil && (old.Seq != l.Seq || !failpoint.On("changed-unrung")) {
@@ -84,8 +84,8 @@
 	return p.content
 }
 
-// remember keeps a lease until the loop acknowledges it. Beyond maxUnacknowledged the oldest is dropped.
-func (h *leaseHolder) remember(l revision.Lease) {
+// addUnacknowledged keeps a lease until the loop acknowledges it. Beyond maxUnacknowledged the oldest is dropped.
+func (h *leaseHolder) addUnacknowledged(l revision.Lease) {
 	p := &h.published
 	p.unacknowledged = append(p.unacknowledged, l)
 	if len(p.unacknowledged) > maxUnacknowledged {
@@ -141,7 +141,7 @@
 		return
 	}
 	if p.activeNumber != noNumber {
-		h.logRelease(at, releasedBetween)
+		h.logRelease(at, releasedSuspended)
 	}
 	p.activeNumber = number
 	h.log.Info("revision at work", "number", l.Number, "hash", revision.ShortHash(l.Hash), "at", at)
@@ -153,14 +153,14 @@
 func releaseReason(phase revision.LeasePhase) string {
 	switch phase {
 	case revision.Suspended:
-		return releasedBetween
+		return releasedSuspended
 	case revision.Released:
 		return releasedLeft
 	}
-	return releasedLapsed
+	return releasedExpired
 }
 
-func (h *leaseHolder) logRelease(at int64, why string) {
-	h.log.Info("revision let go", "number", h.published.activeNumber, "at", at, "why", why)
+func (h *leaseHolder) logRelease(at int64, reason string) {
+	h.log.Info("revision let go", "number", h.published.activeNumber, "at", at, "why", reason)
 	h.published.activeNumber = noNumber
 }
--- a/internal/revision/host/sockets_test.go
+++ b/internal/revision/host/sockets_test.go
@@ -15,9 +15,9 @@
 	"oatloft/internal/revision/lease"
 )
 
-// overSockets starts n members, of which voters hold a vote, over the real log on loopback. It returns them, and a
+// startOverSockets starts n members, of which voters hold a vote, over the real log on loopback. It returns them, and a
 // function that restarts one.
-func overSockets(t *testing.T, n, voters int, hold bool) (all []*balancer, restart func(i int)) {
+func startOverSockets(t *testing.T, n, voters int, hold bool) (all []*balancer, restart func(i int)) {
 	var candidates []lease.Candidate
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.123.1.%d:0", i+1))
@@ -28,7 +28,7 @@
 		l.Close()
 	}
 	folder := t.TempDir()
-	begin := func(i int, gen uint64) *balancer {
+	startMember := func(i int, gen uint64) *balancer {
 		b := newBalancer(candidates[i].Name)
 		cfg := b.config(hold)
 		cfg.Generation, cfg.PredecessorEnded = gen, true
@@ -42,7 +42,7 @@
 			Tick:       10 * time.Millisecond,
 		}
 		cfg.Lease = 600 * time.Millisecond
-		h, err := Start(cfg, quiet())
+		h, err := Start(cfg, discardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,13 +52,13 @@
 		return b
 	}
 	for i := range n {
-		all = append(all, begin(i, 1))
+		all = append(all, startMember(i, 1))
 	}
-	waitFor(t, "all active with revision 0", func() bool { return allBy(all, 0) })
-	return all, func(i int) { all[i] = begin(i, 2) }
+	waitFor(t, "all active with revision 0", func() bool { return allActive(all, 0) })
+	return all, func(i int) { all[i] = startMember(i, 2) }
 }
 
-func leader(all []*balancer) int {
+func leaderIndex(all []*balancer) int {
 	for i, b := range all {
 		if b.node.Leader().IsSelf {
 			return i
@@ -70,101 +70,101 @@
 func TestOverSockets(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			all, restart := overSockets(t, n, 3, false)
+			all, restart := startOverSockets(t, n, 3, false)
 			for i := range 5 {
 				key := fmt.Sprint("k", i)
 				all[i%n].mustSettle(t, key, fmt.Sprintf("propose %s %d - - op %s", key, i, text(key)), i+1)
 			}
-			waitFor(t, "all active with revision 5", func() bool { return allBy(all, 5) })
-			by := leaderEnds(t, all, restart)
-			rollBack(t, all, by)
+			waitFor(t, "all active with revision 5", func() bool { return allActive(all, 5) })
+			submitter := closeLeader(t, all, restart)
+			rollBack(t, all, submitter)
 			if n == 5 {
-				replaceVoter(t, all, by)
+				replaceVoter(t, all, submitter)
 			}
 		})
 	}
 }
 
-// leaderEnds closes the leader shortly after a proposal was submitted; the others settle it, and it comes into force
+// closeLeader closes the leader shortly after a proposal was submitted; the others settle it, and it comes into force
 // at all members. It returns the member that submitted it.
-func leaderEnds(t *testing.T, all []*balancer, restart func(i int)) (by *balancer) {
+func closeLeader(t *testing.T, all []*balancer, restart func(i int)) (submitter *balancer) {
 	t.Helper()
-	gone := leader(all)
-	by = all[(gone+1)%len(all)]
+	oldLeader := leaderIndex(all)
+	submitter = all[(oldLeader+1)%len(all)]
 	words := "propose k6 5 - 5s op " + text("six")
-	go by.Operate(context.Background(), words)
+	go submitter.Operate(context.Background(), words)
 	time.Sleep(15 * time.Millisecond)
-	all[gone].close()
-	by.mustSettle(t, "k6", words, 6)
-	restart(gone)
-	waitFor(t, "all active with revision 6", func() bool { return allBy(all, 6) })
-	return by
+	all[oldLeader].close()
+	submitter.mustSettle(t, "k6", words, 6)
+	restart(oldLeader)
+	waitFor(t, "all active with revision 6", func() bool { return allActive(all, 6) })
+	return submitter
 }
 
 // rollBack rolls back to revision 2.
-func rollBack(t *testing.T, all []*balancer, by *balancer) {
+func rollBack(t *testing.T, all []*balancer, submitter *balancer) {
 	t.Helper()
-	by.mustSettle(t, "r", "rollback r 6 - - op 2", 7)
+	submitter.mustSettle(t, "r", "rollback r 6 - - op 2", 7)
 	for i := range all {
 		line, err := all[i].Operate(context.Background(), "list 6")
 		if err != nil || !strings.HasPrefix(line, "7 hash=") || !strings.Contains(line, "kind=rollback-of-2") {
 			t.Fatal(line, err)
 		}
 	}
-	waitFor(t, "all active with revision 7", func() bool { return allBy(all, 7) })
+	waitFor(t, "all active with revision 7", func() bool { return allActive(all, 7) })
 	if c := all[0].Lease().Content; c.Note != "k1" {
 		t.Fatalf("rolled back to %q", c.Note)
 	}
 }
 
 // replaceVoter moves the vote of a member that is not the leader to a member without a vote.
-func replaceVoter(t *testing.T, all []*balancer, by *balancer) {
+func replaceVoter(t *testing.T, all []*balancer, submitter *balancer) {
 	t.Helper()
-	old, young := "", ""
+	oldVoter, newVoter := "", ""
 	votes := map[string]bool{}
-	for _, v := range all[leader(all)].node.Status().Voters {
+	for _, v := range all[leaderIndex(all)].node.Status().Voters {
 		votes[v.Name] = true
-		if v.Name != all[leader(all)].name {
-			old = v.Name
+		if v.Name != all[leaderIndex(all)].name {
+			oldVoter = v.Name
 		}
 	}
 	for _, b := range all {
 		if !votes[b.name] {
-			young = b.name
+			newVoter = b.name
 		}
 	}
-	if got, err := by.Operate(context.Background(), "replace "+old+" "+young); err != nil {
+	if got, err := submitter.Operate(context.Background(), "replace "+oldVoter+" "+newVoter); err != nil {
 		t.Fatal(got, err)
 	}
-	if s, _ := by.Operate(context.Background(), "status"); !strings.Contains(s, young) {
+	if s, _ := submitter.Operate(context.Background(), "status"); !strings.Contains(s, newVoter) {
 		t.Fatal(s)
 	}
-	if got, err := by.settled(t, "k8", "propose k8 7 - - op "+text("eight")); err != nil {
+	if got, err := submitter.awaitOutcome(t, "k8", "propose k8 7 - - op "+text("eight")); err != nil {
 		t.Fatal(got, err)
 	}
 }
 
 var revisions = flag.Int("revisions", 40, "number of revisions that TestHistoryOverLog settles")
 
-// single is one member over the real log that can be restarted with the same folder.
-type single struct {
+// restartableMember is one member over the real log that can be restarted with the same folder.
+type restartableMember struct {
 	*balancer
 	addr, folder string
 	keep         int   // revisions
 	keepBytes    int64 // bound of their texts
 }
 
-func newSingle(t *testing.T, keep int, keepBytes int64) *single {
+func newRestartableMember(t *testing.T, keep int, keepBytes int64) *restartableMember {
 	l, err := net.Listen("tcp", "127.123.2.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	return &single{addr: l.Addr().String(), folder: t.TempDir(), keep: keep, keepBytes: keepBytes}
+	return &restartableMember{addr: l.Addr().String(), folder: t.TempDir(), keep: keep, keepBytes: keepBytes}
 }
 
-// begin starts the next process of the member.
-func (s *single) begin(t *testing.T, generation int) {
+// restart starts the next process of the member.
+func (s *restartableMember) restart(t *testing.T, generation int) {
 	t.Helper()
 	if s.balancer != nil {
 		s.balancer.close()
@@ -177,7 +177,7 @@
 		Cluster: "t", Name: "a", Listen: s.addr, Candidates: []lease.Candidate{{Name: "a", Addr: s.addr}}, Voters: 1,
 		Folder: s.folder, Tick: 5 * time.Millisecond,
 	}
-	h, err := Start(cfg, quiet())
+	h, err := Start(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,8 +187,8 @@
 	s.balancer = b
 }
 
-// call carries out an order, and retries it while its error permits that.
-func (s *single) call(t *testing.T, words string) (got string, err error) {
+// operateWithRetry carries out an order, and retries it while its error permits that.
+func (s *restartableMember) operateWithRetry(t *testing.T, words string) (got string, err error) {
 	t.Helper()
 	waitFor(t, words, func() bool {
 		got, err = s.Operate(context.Background(), words)
@@ -197,20 +197,20 @@
 	return got, err
 }
 
-// mustHave checks that the revisions from first to last are kept with their texts, and that earlier ones are not.
-func (s *single) mustHave(t *testing.T, first, last int) {
+// mustKeep checks that the revisions from first to last are kept with their texts, and that earlier ones are not.
+func (s *restartableMember) mustKeep(t *testing.T, first, last int) {
 	t.Helper()
-	got, err := s.call(t, "list 0")
+	got, err := s.operateWithRetry(t, "list 0")
 	forgotten := fmt.Sprintf(" forgotten=..%d ", first-1)
 	if err != nil || !strings.HasPrefix(got, fmt.Sprint(first, " hash=")) || !strings.Contains(got, forgotten) {
 		t.Error(got, err)
 	}
-	_, err = s.call(t, fmt.Sprintf("get %d", first-1))
+	_, err = s.operateWithRetry(t, fmt.Sprintf("get %d", first-1))
 	if !errors.As(err, new(*revision.Forgotten)) || hint.Of(err) == "" {
 		t.Errorf("%d: %v", first-1, err)
 	}
 	for i := first; i <= last; i++ {
-		if got, err := s.call(t, fmt.Sprintf("get %d", i)); err != nil || got != text(fmt.Sprint("k", i)) {
+		if got, err := s.operateWithRetry(t, fmt.Sprintf("get %d", i)); err != nil || got != text(fmt.Sprint("k", i)) {
 			t.Fatal(i, got, err)
 		}
 	}
@@ -219,37 +219,37 @@
 // The history survives restarts through the real log, its folder and its snapshots: the kept revisions equal the
 // settled ones, revisions beyond the bound in number, or later in bytes, are reported as forgotten, and a rollback to
 // a kept revision succeeds.
-func TestHistoryThroughTheLog(t *testing.T) {
+func TestHistoryOverLog(t *testing.T) {
 	n := max(20, *revisions)
 	keep := n / 2
-	s := newSingle(t, keep, 8<<20)
-	began := time.Now()
+	s := newRestartableMember(t, keep, 8<<20)
+	startedAt := time.Now()
 	for i := 1; i <= n; i++ {
 		if i%(n/4) == 1 {
-			s.begin(t, i)
+			s.restart(t, i)
 		}
 		key := fmt.Sprint("k", i)
 		s.mustSettle(t, key, fmt.Sprintf("propose %s %d - - op %s", key, i-1, text(key)), i)
 	}
 	status := s.node.Status()
 	t.Logf("%d revisions in %v; the folder has entries from %d to %d",
-		n, time.Since(began).Round(time.Millisecond), status.FirstEntry, status.Applied)
-	s.mustHave(t, n-keep+1, n)
-	s.begin(t, n+1)
-	s.mustHave(t, n-keep+1, n)
+		n, time.Since(startedAt).Round(time.Millisecond), status.FirstEntry, status.Applied)
+	s.mustKeep(t, n-keep+1, n)
+	s.restart(t, n+1)
+	s.mustKeep(t, n-keep+1, n)
 	s.keepBytes = int64(10 * len(text(fmt.Sprint("k", n))))
-	s.begin(t, n+2)
-	line, err := s.call(t, fmt.Sprintf("list %d", n-6))
+	s.restart(t, n+2)
+	line, err := s.operateWithRetry(t, fmt.Sprintf("list %d", n-6))
 	if err != nil {
 		t.Fatal(err)
 	}
 	hash := line[len(fmt.Sprint(n-5, " hash=")):][:16]
-	got, err := s.settled(t, "back", fmt.Sprintf("rollback back %d - - op %d", n, n-5))
+	got, err := s.awaitOutcome(t, "back", fmt.Sprintf("rollback back %d - - op %d", n, n-5))
 	if err != nil || !strings.HasPrefix(got, fmt.Sprintf("settled %d %s ", n+1, hash)) {
 		t.Fatal(got, err)
 	}
-	s.mustHave(t, n-8, n) // nine of them and the rollback
-	_, err = s.call(t, fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9))
+	s.mustKeep(t, n-8, n) // nine of them and the rollback
+	_, err = s.operateWithRetry(t, fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9))
 	if !errors.As(err, new(*revision.Forgotten)) {
 		t.Error(err)
 	}
