--- a/internal/edgeconfig/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -1,6 +1,6 @@
-// Package edgeconfig reads the compiled form of our own settings, deploy/edge.cue. It owns the records and their
-// units; it must never fill in a default: those are the schema's (internal/edgeconfigcue), so that what a balancer
-// runs on is all written in the file that it was given.
+// Package edgeconfig reads the compiled form of the edge settings, deploy/edge.cue. It declares the records and their
+// units. It fills in no defaults: the schema does (internal/edgeconfigcue), so that the file given to a balancer
+// contains all settings that the balancer runs with.
 package edgeconfig
 
 import (
@@ -19,16 +19,16 @@
 	"oatloft/internal/membership"
 )
 
-// Form is the version of the compiled form. A file of another is refused.
+// Form is the version of the compiled form. A file of another version is rejected.
 const Form = 1
 
-// Most is how long a compiled file may be, in bytes.
-const Most = 4 << 20
+// MaxBytes is the maximum length of a compiled file, in bytes.
+const MaxBytes = 4 << 20
 
-// Settings are all that an edge file holds. A section that is nil is switched off.
+// Settings is the content of an edge file. A section that is nil is disabled.
 type Settings struct {
 	Form      int        `json:"oatloft_edge"`
-	Source    string     `json:"source"` // what it was compiled from
+	Source    string     `json:"source"` // name of the file it was compiled from
 	Admission *Admission `json:"admission"`
 	Peers     *Peers     `json:"peers,omitempty"`
 	Numbered  *Numbered  `json:"numbered,omitempty"`
@@ -36,18 +36,18 @@
 	Links     *Links     `json:"links,omitempty"`
 }
 
-// Revisions is the section of internal/consensus and internal/revision: one routing revision for all.
+// Revisions is the section of internal/consensus and internal/revision: one routing revision for all balancers.
 type Revisions struct {
 	Cluster      string            `json:"cluster"`
-	Listen       string            `json:"listen"`  // TCP; where members talk of revisions
-	Members      []Candidate       `json:"members"` // who may hold a vote, the same list in the same order at all
-	Voters       int               `json:"voters"`  // of these, drawn over the zones
-	Reach        map[string]string `json:"reach"`   // by name, where to call in place of the member's address
+	Listen       string            `json:"listen"`  // TCP address for calls between members
+	Members      []Candidate       `json:"members"` // members that may hold a vote; same list and order at all of them
+	Voters       int               `json:"voters"`  // number of voters among the members, spread over the zones
+	Reach        map[string]string `json:"reach"`   // addresses to call instead of the members' own, by name
 	Folder       string            `json:"folder"`  // of a voter's log
-	Lease        Duration          `json:"lease"`   // a permission to route newcomers lasts so long after it was asked for
+	Lease        Duration          `json:"lease"`   // duration of a lease to place new clients, from when it was requested
 	OnCut        string            `json:"on_cut"`  // refuse, hold
 	Deadline     Duration          `json:"deadline"`
-	ReplaceAfter Duration          `json:"replace_after"` // a voter gone for so long loses its vote; 0 for never
+	ReplaceAfter Duration          `json:"replace_after"` // a voter absent for this long loses its vote; 0 for never
 	History      int               `json:"history"`
 	HistoryBytes Size              `json:"history_bytes"`
 }
@@ -59,25 +59,26 @@
 	Addr string `json:"addr"`
 }
 
-// Links is the section of internal/bandwidth: bytes between zones, divided among the balancers. The table of links
-// is a revision's.
+// Links is the section of internal/bandwidth, which divides the bandwidth between zones among the balancers. The
+// table of links is part of a revision.
 type Links struct {
-	SafePart float64  `json:"safe_part"` // of a link, for all balancers together, that each has its part of without asking
-	Lease    Duration `json:"lease"`     // of what is had beyond
-	Buffer   Size     `json:"buffer"`    // most that is read ahead of one sender that is held back
+	SafePart float64  `json:"safe_part"` // fraction of a link that all balancers together may use without a grant
+	Lease    Duration `json:"lease"`     // duration of a grant beyond the safe part
+	Buffer   Size     `json:"buffer"`    // maximum read ahead from one sender that is throttled
 }
 
-// Numbered is the section of a balancer that talks to no other, and goes by its number and the settings' count.
+// Numbered is the section of a balancer that does not communicate with others, and coordinates by its number and the
+// number of balancers in the settings.
 type Numbered struct {
-	Number int `json:"number"` // below 0: the figure that its name ends in
-	Subset int `json:"subset"` // regions of other zones that it looks at; 0 for all
+	Number int `json:"number"` // below 0: the number at the end of the balancer's name
+	Subset int `json:"subset"` // number of servers of other zones that it observes; 0 for all
 }
 
-// Peers is the section of internal/membership: balancers that know of each other.
+// Peers is the section of internal/membership: balancers that exchange their state.
 type Peers struct {
 	Cluster     string            `json:"cluster"`
 	Listen      string            `json:"listen"`
-	Advertise   string            `json:"advertise"` // where the others reach it; Listen if ""
+	Advertise   string            `json:"advertise"` // address at which the others reach this balancer; Listen if ""
 	Join        []string          `json:"join"`
 	Reach       map[string]string `json:"reach"`
 	SilentAfter Duration          `json:"silent_after"`
@@ -85,12 +86,12 @@
 	SignalBytes Size              `json:"signal_bytes"`
 	SignalEvery Duration          `json:"signal_every"`
 	SignalLife  Duration          `json:"signal_life"`
-	Subset      int               `json:"subset"` // regions that this balancer looks at by itself; 0 for all
+	Subset      int               `json:"subset"` // number of servers that this balancer observes itself; 0 for all
 	Readings    bool              `json:"readings"`
 	Turns       bool              `json:"turns"`
 }
 
-// Config is what the member is to know, for a balancer of this name. The generation is the host's.
+// Config returns the membership settings of the balancer with this name. The host sets the generation.
 func (p *Peers) Config(name string) (membership.Config, error) {
 	c := membership.Config{
 		Cluster:     p.Cluster,
@@ -108,7 +109,7 @@
 	}
 	switch {
 	case p.SignalEvery < Duration(50*time.Millisecond):
-		return c, &Unfit{
+		return c, &InvalidSetting{
 			hint.Annotated{
 				Where: "peers.signal_every",
 				What:  fmt.Sprintf("%v is under 50ms", time.Duration(p.SignalEvery)),
@@ -116,19 +117,19 @@
 			},
 		}
 	case p.Subset < 0 || p.Subset > 128:
-		return c, &Unfit{
+		return c, &InvalidSetting{
 			hint.Annotated{
 				Where: "peers.subset",
 				What:  fmt.Sprintf("%d is outside 0 to 128", p.Subset),
-				Do:    "set it to 1 to 128 regions, or to 0 for all",
+				Do:    "set it to 1 to 128 servers, or to 0 for all",
 			},
 		}
 	case p.SignalLife < 2*p.SignalEvery:
-		return c, &Unfit{
+		return c, &InvalidSetting{
 			hint.Annotated{
 				Where: "peers.signal_life",
 				What:  fmt.Sprintf("%v is under twice signal_every, %v", time.Duration(p.SignalLife), time.Duration(p.SignalEvery)),
-				Do:    "make it longer, or signal_every shorter",
+				Do:    "increase it, or decrease signal_every",
 			},
 		}
 	}
@@ -194,17 +195,17 @@
 	} `json:"come_back"`
 }
 
-// Duration is a time as Go writes it, "1.5s"; in JSON a string.
+// Duration is a duration in Go's notation, "1.5s"; in JSON a string.
 type Duration time.Duration
 
-// UnmarshalText reads a time.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(b []byte) error {
 	x, err := time.ParseDuration(string(b))
 	if err != nil {
-		return &Unfit{
+		return &InvalidSetting{
 			hint.Annotated{
-				What: fmt.Sprintf("%q is no time such as \"250ms\"", b),
-				Do:   "write a figure with its unit: ms, s, m, h",
+				What: fmt.Sprintf("%q is not a duration such as \"250ms\"", b),
+				Do:   "write a number with its unit: ms, s, m, h",
 			},
 		}
 	}
@@ -212,48 +213,48 @@
 	return nil
 }
 
-// MarshalText writes it.
+// MarshalText formats the duration in Go's notation.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Size is a number of bytes, "16KiB"; in JSON a string.
 type Size int64
 
-var sizes = []struct {
-	unit string
-	of   int64
+var sizeUnits = []struct {
+	unit  string
+	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// UnmarshalText reads a size.
+// UnmarshalText parses a size.
 func (s *Size) UnmarshalText(b []byte) error {
-	for _, u := range sizes {
+	for _, u := range sizeUnits {
 		if number, ok := strings.CutSuffix(string(b), u.unit); ok {
 			n, err := strconv.ParseInt(number, 10, 32)
 			if err != nil || n < 0 {
 				break
 			}
-			*s = Size(n * u.of)
+			*s = Size(n * u.bytes)
 			return nil
 		}
 	}
-	return &Unfit{
+	return &InvalidSetting{
 		hint.Annotated{
-			What: fmt.Sprintf("%q is no size such as \"16KiB\"", b),
-			Do:   "write a whole figure with its unit: B, KiB, MiB, GiB",
+			What: fmt.Sprintf("%q is not a size such as \"16KiB\"", b),
+			Do:   "write a whole number with its unit: B, KiB, MiB, GiB",
 		},
 	}
 }
 
-// MarshalText writes it.
+// MarshalText formats the size in the largest unit that divides it.
 func (s Size) MarshalText() ([]byte, error) {
-	for _, u := range sizes {
-		if int64(s)%u.of == 0 && (s != 0 || u.of == 1) {
-			return []byte(strconv.FormatInt(int64(s)/u.of, 10) + u.unit), nil
+	for _, u := range sizeUnits {
+		if int64(s)%u.bytes == 0 && (s != 0 || u.bytes == 1) {
+			return []byte(strconv.FormatInt(int64(s)/u.bytes, 10) + u.unit), nil
 		}
 	}
 	return nil, nil
 }
 
-// Load reads the compiled file at path. An error is one line that names the file and the field.
+// Load reads the compiled file at path. An error is a single line with the file and the field.
 func Load(path string) (*Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -261,12 +262,12 @@
 			hint.Annotated{
 				Where: "edge",
 				Cause: err,
-				Do:    "see that --edge (PROXY_EDGE) names a file that this balancer may read",
+				Do:    "set --edge (PROXY_EDGE) to a file that this balancer can read",
 			},
 		}
 	}
 	defer func() { _ = f.Close() }()
-	body := make([]byte, Most+1)
+	body := make([]byte, MaxBytes+1)
 	n := 0
 	for n < len(body) {
 		k, err := f.Read(body[n:])
@@ -274,44 +275,48 @@
 			break
 		}
 	}
-	if n > Most {
+	if n > MaxBytes {
 		return nil, &Unreadable{
-			hint.Annotated{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", Most), Do: again},
+			hint.Annotated{Where: "edge: " + path, What: fmt.Sprintf("longer than %d bytes", MaxBytes), Do: recompileHint},
 		}
 	}
 	s, err := Parse(body[:n])
 	if err != nil {
-		return nil, &Unreadable{hint.Annotated{Where: "edge: " + path, Cause: err, Do: again}}
+		return nil, &Unreadable{hint.Annotated{Where: "edge: " + path, Cause: err, Do: recompileHint}}
 	}
 	return s, nil
 }
 
-// Parse reads a compiled file's text.
+// Parse reads the text of a compiled file.
 func Parse(body []byte) (*Settings, error) {
 	s := &Settings{}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(s); err != nil {
-		return nil, &Unreadable{hint.Annotated{What: "not in the compiled form", Cause: err, Do: again}}
+		return nil, &Unreadable{hint.Annotated{What: "not a compiled edge file", Cause: err, Do: recompileHint}}
 	}
 	if s.Form != Form {
 		return nil, &Unreadable{
-			hint.Annotated{Where: "oatloft_edge", What: fmt.Sprintf("form %d; this program reads %d", s.Form, Form), Do: again},
+			hint.Annotated{
+				Where: "oatloft_edge",
+				What:  fmt.Sprintf("form %d; this program reads %d", s.Form, Form),
+				Do:    recompileHint,
+			},
 		}
 	}
 	if d.More() {
-		return nil, &Unreadable{hint.Annotated{What: "something follows the settings", Do: again}}
+		return nil, &Unreadable{hint.Annotated{What: "unexpected data after the settings", Do: recompileHint}}
 	}
-	// What the file doesn't name would be zero here: compare with what these settings write.
-	whole, err := json.Marshal(s)
+	// A field that the file leaves out would be zero here. Comparing with the settings encoded again finds it.
+	encoded, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
 	var have, want any
 	_ = json.Unmarshal(body, &have)
-	_ = json.Unmarshal(whole, &want)
-	if field := missing(want, have, ""); field != "" {
-		return nil, &Unreadable{hint.Annotated{Where: field, What: "missing", Do: again}}
+	_ = json.Unmarshal(encoded, &want)
+	if field := missingField(want, have, ""); field != "" {
+		return nil, &Unreadable{hint.Annotated{Where: field, What: "missing", Do: recompileHint}}
 	}
 	if s.Admission != nil {
 		c, err := s.Admission.Config()
@@ -330,7 +335,8 @@
 	return s, nil
 }
 
-func missing(want, have any, at string) string {
+// missingField returns the path of the first field of want that have lacks, or "".
+func missingField(want, have any, at string) string {
 	w, ok := want.(map[string]any)
 	if !ok {
 		return ""
@@ -347,7 +353,7 @@
 		if !ok {
 			return path
 		}
-		if field := missing(w[name], got, path); field != "" {
+		if field := missingField(w[name], got, path); field != "" {
 			return field
 		}
 	}
@@ -360,8 +366,8 @@
 	"address":     admission.ByAddress,
 }
 
-// Config is what the decision module is to know. Tenants, and whether clients heed advice, are not the edge
-// file's: the host adds them.
+// Config returns the settings of the admission module. Tenants, and whether clients follow hints, are not in the edge
+// file: the host adds them.
 func (a *Admission) Config() (admission.Config, error) {
 	c := admission.Config{
 		Address: admission.Address{MaxConnections: a.Address.MaxConnections, MaxSilent: a.Address.MaxSilent,
@@ -382,26 +388,26 @@
 	}
 	var ok bool
 	if c.Reserve.Identity, ok = identities[a.Reserve.Identity]; !ok {
-		return c, &Unfit{
+		return c, &InvalidSetting{
 			hint.Annotated{
 				Where: "admission.reserve.identity",
-				What:  fmt.Sprintf("%q is none of flow, tenant+flow, address", a.Reserve.Identity),
+				What:  fmt.Sprintf("%q is not one of flow, tenant+flow, address", a.Reserve.Identity),
 				Do:    "set one of the three",
 			},
 		}
 	}
 	if a.Descriptors.GoodByes < 0 {
-		return c, &Unfit{
-			hint.Annotated{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"},
+		return c, &InvalidSetting{
+			hint.Annotated{Where: "admission.descriptors.good_byes", What: "is negative", Do: "set it to 0 or more"},
 		}
 	}
 	for i, text := range a.Address.Exempt {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			return c, &Unfit{
+			return c, &InvalidSetting{
 				hint.Annotated{
 					Where: fmt.Sprintf("admission.address.exempt[%d]", i),
-					What:  fmt.Sprintf("%q is no network such as 10.0.0.0/8", text),
+					What:  fmt.Sprintf("%q is not a network such as 10.0.0.0/8", text),
 					Do:    "write address/bits",
 				},
 			}
@@ -411,10 +417,11 @@
 	return c, nil
 }
 
-// Unfit is a value of the edge file that can't work.
-type Unfit struct{ hint.Annotated }
+// InvalidSetting is the error of an invalid value in the edge file.
+type InvalidSetting struct{ hint.Annotated }
 
-// Unreadable is a compiled file that can't be read, or isn't as this version of the program takes it.
+// Unreadable is the error of a compiled file that cannot be read, or does not have the form that this version of the
+// program reads.
 type Unreadable struct{ hint.Annotated }
 
-const again = "compile the settings with this version's oatctl edge compile, and give that file"
+const recompileHint = "compile the settings with oatctl edge compile of this version, and use the resulting file"
--- a/internal/edgeconfig/golden_test.go
+++ b/internal/edgeconfig/golden_test.go
@@ -7,9 +7,10 @@
 	"oatloft/internal/golden"
 )
 
+// The JSON form of Settings matches the golden file.
 func TestFormOfSettings(t *testing.T) { golden.JSON[Settings](t, "settings.json") }
 
-// Settings that an earlier oatctl compiled are read whole, and mean the same.
+// Settings compiled by an earlier oatctl are read completely, with the same meaning.
 func TestFormOfCompiledSettings(t *testing.T) {
 	read, err := Parse(golden.Read(t, "compiled.json"))
 	if err != nil {
--- a/internal/edgeconfigcue/edgecue.go
+++ b/internal/edgeconfigcue/edgecue.go
@@ -1,5 +1,5 @@
-// Package edgeconfigcue checks and compiles our own settings. It owns the schema; it must never be linked into the
-// balancer, which reads what this package wrote: CUE costs 8 MB resident.
+// Package edgeconfigcue checks and compiles the edge settings against its CUE schema. It must not be linked into the
+// balancer, which reads the compiled form only: CUE takes 8 MB of resident memory.
 package edgeconfigcue
 
 import (
@@ -26,22 +26,22 @@
 
 const schemaFile = "schema.cue"
 
-// Fault is what is wrong with a file of settings: a line for each field, with its place.
+// Fault is the error of an invalid settings file: a line for each field, with its position.
 type Fault struct{ hint.Annotated }
 
-const mend = "mend the fields; oatctl edge show prints all with their defaults"
+const correctionHint = "correct the fields; oatctl edge show prints all fields with their defaults"
 
-// Compile checks the settings at path and returns them whole, defaults filled in, as the balancer reads them.
-// The error is one line a fault, each with file, line and field.
+// Compile checks the settings at path and returns them in the form that the balancer reads, with the defaults filled
+// in. The error has a line for each fault, with file, line and field.
 func Compile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Fault{hint.Annotated{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
+		return nil, &Fault{hint.Annotated{Cause: err, Do: "give the path of a settings file, such as deploy/edge.cue"}}
 	}
 	return CompileText(path, text)
 }
 
-// CompileText is Compile for a text that path is only the name of.
+// CompileText is like Compile for a given text; path is only used as the file's name.
 func CompileText(path string, text []byte) ([]byte, error) {
 	ctx := cuecontext.New()
 	rules := ctx.CompileString(schema, cue.Filename(schemaFile))
@@ -52,11 +52,11 @@
 	if err := given.Err(); err != nil {
 		return nil, faults(path, err)
 	}
-	whole := rules.LookupPath(cue.ParsePath("#Edge")).Unify(given)
-	if err := whole.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
+	merged := rules.LookupPath(cue.ParsePath("#Edge")).Unify(given)
+	if err := merged.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
 		return nil, faults(path, err)
 	}
-	values, err := whole.MarshalJSON()
+	values, err := merged.MarshalJSON()
 	if err != nil {
 		return nil, faults(path, err)
 	}
@@ -75,24 +75,26 @@
 		return nil, err
 	}
 	body = append(body, '\n')
-	// Bounds that hang on several fields are the module's own: it is asked as the balancer will ask it.
+	// Bounds that depend on several fields are checked by the modules, as at the balancer.
 	if _, err := edgeconfig.Parse(body); err != nil {
 		field, _, _ := strings.Cut(err.Error(), ":")
 		if at := given.LookupPath(cue.ParsePath(field)).Pos(); at != token.NoPos {
-			return nil, &Fault{hint.Annotated{Where: fmt.Sprintf("%s:%d:%d", path, at.Line(), at.Column()), Cause: err, Do: mend}}
+			return nil, &Fault{
+				hint.Annotated{Where: fmt.Sprintf("%s:%d:%d", path, at.Line(), at.Column()), Cause: err, Do: correctionHint},
+			}
 		}
-		return nil, &Fault{hint.Annotated{Where: path, Cause: err, Do: mend}}
+		return nil, &Fault{hint.Annotated{Where: path, Cause: err, Do: correctionHint}}
 	}
 	return body, nil
 }
 
-// Show returns the settings as CUE with every default in sight; without a file, those of the schema.
+// Show returns the settings as CUE with all defaults filled in; if path is "", only the defaults of the schema.
 func Show(path string) ([]byte, error) {
 	text := []byte("admission: {}\n")
 	if path != "" {
 		var err error
 		if text, err = os.ReadFile(path); err != nil {
-			return nil, &Fault{hint.Annotated{Cause: err, Do: "name the file of settings, such as deploy/edge.cue"}}
+			return nil, &Fault{hint.Annotated{Cause: err, Do: "give the path of a settings file, such as deploy/edge.cue"}}
 		}
 	}
 	body, err := CompileText(path, text)
@@ -115,8 +117,8 @@
 	return format.Node(syntax, format.Simplify())
 }
 
-// faults writes one line a field that is at fault. CUE tells of a field with a default once for each way in which
-// the value doesn't fit; that it isn't the default is no news.
+// faults returns an error with one line for each invalid field. For a field with a default, CUE reports an error for
+// each alternative that the value does not match; that the value differs from the default is omitted.
 func faults(path string, err error) error {
 	type fault struct {
 		at, field, what string
@@ -126,7 +128,12 @@
 	index := map[string]int{}
 	for _, e := range errors.Errors(err) {
 		format, args := e.Msg()
-		f := fault{position(path, e), strings.TrimPrefix(strings.Join(e.Path(), "."), "#Edge."), fmt.Sprintf(format, args...), 2}
+		f := fault{
+			positionIn(path, e),
+			strings.TrimPrefix(strings.Join(e.Path(), "."), "#Edge."),
+			fmt.Sprintf(format, args...),
+			2,
+		}
 		switch {
 		case strings.Contains(f.what, "empty disjunction"):
 			f.weight = 0
@@ -151,13 +158,13 @@
 		lines = append(lines, fmt.Sprintf("%s: %s%s", f.at, f.field, f.what))
 	}
 	if len(lines) == 0 {
-		return &Fault{hint.Annotated{Where: path, Cause: err, Do: mend}}
+		return &Fault{hint.Annotated{Where: path, Cause: err, Do: correctionHint}}
 	}
-	return &Fault{hint.Annotated{What: strings.Join(lines, "\n"), Do: mend}}
+	return &Fault{hint.Annotated{What: strings.Join(lines, "\n"), Do: correctionHint}}
 }
 
-// position is where in the given file a fault is, rather than in the schema.
-func position(path string, e errors.Error) string {
+// positionIn returns the positionIn of a fault in the given file, not in the schema.
+func positionIn(path string, e errors.Error) string {
 	best := token.NoPos
 	for _, p := range append(errors.Positions(e), e.Position()) {
 		if p.Filename() == path {
