--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -1,11 +1,12 @@
-// Package revisioncue reads and writes routing revisions as operators do: CUE, or JSON, which is CUE. It owns the schema, and
-// where in an operator's file a fault is; it must never be linked into a balancer, which reads what revision.Encode writes.
+// Package revisioncue reads and writes routing revisions in the form that operators use: CUE, of which JSON is a
+// subset. It contains the schema and finds the position of faults in an operator's file. It must not be linked into a
+// balancer, which reads only what revision.Encode writes.
 package revisioncue
 
 import (
 	"bytes"
 	"cmp"
-	_ "crypto/sha256" // revision.Hash, for who reads a revision from CUE
+	_ "crypto/sha256" // for revision.Hash in programs that read revisions from CUE
 	_ "embed"
 	"encoding/json"
 	"fmt"
@@ -30,18 +31,19 @@
 
 const schemaFile = "schema.cue"
 
-// Most is how long an operator's text may be, in bytes.
+// Most is the maximum length of an operator's text, in bytes.
 const Most = 1 << 20
 
-// Fault is one thing that is wrong with an operator's text.
+// Fault is one error in an operator's text.
 type Fault struct {
 	File         string
-	Line, Column int // from 1; 0 where it is nowhere in particular
+	Line, Column int // from 1; 0 for a fault without a position
 	Field        string
 	What         string
 	Do           string
 }
 
+// Error implements error.
 func (f Fault) Error() string {
 	at := f.File
 	if f.Line > 0 {
@@ -53,12 +55,13 @@
 	return at + ": " + f.What
 }
 
-// Hint is what an operator can do.
+// Hint implements hint.Hinter.
 func (f Fault) Hint() string { return f.Do }
 
-// Faults is the error that a text is no revision: all that is wrong with it, at least one thing.
+// Faults is the error of a text that is not a valid revision. It lists all faults and is not empty.
 type Faults []Fault
 
+// Error implements error.
 func (l Faults) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
@@ -67,39 +70,44 @@
 	return strings.Join(lines, "\n")
 }
 
-// Hint is what to do about the first of them.
+// Hint returns the hint of the first fault.
 func (l Faults) Hint() string { return l[0].Do }
 
-// Unwrap gives errors.As the first of them.
+// Unwrap returns the first fault, for errors.As.
 func (l Faults) Unwrap() error { return l[0] }
 
-// text is the record as operators write it: times with their units, without the form, which is this program's.
-type text struct {
-	Note    string             `json:"note,omitzero"`
-	Classes []class            `json:"classes,omitempty"`
-	Tenants []revision.Tenant  `json:"tenants,omitempty"`
-	Regions []revision.Place   `json:"regions,omitempty"`
-	Zones   []revision.Place   `json:"zones,omitempty"`
-	Budgets revision.Budgets   `json:"budgets,omitzero"`
-	Moves   revision.Migration `json:"moves,omitzero"`
-	Links   []revision.Link    `json:"links,omitempty"`
+// contentText is a revision as operators write it: durations have a unit, and the form's version, which this program
+// adds, is left out.
+type contentText struct {
+	Note      string             `json:"note,omitzero"`
+	Classes   []classText        `json:"classes,omitempty"`
+	Tenants   []revision.Tenant  `json:"tenants,omitempty"`
+	Servers   []revision.Place   `json:"regions,omitempty"`
+	Zones     []revision.Place   `json:"zones,omitempty"`
+	Budgets   revision.Budgets   `json:"budgets,omitzero"`
+	Migration revision.Migration `json:"moves,omitzero"`
+	Links     []revision.Link    `json:"links,omitempty"`
 }
 
-type class struct {
-	Name       string `json:"name"`
-	Order      int    `json:"order,omitzero"`
-	Aim        string `json:"aim,omitzero"`
-	MessageAim string `json:"message_aim,omitzero"`
-	Attempts   int    `json:"attempts,omitzero"`
+// classText is a class as operators write it.
+type classText struct {
+	Name                    string `json:"name"`
+	PriorityRank            int    `json:"order,omitzero"`
+	LatencyObjective        string `json:"aim,omitzero"`
+	MessageLatencyObjective string `json:"message_aim,omitzero"`
+	Attempts                int    `json:"attempts,omitzero"`
 }
 
-// Parse reads an operator's text, or a balancer's, of which path is the name, and holds it to all that doesn't hang on a balancer's settings.
-// The error is Faults.
+// Parse reads an operator's or a balancer's text, of which path is the name, and checks everything that does not
+// depend on a balancer's settings. The error is Faults.
 func Parse(path string, body []byte) (*revision.Content, error) {
 	if len(body) > Most {
-		return nil, Faults{{path, 0, 0, "", fmt.Sprintf("%d bytes, more than %d", len(body), Most), "say less in one revision: leave out what is as the settings have it"}}
+		return nil, Faults{{
+			path, 0, 0, "", fmt.Sprintf("%d bytes, more than %d", len(body), Most),
+			"make the revision shorter: leave out what equals the settings",
+		}}
 	}
-	if bytes.HasPrefix(bytes.TrimSpace(body), []byte(`{"oatloft_revision"`)) { // as balancers write it
+	if bytes.HasPrefix(bytes.TrimSpace(body), []byte(`{"oatloft_revision"`)) { // a balancer's text
 		c, err := revision.Decode(bytes.TrimSpace(body))
 		if err == nil {
 			err = revision.Validate(c)
@@ -113,71 +121,90 @@
 	rules := ctx.CompileString(schema, cue.Filename(schemaFile))
 	given := ctx.CompileBytes(body, cue.Filename(path))
 	if err := given.Err(); err != nil {
-		return nil, faults(path, err, "write it as in docs/operators/revisions.md; oatctl revision show prints one that is sound")
+		return nil, faults(path, err,
+			"write it as in docs/operators/revisions.md; oatctl revision show prints a valid revision")
 	}
 	if given.IncompleteKind() != cue.StructKind {
-		return nil, Faults{{path, 1, 1, "", "no fields, but a " + given.IncompleteKind().String(), "write fields such as note: \"why\""}}
+		return nil, Faults{{
+			path, 1, 1, "", "no fields, but a " + given.IncompleteKind().String(),
+			"write fields such as note: \"why\"",
+		}}
 	}
-	whole := rules.LookupPath(cue.ParsePath("#Revision")).Unify(given)
-	if err := whole.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
+	merged := rules.LookupPath(cue.ParsePath("#Revision")).Unify(given)
+	if err := merged.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
 		return nil, faults(path, err, "")
 	}
-	values, err := whole.MarshalJSON()
+	values, err := merged.MarshalJSON()
 	if err != nil {
 		return nil, faults(path, err, "")
 	}
-	t := text{}
+	t := contentText{}
 	if err := json.Unmarshal(values, &t); err != nil {
-		return nil, Faults{{path, 0, 0, "", err.Error(), "use whole numbers within the bounds where the schema asks for int"}}
+		return nil, Faults{{
+			path, 0, 0, "", err.Error(), "use whole numbers within the bounds where the schema requires int",
+		}}
+	}
+	c := revision.Content{
+		Form:      revision.Form,
+		Note:      t.Note,
+		Tenants:   t.Tenants,
+		Servers:   t.Servers,
+		Zones:     t.Zones,
+		Budgets:   t.Budgets,
+		Migration: t.Migration,
+		Links:     t.Links,
 	}
-	c := revision.Content{Form: revision.Form, Note: t.Note, Tenants: t.Tenants, Servers: t.Regions, Zones: t.Zones, Budgets: t.Budgets, Migration: t.Moves, Links: t.Links}
 	for i, k := range t.Classes {
-		x := revision.Class{Name: k.Name, PriorityRank: k.Order, MaxAttempts: k.Attempts}
+		x := revision.Class{Name: k.Name, PriorityRank: k.PriorityRank, MaxAttempts: k.Attempts}
 		for _, at := range []struct {
 			field, text string
 			to          *time.Duration
-		}{{"aim", k.Aim, &x.LatencyObjective}, {"message_aim", k.MessageAim, &x.MessageLatencyObjective}} {
+		}{
+			{"aim", k.LatencyObjective, &x.LatencyObjective},
+			{"message_aim", k.MessageLatencyObjective, &x.MessageLatencyObjective},
+		} {
 			if at.text == "" {
 				continue
 			}
 			d, err := time.ParseDuration(at.text)
 			if err == nil && d == 0 {
-				d = 1 // told as too small: 0 would read as not said
+				d = 1 // reported as too small; 0 would mean that the field is not set
 			}
 			if err != nil {
-				return nil, Faults{place(path, given, fmt.Sprintf("classes[%d].%s", i, at.field), fmt.Sprintf("%q is too long", at.text), "set a time of 1ms to 1h")}
+				return nil, Faults{faultAt(path, given, fmt.Sprintf("classes[%d].%s", i, at.field),
+					fmt.Sprintf("%q is too long", at.text), "set a time of 1ms to 1h")}
 			}
 			*at.to = d
 		}
 		c.Classes = append(c.Classes, x)
 	}
-	var wrong *revision.Incompatible
-	if err := revision.Validate(&c); errors.As(err, &wrong) {
-		return nil, Faults{place(path, given, wrong.Field, wrong.Message(), wrong.Remedy)}
+	var incompatible *revision.Incompatible
+	if err := revision.Validate(&c); errors.As(err, &incompatible) {
+		return nil, Faults{faultAt(path, given, incompatible.Field, incompatible.Message(), incompatible.Remedy)}
 	}
 	return &c, nil
 }
 
-var named = regexp.MustCompile(`\b(note|classes|tenants|regions|zones|budgets|moves|links)(\[\d+\]|\.[a-z_]+)*: `)
+var fieldName = regexp.MustCompile(`\b(note|classes|tenants|regions|zones|budgets|moves|links)(\[\d+\]|\.[a-z_]+)*: `)
 
-// Where is the place in the operator's text, "path:line:column", of the first field that a balancer's answer names; path alone where
-// it names none that the text has.
+// Where returns the position in the operator's text, "path:line:column", of the first field that a balancer's answer
+// names, or path alone if the answer names no field of the text.
 func Where(path string, body []byte, answer string) string {
-	field := strings.TrimSuffix(named.FindString(answer), ": ")
-	if line, column := stands(path, cuecontext.New().CompileBytes(body, cue.Filename(path)), field); line > 0 {
+	field := strings.TrimSuffix(fieldName.FindString(answer), ": ")
+	if line, column := positionOf(path, cuecontext.New().CompileBytes(body, cue.Filename(path)), field); line > 0 {
 		return fmt.Sprintf("%s:%d:%d", path, line, column)
 	}
 	return path
 }
 
-// place is a fault at a field.
-func place(path string, given cue.Value, field, what, do string) Fault {
-	line, column := stands(path, given, field)
+// faultAt returns a fault with the position of a field.
+func faultAt(path string, given cue.Value, field, what, do string) Fault {
+	line, column := positionOf(path, given, field)
 	return Fault{path, line, column, field, what, do}
 }
 
-// stands is where a field stands, or the nearest around it; 0 where that is nowhere in particular.
-func stands(path string, given cue.Value, field string) (line, column int) {
+// positionOf returns the position of a field, or of the innermost enclosing field that has one, or 0.
+func positionOf(path string, given cue.Value, field string) (line, column int) {
 	for at := field; at != ""; {
 		if pos := given.LookupPath(cue.ParsePath(at)).Pos(); pos.Filename() == path && pos != token.NoPos {
 			return pos.Line(), pos.Column()
@@ -187,11 +214,25 @@
 	return 0, 0
 }
 
-// Format is c as an operator would write it; Parse gives c back if it is sound.
+// Format returns c in the form that operators use. If c is valid, Parse returns the same content.
 func Format(c *revision.Content) []byte {
-	t := text{Note: c.Note, Tenants: c.Tenants, Regions: c.Servers, Zones: c.Zones, Budgets: c.Budgets, Moves: c.Migration, Links: c.Links}
+	t := contentText{
+		Note:      c.Note,
+		Tenants:   c.Tenants,
+		Servers:   c.Servers,
+		Zones:     c.Zones,
+		Budgets:   c.Budgets,
+		Migration: c.Migration,
+		Links:     c.Links,
+	}
 	for _, k := range c.Classes {
-		t.Classes = append(t.Classes, class{k.Name, k.PriorityRank, length(k.LatencyObjective), length(k.MessageLatencyObjective), k.MaxAttempts})
+		t.Classes = append(t.Classes, classText{
+			k.Name,
+			k.PriorityRank,
+			formatDuration(k.LatencyObjective),
+			formatDuration(k.MessageLatencyObjective),
+			k.MaxAttempts,
+		})
 	}
 	body, err := json.Marshal(t)
 	if err != nil {
@@ -208,8 +249,8 @@
 	return out
 }
 
-// length is a time in the unit that the schema knows it by.
-func length(d time.Duration) string {
+// formatDuration formats a duration in a unit that the schema accepts, or returns "" for 0.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
 		return ""
@@ -223,15 +264,15 @@
 	return ms + "ms"
 }
 
-// faults is what CUE tells, one a field. Of a field with a default it tells once for each way in which the value doesn't fit;
-// that it isn't the default is no news.
+// faults converts the errors that CUE reports, with one fault for each field. For a field with a default, CUE reports
+// an error for each alternative that the value does not match; that the value differs from the default is omitted.
 func faults(path string, err error, do string) error {
 	var list Faults
 	weights := map[string]int{}
 	for _, e := range errors.Errors(err) {
 		form, args := e.Msg()
-		at, what := field(e.Path()), strings.ReplaceAll(fmt.Sprintf(form, args...), "\n", " ")
-		f := Fault{File: path, Field: at, What: what, Do: cmp.Or(do, remedy(what, at))}
+		at, what := fieldPath(e.Path()), strings.ReplaceAll(fmt.Sprintf(form, args...), "\n", " ")
+		f := Fault{File: path, Field: at, What: what, Do: cmp.Or(do, hintFor(what, at))}
 		for _, p := range append(errors.Positions(e), e.Position()) {
 			if p.Filename() == path {
 				f.Line, f.Column = p.Line(), p.Column()
@@ -265,8 +306,8 @@
 	return list
 }
 
-// field is a path of CUE's as operators and revision write it: "classes[0].aim".
-func field(path []string) string {
+// fieldPath converts a CUE path to the notation of operators and package revision: "classes[0].aim".
+func fieldPath(path []string) string {
 	out := ""
 	for _, p := range path {
 		switch _, err := strconv.Atoi(p); {
@@ -282,15 +323,15 @@
 	return out
 }
 
-// remedy is what to do about a fault that CUE words.
-func remedy(what, field string) string {
+// hintFor returns the hint for a fault that CUE reports.
+func hintFor(what, field string) string {
 	switch {
 	case strings.Contains(what, "not allowed"):
-		return "take the field out, or write it as docs/operators/revisions.md names it"
+		return "take the field out, or use its name in docs/operators/revisions.md"
 	case strings.Contains(what, "incomplete") || strings.Contains(what, "required"):
-		return "say what " + field + " is"
+		return "set " + field + " to a value"
 	case strings.Contains(field, "aim"):
 		return "write a time of 1ms to 1h with its unit, such as \"300ms\""
 	}
-	return "see docs/operators/revisions.md for what " + field + " may hold"
+	return "see docs/operators/revisions.md for what " + field + " may contain"
 }
