--- a/internal/edgeconfigcue/edgecue.go
+++ b/internal/edgeconfigcue/edgecue.go
@@ -163,7 +163,7 @@
 	return &Fault{hint.Annotated{What: strings.Join(lines, "\n"), Do: correctionHint}}
 }
 
-// positionIn returns the positionIn of a fault in the given file, not in the schema.
+// positionIn returns the position of a fault in the given file, not in the schema.
 func positionIn(path string, e errors.Error) string {
 	best := token.NoPos
 	for _, p := range append(errors.Positions(e), e.Position()) {
--- a/internal/edgeconfigcue/schema.cue
+++ b/internal/edgeconfigcue/schema.cue
@@ -59,7 +59,7 @@
 	reach: {[string]: #Address} // addresses to call instead of the members' own, by member name
 	folder:        string & !="" // of a voter's log
 	lease:         #Duration | *"3s" // duration of a lease to place new clients, from when it was requested
-	on_cut:        *"refuse" | "hold" // for new clients at a balancer that is partitioned from the others
+	on_cut:        *"refuse" | "hold" // behavior of a balancer that is partitioned from the others
 	deadline:      #Duration | *"10s" // a proposal fails unless all members have agreed to it by then
 	replace_after: #Duration | *"0s" // a voter absent for this long loses its vote to another member; 0s for never
 	history:       int & >=2 & <=1000000 | *10000 // number of revisions to keep
--- a/internal/revision/host/fake_test.go
+++ b/internal/revision/host/fake_test.go
@@ -22,8 +22,8 @@
 type fakeNode struct {
 	log         *fakeLog
 	name        string
-	m           consensus.Machine
-	h           consensus.Handler
+	machine     consensus.Machine
+	handler     consensus.Handler
 	applied     int
 	changed     chan struct{}
 	partitioned bool
@@ -35,7 +35,7 @@
 	return func(m consensus.Machine, h consensus.Handler) (Node, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		n := &fakeNode{log: l, name: name, m: m, h: h, changed: make(chan struct{}, 1)}
+		n := &fakeNode{log: l, name: name, machine: m, handler: h, changed: make(chan struct{}, 1)}
 		l.nodes[name] = n
 		n.catchUp()
 		return n, nil
@@ -53,15 +53,15 @@
 	}
 }
 
-func (l *fakeLog) setPartitioned(name string, cut bool) {
+func (l *fakeLog) setPartitioned(name string, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.nodes[name].partitioned = cut
+	l.nodes[name].partitioned = partitioned
 }
 
 func (n *fakeNode) catchUp() {
 	for ; n.applied < len(n.log.entries); n.applied++ {
-		n.m.Apply(uint64(n.applied+1), n.log.entries[n.applied])
+		n.machine.Apply(uint64(n.applied+1), n.log.entries[n.applied])
 	}
 }
 
@@ -105,7 +105,7 @@
 	if unreachable {
 		return nil, fmt.Errorf("%s cannot be reached", name)
 	}
-	return target.h(ctx, n.name, method, body)
+	return target.handler(ctx, n.name, method, body)
 }
 
 func (n *fakeNode) Replace(context.Context, string, string) error {
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -64,7 +64,7 @@
 	Close()
 }
 
-// Limits of the settings.
+// Limits of Config.Lease and Config.History.
 const (
 	MinLease   = 100 * time.Millisecond
 	MaxLease   = 10 * time.Minute
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -20,7 +20,7 @@
 	stopped          atomic.Bool
 	incompatibleNote atomic.Pointer[string] // note of the revision that is incompatible with its settings
 	leaseChanged     chan struct{}
-	end              chan struct{}
+	loopEnd          chan struct{}
 	once             sync.Once
 }
 
@@ -60,18 +60,18 @@
 			if !b.stopped.Load() {
 				b.Acknowledge(b.Lease().Seq)
 			}
-		case <-b.end:
+		case <-b.loopEnd:
 			return
 		}
 	}
 }
 
 func newBalancer(name string) *balancer {
-	return &balancer{name: name, leaseChanged: make(chan struct{}, 1), end: make(chan struct{})}
+	return &balancer{name: name, leaseChanged: make(chan struct{}, 1), loopEnd: make(chan struct{})}
 }
 
 func (b *balancer) close() {
-	b.once.Do(func() { b.Close(); close(b.end) })
+	b.once.Do(func() { b.Close(); close(b.loopEnd) })
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -105,9 +105,9 @@
 	return true
 }
 
-func waitFor(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(8 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting: " + what)
 		}
--- a/internal/revision/host/processes_test.go
+++ b/internal/revision/host/processes_test.go
@@ -15,11 +15,11 @@
 
 // startProcess starts a process of the named balancer, as under a supervisor that holds its listening socket: earlier
 // processes are known only by their files in folder.
-func startProcess(t *testing.T, l *fakeLog, name, folder string, gen uint64) *balancer {
+func startProcess(t *testing.T, l *fakeLog, name, folder string, generation uint64) *balancer {
 	t.Helper()
 	b := newBalancer(name)
 	cfg := b.config(true)
-	cfg.Generation, cfg.Log = gen, lease.Log{Folder: folder}
+	cfg.Generation, cfg.Log = generation, lease.Log{Folder: folder}
 	h, err := start(cfg, discardLogger(), l.node(name))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/revision/host/sockets_test.go
+++ b/internal/revision/host/sockets_test.go
@@ -28,10 +28,10 @@
 		l.Close()
 	}
 	folder := t.TempDir()
-	startMember := func(i int, gen uint64) *balancer {
+	startMember := func(i int, generation uint64) *balancer {
 		b := newBalancer(candidates[i].Name)
 		cfg := b.config(hold)
-		cfg.Generation, cfg.PredecessorEnded = gen, true
+		cfg.Generation, cfg.PredecessorEnded = generation, true
 		cfg.Log = lease.Log{
 			Cluster:    "t",
 			Name:       b.name,
