--- a/internal/edgeconfig/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -398,7 +398,7 @@
 	}
 	if a.Descriptors.GoodByes < 0 {
 		return c, &InvalidSetting{
-			hint.Annotated{Where: "admission.descriptors.good_byes", What: "is negative", Do: "set it to 0 or more"},
+			hint.Annotated{Where: "admission.descriptors.good_byes", What: "negative", Do: "set it to 0 or more"},
 		}
 	}
 	for i, text := range a.Address.Exempt {
