--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -7,28 +7,28 @@
 	"oatloft/internal/hint"
 )
 
-// Config holds the settings of a Gate. New checks them. All counts apply to this balancer alone.
+// Config holds the settings of a Controller. New checks them. All counts apply to this balancer alone.
 type Config struct {
-	Address     Address
-	Network     Network
-	Reserve     Reserve
-	Descriptors Descriptors
-	Memory      Memory
-	ComeBack    ComeBack
-	Exempt      []netip.Prefix // networks without caps, such as proxies that forward many clients from one address
-	Tenants     []Tenant
+	Address       Address
+	Network       Network
+	Reserve       Reserve
+	Descriptors   Descriptors
+	Memory        Memory
+	RetrySchedule RetrySchedule
+	Exempt        []netip.Prefix // networks without caps, such as proxies that forward many clients from one address
+	Tenants       []Tenant
 }
 
 // Address holds the caps of one address, which is an IPv4 address or an IPv6 prefix of Prefix6 bits.
 type Address struct {
-	MaxConnections int           // open at once, for all uses
-	MaxSilent      int           // open at once that have not sent their first line
-	NewPerSecond   float64       // average rate of new connections, per second
-	Burst          int           // new connections allowed at once
-	MaxBytes       int           // received from all its silent connections together
-	ShortPatience  time.Duration // from level Short on, silent connections are closed after this time
-	Prefix6        int           // bits
-	Table          int           // addresses tracked at once
+	MaxConnections   int           // open at once, for all uses
+	MaxSilent        int           // open at once that have not sent their first line
+	NewPerSecond     float64       // average rate of new connections, per second
+	Burst            int           // new connections allowed at once
+	MaxBytes         int           // received from all its silent connections together
+	FirstLineTimeout time.Duration // from level Short on, silent connections are closed after this time
+	Prefix6          int           // bits
+	Table            int           // addresses tracked at once
 }
 
 // Network holds the caps of a network, all of whose addresses may belong to one sender.
@@ -52,14 +52,14 @@
 
 // Reserve holds the settings of the capacity that is reserved for known clients.
 type Reserve struct {
-	Identity      Identity
-	KnownShare    float64       // of the descriptors for requests
-	StandFor      time.Duration // a client becomes known once a flow of it has been established for this long
-	RememberFor   time.Duration // it stays known until this long after its last established flow
-	Max           int           // known clients
-	MaxPerNetwork int           // known clients of one network
-	MaxPerClient  int           // requests at once that count as a known client's; more count as an unknown client's
-	MuteFor       time.Duration // a known client whose address exceeds its rate too often counts as unknown for this long
+	Identity       Identity
+	KnownShare     float64       // of the descriptors for requests
+	EstablishedFor time.Duration // a client becomes known once a flow of it has been established for this long
+	RememberFor    time.Duration // it stays known until this long after its last established flow
+	Max            int           // known clients
+	MaxPerNetwork  int           // known clients of one network
+	MaxPerClient   int           // requests at once that count as a known client's; more count as an unknown client's
+	MuteFor        time.Duration // a known client whose address exceeds its rate too often counts as unknown for this long
 }
 
 // Descriptors holds how the descriptors are divided, and the thresholds of the levels. Shares are of the budget.
@@ -74,17 +74,17 @@
 
 // Memory holds how much of the process's memory each use of a connection costs, in bytes.
 type Memory struct {
-	Base        int64   // the idle process
-	Silent      int64   // a client that has not sent its first line
-	Transaction int64   // a client, its attempt and the data buffered between them
-	MaxShare    float64 // of the memory limit
+	Base     int64   // the idle process
+	Silent   int64   // a client that has not sent its first line
+	Request  int64   // a client, its attempt and the data buffered between them
+	MaxShare float64 // of the memory limit
 }
 
-// ComeBack holds how the retries of refused clients are spread over time, for clients that honor a retry time.
-type ComeBack struct {
-	Advise      bool          // send retry times at all
-	PerSecond   float64       // retries scheduled per second
-	Least, Most time.Duration // bounds of a retry time
+// RetrySchedule holds how the retries of refused clients are spread over time, for clients that honor a retry time.
+type RetrySchedule struct {
+	Enabled   bool          // send retry times at all
+	PerSecond float64       // retries scheduled per second
+	Min, Max  time.Duration // bounds of a retry time
 }
 
 // Tenant holds the weight of one tenant. A weight of 0 means no limit.
@@ -104,7 +104,7 @@
 		{"address.new_per_second", c.Address.NewPerSecond > 0},
 		{"address.burst", c.Address.Burst >= 1},
 		{"address.max_bytes", c.Address.MaxBytes >= 4096},
-		{"address.short_patience", c.Address.ShortPatience >= MinVictimAge},
+		{"address.short_patience", c.Address.FirstLineTimeout >= MinVictimAge},
 		{"address.prefix6", c.Address.Prefix6 >= 16 && c.Address.Prefix6 <= 128},
 		{"address.table", c.Address.Table >= 64 && c.Address.Table <= 1<<20},
 		{"network.prefix4", c.Network.Prefix4 >= 8 && c.Network.Prefix4 <= 32},
@@ -115,7 +115,7 @@
 		{"network.table", c.Network.Table >= 64 && c.Network.Table <= 1<<20},
 		{"reserve.identity", c.Reserve.Identity <= ByAddress},
 		{"reserve.known_share", c.Reserve.KnownShare >= 0 && c.Reserve.KnownShare <= 0.9},
-		{"reserve.stand_for", c.Reserve.StandFor > 0},
+		{"reserve.stand_for", c.Reserve.EstablishedFor > 0},
 		{"reserve.remember_for", c.Reserve.RememberFor > 0},
 		{"reserve.max", c.Reserve.Max >= 8 && c.Reserve.Max <= 1<<20},
 		{"reserve.max_per_network", c.Reserve.MaxPerNetwork >= 1},
@@ -129,10 +129,10 @@
 		{"descriptors.hysteresis", c.Descriptors.Hysteresis > 0 && c.Descriptors.Hysteresis < c.Descriptors.Tight},
 		{"memory.base", c.Memory.Base >= 0},
 		{"memory.silent", c.Memory.Silent >= 0},
-		{"memory.transaction", c.Memory.Transaction >= 0},
+		{"memory.transaction", c.Memory.Request >= 0},
 		{"memory.max_share", c.Memory.MaxShare > 0 && c.Memory.MaxShare <= 1},
-		{"come_back.per_second", !c.ComeBack.Advise || c.ComeBack.PerSecond > 0},
-		{"come_back.most", c.ComeBack.Least >= 0 && c.ComeBack.Most >= c.ComeBack.Least},
+		{"come_back.per_second", !c.RetrySchedule.Enabled || c.RetrySchedule.PerSecond > 0},
+		{"come_back.most", c.RetrySchedule.Min >= 0 && c.RetrySchedule.Max >= c.RetrySchedule.Min},
 	} {
 		if !setting.ok {
 			return &InvalidSetting{
--- a/internal/admission/gate.go
+++ b/internal/admission/controller.go
@@ -45,7 +45,7 @@
 	Unanswered      // its request was admitted and not answered yet; a descriptor is reserved for its attempt
 	Established     // client and server are connected
 	Closing         // answered or ended; the descriptor is not closed yet
-	Probe           // this and the following uses are the caller's own, set by Fixed
+	Probe           // this and the following uses are the caller's own, set by SetReserved
 	Discovery
 	Spare // for answering when the process has none left, and for closing refused connections gracefully
 	useCount
@@ -105,8 +105,8 @@
 	NoMemory
 	Exhaustion       // the process had no descriptor left although the budget was not used up
 	Reclaimed        // closed while silent, to free its descriptor
-	FirstLineTimeout // closed after Address.ShortPatience because it was silent at level Short or above
-	NoPermit         // the balancer has no lease for a revision
+	FirstLineTimeout // closed after Address.FirstLineTimeout because it was silent at level Short or above
+	NoLease          // the balancer has no lease for a revision
 	reasonCount
 )
 
@@ -117,18 +117,19 @@
 // String returns the name of the reason in logs and reports.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Verdict is a decision. After is the time after which a refused client should retry, or 0 for no retry time.
+// Verdict is a decision. RetryAfter is the time after which a refused client should retry, or 0 for no retry time.
 type Verdict struct {
-	Reason Reason
-	After  time.Duration
-	Curt   bool // the address connects too often: close right after the answer, without waiting for the client to close
+	Reason     Reason
+	RetryAfter time.Duration
+	// the address connects too often: close right after the answer, without waiting for the client to close
+	CloseAtOnce bool
 }
 
 // OK reports whether the client is admitted.
 func (v Verdict) OK() bool { return v.Reason == Admitted }
 
-// Who is the identity that a client presents in its first line. It is not authenticated.
-type Who struct{ Key, Tenant string }
+// ClaimedIdentity is the identity that a client presents in its first line. It is not authenticated.
+type ClaimedIdentity struct{ Key, Tenant string }
 
 // Constants that are not configurable.
 const (
@@ -162,8 +163,8 @@
 	Refused [reasonCount]int64 // by reason
 }
 
-// Gate makes the admission decisions. It is not safe for concurrent use.
-type Gate struct {
+// Controller makes the admission decisions. It is not safe for concurrent use.
+type Controller struct {
 	Counters Counters
 
 	cfg            Config
@@ -185,22 +186,22 @@
 	scheduledUntil time.Duration // retries are scheduled up to this time
 }
 
-// New returns a Gate, or an error that names the first invalid setting.
-func New(cfg Config, seed uint64) (*Gate, error) {
+// New returns a Controller, or an error that names the first invalid setting.
+func New(cfg Config, seed uint64) (*Controller, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	g := &Gate{randomState: mix(seed, 0x9e3779b97f4a7c15), connections: make([]connection, 1, 1024)}
+	g := &Controller{randomState: mix(seed, 0x9e3779b97f4a7c15), connections: make([]connection, 1, 1024)}
 	g.addresses, g.networks = newTable(cfg.Address.Table, g.random()), newTable(cfg.Network.Table, g.random())
 	g.known.init(cfg.Reserve, g.random())
-	g.ledger.limit = 1 << 16 // descriptors, until Limit is called
+	g.ledger.limit = 1 << 16 // descriptors, until SetLimits is called
 	g.apply(cfg)
 	return g, nil
 }
 
 // Reconfigure applies all of the new settings or none. Admitted connections stay, even beyond the new limits. The
 // table sizes can't be changed.
-func (g *Gate) Reconfigure(cfg Config) error {
+func (g *Controller) Reconfigure(cfg Config) error {
 	if err := cfg.validate(); err != nil {
 		return err
 	}
@@ -213,7 +214,7 @@
 	return nil
 }
 
-func (g *Gate) apply(cfg Config) {
+func (g *Controller) apply(cfg Config) {
 	oldTenants := g.tenants
 	g.cfg, g.known.cfg = cfg, cfg.Reserve
 	g.tenants = make(map[string]int, len(cfg.Tenants))
@@ -252,8 +253,8 @@
 	g.ledger.recompute()
 }
 
-// Limit sets how many descriptors the process may use in all, and how much memory in bytes (0 for no limit).
-func (g *Gate) Limit(descriptors int, memory int64) {
+// SetLimits sets how many descriptors the process may use in all, and how much memory in bytes (0 for no limit).
+func (g *Controller) SetLimits(descriptors int, memory int64) {
 	g.ledger.limit, g.ledger.memoryLimit = descriptors, memory
 	g.ledger.recompute()
 	// Entries with open connections are pinned. With one entry per descriptor, and as many again, there is always an
@@ -263,32 +264,32 @@
 	g.ledger.updateLevel(g)
 }
 
-// Fixed sets how many descriptors the caller uses for Probe, Discovery or Spare.
-func (g *Gate) Fixed(u Use, n int) {
+// SetReserved sets how many descriptors the caller uses for Probe, Discovery or Spare.
+func (g *Controller) SetReserved(u Use, n int) {
 	g.ledger.inUse[u] = n
 	g.ledger.recompute()
 }
 
-// Memory sets the measured memory use of the process, in bytes.
-func (g *Gate) Memory(used int64) { g.ledger.memoryUsed = used }
+// SetMemoryUsed sets the measured memory use of the process, in bytes.
+func (g *Controller) SetMemoryUsed(used int64) { g.ledger.memoryUsed = used }
 
 // Level returns the current level.
-func (g *Gate) Level() Level { return g.ledger.level }
+func (g *Controller) Level() Level { return g.ledger.level }
 
 // InUse returns how many descriptors or connections there are of a use.
-func (g *Gate) InUse(u Use) int { return g.ledger.inUse[u] }
+func (g *Controller) InUse(u Use) int { return g.ledger.inUse[u] }
 
-// Pressed reports whether the level is high enough to close finishing connections sooner.
-func (g *Gate) Pressed() bool { return g.ledger.level >= Tight }
+// UnderPressure reports whether the level is high enough to close finishing connections sooner.
+func (g *Controller) UnderPressure() bool { return g.ledger.level >= Tight }
 
 // Accept decides on a connection from addr before anything is read from it. A refused connection gets no ticket.
-func (g *Gate) Accept(now time.Duration, addr netip.Addr) (Ticket, Verdict) {
+func (g *Controller) Accept(now time.Duration, addr netip.Addr) (Ticket, Verdict) {
 	g.setTime(now)
 	addrKey, netKey := g.cfg.tableKeys(addr)
 	exempt := g.cfg.isExempt(addr)
 	addrEntry := g.addresses.touch(addrKey, g.now)
 	netEntry := g.networks.touch(netKey, g.now)
-	if addrEntry == 0 || netEntry == 0 { // all entries pinned; Limit makes the tables large enough to rule this out
+	if addrEntry == 0 || netEntry == 0 { // all entries pinned; SetLimits makes the tables large enough to rule this out
 		return g.refuse(NoDescriptor)
 	}
 	if !exempt {
@@ -297,7 +298,7 @@
 		case !g.addresses.allow(addrEntry, g.now, c.NewPerSecond, c.Burst):
 			peer.addStrike(g.now, c.NewPerSecond)
 			_, v := g.refuse(AddressRate)
-			v.Curt = peer.strikeCount(g.now, c.NewPerSecond) >= maxStrikes
+			v.CloseAtOnce = peer.strikeCount(g.now, c.NewPerSecond) >= maxStrikes
 			return 0, v
 		case int(peer.openConnections) >= c.MaxConnections:
 			return g.refuse(AddressConnections)
@@ -335,9 +336,9 @@
 	return g.ticketAt(i), Verdict{}
 }
 
-// Bytes adds n bytes received from a silent client. If the verdict is not OK, the client's address exceeds MaxBytes,
+// AddBytes adds n bytes received from a silent client. If the verdict is not OK, the client's address exceeds MaxBytes,
 // and this client is to be refused.
-func (g *Gate) Bytes(now time.Duration, t Ticket, n int) Verdict {
+func (g *Controller) AddBytes(now time.Duration, t Ticket, n int) Verdict {
 	g.setTime(now)
 	x := g.lookupUse(t, Silent)
 	if x == nil {
@@ -354,8 +355,8 @@
 }
 
 // Request decides on a silent client's first line. If the request is admitted, its descriptors and memory are reserved.
-// If not, the caller must answer the client and call Answered.
-func (g *Gate) Request(now time.Duration, t Ticket, who Who) Verdict {
+// If not, the caller must answer the client and call Finished.
+func (g *Controller) Request(now time.Duration, t Ticket, who ClaimedIdentity) Verdict {
 	g.setTime(now)
 	x := g.lookupUse(t, Silent)
 	if x == nil {
@@ -399,7 +400,7 @@
 }
 
 // decide applies the load shedding order to a request.
-func (g *Gate) decide(x *connection, i int32) Reason {
+func (g *Controller) decide(x *connection, i int32) Reason {
 	l := &g.ledger
 	exceedsShare := g.exceedsShare(x)
 	switch {
@@ -428,7 +429,7 @@
 // exceedsShare reports whether a tenant uses its whole share of the request capacity. For a known client, only requests
 // of known clients count, because any client can name any tenant. It is false for a tenant whose share is the whole
 // capacity.
-func (g *Gate) exceedsShare(x *connection) bool {
+func (g *Controller) exceedsShare(x *connection) bool {
 	n := g.requests[Known][x.tenant]
 	if x.rank != Known {
 		n += g.requests[Unknown][x.tenant] + g.requests[Claimant][x.tenant]
@@ -437,8 +438,8 @@
 	return share < 1 && float64(n) >= share*float64(g.ledger.requestBudget/2)
 }
 
-// Stood reports that a request's flow is established.
-func (g *Gate) Stood(now time.Duration, t Ticket) {
+// Established reports that a request's flow is established.
+func (g *Controller) Established(now time.Duration, t Ticket) {
 	g.setTime(now)
 	if x := g.lookupUse(t, Unanswered); x != nil {
 		x.use, x.establishedAt = Established, g.now
@@ -446,8 +447,8 @@
 	}
 }
 
-// Answered reports that a client gets nothing more. Its descriptor is not closed yet. It may be called twice.
-func (g *Gate) Answered(now time.Duration, t Ticket) {
+// Finished reports that a client gets nothing more. Its descriptor is not closed yet. It may be called twice.
+func (g *Controller) Finished(now time.Duration, t Ticket) {
 	g.setTime(now)
 	if x := g.lookup(t); x != nil {
 		g.finish(t, x)
@@ -455,7 +456,7 @@
 	}
 }
 
-func (g *Gate) finish(t Ticket, x *connection) {
+func (g *Controller) finish(t Ticket, x *connection) {
 	switch x.use {
 	case Closing:
 		return
@@ -477,7 +478,7 @@
 }
 
 // Closed reports that a client's descriptor is free again.
-func (g *Gate) Closed(now time.Duration, t Ticket) {
+func (g *Controller) Closed(now time.Duration, t Ticket) {
 	g.setTime(now)
 	x := g.lookup(t)
 	if x == nil {
@@ -497,7 +498,7 @@
 
 // Exhausted reports that the process was refused a descriptor although the budget was not used up, because something
 // else uses more descriptors than assumed. The budget is cut to less than is in use and grows back slowly.
-func (g *Gate) Exhausted(now time.Duration) {
+func (g *Controller) Exhausted(now time.Duration) {
 	g.setTime(now)
 	g.Counters.Exhausted++
 	g.ledger.cutBudget(g.now)
@@ -505,8 +506,8 @@
 	g.ledger.updateLevel(g)
 }
 
-// Refusal counts a refusal that the caller decided by itself, and returns a verdict with its retry time.
-func (g *Gate) Refusal(now time.Duration, r Reason) Verdict {
+// CountRefusal counts a refusal that the caller decided by itself, and returns a verdict with its retry time.
+func (g *Controller) CountRefusal(now time.Duration, r Reason) Verdict {
 	g.setTime(now)
 	_, v := g.refuse(r)
 	return v
@@ -514,7 +515,7 @@
 
 // Tick does the periodic work: it promotes clients to known ones, forgets clients, closes silent clients early from
 // level Short on, and lets the level fall. It should be called several times a second.
-func (g *Gate) Tick(now time.Duration) {
+func (g *Controller) Tick(now time.Duration) {
 	g.setTime(now)
 	if g.now-g.lastTick < minTickInterval {
 		return
@@ -527,7 +528,7 @@
 		switch x := &g.connections[i]; {
 		case x.use == Established:
 			g.promote(x)
-		case x.use == Silent && closeEarly && !x.victim && g.now-x.acceptedAt >= g.cfg.Address.ShortPatience:
+		case x.use == Silent && closeEarly && !x.victim && g.now-x.acceptedAt >= g.cfg.Address.FirstLineTimeout:
 			g.evict(int32(i), FirstLineTimeout)
 		}
 	}
@@ -537,12 +538,12 @@
 // Victim is a silent client that the caller must answer with BUSY and close now.
 type Victim struct {
 	Ticket
-	After time.Duration // time after which it should retry, or 0 for no retry time
+	RetryAfter time.Duration // time after which it should retry, or 0 for no retry time
 }
 
 // Victims returns the silent clients to close; each is returned once. The slice is valid until the next call of a
-// method of the Gate.
-func (g *Gate) Victims() []Victim {
+// method of the Controller.
+func (g *Controller) Victims() []Victim {
 	v := g.victims
 	g.victims = g.victims[:0]
 	return v
@@ -552,8 +553,8 @@
 // client becomes known from level Tight on, because the clients of a flood keep their flows established too. The
 // connection itself keeps its rank: if it counted as a known client's from now on, the free part of the reserve would
 // shrink, and another unknown client could take its place.
-func (g *Gate) promote(x *connection) {
-	if g.now-x.establishedAt < g.cfg.Reserve.StandFor || g.ledger.level >= Tight && !g.known.contains(x.identity) {
+func (g *Controller) promote(x *connection) {
+	if g.now-x.establishedAt < g.cfg.Reserve.EstablishedFor || g.ledger.level >= Tight && !g.known.contains(x.identity) {
 		return
 	}
 	if g.known.recordEstablished(x.identity, g.networks.list[x.network].key, g.now, x.establishedAt) {
@@ -563,7 +564,7 @@
 
 // evictSilent chooses a silent client to close. If the new connection comes from the address that has the most silent
 // clients, none is closed, and the new connection is to be refused. anyAddress lifts this restriction.
-func (g *Gate) evictSilent(anyAddress bool, newAddress int32) bool {
+func (g *Controller) evictSilent(anyAddress bool, newAddress int32) bool {
 	i, ok := g.silent.victim(g)
 	if !ok || !anyAddress && g.connections[i].address == newAddress {
 		return false
@@ -573,14 +574,14 @@
 }
 
 // evictSilentFor chooses a silent client to close for another one whose request needs one more descriptor.
-func (g *Gate) evictSilentFor(i int32) bool {
+func (g *Controller) evictSilentFor(i int32) bool {
 	g.silent.remove(g, i)
 	ok := g.evictSilent(true, 0)
 	g.silent.add(g, i)
 	return ok
 }
 
-func (g *Gate) evict(i int32, reason Reason) {
+func (g *Controller) evict(i int32, reason Reason) {
 	g.Counters.Refused[reason]++
 	g.connections[i].victim = true
 	g.openVictims++
@@ -588,36 +589,36 @@
 	g.victims = append(g.victims, Victim{g.ticketAt(i), g.retryAfter()})
 }
 
-func (g *Gate) ticketAt(i int32) Ticket {
+func (g *Controller) ticketAt(i int32) Ticket {
 	return Ticket(g.connections[i].generation)<<32 | Ticket(uint32(i))
 }
 
-func (g *Gate) refuse(reason Reason) (Ticket, Verdict) {
+func (g *Controller) refuse(reason Reason) (Ticket, Verdict) {
 	g.Counters.Refused[reason]++
-	return 0, Verdict{Reason: reason, After: g.retryAfter()}
+	return 0, Verdict{Reason: reason, RetryAfter: g.retryAfter()}
 }
 
 // retryAfter returns a retry time. Retries are scheduled at the configured rate, so that clients refused in one burst
 // don't retry in another. Once the schedule is full, retry times are random.
-func (g *Gate) retryAfter() time.Duration {
-	c := &g.cfg.ComeBack
-	if !c.Advise || c.PerSecond <= 0 {
+func (g *Controller) retryAfter() time.Duration {
+	c := &g.cfg.RetrySchedule
+	if !c.Enabled || c.PerSecond <= 0 {
 		return 0
 	}
 	step := time.Duration(float64(time.Second) / c.PerSecond)
-	first, last := g.now+c.Least, g.now+c.Most
+	first, last := g.now+c.Min, g.now+c.Max
 	g.scheduledUntil = max(g.scheduledUntil, first) + step
 	if g.scheduledUntil > last {
 		g.scheduledUntil = last // the schedule is full: a random time in its later half
-		return c.Least + (c.Most-c.Least)/2 + time.Duration(g.random()%uint64((c.Most-c.Least)/2+1))
+		return c.Min + (c.Max-c.Min)/2 + time.Duration(g.random()%uint64((c.Max-c.Min)/2+1))
 	}
 	return g.scheduledUntil - g.now + time.Duration(g.random()%uint64(step+1))
 }
 
 // setTime sets the current time. A time before the current one is ignored.
-func (g *Gate) setTime(now time.Duration) { g.now = max(g.now, now) }
+func (g *Controller) setTime(now time.Duration) { g.now = max(g.now, now) }
 
-func (g *Gate) lookup(t Ticket) *connection {
+func (g *Controller) lookup(t Ticket) *connection {
 	i := t.index()
 	if i <= 0 || int(i) >= len(g.connections) || g.connections[i].use == Free || g.ticketAt(i) != t {
 		return nil
@@ -625,19 +626,19 @@
 	return &g.connections[i]
 }
 
-func (g *Gate) lookupUse(t Ticket, u Use) *connection {
+func (g *Controller) lookupUse(t Ticket, u Use) *connection {
 	if x := g.lookup(t); x != nil && x.use == u {
 		return x
 	}
 	return nil
 }
 
-func (g *Gate) random() uint64 {
+func (g *Controller) random() uint64 {
 	g.randomState += 0x9e3779b97f4a7c15
 	return mix(g.randomState, 0xbf58476d1ce4e5b9)
 }
 
-// Report is the state of the Gate as operators see it.
+// Report is the state of the Controller as operators see it.
 type Report struct {
 	Level        string           `json:"Level"`
 	Descriptors  map[string]int   `json:"Descriptors"`
@@ -660,7 +661,7 @@
 }
 
 // Report returns the current state and counters.
-func (g *Gate) Report() Report {
+func (g *Controller) Report() Report {
 	c := &g.Counters
 	r := Report{Level: g.ledger.level.String(), Descriptors: map[string]int{}, Refused: map[string]int64{},
 		Budget: g.ledger.budget, Cut: g.ledger.cut, Known: len(g.known.index), Addresses: len(g.addresses.index),
--- a/internal/admission/gate_test.go
+++ b/internal/admission/controller_test.go
@@ -19,24 +19,24 @@
 func testConfig() Config {
 	return Config{
 		Address: Address{MaxConnections: 16, MaxSilent: 8, NewPerSecond: 10, Burst: 20, MaxBytes: 16 << 10,
-			ShortPatience: 500 * time.Millisecond, Prefix6: 64, Table: 128},
+			FirstLineTimeout: 500 * time.Millisecond, Prefix6: 64, Table: 128},
 		Network: Network{Prefix4: 24, Prefix6: 48, NewPerSecond: 100, Burst: 200, MaxShare: 0.5, Table: 64},
-		Reserve: Reserve{KnownShare: 0.25, StandFor: 10 * time.Second, RememberFor: 30 * time.Minute, Max: 64,
+		Reserve: Reserve{KnownShare: 0.25, EstablishedFor: 10 * time.Second, RememberFor: 30 * time.Minute, Max: 64,
 			MaxPerNetwork: 16, MaxPerClient: 2, MuteFor: time.Minute},
-		Descriptors: Descriptors{SilentShare: 0.2, Tight: 0.75, Short: 0.9, Full: 0.98, Hysteresis: 0.15},
-		Memory:      Memory{MaxShare: 0.8, Transaction: 1 << 20, Silent: 1 << 10},
-		ComeBack:    ComeBack{Advise: true, PerSecond: 10, Least: 200 * time.Millisecond, Most: 2 * time.Second},
-		Tenants:     []Tenant{{"acme", 3}, {"bolt", 1}},
+		Descriptors:   Descriptors{SilentShare: 0.2, Tight: 0.75, Short: 0.9, Full: 0.98, Hysteresis: 0.15},
+		Memory:        Memory{MaxShare: 0.8, Request: 1 << 20, Silent: 1 << 10},
+		RetrySchedule: RetrySchedule{Enabled: true, PerSecond: 10, Min: 200 * time.Millisecond, Max: 2 * time.Second},
+		Tenants:       []Tenant{{"acme", 3}, {"bolt", 1}},
 	}
 }
 
 const testLimit = 100 + victimSlack
 
-// The files in testdata/transcripts contain commands to a gate and its output. Connections have names. Times are in
-// milliseconds.
+// The files in testdata/transcripts contain commands to a controller and its output. Connections have names. Times are
+// in milliseconds.
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/transcripts", func(t *testing.T, path string) {
-		var g *Gate
+		var g *Controller
 		var now time.Duration
 		names, tickets := map[Ticket]string{}, map[string]Ticket{}
 		writeVerdict := func(b *strings.Builder, v Verdict) {
@@ -64,7 +64,7 @@
 				if g, err = New(cfg, 1); err != nil {
 					return err.Error()
 				}
-				g.Limit(testLimit, 0)
+				g.SetLimits(testLimit, 0)
 				now = time.Second
 				names, tickets = map[Ticket]string{}, map[string]Ticket{}
 				return ""
@@ -101,7 +101,7 @@
 					}
 				case "request", "serve": // NAME KEY TENANT [COUNT]
 					for i := range max(1, num(4)) {
-						name, who := arg(1), Who{strings.ReplaceAll(arg(2), "%", strconv.Itoa(i+1)), arg(3)}
+						name, who := arg(1), ClaimedIdentity{strings.ReplaceAll(arg(2), "%", strconv.Itoa(i+1)), arg(3)}
 						if num(4) > 0 {
 							name += strconv.Itoa(i)
 						}
@@ -109,16 +109,16 @@
 						fmt.Fprintf(&b, "%s %v", name, g.connections[tickets[name].index()].rank)
 						writeVerdict(&b, v)
 						if v.OK() && f[0] == "serve" {
-							g.Stood(now, tickets[name])
+							g.Established(now, tickets[name])
 						} else if !v.OK() {
 							g.Closed(now, tickets[name])
 						}
 					}
 				case "stood":
-					g.Stood(now, tickets[arg(1)])
+					g.Established(now, tickets[arg(1)])
 				case "bytes":
 					b.WriteString(arg(1))
-					writeVerdict(&b, g.Bytes(now, tickets[arg(1)], num(2)))
+					writeVerdict(&b, g.AddBytes(now, tickets[arg(1)], num(2)))
 				case "close": // NAME [COUNT]
 					for i := range max(1, num(2)) {
 						name := arg(1)
@@ -133,9 +133,9 @@
 						g.Closed(now, v.Ticket)
 					}
 				case "limit":
-					g.Limit(num(1), 0)
+					g.SetLimits(num(1), 0)
 				case "memory":
-					g.Limit(testLimit, int64(num(1)))
+					g.SetLimits(testLimit, int64(num(1)))
 				case "exhausted":
 					g.Exhausted(now)
 				case "state":
@@ -196,7 +196,7 @@
 		"network.max_share":       func(c *Config) { c.Network.MaxShare = 2 },
 		"reserve.known_share":     func(c *Config) { c.Reserve.KnownShare = -1 },
 		"descriptors.short":       func(c *Config) { c.Descriptors.Short = 0.1 },
-		"come_back.most":          func(c *Config) { c.ComeBack.Most = 0 },
+		"come_back.most":          func(c *Config) { c.RetrySchedule.Max = 0 },
 	} {
 		c := testConfig()
 		invalidate(&c)
@@ -212,8 +212,8 @@
 	cfg := testConfig()
 	cfg.Network.Burst, cfg.Network.NewPerSecond = 1<<30, 1e9
 	g, _ := New(cfg, 1)
-	g.Limit(1<<20, 0)
-	const addresses, rounds = 1000, 40 // the table starts at 128 entries; Limit raises its size to 2<<20
+	g.SetLimits(1<<20, 0)
+	const addresses, rounds = 1000, 40 // the table starts at 128 entries; SetLimits raises its size to 2<<20
 	admitted := 0
 	for range rounds {
 		for i := range addresses {
@@ -228,7 +228,7 @@
 	}
 	// The documented error of the sketch: with 384 evicted debts, 1 of 100 addresses without a debt is refused.
 	g, _ = New(cfg, 2)
-	g.Limit(1<<20, 0)
+	g.SetLimits(1<<20, 0)
 	for i := range 384 { // their debts are in the sketch only once the table has evicted them
 		for range cfg.Address.Burst {
 			tk, _ := g.Accept(time.Second, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}))
@@ -253,13 +253,13 @@
 func TestUnknownClientsDontEvictTenured(t *testing.T) {
 	cfg := testConfig()
 	g, _ := New(cfg, 1)
-	g.Limit(1<<20, 0)
+	g.SetLimits(1<<20, 0)
 	now := time.Second
 	establish := func(addr netip.Addr, key string) {
 		tk, _ := g.Accept(now, addr)
-		g.Request(now, tk, Who{Key: key})
-		g.Stood(now, tk)
-		now += cfg.Reserve.StandFor
+		g.Request(now, tk, ClaimedIdentity{Key: key})
+		g.Established(now, tk)
+		now += cfg.Reserve.EstablishedFor
 		g.Closed(now, tk)
 	}
 	regular := func(i int) netip.Addr { return netip.AddrFrom4([4]byte{192, 0, byte(i), 1}) }
@@ -273,7 +273,7 @@
 	}
 	for i := range 30 {
 		tk, _ := g.Accept(now, regular(i))
-		g.Request(now, tk, Who{Key: fmt.Sprint("regular", i)})
+		g.Request(now, tk, ClaimedIdentity{Key: fmt.Sprint("regular", i)})
 		if got := g.connections[tk.index()].rank; got != Known {
 			t.Fatalf("client %d that returned has rank %v", i, got)
 		}
@@ -286,16 +286,16 @@
 // Clients refused in one burst must get different retry times.
 func TestRetryTimesAreSpread(t *testing.T) {
 	g, _ := New(testConfig(), 1)
-	g.Limit(0, 0)
-	c := g.cfg.ComeBack
+	g.SetLimits(0, 0)
+	c := g.cfg.RetrySchedule
 	var counts [10]int
 	const n = 1000
 	for range n {
 		_, v := g.Accept(time.Second, netip.MustParseAddr("10.0.0.1"))
-		if v.OK() || v.After < c.Least || v.After > c.Most+time.Duration(float64(time.Second)/c.PerSecond) {
+		if v.OK() || v.RetryAfter < c.Min || v.RetryAfter > c.Max+time.Duration(float64(time.Second)/c.PerSecond) {
 			t.Fatal(v)
 		}
-		counts[min(9, v.After*10/c.Most)]++
+		counts[min(9, v.RetryAfter*10/c.Max)]++
 	}
 	for i := 6; i < 10; i++ { // the schedule has 18 slots; the other times are random in its later half
 		if counts[i] < n/10 || counts[i] > n/3 {
@@ -312,13 +312,13 @@
 			list,
 			KnownClient{
 				ID:      uint64(i%150 + 1),
-				Net:     [2]uint64{0, uint64(i % 5)},
+				Network: [2]uint64{0, uint64(i % 5)},
 				Age:     time.Duration(i) * time.Second,
 				Tenured: true,
 			},
 		)
 	}
-	list = append(list, KnownClient{ID: 999, Net: [2]uint64{9, 9}, Age: time.Hour})
+	list = append(list, KnownClient{ID: 999, Network: [2]uint64{9, 9}, Age: time.Hour})
 	n := g.Restore(time.Second, 7, list)
 	if n != 64 || len(g.known.index) != 64 || g.known.sizes[1] > 48 {
 		t.Fatal(n, len(g.known.index), g.known.sizes)
@@ -345,21 +345,21 @@
 	run := func(name string, addr func(i int) netip.Addr, limit int) {
 		b.Run(name, func(b *testing.B) {
 			g, _ := New(cfg, 1)
-			g.Limit(limit, 0)
+			g.SetLimits(limit, 0)
 			now := time.Second
 			for i := range 20000 { // fills the tables
 				tk, _ := g.Accept(now, addr(i))
 				g.Closed(now, tk)
 				now += 100 * time.Microsecond
 			}
-			who := Who{"7f3a9c21e0b4d655", "acme"}
+			who := ClaimedIdentity{"7f3a9c21e0b4d655", "acme"}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 100 * time.Microsecond
 				tk, v := g.Accept(now, addr(i))
 				if v.OK() {
 					g.Request(now, tk, who)
-					g.Stood(now, tk)
+					g.Established(now, tk)
 					g.Closed(now, tk)
 				}
 			}
@@ -386,7 +386,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		g, _ := New(cfg, 1)
-		g.Limit(1024, 0)
+		g.SetLimits(1024, 0)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "B-empty")
@@ -394,10 +394,10 @@
 		for i := range 20000 {
 			addr := netip.AddrFrom4([4]byte{10, byte(i >> 12), byte(i >> 4), byte(i)})
 			if tk, v := g.Accept(now, addr); v.OK() && i%2 == 0 {
-				g.Request(now, tk, Who{Key: fmt.Sprint(i)})
-				g.Stood(now, tk)
-				now += cfg.Reserve.StandFor / 100
-				g.connections[tk.index()].establishedAt = now - cfg.Reserve.StandFor
+				g.Request(now, tk, ClaimedIdentity{Key: fmt.Sprint(i)})
+				g.Established(now, tk)
+				now += cfg.Reserve.EstablishedFor / 100
+				g.connections[tk.index()].establishedAt = now - cfg.Reserve.EstablishedFor
 				g.Closed(now, tk)
 			} else {
 				g.Closed(now, tk)
@@ -418,7 +418,7 @@
 func TestRequesterIsNotVictim(t *testing.T) {
 	cfg := testConfig()
 	cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20
-	cfg.Reserve.StandFor = time.Millisecond
+	cfg.Reserve.EstablishedFor = time.Millisecond
 	found := false
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -426,7 +426,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Limit(20+rng.IntN(20), 0)
+		g.SetLimits(20+rng.IntN(20), 0)
 		now, requested := time.Second, map[Ticket]bool{}
 		var all []Ticket
 		for range 200 {
@@ -439,9 +439,9 @@
 			case 3, 4:
 				if len(all) > 0 {
 					tk := all[rng.IntN(len(all))]
-					if !requested[tk] && g.Request(now, tk, Who{fmt.Sprint(rng.IntN(10)), "acme"}).OK() {
+					if !requested[tk] && g.Request(now, tk, ClaimedIdentity{fmt.Sprint(rng.IntN(10)), "acme"}).OK() {
 						requested[tk] = true
-						g.Stood(now, tk)
+						g.Established(now, tk)
 					}
 				}
 			case 5:
--- a/internal/admission/known.go
+++ b/internal/admission/known.go
@@ -23,7 +23,8 @@
 
 // knownTable holds the known clients, as a segmented LRU cache. New clients evict only clients on probation; a tenured
 // client goes back on probation only when another becomes tenured. So many clients that establish one flow each, at the
-// cost of a descriptor for StandFor, can't evict the tenured ones. One network gets at most MaxPerNetwork records.
+// cost of a descriptor for EstablishedFor, can't evict the tenured ones. One network gets at most MaxPerNetwork
+// records.
 type knownTable struct {
 	cfg        Reserve
 	seed       uint64
@@ -42,7 +43,7 @@
 }
 
 // keyOf returns a client's identity as a seeded hash, so that clients can't choose its value.
-func (k *knownTable) keyOf(by Identity, who Who, addr key) uint64 {
+func (k *knownTable) keyOf(by Identity, who ClaimedIdentity, addr key) uint64 {
 	if by == ByAddress {
 		return mix(addr.hi^k.seed, addr.lo)
 	}
@@ -222,13 +223,13 @@
 // KnownClient is one known client in a form for storage. Age is the time since its last established flow.
 type KnownClient struct {
 	ID      uint64
-	Net     [2]uint64
+	Network [2]uint64
 	Age     time.Duration
 	Tenured bool
 }
 
 // KnownClients returns the known clients, the least recently established first, and the seed that their IDs depend on.
-func (g *Gate) KnownClients() (seed uint64, list []KnownClient) {
+func (g *Controller) KnownClients() (seed uint64, list []KnownClient) {
 	k := &g.known
 	for s := range k.head {
 		for i := k.head[s]; i != 0; i = k.records[i].next {
@@ -243,7 +244,7 @@
 // Restore loads a list returned by KnownClients, and returns how many clients it loaded. It loads none once a
 // connection has been accepted or a client is known. Within the limits of the settings, the most recently established
 // clients are preferred.
-func (g *Gate) Restore(now time.Duration, seed uint64, list []KnownClient) int {
+func (g *Controller) Restore(now time.Duration, seed uint64, list []KnownClient) int {
 	g.setTime(now)
 	k := &g.known
 	if len(g.connections) > 1 || len(k.index) > 0 {
@@ -255,7 +256,7 @@
 	keep := list[:0]
 	perNetwork, tenured := map[key]int{}, 0
 	for _, c := range list {
-		network := key{c.Net[0], c.Net[1]}
+		network := key{c.Network[0], c.Network[1]}
 		if c.Age < 0 || c.Age > k.cfg.RememberFor || len(keep) >= k.cfg.Max || perNetwork[network] >= k.cfg.MaxPerNetwork ||
 			k.index[c.ID] != 0 {
 			continue
@@ -268,7 +269,7 @@
 		keep = append(keep, c)
 	}
 	for _, c := range slices.Backward(keep) {
-		k.add(clientRecord{key: c.ID, network: key{c.Net[0], c.Net[1]}, knownSince: g.now - c.Age,
+		k.add(clientRecord{key: c.ID, network: key{c.Network[0], c.Network[1]}, knownSince: g.now - c.Age,
 			establishedAt: g.now - c.Age, tenured: c.Tenured})
 	}
 	return len(keep)
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -81,12 +81,12 @@
 		l.inUse[Silent]+l.inUse[Closing],
 	)*l.memory.Silent + int64(
 		l.inUse[Unanswered]+l.inUse[Established],
-	)*l.memory.Transaction
+	)*l.memory.Request
 }
 
 // memoryScarce reports whether the memory for another request can't be reserved.
 func (l *ledger) memoryScarce() bool {
-	return l.memoryLimit > 0 && float64(l.plannedMemory()+l.memory.Transaction) > l.memory.MaxShare*float64(l.memoryLimit)
+	return l.memoryLimit > 0 && float64(l.plannedMemory()+l.memory.Request) > l.memory.MaxShare*float64(l.memoryLimit)
 }
 
 // outOfMemory reports whether the measured memory use exceeds its limit.
@@ -130,7 +130,7 @@
 }
 
 // updateLevel raises the level at once, and lowers it with hysteresis by one step per call.
-func (l *ledger) updateLevel(g *Gate) {
+func (l *ledger) updateLevel(g *Controller) {
 	share := l.utilization()
 	up, down := Normal, l.level
 	for i, threshold := range [...]float64{l.cfg.Tight, l.cfg.Short, l.cfg.Full} {
--- a/internal/admission/reference_test.go
+++ b/internal/admission/reference_test.go
@@ -62,19 +62,19 @@
 	r.debt[addr] = max(level, min(level+3*step, step*time.Duration(r.cfg.Address.Burst)))
 }
 
-// With random operations, the gate applies an address's caps exactly as the reference does, its ledger's sums are
+// With random operations, the controller applies an address's caps exactly as the reference does, its ledger's sums are
 // correct, and no more descriptors are in use than the budget and victimSlack.
 func TestGateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
 		cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20 // the reference doesn't model networks
-		cfg.Reserve.StandFor = time.Duration(rapid.IntRange(1, 4000).Draw(t, "stand")) * time.Millisecond
+		cfg.Reserve.EstablishedFor = time.Duration(rapid.IntRange(1, 4000).Draw(t, "stand")) * time.Millisecond
 		limit := rapid.IntRange(20, 300).Draw(t, "limit")
 		g, err := New(cfg, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Limit(limit, 0)
+		g.SetLimits(limit, 0)
 		ref := &reference{
 			cfg:         cfg,
 			connections: map[Ticket]*refConnection{},
@@ -107,7 +107,7 @@
 				)
 				for range rapid.IntRange(1, 12).Draw(t, "burst") {
 					want := Admitted
-					switch { // in the order in which the gate checks
+					switch { // in the order in which the controller checks
 					case !ref.allow(addr, now):
 						want = AddressRate
 					case ref.count(addr, Free) >= cfg.Address.MaxConnections:
@@ -129,7 +129,7 @@
 				}
 			case 3, 4, 5:
 				if tk := pick(); tk != 0 && ref.connections[tk].use == Silent {
-					v := g.Request(now, tk, Who{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key")), "acme"})
+					v := g.Request(now, tk, ClaimedIdentity{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key")), "acme"})
 					if ref.connections[tk].use = Unanswered; !v.OK() {
 						ref.connections[tk].use = Silent
 						if addr := ref.connections[tk].addr; v.Reason != NoDescriptor && v.Reason != NoMemory &&
@@ -141,12 +141,12 @@
 				}
 			case 6:
 				if tk := pick(); tk != 0 && ref.connections[tk].use == Unanswered {
-					g.Stood(now, tk)
+					g.Established(now, tk)
 					ref.connections[tk].use = Established
 				}
 			case 7:
 				if tk := pick(); tk != 0 {
-					g.Answered(now, tk)
+					g.Finished(now, tk)
 					ref.connections[tk].use = Closing
 				}
 			case 8:
@@ -206,8 +206,8 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		tight, _ := New(cfg, seed)
 		wide, _ := New(large, seed)
-		tight.Limit(40, 0) // the table keeps its 128 entries
-		wide.Limit(1<<15, 0)
+		tight.SetLimits(40, 0) // the table keeps its 128 entries
+		wide.SetLimits(1<<15, 0)
 		now := time.Second
 		admitted := map[netip.Addr][2]int{}
 		for range rapid.IntRange(10, 60).Draw(t, "rounds") {
@@ -215,7 +215,7 @@
 			for i := range n {
 				addr := netip.AddrFrom4([4]byte{10, 1, byte((first + i) >> 8), byte(first + i)})
 				c := admitted[addr]
-				for k, g := range []*Gate{tight, wide} {
+				for k, g := range []*Controller{tight, wide} {
 					if tk, v := g.Accept(now, addr); v.OK() {
 						g.Closed(now, tk)
 						c[k]++
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -215,7 +215,7 @@
 	return min(e.silent, maxSilentRank)
 }
 
-func (c *silentByAddress) add(g *Gate, t int32) {
+func (c *silentByAddress) add(g *Controller, t int32) {
 	x := &g.connections[t]
 	e := &g.addresses.list[x.address]
 	x.prev, x.next = e.tail, 0
@@ -230,7 +230,7 @@
 }
 
 // remove removes a ticket and its bytes from its address. It does nothing if the ticket was removed before.
-func (c *silentByAddress) remove(g *Gate, t int32) {
+func (c *silentByAddress) remove(g *Controller, t int32) {
 	x := &g.connections[t]
 	e := &g.addresses.list[x.address]
 	if x.prev == 0 && e.head != t {
@@ -252,7 +252,7 @@
 	c.setRank(g, x.address, c.rank(e, x.exempt))
 }
 
-func (c *silentByAddress) setRank(g *Gate, i int32, rank int32) {
+func (c *silentByAddress) setRank(g *Controller, i int32, rank int32) {
 	list := g.addresses.list
 	e := &list[i]
 	if old := e.rank; old != 0 {
@@ -283,7 +283,7 @@
 // victim returns the oldest silent client of the address that has the most of them. If that client is younger than
 // MinVictimAge, it tries an address of the next rank, so that an address that replaces its connections quickly doesn't
 // protect those of others.
-func (c *silentByAddress) victim(g *Gate) (int32, bool) {
+func (c *silentByAddress) victim(g *Controller) (int32, bool) {
 	for rank := maxSilentRank; rank > 0; rank-- {
 		if i := c.first[rank]; i != 0 {
 			t := g.addresses.list[i].head
--- a/internal/clientstore/clientstore_test.go
+++ b/internal/clientstore/clientstore_test.go
@@ -15,7 +15,7 @@
 func sampleSnapshot(n int) Snapshot {
 	s := Snapshot{CreatedAt: time.UnixMilli(1_800_000_000_000), Seed: 42}
 	for i := range n {
-		s.Clients = append(s.Clients, admission.KnownClient{ID: uint64(i) * 7919, Net: [2]uint64{1, uint64(i % 3)},
+		s.Clients = append(s.Clients, admission.KnownClient{ID: uint64(i) * 7919, Network: [2]uint64{1, uint64(i % 3)},
 			Age: time.Duration(n-i) * time.Second, Tenured: i%2 == 0})
 	}
 	return s
--- a/internal/clientstore/format.go
+++ b/internal/clientstore/format.go
@@ -76,7 +76,7 @@
 }
 
 func appendClient(dst []byte, c admission.KnownClient) []byte {
-	for _, number := range []uint64{c.ID, c.Net[0], c.Net[1], uint64(c.Age)} {
+	for _, number := range []uint64{c.ID, c.Network[0], c.Network[1], uint64(c.Age)} {
 		dst = binary.BigEndian.AppendUint64(dst, number)
 	}
 	if c.Tenured {
@@ -92,7 +92,7 @@
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(b[8*i:]) }
 	c = admission.KnownClient{
 		ID:      number(0),
-		Net:     [2]uint64{number(1), number(2)},
+		Network: [2]uint64{number(1), number(2)},
 		Age:     time.Duration(number(3)),
 		Tenured: b[clientBytes-1] == tenuredClient,
 	}
--- a/internal/clientstore/golden_test.go
+++ b/internal/clientstore/golden_test.go
@@ -16,7 +16,8 @@
 func TestFileFormat(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
 	s := Snapshot{CreatedAt: at, Seed: 7, Clients: []admission.KnownClient{
-		{ID: 11, Net: [2]uint64{1, 2}, Age: time.Minute, Tenured: true}, {ID: 12, Net: [2]uint64{3, 1 << 63}, Age: 0}}}
+		{ID: 11, Network: [2]uint64{1, 2}, Age: time.Minute, Tenured: true},
+		{ID: 12, Network: [2]uint64{3, 1 << 63}, Age: 0}}}
 	path := filepath.Join(t.TempDir(), "known")
 	if err := Save(path, s); err != nil {
 		t.Fatal(err)
--- a/internal/edgeconfig/edge.go
+++ b/internal/edgeconfig/edge.go
@@ -366,19 +366,19 @@
 	c := admission.Config{
 		Address: admission.Address{MaxConnections: a.Address.MaxConnections, MaxSilent: a.Address.MaxSilent,
 			NewPerSecond: a.Address.NewPerSecond, Burst: a.Address.Burst, MaxBytes: int(a.Address.MaxBytes),
-			ShortPatience: time.Duration(a.Address.ShortPatience), Prefix6: a.Address.IPv6Prefix, Table: a.Address.Table},
+			FirstLineTimeout: time.Duration(a.Address.ShortPatience), Prefix6: a.Address.IPv6Prefix, Table: a.Address.Table},
 		Network: admission.Network{Prefix4: a.Network.IPv4Prefix, Prefix6: a.Network.IPv6Prefix,
 			NewPerSecond: a.Network.NewPerSecond, Burst: a.Network.Burst, MaxShare: a.Network.MaxShare, Table: a.Network.Table},
-		Reserve: admission.Reserve{KnownShare: a.Reserve.KnownShare, StandFor: time.Duration(a.Reserve.StandFor),
+		Reserve: admission.Reserve{KnownShare: a.Reserve.KnownShare, EstablishedFor: time.Duration(a.Reserve.StandFor),
 			RememberFor: time.Duration(a.Reserve.RememberFor), Max: a.Reserve.Max, MaxPerNetwork: a.Reserve.MaxPerNetwork,
 			MaxPerClient: a.Reserve.MaxPerClient, MuteFor: time.Duration(a.Reserve.MuteFor)},
 		Descriptors: admission.Descriptors{SilentShare: a.Descriptors.SilentShare, Overhead: a.Descriptors.Overhead,
 			Tight: a.Descriptors.Tight, Short: a.Descriptors.Short, Full: a.Descriptors.Full,
 			Hysteresis: a.Descriptors.Hysteresis},
 		Memory: admission.Memory{Base: int64(a.Memory.Base), Silent: int64(a.Memory.Silent),
-			Transaction: int64(a.Memory.Transaction), MaxShare: a.Memory.MaxShare},
-		ComeBack: admission.ComeBack{Advise: a.ComeBack.Advise, PerSecond: a.ComeBack.PerSecond,
-			Least: time.Duration(a.ComeBack.Least), Most: time.Duration(a.ComeBack.Most)},
+			Request: int64(a.Memory.Transaction), MaxShare: a.Memory.MaxShare},
+		RetrySchedule: admission.RetrySchedule{Enabled: a.ComeBack.Advise, PerSecond: a.ComeBack.PerSecond,
+			Min: time.Duration(a.ComeBack.Least), Max: time.Duration(a.ComeBack.Most)},
 	}
 	var ok bool
 	if c.Reserve.Identity, ok = identities[a.Reserve.Identity]; !ok {
--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -78,8 +78,8 @@
 // immediateRejection returns the verdict for a connection that is closed right after its answer, because no descriptor
 // is left for a lingering close. The caller holds mu.
 func (a *admissionController) immediateRejection() admission.Verdict {
-	verdict := a.gate.Refusal(a.now(), admission.Exhaustion)
-	verdict.Curt = true
+	verdict := a.gate.CountRefusal(a.now(), admission.Exhaustion)
+	verdict.CloseAtOnce = true
 	return verdict
 }
 
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -30,7 +30,7 @@
 }
 
 // admissionController connects the balancer to package admission, which decides what is admitted. It owns the lock that
-// guards the gate, the spare descriptors, and the lingering connections of clients that were rejected before nbio
+// guards the controller, the spare descriptors, and the lingering connections of clients that were rejected before nbio
 // opened them. The accepting goroutine, nbio's goroutines and the loop use it concurrently.
 type admissionController struct {
 	shared     bool // the listener is shared with other processes
@@ -44,7 +44,7 @@
 	timer           *systemTimer
 
 	mu               sync.Mutex
-	gate             *admission.Gate
+	gate             *admission.Controller
 	spareDescriptors []*os.File
 	lingering        []net.Conn                            // oldest first
 	lastTicket       admission.Ticket                      // of a connection not yet opened by nbio; 0 if none
@@ -67,8 +67,8 @@
 		timer:          newSystemTimer(),
 		pendingVictims: map[admission.Ticket]admission.Victim{},
 	}
-	controller.Fixed(admission.Spare, maxSpares+cfg.MaxGoodbyes)
-	controller.Fixed(admission.Discovery, discoveryDescriptors)
+	controller.SetReserved(admission.Spare, maxSpares+cfg.MaxGoodbyes)
+	controller.SetReserved(admission.Discovery, discoveryDescriptors)
 	a.refillSpares()
 	a.loadSnapshot()
 	return a, nil
@@ -136,28 +136,28 @@
 func (a *admissionController) answered(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Answered(a.now(), ticket)
+	a.gate.Finished(a.now(), ticket)
 }
 
 // established notifies admission that a client's flow is established on a server.
 func (a *admissionController) established(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Stood(a.now(), ticket)
+	a.gate.Established(a.now(), ticket)
 }
 
 // countBytes counts bytes received before a client's first line is complete.
 func (a *admissionController) countBytes(ticket admission.Ticket, n int) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Bytes(a.now(), ticket, n)
+	return a.gate.AddBytes(a.now(), ticket, n)
 }
 
 // request returns admission's verdict on a client's request.
 func (a *admissionController) request(ticket admission.Ticket, request platform.Open) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Request(a.now(), ticket, admission.Who{Key: request.Key, Tenant: request.Tenant})
+	return a.gate.Request(a.now(), ticket, admission.ClaimedIdentity{Key: request.Key, Tenant: request.Tenant})
 }
 
 // tick advances admission's clock and reports the process's resource usage to it; memory is in bytes, or 0 if it was
@@ -166,9 +166,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refillSpares()
-	a.gate.Fixed(admission.Probe, probes)
+	a.gate.SetReserved(admission.Probe, probes)
 	if memory > 0 {
-		a.gate.Memory(memory)
+		a.gate.SetMemoryUsed(memory)
 	}
 	before := a.gate.Level()
 	a.gate.Tick(a.now())
@@ -176,7 +176,7 @@
 		a.limitedLog.Say(time.Now(), slog.LevelInfo, "level", "admission level changed",
 			slog.String("from", before.String()), slog.String("to", level.String()))
 	}
-	return a.gate.Pressed()
+	return a.gate.UnderPressure()
 }
 
 // victims appends the idle clients that are to be closed now. Those that the reducer does not know yet are stored for
@@ -209,7 +209,7 @@
 func (a *admissionController) setLimits(descriptors, memoryMB int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Limit(descriptors, int64(memoryMB)<<20)
+	a.gate.SetLimits(descriptors, int64(memoryMB)<<20)
 }
 
 func (a *admissionController) report() admission.Report {
@@ -230,6 +230,6 @@
 		return err
 	}
 	a.cfg = cfg
-	a.gate.Fixed(admission.Spare, maxSpares+cfg.MaxGoodbyes)
+	a.gate.SetReserved(admission.Spare, maxSpares+cfg.MaxGoodbyes)
 	return nil
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -40,7 +40,7 @@
 	if conn.ticket != 0 {
 		b.clientsByTicket[conn.ticket] = c
 		if victim, ok := b.admission.takePendingVictim(conn.ticket); ok {
-			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.After})
+			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.RetryAfter})
 		}
 	}
 	if b.exiting && !c.finished { // accepted while the listener was being closed
--- a/internal/proxy/edge_config.go
+++ b/internal/proxy/edge_config.go
@@ -98,10 +98,10 @@
 		return err
 	}
 	maxRetryAfter := c.Core.Policy.MaxRetryAfter
-	cfg.ComeBack.Advise = cfg.ComeBack.Advise && maxRetryAfter > 0
+	cfg.RetrySchedule.Enabled = cfg.RetrySchedule.Enabled && maxRetryAfter > 0
 	if maxRetryAfter > 0 {
-		cfg.ComeBack.Most = min(cfg.ComeBack.Most, maxRetryAfter)
-		cfg.ComeBack.Least = min(cfg.ComeBack.Least, cfg.ComeBack.Most)
+		cfg.RetrySchedule.Max = min(cfg.RetrySchedule.Max, maxRetryAfter)
+		cfg.RetrySchedule.Min = min(cfg.RetrySchedule.Min, cfg.RetrySchedule.Max)
 	}
 	for _, t := range c.Core.Policy.Tenants {
 		cfg.Tenants = append(cfg.Tenants, admission.Tenant{Name: t.Name, Weight: t.ConnectionQuota})
--- a/internal/proxy/finishing.go
+++ b/internal/proxy/finishing.go
@@ -47,7 +47,7 @@
 	if b.admission != nil {
 		return
 	}
-	lacking := min(b.basicLimits().Lacking(int(b.sockets.Load())-closing), len(waiting))
+	lacking := min(b.basicLimits().MissingDescriptors(int(b.sockets.Load())-closing), len(waiting))
 	if lacking == 0 {
 		return
 	}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -290,7 +290,7 @@
 	}
 	eventually(t, p.server, "free descriptors", func() bool {
 		b := p.server
-		return b.counters.Accepted == 250 && b.basicLimits().MayTake(int(b.sockets.Load())+8, false)
+		return b.counters.Accepted == 250 && b.basicLimits().MayAdmit(int(b.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
 	eventually(t, p.server, "the end of all other clients", func() bool {
--- a/internal/proxy/lingering_close.go
+++ b/internal/proxy/lingering_close.go
@@ -27,14 +27,15 @@
 // With a curt verdict the connection is closed without lingering.
 func (a *admissionController) rejectAndLinger(fd int, from netip.Addr, verdict admission.Verdict) {
 	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
-		slog.Any("from", from), slog.Duration("after", verdict.After))
+		slog.Any("from", from), slog.Duration("after", verdict.RetryAfter))
 	if !discardReceived(fd) {
 		_ = syscall.Close(fd)
 		return
 	}
 	var line [maxRejectLine]byte
-	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.After)) // a new socket's send buffer has room for it
-	if verdict.Curt || a.cfg.MaxGoodbyes == 0 {
+	// a new socket's send buffer has room for it
+	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.RetryAfter))
+	if verdict.CloseAtOnce || a.cfg.MaxGoodbyes == 0 {
 		_ = syscall.Close(fd)
 		return
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -130,6 +130,6 @@
 }
 
 // basicLimits returns the limits in effect if admission is not configured.
-func (b *Balancer) basicLimits() admission.Basic {
-	return admission.Basic{Limit: int(b.descriptorLimit.Load())}
+func (b *Balancer) basicLimits() admission.BasicLimits {
+	return admission.BasicLimits{Limit: int(b.descriptorLimit.Load())}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -141,7 +141,7 @@
 	b.loop.nextMemoryCheckAt = now.Add(memoryCheckInterval)
 	used = int64(heapBytes())
 	b.exchangeUsage(used)
-	b.memoryScarce = b.basicLimits().MemoryShort(used+b.otherProcesses.Memory, int64(b.cfg.MemoryMB)<<20)
+	b.memoryScarce = b.basicLimits().MemoryScarce(used+b.otherProcesses.Memory, int64(b.cfg.MemoryMB)<<20)
 	b.limitedLog.Flush(now)
 	return used
 }
@@ -155,7 +155,7 @@
 		}
 		return 0
 	}
-	missing := b.basicLimits().Crowded(int(b.sockets.Load()) - len(b.finishing))
+	missing := b.basicLimits().ExcessClients(int(b.sockets.Load()) - len(b.finishing))
 	if missing <= 0 {
 		return 0
 	}
@@ -181,7 +181,7 @@
 	b.victims = b.admission.victims(known, b.victims[:0])
 	for _, victim := range b.victims {
 		if c := b.clientsByTicket[victim.Ticket]; c != nil {
-			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.After})
+			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.RetryAfter})
 		}
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -82,10 +82,10 @@
 	case b.exiting:
 		return admission.Verdict{Reason: admission.NoDescriptor}
 	case !b.mayPlaceClients() && c.request.At == "":
-		return admission.Verdict{Reason: admission.NoPermit, After: b.retryAfterNoLease()}
+		return admission.Verdict{Reason: admission.NoLease, RetryAfter: b.retryAfterNoLease()}
 	case b.admission != nil:
 		return b.admission.request(c.conn.ticket, c.request)
-	case !b.basicLimits().MayTake(int(b.sockets.Load()), b.memoryScarce):
+	case !b.basicLimits().MayAdmit(int(b.sockets.Load()), b.memoryScarce):
 		return admission.Verdict{Reason: admission.NoDescriptor}
 	}
 	return admission.Verdict{}
@@ -118,8 +118,8 @@
 	c.finished = true
 	if b.admission != nil {
 		b.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
-			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.After))
+			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.RetryAfter))
 	}
 	b.step(core.ClientClosed{Client: c.handle})
-	b.finalAnswer(c, platform.AppendShort(nil, verdict.After))
+	b.finalAnswer(c, platform.AppendShort(nil, verdict.RetryAfter))
 }
