--- a/internal/core/connections.go
+++ b/internal/core/connections.go
@@ -101,7 +101,7 @@
 
 func (r *Reducer) backpressureChanged(event BackpressureChanged) {
 	if q := r.requests.established(event.Client); q != nil {
-		r.emit(PauseReading{Client: q.client, OfServer: !event.ToServer, On: event.Full})
+		r.emit(PauseReading{Client: q.client, FromServer: !event.ToServer, Paused: event.Full})
 	}
 }
 
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -52,11 +52,11 @@
 		ToServer bool
 		Data     []byte
 	}
-	// PauseReading pauses (On) or resumes reading from one side.
+	// PauseReading pauses (Paused) or resumes reading from one side.
 	PauseReading struct {
-		Client   Handle
-		OfServer bool
-		On       bool
+		Client     Handle
+		FromServer bool
+		Paused     bool
 	}
 	// CloseServer closes the server's side. With CloseEOF, buffered data is flushed first.
 	CloseServer struct {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -53,7 +53,7 @@
 	RequestReceived struct {
 		Client Handle
 		policy.Request
-		EstablishedAt string // server of a connection from before this process; "" for a new request
+		EstablishedServer string // server of a connection from before this process; "" for a new request
 	}
 	// ClientClosed reports that a client closed its sending direction (CloseEOF) or that its connection broke.
 	ClientClosed struct {
--- a/internal/core/reducer_test.go
+++ b/internal/core/reducer_test.go
@@ -262,9 +262,9 @@
 func TestAdoptedConnection(t *testing.T) {
 	b := newTestbed(t, nil)
 	ev := RequestReceived{
-		Client:        1,
-		EstablishedAt: "r2",
-		Request:       policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second},
+		Client:            1,
+		EstablishedServer: "r2",
+		Request:           policy.Request{ID: "x", Class: "chat", Timeout: 30 * time.Second},
 	}
 	d := single[Dial](b, b.step(ev))
 	b.expectNone(withoutWatchEffects(b.advance(2 * time.Second))) // all are dialed at once, so dials may be slow
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -99,7 +99,7 @@
 	q := &request{
 		Request:           event.Request,
 		client:            event.Client,
-		establishedServer: event.EstablishedAt,
+		establishedServer: event.EstablishedServer,
 		attempt:           attempt{number: -1},
 	}
 	q.Timeout = r.limitTimeout(max(0, q.Timeout-finalAnswerMargin))
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -54,7 +54,7 @@
 	case core.Forward:
 		b.withClient(e.Client, func(c *client) { b.forward(c, e) })
 	case core.PauseReading:
-		b.withClient(e.Client, func(c *client) { c.pauseReading(e.OfServer, e.On) })
+		b.withClient(e.Client, func(c *client) { c.pauseReading(e.FromServer, e.Paused) })
 	case core.CloseServer:
 		b.withClient(e.Client, func(c *client) { c.closeServer(e.Reason) })
 	case core.CloseClient:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -72,7 +72,7 @@
 		b.reject(c, verdict)
 		return
 	}
-	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedAt: request.At})
+	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedServer: request.At})
 }
 
 // admit returns the verdict on a client's request. Once the reducer has finished, every request is rejected; without a
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -31,7 +31,7 @@
 	switch ev := ev.(type) {
 	case core.RequestReceived:
 		b.trace("opened", clientAttr(ev.Client), slog.String("id", ev.ID), slog.String("key", ev.Key),
-			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.EstablishedAt != ""))
+			slog.String("class", ev.Class), slog.Bool("mid", ev.MidFlow), slog.Bool("at", ev.EstablishedServer != ""))
 	case core.ClientClosed:
 		b.trace("terminal-ended", clientAttr(ev.Client), slog.Int("how", int(ev.Reason)))
 	case core.AttemptConnected:
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -26,7 +26,7 @@
 	case core.Forward:
 		return fmt.Sprintf("pass %v %v %q\n", e.Client, e.ToServer, e.Data)
 	case core.PauseReading:
-		return fmt.Sprintln("hold", e.Client, e.OfServer, e.On)
+		return fmt.Sprintln("hold", e.Client, e.FromServer, e.Paused)
 	case core.CloseServer:
 		return fmt.Sprintln("end-region", e.Client, int(e.Reason))
 	case core.CloseClient:
--- a/internal/simulation/place.go
+++ b/internal/simulation/place.go
@@ -440,7 +440,7 @@
 	d.order = append(d.order, r)
 	ev := core.RequestReceived{Client: r.h, Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant, Timeout: wait, MidFlow: c.mid != nil}}
 	if r.before = at != nil; r.before {
-		ev.EstablishedAt = at.Host.Host
+		ev.EstablishedServer = at.Host.Host
 	}
 	p.Judge.came++
 	p.do(d, ev)
