--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -17,7 +17,7 @@
 
 // Files written by an earlier version are read, and newly written files have the same bytes except for the time.
 func TestFileFormats(t *testing.T) {
-	m := Maintenance{Excluded: []string{"s-1", "s-2"}, KnownServers: []string{"s-1", "s-2", "s-3"}}
+	m := Maintenance{Servers: []string{"s-1", "s-2"}, KnownServers: []string{"s-1", "s-2", "s-3"}}
 	l := PredecessorState{KnownServers: []string{"s-1"}, FlowServers: map[string]string{"key-a": "s-1", "key-b": "s-3"}}
 	d := Open(t.TempDir(), "lb 1/a")
 	if err := errors.Join(d.write(maintenanceKind, m), d.write(predecessorKind, l)); err != nil {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	m, err := a.ReadMaintenance()
-	if err != nil || !slices.Equal(m.Excluded, []string{"y"}) || !slices.Equal(m.KnownServers, []string{"x", "y"}) {
+	if err != nil || !slices.Equal(m.Servers, []string{"y"}) || !slices.Equal(m.KnownServers, []string{"x", "y"}) {
 		t.Fatal(m, err)
 	}
 	if !a.MaintenanceChanged() || a.MaintenanceChanged() {
@@ -35,7 +35,7 @@
 	if err := b.SetMaintenance("z", true, Maintenance{}); err != nil || !a.MaintenanceChanged() {
 		t.Fatal("the other process's change is not reported", err)
 	}
-	if m, err := Open(dir, "n2").ReadMaintenance(); err != nil || len(m.Excluded) > 0 {
+	if m, err := Open(dir, "n2").ReadMaintenance(); err != nil || len(m.Servers) > 0 {
 		t.Fatal("maintenance of another balancer:", m, err)
 	}
 	list, err := os.ReadDir(dir)
@@ -64,15 +64,15 @@
 		if err := os.WriteFile(d.statePath(maintenanceKind), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if m, err := d.ReadMaintenance(); err == nil || len(m.Excluded) > 0 ||
+		if m, err := d.ReadMaintenance(); err == nil || len(m.Servers) > 0 ||
 			!strings.Contains(err.Error(), d.statePath(maintenanceKind)) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v %v", name, m, err)
 		}
-		if err := d.SetMaintenance("y", true, Maintenance{Excluded: []string{"x"}}); err != nil {
+		if err := d.SetMaintenance("y", true, Maintenance{Servers: []string{"x"}}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if m, err := d.ReadMaintenance(); err != nil || !slices.Equal(m.Excluded, []string{"x", "y"}) {
+		if m, err := d.ReadMaintenance(); err != nil || !slices.Equal(m.Servers, []string{"x", "y"}) {
 			t.Errorf("%s, after a call: %v %v", name, m, err)
 		}
 	}
--- a/internal/hotrestart/maintenance.go
+++ b/internal/hotrestart/maintenance.go
@@ -8,7 +8,7 @@
 
 // Maintenance lists the servers in maintenance, and all servers that were ever listed.
 type Maintenance struct {
-	Excluded     []string `json:"out"`
+	Servers      []string `json:"out"`
 	KnownServers []string `json:"known"`
 }
 
@@ -35,14 +35,14 @@
 	defer unlock()
 	m, err := d.ReadMaintenance()
 	if err != nil {
-		m = Maintenance{Excluded: slices.Clone(current.Excluded)}
+		m = Maintenance{Servers: slices.Clone(current.Servers)}
 	}
-	m.Excluded = slices.DeleteFunc(m.Excluded, func(excluded string) bool { return excluded == server })
+	m.Servers = slices.DeleteFunc(m.Servers, func(excluded string) bool { return excluded == server })
 	if on {
-		m.Excluded = append(m.Excluded, server)
+		m.Servers = append(m.Servers, server)
 	}
 	m.KnownServers = append(m.KnownServers, current.KnownServers...)
-	slices.Sort(m.Excluded)
+	slices.Sort(m.Servers)
 	slices.Sort(m.KnownServers)
 	m.KnownServers = slices.Compact(m.KnownServers)
 	return d.write(maintenanceKind, m)
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -11,8 +11,8 @@
 const (
 	// MaxLine is the maximum length of a call in bytes, including its line end.
 	MaxLine = 512
-	// MaxRevision is the maximum length in bytes of a call about revisions, which may contain a revision.
-	MaxRevision = 128 << 10
+	// MaxRevisionLine is the maximum length in bytes of a call about revisions, which may contain a revision.
+	MaxRevisionLine = 128 << 10
 )
 
 // revisionPrefix is the prefix of a call about revisions.
@@ -113,7 +113,7 @@
 	end := bytes.IndexByte(data, '\n')
 	limit := MaxLine
 	if IsRevisionCall(data) {
-		limit = MaxRevision
+		limit = MaxRevisionLine
 	}
 	switch {
 	case end < 0 && len(data) >= limit || end >= limit:
--- a/internal/management/client.go
+++ b/internal/management/client.go
@@ -15,7 +15,7 @@
 	maxAnswerBytes = 4096            // maximum length of an answer
 
 	revisionClientTimeout  = 6 * time.Second // for acquiring a slot, the call and its answer
-	maxRevisionAnswerBytes = MaxRevision + maxAnswerBytes
+	maxRevisionAnswerBytes = MaxRevisionLine + maxAnswerBytes
 )
 
 // NoAnswer is the error for a call without an answer, or without a valid answer of a balancer. It is unknown whether
--- a/internal/management/line_reader.go
+++ b/internal/management/line_reader.go
@@ -44,7 +44,7 @@
 // stillIncomplete reports whether a long line is incomplete because none of the last n bytes is a line end, so that the
 // whole line is not searched again for each chunk.
 func (r *lineReader) stillIncomplete(n int) bool {
-	return IsRevisionCall(r.data) && len(r.data) < MaxRevision && bytes.IndexByte(r.data[len(r.data)-n:], '\n') < 0
+	return IsRevisionCall(r.data) && len(r.data) < MaxRevisionLine && bytes.IndexByte(r.data[len(r.data)-n:], '\n') < 0
 }
 
 // grow enlarges the buffer to the maximum line length once a slot is available.
@@ -53,7 +53,7 @@
 		return false
 	}
 	r.isLong = true
-	r.data = append(make([]byte, 0, MaxRevision+1), r.data...)
+	r.data = append(make([]byte, 0, MaxRevisionLine+1), r.data...)
 	return true
 }
 
--- a/internal/proxy/hot_restart.go
+++ b/internal/proxy/hot_restart.go
@@ -41,11 +41,11 @@
 	}
 	b.step(core.PredecessorState{Servers: m.KnownServers})
 	for _, server := range b.core.ServersInMaintenance() {
-		if !slices.Contains(m.Excluded, server) {
+		if !slices.Contains(m.Servers, server) {
 			b.step(core.MaintenanceSet{Server: server})
 		}
 	}
-	for _, server := range m.Excluded {
+	for _, server := range m.Servers {
 		b.step(core.MaintenanceSet{Server: server, On: true})
 	}
 }
--- a/internal/proxy/management.go
+++ b/internal/proxy/management.go
@@ -125,7 +125,7 @@
 	known := false
 	answer := b.callOnLoop(expired, func() management.Answer {
 		known = b.core.IsKnownServer(server)
-		current.Excluded = b.core.ServersInMaintenance()
+		current.Servers = b.core.ServersInMaintenance()
 		current.KnownServers = slices.Clone(b.core.KnownServers())
 		return management.Yes("")
 	})
@@ -149,7 +149,7 @@
 	switch {
 	case on:
 		return management.Yes("%s is left out", server)
-	case slices.Contains(current.Excluded, server):
+	case slices.Contains(current.Servers, server):
 		return management.Yes("%s is used again", server)
 	}
 	return management.Yes("%s was not left out", server)
