--- a/internal/consensus/changes_test.go
+++ b/internal/consensus/changes_test.go
@@ -190,7 +190,7 @@
 		"name":    func(c *Config) { c.Name = "" },
 		"members": func(c *Config) { c.Candidates[1].Name = "a" },
 		"voters":  func(c *Config) { c.Voters = 3 },
-		"reach":   func(c *Config) { c.Reach = map[string]string{"z": "10.0.0.1:1"} },
+		"reach":   func(c *Config) { c.AddressOverrides = map[string]string{"z": "10.0.0.1:1"} },
 		"listen":  func(c *Config) { c.Name = "z" },
 		"folder":  func(c *Config) { c.Folder = "" },
 	} {
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -16,13 +16,13 @@
 
 // Config holds the settings of a member. Zero numbers and durations select the defaults.
 type Config struct {
-	Cluster    string // calls and folders of another cluster are refused
-	Name       string
-	Listen     string            // address for calls of other members; "" if the member is not a candidate
-	Candidates []Candidate       // members that may hold a vote; the same list in the same order at all members
-	Voters     int               // number of votes, 1 to 7; default 3, or the number of candidates if that is lower
-	Reach      map[string]string // by name, address to call instead of the candidate's own
-	Folder     string            // created with mode 0700 if missing
+	Cluster          string // calls and folders of another cluster are refused
+	Name             string
+	Listen           string            // address for calls of other members; "" if the member is not a candidate
+	Candidates       []Candidate       // members that may hold a vote; the same list in the same order at all members
+	Voters           int               // number of votes, 1 to 7; default 3, or the number of candidates if that is lower
+	AddressOverrides map[string]string // by name, address to call instead of the candidate's own
+	Folder           string            // created with mode 0700 if missing
 
 	Tick          time.Duration // default 50 ms; an election starts after 10 to 20 ticks without a leader
 	ReplaceAfter  time.Duration // a voter that is silent for this long loses its vote to another candidate; 0 for never
@@ -118,7 +118,7 @@
 }
 
 func (c Config) checkReach() error {
-	for name, address := range c.Reach {
+	for name, address := range c.AddressOverrides {
 		if c.candidate(name) == nil || !isAddress(address) {
 			return &ConfigError{
 				Field: "reach",
@@ -167,7 +167,7 @@
 
 // addressOf returns the address at which to call name from here; "" if it is not a candidate.
 func (c *Config) addressOf(name string) string {
-	if address, ok := c.Reach[name]; ok {
+	if address, ok := c.AddressOverrides[name]; ok {
 		return address
 	}
 	if candidate := c.candidate(name); candidate != nil {
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -157,19 +157,19 @@
 
 // Unreachable reports a member that could not be called or did not answer in time.
 type Unreachable struct {
-	Name, Addr string
-	Cause      error
+	Name, Address string
+	Cause         error
 }
 
 // Error implements error.
-func (e *Unreachable) Error() string { return fmt.Sprintf("%s at %s: %v", e.Name, e.Addr, e.Cause) }
+func (e *Unreachable) Error() string { return fmt.Sprintf("%s at %s: %v", e.Name, e.Address, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *Unreachable) Unwrap() error { return e.Cause }
 
 // Hint implements hint.Hinter.
 func (e *Unreachable) Hint() string {
-	return "check that " + e.Name + " runs, and that " + e.Addr + " can be reached from here"
+	return "check that " + e.Name + " runs, and that " + e.Address + " can be reached from here"
 }
 
 // UnknownMember reports a name that is not among the candidates.
--- a/internal/consensus/folder.go
+++ b/internal/consensus/folder.go
@@ -97,7 +97,7 @@
 	}
 	for _, entry := range list {
 		switch entry.Name() {
-		case fileName + newSuffix, "lost+found", Processes:
+		case fileName + newSuffix, "lost+found", ProcessesFolder:
 		default:
 			return &ForeignFolder{Folder: folder, Why: "it contains " + quoted(entry.Name()) + " but no " + fileName}
 		}
--- a/internal/consensus/peer.go
+++ b/internal/consensus/peer.go
@@ -58,7 +58,7 @@
 		return nil, &Overloaded{What: "calls to " + name, Limit: maxWaitingCalls}
 	}
 	unreachable := func(cause error) error {
-		return &Unreachable{Name: name, Addr: address, Cause: cause}
+		return &Unreachable{Name: name, Address: address, Cause: cause}
 	}
 	select {
 	case p.slots <- struct{}{}:
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -19,8 +19,8 @@
 const (
 	fileName = "agree.db"
 
-	// Processes is the name of a subfolder that other packages may create beside the database; it is not read here.
-	Processes = "processes"
+	// ProcessesFolder is the name of a subfolder that other packages may create beside the database; it is not read here.
+	ProcessesFolder = "processes"
 
 	format          = "oatloft agreement 1"
 	pageBytes       = 4096
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -122,15 +122,15 @@
 // consensusConfig returns the settings of the log.
 func consensusConfig(log lease.Log) consensus.Config {
 	cfg := consensus.Config{
-		Cluster:      log.Cluster,
-		Name:         log.Name,
-		Listen:       log.Listen,
-		Voters:       log.Voters,
-		Reach:        log.Reach,
-		Folder:       log.Folder,
-		Tick:         log.Tick,
-		ReplaceAfter: log.ReplaceAfter,
-		Seed:         log.Seed,
+		Cluster:          log.Cluster,
+		Name:             log.Name,
+		Listen:           log.Listen,
+		Voters:           log.Voters,
+		AddressOverrides: log.Reach,
+		Folder:           log.Folder,
+		Tick:             log.Tick,
+		ReplaceAfter:     log.ReplaceAfter,
+		Seed:             log.Seed,
 	}
 	for _, candidate := range log.Candidates {
 		cfg.Candidates = append(cfg.Candidates, consensus.Candidate(candidate))
--- a/internal/revision/host/processes.go
+++ b/internal/revision/host/processes.go
@@ -40,7 +40,7 @@
 func newProcessFiles(folder string) *processFiles {
 	p := &processFiles{own: map[uint64]*os.File{}}
 	if folder != "" {
-		p.folder = filepath.Join(folder, consensus.Processes)
+		p.folder = filepath.Join(folder, consensus.ProcessesFolder)
 	}
 	return p
 }
--- a/internal/revision/host/processes_test.go
+++ b/internal/revision/host/processes_test.go
@@ -118,7 +118,7 @@
 				t.Fatal(got, err)
 			}
 			waitFor(t, "those that have ended are cleared away", func() bool { // after the leader was told, not before
-				files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes))
+				files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder))
 				return len(files) == strings.Count(want, "c/")
 			})
 		})
@@ -197,7 +197,7 @@
 		}
 	})
 	b.close()
-	if files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes)); len(files) != 1 { // other's half one
+	if files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder)); len(files) != 1 { // other's half one
 		t.Errorf("%d files are left: %v", len(files), files)
 	}
 	waitFor(t, "the holders are without it", func() bool { return holders(all) == "a/1 b/1" })
