--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -35,7 +35,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
-		case noDescriptor(err):
+		case isDescriptorExhaustion(err):
 			a.rejectWithSpare(listener)
 			continue
 		case err != nil:
@@ -56,10 +56,10 @@
 func (a *admissionController) admit(fd int, from netip.Addr) (net.Conn, admission.Verdict) {
 	a.mu.Lock()
 	if a.lastTicket != 0 { // nbio failed to open the previous connection
-		a.gate.Closed(a.now(), a.lastTicket)
+		a.controller.Closed(a.now(), a.lastTicket)
 	}
 	var verdict admission.Verdict
-	a.lastTicket, verdict = a.gate.Accept(a.now(), from)
+	a.lastTicket, verdict = a.controller.Accept(a.now(), from)
 	a.mu.Unlock()
 	if !verdict.OK() {
 		return nil, verdict
@@ -70,7 +70,7 @@
 	a.descriptorsExhausted(false)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Closed(a.now(), a.lastTicket)
+	a.controller.Closed(a.now(), a.lastTicket)
 	a.lastTicket = 0
 	return nil, a.immediateRejection()
 }
@@ -78,7 +78,7 @@
 // immediateRejection returns the verdict for a connection that is closed right after its answer, because no descriptor
 // is left for a lingering close. The caller holds mu.
 func (a *admissionController) immediateRejection() admission.Verdict {
-	verdict := a.gate.CountRefusal(a.now(), admission.Exhaustion)
+	verdict := a.controller.CountRefusal(a.now(), admission.Exhaustion)
 	verdict.CloseAtOnce = true
 	return verdict
 }
@@ -109,7 +109,7 @@
 		a.mu.Unlock()
 		a.rejectAndLinger(fd, from, verdict)
 	} else {
-		time.Sleep(exhaustedRetry)
+		time.Sleep(descriptorRetryInterval)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -23,7 +23,7 @@
 // Admission holds the admission settings, including those of package admission.
 type Admission struct {
 	admission.Config
-	MaxGoodbyes      int    // maximum number of rejected connections in lingering close
+	MaxLingering     int    // maximum number of rejected connections in lingering close
 	SnapshotPath     string // empty to write no snapshots
 	SnapshotInterval time.Duration
 	SnapshotMaxAge   time.Duration
@@ -44,7 +44,7 @@
 	timer           *systemTimer
 
 	mu               sync.Mutex
-	gate             *admission.Controller
+	controller       *admission.Controller
 	spareDescriptors []*os.File
 	lingering        []net.Conn                            // oldest first
 	lastTicket       admission.Ticket                      // of a connection not yet opened by nbio; 0 if none
@@ -63,11 +63,11 @@
 		log:            log,
 		limitedLog:     limitedLog,
 		cfg:            cfg,
-		gate:           controller,
+		controller:     controller,
 		timer:          newSystemTimer(),
 		pendingVictims: map[admission.Ticket]admission.Victim{},
 	}
-	controller.SetReserved(admission.Spare, maxSpares+cfg.MaxGoodbyes)
+	controller.SetReserved(admission.Spare, maxSpares+cfg.MaxLingering)
 	controller.SetReserved(admission.Discovery, discoveryDescriptors)
 	a.refillSpares()
 	a.loadSnapshot()
@@ -89,7 +89,7 @@
 // closes the spare descriptors, so that an urgent operation can use them.
 func (a *admissionController) descriptorsExhausted(releaseSpares bool) {
 	a.mu.Lock()
-	a.gate.Exhausted(a.now())
+	a.controller.Exhausted(a.now())
 	if releaseSpares {
 		for _, f := range a.spareDescriptors {
 			_ = f.Close()
@@ -128,7 +128,7 @@
 func (a *admissionController) closed(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Closed(a.now(), ticket)
+	a.controller.Closed(a.now(), ticket)
 	delete(a.pendingVictims, ticket)
 }
 
@@ -136,28 +136,28 @@
 func (a *admissionController) answered(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Finished(a.now(), ticket)
+	a.controller.Finished(a.now(), ticket)
 }
 
 // established notifies admission that a client's flow is established on a server.
 func (a *admissionController) established(ticket admission.Ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Established(a.now(), ticket)
+	a.controller.Established(a.now(), ticket)
 }
 
 // countBytes counts bytes received before a client's first line is complete.
 func (a *admissionController) countBytes(ticket admission.Ticket, n int) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.AddBytes(a.now(), ticket, n)
+	return a.controller.AddBytes(a.now(), ticket, n)
 }
 
 // request returns admission's verdict on a client's request.
 func (a *admissionController) request(ticket admission.Ticket, request platform.Open) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Request(a.now(), ticket, admission.ClaimedIdentity{Key: request.Key, Tenant: request.Tenant})
+	return a.controller.Request(a.now(), ticket, admission.ClaimedIdentity{Key: request.Key, Tenant: request.Tenant})
 }
 
 // tick advances admission's clock and reports the process's resource usage to it; memory is in bytes, or 0 if it was
@@ -166,17 +166,17 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refillSpares()
-	a.gate.SetReserved(admission.Probe, probes)
+	a.controller.SetReserved(admission.Probe, probes)
 	if memory > 0 {
-		a.gate.SetMemoryUsed(memory)
+		a.controller.SetMemoryUsed(memory)
 	}
-	before := a.gate.Level()
-	a.gate.Tick(a.now())
-	if level := a.gate.Level(); level != before {
+	before := a.controller.Level()
+	a.controller.Tick(a.now())
+	if level := a.controller.Level(); level != before {
 		a.limitedLog.Say(time.Now(), slog.LevelInfo, "level", "admission level changed",
 			slog.String("from", before.String()), slog.String("to", level.String()))
 	}
-	return a.gate.UnderPressure()
+	return a.controller.UnderPressure()
 }
 
 // victims appends the idle clients that are to be closed now. Those that the reducer does not know yet are stored for
@@ -186,7 +186,7 @@
 ) []admission.Victim {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, victim := range a.gate.Victims() {
+	for _, victim := range a.controller.Victims() {
 		if known(victim.Ticket) {
 			victims = append(victims, victim)
 		} else {
@@ -209,13 +209,13 @@
 func (a *admissionController) setLimits(descriptors, memoryMB int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.SetLimits(descriptors, int64(memoryMB)<<20)
+	a.controller.SetLimits(descriptors, int64(memoryMB)<<20)
 }
 
 func (a *admissionController) report() admission.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Report()
+	return a.controller.Report()
 }
 
 // reconfigure applies new settings completely or, on error, not at all. Admission's learned state is kept. The snapshot
@@ -226,10 +226,10 @@
 	if cfg.SnapshotPath != a.cfg.SnapshotPath {
 		return &ImmutableSetting{"admission.reserve.snapshot.path"}
 	}
-	if err := a.gate.Reconfigure(cfg.Config); err != nil {
+	if err := a.controller.Reconfigure(cfg.Config); err != nil {
 		return err
 	}
 	a.cfg = cfg
-	a.gate.SetReserved(admission.Spare, maxSpares+cfg.MaxGoodbyes)
+	a.controller.SetReserved(admission.Spare, maxSpares+cfg.MaxLingering)
 	return nil
 }
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -223,7 +223,7 @@
 	starved := func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		return first.starved
+		return first.readDeferred
 	}
 	h.until("the pause", starved)
 	if n := h.queued(eventData); n > maxReads+1 {
--- a/internal/proxy/attempt_harness_test.go
+++ b/internal/proxy/attempt_harness_test.go
@@ -112,7 +112,7 @@
 // later advances the clock by d and by one tick more, since timers are rounded up to ticks. No timer fires before the
 // next tick call.
 func (h *triesLoop) later(d time.Duration) {
-	h.s.cfg.StartOfClock = h.s.cfg.StartOfClock.Add(-d - core.TickInterval)
+	h.s.cfg.ClockOrigin = h.s.cfg.ClockOrigin.Add(-d - core.TickInterval)
 }
 
 // tick fires the timers that are due.
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -61,12 +61,12 @@
 	clientsByTicket map[admission.Ticket]*client
 	victims         []admission.Victim
 
-	operators       *management.Server // nil if no management address is configured
-	calls           chan func()        // management calls, run between two events
-	maintenanceLock chan struct{}      // serializes calls that change the maintenance file
-	stateDir        *hotrestart.Dir    // nil if no state is shared with operators or other processes
-	presence        *hotrestart.Presence
-	otherProcesses  hotrestart.Usage
+	managementServer *management.Server // nil if no management address is configured
+	calls            chan func()        // management calls, run between two events
+	maintenanceLock  chan struct{}      // serializes calls that change the maintenance file
+	stateDir         *hotrestart.Dir    // nil if no state is shared with operators or other processes
+	presence         *hotrestart.Presence
+	otherProcesses   hotrestart.Usage
 
 	peers           *membership.Host // nil if no peers are configured
 	sentSignals     sentSignals
@@ -142,7 +142,7 @@
 }
 
 // now returns the time since the start of the balancer's clock, which the reducer uses.
-func (b *Balancer) now() time.Duration { return time.Since(b.cfg.StartOfClock) }
+func (b *Balancer) now() time.Duration { return time.Since(b.cfg.ClockOrigin) }
 
 // Start passes the known endpoints to the reducer and begins to accept clients. Run must follow. The error is
 // *ListenFailed.
@@ -161,8 +161,8 @@
 		}
 	}
 	b.serving = true
-	if b.operators != nil {
-		b.operators.Serve()
+	if b.managementServer != nil {
+		b.managementServer.Serve()
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 	if b.peers != nil {
 		b.peers.Close()
 	}
-	if b.operators != nil {
-		b.operators.Close()
+	if b.managementServer != nil {
+		b.managementServer.Close()
 	}
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -23,7 +23,7 @@
 	answerReader   platform.LineReader // of the attempt
 	fromServer     platform.Scan
 	toServer       platform.Scan
-	lastServerWord platform.Word // type of the server's latest line
+	lastServerLine platform.Word // type of the server's latest line
 
 	migration    migration
 	backpressure [2]bool // index 0: towards the client; index 1: towards the server
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -27,7 +27,7 @@
 	Peers          *Peers                 // nil: no exchange with other balancers
 	Revisions      *Revisions             // nil: only the settings apply
 	KnownEndpoints *core.EndpointsListed  // nil: no servers are known at the start
-	StartOfClock   time.Time              // origin of the balancer's clock
+	ClockOrigin    time.Time              // origin of the balancer's clock
 }
 
 // UnreadableConfig reports that the configuration file cannot be read.
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -55,7 +55,7 @@
 	state           connectionState
 	conn            *nbio.Conn
 	tail            *tailWriter // writes the rest once the peer has closed its sending side
-	starved         bool        // reading waits until the loop has handled its queue
+	readDeferred    bool        // reading waits until the loop has handled its queue
 	paused          bool        // reading waits because of backpressure
 	finPending      bool        // FIN is sent after the buffered bytes
 	established     bool        // the client's flow is established; until then reads are limited to a first line
@@ -64,14 +64,14 @@
 	shutDown        bool   // shut down in both directions; the poller closes the descriptor at its next event
 	unwritten       []byte // copy of the backlog, for the tail writer
 
-	queue     *bandwidthQueue // shapes the bytes that are read; nil if no bounded link is crossed
-	waitsIn   *bandwidthQueue // the queue that reading waits in; nil if it does not wait
-	bypass    bool            // it no longer waits in a queue
-	endedData *endedData      // read when the peer closed, and not yet forwarded
+	queue           *bandwidthQueue // shapes the bytes that are read; nil if no bounded link is crossed
+	waitingQueue    *bandwidthQueue // the queue that reading waits in; nil if it does not wait
+	exemptFromQueue bool            // it no longer waits in a queue
+	endedData       *endedData      // read when the peer closed, and not yet forwarded
 
 	accepted, written atomic.Int64 // bytes
 	queuedEvents      atomic.Int32 // events of kind eventData in the loop's queue
-	hadWaited         atomic.Bool  // the bytes read last had waited in a queue
+	wasQueued         atomic.Bool  // the bytes read last had waited in a queue
 	notifyFlushed     atomic.Bool  // post eventFlushed once all accepted bytes are written
 }
 
--- a/internal/proxy/connection_close.go
+++ b/internal/proxy/connection_close.go
@@ -28,7 +28,8 @@
 	} else if last {
 		c.forceCloseAt = time.Now().Add(peerReadTimeout)
 	}
-	if last && c.conn != nil && (c.paused || c.starved || c.waitsIn != nil) { // drain what was left in the socket
+	// drain what was left in the socket
+	if last && c.conn != nil && (c.paused || c.readDeferred || c.waitingQueue != nil) {
 		c.read(false)
 	}
 }
--- a/internal/proxy/connection_read.go
+++ b/internal/proxy/connection_read.go
@@ -118,24 +118,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paused = false
-	c.readOn()
+	c.continueReading()
 }
 
 // resumeDeferred continues reading after the loop has handled its queue.
 func (c *connection) resumeDeferred() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.starved = false
-	c.readOn()
+	c.readDeferred = false
+	c.continueReading()
 }
 
-// readOn continues reading unless the connection is paused, deferred or queued. The caller holds mu.
-func (c *connection) readOn() {
-	if c.endedData != nil && c.waitsIn == nil {
+// continueReading continues reading unless the connection is paused, deferred or queued. The caller holds mu.
+func (c *connection) continueReading() {
+	if c.endedData != nil && c.waitingQueue == nil {
 		c.passEndedData(0)
 		return
 	}
-	if c.state == live && c.conn != nil && !c.paused && !c.starved && c.waitsIn == nil {
+	if c.state == live && c.conn != nil && !c.paused && !c.readDeferred && c.waitingQueue == nil {
 		c.read(false)
 	}
 }
--- a/internal/proxy/dial.go
+++ b/internal/proxy/dial.go
@@ -13,8 +13,8 @@
 const (
 	// dialMargin is how much longer a dial may run than the reducer's timeout.
 	dialMargin = 50 * time.Millisecond
-	// exhaustedRetry is the interval between two tries while no descriptor is free.
-	exhaustedRetry = 3 * time.Millisecond
+	// descriptorRetryInterval is the interval between two tries while no descriptor is free.
+	descriptorRetryInterval = 3 * time.Millisecond
 	// socketBuffer is the size of the system's socket buffers, in bytes.
 	socketBuffer = 64 << 10
 )
@@ -50,7 +50,7 @@
 func (b *Balancer) dialContext(ctx context.Context, conn *connection, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Control: conn.dialControl()}
 	dialed, err := dialer.DialContext(ctx, "tcp", addr)
-	for err != nil && noDescriptor(err) && b.admission != nil && b.waitForDescriptor(ctx) {
+	for err != nil && isDescriptorExhaustion(err) && b.admission != nil && b.waitForDescriptor(ctx) {
 		dialed, err = dialer.DialContext(ctx, "tcp", addr)
 	}
 	return dialed, err
@@ -88,7 +88,7 @@
 		return polled, nil
 	}
 	_ = dialed.Close()
-	if b.admission != nil && noDescriptor(err) {
+	if b.admission != nil && isDescriptorExhaustion(err) {
 		b.admission.descriptorsExhausted(true)
 	}
 	return nil, err
@@ -102,7 +102,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(exhaustedRetry):
+	case <-time.After(descriptorRetryInterval):
 		return true
 	}
 }
--- a/internal/proxy/edge_config.go
+++ b/internal/proxy/edge_config.go
@@ -109,7 +109,7 @@
 	snapshot := &section.Reserve.Snapshot
 	c.Admission = &Admission{
 		Config:           cfg,
-		MaxGoodbyes:      section.Descriptors.GoodByes,
+		MaxLingering:     section.Descriptors.GoodByes,
 		SnapshotPath:     snapshot.Path,
 		SnapshotInterval: time.Duration(snapshot.Every),
 		SnapshotMaxAge:   time.Duration(snapshot.MaxAge),
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -73,7 +73,7 @@
 
 // dialServer starts an attempt by dialing its server.
 func (b *Balancer) dialServer(c *client, e core.Dial) {
-	c.answerReader, c.lastServerWord, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
+	c.answerReader, c.lastServerLine, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
 	c.server = &connection{balancer: b, role: serverRole, client: c, attempt: e.Attempt, server: e.Server}
 	b.dial(c.server, e.Address, e.Timeout+dialMargin)
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -75,7 +75,7 @@
 	switch {
 	case c.state == finishing:
 		return c.discarded <= maxDiscarded || c.shutDown
-	case c.paused || c.starved || c.waitsIn != nil:
+	case c.paused || c.readDeferred || c.waitingQueue != nil:
 		return false
 	case c.balancer.queue.isLong():
 		c.balancer.queue.deferRead(c)
--- a/internal/proxy/event_queue.go
+++ b/internal/proxy/event_queue.go
@@ -64,7 +64,7 @@
 // deferRead schedules a connection to be read once the loop has handled the queue. The caller holds the connection's
 // mu.
 func (q *eventQueue) deferRead(conn *connection) {
-	conn.starved = true
+	conn.readDeferred = true
 	q.mu.Lock()
 	q.deferred = append(q.deferred, conn)
 	q.mu.Unlock()
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -180,7 +180,7 @@
 	case !strings.HasPrefix(name, "task"):
 		addr := p.addr
 		if strings.HasPrefix(name, "op") {
-			addr = p.server.operators.Addr()
+			addr = p.server.managementServer.Addr()
 		}
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/internal/proxy/hot_restart.go
+++ b/internal/proxy/hot_restart.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// followInterval is the interval at which files written by other processes are checked. An operator's call to one
-	// of them takes effect here within this interval and a tick.
-	followInterval = 50 * time.Millisecond
+	// stateDirPollInterval is the interval at which files written by other processes are checked. An operator's call to
+	// one of them takes effect here within this interval and a tick.
+	stateDirPollInterval = 50 * time.Millisecond
 	// idleDescriptors is the number of descriptors that a process without clients has open.
 	idleDescriptors = 16
 	// maxPredecessorAge bounds the age of the predecessor's state: older state does not describe the current
--- a/internal/proxy/lingering_close.go
+++ b/internal/proxy/lingering_close.go
@@ -23,8 +23,8 @@
 
 // rejectAndLinger answers a rejected connection and closes it. Received bytes are read first, and the close is delayed
 // until the client closes, for at most lingerTimeout: unread bytes, or bytes that arrive at a closed socket, would
-// cause a reset that can destroy the answer. At most MaxGoodbyes connections linger; a further one replaces the oldest.
-// With a curt verdict the connection is closed without lingering.
+// cause a reset that can destroy the answer. At most MaxLingering connections linger; a further one replaces the
+// oldest. With the verdict CloseAtOnce the connection is closed without lingering.
 func (a *admissionController) rejectAndLinger(fd int, from netip.Addr, verdict admission.Verdict) {
 	a.limitedLog.Say(time.Now(), slog.LevelInfo, verdict.Reason.String(), "refused",
 		slog.Any("from", from), slog.Duration("after", verdict.RetryAfter))
@@ -35,7 +35,7 @@
 	var line [maxRejectLine]byte
 	// a new socket's send buffer has room for it
 	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.RetryAfter))
-	if verdict.CloseAtOnce || a.cfg.MaxGoodbyes == 0 {
+	if verdict.CloseAtOnce || a.cfg.MaxLingering == 0 {
 		_ = syscall.Close(fd)
 		return
 	}
@@ -71,7 +71,7 @@
 func (a *admissionController) addLingering(conn net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.lingering) >= a.cfg.MaxGoodbyes {
+	if len(a.lingering) >= a.cfg.MaxLingering {
 		_ = a.lingering[0].Close()
 		a.lingering = slices.Delete(a.lingering, 0, 1)
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -111,7 +111,7 @@
 		b.closeListener()
 	}
 	if now.After(b.loop.nextOtherProcessReadAt) {
-		b.loop.nextOtherProcessReadAt = now.Add(followInterval)
+		b.loop.nextOtherProcessReadAt = now.Add(stateDirPollInterval)
 		b.readOtherProcess()
 	}
 	if b.peers != nil {
--- a/internal/proxy/management.go
+++ b/internal/proxy/management.go
@@ -31,7 +31,7 @@
 		b.exchangeUsage(int64(heapBytes()))
 	}
 	if b.cfg.Management != "" {
-		b.operators, err = management.Listen(b.cfg.Management, b.handleCall)
+		b.managementServer, err = management.Listen(b.cfg.Management, b.handleCall)
 		return err
 	}
 	return nil
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// passRestOfAnswer forwards the rest of the server's line and sends MOVE after it. If the line is BYE or MOVE of the
+// forwardRestOfAnswer forwards the rest of the server's line and sends MOVE after it. If the line is BYE or MOVE of the
 // server itself, nothing is sent after it.
-func (b *Balancer) passRestOfAnswer(c *client, data []byte) {
+func (b *Balancer) forwardRestOfAnswer(c *client, data []byte) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if end == 0 {
 		c.fromServer.Read(data)
@@ -108,7 +108,7 @@
 	}
 	c.server.setQueue(nil)
 	if !c.toServer.Between() {
-		c.migration.forwardingRequest = c.conn.bypassQueue()
+		c.migration.forwardingRequest = c.conn.exemptFromTurns()
 	}
 }
 
--- a/internal/proxy/parse_config.go
+++ b/internal/proxy/parse_config.go
@@ -99,16 +99,16 @@
 		}
 	}
 	c := Config{
-		Name:         cmp.Or(overrides.Name, file.Name),
-		Listen:       cmp.Or(overrides.Listen, file.Listen),
-		Discovery:    cmp.Or(overrides.Discovery, file.Discovery),
-		Management:   cmp.Or(overrides.Management, file.Management),
-		InheritedFD:  overrides.Inherited,
-		StateDir:     overrides.State,
-		MemoryMB:     file.Limits.MemoryMB,
-		Sockets:      file.Limits.Sockets,
-		Cores:        file.Limits.Cores,
-		StartOfClock: time.Now().Add(-clockSlack),
+		Name:        cmp.Or(overrides.Name, file.Name),
+		Listen:      cmp.Or(overrides.Listen, file.Listen),
+		Discovery:   cmp.Or(overrides.Discovery, file.Discovery),
+		Management:  cmp.Or(overrides.Management, file.Management),
+		InheritedFD: overrides.Inherited,
+		StateDir:    overrides.State,
+		MemoryMB:    file.Limits.MemoryMB,
+		Sockets:     file.Limits.Sockets,
+		Cores:       file.Limits.Cores,
+		ClockOrigin: time.Now().Add(-clockSlack),
 	}
 	if err := c.validateAddresses(); err != nil {
 		return c, err
@@ -122,7 +122,7 @@
 	if isAbsent(file.Known) {
 		return c, nil
 	}
-	known, err := platform.ParseList(file.Known, c.StartOfClock)
+	known, err := platform.ParseList(file.Known, c.ClockOrigin)
 	if err != nil {
 		return c, &ConfigError{
 			hint.Annotated{Where: "known", Cause: err, Do: "fix the list of known servers, or remove it"},
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -20,7 +20,7 @@
 		return
 	}
 	discoveryMoved := cfg.Discovery != b.cfg.Discovery
-	cfg.StartOfClock, cfg.Peers, cfg.Revisions = b.cfg.StartOfClock, b.cfg.Peers, b.cfg.Revisions
+	cfg.ClockOrigin, cfg.Peers, cfg.Revisions = b.cfg.ClockOrigin, b.cfg.Peers, b.cfg.Revisions
 	b.cfg = cfg
 	b.counters.Reloads++
 	b.descriptorLimit.Store(
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -15,8 +15,8 @@
 	if b.admission != nil {
 		all["admission"] = b.admission.report()
 	}
-	if b.operators != nil {
-		all["management"] = b.operators.Report()
+	if b.managementServer != nil {
+		all["management"] = b.managementServer.Report()
 	}
 	if b.peers != nil {
 		all["peers"] = b.peers.Counts()
--- a/internal/proxy/server_connection.go
+++ b/internal/proxy/server_connection.go
@@ -23,7 +23,7 @@
 			b.readAnswer(c, conn, *e.data)
 			return
 		}
-		if b.zoneLinks != nil && conn.hadWaited.Swap(false) {
+		if b.zoneLinks != nil && conn.wasQueued.Swap(false) {
 			b.step(core.ServerDataQueued{Client: c.handle})
 		}
 		b.forwardFromServer(c, *e.data)
@@ -36,7 +36,7 @@
 		return
 	}
 	reason := closeReason(kind)
-	switch c.lastServerWord {
+	switch c.lastServerLine {
 	case platform.Bye:
 		reason = core.CloseFinished
 	case platform.MoveAway:
@@ -81,7 +81,7 @@
 		b.zoneLinks.attach(c)
 	}
 	seen := c.fromServer.Read(trailing)
-	c.lastServerWord = seen.Last
+	c.lastServerLine = seen.Last
 	b.step(core.AttemptAccepted{
 		Client:  c.handle,
 		Attempt: conn.attempt,
@@ -92,12 +92,12 @@
 // forwardFromServer forwards a server's bytes. A client that is to be migrated gets none after the end of the line.
 func (b *Balancer) forwardFromServer(c *client, data []byte) {
 	if b.isMigrating(c) {
-		b.passRestOfAnswer(c, data)
+		b.forwardRestOfAnswer(c, data)
 		return
 	}
 	seen := c.fromServer.Read(data)
 	if seen.Lines > 0 {
-		c.lastServerWord = seen.Last
+		c.lastServerLine = seen.Last
 	}
 	b.step(core.DataReceived{
 		Client:     c.handle,
--- a/internal/proxy/shaping.go
+++ b/internal/proxy/shaping.go
@@ -13,7 +13,7 @@
 func (c *connection) waitsForTurn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.waitsIn != nil
+	return c.waitingQueue != nil
 }
 
 // setQueue makes reads of the connection wait for turns in a queue from now on; nil for no limit. A pending turn in
@@ -24,24 +24,24 @@
 	if c.queue == queue {
 		return
 	}
-	c.queue, c.waitsIn = queue, nil
-	c.readOn()
+	c.queue, c.waitingQueue = queue, nil
+	c.continueReading()
 }
 
 // readScheduled reads up to n bytes, or returns them to the queue if the connection cannot use them.
 func (c *connection) readScheduled(queue *bandwidthQueue, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waitsIn == nil || c.waitsIn.flow != queue.flow {
+	if c.waitingQueue == nil || c.waitingQueue.flow != queue.flow {
 		queue.returnUnused(n)
 		return
 	}
-	c.waitsIn = nil
-	c.hadWaited.Store(true)
+	c.waitingQueue = nil
+	c.wasQueued.Store(true)
 	switch {
 	case c.endedData != nil:
 		c.passEndedData(n)
-	case c.state != live || c.conn == nil || c.paused || c.starved:
+	case c.state != live || c.conn == nil || c.paused || c.readDeferred:
 		queue.returnUnused(n)
 	case c.balancer.queue.isLong():
 		queue.returnUnused(n)
@@ -71,7 +71,7 @@
 		case size == 0:
 			size = c.queue.take(c, readSize)
 			if size == 0 {
-				c.waitsIn = c.queue
+				c.waitingQueue = c.queue
 				return
 			}
 		}
@@ -101,18 +101,20 @@
 
 // exempt reports whether the connection is read without turns: that of an attempt before its answer, and that of a
 // client whose current line has to be completed.
-func (c *connection) exempt() bool { return c.role == serverRole && !c.established || c.bypass }
+func (c *connection) exempt() bool {
+	return c.role == serverRole && !c.established || c.exemptFromQueue
+}
 
-// bypassQueue makes a connection exempt from turns; it is then read in small pieces. It returns false if the
+// exemptFromTurns makes a connection exempt from turns; it is then read in small pieces. It returns false if the
 // connection crosses no bounded link.
-func (c *connection) bypassQueue() bool {
+func (c *connection) exemptFromTurns() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.queue == nil {
 		return false
 	}
-	c.bypass, c.waitsIn, c.paused = true, nil, false
-	c.readOn()
+	c.exemptFromQueue, c.waitingQueue, c.paused = true, nil, false
+	c.continueReading()
 	return true
 }
 
@@ -132,7 +134,7 @@
 	if data.end == eventReset && c.role == clientRole {
 		data.pieces = nil
 	}
-	c.endedData, c.waitsIn = data, nil
+	c.endedData, c.waitingQueue = data, nil
 	polled := c.conn
 	if data.end == eventReset || c.role != clientRole || !c.handOverToTail() {
 		c.state = ended
@@ -165,8 +167,8 @@
 func (c *connection) passEndedData(granted int) {
 	queue, data := c.queue, c.endedData
 	for len(data.pieces) > 0 {
-		if c.paused || c.starved || c.balancer.queue.isLong() {
-			if !c.paused && !c.starved {
+		if c.paused || c.readDeferred || c.balancer.queue.isLong() {
+			if !c.paused && !c.readDeferred {
 				c.balancer.queue.deferRead(c)
 			}
 			break
@@ -182,7 +184,7 @@
 		case size == 0:
 			size = queue.take(c, len(*data.pieces[0]))
 			if size == 0 {
-				c.waitsIn = queue
+				c.waitingQueue = queue
 				return
 			}
 		}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -41,7 +41,7 @@
 	b.exiting = true
 	b.closing = closing{
 		idleDeadline: time.Now().Add(idleTimeout + b.testSlack),
-		deadline:     b.cfg.StartOfClock.Add(deadline + b.testSlack),
+		deadline:     b.cfg.ClockOrigin.Add(deadline + b.testSlack),
 	}
 	b.closeListener()
 }
@@ -70,7 +70,7 @@
 			b.addAccepted(fd)
 		case errors.Is(err, syscall.ECONNABORTED):
 		default:
-			return !noDescriptor(err)
+			return !isDescriptorExhaustion(err)
 		}
 	}
 	return false
--- a/internal/proxy/shutdown_harness_test.go
+++ b/internal/proxy/shutdown_harness_test.go
@@ -167,7 +167,7 @@
 // stopClock stops the reducer's clock, by setting its start so far ahead that measured times are earlier than the
 // reducer's own, which it ignores.
 func (b *shutdownHarness) stopClock(s *Balancer) {
-	s.cfg.StartOfClock = time.Now().Add(24*time.Hour - b.clock)
+	s.cfg.ClockOrigin = time.Now().Add(24*time.Hour - b.clock)
 }
 
 // advanceClock advances the reducer's clock tick by tick.
@@ -176,7 +176,7 @@
 	b.onLoop(func(s *Balancer) {
 		for end := b.clock + d; b.clock < end; {
 			b.clock += core.TickInterval
-			s.cfg.StartOfClock = time.Now().Add(-b.clock)
+			s.cfg.ClockOrigin = time.Now().Add(-b.clock)
 			s.step(core.Tick{})
 		}
 		b.stopClock(s)
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if len(s.Clients) > 0 {
-		restored := a.gate.Restore(a.now(), s.Seed, s.Clients)
+		restored := a.controller.Restore(a.now(), s.Seed, s.Clients)
 		a.log.Info("known clients restored", "clients", restored, "of", len(s.Clients))
 	}
 }
@@ -59,7 +59,7 @@
 
 func (a *admissionController) writeSnapshot() {
 	a.mu.Lock()
-	seed, clients := a.gate.KnownClients()
+	seed, clients := a.controller.KnownClients()
 	a.mu.Unlock()
 	snapshot := clientstore.Snapshot{CreatedAt: time.Now(), Seed: seed, Clients: clients}
 	if err := clientstore.Save(a.cfg.SnapshotPath, snapshot); err != nil {
--- a/internal/proxy/socket.go
+++ b/internal/proxy/socket.go
@@ -145,8 +145,8 @@
 	return netip.Addr{}
 }
 
-// noDescriptor reports whether err means that the process or the machine has no descriptor left.
-func noDescriptor(err error) bool {
+// isDescriptorExhaustion reports whether err means that the process or the machine has no descriptor left.
+func isDescriptorExhaustion(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
--- a/internal/proxy/zone_links.go
+++ b/internal/proxy/zone_links.go
@@ -244,7 +244,7 @@
 // applyGrants applies the bandwidth of the links that this balancer has been granted.
 func (z *zoneLinks) applyGrants(grants []bandwidth.Grant, until time.Time) {
 	now := z.balancer.now()
-	expiry := until.Sub(z.balancer.cfg.StartOfClock)
+	expiry := until.Sub(z.balancer.cfg.ClockOrigin)
 	for _, link := range *z.all.Load() {
 		link.mu.Lock()
 		for _, g := range grants {
