--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -13,13 +13,13 @@
 )
 
 // sendInPieces sends a text in pieces of size bytes, each handled before the next one is sent.
-func (h *triesLoop) sendInPieces(p *triesPeer, text string, size int) {
+func (h *attemptHarness) sendInPieces(p *attemptPeer, text string, size int) {
 	h.t.Helper()
 	for rest := text; len(rest) > 0; rest = rest[min(size, len(rest)):] {
 		if _, err := p.conn.Write([]byte(rest[:min(size, len(rest))])); err != nil {
 			return // the balancer has closed the connection
 		}
-		h.s.handleEvents()
+		h.balancer.handleEvents()
 	}
 }
 
@@ -46,13 +46,13 @@
 	} {
 		for _, size := range []int{1 << 20, 4096, 1} {
 			t.Run(fmt.Sprintf("%s, pieces of %d", name, size), func(t *testing.T) {
-				h := triesStart(t, "unsafe")
-				client := h.ask("1", time.Hour)
-				server := h.attempt()
+				h := newAttemptHarness(t, "unsafe")
+				client := h.startRequest("1", time.Hour)
+				server := h.awaitAttempt()
 				h.sendInPieces(server, answer, size)
-				h.ends("the client", client, "ERR\r\n")
-				h.turning("the server's end", func() bool { server.read(); return server.end != nil })
-				if n := h.s.core.Counters; n.Attempts != 1 || n.AttemptsFailed+n.AttemptsReset != 1 {
+				h.expectEnd("the client", client, "ERR\r\n")
+				h.runLoopUntil("the server's end", func() bool { server.read(); return server.endErr != nil })
+				if n := h.balancer.core.Counters; n.Attempts != 1 || n.AttemptsFailed+n.AttemptsReset != 1 {
 					t.Fatalf("%d attempts, %d failed", n.Attempts, n.AttemptsFailed)
 				}
 			})
@@ -68,11 +68,11 @@
 		"load note":     "UP 1\r\nLOAD 5\r\n",
 	} {
 		for _, size := range []int{1 << 20, 4095, 1} {
-			h := triesStart(t, "unsafe")
-			client := h.ask("1", time.Hour)
-			server := h.attempt()
+			h := newAttemptHarness(t, "unsafe")
+			client := h.startRequest("1", time.Hour)
+			server := h.awaitAttempt()
 			h.sendInPieces(server, answer, size)
-			h.gets("the client, "+name, client, answer)
+			h.expectReceived("the client, "+name, client, answer)
 		}
 	}
 }
@@ -81,23 +81,23 @@
 // client receives only the next attempt's UP.
 func TestSecondAnswerIsDropped(t *testing.T) {
 	for name, late := range map[string]bool{"in one segment": false, "later": true} {
-		h := triesStart(t, "unsafe")
-		client := h.ask("1", time.Hour)
-		first := h.attempt()
+		h := newAttemptHarness(t, "unsafe")
+		client := h.startRequest("1", time.Hour)
+		first := h.awaitAttempt()
 		if !late {
 			first.send(t, "BUSY\r\nUP old\r\n")
 		} else {
 			first.send(t, "BUSY\r\n")
 		}
-		next := h.attempt()
+		next := h.awaitAttempt()
 		if late {
 			_, _ = first.conn.Write([]byte("UP old\r\n")) // fails if the balancer's end has arrived before
 		}
-		h.turning("the first server's end", func() bool { first.read(); return first.end != nil })
-		if len(client.got) > 0 {
-			t.Fatalf("%s: the client got %q", name, client.got)
+		h.runLoopUntil("the first server's end", func() bool { first.read(); return first.endErr != nil })
+		if len(client.received) > 0 {
+			t.Fatalf("%s: the client got %q", name, client.received)
 		}
-		h.served(client, next, "new")
+		h.answerAttempt(client, next, "new")
 	}
 }
 
@@ -117,24 +117,24 @@
 		{"", false},
 	} {
 		for _, reset := range []bool{false, true} {
-			h := triesStart(t, "unsafe")
-			client := h.ask("1", time.Hour)
-			first, server := h.task("1"), h.attempt()
+			h := newAttemptHarness(t, "unsafe")
+			client := h.startRequest("1", time.Hour)
+			first, server := h.attemptConn("1"), h.awaitAttempt()
 			if len(x.answer) > 0 {
 				server.send(t, x.answer)
-				h.until("the answer in the queue", func() bool { return h.queued(eventData) > 0 })
+				h.waitUntil("the answer in the queue", func() bool { return h.queuedEvents(eventData) > 0 })
 			}
 			if reset {
 				server.reset()
 			} else {
 				_ = server.conn.Close()
 			}
-			h.reached(first, ended)
-			h.s.handleEvents() // both in one turn
+			h.awaitConnState(first, ended)
+			h.balancer.handleEvents() // both in one turn
 			if x.retried {
-				h.served(client, h.attempt(), "2")
+				h.answerAttempt(client, h.awaitAttempt(), "2")
 			} else {
-				h.ends(fmt.Sprintf("the client after %q, reset %v,", x.answer, reset), client, "ERR\r\n")
+				h.expectEnd(fmt.Sprintf("the client after %q, reset %v,", x.answer, reset), client, "ERR\r\n")
 			}
 		}
 	}
@@ -143,39 +143,39 @@
 // A connection ends after half a line: the half line reaches the client, followed by the same kind of end.
 func TestPartialLineBeforeEnd(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		h := triesStart(t, "unsafe")
-		client := h.ask("1", time.Hour)
-		server := h.attempt()
-		h.served(client, server, "1")
+		h := newAttemptHarness(t, "unsafe")
+		client := h.startRequest("1", time.Hour)
+		server := h.awaitAttempt()
+		h.answerAttempt(client, server, "1")
 		server.send(t, "half a li")
-		h.gets("the client", client, "UP 1\r\nhalf a li")
+		h.expectReceived("the client", client, "UP 1\r\nhalf a li")
 		if reset {
 			server.reset()
 		} else {
 			_ = server.conn.CloseWrite()
 		}
-		h.ends("the client", client, "UP 1\r\nhalf a li")
-		if closedByFIN := client.end == syscall.ENODATA; closedByFIN == reset {
-			t.Fatalf("reset %v, but the client's connection ended with %v", reset, client.end)
+		h.expectEnd("the client", client, "UP 1\r\nhalf a li")
+		if closedByFIN := client.endErr == syscall.ENODATA; closedByFIN == reset {
+			t.Fatalf("reset %v, but the client's connection ended with %v", reset, client.endErr)
 		}
 	}
 }
 
 // Many lines in one segment reach the server in order after UP, and so do the server's reach the client.
 func TestManyLinesInOneSegment(t *testing.T) {
-	h := triesStart(t, "unsafe")
-	client := h.ask("1", time.Hour)
-	server := h.attempt()
-	h.served(client, server, "1")
+	h := newAttemptHarness(t, "unsafe")
+	client := h.startRequest("1", time.Hour)
+	server := h.awaitAttempt()
+	h.answerAttempt(client, server, "1")
 	var lines strings.Builder
 	for i := range 2000 {
 		fmt.Fprintf(&lines, "line %d\r\n", i)
 	}
-	server.got, client.got = nil, nil
+	server.received, client.received = nil, nil
 	client.send(t, lines.String())
-	h.gets("the server", server, lines.String())
+	h.expectReceived("the server", server, lines.String())
 	server.send(t, lines.String())
-	h.gets("the client", client, lines.String())
+	h.expectReceived("the client", client, lines.String())
 }
 
 // What the balancer buffers for a peer that does not read is bounded, and all of it arrives in order once it reads.
@@ -184,30 +184,30 @@
 	const limit = backpressureBytes + 2*(maxReads*readSize+2*socketBuffer)
 	text := bytes.Repeat([]byte("0123456789abcde\n"), 1<<18) // 4 MiB
 	for _, slowClient := range []bool{true, false} {
-		h := triesStart(t, "unsafe")
-		client := h.ask("1", time.Hour)
-		server := h.attempt()
-		h.served(client, server, "1")
-		server.got, client.got = nil, nil
-		from, to, backlog := client, server, h.task("1")
+		h := newAttemptHarness(t, "unsafe")
+		client := h.startRequest("1", time.Hour)
+		server := h.awaitAttempt()
+		h.answerAttempt(client, server, "1")
+		server.received, client.received = nil, nil
+		from, to, backlog := client, server, h.attemptConn("1")
 		if slowClient {
-			from, to, backlog = server, client, h.terminal("1").conn
+			from, to, backlog = server, client, h.clientOf("1").conn
 		}
 		go func() { _, _ = from.conn.Write(text) }()
-		h.turning("the pause", func() bool { return backlog.backlog() > backpressureBytes })
+		h.runLoopUntil("the pause", func() bool { return backlog.backlog() > backpressureBytes })
 		for range 500 {
-			if h.s.handleEvents(); backlog.backlog() > limit {
+			if h.balancer.handleEvents(); backlog.backlog() > limit {
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 		}
-		h.turning("all", func() bool {
+		h.runLoopUntil("all", func() bool {
 			if backlog.backlog() > limit {
 				t.Fatal(backlog.backlog(), "bytes are buffered")
 			}
 			to.read()
-			return len(to.got) >= len(text)
+			return len(to.received) >= len(text)
 		})
-		if !bytes.Equal(to.got, text) {
+		if !bytes.Equal(to.received, text) {
 			t.Fatal("the bytes were changed")
 		}
 	}
@@ -216,69 +216,70 @@
 // An endless answer is cut off at its 4096th byte, and what the balancer reads of it meanwhile is bounded, even while
 // its loop is blocked.
 func TestEndlessAnswerIsBounded(t *testing.T) {
-	h := triesStart(t, "unsafe")
-	client := h.ask("1", time.Hour)
-	first, server := h.task("1"), h.attempt()
+	h := newAttemptHarness(t, "unsafe")
+	client := h.startRequest("1", time.Hour)
+	first, server := h.attemptConn("1"), h.awaitAttempt()
 	go func() { _, _ = server.conn.Write(make([]byte, 8<<20)) }()
 	starved := func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		return first.readDeferred
 	}
-	h.until("the pause", starved)
-	if n := h.queued(eventData); n > maxReads+1 {
+	h.waitUntil("the pause", starved)
+	if n := h.queuedEvents(eventData); n > maxReads+1 {
 		t.Fatal(n, "pieces are queued")
 	}
-	h.ends("the client", client, "ERR\r\n")
-	if n := h.s.core.Counters; n.AttemptsFailed != 1 || n.Attempts != 1 {
+	h.expectEnd("the client", client, "ERR\r\n")
+	if n := h.balancer.core.Counters; n.AttemptsFailed != 1 || n.Attempts != 1 {
 		t.Fatalf("%d attempts, %d failed", n.Attempts, n.AttemptsFailed)
 	}
 }
 
 // probeServer makes the balancer probe a server, and returns the server's side once the probe has arrived.
-func (h *triesLoop) probeServer(previous *triesPeer) *triesPeer {
+func (h *attemptHarness) probeServer(previous *attemptPeer) *attemptPeer {
 	h.t.Helper()
-	h.s.startProbe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: triesWait})
+	h.balancer.startProbe(core.Probe{Server: "r1", Address: h.listeners[0].Addr().String(), Timeout: testTimeout})
 	return h.awaitProbe(previous)
 }
 
 // awaitProbe waits for a probe on the known connection or on a new one.
-func (h *triesLoop) awaitProbe(previous *triesPeer) (p *triesPeer) {
+func (h *attemptHarness) awaitProbe(previous *attemptPeer) (p *attemptPeer) {
 	h.t.Helper()
 	p = previous
-	h.until("a probe", func() bool {
-		h.s.handleEvents()
+	h.waitUntil("a probe", func() bool {
+		h.balancer.handleEvents()
 		select {
-		case p = <-h.came:
+		case p = <-h.acceptedConns:
 		default:
 		}
 		if p != nil {
 			p.read()
 		}
-		return p != nil && string(p.got) == string(platform.Stats)
+		return p != nil && string(p.received) == string(platform.Stats)
 	})
-	p.got = nil
+	p.received = nil
 	return p
 }
 
 // answerProbe sends an answer and waits until the probe has finished.
-func (h *triesLoop) answerProbe(p *triesPeer, answer string) *probe {
+func (h *attemptHarness) answerProbe(p *attemptPeer, answer string) *probe {
 	h.t.Helper()
 	p.send(h.t, answer)
-	probed := h.s.probes["r1"]
-	h.until("the probe's end", func() bool { h.s.handleEvents(); return !probed.pending })
+	probed := h.balancer.probes["r1"]
+	h.waitUntil("the probe's end", func() bool { h.balancer.handleEvents(); return !probed.pending })
 	return probed
 }
 
 // Probes share a connection as long as each gets one answer.
 func TestProbesShareConnection(t *testing.T) {
-	h := triesStart(t, "safe")
+	h := newAttemptHarness(t, "safe")
 	first := h.probeServer(nil)
 	h.answerProbe(first, "PONG x0=0.5\r\n")
 	if second := h.probeServer(first); second != first {
 		t.Fatal("the next probe used another connection")
 	}
-	if probed := h.answerProbe(first, "PONG x0=0.6\r\n"); probed.conn == nil || h.s.core.Counters.ProbesFailed != 0 {
+	if probed := h.answerProbe(first, "PONG x0=0.6\r\n"); probed.conn == nil ||
+		h.balancer.core.Counters.ProbesFailed != 0 {
 		t.Fatal("the connection was not kept")
 	}
 }
@@ -288,7 +289,7 @@
 func TestProbeAnsweredTwice(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for _, more := range []string{"PONG x0=0.9\r\n", "PO", "\r\n"} {
-			h := triesStart(t, "safe")
+			h := newAttemptHarness(t, "safe")
 			first := h.probeServer(nil)
 			if late {
 				h.answerProbe(first, "PONG x0=0.5\r\n")
@@ -296,8 +297,12 @@
 			} else {
 				h.answerProbe(first, "PONG x0=0.5\r\n"+more)
 			}
-			h.until("the end of the connection", func() bool { h.s.handleEvents(); first.read(); return first.end != nil })
-			if h.s.core.Counters.ProbesFailed != 0 {
+			h.waitUntil("the end of the connection", func() bool {
+				h.balancer.handleEvents()
+				first.read()
+				return first.endErr != nil
+			})
+			if h.balancer.core.Counters.ProbesFailed != 0 {
 				t.Fatal("the probe that was answered failed")
 			}
 			if second := h.probeServer(nil); second == first {
@@ -309,17 +314,17 @@
 
 // A probe's answer that arrives after its deadline is dropped.
 func TestProbeAnsweredAfterDeadline(t *testing.T) {
-	h := triesStart(t, "safe")
+	h := newAttemptHarness(t, "safe")
 	first := h.probeServer(nil)
 	first.send(t, "PONG x0=0.9\r\n")
-	h.until("the answer in the queue", func() bool { return h.queued(eventData) > 0 })
-	probed := h.s.probes["r1"]
-	h.s.handleTick(probed.deadline.Add(time.Millisecond))
-	if probed.pending || probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
+	h.waitUntil("the answer in the queue", func() bool { return h.queuedEvents(eventData) > 0 })
+	probed := h.balancer.probes["r1"]
+	h.balancer.handleTick(probed.deadline.Add(time.Millisecond))
+	if probed.pending || probed.conn != nil || h.balancer.core.Counters.ProbesFailed != 1 {
 		t.Fatalf("%+v", probed)
 	}
-	h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
-	h.s.handleEvents()
+	h.balancer.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: testTimeout})
+	h.balancer.handleEvents()
 	if !probed.pending {
 		t.Fatal("the late answer was taken for the next probe's")
 	}
@@ -338,10 +343,10 @@
 		"ERR\r\n",
 		"\r\n",
 	} {
-		h := triesStart(t, "safe")
+		h := newAttemptHarness(t, "safe")
 		probed := h.answerProbe(h.probeServer(nil), answer)
-		if probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
-			t.Fatalf("%.20q: %+v", answer, h.s.core.Counters)
+		if probed.conn != nil || h.balancer.core.Counters.ProbesFailed != 1 {
+			t.Fatalf("%.20q: %+v", answer, h.balancer.core.Counters)
 		}
 	}
 }
@@ -350,21 +355,21 @@
 // fails at once, its server is not taken for a silent one, and the next probe uses another connection.
 func TestProbeOnClosedConnection(t *testing.T) {
 	for _, closedFirst := range []bool{true, false} {
-		h := triesStart(t, "safe")
+		h := newAttemptHarness(t, "safe")
 		first := h.probeServer(nil)
 		probed := h.answerProbe(first, "PONG x0=0.5\r\n")
 		conn := probed.conn
 		if closedFirst {
 			_ = first.conn.Close()
-			h.reached(conn, ended) // its end waits in the queue
-			h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
+			h.awaitConnState(conn, ended) // its end waits in the queue
+			h.balancer.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: testTimeout})
 		} else {
-			h.s.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: triesWait})
+			h.balancer.startProbe(core.Probe{Server: "r1", Address: probed.addr, Timeout: testTimeout})
 			_ = first.conn.Close()
 		}
-		h.until("the probe's end", func() bool { h.s.handleEvents(); return !probed.pending })
-		if probed.conn != nil || h.s.core.Counters.ProbesFailed != 1 {
-			t.Fatalf("%+v, %+v", probed, h.s.core.Counters)
+		h.waitUntil("the probe's end", func() bool { h.balancer.handleEvents(); return !probed.pending })
+		if probed.conn != nil || h.balancer.core.Counters.ProbesFailed != 1 {
+			t.Fatalf("%+v, %+v", probed, h.balancer.core.Counters)
 		}
 		if second := h.probeServer(nil); second == first {
 			t.Fatal("the next probe used the same connection")
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -17,7 +17,7 @@
 
 // startWithProbes starts a balancer whose time-outs are far longer than the grace period for disconnected clients, so
 // that only the client's disconnect can end a request early.
-func startWithProbes(t *testing.T, probes bool) *play {
+func startWithProbes(t *testing.T, probes bool) *exchange {
 	t.Helper()
 	return startWithLongTimeouts(t, "", func(cfg *Config) { cfg.Core.Policy.ProbesEnabled = probes })
 }
@@ -30,14 +30,14 @@
 	watches []net.Conn
 }
 
-func newDiscoveryServer(p *play, list string) *discoveryServer {
+func newDiscoveryServer(p *exchange, list string) *discoveryServer {
 	d := &discoveryServer{list: list}
 	go func() {
 		alive := time.NewTicker(500 * time.Millisecond)
 		defer alive.Stop()
 		for {
 			select {
-			case watch := <-p.watches:
+			case watch := <-p.watchCalls:
 				d.mu.Lock()
 				_, _ = io.WriteString(watch.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+discoveryChunk(d.list))
 				d.watches = append(d.watches, watch.conn)
@@ -70,7 +70,7 @@
 // creates the discovery service if d is nil.
 func publishServer(
 	t *testing.T,
-	p *play,
+	p *exchange,
 	d *discoveryServer,
 	seq int,
 	addr, health string,
@@ -84,47 +84,47 @@
 	} else {
 		d.publish(list)
 	}
-	eventually(t, p.server, "the list", func() bool {
-		list := p.server.core.ListedServers()
+	eventually(t, p.balancer, "the list", func() bool {
+		list := p.balancer.core.ListedServers()
 		return len(list) == 1 && list[0].ID == "own" && list[0].State == state
 	})
 	return d
 }
 
 // sendPendingRequest sends a request and waits until the balancer has admitted it.
-func sendPendingRequest(t *testing.T, p *play) (*net.TCPConn, *client) {
+func sendPendingRequest(t *testing.T, p *exchange) (*net.TCPConn, *client) {
 	t.Helper()
 	c, x := connectIdle(t, p)
 	if _, err := io.WriteString(c, "OPEN 1 k c=chat,d=120000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, p.server, "the request", func() bool { return x.requestRead && p.server.core.Unanswered() == 1 })
+	eventually(t, p.balancer, "the request", func() bool { return x.requestRead && p.balancer.core.Unanswered() == 1 })
 	return c, x
 }
 
 // disconnect disconnects the client and returns once the grace period, in which an attempt may still begin, has passed
 // since the balancer noticed the disconnect.
-func disconnect(t *testing.T, p *play, c *net.TCPConn, x *client, reset bool) {
+func disconnect(t *testing.T, p *exchange, c *net.TCPConn, x *client, reset bool) {
 	t.Helper()
 	if reset {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 		eventually(
 			t,
-			p.server,
+			p.balancer,
 			"the client's reset",
-			func() bool { return x.finished && p.server.core.OpenRequests() == 0 },
+			func() bool { return x.finished && p.balancer.core.OpenRequests() == 0 },
 		)
 		return
 	}
 	_ = c.CloseWrite()
-	eventually(t, p.server, "the client's end", func() bool {
+	eventually(t, p.balancer, "the client's end", func() bool {
 		x.conn.mu.Lock()
 		defer x.conn.mu.Unlock()
 		return x.conn.tail != nil
 	})
 	for range 50 { // the end was posted before the hand-over; at least one event is handled between two calls
-		runOnLoop(t, p.server, func() {})
+		runOnLoop(t, p.balancer, func() {})
 	}
 	time.Sleep(policy.DisconnectGrace + 50*time.Millisecond)
 }
@@ -169,7 +169,7 @@
 }
 
 func (v *countingServer) serve(c net.Conn) {
-	in := newPeer(c).in
+	in := newTestPeer(c).in
 	for {
 		line, err := in.ReadString('\n')
 		switch {
@@ -185,11 +185,11 @@
 
 // expectNothingSent checks that the request has ended after the given number of attempts without being sent to the
 // server. After its end it cannot be sent any more.
-func expectNothingSent(t *testing.T, p *play, v *countingServer, attempts int64) {
+func expectNothingSent(t *testing.T, p *exchange, v *countingServer, attempts int64) {
 	t.Helper()
-	eventually(t, p.server, "the request's end", func() bool { return p.server.core.OpenRequests() == 0 })
-	runOnLoop(t, p.server, func() {
-		if n := p.server.core.Counters.Attempts; n != attempts {
+	eventually(t, p.balancer, "the request's end", func() bool { return p.balancer.core.OpenRequests() == 0 })
+	runOnLoop(t, p.balancer, func() {
+		if n := p.balancer.core.Counters.Attempts; n != attempts {
 			t.Errorf("%d attempts, want %d", n, attempts)
 		}
 	})
@@ -272,7 +272,7 @@
 		l := newFullListener(t)
 		publishServer(t, p, nil, 9, l.Addr().String(), "ready", policy.Live)
 		c, x := sendPendingRequest(t, p)
-		eventually(t, p.server, "the dial", func() bool { return x.server != nil })
+		eventually(t, p.balancer, "the dial", func() bool { return x.server != nil })
 		disconnect(t, p, c, x, reset)
 		v := &countingServer{Listener: l, probes: make(chan net.Conn, 99)}
 		go func() { // drain the accept queue
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -20,8 +20,8 @@
 	"oatloft/internal/core"
 )
 
-// play runs an exchange. Each file in testdata is an exchange of bytes, run against a whole balancer between scripted
-// clients (a to g), attempts as servers see them (task1, task2 and so on, in the order of their arrival) and
+// exchange is a running exchange. Each file in testdata is an exchange of bytes, run against a whole balancer between
+// scripted clients (a to g), attempts as servers see them (task1, task2 and so on, in the order of their arrival) and
 // discovery's watches (watch1 and so on). A step is one line:
 //
 //	NAME > TEXT      NAME sends a line           NAME >> "TEXT"   sends exactly these bytes
@@ -38,31 +38,31 @@
 //	wait MS, leave, ended, down REGION, fill N; sockets N and memory N set limits
 //	management       opens the operators' address (a line of its own): op1, op2 and so on are callers
 //	reload ADDR      the configuration is read again, with discovery at ADDR
-type play struct {
-	t       *testing.T
-	server  *Balancer
-	addr    string
-	vars    *strings.Replacer
-	regions map[string]net.Listener
-	peers   map[string]*peer
-	tasks   chan *peer
-	watches chan *peer
-	leave   chan struct{}
-	reload  chan Config
-	ended   chan error
-	limit   time.Duration
+type exchange struct {
+	t           *testing.T
+	balancer    *Balancer
+	addr        string
+	vars        *strings.Replacer
+	servers     map[string]net.Listener
+	peers       map[string]*testPeer
+	attempts    chan *testPeer
+	watchCalls  chan *testPeer
+	leave       chan struct{}
+	reload      chan Config
+	ended       chan error
+	stepTimeout time.Duration
 }
 
 var managementLine = regexp.MustCompile(`(?m)^management$`)
 
 var limitLines = regexp.MustCompile(`(?m)^(sockets|memory) (\d+)$`)
 
-type peer struct {
+type testPeer struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newPeer(c net.Conn) *peer { return &peer{c, bufio.NewReader(c)} }
+func newTestPeer(c net.Conn) *testPeer { return &testPeer{c, bufio.NewReader(c)} }
 
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
@@ -75,12 +75,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := start(t, string(text))
+			p := startExchange(t, string(text))
 			for n, line := range strings.Split(string(text), "\n") {
 				if line == "" || line[0] == '#' || limitLines.MatchString(line) || managementLine.MatchString(line) {
 					continue
 				}
-				if err := p.step(p.vars.Replace(line)); err != nil {
+				if err := p.runStep(p.vars.Replace(line)); err != nil {
 					t.Fatalf("%s:%d: %s: %v", file, n+1, line, err)
 				}
 			}
@@ -88,10 +88,10 @@
 	}
 }
 
-func start(t *testing.T, text string) *play {
-	p := &play{t: t, regions: map[string]net.Listener{}, peers: map[string]*peer{},
-		tasks: make(chan *peer, 99), watches: make(chan *peer, 99), leave: make(chan struct{}), reload: make(chan Config),
-		ended: make(chan error, 1), limit: 3 * time.Second}
+func startExchange(t *testing.T, text string) *exchange {
+	p := &exchange{t: t, servers: map[string]net.Listener{}, peers: map[string]*testPeer{},
+		attempts: make(chan *testPeer, 99), watchCalls: make(chan *testPeer, 99),
+		leave: make(chan struct{}), reload: make(chan Config), ended: make(chan error, 1), stepTimeout: 3 * time.Second}
 	var vars []string
 	for _, name := range []string{"r1", "r2", "discovery", "moved"} {
 		// Not 127.0.0.1, which nbio's own dialing would reach by mistake, as 0.0.0.0.
@@ -101,7 +101,7 @@
 		}
 		t.Cleanup(func() { _ = l.Close() })
 		vars = append(vars, "$"+name, l.Addr().String())
-		p.regions[name] = l
+		p.servers[name] = l
 		go p.acceptPeers(l, name == "discovery" || name == "moved")
 	}
 	p.vars = strings.NewReplacer(vars...)
@@ -124,41 +124,41 @@
 	if managementLine.MatchString(text) {
 		cfg.Management, cfg.StateDir = "127.0.0.1:0", t.TempDir()
 	}
-	if p.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if p.balancer, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.server.Start(); err != nil {
+	if err := p.balancer.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p.addr = p.server.Addr()
+	p.addr = p.balancer.Addr()
 	// A balancer left running would connect to ports that the next exchange has reused by then.
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	t.Cleanup(func() { cancel(); <-stopped })
 	go func() {
 		defer close(stopped)
-		p.ended <- p.server.Run(ctx, p.leave, nil, p.reload)
+		p.ended <- p.balancer.Run(ctx, p.leave, nil, p.reload)
 	}()
 	return p
 }
 
 // acceptPeers plays the servers, which answer probes at once, and discovery.
-func (p *play) acceptPeers(l net.Listener, discovery bool) {
+func (p *exchange) acceptPeers(l net.Listener, discovery bool) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		peer := newPeer(c)
+		peer := newTestPeer(c)
 		if discovery {
-			p.watches <- peer
+			p.watchCalls <- peer
 			continue
 		}
 		go func() {
 			for {
 				word, err := peer.in.Peek(5)
 				if err != nil || string(word) != "STATS" {
-					p.tasks <- peer
+					p.attempts <- peer
 					return
 				}
 				_, _ = peer.in.ReadString('\n')
@@ -168,37 +168,37 @@
 	}
 }
 
-// peer returns the peer of a name. At the first mention it waits for an attempt or a watch, or connects a client.
-func (p *play) peer(name string) (*peer, error) {
+// peerNamed returns the peer of a name. At the first mention it waits for an attempt or a watch, or connects a client.
+func (p *exchange) peerNamed(name string) (*testPeer, error) {
 	if known := p.peers[name]; known != nil {
 		return known, nil
 	}
-	from := p.tasks
+	from := p.attempts
 	switch {
 	case strings.HasPrefix(name, "watch"):
-		from = p.watches
+		from = p.watchCalls
 	case !strings.HasPrefix(name, "task"):
 		addr := p.addr
 		if strings.HasPrefix(name, "op") {
-			addr = p.server.managementServer.Addr()
+			addr = p.balancer.managementServer.Addr()
 		}
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		p.peers[name] = newPeer(c)
+		p.peers[name] = newTestPeer(c)
 		return p.peers[name], nil
 	}
 	select {
 	case p.peers[name] = <-from:
 		return p.peers[name], nil
-	case <-time.After(p.limit):
+	case <-time.After(p.stepTimeout):
 		return nil, errors.New("no connection arrived")
 	}
 }
 
-// step runs one line of an exchange.
-func (p *play) step(line string) error {
+// runStep runs one line of an exchange.
+func (p *exchange) runStep(line string) error {
 	words := strings.SplitN(line, " ", 3)
 	number := 0
 	if len(words) > 1 {
@@ -213,7 +213,7 @@
 	case "nothing", "long", "chunk", "flood", "drain", "narrow":
 		words = []string{words[1], words[0], words[2]}
 	}
-	side, err := p.peer(words[0])
+	side, err := p.peerNamed(words[0])
 	if err != nil {
 		return err
 	}
@@ -225,72 +225,72 @@
 }
 
 // exchangeSteps are the steps of the exchange itself; number is the line's last word.
-var exchangeSteps map[string]func(p *play, words []string, number int) error
+var exchangeSteps map[string]func(p *exchange, words []string, number int) error
 
 func init() { // not an initializer: fill runs steps itself, which would be a cycle
-	exchangeSteps = map[string]func(p *play, words []string, number int) error{
-		"wait": func(_ *play, _ []string, number int) error {
+	exchangeSteps = map[string]func(p *exchange, words []string, number int) error{
+		"wait": func(_ *exchange, _ []string, number int) error {
 			time.Sleep(time.Duration(number) * time.Millisecond)
 			return nil
 		},
-		"by": func(p *play, _ []string, number int) error {
-			p.limit = time.Duration(number) * time.Millisecond
+		"by": func(p *exchange, _ []string, number int) error {
+			p.stepTimeout = time.Duration(number) * time.Millisecond
 			return nil
 		},
-		"leave": func(p *play, _ []string, _ int) error {
+		"leave": func(p *exchange, _ []string, _ int) error {
 			p.leave <- struct{}{}
 			return nil
 		},
-		"reload": func(p *play, words []string, _ int) error {
-			cfg := p.server.cfg // safe: only a reload changes it, and exchanges reload once
+		"reload": func(p *exchange, words []string, _ int) error {
+			cfg := p.balancer.cfg // safe: only a reload changes it, and exchanges reload once
 			cfg.Discovery = words[1]
 			p.reload <- cfg
 			return nil
 		},
-		"ended": func(p *play, _ []string, _ int) error {
+		"ended": func(p *exchange, _ []string, _ int) error {
 			select {
 			case err := <-p.ended:
 				return err
-			case <-time.After(p.limit):
+			case <-time.After(p.stepTimeout):
 				return errors.New("the balancer has not stopped")
 			}
 		},
-		"down": func(p *play, words []string, _ int) error { return p.regions[words[1]].Close() },
-		"fill": (*play).fillSockets,
+		"down": func(p *exchange, words []string, _ int) error { return p.servers[words[1]].Close() },
+		"fill": (*exchange).fillSockets,
 	}
 }
 
-func (p *play) fillSockets(_ []string, number int) error {
+func (p *exchange) fillSockets(_ []string, number int) error {
 	for i := range number {
-		if err := p.step(fmt.Sprintf("filler%d > PING", i)); err != nil {
+		if err := p.runStep(fmt.Sprintf("filler%d > PING", i)); err != nil {
 			return err
 		}
 	}
-	return p.step(fmt.Sprintf("filler%d < PONG", number-1))
+	return p.runStep(fmt.Sprintf("filler%d < PONG", number-1))
 }
 
 // peerSteps are the steps of one peer; text is the rest of the line, number its last word.
-var peerSteps = map[string]func(p *play, side *peer, text string, number int) error{
-	">": func(_ *play, side *peer, text string, _ int) error {
+var peerSteps = map[string]func(p *exchange, side *testPeer, text string, number int) error{
+	">": func(_ *exchange, side *testPeer, text string, _ int) error {
 		_, err := io.WriteString(side.conn, text+"\r\n")
 		return err
 	},
-	">>": func(_ *play, side *peer, text string, _ int) error {
+	">>": func(_ *exchange, side *testPeer, text string, _ int) error {
 		text, err := strconv.Unquote(text)
 		if err == nil {
 			_, err = io.WriteString(side.conn, text)
 		}
 		return err
 	},
-	"chunk": func(_ *play, side *peer, text string, _ int) error {
+	"chunk": func(_ *exchange, side *testPeer, text string, _ int) error {
 		_, err := fmt.Fprintf(side.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	},
-	"long": func(_ *play, side *peer, _ string, number int) error {
+	"long": func(_ *exchange, side *testPeer, _ string, number int) error {
 		_, err := io.WriteString(side.conn, strings.Repeat("x", number))
 		return err
 	},
-	"flood": func(_ *play, side *peer, _ string, number int) error {
+	"flood": func(_ *exchange, side *testPeer, _ string, number int) error {
 		go func() {
 			for i := range number {
 				fmt.Fprintf(side.conn, "%0998d\r\n", i)
@@ -298,34 +298,34 @@
 		}()
 		return nil
 	},
-	"narrow": func(_ *play, side *peer, _ string, number int) error {
+	"narrow": func(_ *exchange, side *testPeer, _ string, number int) error {
 		return side.conn.(*net.TCPConn).SetReadBuffer(number)
 	},
-	"drain": func(p *play, side *peer, _ string, number int) (err error) {
+	"drain": func(p *exchange, side *testPeer, _ string, number int) (err error) {
 		for i := 0; i < number && err == nil; i++ {
 			err = p.expectLine(side, fmt.Sprintf("%0998d", i))
 		}
 		return err
 	},
-	"gone": (*play).expectClosed,
-	"FIN": func(_ *play, side *peer, _ string, _ int) error {
+	"gone": (*exchange).expectClosed,
+	"FIN": func(_ *exchange, side *testPeer, _ string, _ int) error {
 		return side.conn.(*net.TCPConn).CloseWrite()
 	},
-	"RST": func(_ *play, side *peer, _ string, _ int) error {
+	"RST": func(_ *exchange, side *testPeer, _ string, _ int) error {
 		_ = side.conn.(*net.TCPConn).SetLinger(0)
 		return side.conn.Close()
 	},
-	"nothing": func(_ *play, side *peer, _ string, number int) error {
+	"nothing": func(_ *exchange, side *testPeer, _ string, number int) error {
 		_ = side.conn.SetReadDeadline(time.Now().Add(time.Duration(number) * time.Millisecond))
 		if b, err := side.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("got %q, %v", b, err)
 		}
 		return nil
 	},
-	"<": func(p *play, side *peer, text string, _ int) error { return p.expectLine(side, text) },
+	"<": func(p *exchange, side *testPeer, text string, _ int) error { return p.expectLine(side, text) },
 }
 
-func (p *play) expectClosed(side *peer, _ string, _ int) (err error) {
+func (p *exchange) expectClosed(side *testPeer, _ string, _ int) (err error) {
 	_ = side.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	for i := 0; i < 99 && err == nil; i++ {
 		_, err = side.conn.Write(make([]byte, 1<<20))
@@ -336,9 +336,9 @@
 	return nil
 }
 
-func (p *play) expectLine(side *peer, text string) error {
-	_ = side.conn.SetReadDeadline(time.Now().Add(p.limit))
-	p.limit = 3 * time.Second
+func (p *exchange) expectLine(side *testPeer, text string) error {
+	_ = side.conn.SetReadDeadline(time.Now().Add(p.stepTimeout))
+	p.stepTimeout = 3 * time.Second
 	got, err := side.in.ReadString('\n')
 	switch text {
 	case "FIN", "RST":
@@ -365,8 +365,8 @@
 // A probe in flight to a server that is removed or changes its address is reported as finished: the reducer would
 // wait for it forever otherwise.
 func TestForgottenProbeIsReported(t *testing.T) {
-	p := start(t, "")
-	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
+	p := startExchange(t, "")
+	b, err := New(p.balancer.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -379,8 +379,8 @@
 
 // A client that sends endlessly cannot exhaust the memory while the loop is busy.
 func TestReadingIsBounded(t *testing.T) {
-	p := start(t, "")
-	b, err := New(p.server.cfg, slog.New(slog.DiscardHandler))
+	p := startExchange(t, "")
+	b, err := New(p.balancer.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -44,10 +44,10 @@
 }
 
 // startWithLongTimeouts starts a balancer with time-outs so long that no attempt fails because the machine is slow.
-func startWithLongTimeouts(t *testing.T, text string, change func(cfg *Config)) *play {
+func startWithLongTimeouts(t *testing.T, text string, change func(cfg *Config)) *exchange {
 	t.Helper()
-	p := start(t, text)
-	cfg := p.server.cfg // only a reload changes it
+	p := startExchange(t, text)
+	cfg := p.balancer.cfg // only a reload changes it
 	cfg.Core.ConnectTimeout, cfg.Core.ProbeTimeout = time.Minute, time.Minute
 	cfg.Core.Policy.Classes = append([]policy.Class(nil), cfg.Core.Policy.Classes...)
 	cfg.Core.Policy.Classes[0].LatencyObjective = time.Minute
@@ -59,18 +59,18 @@
 }
 
 // playSteps plays steps of an exchange, each with a time limit of eventTimeout.
-func playSteps(t *testing.T, p *play, steps ...string) {
+func playSteps(t *testing.T, p *exchange, steps ...string) {
 	t.Helper()
 	for _, step := range steps {
-		p.limit = eventTimeout
-		if err := p.step(step); err != nil {
+		p.stepTimeout = eventTimeout
+		if err := p.runStep(step); err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
 	}
 }
 
 // connectIdle connects without sending anything and returns the connection and the balancer's client for it.
-func connectIdle(t *testing.T, p *play) (*net.TCPConn, *client) {
+func connectIdle(t *testing.T, p *exchange) (*net.TCPConn, *client) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -79,8 +79,8 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(eventTimeout))
 	var found *client
-	eventually(t, p.server, "the client", func() bool {
-		for _, x := range p.server.clients {
+	eventually(t, p.balancer, "the client", func() bool {
+		for _, x := range p.balancer.clients {
 			x.conn.mu.Lock()
 			if x.conn.conn != nil && x.conn.conn.RemoteAddr().String() == c.LocalAddr().String() {
 				found = x
@@ -120,10 +120,10 @@
 		"BUSY\r\n": func(b *Balancer, x *client) { b.step(core.DescriptorsScarce{Missing: 1}) },
 		"ERR\r\n":  func(b *Balancer, x *client) { b.step(core.InvalidRequest{Client: x.handle}) },
 	} {
-		p := start(t, "")
+		p := startExchange(t, "")
 		c, x := connectIdle(t, p)
-		eventually(t, p.server, "the idle client to be closed", func() bool {
-			closeIdle(p.server, x)
+		eventually(t, p.balancer, "the idle client to be closed", func() bool {
+			closeIdle(p.balancer, x)
 			return x.finished
 		})
 		if got, err := io.ReadAll(c); string(got) != answer || err != nil {
@@ -135,7 +135,7 @@
 				t.Fatalf("%q crossed by a request: %v", answer, err)
 			}
 		}
-		eventually(t, p.server, "the request to be discarded", func() bool {
+		eventually(t, p.balancer, "the request to be discarded", func() bool {
 			x.conn.mu.Lock()
 			defer x.conn.mu.Unlock()
 			return x.conn.discarded == len(request)
@@ -144,30 +144,30 @@
 			t.Fatalf("%q crossed by a request: the connection is in state %d, want %d", answer, state, tcpCloseWait)
 		}
 		_ = c.Close()
-		eventually(t, p.server, "the descriptor free again", func() bool { return len(p.server.finishing) == 0 })
+		eventually(t, p.balancer, "the descriptor free again", func() bool { return len(p.balancer.finishing) == 0 })
 	}
 }
 
 // A closed client that never closes its own side occupies a descriptor for a bounded time only.
 func TestClosedClientThatNeverClosesIsForceClosed(t *testing.T) {
-	p := start(t, "")
+	p := startExchange(t, "")
 	c, x := connectIdle(t, p)
-	runOnLoop(t, p.server, func() { p.server.step(core.InvalidRequest{Client: x.handle}) })
+	runOnLoop(t, p.balancer, func() { p.balancer.step(core.InvalidRequest{Client: x.handle}) })
 	if got, err := io.ReadAll(c); string(got) != "ERR\r\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
 	eventually(
 		t,
-		p.server,
+		p.balancer,
 		"the descriptor free again",
-		func() bool { return len(p.server.finishing) == 0 && x.conn.isDescriptorFreed() },
+		func() bool { return len(p.balancer.finishing) == 0 && x.conn.isDescriptorFreed() },
 	)
 }
 
 // Under an overload of idle clients only as many are closed as descriptors are lacking, although closed clients occupy
 // their descriptors for a while longer.
 func TestIdleClientsAreClosedOnlyAsNeeded(t *testing.T) {
-	p := start(t, "sockets 200") // scarce from 128 on; requests are rejected from 153 on
+	p := startExchange(t, "sockets 200") // scarce from 128 on; requests are rejected from 153 on
 	const idle = 145
 	var clients []net.Conn
 	for range idle {
@@ -178,10 +178,10 @@
 		defer func() { _ = c.Close() }()
 		clients = append(clients, c)
 	}
-	eventually(t, p.server, "all accepted", func() bool { return p.server.counters.Accepted >= idle })
+	eventually(t, p.balancer, "all accepted", func() bool { return p.balancer.counters.Accepted >= idle })
 	var closed, timedOut int64
-	eventually(t, p.server, "an answer to each", func() bool {
-		closed, timedOut = p.server.core.Counters.IdleClosed, p.server.core.Counters.IdleTimedOut
+	eventually(t, p.balancer, "an answer to each", func() bool {
+		closed, timedOut = p.balancer.core.Counters.IdleClosed, p.balancer.core.Counters.IdleTimedOut
 		return closed+timedOut == idle
 	})
 	answers := map[string]int64{}
@@ -204,7 +204,7 @@
 
 // A client that sends PING without end and reads no answer is closed before the answers fill the memory.
 func TestUnreadAnswersToPingsAreBounded(t *testing.T) {
-	p := start(t, "")
+	p := startExchange(t, "")
 	c, x := connectIdle(t, p)
 	pings := bytes.Repeat([]byte("PING\r\n"), 1<<10)
 	go func() {
@@ -214,7 +214,7 @@
 			}
 		}
 	}()
-	eventually(t, p.server, "the flood's end", func() bool {
+	eventually(t, p.balancer, "the flood's end", func() bool {
 		if n := x.conn.backlog(); n > 2*backpressureBytes {
 			t.Errorf("%d bytes of answers buffered", n)
 		}
@@ -248,9 +248,9 @@
 // Connections that close immediately after opening leak no descriptor, whether they close gracefully, by reset, or
 // with unread bytes.
 func TestShortConnectionsLeakNoDescriptor(t *testing.T) {
-	p := start(t, "")
+	p := startExchange(t, "")
 	var before int64
-	eventually(t, p.server, "the watch", func() bool { before = p.server.sockets.Load(); return before > 0 })
+	eventually(t, p.balancer, "the watch", func() bool { before = p.balancer.sockets.Load(); return before > 0 })
 	for i := range 60 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -264,8 +264,8 @@
 		}
 		_ = c.Close()
 	}
-	eventually(t, p.server, "all to be closed", func() bool {
-		b := p.server
+	eventually(t, p.balancer, "all to be closed", func() bool {
+		b := p.balancer
 		return b.counters.Accepted >= 40 && len(b.clients) == 0 && len(b.finishing) == 0 && b.sockets.Load() <= before+2
 	})
 }
@@ -276,7 +276,7 @@
 	p := startWithLongTimeouts(t, "sockets 200", nil) // scarce from 128 on; no connection is accepted from 177 on
 	// Each watch is reset. The listener stays open, since a server of another test could be given its port.
 	go func() {
-		for call := range p.watches {
+		for call := range p.watchCalls {
 			_ = call.conn.(*net.TCPConn).SetLinger(0)
 			_ = call.conn.Close()
 		}
@@ -288,13 +288,13 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	eventually(t, p.server, "free descriptors", func() bool {
-		b := p.server
+	eventually(t, p.balancer, "free descriptors", func() bool {
+		b := p.balancer
 		return b.counters.Accepted == 250 && b.basicLimits().MayAdmit(int(b.sockets.Load())+8, false)
 	})
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1")
-	eventually(t, p.server, "the end of all other clients", func() bool {
-		return p.server.core.OpenRequests() == 1 && len(p.server.clients) == 1 && len(p.server.finishing) == 0
+	eventually(t, p.balancer, "the end of all other clients", func() bool {
+		return p.balancer.core.OpenRequests() == 1 && len(p.balancer.clients) == 1 && len(p.balancer.finishing) == 0
 	})
 }
 
@@ -302,7 +302,7 @@
 // once, and the next probe uses a new connection.
 func TestIdleProbeConnectionClosedAsStatsIsSent(t *testing.T) {
 	p, v := startWithProbes(t, true), newCountingServer(t)
-	b := p.server
+	b := p.balancer
 	nextProbe := func() net.Conn {
 		t.Helper()
 		select {
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -13,7 +13,7 @@
 // nbio keeps calling Accept on a closed listener. Without a pause the accept loop would spin while the last answers are
 // being written.
 func TestClosedListenerDoesNotSpin(t *testing.T) {
-	b := start(t, "").server
+	b := startExchange(t, "").balancer
 	l := clientListener{Listener: closedListener{}, balancer: b}
 	began := time.Now()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) || time.Since(began) < closedListenerPause {
@@ -28,7 +28,7 @@
 // Once the reducer has finished, no connection is accepted any more: a request admitted after that would be lost when
 // the process exits.
 func TestNoConnectionIsAcceptedAfterExit(t *testing.T) {
-	b, err := New(start(t, "").server.cfg, slog.New(slog.DiscardHandler))
+	b, err := New(startExchange(t, "").balancer.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -13,7 +13,7 @@
 )
 
 // startMigrating starts a balancer that migrates its clients when it shuts down.
-func startMigrating(t *testing.T) *play {
+func startMigrating(t *testing.T) *exchange {
 	t.Helper()
 	return startWithLongTimeouts(t, "", func(cfg *Config) { cfg.Core.PassThrough = false })
 }
@@ -21,7 +21,7 @@
 // startMigrationInsideLine establishes a client whose server has sent the beginning of a line, and starts the client's
 // migration by a shutdown. The migration waits for the rest of the line, with a deadline that the test does not reach.
 // The unanswered request of client b keeps the balancer from exiting.
-func startMigrationInsideLine(t *testing.T, prefix string) (*play, *client) {
+func startMigrationInsideLine(t *testing.T, prefix string) (*exchange, *client) {
 	t.Helper()
 	p := startMigrating(t)
 	playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
@@ -29,8 +29,8 @@
 	readExactly(t, p, "a", prefix)
 	p.leave <- struct{}{}
 	var moved *client
-	eventually(t, p.server, "the migration", func() bool {
-		for x := range p.server.migrating {
+	eventually(t, p.balancer, "the migration", func() bool {
+		for x := range p.balancer.migrating {
 			moved = x
 			x.migration.deadline = time.Now().Add(time.Hour)
 		}
@@ -40,9 +40,9 @@
 }
 
 // readExactly reads exactly the wanted bytes from a peer.
-func readExactly(t *testing.T, p *play, name, want string) {
+func readExactly(t *testing.T, p *exchange, name, want string) {
 	t.Helper()
-	remote, err := p.peer(name)
+	remote, err := p.peerNamed(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +54,9 @@
 }
 
 // readToEnd reads a peer's remaining bytes up to the end of its connection, and checks them and how it ended.
-func readToEnd(t *testing.T, p *play, name, want string, reset bool) {
+func readToEnd(t *testing.T, p *exchange, name, want string, reset bool) {
 	t.Helper()
-	remote, err := p.peer(name)
+	remote, err := p.peerNamed(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,8 +111,8 @@
 		p, x := startMigrationInsideLine(t, "half")
 		playSteps(t, p, "task1 "+ending)
 		readToEnd(t, p, "a", "", ending == "RST")
-		eventually(t, p.server, "the migration's end", func() bool {
-			return len(p.server.migrating) == 0 && x.server == nil
+		eventually(t, p.balancer, "the migration's end", func() bool {
+			return len(p.balancer.migrating) == 0 && x.server == nil
 		})
 	}
 }
@@ -123,7 +123,7 @@
 	p, _ := startMigrationInsideLine(t, "half")
 	playSteps(t, p, "a RST")
 	readToEnd(t, p, "task1", "", true)
-	eventually(t, p.server, "the migration's end", func() bool { return len(p.server.migrating) == 0 })
+	eventually(t, p.balancer, "the migration's end", func() bool { return len(p.balancer.migrating) == 0 })
 
 	p, _ = startMigrationInsideLine(t, "half")
 	playSteps(t, p, "a FIN")
@@ -144,7 +144,7 @@
 			}
 		}
 	}()
-	eventually(t, p.server, "reading to pause", func() bool {
+	eventually(t, p.balancer, "reading to pause", func() bool {
 		if x.migration.forwardedBytes > 1<<20 {
 			t.Error(x.migration.forwardedBytes, "bytes of one line forwarded")
 			return true
@@ -153,9 +153,9 @@
 		defer x.server.mu.Unlock()
 		return x.server.paused
 	})
-	runOnLoop(t, p.server, func() { x.migration.deadline = time.Now().Add(-time.Second) })
-	eventually(t, p.server, "the client to be reset", func() bool {
-		return x.finished && len(p.server.migrating) == 0
+	runOnLoop(t, p.balancer, func() { x.migration.deadline = time.Now().Add(-time.Second) })
+	eventually(t, p.balancer, "the client to be reset", func() bool {
+		return x.finished && len(p.balancer.migrating) == 0
 	})
 }
 
@@ -166,7 +166,7 @@
 		p := startMigrating(t)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *")
 		p.leave <- struct{}{}
-		eventually(t, p.server, "the shutdown", func() bool { return p.server.core.ShuttingDown() })
+		eventually(t, p.balancer, "the shutdown", func() bool { return p.balancer.core.ShuttingDown() })
 		playSteps(t, p, fmt.Sprintf("task1 >> %q", "UP 1\r\n"+following))
 		want := "UP 1\r\n" + following + "MOVE\r\n"
 		if following == "half" {
@@ -190,8 +190,8 @@
 		p := startWithLongTimeouts(t, "", nil)
 		playSteps(t, p, "a > OPEN 1 k c=chat,d=20000", "task1 < OPEN 1 *", "task1 > UP 1", "a < UP 1",
 			"b > OPEN 2 k c=chat,d=20000,again=1", "task2 < OPEN 2 *", end)
-		eventually(t, p.server, "the old connection's end", func() bool {
-			return p.server.core.Counters.ClosedByClient+p.server.core.Counters.ClosedByServer == 1
+		eventually(t, p.balancer, "the old connection's end", func() bool {
+			return p.balancer.core.Counters.ClosedByClient+p.balancer.core.Counters.ClosedByServer == 1
 		})
 		playSteps(
 			t,
@@ -219,8 +219,8 @@
 			newDiscoveryServer(p, p.vars.Replace(`{"seq":9,"whole":true,"hosts":[`+
 				`{"host":"r1","dial":"$r1","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0},`+
 				`{"host":"r2","dial":"$r2","site":"a","class":"m","block":0,"health":"draining","share":1.0,"born_ms":0}]}`))
-			eventually(t, p.server, "the drain", func() bool {
-				list := p.server.core.ListedServers()
+			eventually(t, p.balancer, "the drain", func() bool {
+				list := p.balancer.core.ListedServers()
 				return len(list) == 2 && list[0].State == policy.Draining && list[1].State == policy.Draining
 			})
 		}
@@ -236,7 +236,7 @@
 			up()
 			drain()
 		}
-		eventually(t, p.server, "a migration", func() bool { return p.server.core.Counters.Migrated > 0 })
+		eventually(t, p.balancer, "a migration", func() bool { return p.balancer.core.Counters.Migrated > 0 })
 	}
 }
 
@@ -272,8 +272,8 @@
 		"a < UP 1",
 	)
 	var x *client
-	runOnLoop(t, p.server, func() {
-		for _, x = range p.server.clients {
+	runOnLoop(t, p.balancer, func() {
+		for _, x = range p.balancer.clients {
 		}
 	})
 	go func() {
@@ -286,7 +286,7 @@
 	}()
 	written, polls := int64(0), 0
 	// The system's buffers are full as well once there is no progress in 50 polls.
-	eventually(t, p.server, "full buffers to the client", func() bool {
+	eventually(t, p.balancer, "full buffers to the client", func() bool {
 		if w := x.conn.written.Load(); !x.backpressure[0] || w != written {
 			written, polls = w, 0
 		}
@@ -294,7 +294,7 @@
 		return polls > 50
 	})
 	playSteps(t, p, "task1 RST")
-	eventually(t, p.server, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
+	eventually(t, p.balancer, "the descriptor free again", func() bool { return x.conn.isDescriptorFreed() })
 }
 
 // A client's reset arrives together with its FIN and its request, while its socket is handed over to a tail writer.
@@ -302,9 +302,9 @@
 func TestResetDuringHandOverToTailWriter(t *testing.T) {
 	const clients = 20
 	p := startWithLongTimeouts(t, "", nil)
-	p.limit = eventTimeout
+	p.stepTimeout = eventTimeout
 	go func() { // each attempt is served until its client ends
-		for remote := range p.tasks {
+		for remote := range p.attempts {
 			go func() {
 				_, _ = io.WriteString(remote.conn, "UP 1\r\n")
 				_, _ = io.Copy(io.Discard, remote.in)
@@ -323,10 +323,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, p.server, "the client's end", func() bool { return x.finished })
+		eventually(t, p.balancer, "the client's end", func() bool { return x.finished })
 	}
-	eventually(t, p.server, "everything to be released", func() bool {
-		b := p.server // the watch, its dial and the servers' probes use some descriptors
+	eventually(t, p.balancer, "everything to be released", func() bool {
+		b := p.balancer // the watch, its dial and the servers' probes use some descriptors
 		return len(b.clients) == 0 && b.core.OpenRequests() == 0 && len(b.finishing) == 0 && b.sockets.Load() < clients/2
 	})
 }
--- a/internal/proxy/server_list_test.go
+++ b/internal/proxy/server_list_test.go
@@ -58,16 +58,16 @@
 
 // discoveryCall is a call to discovery, as the test's discovery sees it.
 type discoveryCall struct {
-	*peer
+	*testPeer
 	from int64     // the list version in the call
 	at   time.Time // when the call arrived
 }
 
-func (p *play) nextCall(t *testing.T) *discoveryCall {
+func (p *exchange) nextCall(t *testing.T) *discoveryCall {
 	t.Helper()
 	select {
-	case peer := <-p.watches:
-		c := &discoveryCall{peer: peer}
+	case peer := <-p.watchCalls:
+		c := &discoveryCall{testPeer: peer}
 		_ = peer.conn.SetReadDeadline(time.Now().Add(discoveryWait))
 		line, err := peer.in.ReadString('\n')
 		c.at = unpausedNow()
@@ -102,14 +102,14 @@
 
 // answerCall answers a call and waits until the balancer has a server in the wanted state. If this test answers so
 // late on a busy machine that the call was canceled, it answers the next one.
-func (p *play) answerCall(t *testing.T, c *discoveryCall, text, id string, want policy.ServerState) *discoveryCall {
+func (p *exchange) answerCall(t *testing.T, c *discoveryCall, text, id string, want policy.ServerState) *discoveryCall {
 	t.Helper()
 	_, _ = io.WriteString(c.conn, text)
 	for end := time.Now().Add(discoveryWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if p.hasState(id, want) {
 			return c
 		}
-		if len(p.watches) > 0 {
+		if len(p.watchCalls) > 0 {
 			c = p.nextCall(t)
 			_, _ = io.WriteString(c.conn, text)
 		}
@@ -147,13 +147,13 @@
 func httpChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // listLine returns a list with the health of r1 and r2, if given, as one line.
-func (p *play) listLine(seq int, full bool, r1, r2 string) string {
+func (p *exchange) listLine(seq int, full bool, r1, r2 string) string {
 	var hosts []string
 	for name, health := range map[string]string{"r1": r1, "r2": r2} {
 		if health != "" {
 			hosts = append(
 				hosts,
-				fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","health":%q,"share":1}`, name, p.regions[name].Addr(), health),
+				fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","health":%q,"share":1}`, name, p.servers[name].Addr(), health),
 			)
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // awaitState waits until the balancer has a server in a state.
-func (p *play) awaitState(t *testing.T, id string, want policy.ServerState) {
+func (p *exchange) awaitState(t *testing.T, id string, want policy.ServerState) {
 	t.Helper()
 	for end := time.Now().Add(discoveryWait); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if p.hasState(id, want) {
@@ -171,11 +171,11 @@
 	t.Fatalf("%s is not in state %d", id, want)
 }
 
-func (p *play) hasState(id string, want policy.ServerState) bool {
+func (p *exchange) hasState(id string, want policy.ServerState) bool {
 	states := make(chan policy.ServerState, 1)
-	p.server.calls <- func() {
+	p.balancer.calls <- func() {
 		state := policy.Gone
-		for _, s := range p.server.core.ListedServers() {
+		for _, s := range p.balancer.core.ListedServers() {
 			if s.ID == id {
 				state = s.State
 			}
@@ -186,8 +186,8 @@
 }
 
 // pollRarely makes the balancer poll discovery at a long interval.
-func (p *play) pollRarely() {
-	cfg := p.server.cfg
+func (p *exchange) pollRarely() {
+	cfg := p.balancer.cfg
 	cfg.Core.Policy.PollInterval = 2 * time.Minute
 	p.reload <- cfg
 }
@@ -195,22 +195,22 @@
 // Whenever a call goes silent, the next one begins, from the version that the balancer has, before a missed change
 // is overdue.
 func TestSilentWatchIsReopened(t *testing.T) {
-	for name, sent := range map[string]func(p *play) []string{
-		"accepted, never answered": func(*play) []string { return nil },
-		"head, no line":            func(*play) []string { return []string{okHead} },
-		"half a head":              func(*play) []string { return []string{okHead[:20]} },
-		"first line in mid-chunk": func(p *play) []string {
+	for name, sent := range map[string]func(p *exchange) []string{
+		"accepted, never answered": func(*exchange) []string { return nil },
+		"head, no line":            func(*exchange) []string { return []string{okHead} },
+		"half a head":              func(*exchange) []string { return []string{okHead[:20]} },
+		"first line in mid-chunk": func(p *exchange) []string {
 			return []string{okHead, httpChunk(p.listLine(8, true, "ready", "ready"))[:60]}
 		},
-		"after an empty line": func(*play) []string { return []string{okHead, httpChunk("\n")} },
-		"after a list": func(p *play) []string {
+		"after an empty line": func(*exchange) []string { return []string{okHead, httpChunk("\n")} },
+		"after a list": func(p *exchange) []string {
 			return []string{okHead, httpChunk(p.listLine(8, true, "ready", "ready"))}
 		},
-		"in mid-chunk, of a drain": func(p *play) []string {
+		"in mid-chunk, of a drain": func(p *exchange) []string {
 			return []string{okHead, httpChunk("\n"), httpChunk(p.listLine(8, false, "draining", ""))[:60]}
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in global variables
+		p := startExchange(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.pollRarely()
@@ -248,7 +248,7 @@
 		"canceled":         func(t *testing.T, c *discoveryCall) { c.awaitClose(t) },
 	}
 	for name, fail := range failures {
-		p := start(t, "") // one after the other: nbio keeps its limits in global variables
+		p := startExchange(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.pollRarely()
@@ -283,7 +283,7 @@
 // silence.
 func runSlowList(t *testing.T, endless bool) bool {
 	t.Helper()
-	p := start(t, "")
+	p := startExchange(t, "")
 	first := p.nextCall(t)
 	pausesBefore := longPauses.Load()
 	list := httpChunk(p.listLine(9, true, "draining", "ready"))
@@ -335,7 +335,7 @@
 
 // An invalid entry does not prevent the balancer from applying the drain in the same list, nor end its watch.
 func TestInvalidEntryInList(t *testing.T) {
-	p := start(t, "")
+	p := startExchange(t, "")
 	line := strings.Replace(p.listLine(8, true, "draining", "ready"), `"health":"ready"`, `"health":"well"`, 1)
 	c := p.answerCall(t, p.nextCall(t), okHead+httpChunk(line), "r1", policy.Draining)
 	p.awaitState(t, "r2", policy.Live)
@@ -346,20 +346,20 @@
 // A watch is reset, or closed after a list's last brace, after a last chunk or between two chunks, right before a
 // drain: the next call arrives in time.
 func TestWatchEndsRightBeforeADrain(t *testing.T) {
-	for name, end := range map[string]func(t *testing.T, p *play, c *discoveryCall){
-		"reset": func(t *testing.T, p *play, c *discoveryCall) {
+	for name, end := range map[string]func(t *testing.T, p *exchange, c *discoveryCall){
+		"reset": func(t *testing.T, p *exchange, c *discoveryCall) {
 			_ = c.conn.(*net.TCPConn).SetLinger(0)
 			_ = c.conn.Close()
 		},
-		"between two chunks": func(t *testing.T, p *play, c *discoveryCall) { _ = c.conn.Close() },
-		"last chunk":         func(t *testing.T, p *play, c *discoveryCall) { c.send(t, "0\r\n\r\n") },
-		"last brace": func(t *testing.T, p *play, c *discoveryCall) {
+		"between two chunks": func(t *testing.T, p *exchange, c *discoveryCall) { _ = c.conn.Close() },
+		"last chunk":         func(t *testing.T, p *exchange, c *discoveryCall) { c.send(t, "0\r\n\r\n") },
+		"last brace": func(t *testing.T, p *exchange, c *discoveryCall) {
 			c.send(t, httpChunk(strings.TrimSpace(p.listLine(8, false, "", "draining"))))
 			_ = c.conn.Close()
 			p.awaitState(t, "r2", policy.Draining)
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in global variables
+		p := startExchange(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.pollRarely()
@@ -379,28 +379,28 @@
 // A reload names another address of discovery. Until that one has answered, updates from the old one count; older
 // data from the new one does not; and once the new one has answered, the old call is closed.
 func TestReloadWithAnotherDiscovery(t *testing.T) {
-	for name, x := range map[string]func(t *testing.T, p *play, old, first *discoveryCall) *discoveryCall{
-		"answers at once": func(_ *testing.T, _ *play, _, first *discoveryCall) *discoveryCall { return first },
-		"503 first": func(t *testing.T, p *play, _, first *discoveryCall) *discoveryCall {
+	for name, x := range map[string]func(t *testing.T, p *exchange, old, first *discoveryCall) *discoveryCall{
+		"answers at once": func(_ *testing.T, _ *exchange, _, first *discoveryCall) *discoveryCall { return first },
+		"503 first": func(t *testing.T, p *exchange, _, first *discoveryCall) *discoveryCall {
 			first.send(t, unavailableAnswer)
 			return p.nextCall(t)
 		},
-		"never answers the first call": func(t *testing.T, p *play, _, first *discoveryCall) *discoveryCall {
+		"never answers the first call": func(t *testing.T, p *exchange, _, first *discoveryCall) *discoveryCall {
 			next := p.nextCall(t)
 			first.awaitClose(t)
 			return next
 		},
-		"the old one ends before": func(t *testing.T, _ *play, old, first *discoveryCall) *discoveryCall {
+		"the old one ends before": func(t *testing.T, _ *exchange, old, first *discoveryCall) *discoveryCall {
 			_ = old.conn.Close()
 			return first
 		},
-		"invalid answer by the old one": func(t *testing.T, _ *play, old, first *discoveryCall) *discoveryCall {
+		"invalid answer by the old one": func(t *testing.T, _ *exchange, old, first *discoveryCall) *discoveryCall {
 			old.send(t, "zz\r\n")
 			old.awaitClose(t)
 			return first
 		},
 	} {
-		p := start(t, "") // one after the other: nbio keeps its limits in global variables
+		p := startExchange(t, "") // one after the other: nbio keeps its limits in global variables
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			old := p.answerCall(
@@ -411,8 +411,8 @@
 				policy.Draining,
 			)
 			stopHeartbeats := old.sendHeartbeats()
-			cfg := p.server.cfg
-			cfg.Discovery = p.regions["moved"].Addr().String()
+			cfg := p.balancer.cfg
+			cfg.Discovery = p.servers["moved"].Addr().String()
 			p.reload <- cfg
 			first := p.nextCall(t)
 			stopHeartbeats()
@@ -437,16 +437,16 @@
 // Idle clients use up the descriptors while discovery is silent. The call is made nevertheless, and its updates are
 // applied; clients that are rejected get an answer or are not accepted at all, but are never reset.
 func TestWatchUnderOverload(t *testing.T) {
-	p := start(t, "sockets 60")
+	p := startExchange(t, "sockets 60")
 	first := p.nextCall(t) // silent
-	clients := make([]*peer, 0, 80)
+	clients := make([]*testPeer, 0, 80)
 	for range cap(clients) {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		clients = append(clients, newPeer(c))
+		clients = append(clients, newTestPeer(c))
 	}
 	second := p.nextCall(t) // silent as well
 	first.awaitClose(t)
--- a/internal/proxy/shutdown_harness_test.go
+++ b/internal/proxy/shutdown_harness_test.go
@@ -47,7 +47,7 @@
 // shutdownHarness is a balancer with scripted servers and discovery, as in the exchanges of TestExchanges, and a
 // controlled clock.
 type shutdownHarness struct {
-	*play
+	*exchange
 	listener *suspendableListener
 	clock    time.Duration // the reducer's, stopped unless a test advances it
 	mu       sync.Mutex
@@ -66,9 +66,9 @@
 		b.mu.Lock()
 		b.conns = append(b.conns, c)
 		b.mu.Unlock()
-		remote := newPeer(c)
+		remote := newTestPeer(c)
 		if discovery {
-			b.watches <- remote
+			b.watchCalls <- remote
 			continue
 		}
 		b.group.Add(1)
@@ -80,7 +80,7 @@
 					return
 				}
 				if string(word) != "STATS" {
-					b.tasks <- remote
+					b.attempts <- remote
 					return
 				}
 				_, _ = remote.in.ReadString('\n')
@@ -92,7 +92,7 @@
 
 // close closes the test's listeners and connections.
 func (b *shutdownHarness) close() {
-	for _, l := range b.regions {
+	for _, l := range b.servers {
 		_ = l.Close()
 	}
 	b.mu.Lock()
@@ -108,10 +108,10 @@
 
 func newShutdownHarness(t *testing.T, change func(*Config)) *shutdownHarness {
 	t.Helper()
-	p := &play{t: t, regions: map[string]net.Listener{}, peers: map[string]*peer{},
-		tasks: make(chan *peer, 99), watches: make(chan *peer, 99), leave: make(chan struct{}), reload: make(chan Config),
-		ended: make(chan error, 1), limit: shutdownTestTimeout}
-	b := &shutdownHarness{play: p, listener: &suspendableListener{}}
+	p := &exchange{t: t, servers: map[string]net.Listener{}, peers: map[string]*testPeer{},
+		attempts: make(chan *testPeer, 99), watchCalls: make(chan *testPeer, 99),
+		leave: make(chan struct{}), reload: make(chan Config), ended: make(chan error, 1), stepTimeout: shutdownTestTimeout}
+	b := &shutdownHarness{exchange: p, listener: &suspendableListener{}}
 	t.Cleanup(b.close)
 	var vars []string
 	for _, name := range []string{"r1", "r2", "discovery", "moved"} {
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		vars = append(vars, "$"+name, l.Addr().String())
-		p.regions[name] = l
+		p.servers[name] = l
 		b.group.Add(1)
 		go b.acceptPeers(l, name == "discovery" || name == "moved")
 	}
@@ -137,26 +137,26 @@
 	if change != nil {
 		change(&cfg)
 	}
-	if p.server, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if p.balancer, err = New(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	p.server.testSlack = shutdownTestTimeout
-	p.server.engine.Listen = func(network, addr string) (net.Listener, error) {
-		b.listener.Listener, err = p.server.listen(network, addr)
+	p.balancer.testSlack = shutdownTestTimeout
+	p.balancer.engine.Listen = func(network, addr string) (net.Listener, error) {
+		b.listener.Listener, err = p.balancer.listen(network, addr)
 		return b.listener, err
 	}
-	if err := p.server.Start(); err != nil {
+	if err := p.balancer.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p.addr = p.server.Addr()
-	b.clock = p.server.now()
-	b.stopClock(p.server)
+	p.addr = p.balancer.Addr()
+	b.clock = p.balancer.now()
+	b.stopClock(p.balancer)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	t.Cleanup(func() { cancel(); <-done; p.server.Close() })
+	t.Cleanup(func() { cancel(); <-done; p.balancer.Close() })
 	go func() {
 		defer close(done)
-		p.ended <- p.server.Run(ctx, p.leave, nil, p.reload)
+		p.ended <- p.balancer.Run(ctx, p.leave, nil, p.reload)
 	}()
 	return b
 }
@@ -188,9 +188,9 @@
 	b.t.Helper()
 	done := make(chan struct{})
 	select {
-	case b.server.calls <- func() { f(b.server); close(done) }:
+	case b.balancer.calls <- func() { f(b.balancer); close(done) }:
 		<-done
-	case <-b.server.loopEnded:
+	case <-b.balancer.loopEnded:
 		b.t.Fatal("the loop has ended")
 	case <-time.After(shutdownTestTimeout):
 		b.t.Fatal("the loop accepts no call")
@@ -236,8 +236,8 @@
 func (b *shutdownHarness) steps(lines ...string) {
 	b.t.Helper()
 	for _, line := range lines {
-		b.limit = shutdownTestTimeout
-		if err := b.step(b.vars.Replace(line)); err != nil {
+		b.stepTimeout = shutdownTestTimeout
+		if err := b.runStep(b.vars.Replace(line)); err != nil {
 			b.t.Fatalf("%s: %v", line, err)
 		}
 	}
@@ -247,7 +247,7 @@
 func (b *shutdownHarness) expectNoAttempt() {
 	b.t.Helper()
 	select {
-	case <-b.tasks:
+	case <-b.attempts:
 		b.t.Fatal("a request was forwarded")
 	default:
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -49,7 +49,7 @@
 			b.beginShutdown()
 			b.awaitClosing()
 			select { // the loop has run, and must not have ended
-			case <-b.server.loopEnded:
+			case <-b.balancer.loopEnded:
 				t.Error("ended while a connection was being accepted")
 			default:
 			}
@@ -180,10 +180,10 @@
 				b.steps("a < *", "a < FIN")
 				b.awaitClosing()
 				b.steps("a FIN", "ended")
-				if n := b.server.core.Unanswered(); n != 0 {
+				if n := b.balancer.core.Unanswered(); n != 0 {
 					t.Error(n, "requests are unanswered")
 				}
-				if n := b.server.core.Counters; n.Rejected+n.Failed != 1 {
+				if n := b.balancer.core.Counters; n.Rejected+n.Failed != 1 {
 					t.Errorf("%d rejected, %d failed, want one in total", n.Rejected, n.Failed)
 				}
 			})
