--- a/cmd/oatlab/peers.go
+++ b/cmd/oatlab/peers.go
@@ -35,7 +35,8 @@
 }
 
 func (c *peersTable) row(n int, loss float64) error {
-	w, err := stepped.New(n, c.Seed, c.Silent, stepped.Net{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: loss, Double: loss / 5})
+	w, err := stepped.New(n, c.Seed, c.Silent, stepped.NetworkConditions{Delay: time.Millisecond,
+		Jitter: 4 * time.Millisecond, LossRate: loss, DuplicateRate: loss / 5})
 	if err != nil {
 		return err
 	}
@@ -43,13 +44,13 @@
 		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: lookAt}}
 	}
 	suspicions, wrong := 0, 0
-	w.Changes = func(_ *stepped.Node, e membership.Changed) {
+	w.OnChange = func(_ *stepped.Node, e membership.MemberChanged) {
 		if e.State == membership.Gone {
 			wrong++
 		}
 	}
 	live := func(d time.Duration, each func()) int64 {
-		before := w.Bytes
+		before := w.TotalSentBytes
 		for end := w.Now + d; w.Now < end; {
 			for i := range n {
 				for k := range c.Signals {
@@ -61,26 +62,26 @@
 			}
 			w.Run(500 * time.Millisecond)
 		}
-		return int64(float64(w.Bytes-before) / d.Seconds() / float64(n))
+		return int64(float64(w.TotalSentBytes-before) / d.Seconds() / float64(n))
 	}
 	live(10*time.Second, nil)
 	for _, d := range w.Nodes {
-		suspicions -= int(d.M.Counters.Suspected)
+		suspicions -= int(d.Machine.Counters.Suspected)
 	}
 	calm := live(c.Calm, nil)
 	for _, d := range w.Nodes {
-		suspicions += int(d.M.Counters.Suspected)
+		suspicions += int(d.Machine.Counters.Suspected)
 	}
 	hours := c.Calm.Hours() * float64(n)
 	falseEnds := wrong
 	flap := live(c.Calm, func() {
-		if w.Nodes[n-1].M != nil {
+		if w.Nodes[n-1].Machine != nil {
 			w.Kill(n - 1)
 		} else if err := w.Start(n - 1); err != nil {
 			panic(err) // it has started before
 		}
 	})
-	if w.Nodes[n-1].M == nil {
+	if w.Nodes[n-1].Machine == nil {
 		if err := w.Start(n - 1); err != nil {
 			return err
 		}
@@ -101,8 +102,8 @@
 			return err
 		}
 	}
-	if len(w.Faults) > 0 {
-		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: lookAt}}
+	if len(w.Violations) > 0 {
+		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Violations[0], Do: lookAt}}
 	}
 	fmt.Printf("| %d | %.0f%% |%s | %.1f | %.2f | %d | %d |\n", n, 100*loss, known, float64(suspicions)/hours, float64(falseEnds)/hours, calm, flap)
 	return nil
--- a/internal/coordination/coordinator.go
+++ b/internal/coordination/coordinator.go
@@ -36,7 +36,7 @@
 	CandidateChanges int64 // changes of the candidate list
 	Widened          int64 // steps by which the candidates were widened
 	Narrowed         int64 // steps by which they were narrowed
-	Received         int64 // readings of other members passed on
+	PassedOn         int64 // readings of other members passed on
 	Unusable         int64 // servers without a usable reading of other members
 	Unreachable      int64 // servers that other members report as unreachable
 	SlotShifts       int64 // shifts of exploration slots
@@ -79,7 +79,7 @@
 
 // Update takes a view of the members and the local state. It returns events for the decision module and this balancer's
 // announcement.
-func (c *Coordinator) Update(now time.Duration, v View, local Local) (events []policy.Event, a Announcement) {
+func (c *Coordinator) Update(now time.Duration, v View, local LocalState) (events []policy.Event, a Announcement) {
 	if c.startedAt == 0 {
 		c.startedAt = max(now, 1)
 	}
@@ -114,7 +114,7 @@
 
 // combineReadings combines the other members' readings by server, weighted by the trust in each member, and checks them
 // against this balancer's own readings.
-func (c *Coordinator) combineReadings(now time.Duration, v View, local Local) map[string]stagger.CombinedReading {
+func (c *Coordinator) combineReadings(now time.Duration, v View, local LocalState) map[string]stagger.CombinedReading {
 	present := make(map[string]bool, len(v.Members))
 	reports := map[string][]stagger.Report{}
 	for _, m := range v.Members {
@@ -139,7 +139,7 @@
 
 // passReadingsOn returns events for readings that are newer than this balancer's own and than the last one passed on.
 func (c *Coordinator) passReadingsOn(
-	now time.Duration, local Local, readings map[string]stagger.CombinedReading,
+	now time.Duration, local LocalState, readings map[string]stagger.CombinedReading,
 ) (events []policy.Event) {
 	for _, s := range local.Servers {
 		reading, ok := readings[s.ID]
@@ -153,7 +153,7 @@
 			c.Counts.Unusable++
 		case at > s.ReadAt && at > c.passedOn[s.ID]:
 			c.passedOn[s.ID] = at
-			c.Counts.Received++
+			c.Counts.PassedOn++
 			events = append(events, policy.PeerReading{Server: s.ID, Load: reading.Load, Age: reading.Age})
 		}
 	}
@@ -163,7 +163,7 @@
 // selectCandidates updates the widening and returns the candidates: the subset, widened by other servers while it has
 // no capacity. Without a subset the list is empty, which means all servers.
 func (c *Coordinator) selectCandidates(
-	now time.Duration, local Local, readings map[string]stagger.CombinedReading,
+	now time.Duration, local LocalState, readings map[string]stagger.CombinedReading,
 ) []string {
 	if len(c.subset) == 0 {
 		return nil
@@ -189,7 +189,7 @@
 
 // observations returns the state of the servers with the given ids, by the newer of own and combined readings.
 func observations(
-	now time.Duration, ids []string, local Local, readings map[string]stagger.CombinedReading,
+	now time.Duration, ids []string, local LocalState, readings map[string]stagger.CombinedReading,
 ) (list []subset.Observation) {
 	for _, id := range ids {
 		i := slices.IndexFunc(local.Servers, func(s Server) bool { return s.ID == id })
@@ -211,7 +211,7 @@
 }
 
 // setStagger sets the divisor of bounded budgets, the stagger offset, the total demand and the exploration slots.
-func (c *Coordinator) setStagger(now time.Duration, v View, local Local, fleet *policy.FleetState) {
+func (c *Coordinator) setStagger(now time.Duration, v View, local LocalState, fleet *policy.FleetState) {
 	size := stagger.FleetSize{Present: 1 + len(v.Members), Known: v.Known, Stale: v.Stale}
 	var slotAges []time.Duration
 	var slotCounts []int
@@ -249,7 +249,7 @@
 }
 
 // announcement returns this balancer's announcement.
-func (c *Coordinator) announcement(local Local) Announcement {
+func (c *Coordinator) announcement(local LocalState) Announcement {
 	a := Announcement{
 		Zone:             c.cfg.Zone,
 		ExplorationSlots: local.ExplorationSlots,
--- a/internal/coordination/coordinator_test.go
+++ b/internal/coordination/coordinator_test.go
@@ -80,7 +80,7 @@
 		events, announcement := coordinator.Update(
 			f.now,
 			v,
-			Local{Servers: f.servers, ExplorationSlots: 10, SlotAge: time.Second, SlotPeriod: 16 * time.Second, Demand: 1},
+			LocalState{Servers: f.servers, ExplorationSlots: 10, SlotAge: time.Second, SlotPeriod: 16 * time.Second, Demand: 1},
 		)
 		announcements[i] = announcement
 		for _, e := range events {
@@ -172,7 +172,7 @@
 		f.StaggerOffset <= 0 {
 		t.Fatalf("in a fleet of twelve: %+v", f)
 	}
-	local := Local{Servers: fleet.servers, SlotPeriod: 16 * time.Second}
+	local := LocalState{Servers: fleet.servers, SlotPeriod: 16 * time.Second}
 	for _, v := range []View{{Stale: true, Known: 12, Members: []Member{{Name: "b001", Reported: true}}}, {Known: 12}} {
 		events, _ := fleet.coordinators[0].Update(fleet.now+time.Second, v, local)
 		for _, e := range events {
@@ -242,7 +242,7 @@
 	servers[4].State = policy.Draining
 	balancers, offsets := map[string]int{}, map[float64]bool{}
 	for i := range 45 {
-		events := Numbered{Number: i, Count: 45, Zone: "z9", SubsetSize: 5}.Events(servers)
+		events := NumberedBalancer{Number: i, Count: 45, Zone: "z9", SubsetSize: 5}.Events(servers)
 		offsets[events[0].(policy.FleetState).StaggerOffset] = true
 		for _, id := range events[1].(policy.CandidateSubset).Servers {
 			balancers[id]++
@@ -256,7 +256,7 @@
 	if len(offsets) != 45 {
 		t.Errorf("%d different stagger offsets", len(offsets))
 	}
-	candidates := Numbered{Number: 3, Count: 45, Zone: "z1", SubsetSize: 5}.
+	candidates := NumberedBalancer{Number: 3, Count: 45, Zone: "z1", SubsetSize: 5}.
 		Events(servers)[1].(policy.CandidateSubset).Servers
 	if len(candidates) != 9+5 && len(candidates) != 9+6 {
 		t.Errorf("%d candidates, 9 of which are near", len(candidates))
@@ -340,6 +340,6 @@
 		coordinator := New(
 			Config{Name: "b", PeerTimeout: time.Second, Balancers: 2, SubsetSize: 2, ShareReadings: true, Stagger: true},
 		)
-		coordinator.Update(time.Minute, v, Local{Servers: []Server{{ID: "r", Live: true}}})
+		coordinator.Update(time.Minute, v, LocalState{Servers: []Server{{ID: "r", Live: true}}})
 	})
 }
--- a/internal/coordination/layout.go
+++ b/internal/coordination/layout.go
@@ -53,7 +53,7 @@
 
 // updateLayout updates this balancer's subset and assigned servers if the inputs of the layout have changed. With a
 // stale view, or until a new balancer has had time to learn of the others, it has neither.
-func (c *Coordinator) updateLayout(now time.Duration, v View, local Local) {
+func (c *Coordinator) updateLayout(now time.Duration, v View, local LocalState) {
 	if v.Stale || now-c.startedAt < c.cfg.PeerTimeout/startDelayDivisor {
 		c.subset, c.assigned, c.layoutDigest = nil, nil, 0
 		return
@@ -79,7 +79,7 @@
 
 // digest returns a hash of the inputs of a layout: the live servers, and the members with their subsets in the order of
 // their names. Members are sorted in v.
-func (c *Coordinator) digest(v View, local Local) uint64 {
+func (c *Coordinator) digest(v View, local LocalState) uint64 {
 	d := digestInput(c.digestInput[:0])
 	for _, s := range local.Servers {
 		if s.Live {
--- a/internal/coordination/numbered.go
+++ b/internal/coordination/numbered.go
@@ -10,10 +10,10 @@
 	"oatloft/policy"
 )
 
-// Numbered coordinates balancers that don't communicate with each other: each only knows its own number and the
+// NumberedBalancer coordinates balancers that don't communicate with each other: each only knows its own number and the
 // configured number of balancers. Its candidates are all servers of its zone and a subset of the others, and its number
 // determines its stagger offset. It does not know the zones of the other balancers.
-type Numbered struct {
+type NumberedBalancer struct {
 	Number     int // of this balancer, from 0
 	Count      int // number of balancers
 	Zone       string
@@ -41,7 +41,7 @@
 }
 
 // Events returns the decision module's events for a list of servers.
-func (n Numbered) Events(servers []policy.Server) []policy.Event {
+func (n NumberedBalancer) Events(servers []policy.Server) []policy.Event {
 	near, far := n.split(servers)
 	count := max(1, n.Count)
 	number := n.Number % count
@@ -61,7 +61,7 @@
 
 // split returns the live servers in this balancer's zone (near) and those in other zones (far). The zones of the other
 // balancers are unknown, so the zones of far servers are left out.
-func (n Numbered) split(servers []policy.Server) (near []string, far []subset.Server) {
+func (n NumberedBalancer) split(servers []policy.Server) (near []string, far []subset.Server) {
 	for _, s := range servers {
 		switch {
 		case s.State != policy.Live:
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -57,8 +57,8 @@
 	FailedProbes int           // consecutive
 }
 
-// Local is the local state of this balancer.
-type Local struct {
+// LocalState is the local state of this balancer.
+type LocalState struct {
 	Servers          []Server
 	ExplorationSlots int           // number of slots so far
 	SlotAge          time.Duration // since the last exploration slot began
@@ -68,7 +68,7 @@
 }
 
 // liveServers returns the live servers in the form that subset.Plan takes.
-func (l *Local) liveServers() (servers []subset.Server) {
+func (l *LocalState) liveServers() (servers []subset.Server) {
 	for _, s := range l.Servers {
 		if s.Live {
 			servers = append(servers, subset.Server{ID: s.ID, Zone: s.Zone})
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -28,7 +28,7 @@
 func (SetSignal) event() {}
 func (Leave) event()     {}
 
-// Effect is an output of a Machine that its host carries out: Send, Changed or ViewStale.
+// Effect is an output of a Machine that its host carries out: Send, MemberChanged or ViewStale.
 type Effect interface{ effect() }
 
 type (
@@ -37,8 +37,8 @@
 		To      string
 		Message *Message
 	}
-	// Changed reports a change of a member's state or generation.
-	Changed struct {
+	// MemberChanged reports a change of a member's state or generation.
+	MemberChanged struct {
 		Record
 		Before State
 		New    bool // the member was not known before
@@ -49,6 +49,6 @@
 	ViewStale struct{ On bool }
 )
 
-func (Send) effect()      {}
-func (Changed) effect()   {}
-func (ViewStale) effect() {}
+func (Send) effect()          {}
+func (MemberChanged) effect() {}
+func (ViewStale) effect()     {}
--- a/internal/membership/host.go
+++ b/internal/membership/host.go
@@ -221,7 +221,7 @@
 		switch effect := effect.(type) {
 		case Send:
 			h.send(effect)
-		case Changed:
+		case MemberChanged:
 			h.log.Info("peer", "name", effect.Name, "state", effect.State.String(), "was", effect.Before.String(),
 				"generation", effect.Generation, "why", effect.Reason)
 		case ViewStale:
--- a/internal/membership/host_test.go
+++ b/internal/membership/host_test.go
@@ -169,7 +169,7 @@
 	predecessor := startHost(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
 	eventually(t, "a does not see b alive", func() bool { return hasState(a, "b", membership.Alive) })
 	successor := startHost(t, "b", "127.8.21.2:7000", "c", "127.8.21.1:7000")
-	successor.Set(membership.ClockKey, []byte("1"), time.Minute)
+	successor.Set(membership.ExplorationSlotsKey, []byte("1"), time.Minute)
 	time.Sleep(200 * time.Millisecond)
 	if !successor.View().Stale || successor.Counts().In > 0 {
 		t.Errorf("the successor takes part before its predecessor has stopped: %+v", successor.View())
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,7 +14,7 @@
 
 const peerTimeout = 3 * time.Second
 
-func newCluster(t *testing.T, n int, seed uint64, net stepped.Net) *stepped.Cluster {
+func newCluster(t *testing.T, n int, seed uint64, net stepped.NetworkConditions) *stepped.Cluster {
 	t.Helper()
 	cluster, err := stepped.New(n, seed, peerTimeout, net)
 	if err != nil {
@@ -30,13 +30,13 @@
 	if missing != "" {
 		t.Fatalf("after %v: %s", limit, missing)
 	}
-	if len(cluster.Faults) > 0 {
-		t.Fatal(cluster.Faults)
+	if len(cluster.Violations) > 0 {
+		t.Fatal(cluster.Violations)
 	}
 	return took
 }
 
-var lanConditions = stepped.Net{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
+var lanConditions = stepped.NetworkConditions{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 
 // All members learn of a death within one and a half times PeerTimeout, for any cluster size and with 10% packet loss,
 // and no live member is declared gone.
@@ -44,9 +44,9 @@
 	for _, n := range []int{2, 3, 5, 20, 50} {
 		for _, loss := range []float64{0, 0.1} {
 			net := lanConditions
-			net.Loss, net.Double = loss, loss/2
+			net.LossRate, net.DuplicateRate = loss, loss/2
 			cluster := newCluster(t, n, uint64(n), net)
-			cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+			cluster.OnChange = func(at *stepped.Node, c membership.MemberChanged) {
 				if c.State == membership.Gone && c.Name != cluster.Nodes[n-1].Name {
 					t.Errorf("%d members, loss %v: %s declared %s gone, which is alive", n, loss, at.Name, c.Name)
 				}
@@ -93,7 +93,7 @@
 func TestOneWayLink(t *testing.T) {
 	cluster := newCluster(t, 5, 1, lanConditions)
 	gone := 0
-	cluster.Changes = func(_ *stepped.Node, c membership.Changed) {
+	cluster.OnChange = func(_ *stepped.Node, c membership.MemberChanged) {
 		if c.State == membership.Gone {
 			gone++
 		}
@@ -112,17 +112,17 @@
 	cluster := newCluster(t, 5, 2, lanConditions)
 	cluster.SetStalled(4, true)
 	cluster.Run(30 * time.Second)
-	if v := cluster.Nodes[0].M.View(); v.Members[3].State != membership.Gone {
+	if v := cluster.Nodes[0].Machine.View(); v.Members[3].State != membership.Gone {
 		t.Fatalf("the others see the stalled member as %v", v.Members[3].State)
 	}
 	cluster.Kill(0)
 	becameStale := false
-	cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+	cluster.OnChange = func(at *stepped.Node, c membership.MemberChanged) {
 		if at.Name == cluster.Nodes[4].Name && c.State == membership.Gone && c.Name != cluster.Nodes[0].Name {
 			t.Errorf("the stalled member declared %s gone", c.Name)
 		}
 	}
-	for _, e := range cluster.Nodes[4].M.Step(cluster.Now, membership.Tick{}, nil) {
+	for _, e := range cluster.Nodes[4].Machine.Step(cluster.Now, membership.Tick{}, nil) {
 		if a, ok := e.(membership.ViewStale); ok && a.On {
 			becameStale = true
 		}
@@ -130,7 +130,7 @@
 			t.Errorf("the stalled member sent stale updates: %+v", s.Message)
 		}
 	}
-	if !becameStale || !cluster.Nodes[4].M.View().Stale {
+	if !becameStale || !cluster.Nodes[4].Machine.View().Stale {
 		t.Error("the stalled member's view is not stale")
 	}
 	cluster.SetStalled(4, false)
@@ -142,7 +142,7 @@
 	cluster := newCluster(t, 8, 3, lanConditions)
 	cluster.SetLossRate(7, 0.9)
 	falselyGone := map[string]int{}
-	cluster.Changes = func(at *stepped.Node, c membership.Changed) {
+	cluster.OnChange = func(at *stepped.Node, c membership.MemberChanged) {
 		if c.State == membership.Gone && c.Name != cluster.Nodes[7].Name && at != cluster.Nodes[7] {
 			falselyGone[c.Name]++
 		}
@@ -173,7 +173,7 @@
 		}
 	}
 	settleWithin(t, cluster, 3*peerTimeout)
-	for _, o := range cluster.Nodes[0].M.View().Members {
+	for _, o := range cluster.Nodes[0].Machine.View().Members {
 		if len(o.Signals) > 0 {
 			t.Errorf("%s has signals of its earlier generation: %v", o.Name, o.Signals)
 		}
@@ -183,7 +183,7 @@
 // Signals reach all members, carry their age, expire after their lifetime, and stay within the owner's limit.
 func TestSignalPropagation(t *testing.T) {
 	net := lanConditions
-	net.Loss, net.Double = 0.1, 0.1
+	net.LossRate, net.DuplicateRate = 0.1, 0.1
 	cluster := newCluster(t, 10, 5, net)
 	for round := range 40 {
 		for i := range 10 {
@@ -197,26 +197,26 @@
 	cluster.Run(2 * peerTimeout)
 	cluster.CheckSignals()
 	for _, node := range cluster.Nodes {
-		for _, o := range node.M.View().Members {
+		for _, o := range node.Machine.View().Members {
 			if len(o.Signals) != 12 || string(o.Signals[0].Value) != "39" || o.Signals[0].Age < 2*peerTimeout {
 				t.Fatalf("%s has wrong signals of %s: %+v", node.Name, o.Name, o.Signals)
 			}
 		}
 	}
 	cluster.Run(20 * time.Second)
-	if n := len(cluster.Nodes[0].M.View().Members[3].Signals); n > 0 {
+	if n := len(cluster.Nodes[0].Machine.View().Members[3].Signals); n > 0 {
 		t.Errorf("%d signals are left after their lifetime", n)
 	}
-	if len(cluster.Faults) > 0 {
-		t.Error(cluster.Faults)
+	if len(cluster.Violations) > 0 {
+		t.Error(cluster.Violations)
 	}
 	for k := range 300 { // beyond the limit: refused by their owner, not dropped by the others
 		cluster.Set(1, fmt.Sprint("many", k), make([]byte, 100), time.Hour)
 	}
 	cluster.Run(2 * peerTimeout)
 	cluster.CheckSignals()
-	if c := cluster.Nodes[1].M.Counters; c.SignalsRefused == 0 || len(cluster.Faults) > 0 {
-		t.Errorf("refused %d, faults %v", c.SignalsRefused, cluster.Faults)
+	if c := cluster.Nodes[1].Machine.Counters; c.SignalsRefused == 0 || len(cluster.Violations) > 0 {
+		t.Errorf("refused %d, faults %v", c.SignalsRefused, cluster.Violations)
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	// The later process announces itself to the others, which tell the earlier one.
 	for i := range 3 {
-		cluster.Nodes[i].M.Step(
+		cluster.Nodes[i].Machine.Step(
 			cluster.Now,
 			membership.Received{
 				Message: membership.Message{
@@ -247,14 +247,14 @@
 		)
 	}
 	cluster.Run(peerTimeout)
-	if !cluster.Nodes[3].M.View().Superseded {
+	if !cluster.Nodes[3].Machine.View().Superseded {
 		t.Fatal("the earlier process is not superseded")
 	}
-	if record := cluster.Nodes[0].M.View().Members[2]; record.Addr != "127.8.9.9:7000" {
+	if record := cluster.Nodes[0].Machine.View().Members[2]; record.Addr != "127.8.9.9:7000" {
 		t.Errorf("the others have the record %+v", record)
 	}
 	cluster.Run(6 * peerTimeout) // the later process never answers, is declared gone, and loses the name
-	if v := cluster.Nodes[3].M.View(); v.Superseded || v.Self.Generation <= 1<<40 {
+	if v := cluster.Nodes[3].Machine.View(); v.Superseded || v.Self.Generation <= 1<<40 {
 		t.Errorf("the earlier process has not taken the name back: %+v", v)
 	}
 	settleWithin(t, cluster, 3*peerTimeout)
@@ -342,9 +342,9 @@
 	}
 	settleWithin(t, cluster, 20*peerTimeout)
 	cluster.Run(20 * time.Second)
-	before := cluster.Bytes
+	before := cluster.TotalSentBytes
 	cluster.Run(10 * time.Second)
-	if rate := (cluster.Bytes - before) / 60 / 10; rate > 1000 {
+	if rate := (cluster.TotalSentBytes - before) / 60 / 10; rate > 1000 {
 		t.Errorf("%d bytes per second and member at rest", rate)
 	}
 	cluster.Kill(50)
@@ -433,7 +433,7 @@
 func TestNoStaleSignalAfterStall(t *testing.T) {
 	for seed := range uint64(20) {
 		net := lanConditions
-		if net.Double = 0.3; seed%2 == 0 {
+		if net.DuplicateRate = 0.3; seed%2 == 0 {
 			net.Jitter = 600 * time.Millisecond
 		}
 		cluster := newCluster(t, 5, seed, net)
@@ -451,8 +451,8 @@
 				cluster.SetStalled(stalled, false)
 			}
 		}
-		if len(cluster.Faults) > 0 {
-			t.Fatalf("seed %d: %v", seed, cluster.Faults)
+		if len(cluster.Violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, cluster.Violations)
 		}
 	}
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -65,7 +65,7 @@
 	m.members[r.Name] = o
 	m.addToOrder(r.Name)
 	m.Counters.Joined++
-	m.emit(Changed{Record: r, Before: Gone, New: true, Reason: reason})
+	m.emit(MemberChanged{Record: r, Before: Gone, New: true, Reason: reason})
 	m.enterState(o, by)
 }
 
@@ -87,7 +87,7 @@
 	}
 	if r.State != before.State || r.Generation != before.Generation {
 		o.changedAt = m.now
-		m.emit(Changed{Record: r, Before: before.State, Reason: reason})
+		m.emit(MemberChanged{Record: r, Before: before.State, Reason: reason})
 	}
 	if r.State == Suspect && before.State == Suspect {
 		m.queueUpdate(updateKey{owner: r.Name})
--- a/internal/membership/reading.go
+++ b/internal/membership/reading.go
@@ -13,10 +13,10 @@
 
 // The keys of the signals that a balancer sets.
 const (
-	ServerKey = "r/"    // prefix of a server's id, for a Reading of the server
-	ClockKey  = "t"     // number of exploration slots so far
-	LoadKey   = "load"  // open connections and unanswered requests
-	DrainKey  = "drain" // this balancer is draining
+	ServerKey           = "r/"    // prefix of a server's id, for a Reading of the server
+	ExplorationSlotsKey = "t"     // number of exploration slots so far
+	LoadKey             = "load"  // open connections and unanswered requests
+	DrainKey            = "drain" // this balancer is draining
 )
 
 const (
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -34,7 +34,7 @@
 	}
 	m.superseded, m.schedule.syncAt = true, m.now
 	m.Counters.Superseded++
-	m.emit(Changed{Record: successor, Reason: "another process has taken over this name"})
+	m.emit(MemberChanged{Record: successor, Reason: "another process has taken over this name"})
 }
 
 // reannounce announces this member with a new generation or incarnation.
--- a/internal/membership/stepped/stepped.go
+++ b/internal/membership/stepped/stepped.go
@@ -13,17 +13,17 @@
 	"oatloft/internal/membership"
 )
 
-// Net holds the conditions of the simulated network. Loss and Double are probabilities per message, Double that of a
-// second copy.
-type Net struct {
-	Delay, Jitter time.Duration
-	Loss, Double  float64
+// NetworkConditions holds the conditions of the simulated network. LossRate and DuplicateRate are probabilities per
+// message, DuplicateRate that of a second copy.
+type NetworkConditions struct {
+	Delay, Jitter           time.Duration
+	LossRate, DuplicateRate float64
 }
 
-// Node is one simulated member. M is nil while it is dead.
+// Node is one simulated member. Machine is nil while it is dead.
 type Node struct {
 	Name, Addr string
-	M          *membership.Machine
+	Machine    *membership.Machine
 	Stalled    bool
 	index      int
 	startCount uint64                // number of starts
@@ -35,15 +35,15 @@
 
 // Cluster is a simulated cluster with its network and its clock.
 type Cluster struct {
-	Now   time.Duration
-	Nodes []*Node
-	Net   Net
-	Tick  time.Duration // length of a step
+	Now        time.Duration
+	Nodes      []*Node
+	Conditions NetworkConditions
+	Tick       time.Duration // length of a step
 
-	PeerTimeout time.Duration
-	Bytes       int64                                // sent by all members
-	Faults      []string                             // violations found, at most 20
-	Changes     func(at *Node, c membership.Changed) // called for each change, unless nil
+	PeerTimeout    time.Duration
+	TotalSentBytes int64                                      // sent by all members
+	Violations     []string                                   // violations found, at most 20
+	OnChange       func(at *Node, c membership.MemberChanged) // called for each change, unless nil
 
 	rng          *rand.Rand
 	packets      packetQueue
@@ -90,9 +90,9 @@
 }
 
 // New starts n members. The join list of each has the first two.
-func New(n int, seed uint64, peerTimeout time.Duration, net Net) (*Cluster, error) {
+func New(n int, seed uint64, peerTimeout time.Duration, net NetworkConditions) (*Cluster, error) {
 	c := &Cluster{
-		Net:         net,
+		Conditions:  net,
 		Tick:        max(peerTimeout/60, 5*time.Millisecond),
 		PeerTimeout: peerTimeout,
 		rng:         rand.New(rand.NewPCG(seed, 3)),
@@ -135,19 +135,19 @@
 		Seed:        c.rng.Uint64(),
 		Join:        []string{c.Nodes[0].Addr, c.Nodes[min(1, len(c.Nodes)-1)].Addr},
 	}
-	node.M, err = membership.New(cfg)
+	node.Machine, err = membership.New(cfg)
 	node.Stalled, node.received = false, nil
 	return err
 }
 
 // Kill stops member i without notice to the others, until Start is called for it.
-func (c *Cluster) Kill(i int) { c.Nodes[i].M = nil }
+func (c *Cluster) Kill(i int) { c.Nodes[i].Machine = nil }
 
 // SetStalled stalls or resumes member i. Up to 256 messages received in the meantime are delivered when it resumes.
 func (c *Cluster) SetStalled(i int, on bool) {
 	node := c.Nodes[i]
 	node.Stalled = on
-	if !on && node.M != nil {
+	if !on && node.Machine != nil {
 		for _, r := range node.received {
 			c.step(i, r)
 		}
@@ -163,7 +163,7 @@
 
 // Set sets a signal of member i, unless it is dead or stalled.
 func (c *Cluster) Set(i int, key string, value []byte, lifetime time.Duration) {
-	if c.Nodes[i].M != nil && !c.Nodes[i].Stalled {
+	if c.Nodes[i].Machine != nil && !c.Nodes[i].Stalled {
 		c.step(i, membership.SetSignal{Key: key, Value: value, Lifetime: lifetime})
 	}
 }
@@ -178,7 +178,7 @@
 		for len(c.packets) > 0 && c.packets[0].arrivesAt <= c.Now {
 			next := heap.Pop(&c.packets).(packet)
 			switch {
-			case next.to.M == nil:
+			case next.to.Machine == nil:
 			case next.to.Stalled:
 				if len(next.to.received) < 256 {
 					next.to.received = append(next.to.received, next.message)
@@ -188,7 +188,7 @@
 			}
 		}
 		for i, node := range c.Nodes {
-			if node.M != nil && !node.Stalled {
+			if node.Machine != nil && !node.Stalled {
 				c.step(i, membership.Tick{})
 			}
 		}
@@ -197,16 +197,16 @@
 
 func (c *Cluster) step(i int, event membership.Event) {
 	node := c.Nodes[i]
-	if node.M == nil {
+	if node.Machine == nil {
 		return
 	}
-	for _, e := range node.M.Step(c.Now, event, nil) {
+	for _, e := range node.Machine.Step(c.Now, event, nil) {
 		switch e := e.(type) {
 		case membership.Send:
 			c.send(i, e)
-		case membership.Changed:
-			if c.Changes != nil {
-				c.Changes(node, e)
+		case membership.MemberChanged:
+			if c.OnChange != nil {
+				c.OnChange(node, e)
 			}
 		}
 	}
@@ -218,18 +218,18 @@
 		c.fault("%s sent a message that cannot be encoded: %v", c.Nodes[from].Name, err)
 		return
 	}
-	c.Bytes += int64(len(encoded))
+	c.TotalSentBytes += int64(len(encoded))
 	c.Nodes[from].sentBytes += int64(len(encoded))
 	receiver := c.byAddr[e.To]
 	if receiver == nil {
 		return
 	}
 	to := receiver.index
-	if c.cutLinks[[2]int{from, to}] || c.happens(c.Net.Loss) ||
+	if c.cutLinks[[2]int{from, to}] || c.happens(c.Conditions.LossRate) ||
 		c.happens(c.Nodes[from].lossRate) || c.happens(receiver.lossRate) {
 		return
 	}
-	for range 1 + c.oneWithProbability(c.Net.Double) {
+	for range 1 + c.oneWithProbability(c.Conditions.DuplicateRate) {
 		message, err := membership.Decode(encoded)
 		if err != nil {
 			c.fault("%s sent a message that cannot be decoded: %v", c.Nodes[from].Name, err)
@@ -238,7 +238,7 @@
 		c.lastSequence++
 		heap.Push(
 			&c.packets,
-			packet{arrivesAt: c.Now + c.Net.Delay + time.Duration(c.rng.Float64()*float64(c.Net.Jitter)),
+			packet{arrivesAt: c.Now + c.Conditions.Delay + time.Duration(c.rng.Float64()*float64(c.Conditions.Jitter)),
 				sequence: c.lastSequence, to: receiver, from: from,
 				message: membership.Received{Message: message, Size: len(encoded)}},
 		)
@@ -257,8 +257,8 @@
 }
 
 func (c *Cluster) fault(format string, args ...any) {
-	if len(c.Faults) < 20 {
-		c.Faults = append(c.Faults, fmt.Sprintf("%v: ", c.Now)+fmt.Sprintf(format, args...))
+	if len(c.Violations) < 20 {
+		c.Violations = append(c.Violations, fmt.Sprintf("%v: ", c.Now)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -269,22 +269,22 @@
 // generation, or a dead or stalled one is not gone. It returns "" if all running members agree.
 func (c *Cluster) Disagreement() string {
 	for i, node := range c.Nodes {
-		if node.M == nil || node.Stalled {
+		if node.Machine == nil || node.Stalled {
 			continue
 		}
 		known := make(map[string]membership.Record, len(c.Nodes))
-		if node.M.EachMember(func(r membership.Record) { known[r.Name] = r }) {
+		if node.Machine.EachMember(func(r membership.Record) { known[r.Name] = r }) {
 			return node.Name + "'s view is stale"
 		}
 		for j, other := range c.Nodes {
 			r, exists := known[other.Name]
-			switch running := other.M != nil && !other.Stalled; {
+			switch running := other.Machine != nil && !other.Stalled; {
 			case i == j:
 			case running && !exists:
 				return fmt.Sprintf("%s does not know %s", node.Name, other.Name)
 			case running && r.State >= membership.Suspect:
 				return fmt.Sprintf("%s sees running member %s as %v", node.Name, other.Name, r.State)
-			case running && r.Generation != other.M.Self().Generation:
+			case running && r.Generation != other.Machine.Self().Generation:
 				return fmt.Sprintf("%s knows %s by an earlier generation", node.Name, other.Name)
 			case !running && exists && r.State != membership.Gone:
 				return fmt.Sprintf("%s sees dead member %s as %v", node.Name, other.Name, r.State)
@@ -312,10 +312,10 @@
 // lifetime, and for each member with more than 4096 bytes of signals.
 func (c *Cluster) CheckSignals() {
 	for _, node := range c.Nodes {
-		if node.M == nil || node.Stalled {
+		if node.Machine == nil || node.Stalled {
 			continue
 		}
-		for _, other := range node.M.View().Members {
+		for _, other := range node.Machine.View().Members {
 			size := 0
 			for _, s := range other.Signals {
 				size += len(s.Key) + len(s.Value)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -22,12 +22,12 @@
 	Cores    float64
 
 	Core           core.Config
-	Admission      *Admission             // nil: only descriptors and memory are limited
-	Numbered       *coordination.Numbered // nil: no servers are assigned by this balancer's number
-	Peers          *Peers                 // nil: no exchange with other balancers
-	Revisions      *Revisions             // nil: only the settings apply
-	KnownEndpoints *core.EndpointsListed  // nil: no servers are known at the start
-	ClockOrigin    time.Time              // origin of the balancer's clock
+	Admission      *Admission                     // nil: only descriptors and memory are limited
+	Numbered       *coordination.NumberedBalancer // nil: no servers are assigned by this balancer's number
+	Peers          *Peers                         // nil: no exchange with other balancers
+	Revisions      *Revisions                     // nil: only the settings apply
+	KnownEndpoints *core.EndpointsListed          // nil: no servers are known at the start
+	ClockOrigin    time.Time                      // origin of the balancer's clock
 }
 
 // UnreadableConfig reports that the configuration file cannot be read.
--- a/internal/proxy/edge_config.go
+++ b/internal/proxy/edge_config.go
@@ -63,7 +63,7 @@
 	if section == nil {
 		return nil
 	}
-	numbered := coordination.Numbered{
+	numbered := coordination.NumberedBalancer{
 		Number:     section.Number,
 		Count:      c.Core.Policy.Balancers,
 		Zone:       c.Core.Policy.Zone,
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -97,7 +97,7 @@
 		time.Sleep(failpointStall)
 	}
 	lifetime := b.cfg.Peers.SignalLifetime
-	b.peers.Set(membership.ClockKey, fmt.Append(nil, b.core.Activity().ExplorationSlots), lifetime)
+	b.peers.Set(membership.ExplorationSlotsKey, fmt.Append(nil, b.core.Activity().ExplorationSlots), lifetime)
 	b.peers.Set(membership.LoadKey, fmt.Append(nil, b.establishedFlows(), " ", b.core.Unanswered()), lifetime)
 	b.peers.Set(membership.DrainKey, fmt.Append(nil, draining), lifetime)
 	readings := b.core.LoadReadings()
@@ -150,9 +150,9 @@
 }
 
 // localState returns this balancer's own state and its view of the servers.
-func (b *Balancer) localState(readings []policy.ServerReading) coordination.Local {
+func (b *Balancer) localState(readings []policy.ServerReading) coordination.LocalState {
 	activity := b.core.Activity()
-	local := coordination.Local{
+	local := coordination.LocalState{
 		ExplorationSlots: activity.ExplorationSlots,
 		SlotAge:          activity.SlotAge,
 		SlotPeriod:       activity.SlotPeriod,
--- a/internal/simulation/crowd_test.go
+++ b/internal/simulation/crowd_test.go
@@ -140,8 +140,8 @@
 	}
 	w.Run(20 * time.Second)
 	for _, d := range w.all {
-		if d.t.Counts.Received > 0 {
-			t.Fatalf("%s took %d readings", d.name, d.t.Counts.Received)
+		if d.t.Counts.PassedOn > 0 {
+			t.Fatalf("%s took %d readings", d.name, d.t.Counts.PassedOn)
 		}
 	}
 	if got := worst(w, 8); got > 1.6 {
