--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -101,7 +101,7 @@
 const callEvery = 250 * time.Millisecond
 
 // ask makes a call until somebody answers it, or ctx is over. Only calls that may be repeated go this way.
-func (a ats) ask(ctx context.Context, o revision.Order) (string, error) {
+func (a ats) ask(ctx context.Context, o revision.Call) (string, error) {
 	if len(a.At) == 0 {
 		return "", &refused{text: "no balancer to ask", do: "give --at HOST:PORT, or set PROXY_MANAGEMENT"}
 	}
@@ -142,7 +142,7 @@
 func (a ats) get(n uint64) (*revision.Content, error) {
 	ctx, cancel := short()
 	defer cancel()
-	text, err := a.ask(ctx, revision.Order{Verb: revision.VerbGet, Number: n})
+	text, err := a.ask(ctx, revision.Call{Verb: revision.VerbGet, Number: n})
 	if err != nil {
 		return nil, err
 	}
@@ -162,8 +162,8 @@
 }
 
 // run hands o in and waits; want is the short hash of what it proposes.
-func (c *change) run(o revision.Order, want string) error {
-	o.Key, o.Base, o.GuardFor, o.Deadline, o.By = c.Key, revision.Latest, c.Watch, c.Deadline, c.By
+func (c *change) run(o revision.Call, want string) error {
+	o.Key, o.Base, o.GuardDuration, o.Deadline, o.By = c.Key, revision.Latest, c.Watch, c.Deadline, c.By
 	if o.Key == "" {
 		var b [8]byte
 		_, _ = rand.Read(b[:])
@@ -176,7 +176,7 @@
 	if c.From != nil {
 		o.Base = *c.From
 	}
-	if _, err := revision.ParseOrder(o.String()); err != nil { // as a balancer will read it
+	if _, err := revision.ParseCall(o.String()); err != nil { // as a balancer will read it
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "key", o.Key)
@@ -184,7 +184,7 @@
 	defer cancel()
 	text, err := c.ask(ctx, o)
 	if no, ok := err.(*refused); ok { // an earlier try of the same call may have been taken up
-		if text, err = c.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: o.Key}); err != nil {
+		if text, err = c.ask(ctx, revision.Call{Verb: revision.VerbOutcome, Key: o.Key}); err != nil {
 			return no
 		}
 	}
@@ -222,7 +222,7 @@
 func (a ats) settled(ctx context.Context, key, text string) (n uint64, hash string, err error) {
 	said := ""
 	for {
-		n, in, pending := revision.ReadAnswer(text)
+		n, in, pending := revision.ParseAnswer(text)
 		switch {
 		case in:
 			return n, strings.Fields(text + " - -")[2], nil
@@ -237,7 +237,7 @@
 			return 0, "", &unanswered{key, &refused{text: text}}
 		case <-time.After(callEvery):
 		}
-		if text, err = a.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: key}); err != nil {
+		if text, err = a.ask(ctx, revision.Call{Verb: revision.VerbOutcome, Key: key}); err != nil {
 			return 0, "", err
 		}
 	}
@@ -259,7 +259,7 @@
 func (a ats) kept(ctx context.Context, n uint64, watch time.Duration) error {
 	fmt.Fprintln(os.Stderr, "watched for", watch)
 	for {
-		text, err := a.ask(ctx, revision.Order{Verb: revision.VerbStatus})
+		text, err := a.ask(ctx, revision.Call{Verb: revision.VerbStatus})
 		if err != nil {
 			return err
 		}
@@ -323,10 +323,11 @@
 		return err
 	}
 	if c.Check {
-		fmt.Println(path+": sound,", revision.ShortHash(revision.Hash(content)))
+		fmt.Println(path+": sound,", revision.HashPrefix(revision.Hash(content)))
 		return nil
 	}
-	err = c.run(revision.Order{Verb: revision.VerbPropose, Text: revision.Encode(content)}, revision.ShortHash(revision.Hash(content)))
+	err = c.run(revision.Call{Verb: revision.VerbPropose, Text: revision.Encode(content)},
+		revision.HashPrefix(revision.Hash(content)))
 	if e, ok := err.(*refused); ok && e.at == "" {
 		if at := revisioncue.Where(path, body, e.text); at != path {
 			e.at = at
@@ -341,7 +342,7 @@
 }
 
 func (c *rollback) Run() error {
-	return c.run(revision.Order{Verb: revision.VerbRollback, Number: c.Number}, "")
+	return c.run(revision.Call{Verb: revision.VerbRollback, Number: c.Number}, "")
 }
 
 type wait struct {
@@ -353,7 +354,7 @@
 func (c *wait) Run() error {
 	ctx, cancel := bounded(c.For)
 	defer cancel()
-	text, err := c.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: c.Key})
+	text, err := c.ask(ctx, revision.Call{Verb: revision.VerbOutcome, Key: c.Key})
 	if err != nil {
 		return err
 	}
@@ -409,7 +410,7 @@
 	defer cancel()
 	after := revision.Latest
 	if !c.All {
-		text, err := c.ask(ctx, revision.Order{Verb: revision.VerbStatus})
+		text, err := c.ask(ctx, revision.Call{Verb: revision.VerbStatus})
 		if err != nil {
 			return err
 		}
@@ -421,7 +422,7 @@
 		}
 	}
 	for {
-		text, err := c.ask(ctx, revision.Order{Verb: revision.VerbList, Number: after})
+		text, err := c.ask(ctx, revision.Call{Verb: revision.VerbList, Number: after})
 		if err != nil {
 			return err
 		}
@@ -467,7 +468,7 @@
 
 type state struct{ ats }
 
-func (c *state) Run() error { return c.say(revision.Order{Verb: revision.VerbStatus}) }
+func (c *state) Run() error { return c.say(revision.Call{Verb: revision.VerbStatus}) }
 
 type replace struct {
 	ats
@@ -476,7 +477,7 @@
 }
 
 func (c *replace) Run() error {
-	return c.say(revision.Order{Verb: revision.VerbReplace, Name: c.Old, NewName: c.New})
+	return c.say(revision.Call{Verb: revision.VerbReplace, Name: c.Old, NewName: c.New})
 }
 
 type forget struct {
@@ -484,9 +485,9 @@
 	Name string `arg:"" help:"The balancer. Make sure that its process has ended: it could route by an old revision otherwise."`
 }
 
-func (c *forget) Run() error { return c.say(revision.Order{Verb: revision.VerbForget, Name: c.Name}) }
+func (c *forget) Run() error { return c.say(revision.Call{Verb: revision.VerbForget, Name: c.Name}) }
 
-func (a ats) say(o revision.Order) error {
+func (a ats) say(o revision.Call) error {
 	ctx, cancel := short()
 	defer cancel()
 	text, err := a.ask(ctx, o)
--- a/cmd/oatctl/revision_test.go
+++ b/cmd/oatctl/revision_test.go
@@ -29,7 +29,7 @@
 }
 
 func (b *balancer) answer(line string) string {
-	o, err := revision.ParseOrder(strings.TrimPrefix(line, "revision "))
+	o, err := revision.ParseCall(strings.TrimPrefix(line, "revision "))
 	in := len(b.texts) - 1
 	switch {
 	case err != nil:
@@ -48,7 +48,7 @@
 	case b.keys[o.Key] > 0:
 		n := b.keys[o.Key]
 		c, _ := revision.Decode([]byte(b.texts[n]))
-		return "+OK " + revision.SettledText(uint64(n), revision.Hash(c), o.Key)
+		return "+OK " + revision.CommittedText(uint64(n), revision.Hash(c), o.Key)
 	case b.no != "":
 		return "-ERR " + b.no
 	case o.Base != revision.Latest && int(o.Base) != in:
@@ -98,7 +98,8 @@
 }
 
 func started(t *testing.T) (*balancer, ats, string) {
-	b := &balancer{texts: []string{string(revision.Encode(&revision.Content{Form: revision.Form}))}, keys: map[string]int{}}
+	b := &balancer{texts: []string{string(revision.Encode(&revision.Content{FormatVersion: revision.FormatVersion}))},
+		keys: map[string]int{}}
 	file := filepath.Join(t.TempDir(), "new.cue")
 	if err := os.WriteFile(file, []byte("note: \"bulk last\"\nclasses: [{name: \"bulk\", order: 9}]\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/faultinjection/answers.go
+++ b/internal/faultinjection/answers.go
@@ -15,7 +15,7 @@
 
 // told takes what an answer says of a request.
 func (o *Op) told(a management.Answer) {
-	if n, settled, _ := revision.ReadAnswer(a.Text); settled && a.OK {
+	if n, settled, _ := revision.ParseAnswer(a.Text); settled && a.OK {
 		o.Result, o.Settled = Settled, n
 		return
 	}
--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -249,7 +249,7 @@
 			for _, n := range []uint64{of, e.Number} {
 				if t.hashes[n] == "" {
 					if c, err := w.contentOf(i, n); err == nil {
-						t.hashes[n] = revision.ShortHash(revision.Hash(c))
+						t.hashes[n] = revision.HashPrefix(revision.Hash(c))
 					}
 				}
 			}
--- a/internal/faultinjection/content.go
+++ b/internal/faultinjection/content.go
@@ -17,14 +17,14 @@
 
 // content is what a call proposes: a note that names it, and a region left out that betrays who goes by it.
 func (w *Scenario) content(key string, c Call) *revision.Content {
-	r := &revision.Content{Form: revision.Form, Note: key}
+	r := &revision.Content{FormatVersion: revision.FormatVersion, Note: key}
 	if c.Out > 0 {
-		r.Servers = []revision.Place{{ID: w.Regions[(c.Out-1)%len(w.Regions)].Name, Excluded: true}}
+		r.Servers = []revision.Placement{{ID: w.Regions[(c.Out-1)%len(w.Regions)].Name, Excluded: true}}
 	}
 	if n := len(w.Regions); c.Only > 0 {
 		for i, g := range w.Regions {
 			if at := (i - c.Only + 1 + n) % n; at >= planIn {
-				r.Servers = append(r.Servers, revision.Place{ID: g.Name, Excluded: true})
+				r.Servers = append(r.Servers, revision.Placement{ID: g.Name, Excluded: true})
 			}
 		}
 	}
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -126,9 +126,10 @@
 	works := []Work{{Number: 1, Hash: "h1"}, {Number: 2, Hash: "h2"}}
 	ops := []Op{{Key: "k1", Result: Settled, Settled: 1}, {Key: "k2", Result: Settled, Settled: 2}, {Key: "k3", Result: Ended}}
 	both := []Entry{{Number: 1, Hash: "h1", Key: "k1"}, {Number: 2, Hash: "h2", Key: "k2"}}
-	again := Op{Key: "k1", Result: Settled, Settled: 1, Again: management.Answer{OK: true, Text: revision.SettledText(2, "h2", "k1")}}
+	again := Op{Key: "k1", Result: Settled, Settled: 1,
+		Again: management.Answer{OK: true, Text: revision.CommittedText(2, "h2", "k1")}}
 	verdict(t, "told otherwise", kept(works, []Op{again}, [][]Entry{both}, name), "handed in again")
-	again.Again.Text = revision.SettledText(1, "h1", "k1")
+	again.Again.Text = revision.CommittedText(1, "h1", "k1")
 	verdict(t, "told the same", kept(works, []Op{again}, [][]Entry{both}, name), "")
 	for of, x := range map[string]struct {
 		second []Entry
@@ -202,7 +203,8 @@
 // An answer is read as what it says of the request, and what says nothing of it leaves it open.
 func TestAnswers(t *testing.T) {
 	for text, want := range map[string]string{
-		"+" + revision.SettledText(5, "abcdef", "op1"): "1 5 0", "-" + hint.Line(&revision.BaseChanged{From: 2, InForce: 4, Hash: "abcdef"}): "2 0 4",
+		"+" + revision.CommittedText(5, "abcdef", "op1"):                                                         "1 5 0",
+		"-" + hint.Line(&revision.BaseChanged{Base: 2, InForce: 4, Hash: "abcdef"}):                              "2 0 4",
 		"-" + hint.Line(&revision.ProposalFailed{Key: "op1", Members: []string{"b02"}, Reason: "no such class"}): "3 0 0", "+" + revision.PendingText("op1", ""): "0 0 0",
 		"-" + revision.RetryLaterPrefix + "no leader; do: wait": "0 0 0", "-" + hint.Line(&revision.ProposalPending{Key: "op2", By: "x"}): "0 0 0",
 	} {
--- a/internal/proxy/revision_config.go
+++ b/internal/proxy/revision_config.go
@@ -59,14 +59,14 @@
 
 func (c *Config) hostConfig(section *edgeconfig.Revisions) lease.Config {
 	return lease.Config{
-		Name:             c.Name,
-		Generation:       uint64(time.Now().UnixMilli()),
-		PredecessorEnded: c.InheritedFD == "",
-		HoldOnPartition:  section.OnCut == onPartitionHold,
-		Lease:            time.Duration(section.Lease),
-		Deadline:         time.Duration(section.Deadline),
-		History:          section.History,
-		HistoryBytes:     int64(section.HistoryBytes),
+		Name:                 c.Name,
+		Generation:           uint64(time.Now().UnixMilli()),
+		PredecessorEnded:     c.InheritedFD == "",
+		KeepLeaseOnPartition: section.OnCut == onPartitionHold,
+		Lease:                time.Duration(section.Lease),
+		Deadline:             time.Duration(section.Deadline),
+		History:              section.History,
+		HistoryBytes:         int64(section.HistoryBytes),
 		Log: lease.Log{
 			Cluster:      section.Cluster,
 			Name:         c.Name,
@@ -97,7 +97,7 @@
 
 func equalHost(a, b lease.Config) bool {
 	return a.Name == b.Name &&
-		a.HoldOnPartition == b.HoldOnPartition &&
+		a.KeepLeaseOnPartition == b.KeepLeaseOnPartition &&
 		a.Lease == b.Lease &&
 		a.Deadline == b.Deadline &&
 		a.History == b.History &&
--- a/internal/proxy/revisions.go
+++ b/internal/proxy/revisions.go
@@ -176,7 +176,8 @@
 	}
 	list, hasList := b.core.ListedServers(), b.core.HasEndpoints()
 	current := r.environment.Load()
-	if current != nil && current.HasList == hasList && slices.Equal(list, r.environmentList) && !r.environmentStale {
+	if current != nil && current.HasDiscoveryList == hasList && slices.Equal(list, r.environmentList) &&
+		!r.environmentStale {
 		return
 	}
 	r.environmentList, r.environmentStale = list, false
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -141,7 +141,7 @@
 
 func (w *simulation) apply(c Command) {
 	w.state.Apply(c)
-	w.leader.Applied(c)
+	w.leader.CommandApplied(c)
 	w.runLeader()
 }
 
@@ -183,7 +183,7 @@
 			if !reply.Known {
 				w.schedule(w.commitDelay(), func() { w.apply(Command{Op: OpJoin, Holder: m.member.Holder}) })
 			}
-			w.schedule(max(reply.Next, time.Millisecond), func() {
+			w.schedule(max(reply.RenewAfter, time.Millisecond), func() {
 				if m.requestCount == sequence {
 					w.renew(m, config)
 				}
@@ -253,13 +253,13 @@
 					from := w.now
 					w.apply(
 						Command{
-							Op:            OpPropose,
-							Kind:          KindProposed,
-							Key:           "k",
-							Base:          0,
-							Text:          w.state.InForce().Text,
-							Hash:          "h",
-							KeepRevisions: 10,
+							Op:           OpPropose,
+							Kind:         KindProposed,
+							Key:          "k",
+							Base:         0,
+							Text:         w.state.InForce().Text,
+							Hash:         "h",
+							MaxRevisions: 10,
 						},
 					)
 					w.run(time.Minute, func() bool { return w.state.Pending == nil })
--- a/internal/revision/check.go
+++ b/internal/revision/check.go
@@ -48,7 +48,7 @@
 	for i, tenant := range c.Tenants {
 		v.checkKnown(fmt.Sprintf("tenants[%d].name", i), tenant.Name, "tenant", inSettings, env.Tenants)
 	}
-	if field := c.firstPlacementField(); !env.HasList && field != "" {
+	if field := c.firstPlacementField(); !env.HasDiscoveryList && field != "" {
 		v.report(field, "", "", "can't be checked: this balancer has not received a discovery list yet",
 			"check why discovery does not answer this balancer, or wait and propose again")
 		v.firstError.MayChange = true
--- a/internal/revision/command.go
+++ b/internal/revision/command.go
@@ -57,32 +57,32 @@
 
 // Command is one entry of the log.
 type Command struct {
-	Op              Op              `json:"op"`
-	LeaderTerm      uint64          `json:"reign,omitempty"`
-	By              string          `json:"by,omitempty"` // the leader that begins a term, or the operator of a proposal
-	Holder          Holder          `json:"holder,omitzero"`
-	HoldOnPartition bool            `json:"hold,omitempty"`
-	Ended           bool            `json:"ended,omitempty"` // for OpJoin and OpLeave
-	Name            string          `json:"name,omitempty"`
-	Key             string          `json:"key,omitempty"` // idempotency key of a proposal
-	Base            uint64          `json:"from,omitempty"`
-	Source          uint64          `json:"of,omitempty"`
-	Kind            Kind            `json:"kind,omitempty"`
-	Text            json.RawMessage `json:"text,omitempty"` // as returned by Encode
-	Hash            string          `json:"hash,omitempty"`
-	Note            string          `json:"note,omitempty"`
-	GuardFor        int64           `json:"watch,omitempty"`  // ns; 0 for no guard
-	Deadline        int64           `json:"within,omitempty"` // ns; 0 for the leader's default
-	ProposedAt      int64           `json:"at,omitempty"`     // wall clock in ms; only shown to operators
-	KeepRevisions   int             `json:"keep,omitempty"`   // maximum number of revisions in the history
-	KeepBytes       int64           `json:"keep_b,omitempty"` // maximum bytes of the texts in the history
-	ProposalID      uint64          `json:"id,omitempty"`     // the proposal that the command applies to
-	Epoch           uint64          `json:"epoch,omitempty"`  // State.Epoch when the leader decided
-	HoldersVersion  uint64          `json:"roster,omitempty"` // State.HoldersVersion when the leader decided
-	Members         []string        `json:"who,omitempty"`    // members that caused an abort
-	Reason          string          `json:"why,omitempty"`
-	Baseline        Totals          `json:"before,omitzero"`
-	Nonce           uint64          `json:"nonce,omitempty"` // lets the proposing process recognize its own command
+	Op                   Op              `json:"op"`
+	LeaderTerm           uint64          `json:"reign,omitempty"`
+	By                   string          `json:"by,omitempty"` // the leader that begins a term, or a proposal's operator
+	Holder               Holder          `json:"holder,omitzero"`
+	KeepLeaseOnPartition bool            `json:"hold,omitempty"`
+	Ended                bool            `json:"ended,omitempty"` // for OpJoin and OpLeave
+	Name                 string          `json:"name,omitempty"`
+	Key                  string          `json:"key,omitempty"` // idempotency key of a proposal
+	Base                 uint64          `json:"from,omitempty"`
+	Source               uint64          `json:"of,omitempty"`
+	Kind                 Kind            `json:"kind,omitempty"`
+	Text                 json.RawMessage `json:"text,omitempty"` // as returned by Encode
+	Hash                 string          `json:"hash,omitempty"`
+	Note                 string          `json:"note,omitempty"`
+	GuardDuration        int64           `json:"watch,omitempty"`  // ns; 0 for no guard
+	Deadline             int64           `json:"within,omitempty"` // ns; 0 for the leader's default
+	ProposedAt           int64           `json:"at,omitempty"`     // wall clock in ms; only shown to operators
+	MaxRevisions         int             `json:"keep,omitempty"`   // maximum number of revisions in the history
+	MaxHistoryBytes      int64           `json:"keep_b,omitempty"` // maximum bytes of the texts in the history
+	ProposalID           uint64          `json:"id,omitempty"`     // the proposal that the command applies to
+	Epoch                uint64          `json:"epoch,omitempty"`  // State.Epoch when the leader decided
+	HoldersVersion       uint64          `json:"roster,omitempty"` // State.HoldersVersion when the leader decided
+	Members              []string        `json:"who,omitempty"`    // members that caused an abort
+	Reason               string          `json:"why,omitempty"`
+	Baseline             Totals          `json:"before,omitzero"`
+	Nonce                uint64          `json:"nonce,omitempty"` // lets the proposing process recognize its own command
 }
 
 // Kind is the origin of a revision.
@@ -95,9 +95,9 @@
 	KindGuard    Kind = "guard"
 )
 
-// ReadCommand decodes a log entry. An entry that cannot be decoded gives a *Corrupt error at all members alike and
+// DecodeCommand decodes a log entry. An entry that cannot be decoded gives a *Corrupt error at all members alike and
 // has no effect.
-func ReadCommand(entry []byte) (Command, error) {
+func DecodeCommand(entry []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
 		return c, &Corrupt{err.Error()}
@@ -105,8 +105,8 @@
 	return c, nil
 }
 
-// Entry returns the command encoded as a log entry.
-func (c Command) Entry() []byte {
+// Encode returns the command encoded as a log entry.
+func (c Command) Encode() []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // possible only if Text was not written by Encode
--- a/internal/revision/content.go
+++ b/internal/revision/content.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Form is the format version of a revision's text. A text of any other version is rejected.
-const Form = 1
+// FormatVersion is the format version of a revision's text. A text of any other version is rejected.
+const FormatVersion = 1
 
 // Content is the content of a revision. Fields that are not set leave the settings unchanged, so that an empty
 // Content equals the settings: revision 0, with which every cluster starts.
 type Content struct {
-	Form      int       `json:"oatloft_revision"`
-	Note      string    `json:"note,omitzero"` // for operators
-	Classes   []Class   `json:"classes,omitempty"`
-	Tenants   []Tenant  `json:"tenants,omitempty"`
-	Servers   []Place   `json:"regions,omitempty"`
-	Zones     []Place   `json:"zones,omitempty"`
-	Budgets   Budgets   `json:"budgets,omitzero"`
-	Migration Migration `json:"moves,omitzero"`
-	Links     []Link    `json:"links,omitempty"`
+	FormatVersion int         `json:"oatloft_revision"`
+	Note          string      `json:"note,omitzero"` // for operators
+	Classes       []Class     `json:"classes,omitempty"`
+	Tenants       []Tenant    `json:"tenants,omitempty"`
+	Servers       []Placement `json:"regions,omitempty"`
+	Zones         []Placement `json:"zones,omitempty"`
+	Budgets       Budgets     `json:"budgets,omitzero"`
+	Migration     Migration   `json:"moves,omitzero"`
+	Links         []Link      `json:"links,omitempty"`
 }
 
 // Class overrides fields of one class of the settings; 0 leaves the settings' value.
@@ -34,8 +34,8 @@
 	ConnectionQuota float64 `json:"connections"`
 }
 
-// Place is a server (by id) or a zone that is excluded from new requests or sampled with a weight other than 1.
-type Place struct {
+// Placement is a server (by id) or a zone that is excluded from new requests or sampled with a weight other than 1.
+type Placement struct {
 	ID       string  `json:"id,omitzero"`
 	Excluded bool    `json:"out,omitzero"`
 	Weight   float64 `json:"weight,omitzero"` // 0 if not set, otherwise in (0, 100]
--- a/internal/revision/content_test.go
+++ b/internal/revision/content_test.go
@@ -20,21 +20,21 @@
 	classNames      = []string{"bulk", "gold", "silver", "sw\u00e4hili", "\U0001f98a"}
 	zoneNames       = []string{"nrb", "mba", "ksm"}
 	testEnvironment = Environment{
-		Classes:     classNames,
-		Tenants:     []string{"t1", "t2"},
-		Zones:       zoneNames,
-		Servers:     []string{"r1", "r2", "r3"},
-		HasList:     true,
-		MaxAttempts: 6,
-		ZoneOf:      map[string]string{"r1": "nrb", "r2": "mba", "r3": "nrb"},
+		Classes:          classNames,
+		Tenants:          []string{"t1", "t2"},
+		Zones:            zoneNames,
+		Servers:          []string{"r1", "r2", "r3"},
+		HasDiscoveryList: true,
+		MaxAttempts:      6,
+		ZoneOf:           map[string]string{"r1": "nrb", "r2": "mba", "r3": "nrb"},
 	}
 )
 
 // generateContent generates a revision that is compatible with testEnvironment.
 func generateContent(t *rapid.T) *Content {
 	c := &Content{
-		Form: Form,
-		Note: rapid.SampledFrom([]string{"", "a  \"b\" <c> & d\\", "w\u012bki \U0001f98a"}).Draw(t, "note"),
+		FormatVersion: FormatVersion,
+		Note:          rapid.SampledFrom([]string{"", "a  \"b\" <c> & d\\", "w\u012bki \U0001f98a"}).Draw(t, "note"),
 	}
 	subset := func(names []string, what string) []string {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, len(names), rapid.ID).Draw(t, what)
@@ -62,13 +62,13 @@
 	}
 	for _, n := range subset([]string{"r1", "r2"}, "regions") {
 		if rapid.Bool().Draw(t, "out") {
-			c.Servers = append(c.Servers, Place{ID: n, Excluded: true})
+			c.Servers = append(c.Servers, Placement{ID: n, Excluded: true})
 		} else {
-			c.Servers = append(c.Servers, Place{ID: n, Weight: weight()})
+			c.Servers = append(c.Servers, Placement{ID: n, Weight: weight()})
 		}
 	}
 	for _, n := range subset([]string{"mba", "ksm"}, "zones") {
-		c.Zones = append(c.Zones, Place{ID: n, Excluded: true})
+		c.Zones = append(c.Zones, Placement{ID: n, Excluded: true})
 	}
 	c.Budgets = Budgets{
 		rapid.Float64Range(0, MaxRetryRatio).Draw(t, "retries"),
@@ -180,7 +180,7 @@
 	field, problem, remedy string
 }{
 	{
-		func(c *Content, _ *Environment) { c.Form = 2 },
+		func(c *Content, _ *Environment) { c.FormatVersion = 2 },
 		"oatloft_revision",
 		"not a supported format version",
 		"format version 1",
@@ -258,17 +258,18 @@
 	{func(c *Content, _ *Environment) { c.Zones[0].Weight = -1 }, "zones[0].weight", "outside", "100"},
 	{func(c *Content, _ *Environment) { c.Zones[0].ID = "mbs" }, "zones[0].id", "not a zone", `"mba"`},
 	{func(c *Content, _ *Environment) {
-		c.Servers = append(c.Servers, Place{ID: "r2", Excluded: true}, Place{ID: "r3", Excluded: true})
+		c.Servers = append(c.Servers, Placement{ID: "r2", Excluded: true}, Placement{ID: "r3", Excluded: true})
 	}, "regions", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
 		c.Servers = nil
-		c.Zones = []Place{{ID: "mba", Excluded: true}, {ID: "nrb", Excluded: true}}
+		c.Zones = []Placement{{ID: "mba", Excluded: true}, {ID: "nrb", Excluded: true}}
 	}, "zones", "exclude every listed region", "at least one"},
 	{func(c *Content, _ *Environment) {
-		c.Zones = []Place{{ID: "mba", Excluded: true}}
-		c.Servers = append(c.Servers, Place{ID: "r3", Excluded: true})
+		c.Zones = []Placement{{ID: "mba", Excluded: true}}
+		c.Servers = append(c.Servers, Placement{ID: "r3", Excluded: true})
 	}, "regions", "exclude every listed region", "by its zone"},
-	{func(c *Content, d *Environment) { d.HasList = false }, "regions", "not received a discovery list", "discovery"},
+	{func(c *Content, d *Environment) { d.HasDiscoveryList = false },
+		"regions", "not received a discovery list", "discovery"},
 	{func(c *Content, _ *Environment) { c.Budgets.RetryRatio = 11 }, "budgets.retries", "outside", "10"},
 	{func(c *Content, _ *Environment) { c.Budgets.MaxPendingAttempts = -1 }, "budgets.setups", "outside", "0"},
 	{func(c *Content, _ *Environment) { c.Budgets.WarmUpShare = 1.5 }, "budgets.cold", "outside", "1"},
@@ -323,11 +324,11 @@
 // TestCheckErrors checks that Check names the first incompatible field, the problem and the remedy.
 func TestCheckErrors(t *testing.T) {
 	compatible := Content{
-		Form:    Form,
-		Classes: []Class{{Name: "gold"}, {Name: "bulk"}},
-		Tenants: []Tenant{{Name: "t1"}},
-		Servers: []Place{{ID: "r1", Excluded: true}},
-		Zones: []Place{
+		FormatVersion: FormatVersion,
+		Classes:       []Class{{Name: "gold"}, {Name: "bulk"}},
+		Tenants:       []Tenant{{Name: "t1"}},
+		Servers:       []Placement{{ID: "r1", Excluded: true}},
+		Zones: []Placement{
 			{ID: "mba", Weight: 2},
 		},
 		Links: []Link{{"nrb", "mba", 20000, []LinkClass{{"gold", 1, 0.5, 1}, {"bulk", 2, 0.5, 0}}}},
@@ -349,11 +350,11 @@
 			t.Errorf("%s: %v; want %s, %s", x.field, hint.Line(err), x.problem, x.remedy)
 		}
 	}
-	oversized := Content{Form: Form}
+	oversized := Content{FormatVersion: FormatVersion}
 	for i := range 5000 {
 		oversized.Servers = append(
 			oversized.Servers,
-			Place{ID: strings.Repeat("r", 20) + string(rune('a'+i%26)) + strings.Repeat("x", i/26), Excluded: true},
+			Placement{ID: strings.Repeat("r", 20) + string(rune('a'+i%26)) + strings.Repeat("x", i/26), Excluded: true},
 		)
 	}
 	if err := Validate(&oversized); err == nil {
@@ -415,7 +416,8 @@
 func TestOverlay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, c := overlayBase(), generateContent(t)
-		if diff := cmp.Diff(overlayBase(), Overlay(b, &Content{Form: Form, Note: c.Note, Links: c.Links})); diff != "" {
+		if diff := cmp.Diff(overlayBase(),
+			Overlay(b, &Content{FormatVersion: FormatVersion, Note: c.Note, Links: c.Links})); diff != "" {
 			t.Fatalf("an empty revision changed the settings: %s", diff)
 		}
 		overlaid := Overlay(b, c)
@@ -426,7 +428,7 @@
 			!cmp.Equal(overlaid, Overlay(overlaid, c)) {
 			t.Fatal("the order of entries or a second Overlay changes the result")
 		}
-		if again := Overlay(overlaid, &Content{Form: Form}); !cmp.Equal(overlaid, again) {
+		if again := Overlay(overlaid, &Content{FormatVersion: FormatVersion}); !cmp.Equal(overlaid, again) {
 			t.Fatal("an empty revision changed the settings of another one")
 		}
 		if len(overlaid.Classes) != 2 || len(overlaid.Tenants) != 2 || overlaid.Classes[0].MaxAttempts > 2 {
@@ -440,14 +442,14 @@
 	got := Overlay(
 		overlayBase(),
 		&Content{
-			Form:    Form,
-			Classes: []Class{{"bulk", 9, 2, 3, 4}, {"gold", 0, 0, 0, 1}, {Name: "lost", PriorityRank: 1}},
-			Tenants: []Tenant{{"t1", 0}, {"t2", 8}, {"t3", 1}},
-			Servers: []Place{
+			FormatVersion: FormatVersion,
+			Classes:       []Class{{"bulk", 9, 2, 3, 4}, {"gold", 0, 0, 0, 1}, {Name: "lost", PriorityRank: 1}},
+			Tenants:       []Tenant{{"t1", 0}, {"t2", 8}, {"t3", 1}},
+			Servers: []Placement{
 				{ID: "r1", Excluded: true},
 				{ID: "r3", Weight: 0.5},
 			},
-			Zones:     []Place{{ID: "mba", Excluded: true}},
+			Zones:     []Placement{{ID: "mba", Excluded: true}},
 			Budgets:   Budgets{0.1, 5, 0.2},
 			Migration: Migration{1},
 		},
--- a/internal/revision/diff.go
+++ b/internal/revision/diff.go
@@ -37,7 +37,7 @@
 
 func describe(c *Content) description {
 	d := description{}
-	d.number("form", float64(c.Form))
+	d.number("form", float64(c.FormatVersion))
 	if c.Note != "" {
 		d["note"] = strconv.Quote(c.Note)
 	}
@@ -49,8 +49,8 @@
 		}
 		d["tenants "+tenant.Name+" connections"] = quota
 	}
-	d.places("regions ", c.Servers)
-	d.places("zones ", c.Zones)
+	d.placements("regions ", c.Servers)
+	d.placements("zones ", c.Zones)
 	d.number("budgets retries", c.Budgets.RetryRatio)
 	d.number("budgets setups", float64(c.Budgets.MaxPendingAttempts))
 	d.number("budgets cold", c.Budgets.WarmUpShare)
@@ -91,14 +91,14 @@
 	}
 }
 
-func (d description) places(list string, places []Place) {
-	for _, place := range places {
-		at := list + place.ID
-		if place.Excluded {
+func (d description) placements(list string, placements []Placement) {
+	for _, placement := range placements {
+		at := list + placement.ID
+		if placement.Excluded {
 			d[at] = "excluded"
 		}
-		d.number(at+" weight", place.Weight)
-		d.emptyEntry(at, place == Place{ID: place.ID})
+		d.number(at+" weight", placement.Weight)
+		d.emptyEntry(at, placement == Placement{ID: placement.ID})
 	}
 }
 
--- a/internal/revision/errors.go
+++ b/internal/revision/errors.go
@@ -25,19 +25,19 @@
 
 // BaseChanged reports that the revision in force is not the one on which the proposal was based.
 type BaseChanged struct {
-	From, InForce uint64
+	Base, InForce uint64
 	Hash          string
 }
 
 // Error returns the message.
 func (e *BaseChanged) Error() string {
-	return fmt.Sprintf("revision %d is in force (%s), not %d", e.InForce, ShortHash(e.Hash), e.From)
+	return fmt.Sprintf("revision %d is in force (%s), not %d", e.InForce, HashPrefix(e.Hash), e.Base)
 }
 
 // Hint returns what an operator can do about it.
 func (e *BaseChanged) Hint() string {
 	return fmt.Sprintf("see the changes with oatctl revision diff %d %d, and propose again with --from %d",
-		e.From, e.InForce, e.InForce)
+		e.Base, e.InForce, e.InForce)
 }
 
 // GuardActive reports that the guard of the revision in force has not ended.
@@ -57,16 +57,16 @@
 	return "wait until oatctl revision status shows watch=kept, or roll back, which is allowed at any time"
 }
 
-// Forgotten reports that a revision is no longer in the history.
-type Forgotten struct{ Number, FirstKept uint64 }
+// NotRetained reports that a revision is no longer in the history.
+type NotRetained struct{ Number, FirstKept uint64 }
 
 // Error returns the message.
-func (e *Forgotten) Error() string {
+func (e *NotRetained) Error() string {
 	return fmt.Sprintf("revision %d is no longer in the history, which begins with %d", e.Number, e.FirstKept)
 }
 
 // Hint returns what an operator can do about it.
-func (e *Forgotten) Hint() string {
+func (e *NotRetained) Hint() string {
 	return "choose one from oatctl revision list, or propose the text again; " +
 		"revisions.history and history_bytes set how many are kept"
 }
--- a/internal/revision/events_test.go
+++ b/internal/revision/events_test.go
@@ -165,7 +165,7 @@
 func (w *world) restart(i int) {
 	p := &w.processes[i]
 	next := Holder{p.member.Holder.Name, p.generation + 1}
-	*p = process{generation: next.Generation, member: NewMember(next, p.member.HoldOnPartition, checkFor(i))}
+	*p = process{generation: next.Generation, member: NewMember(next, p.member.KeepLeaseOnPartition, checkFor(i))}
 }
 
 func (w *world) kill(i int) {
--- a/internal/revision/golden_test.go
+++ b/internal/revision/golden_test.go
@@ -13,10 +13,10 @@
 func TestFormOfRevisions(t *testing.T) {
 	var c Content
 	golden.Fill(&c)
-	c.Form, c.Note = Form, "naïve ☃ 𝄞"
+	c.FormatVersion, c.Note = FormatVersion, "naïve ☃ 𝄞"
 	golden.Check(t, "content.json", Encode(&c))
 	golden.Check(t, "content.sha256", []byte(Hash(&c)))
-	golden.Check(t, "empty.json", Encode(&Content{Form: Form}))
+	golden.Check(t, "empty.json", Encode(&Content{FormatVersion: FormatVersion}))
 	read, err := Decode(golden.Read(t, "content.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -38,25 +38,25 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "state.json", read.Snapshot())
-	c, err := ReadCommand(golden.Read(t, "command.json"))
+	c, err := DecodeCommand(golden.Read(t, "command.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "command.json", append(c.Entry(), '\n'))
+	golden.Check(t, "command.json", append(c.Encode(), '\n'))
 }
 
 // TestFormOfOrders checks that the lines of operators' calls do not change.
 func TestFormOfOrders(t *testing.T) {
 	out := ""
-	for _, o := range []Order{
+	for _, o := range []Call{
 		{
-			Verb:     VerbPropose,
-			Key:      "k",
-			Base:     3,
-			GuardFor: time.Minute,
-			Deadline: time.Second,
-			By:       "ann",
-			Text:     []byte(`{"oatloft_revision":1}`),
+			Verb:          VerbPropose,
+			Key:           "k",
+			Base:          3,
+			GuardDuration: time.Minute,
+			Deadline:      time.Second,
+			By:            "ann",
+			Text:          []byte(`{"oatloft_revision":1}`),
 		},
 		{Verb: VerbPropose, Key: "k", Base: Latest, Text: []byte(`{}`)},
 		{Verb: VerbRollback, Key: "k", Base: Latest, Number: 2},
@@ -67,10 +67,10 @@
 		{Verb: VerbReplace, Name: "a", NewName: "b"},
 		{Verb: VerbForget, Name: "a"}} {
 		out += o.String() + "\n"
-		if read, err := ParseOrder(o.String()); err != nil || read.String() != o.String() {
+		if read, err := ParseCall(o.String()); err != nil || read.String() != o.String() {
 			t.Error(err, read)
 		}
 	}
-	_, err := ParseOrder("settle x")
+	_, err := ParseCall("settle x")
 	golden.Check(t, "orders.txt", []byte(out+fmt.Sprint(err, "\n")))
 }
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -61,7 +61,7 @@
 	g := &l.guard
 	g.sample(now, l.totals)
 	window := s.Guard
-	if window == nil || window.Kept || window.FailedRollbacks >= MaxFailedRollbacks {
+	if window == nil || window.Ended || window.FailedRollbacks >= MaxFailedRollbacks {
 		return nil
 	}
 	if g.number != window.Number {
--- a/internal/revision/history.go
+++ b/internal/revision/history.go
@@ -20,9 +20,9 @@
 // Proposal is the pending proposal.
 type Proposal struct {
 	Revision
-	GuardFor int64 `json:"watch,omitempty"`   // ns; 0 for no guard
-	Deadline int64 `json:"within,omitempty"`  // ns; 0 for the leader's default
-	Stopped  bool  `json:"stopped,omitempty"` // no leases are granted
+	GuardDuration int64 `json:"watch,omitempty"`   // ns; 0 for no guard
+	Deadline      int64 `json:"within,omitempty"`  // ns; 0 for the leader's default
+	Stopped       bool  `json:"stopped,omitempty"` // no leases are granted
 }
 
 // Outcome is the result of a proposal.
@@ -40,7 +40,7 @@
 	Duration        int64  `json:"for"`  // ns
 	Baseline        Totals `json:"before"`
 	FailedRollbacks int    `json:"tries,omitempty"` // rollbacks that were aborted
-	Kept            bool   `json:"kept,omitempty"`
+	Ended           bool   `json:"kept,omitempty"`
 }
 
 // MaxFailedRollbacks is the number of failed rollbacks after which the guard of a revision stops trying.
@@ -57,5 +57,5 @@
 // HolderEntry is an entry of the list of holders.
 type HolderEntry struct {
 	Holder
-	HoldOnPartition bool `json:"hold,omitempty"`
+	KeepLeaseOnPartition bool `json:"hold,omitempty"`
 }
--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -39,7 +39,7 @@
 
 // Apply takes a committed entry. One that cannot be read does nothing, at all members alike.
 func (m *machine) Apply(_ uint64, entry []byte) {
-	command, err := revision.ReadCommand(entry)
+	command, err := revision.DecodeCommand(entry)
 	if err != nil {
 		m.log.Error("a settled entry can't be read", "err", err)
 		return
@@ -53,7 +53,7 @@
 		w <- result
 	}
 	if m.leader != nil {
-		m.leader.Applied(command)
+		m.leader.CommandApplied(command)
 		if result.Err == nil {
 			m.releaseBandwidth(command, before)
 		}
@@ -111,7 +111,7 @@
 		delete(h.waiting, command.Nonce)
 		h.mu.Unlock()
 	}()
-	if err := h.node.Propose(ctx, command.Entry()); err != nil {
+	if err := h.node.Propose(ctx, command.Encode()); err != nil {
 		return revision.Result{}, &NotCommitted{err.Error()}
 	}
 	select {
@@ -151,10 +151,10 @@
 	if h.leader == nil {
 		h.term = leader.Term
 		h.leader = revision.NewLeader(h.cfg.Name, revision.LeaderConfig{
-			Lease:         h.cfg.Lease,
-			Deadline:      h.cfg.Deadline,
-			KeepRevisions: h.cfg.History,
-			KeepBytes:     h.cfg.HistoryBytes,
+			Lease:           h.cfg.Lease,
+			Deadline:        h.cfg.Deadline,
+			MaxRevisions:    h.cfg.History,
+			MaxHistoryBytes: h.cfg.HistoryBytes,
 		})
 	}
 	if h.leader.Term() == 0 {
@@ -244,7 +244,7 @@
 			return nil, err
 		}
 		join := revision.Command{
-			Op: revision.OpJoin, Holder: c.Holder, HoldOnPartition: c.HoldOnPartition, Ended: c.Ended,
+			Op: revision.OpJoin, Holder: c.Holder, KeepLeaseOnPartition: c.KeepLeaseOnPartition, Ended: c.Ended,
 		}
 		return nil, h.commitAsLeader(ctx, join)
 	case methodLeave:
@@ -260,7 +260,7 @@
 		}
 		return nil, h.processEnded(ctx, from, ended)
 	case methodOperate:
-		order, err := revision.ParseOrder(string(body))
+		order, err := revision.ParseCall(string(body))
 		if err != nil {
 			return nil, err
 		}
@@ -309,7 +309,7 @@
 		grants, renewAfter := h.cfg.Bandwidth.Grant(request.Holder.String(), request.Links, received)
 		reply.Links = grants
 		if renewAfter > 0 {
-			reply.Next = min(reply.Next, renewAfter)
+			reply.RenewAfter = min(reply.RenewAfter, renewAfter)
 		}
 	}
 	return json.Marshal(reply)
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -99,7 +99,7 @@
 // untilNextStep returns when to look again: at the next call, or when the lease expires.
 func (h *leaseHolder) untilNextStep() time.Duration {
 	wait := max(h.nextCall-h.now(), 0)
-	if l := h.member.Lease(); l.Phase == revision.Active && l.Until != revision.Forever {
+	if l := h.member.Lease(); l.Phase == revision.Active && l.Until != revision.NoExpiry {
 		wait = min(wait, max(l.Until-h.now(), 0))
 	}
 	return max(wait, minWait)
@@ -216,7 +216,7 @@
 	}
 	h.member.HandleReply(now, a.requestedAt, a.seq, a.reply)
 	h.logAnswer(nil)
-	h.nextCall = now + a.reply.Next
+	h.nextCall = now + a.reply.RenewAfter
 	if h.cfg.Bandwidth != nil && a.reply.Links != nil {
 		h.cfg.Bandwidth.Granted(a.reply.Links, h.base.Add(a.requestedAt))
 	}
@@ -247,10 +247,10 @@
 	h.joining = true
 	leader, generation := h.node.Leader(), h.member.Holder.Generation
 	request := revision.Command{
-		Op:              revision.OpJoin,
-		Holder:          h.member.Holder,
-		HoldOnPartition: h.cfg.HoldOnPartition,
-		Ended:           h.cfg.PredecessorEnded,
+		Op:                   revision.OpJoin,
+		Holder:               h.member.Holder,
+		KeepLeaseOnPartition: h.cfg.KeepLeaseOnPartition,
+		Ended:                h.cfg.PredecessorEnded,
 	}
 	go func() {
 		if err := h.processes.create(generation); err != nil { // not fatal: the next process or an operator ends the lease
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -173,7 +173,7 @@
 	}
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	holder := revision.Holder{Name: cfg.Name, Generation: max(cfg.Generation, 1)}
-	member := revision.NewMember(holder, cfg.HoldOnPartition, h.check)
+	member := revision.NewMember(holder, cfg.KeepLeaseOnPartition, h.check)
 	h.lease.Store(&Lease{Seq: member.Lease().Seq, Reason: member.Lease().Reason})
 	ready := make(chan struct{})
 	node, err := startNode((*machine)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -31,13 +31,13 @@
 
 func (b *balancer) config(hold bool) Config {
 	return Config{
-		Name:            b.name,
-		Generation:      1,
-		HoldOnPartition: hold,
-		Lease:           300 * time.Millisecond,
-		Deadline:        2 * time.Second,
-		History:         10,
-		HistoryBytes:    1 << 20,
+		Name:                 b.name,
+		Generation:           1,
+		KeepLeaseOnPartition: hold,
+		Lease:                300 * time.Millisecond,
+		Deadline:             2 * time.Second,
+		History:              10,
+		HistoryBytes:         1 << 20,
 		Check: func(c *revision.Content) error {
 			if u := b.unfit.Load(); u != nil && *u == c.Note {
 				return &unfit{c.Note}
@@ -115,7 +115,7 @@
 }
 
 func text(note string) string {
-	return string(revision.Encode(&revision.Content{Form: revision.Form, Note: note}))
+	return string(revision.Encode(&revision.Content{FormatVersion: revision.FormatVersion, Note: note}))
 }
 
 // settled hands a proposal in and waits for its end.
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -29,7 +29,7 @@
 // Operate carries out an operator's order, the words after "revision", at whichever member leads. The error has a
 // hint; one that begins with revision.RetryLaterPrefix may be followed by the same call again.
 func (h *Host) Operate(ctx context.Context, words string) (string, error) {
-	order, err := revision.ParseOrder(words)
+	order, err := revision.ParseCall(words)
 	if err != nil {
 		return "", err
 	}
@@ -51,7 +51,7 @@
 func (h *Host) earlierOutcome(ctx context.Context, key string, incompatible error) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	text, err := h.callAnyLeader(ctx, revision.Order{Verb: revision.VerbOutcome, Key: key}.String())
+	text, err := h.callAnyLeader(ctx, revision.Call{Verb: revision.VerbOutcome, Key: key}.String())
 	if err == nil || strings.HasPrefix(err.Error(), key+" ended nowhere") {
 		return text, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // executeOrder carries out an order at the leader.
-func (h *Host) executeOrder(ctx context.Context, order revision.Order) (string, error) {
+func (h *Host) executeOrder(ctx context.Context, order revision.Call) (string, error) {
 	if err := h.lockAsLeader(ctx); err != nil {
 		return "", err
 	}
@@ -133,7 +133,7 @@
 }
 
 // replaceVoter has a voter replaced. It is called with mu held, and unlocks it meanwhile.
-func (h *Host) replaceVoter(ctx context.Context, order revision.Order) (string, error) {
+func (h *Host) replaceVoter(ctx context.Context, order revision.Call) (string, error) {
 	h.mu.Unlock()
 	err := h.node.Replace(ctx, order.Name, order.NewName)
 	h.mu.Lock()
@@ -152,7 +152,7 @@
 }
 
 // propose commits a proposal, unless its key is known. With mu held, but for the commit.
-func (h *Host) propose(ctx context.Context, order revision.Order) (string, error) {
+func (h *Host) propose(ctx context.Context, order revision.Call) (string, error) {
 	if text, err := h.outcome(order.Key); !errors.As(err, new(*UnknownKey)) {
 		return text, err
 	}
@@ -168,16 +168,16 @@
 }
 
 // proposal returns the command of an operator's proposal or rollback.
-func proposal(state *revision.State, order revision.Order) (revision.Command, error) {
+func proposal(state *revision.State, order revision.Call) (revision.Command, error) {
 	command := revision.Command{
-		Op:         revision.OpPropose,
-		Kind:       revision.KindProposed,
-		Key:        order.Key,
-		Base:       order.Base,
-		By:         cmp.Or(order.By, "-"),
-		GuardFor:   int64(order.GuardFor),
-		Deadline:   int64(order.Deadline),
-		ProposedAt: time.Now().UnixMilli(),
+		Op:            revision.OpPropose,
+		Kind:          revision.KindProposed,
+		Key:           order.Key,
+		Base:          order.Base,
+		By:            cmp.Or(order.By, "-"),
+		GuardDuration: int64(order.GuardDuration),
+		Deadline:      int64(order.Deadline),
+		ProposedAt:    time.Now().UnixMilli(),
 	}
 	if order.Base == revision.Latest {
 		command.Base = state.InForce().Number
@@ -211,7 +211,7 @@
 	if r, err := h.state.Revision(outcome.Number); err == nil {
 		hash = r.Hash
 	}
-	return revision.SettledText(outcome.Number, hash, key), nil
+	return revision.CommittedText(outcome.Number, hash, key), nil
 }
 
 // waitingText describes what the pending proposal waits for. With mu held.
--- a/internal/revision/host/publish.go
+++ b/internal/revision/host/publish.go
@@ -33,7 +33,7 @@
 	l := h.member.Lease()
 	old := h.lease.Load()
 	var until time.Time
-	if l.Until != revision.Forever && l.Phase == revision.Active {
+	if l.Until != revision.NoExpiry && l.Phase == revision.Active {
 		until = h.base.Add(l.Until)
 	}
 	if old.Seq == l.Seq && old.Until.Equal(until) {
@@ -145,7 +145,7 @@
 		h.logRelease(at, releasedBetween)
 	}
 	p.activeNumber = number
-	h.log.Info("revision at work", "number", l.Number, "hash", revision.ShortHash(l.Hash), "at", at)
+	h.log.Info("revision at work", "number", l.Number, "hash", revision.HashPrefix(l.Hash), "at", at)
 	signal(h.wakeCoordinator)
 	h.nextCall = 0
 }
--- a/internal/revision/host/sockets_test.go
+++ b/internal/revision/host/sockets_test.go
@@ -204,7 +204,7 @@
 		t.Error(got, err)
 	}
 	_, err = s.call(t, fmt.Sprintf("get %d", first-1))
-	if !errors.As(err, new(*revision.Forgotten)) || hint.Of(err) == "" {
+	if !errors.As(err, new(*revision.NotRetained)) || hint.Of(err) == "" {
 		t.Errorf("%d: %v", first-1, err)
 	}
 	for i := first; i <= last; i++ {
@@ -248,7 +248,7 @@
 	}
 	s.mustHave(t, n-8, n) // nine of them and the one that went back
 	_, err = s.call(t, fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9))
-	if !errors.As(err, new(*revision.Forgotten)) {
+	if !errors.As(err, new(*revision.NotRetained)) {
 		t.Error(err)
 	}
 }
--- a/internal/revision/host/status.go
+++ b/internal/revision/host/status.go
@@ -32,7 +32,7 @@
 		age = time.Since(time.UnixMilli(r.ProposedAt)).Truncate(time.Second).String()
 	}
 	return fmt.Sprintf("%d hash=%s age=%s by=%s from=%d kind=%s key=%s%s note=%q",
-		r.Number, revision.ShortHash(r.Hash), age, cmp.Or(quoteIfSpaced(r.By), "-"), r.Base, kindText(r),
+		r.Number, revision.HashPrefix(r.Hash), age, cmp.Or(quoteIfSpaced(r.By), "-"), r.Base, kindText(r),
 		cmp.Or(r.Key, "-"), forgotten, r.Note)
 }
 
@@ -65,7 +65,7 @@
 	return fmt.Sprintf(
 		"in-force=%d hash=%s leader=%s reign=%d voters=%s members=%s pending=%s watch=%s history=%d..%d on_cut=%s",
 		inForce.Number,
-		revision.ShortHash(inForce.Hash),
+		revision.HashPrefix(inForce.Hash),
 		h.cfg.Name,
 		s.LeaderTerm,
 		h.votersText(),
@@ -100,7 +100,7 @@
 		if !slices.Contains(names, holder.Name) {
 			names = append(names, holder.Name)
 		}
-		if holder.HoldOnPartition {
+		if holder.KeepLeaseOnPartition {
 			onCut = "hold"
 		}
 	}
@@ -112,7 +112,7 @@
 	switch {
 	case guard == nil:
 		return "none"
-	case guard.Kept:
+	case guard.Ended:
 		return "kept"
 	case guard.FailedRollbacks >= revision.MaxFailedRollbacks:
 		return "no-way-back"
--- a/internal/revision/leader.go
+++ b/internal/revision/leader.go
@@ -10,11 +10,11 @@
 
 // LeaderConfig has the durations and limits of a leader.
 type LeaderConfig struct {
-	Lease         time.Duration // of a grant, from the time of the request by the holder's clock
-	Deadline      time.Duration // for proposals that set none
-	StopTimeout   time.Duration // for all holders to stop, before the revision in force resumes; 0 means Lease/4
-	KeepRevisions int           // maximum number of revisions in the history
-	KeepBytes     int64         // maximum bytes of the texts in the history
+	Lease           time.Duration // of a grant, from the time of the request by the holder's clock
+	Deadline        time.Duration // for proposals that set none
+	StopTimeout     time.Duration // for all holders to stop, before the revision in force resumes; 0 means Lease/4
+	MaxRevisions    int           // maximum number of revisions in the history
+	MaxHistoryBytes int64         // maximum bytes of the texts in the history
 }
 
 const (
@@ -113,7 +113,7 @@
 	reply.Known = true
 	h := l.holder(request.Holder, now)
 	if h.expiring {
-		reply.Next = l.fastInterval()
+		reply.RenewAfter = l.fastInterval()
 		return reply, true
 	}
 	h.lastRenewal = now
@@ -130,7 +130,7 @@
 		reply.Granted = true
 		h.lastGrant = now
 	}
-	reply.Next = min(reply.Next, l.renewInterval())
+	reply.RenewAfter = min(reply.RenewAfter, l.renewInterval())
 	return reply, true
 }
 
@@ -138,11 +138,11 @@
 func (l *Leader) replyInForce(s *State, request RenewRequest) RenewReply {
 	inForce := s.InForce()
 	reply := RenewReply{
-		Epoch:  s.Epoch,
-		Number: inForce.Number,
-		Hash:   inForce.Hash,
-		Lease:  l.Config.Lease,
-		Next:   l.renewInterval(),
+		Epoch:      s.Epoch,
+		Number:     inForce.Number,
+		Hash:       inForce.Hash,
+		Lease:      l.Config.Lease,
+		RenewAfter: l.renewInterval(),
 	}
 	hasText := request.HasNumber == inForce.Number+1
 	staged := request.AnsweredProposal != 0 && request.AnsweredProposal == inForce.ID && request.Rejection == ""
@@ -157,18 +157,18 @@
 	p := s.Pending
 	reply.Proposal, reply.ProposedHash = p.ID, p.Hash
 	reply.Stopped = p.Stopped
-	reply.Next = l.fastInterval()
+	reply.RenewAfter = l.fastInterval()
 	if request.AnsweredProposal != p.ID {
 		reply.Proposed = p.Text
-		reply.Next = 0
+		reply.RenewAfter = 0
 	}
 	if p.Stopped && request.StoppedEpoch != s.Epoch {
-		reply.Next = 0
+		reply.RenewAfter = 0
 	}
 }
 
-// Applied must be called after a command has been applied to the state.
-func (l *Leader) Applied(c Command) {
+// CommandApplied must be called after a command has been applied to the state.
+func (l *Leader) CommandApplied(c Command) {
 	if c.Op != OpExpire && c.Op != OpLeave && c.Op != OpForget {
 		return
 	}
@@ -189,7 +189,7 @@
 
 // isExpired reports whether every grant to a holder, by this or any earlier leader, has expired.
 func (l *Leader) isExpired(entry HolderEntry, h *holderState, now time.Duration) bool {
-	return !entry.HoldOnPartition && now >= max(h.lastGrant, l.termStart)+ExpiryMargin(l.Config.Lease)
+	return !entry.KeepLeaseOnPartition && now >= max(h.lastGrant, l.termStart)+ExpiryMargin(l.Config.Lease)
 }
 
 // NextCommands returns the commands to commit now. It may return the same commands again until they are applied; a
@@ -244,7 +244,7 @@
 	switch {
 	case len(missing) == 0 && p.Stopped:
 		command.Op, command.Baseline = OpCommit, l.guard.baseline()
-		command.KeepRevisions, command.KeepBytes = l.Config.KeepRevisions, l.Config.KeepBytes
+		command.MaxRevisions, command.MaxHistoryBytes = l.Config.MaxRevisions, l.Config.MaxHistoryBytes
 	case len(missing) == 0 && len(s.Holders) > 0:
 		command.Op = OpStop
 	case now >= l.proposalSeen+deadline:
--- a/internal/revision/lease.go
+++ b/internal/revision/lease.go
@@ -22,8 +22,8 @@
 	return [...]string{"learning", "at-work", "between", "lapsed", "left"}[p]
 }
 
-// Forever is the end of a lease that does not expire.
-const Forever = time.Duration(1<<63 - 1)
+// NoExpiry is the end of a lease that does not expire.
+const NoExpiry = time.Duration(1<<63 - 1)
 
 // Lease is the current permission of a process to place new requests. Seq increases with every change other than an
 // extension of Until.
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -98,16 +98,16 @@
 
 // Config has the settings of a host.
 type Config struct {
-	Log              Log
-	Name             string
-	Generation       uint64 // of this process: later starts have higher ones
-	PredecessorEnded bool   // the earlier process of this name is known to have ended; else its file in Log.Folder tells
-	HoldOnPartition  bool   // on_cut = hold
-	Lease            time.Duration
-	Deadline         time.Duration                 // of a proposal
-	History          int                           // revisions that are kept; at least 2
-	HistoryBytes     int64                         // approximate bytes of their texts
-	Check            func(*revision.Content) error // against this balancer's settings; safe for concurrent use
-	LeaseChanged     func()                        // called after the lease has changed; must not block
-	Bandwidth        Bandwidth                     // nil for none
+	Log                  Log
+	Name                 string
+	Generation           uint64 // of this process: later starts have higher ones
+	PredecessorEnded     bool   // the earlier process of this name is known to have ended; else see its file in Log.Folder
+	KeepLeaseOnPartition bool   // on_cut = hold
+	Lease                time.Duration
+	Deadline             time.Duration                 // of a proposal
+	History              int                           // revisions that are kept; at least 2
+	HistoryBytes         int64                         // approximate bytes of their texts
+	Check                func(*revision.Content) error // against this balancer's settings; safe for concurrent use
+	LeaseChanged         func()                        // called after the lease has changed; must not block
+	Bandwidth            Bandwidth                     // nil for none
 }
--- a/internal/revision/member.go
+++ b/internal/revision/member.go
@@ -15,9 +15,9 @@
 //
 // A Member has no goroutine and no clock. Its methods must not be called concurrently.
 type Member struct {
-	Holder          Holder
-	HoldOnPartition bool
-	Check           func(text json.RawMessage) error // checks against this balancer's settings and discovery list
+	Holder               Holder
+	KeepLeaseOnPartition bool
+	Check                func(text json.RawMessage) error // checks against this balancer's settings and discovery list
 
 	lease           Lease
 	acknowledgedSeq uint64 // Seq of the lease that the event loop uses
@@ -55,10 +55,10 @@
 // NewMember returns the member of a process that has received nothing from a leader yet.
 func NewMember(h Holder, holdOnPartition bool, check func(json.RawMessage) error) *Member {
 	return &Member{
-		Holder:          h,
-		HoldOnPartition: holdOnPartition,
-		Check:           check,
-		lease:           Lease{Seq: 1, Reason: "the revision in force is not known yet"},
+		Holder:               h,
+		KeepLeaseOnPartition: holdOnPartition,
+		Check:                check,
+		lease:                Lease{Seq: 1, Reason: "the revision in force is not known yet"},
 	}
 }
 
@@ -98,11 +98,11 @@
 func (m *Member) NextRequest() RenewRequest {
 	m.lastRequest++
 	request := RenewRequest{
-		Holder:           m.Holder,
-		HoldOnPartition:  m.HoldOnPartition,
-		Seq:              m.lastRequest,
-		AnsweredProposal: m.staged.id,
-		Rejection:        m.staged.rejection,
+		Holder:               m.Holder,
+		KeepLeaseOnPartition: m.KeepLeaseOnPartition,
+		Seq:                  m.lastRequest,
+		AnsweredProposal:     m.staged.id,
+		Rejection:            m.staged.rejection,
 	}
 	if m.inForce.hasText {
 		request.HasNumber = m.inForce.number + 1
@@ -250,8 +250,8 @@
 		m.publishIncompatible(reply.Number)
 		return
 	}
-	if m.HoldOnPartition {
-		m.publish(Active, Forever, "")
+	if m.KeepLeaseOnPartition {
+		m.publish(Active, NoExpiry, "")
 		return
 	}
 	until := requestedAt + reply.Lease
--- a/internal/revision/member_test.go
+++ b/internal/revision/member_test.go
@@ -9,7 +9,8 @@
 // TestMemberWithoutListDoesNotAnswer guards against a process without a discovery list that rejects a proposal and so
 // aborts it for all others. It must not answer until it can check the proposal.
 func TestMemberWithoutListDoesNotAnswer(t *testing.T) {
-	proposed := json.RawMessage(Encode(&Content{Form: Form, Servers: []Place{{ID: "r1", Excluded: true}}}))
+	proposed := json.RawMessage(Encode(&Content{FormatVersion: FormatVersion,
+		Servers: []Placement{{ID: "r1", Excluded: true}}}))
 	env := Environment{Servers: []string{"r1", "r2"}}
 	m := NewMember(Holder{Name: "b1", Generation: 1}, false, func(proposed json.RawMessage) error {
 		c, err := Decode(proposed)
@@ -18,7 +19,7 @@
 		}
 		return Check(c, env)
 	})
-	empty := Encode(&Content{Form: Form})
+	empty := Encode(&Content{FormatVersion: FormatVersion})
 	reply := RenewReply{
 		Known:        true,
 		Epoch:        1,
@@ -34,7 +35,7 @@
 	if r := m.NextRequest(); r.AnsweredProposal != 0 || r.Rejection != "" {
 		t.Errorf("without a list: %+v", r)
 	}
-	env.HasList = true
+	env.HasDiscoveryList = true
 	m.HandleReply(1, 1, m.NextRequest().Seq, reply)
 	if r := m.NextRequest(); r.AnsweredProposal != 7 || r.Rejection != "" {
 		t.Errorf("with a list: %+v", r)
--- a/internal/revision/model_test.go
+++ b/internal/revision/model_test.go
@@ -157,7 +157,7 @@
 	w.state = before.Clone()
 	r := w.state.Apply(c)
 	if w.leaderIndex >= 0 && w.processes[w.leaderIndex].leader != nil {
-		w.processes[w.leaderIndex].leader.Applied(c)
+		w.processes[w.leaderIndex].leader.CommandApplied(c)
 	}
 	w.checkCommitted(before, c)
 	return r
@@ -215,7 +215,8 @@
 	p.member.HandleReply(w.now, message.requestedAt, message.seq, message.reply)
 	w.runLoop(message.from)
 	if !message.reply.Known && p.member.HasText() && p.member.Incompatibility() == "" && !p.left {
-		w.apply(Command{Op: OpJoin, Holder: p.member.Holder, HoldOnPartition: p.member.HoldOnPartition, Ended: true})
+		w.apply(Command{Op: OpJoin, Holder: p.member.Holder, KeepLeaseOnPartition: p.member.KeepLeaseOnPartition,
+			Ended: true})
 	}
 }
 
@@ -250,20 +251,20 @@
 
 func (o call) command(plan *plan) Command {
 	c := Command{
-		Op:            OpPropose,
-		Kind:          KindProposed,
-		Key:           o.key,
-		Base:          o.base,
-		Source:        o.source,
-		Text:          json.RawMessage(`"` + o.note + `"`),
-		Hash:          o.note,
-		KeepRevisions: 100,
+		Op:           OpPropose,
+		Kind:         KindProposed,
+		Key:          o.key,
+		Base:         o.base,
+		Source:       o.source,
+		Text:         json.RawMessage(`"` + o.note + `"`),
+		Hash:         o.note,
+		MaxRevisions: 100,
 	}
 	if o.rollback {
 		c.Kind, c.Text, c.Hash = KindRollback, nil, ""
 	}
 	if plan.guarded {
-		c.GuardFor = int64(tickDuration)
+		c.GuardDuration = int64(tickDuration)
 	}
 	return c
 }
--- a/internal/revision/orders.go
+++ b/internal/revision/orders.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Verb is the operation that an order requests.
+// Verb is the operation that a call requests.
 type Verb string
 
 // The verbs, with the arguments that follow them in a line; "-" stands for an argument that is not set.
@@ -42,32 +42,32 @@
 	{VerbForget, "NAME", 1},
 }
 
-// Latest is the revision number that stands for the revision in force in an order.
+// Latest is the revision number that stands for the revision in force in a call.
 const Latest = ^uint64(0)
 
-// Order is one call by an operator: the line after "revision" at the management address.
-type Order struct {
-	Verb     Verb
-	Key      string        // idempotency key of a proposal: repeating the call makes no second revision
-	Base     uint64        // the revision that the operator expects to be in force; Latest for any
-	GuardFor time.Duration // 0 for no guard
-	Deadline time.Duration // 0 for the settings' default
-	By       string
-	Text     []byte // for VerbPropose
-	Number   uint64 // for VerbRollback and VerbGet; for VerbList the last one already seen, Latest for none
-	Name     string // for VerbForget; for VerbReplace the old voter
-	NewName  string // for VerbReplace the new voter
+// Call is one call by an operator: the line after "revision" at the management address.
+type Call struct {
+	Verb          Verb
+	Key           string        // idempotency key of a proposal: repeating the call makes no second revision
+	Base          uint64        // the revision that the operator expects to be in force; Latest for any
+	GuardDuration time.Duration // 0 for no guard
+	Deadline      time.Duration // 0 for the settings' default
+	By            string
+	Text          []byte // for VerbPropose
+	Number        uint64 // for VerbRollback and VerbGet; for VerbList the last one already seen, Latest for none
+	Name          string // for VerbForget; for VerbReplace the old voter
+	NewName       string // for VerbReplace the new voter
 }
 
-// MalformedOrder reports that an operator's line is not a valid order.
-type MalformedOrder struct {
+// MalformedCall reports that an operator's line is not a valid call.
+type MalformedCall struct {
 	Verb  Verb // "" if the verb itself is invalid
 	Field string
 	Cause string
 }
 
 // Error names the invalid argument.
-func (e *MalformedOrder) Error() string {
+func (e *MalformedCall) Error() string {
 	at := "revision"
 	if e.Verb != "" {
 		at += " " + string(e.Verb)
@@ -79,7 +79,7 @@
 }
 
 // Hint returns what an operator can do about it.
-func (e *MalformedOrder) Hint() string {
+func (e *MalformedCall) Hint() string {
 	for _, v := range verbs {
 		if v.verb == e.Verb {
 			return "use oatctl revision " + string(
@@ -92,17 +92,17 @@
 	return "use oatctl revision, which sends one of propose, rollback, get, list, status, outcome, replace, forget"
 }
 
-// Limits of the arguments of orders.
+// Limits of the arguments of calls.
 const (
 	maxNameBytes     = 64 // bytes of a name or key
 	maxGuardDuration = time.Hour
 )
 
-// unspecified stands for an argument that an order does not set.
+// unspecified stands for an argument that a call does not set.
 const unspecified = "-"
 
-// String returns the order as the line after "revision".
-func (o Order) String() string {
+// String returns the call as the line after "revision".
+func (o Call) String() string {
 	fields := []string{string(o.Verb)}
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
@@ -110,7 +110,7 @@
 		if o.Verb == VerbRollback {
 			lastArgument = formatNumber(o.Number)
 		}
-		fields = append(fields, o.Key, formatNumber(o.Base), formatDuration(o.GuardFor), formatDuration(o.Deadline),
+		fields = append(fields, o.Key, formatNumber(o.Base), formatDuration(o.GuardDuration), formatDuration(o.Deadline),
 			cmp.Or(o.By, unspecified), lastArgument)
 	case VerbGet, VerbList:
 		fields = append(fields, formatNumber(o.Number))
@@ -138,21 +138,21 @@
 	return d.String()
 }
 
-// ParseOrder parses the line after "revision". The error is a *MalformedOrder. The text of a proposal is not checked
+// ParseCall parses the line after "revision". The error is a *MalformedCall. The text of a proposal is not checked
 // here; see Decode.
-func ParseOrder(line string) (Order, error) {
+func ParseCall(line string) (Call, error) {
 	verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	o := Order{Verb: Verb(verb), Base: Latest, Number: Latest}
+	o := Call{Verb: Verb(verb), Base: Latest, Number: Latest}
 	i := slices.IndexFunc(verbs, func(v verbSyntax) bool { return v.verb == o.Verb })
 	if i < 0 {
-		return o, &MalformedOrder{"", "", fmt.Sprintf("%.32q is no call", verb)}
+		return o, &MalformedCall{"", "", fmt.Sprintf("%.32q is no call", verb)}
 	}
 	arguments := splitArguments(rest, verbs[i].argumentCount)
 	textHasSpaces := len(arguments) > 0 && strings.Contains(arguments[len(arguments)-1], " ")
 	if len(arguments) != verbs[i].argumentCount || o.Verb != VerbPropose && textHasSpaces {
-		return o, &MalformedOrder{o.Verb, "", "wrong number of arguments"}
+		return o, &MalformedCall{o.Verb, "", "wrong number of arguments"}
 	}
-	parser := orderParser{order: &o}
+	parser := callParser{call: &o}
 	parser.parse(arguments)
 	if parser.err != nil {
 		return o, parser.err
@@ -175,14 +175,14 @@
 	return arguments
 }
 
-// orderParser parses the arguments of an order and keeps the first error.
-type orderParser struct {
-	order *Order
-	err   *MalformedOrder
+// callParser parses the arguments of a call and keeps the first error.
+type callParser struct {
+	call *Call
+	err  *MalformedCall
 }
 
-func (p *orderParser) parse(arguments []string) {
-	o := p.order
+func (p *callParser) parse(arguments []string) {
+	o := p.call
 	switch o.Verb {
 	case VerbPropose, VerbRollback:
 		p.parseProposal(arguments)
@@ -200,11 +200,11 @@
 	}
 }
 
-func (p *orderParser) parseProposal(arguments []string) {
-	o := p.order
+func (p *callParser) parseProposal(arguments []string) {
+	o := p.call
 	p.name("KEY", arguments[0], &o.Key)
 	p.number("FROM", arguments[1], &o.Base)
-	p.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardFor)
+	p.duration("WATCH", arguments[2], maxGuardDuration, &o.GuardDuration)
 	p.duration("DEADLINE", arguments[3], maxGuardDuration, &o.Deadline)
 	if arguments[4] != unspecified {
 		p.name("BY", arguments[4], &o.By)
@@ -219,20 +219,20 @@
 	}
 }
 
-func (p *orderParser) fail(field, argument, cause string) {
+func (p *callParser) fail(field, argument, cause string) {
 	if p.err == nil {
-		p.err = &MalformedOrder{p.order.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
+		p.err = &MalformedCall{p.call.Verb, field, fmt.Sprintf("%.64q %s", argument, cause)}
 	}
 }
 
-func (p *orderParser) name(field, argument string, target *string) {
+func (p *callParser) name(field, argument string, target *string) {
 	*target = argument
 	if !isName(argument, maxNameBytes) || argument == unspecified {
 		p.fail(field, argument, fmt.Sprintf("is not a name of at most %d bytes without spaces", maxNameBytes))
 	}
 }
 
-func (p *orderParser) number(field, argument string, target *uint64) {
+func (p *callParser) number(field, argument string, target *uint64) {
 	if argument == unspecified {
 		*target = Latest
 		return
@@ -244,7 +244,7 @@
 	*target = n
 }
 
-func (p *orderParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
+func (p *callParser) duration(field, argument string, limit time.Duration, target *time.Duration) {
 	if argument == unspecified {
 		return
 	}
@@ -260,18 +260,18 @@
 	return strings.TrimSpace("pending " + key + " " + waitingFor)
 }
 
-// SettledText returns the answer for a proposal that has come into force: "settled NUMBER HASH KEY".
-func SettledText(number uint64, hash, key string) string {
-	return fmt.Sprintf("settled %d %s %s", number, ShortHash(hash), key)
+// CommittedText returns the answer for a proposal that has come into force: "settled NUMBER HASH KEY".
+func CommittedText(number uint64, hash, key string) string {
+	return fmt.Sprintf("settled %d %s %s", number, HashPrefix(hash), key)
 }
 
-// RetryLaterPrefix begins the answer to an order that could not be carried out now and may be repeated unchanged. The
-// order is not known to have had any effect.
+// RetryLaterPrefix begins the answer to a call that could not be carried out now and may be repeated unchanged. The
+// call is not known to have had any effect.
 const RetryLaterPrefix = "later: "
 
-// ReadAnswer parses the answer to a proposal or outcome. It returns the number of the revision if the proposal has come
-// into force, or pending. Any other answer means that the proposal was aborted or rejected.
-func ReadAnswer(text string) (number uint64, settled, pending bool) {
+// ParseAnswer parses the answer to a proposal or outcome. It returns the number of the revision if the proposal has
+// come into force, or pending. Any other answer means that the proposal was aborted or rejected.
+func ParseAnswer(text string) (number uint64, settled, pending bool) {
 	fields := strings.Fields(text)
 	switch {
 	case len(fields) > 1 && fields[0] == "settled":
--- a/internal/revision/orders_test.go
+++ b/internal/revision/orders_test.go
@@ -12,23 +12,23 @@
 	"oatloft/internal/hint"
 )
 
-// TestOrderRoundTrip checks that ParseOrder parses what Order.String returns.
+// TestOrderRoundTrip checks that ParseCall parses what Call.String returns.
 func TestOrderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := func(what string) string { return rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,20}`).Draw(t, what) }
-		o := Order{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, Base: Latest, Number: Latest}
+		o := Call{Verb: rapid.SampledFrom(verbs).Draw(t, "verb").verb, Base: Latest, Number: Latest}
 		number := rapid.SampledFrom([]uint64{0, 1, 12345, Latest})
 		switch o.Verb {
 		case VerbPropose, VerbRollback:
 			o.Key, o.Base, o.By = name("key"), number.Draw(t, "from"), rapid.SampledFrom([]string{"", "amina"}).Draw(t, "by")
-			o.GuardFor, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).
+			o.GuardDuration, o.Deadline = rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).
 				Draw(t, "watch"),
 				rapid.SampledFrom([]time.Duration{0, time.Minute}).
 					Draw(t, "deadline")
 			if o.Verb == VerbRollback {
 				o.Number = uint64(rapid.IntRange(0, 99).Draw(t, "number"))
 			} else {
-				o.Text = Encode(&Content{Form: Form, Note: rapid.StringMatching(`[ -~]{0,20}`).Draw(t, "note")})
+				o.Text = Encode(&Content{FormatVersion: FormatVersion, Note: rapid.StringMatching(`[ -~]{0,20}`).Draw(t, "note")})
 			}
 		case VerbGet, VerbList:
 			o.Number = number.Draw(t, "number")
@@ -39,13 +39,13 @@
 		case VerbForget:
 			o.Name = name("name")
 		}
-		if parsed, err := ParseOrder(o.String()); err != nil || !cmp.Equal(parsed, o) {
+		if parsed, err := ParseCall(o.String()); err != nil || !cmp.Equal(parsed, o) {
 			t.Fatalf("%q: %v\n%+v\n%+v", o, err, o, parsed)
 		}
 	})
 }
 
-// TestParseOrderErrors checks that a malformed order names the invalid argument, and that answers are parsed.
+// TestParseOrderErrors checks that a malformed call names the invalid argument, and that answers are parsed.
 func TestParseOrderErrors(t *testing.T) {
 	for line, want := range map[string]string{
 		"":                                   `"" is no call`,
@@ -69,19 +69,19 @@
 		"replace a":                          "wrong number of arguments",
 		"rollback k 1 - - " + strings.Repeat("b", 65) + " 3": "BY",
 	} {
-		_, err := ParseOrder(line)
-		var e *MalformedOrder
+		_, err := ParseCall(line)
+		var e *MalformedCall
 		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) || hint.Of(err) == "" {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
-	if n, settled, _ := ReadAnswer(SettledText(7, "0123456789abcdef0123", "k")); n != 7 || !settled {
+	if n, settled, _ := ParseAnswer(CommittedText(7, "0123456789abcdef0123", "k")); n != 7 || !settled {
 		t.Error(n, settled)
 	}
-	if _, settled, pending := ReadAnswer(PendingText("k", "b2, b3")); settled || !pending {
+	if _, settled, pending := ParseAnswer(PendingText("k", "b2, b3")); settled || !pending {
 		t.Error("the answer of a pending proposal is not parsed as pending")
 	}
-	if _, settled, pending := ReadAnswer("k ended nowhere: b2"); settled || pending {
+	if _, settled, pending := ParseAnswer("k ended nowhere: b2"); settled || pending {
 		t.Error("the answer of an aborted proposal is parsed as settled or pending")
 	}
 }
--- a/internal/revision/overlay.go
+++ b/internal/revision/overlay.go
@@ -74,8 +74,8 @@
 	return weights
 }
 
-// weight returns 0 for an excluded place, and 1 if no weight is set.
-func (p Place) weight() float64 {
+// weight returns 0 for an excluded placement, and 1 if no weight is set.
+func (p Placement) weight() float64 {
 	if p.Excluded {
 		return 0
 	}
--- a/internal/revision/renewal.go
+++ b/internal/revision/renewal.go
@@ -8,14 +8,14 @@
 // RenewRequest is a holder's request for a lease together with its status. A number of 0 means none.
 type RenewRequest struct {
 	Holder
-	HoldOnPartition  bool   `json:"c,omitempty"`
-	Seq              uint64 `json:"s"`           // of this request
-	HasNumber        uint64 `json:"t,omitempty"` // number of the revision whose text it has, plus 1
-	AnsweredProposal uint64 `json:"p,omitempty"` // the proposal that it has staged or rejected
-	Rejection        string `json:"no,omitempty"`
-	StoppedEpoch     uint64 `json:"e,omitempty"` // the epoch of the stop that its event loop has acknowledged
-	Totals           Totals `json:"f,omitzero"`
-	Links            []byte `json:"l,omitempty"`
+	KeepLeaseOnPartition bool   `json:"c,omitempty"`
+	Seq                  uint64 `json:"s"`           // of this request
+	HasNumber            uint64 `json:"t,omitempty"` // number of the revision whose text it has, plus 1
+	AnsweredProposal     uint64 `json:"p,omitempty"` // the proposal that it has staged or rejected
+	Rejection            string `json:"no,omitempty"`
+	StoppedEpoch         uint64 `json:"e,omitempty"` // the epoch of the stop that its event loop has acknowledged
+	Totals               Totals `json:"f,omitzero"`
+	Links                []byte `json:"l,omitempty"`
 }
 
 // RenewReply is the leader's reply to a RenewRequest.
@@ -32,6 +32,6 @@
 	Proposal      uint64          `json:"p,omitempty"`
 	Proposed      json.RawMessage `json:"pt,omitempty"` // only if the holder has not answered the proposal
 	ProposedHash  string          `json:"ph,omitempty"`
-	Next          time.Duration   `json:"x,omitempty"` // time until the next renewal
+	RenewAfter    time.Duration   `json:"x,omitempty"` // time until the next renewal
 	Links         []byte          `json:"l,omitempty"`
 }
--- a/internal/revision/state.go
+++ b/internal/revision/state.go
@@ -37,7 +37,7 @@
 
 // NewState returns the state of a cluster without any committed command: revision 0, which equals the settings.
 func NewState() *State {
-	c := &Content{Form: Form}
+	c := &Content{FormatVersion: FormatVersion}
 	r := Revision{Hash: Hash(c), Kind: KindProposed, Text: Encode(c), Note: "the settings alone"}
 	return &State{History: []Revision{r}, MinGenerations: map[string]uint64{}, Epoch: 1, historyBytes: int64(len(r.Text))}
 }
@@ -48,12 +48,12 @@
 // Stopped reports whether granting leases is stopped.
 func (s *State) Stopped() bool { return s.Pending != nil && s.Pending.Stopped }
 
-// Revision returns revision n of the history. The error is a *Forgotten or a *NotFound.
+// Revision returns revision n of the history. The error is a *NotRetained or a *NotFound.
 func (s *State) Revision(n uint64) (*Revision, error) {
 	first := s.History[0].Number
 	switch {
 	case n < first:
-		return nil, &Forgotten{n, first}
+		return nil, &NotRetained{n, first}
 	case n > s.InForce().Number:
 		return nil, &NotFound{n, s.InForce().Number}
 	}
@@ -149,7 +149,7 @@
 		})
 	}
 	if i, listed := s.indexOf(h); !listed {
-		s.Holders = slices.Insert(slices.Clone(s.Holders), i, HolderEntry{h, c.HoldOnPartition})
+		s.Holders = slices.Insert(slices.Clone(s.Holders), i, HolderEntry{h, c.KeepLeaseOnPartition})
 	}
 	s.HoldersVersion++
 	return nil
@@ -186,7 +186,7 @@
 	if c.Base != inForce.Number && !failpoint.On("from-unseen") {
 		return Result{Err: &BaseChanged{c.Base, inForce.Number, inForce.Hash}}
 	}
-	if g := s.Guard; g != nil && !g.Kept && g.FailedRollbacks < MaxFailedRollbacks && c.Kind == KindProposed {
+	if g := s.Guard; g != nil && !g.Ended && g.FailedRollbacks < MaxFailedRollbacks && c.Kind == KindProposed {
 		return Result{Err: &GuardActive{g.Number, g.Duration}}
 	}
 	r := Revision{
@@ -209,7 +209,7 @@
 	}
 	s.LastProposal++
 	r.ID = s.LastProposal
-	s.Pending = &Proposal{Revision: r, GuardFor: c.GuardFor, Deadline: c.Deadline}
+	s.Pending = &Proposal{Revision: r, GuardDuration: c.GuardDuration, Deadline: c.Deadline}
 	return Result{}
 }
 
@@ -217,7 +217,7 @@
 func (s *State) endGuard(number uint64) {
 	if g := s.Guard; g != nil && g.Number == number {
 		kept := *g
-		kept.Kept = true
+		kept.Ended = true
 		s.Guard = &kept
 	}
 }
@@ -271,10 +271,10 @@
 	s.History = append(s.History, r)
 	s.historyBytes += int64(len(r.Text))
 	s.addOutcome(Outcome{Key: p.Key, Number: r.Number})
-	if p.GuardFor > 0 {
-		s.Guard = &GuardWindow{Number: r.Number, RollbackTo: previous, Duration: p.GuardFor, Baseline: c.Baseline}
+	if p.GuardDuration > 0 {
+		s.Guard = &GuardWindow{Number: r.Number, RollbackTo: previous, Duration: p.GuardDuration, Baseline: c.Baseline}
 	}
-	maxRevisions, maxBytes := cmp.Or(c.KeepRevisions, defaultKeepRevisions), cmp.Or(c.KeepBytes, defaultKeepBytes)
+	maxRevisions, maxBytes := cmp.Or(c.MaxRevisions, defaultKeepRevisions), cmp.Or(c.MaxHistoryBytes, defaultKeepBytes)
 	for len(s.History) > 2 && (len(s.History) > maxRevisions || s.historyBytes > maxBytes) {
 		s.historyBytes -= int64(len(s.History[0].Text))
 		s.History = s.History[1:]
--- a/internal/revision/state_test.go
+++ b/internal/revision/state_test.go
@@ -25,24 +25,24 @@
 }
 
 // TestHistoryRetention commits 10,000 revisions. The retained ones must survive snapshots unchanged, and older ones
-// must be reported as Forgotten.
+// must be reported as NotRetained.
 func TestHistoryRetention(t *testing.T) {
 	s := NewState()
 	hash := func(n int) string {
-		return Hash(&Content{Form: Form, Note: fmt.Sprint(n)})
+		return Hash(&Content{FormatVersion: FormatVersion, Note: fmt.Sprint(n)})
 	}
 	for i := 1; i <= 10_000; i++ {
-		c := &Content{Form: Form, Note: fmt.Sprint(i)}
+		c := &Content{FormatVersion: FormatVersion, Note: fmt.Sprint(i)}
 		commitRevision(
 			t,
 			s,
 			Command{
-				Kind:          KindProposed,
-				Key:           fmt.Sprint("k", i),
-				Text:          Encode(c),
-				Hash:          Hash(c),
-				KeepRevisions: 1000,
-				KeepBytes:     1 << 20,
+				Kind:            KindProposed,
+				Key:             fmt.Sprint("k", i),
+				Text:            Encode(c),
+				Hash:            Hash(c),
+				MaxRevisions:    1000,
+				MaxHistoryBytes: 1 << 20,
 			},
 		)
 		if i%1700 == 0 {
@@ -66,10 +66,11 @@
 			t.Fatalf("revision %d differs from the committed one: %+v", n, r)
 		}
 	}
-	if _, err := s.Revision(9000); !errors.As(err, new(*Forgotten)) {
+	if _, err := s.Revision(9000); !errors.As(err, new(*NotRetained)) {
 		t.Fatal(err)
 	}
-	commitRevision(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500, KeepRevisions: 1000, KeepBytes: 20_000})
+	commitRevision(t, s, Command{Kind: KindRollback, Key: "back", Source: 9500,
+		MaxRevisions: 1000, MaxHistoryBytes: 20_000})
 	if s.InForce().Hash != hash(9500) || s.historyBytes > 20_000 {
 		t.Fatal(s.InForce().Hash, s.historyBytes)
 	}
@@ -84,7 +85,8 @@
 	commitRevision(
 		t,
 		s,
-		Command{Kind: KindProposed, Key: "k", Text: Encode(&Content{Form: Form}), GuardFor: int64(time.Minute)},
+		Command{Kind: KindProposed, Key: "k", Text: Encode(&Content{FormatVersion: FormatVersion}),
+			GuardDuration: int64(time.Minute)},
 	)
 	propose := func(kind Kind, from, of uint64) error {
 		return s.Apply(
@@ -94,7 +96,7 @@
 				Kind:   kind,
 				Base:   from,
 				Source: of,
-				Text:   Encode(&Content{Form: Form}),
+				Text:   Encode(&Content{FormatVersion: FormatVersion}),
 			},
 		).Err
 	}
@@ -164,11 +166,11 @@
 		t,
 		s,
 		Command{
-			Kind:     KindProposed,
-			Key:      "k",
-			Text:     Encode(&Content{Form: Form}),
-			GuardFor: int64(time.Minute),
-			Baseline: before,
+			Kind:          KindProposed,
+			Key:           "k",
+			Text:          Encode(&Content{FormatVersion: FormatVersion}),
+			GuardDuration: int64(time.Minute),
+			Baseline:      before,
 		},
 	)
 	renew := func(now time.Duration, f Totals) []Command {
--- a/internal/revision/text.go
+++ b/internal/revision/text.go
@@ -85,9 +85,9 @@
 	if name, at := duplicateName(text); name != "" {
 		return nil, &MalformedText{at, "", fmt.Sprintf("duplicate field %q", name)}
 	}
-	if c.Form != Form {
+	if c.FormatVersion != FormatVersion {
 		return nil, &MalformedText{-1, "oatloft_revision",
-			fmt.Sprintf("format version %d; this program reads %d", c.Form, Form)}
+			fmt.Sprintf("format version %d; this program reads %d", c.FormatVersion, FormatVersion)}
 	}
 	return c, nil
 }
@@ -156,16 +156,16 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ShortHash returns the prefix of a hash that is shown to operators: 16 digits.
-func ShortHash(hash string) string { return hash[:min(16, len(hash))] }
+// HashPrefix returns the prefix of a hash that is shown to operators: 16 digits.
+func HashPrefix(hash string) string { return hash[:min(16, len(hash))] }
 
 // normalized returns a copy in which every list is sorted by name.
 func normalized(c *Content) *Content {
 	o := *c
 	o.Classes = sortedBy(o.Classes, func(x Class) string { return x.Name })
 	o.Tenants = sortedBy(o.Tenants, func(x Tenant) string { return x.Name })
-	o.Servers = sortedBy(o.Servers, func(x Place) string { return x.ID })
-	o.Zones = sortedBy(o.Zones, func(x Place) string { return x.ID })
+	o.Servers = sortedBy(o.Servers, func(x Placement) string { return x.ID })
+	o.Zones = sortedBy(o.Zones, func(x Placement) string { return x.ID })
 	o.Links = sortedBy(o.Links, Link.name)
 	for i := range o.Links {
 		o.Links[i].Classes = sortedBy(o.Links[i].Classes, func(x LinkClass) string { return x.Name })
--- a/internal/revision/validate.go
+++ b/internal/revision/validate.go
@@ -12,7 +12,7 @@
 const (
 	MaxPriorityRank        = 255       // rank; 1 is the highest priority
 	MaxLinkPriority        = 16        // priority level of a class on a link; 1 is served first
-	MaxWeight              = 100       // relative to the weight 1 of other places or classes
+	MaxWeight              = 100       // relative to the weight 1 of other placements or classes
 	MaxRetryRatio          = 10.0      // retries per first attempt
 	MaxPendingAttempts     = 1_000_000 // attempts at one balancer
 	MaxMigrationsPerSecond = 10_000.0  // connections per second at one balancer
@@ -102,8 +102,8 @@
 	v.checkAllNames(c)
 	v.checkClasses(c.Classes)
 	v.checkTenants(c.Tenants)
-	v.checkPlaces("regions", c.Servers)
-	v.checkPlaces("zones", c.Zones)
+	v.checkPlacements("regions", c.Servers)
+	v.checkPlacements("zones", c.Zones)
 	v.checkRange("budgets.retries", "", c.Budgets.RetryRatio, 0, MaxRetryRatio)
 	v.checkRange("budgets.setups", "", float64(c.Budgets.MaxPendingAttempts), 0, MaxPendingAttempts)
 	v.checkRange("budgets.cold", "", c.Budgets.WarmUpShare, 0, 1)
@@ -119,9 +119,9 @@
 }
 
 func (v *validator) checkHeader(c *Content) {
-	if c.Form != Form {
-		v.report("oatloft_revision", "", c.Form, "is not a supported format version",
-			"write the revision with oatctl of this version, which writes format version %d", Form)
+	if c.FormatVersion != FormatVersion {
+		v.report("oatloft_revision", "", c.FormatVersion, "is not a supported format version",
+			"write the revision with oatctl of this version, which writes format version %d", FormatVersion)
 	}
 	if len(c.Note) > MaxNoteBytes || !utf8.ValidString(c.Note) || strings.ContainsFunc(c.Note, isControl) {
 		v.report("note", "", fmt.Sprintf("%.64q", c.Note), "is not a valid note",
@@ -159,20 +159,20 @@
 	}
 }
 
-// checkPlaces reports entries that do not set exactly one of exclusion and weight.
-func (v *validator) checkPlaces(list string, places []Place) {
-	for i, place := range places {
+// checkPlacements reports entries that do not set exactly one of exclusion and weight.
+func (v *validator) checkPlacements(list string, placements []Placement) {
+	for i, placement := range placements {
 		at := fmt.Sprintf("%s[%d].", list, i)
 		switch {
-		case place.Excluded && place.Weight != 0:
-			v.report(at+"weight", place.ID, place.Weight, "is set on an excluded entry", "remove one of the two")
-		case !place.Excluded && place.Weight == 0:
-			v.report(at+"weight", place.ID, "", "is not set, and the entry is not excluded",
+		case placement.Excluded && placement.Weight != 0:
+			v.report(at+"weight", placement.ID, placement.Weight, "is set on an excluded entry", "remove one of the two")
+		case !placement.Excluded && placement.Weight == 0:
+			v.report(at+"weight", placement.ID, "", "is not set, and the entry is not excluded",
 				"set out: true or a weight, or remove the entry to leave the weight unchanged")
-		case !place.Excluded && place.Weight > 0 && place.Weight <= minWeight:
-			v.report(at+"weight", place.ID, place.Weight, "is too small to have an effect", "set out: true")
+		case !placement.Excluded && placement.Weight > 0 && placement.Weight <= minWeight:
+			v.report(at+"weight", placement.ID, placement.Weight, "is too small to have an effect", "set out: true")
 		}
-		v.checkRange(at+"weight", place.ID, place.Weight, 0, MaxWeight)
+		v.checkRange(at+"weight", placement.ID, placement.Weight, 0, MaxWeight)
 	}
 }
 
--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -75,14 +75,14 @@
 
 // text is the record as operators write it: times with their units, without the form, which is this program's.
 type text struct {
-	Note    string             `json:"note,omitzero"`
-	Classes []class            `json:"classes,omitempty"`
-	Tenants []revision.Tenant  `json:"tenants,omitempty"`
-	Regions []revision.Place   `json:"regions,omitempty"`
-	Zones   []revision.Place   `json:"zones,omitempty"`
-	Budgets revision.Budgets   `json:"budgets,omitzero"`
-	Moves   revision.Migration `json:"moves,omitzero"`
-	Links   []revision.Link    `json:"links,omitempty"`
+	Note    string               `json:"note,omitzero"`
+	Classes []class              `json:"classes,omitempty"`
+	Tenants []revision.Tenant    `json:"tenants,omitempty"`
+	Regions []revision.Placement `json:"regions,omitempty"`
+	Zones   []revision.Placement `json:"zones,omitempty"`
+	Budgets revision.Budgets     `json:"budgets,omitzero"`
+	Moves   revision.Migration   `json:"moves,omitzero"`
+	Links   []revision.Link      `json:"links,omitempty"`
 }
 
 type class struct {
@@ -130,7 +130,7 @@
 	if err := json.Unmarshal(values, &t); err != nil {
 		return nil, Faults{{path, 0, 0, "", err.Error(), "use whole numbers within the bounds where the schema asks for int"}}
 	}
-	c := revision.Content{Form: revision.Form, Note: t.Note, Tenants: t.Tenants, Servers: t.Regions, Zones: t.Zones, Budgets: t.Budgets, Migration: t.Moves, Links: t.Links}
+	c := revision.Content{FormatVersion: revision.FormatVersion, Note: t.Note, Tenants: t.Tenants, Servers: t.Regions, Zones: t.Zones, Budgets: t.Budgets, Migration: t.Moves, Links: t.Links}
 	for i, k := range t.Classes {
 		x := revision.Class{Name: k.Name, PriorityRank: k.Order, MaxAttempts: k.Attempts}
 		for _, at := range []struct {
--- a/internal/revisioncue/revisioncue_test.go
+++ b/internal/revisioncue/revisioncue_test.go
@@ -33,9 +33,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &revision.Content{Form: 1, Note: "bulk last, mba drained", Classes: []revision.Class{{Name: "gold", PriorityRank: 1, LatencyObjective: 300 * time.Millisecond, MaxAttempts: 3},
-		{Name: "bulk", PriorityRank: 2, MessageLatencyObjective: 1500 * time.Millisecond}}, Tenants: []revision.Tenant{{Name: "t1", ConnectionQuota: 5000}}, Servers: []revision.Place{{ID: "r-7", Excluded: true}},
-		Zones: []revision.Place{{ID: "mba", Weight: 0.25}}, Budgets: revision.Budgets{RetryRatio: 0.2, MaxPendingAttempts: 100, WarmUpShare: 0.5}, Migration: revision.Migration{PerSecond: 2},
+	want := &revision.Content{FormatVersion: 1, Note: "bulk last, mba drained", Classes: []revision.Class{{Name: "gold", PriorityRank: 1, LatencyObjective: 300 * time.Millisecond, MaxAttempts: 3},
+		{Name: "bulk", PriorityRank: 2, MessageLatencyObjective: 1500 * time.Millisecond}}, Tenants: []revision.Tenant{{Name: "t1", ConnectionQuota: 5000}}, Servers: []revision.Placement{{ID: "r-7", Excluded: true}},
+		Zones: []revision.Placement{{ID: "mba", Weight: 0.25}}, Budgets: revision.Budgets{RetryRatio: 0.2, MaxPendingAttempts: 100, WarmUpShare: 0.5}, Migration: revision.Migration{PerSecond: 2},
 		Links: []revision.Link{{From: "nrb", To: "mba", Bytes: 20000, Classes: []revision.LinkClass{{Name: "gold", Priority: 1, MinShare: 0.5, Weight: 1}, {Name: "bulk", Priority: 2, Weight: 1}}}}}
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Fatal(diff)
@@ -44,7 +44,7 @@
 		t.Errorf("as balancers write it: %v %s", err, cmp.Diff(c, again))
 	}
 	for _, empty := range []string{"", "{}", "\n// nothing\n"} {
-		if c, err := Parse("x.cue", []byte(empty)); err != nil || revision.Hash(c) != revision.Hash(&revision.Content{Form: revision.Form}) {
+		if c, err := Parse("x.cue", []byte(empty)); err != nil || revision.Hash(c) != revision.Hash(&revision.Content{FormatVersion: revision.FormatVersion}) {
 			t.Errorf("%q: %v", empty, err)
 		}
 	}
@@ -56,9 +56,9 @@
 		d := func() time.Duration {
 			return time.Duration(rapid.Int64Range(int64(revision.MinObjective), int64(revision.MaxObjective)).Draw(t, "aim"))
 		}
-		c := &revision.Content{Form: revision.Form, Note: rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "note"), Classes: []revision.Class{{Name: "gold", LatencyObjective: d(), MessageLatencyObjective: d().Round(time.Second)}},
-			Tenants: []revision.Tenant{{Name: "if"}}, Servers: []revision.Place{{ID: rapid.StringMatching(`[!-~]{1,12}`).Draw(t, "id"), Weight: rapid.Float64Range(1e-5, 100).Draw(t, "weight")}},
-			Zones:   []revision.Place{{ID: "mba", Excluded: true}},
+		c := &revision.Content{FormatVersion: revision.FormatVersion, Note: rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "note"), Classes: []revision.Class{{Name: "gold", LatencyObjective: d(), MessageLatencyObjective: d().Round(time.Second)}},
+			Tenants: []revision.Tenant{{Name: "if"}}, Servers: []revision.Placement{{ID: rapid.StringMatching(`[!-~]{1,12}`).Draw(t, "id"), Weight: rapid.Float64Range(1e-5, 100).Draw(t, "weight")}},
+			Zones:   []revision.Placement{{ID: "mba", Excluded: true}},
 			Budgets: revision.Budgets{WarmUpShare: rapid.Float64Range(0, 1).Draw(t, "cold")},
 			Links:   []revision.Link{{From: "a", To: "b", Bytes: rapid.Float64Range(1, 1e12).Draw(t, "bytes"), Classes: []revision.LinkClass{{Name: "gold", Priority: 3, Weight: 1}}}}}
 		text := Format(c)
--- a/internal/simulation/crowd.go
+++ b/internal/simulation/crowd.go
@@ -513,8 +513,8 @@
 
 func (w *World) own(d *balancer) coordination.LocalState {
 	activity := d.b.Activity()
-	own := coordination.LocalState{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge,
-		SlotPeriod: activity.SlotPeriod, Demand: activity.Demand, Rejected: d.refused}
+	own := coordination.LocalState{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge, SlotPeriod: activity.SlotPeriod,
+		Demand: activity.Demand, Rejected: d.refused}
 	for _, s := range w.servers {
 		r := d.own[s.ID]
 		own.Servers = append(own.Servers, coordination.Server{ID: s.ID, Zone: s.Zone, Live: true, WarmingUp: s.StartedAt > 0 && w.Now-s.StartedAt < coldFor, Load: r.x, ReadAt: r.at, FailedProbes: r.fails})
