--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -23,7 +23,7 @@
 	answerReader   platform.LineReader // of the attempt
 	fromServer     platform.Scan
 	toServer       platform.Scan
-	lastServerWord platform.Word // type of the server's latest line
+	lastServerLine platform.Word // type of the server's latest line
 
 	migration    migration
 	backpressure [2]bool // index 0: towards the client; index 1: towards the server
@@ -40,7 +40,7 @@
 	if conn.ticket != 0 {
 		b.clientsByTicket[conn.ticket] = c
 		if victim, ok := b.admission.takePendingVictim(conn.ticket); ok {
-			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.After})
+			b.step(core.CloseIdle{Client: c.handle, RetryAfter: victim.RetryAfter})
 		}
 	}
 	if b.exiting && !c.finished { // accepted while the listener was being closed
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -54,7 +54,7 @@
 	case core.Forward:
 		b.withClient(e.Client, func(c *client) { b.forward(c, e) })
 	case core.PauseReading:
-		b.withClient(e.Client, func(c *client) { c.pauseReading(e.OfServer, e.On) })
+		b.withClient(e.Client, func(c *client) { c.pauseReading(e.FromServer, e.Paused) })
 	case core.CloseServer:
 		b.withClient(e.Client, func(c *client) { c.closeServer(e.Reason) })
 	case core.CloseClient:
@@ -73,7 +73,7 @@
 
 // dialServer starts an attempt by dialing its server.
 func (b *Balancer) dialServer(c *client, e core.Dial) {
-	c.answerReader, c.lastServerWord, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
+	c.answerReader, c.lastServerLine, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
 	c.server = &connection{balancer: b, role: serverRole, client: c, attempt: e.Attempt, server: e.Server}
 	b.dial(c.server, e.Address, e.Timeout+dialMargin)
 }
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -123,15 +123,15 @@
 // consensusConfig converts the settings of the log to those of package consensus.
 func consensusConfig(log lease.Log) consensus.Config {
 	cfg := consensus.Config{
-		Cluster:      log.Cluster,
-		Name:         log.Name,
-		Listen:       log.Listen,
-		Voters:       log.Voters,
-		Reach:        log.Reach,
-		Folder:       log.Folder,
-		Tick:         log.Tick,
-		ReplaceAfter: log.ReplaceAfter,
-		Seed:         log.Seed,
+		Cluster:          log.Cluster,
+		Name:             log.Name,
+		Listen:           log.Listen,
+		Voters:           log.Voters,
+		AddressOverrides: log.Reach,
+		Folder:           log.Folder,
+		Tick:             log.Tick,
+		ReplaceAfter:     log.ReplaceAfter,
+		Seed:             log.Seed,
 	}
 	for _, candidate := range log.Candidates {
 		cfg.Candidates = append(cfg.Candidates, consensus.Candidate(candidate))
@@ -174,7 +174,7 @@
 	}
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	holder := revision.Holder{Name: cfg.Name, Generation: max(cfg.Generation, 1)}
-	member := revision.NewMember(holder, cfg.HoldOnPartition, h.check)
+	member := revision.NewMember(holder, cfg.KeepLeaseOnPartition, h.check)
 	h.lease.Store(&Lease{Seq: member.Lease().Seq, Reason: member.Lease().Reason})
 	ready := make(chan struct{})
 	node, err := startNode((*machine)(h), func(ctx context.Context, from, method string, body []byte) ([]byte, error) {
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -31,13 +31,13 @@
 
 func (b *balancer) config(hold bool) Config {
 	return Config{
-		Name:            b.name,
-		Generation:      1,
-		HoldOnPartition: hold,
-		Lease:           300 * time.Millisecond,
-		Deadline:        2 * time.Second,
-		History:         10,
-		HistoryBytes:    1 << 20,
+		Name:                 b.name,
+		Generation:           1,
+		KeepLeaseOnPartition: hold,
+		Lease:                300 * time.Millisecond,
+		Deadline:             2 * time.Second,
+		History:              10,
+		HistoryBytes:         1 << 20,
 		Check: func(c *revision.Content) error {
 			if note := b.incompatibleNote.Load(); note != nil && *note == c.Note {
 				return &incompatibleError{c.Note}
@@ -115,7 +115,7 @@
 }
 
 func text(note string) string {
-	return string(revision.Encode(&revision.Content{Form: revision.Form, Note: note}))
+	return string(revision.Encode(&revision.Content{FormatVersion: revision.FormatVersion, Note: note}))
 }
 
 // awaitOutcome submits a proposal and waits for its outcome.
--- a/internal/revision/host/processes_test.go
+++ b/internal/revision/host/processes_test.go
@@ -118,7 +118,7 @@
 				t.Fatal(got, err)
 			}
 			waitFor(t, "files of ended processes are removed", func() bool { // only after the leader has been notified
-				files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes))
+				files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder))
 				return len(files) == strings.Count(want, "c/")
 			})
 		})
@@ -198,7 +198,7 @@
 		}
 	})
 	b.close()
-	if files, _ := os.ReadDir(filepath.Join(folder, consensus.Processes)); len(files) != 1 { // other's incomplete file
+	if files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder)); len(files) != 1 { // other's incomplete file
 		t.Errorf("%d files are left: %v", len(files), files)
 	}
 	waitFor(t, "the process is no longer a holder", func() bool { return holders(all) == "a/1 b/1" })
--- a/internal/revision/host/sockets_test.go
+++ b/internal/revision/host/sockets_test.go
@@ -206,7 +206,7 @@
 		t.Error(got, err)
 	}
 	_, err = s.operateWithRetry(t, fmt.Sprintf("get %d", first-1))
-	if !errors.As(err, new(*revision.Forgotten)) || hint.Of(err) == "" {
+	if !errors.As(err, new(*revision.NotRetained)) || hint.Of(err) == "" {
 		t.Errorf("%d: %v", first-1, err)
 	}
 	for i := first; i <= last; i++ {
@@ -250,7 +250,7 @@
 	}
 	s.mustKeep(t, n-8, n) // nine of them and the rollback
 	_, err = s.operateWithRetry(t, fmt.Sprintf("rollback gone %d - - op %d", n+1, n-9))
-	if !errors.As(err, new(*revision.Forgotten)) {
+	if !errors.As(err, new(*revision.NotRetained)) {
 		t.Error(err)
 	}
 }
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -102,16 +102,16 @@
 
 // Config holds the settings of a host.
 type Config struct {
-	Log              Log
-	Name             string
-	Generation       uint64 // of this process; higher for later starts
-	PredecessorEnded bool   // the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
-	HoldOnPartition  bool   // on_cut = hold: the lease does not expire during a partition
-	Lease            time.Duration
-	Deadline         time.Duration                 // of a proposal
-	History          int                           // revisions to keep; at least 2
-	HistoryBytes     int64                         // approximate bound of their texts, in bytes
-	Check            func(*revision.Content) error // against this balancer's settings; safe for concurrent use
-	LeaseChanged     func()                        // called after the lease has changed; must not block
-	Bandwidth        Bandwidth                     // nil for none
+	Log                  Log
+	Name                 string
+	Generation           uint64 // of this process; higher for later starts
+	PredecessorEnded     bool   // the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
+	KeepLeaseOnPartition bool   // on_cut = hold: the lease does not expire during a partition
+	Lease                time.Duration
+	Deadline             time.Duration                 // of a proposal
+	History              int                           // revisions to keep; at least 2
+	HistoryBytes         int64                         // approximate bound of their texts, in bytes
+	Check                func(*revision.Content) error // against this balancer's settings; safe for concurrent use
+	LeaseChanged         func()                        // called after the lease has changed; must not block
+	Bandwidth            Bandwidth                     // nil for none
 }
--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -79,14 +79,14 @@
 // contentText is a revision as operators write it: durations have a unit, and the form's version, which this program
 // adds, is left out.
 type contentText struct {
-	Note      string             `json:"note,omitzero"`
-	Classes   []classText        `json:"classes,omitempty"`
-	Tenants   []revision.Tenant  `json:"tenants,omitempty"`
-	Servers   []revision.Place   `json:"regions,omitempty"`
-	Zones     []revision.Place   `json:"zones,omitempty"`
-	Budgets   revision.Budgets   `json:"budgets,omitzero"`
-	Migration revision.Migration `json:"moves,omitzero"`
-	Links     []revision.Link    `json:"links,omitempty"`
+	Note      string               `json:"note,omitzero"`
+	Classes   []classText          `json:"classes,omitempty"`
+	Tenants   []revision.Tenant    `json:"tenants,omitempty"`
+	Servers   []revision.Placement `json:"regions,omitempty"`
+	Zones     []revision.Placement `json:"zones,omitempty"`
+	Budgets   revision.Budgets     `json:"budgets,omitzero"`
+	Migration revision.Migration   `json:"moves,omitzero"`
+	Links     []revision.Link      `json:"links,omitempty"`
 }
 
 // classText is a class as operators write it.
@@ -145,14 +145,14 @@
 		}}
 	}
 	c := revision.Content{
-		Form:      revision.Form,
-		Note:      t.Note,
-		Tenants:   t.Tenants,
-		Servers:   t.Servers,
-		Zones:     t.Zones,
-		Budgets:   t.Budgets,
-		Migration: t.Migration,
-		Links:     t.Links,
+		FormatVersion: revision.FormatVersion,
+		Note:          t.Note,
+		Tenants:       t.Tenants,
+		Servers:       t.Servers,
+		Zones:         t.Zones,
+		Budgets:       t.Budgets,
+		Migration:     t.Migration,
+		Links:         t.Links,
 	}
 	for i, k := range t.Classes {
 		x := revision.Class{Name: k.Name, PriorityRank: k.PriorityRank, MaxAttempts: k.Attempts}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -538,9 +538,9 @@
 	return view
 }
 
-func (e *Environment) localState(b *balancer) coordination.Local {
+func (e *Environment) localState(b *balancer) coordination.LocalState {
 	activity := b.policy.Activity()
-	own := coordination.Local{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge,
+	own := coordination.LocalState{ExplorationSlots: activity.ExplorationSlots, SlotAge: activity.SlotAge,
 		SlotPeriod: activity.SlotPeriod, Demand: activity.Demand, Rejected: b.rejected}
 	for _, s := range e.endpoints {
 		r := b.readings[s.ID]
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -143,8 +143,8 @@
 	}
 	e.Run(20 * time.Second)
 	for _, b := range e.balancers {
-		if b.coordinator.Counts.Received > 0 {
-			t.Fatalf("%s used %d readings", b.name, b.coordinator.Counts.Received)
+		if b.coordinator.Counts.PassedOn > 0 {
+			t.Fatalf("%s used %d readings", b.name, b.coordinator.Counts.PassedOn)
 		}
 	}
 	if got := meanImbalance(e, 8); got > 1.6 {
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -459,7 +459,7 @@
 		Request: policy.Request{ID: r.id, Key: c.key, Group: c.group, Class: c.class.Name, Tenant: c.tenant,
 			Timeout: timeout, MidFlow: c.movedFrom != nil}}
 	if r.reestablished = at != nil; r.reestablished {
-		ev.EstablishedAt = at.Endpoint.ID
+		ev.EstablishedServer = at.Endpoint.ID
 	}
 	s.Evaluation.requests++
 	s.dispatch(b, ev)
