--- a/internal/faultinjection/answers.go
+++ b/internal/faultinjection/answers.go
@@ -11,15 +11,15 @@
 
 // This file owns how the answers of a balancer to operators' calls on revisions are read.
 
-var isInForce = regexp.MustCompile(`^revision (\d+) is in force \(`)
+var inForcePattern = regexp.MustCompile(`^revision (\d+) is in force \(`)
 
 // told takes what an answer says of a request.
-func (o *Op) told(a management.Answer) {
+func (o *Op) recordAnswer(a management.Answer) {
 	if n, settled, _ := revision.ReadAnswer(a.Text); settled && a.OK {
 		o.Result, o.Settled = Settled, n
 		return
 	}
-	switch m := isInForce.FindStringSubmatch(a.Text); {
+	switch m := inForcePattern.FindStringSubmatch(a.Text); {
 	case m != nil && !a.OK:
 		o.InForce, _ = strconv.ParseUint(m[1], 10, 64)
 		o.Result = Refused
@@ -29,7 +29,7 @@
 }
 
 // asksAgain tells whether a no says nothing of the request itself: it may be handed in again.
-func asksAgain(text string) bool {
+func isRetryable(text string) bool {
 	return strings.HasPrefix(text, revision.RetryLaterPrefix) || strings.HasPrefix(text, "busy:")
 }
 
@@ -46,7 +46,7 @@
 
 // status asks balancer i.
 func (w *Scenario) status(i int) (s Status, ok bool) {
-	a, err := callLine(w.manage(i), "revision status", callWait)
+	a, err := callLine(w.managementAddr(i), "revision status", callWait)
 	if err != nil || !a.OK {
 		return Status{Text: a.Text}, false
 	}
--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -29,13 +29,13 @@
 }
 
 // how is what goes on while changes are made: rounds of a fault at some balancers, with a pause after each.
-type how struct {
+type faultPattern struct {
 	fault, pause [2]time.Duration // from, to
-	draw         func(rng *rand.Rand, s *Schedule) []Fault
+	generate         func(rng *rand.Rand, s *Schedule) []Fault
 }
 
 // drawnOf gives so many balancers a fault each, of drawn kinds.
-func drawnOf(least, most int, kinds ...string) func(rng *rand.Rand, s *Schedule) []Fault {
+func randomFaults(least, most int, kinds ...string) func(rng *rand.Rand, s *Schedule) []Fault {
 	return func(rng *rand.Rand, s *Schedule) (list []Fault) {
 		for _, i := range rng.Perm(s.Balancers)[:min(s.Balancers, least+rng.IntN(most-least+1))] {
 			list = append(list, Fault{Kind: kinds[rng.IntN(len(kinds))], A: i + 1})
@@ -45,20 +45,20 @@
 }
 
 // hows are made for five balancers: two of them are fewer than half, three are most.
-var hows = map[string]how{
+var faultPatterns = map[string]faultPattern{
 	"calm": {[2]time.Duration{time.Second, time.Second}, [2]time.Duration{}, func(*rand.Rand, *Schedule) []Fault { return nil }},
 	"mixed": {[2]time.Duration{300 * time.Millisecond, 4 * time.Second}, [2]time.Duration{50 * time.Millisecond, time.Second},
-		drawnOf(1, 2, "kill", "stop", "talk-cut", "talk-one-way")},
-	"one-down":      {fixed, fixed, drawnOf(1, 1, "kill")},
-	"two-down":      {fixed, fixed, drawnOf(2, 2, "kill")},
-	"one-cut":       {fixed, fixed, drawnOf(1, 1, "talk-cut")},
-	"majority-lost": {fixed, fixed, drawnOf(3, 3, "kill")},
+		randomFaults(1, 2, "kill", "stop", "talk-cut", "talk-one-way")},
+	"one-down":      {fixedLength, fixedLength, randomFaults(1, 1, "kill")},
+	"two-down":      {fixedLength, fixedLength, randomFaults(2, 2, "kill")},
+	"one-cut":       {fixedLength, fixedLength, randomFaults(1, 1, "talk-cut")},
+	"majority-lost": {fixedLength, fixedLength, randomFaults(3, 3, "kill")},
 }
 
-var fixed = [2]time.Duration{6 * time.Second, 6 * time.Second}
+var fixedLength = [2]time.Duration{6 * time.Second, 6 * time.Second}
 
 // Hows are the names of what may go on.
-func Hows() []string {
+func FaultPatterns() []string {
 	return []string{"mixed", "calm", "one-down", "two-down", "one-cut", "majority-lost"}
 }
 
@@ -68,46 +68,46 @@
 }
 
 func (p *Plan) check() error {
-	switch _, ok := hows[p.How]; {
+	switch _, ok := faultPatterns[p.How]; {
 	case !ok:
-		return &InvalidSchedule{"how", fmt.Sprintf("%q is none of %s", p.How, strings.Join(Hows(), ", "))}
-	case p.Changes < 0 || p.Rollbacks < 0 || p.Before < 0 || p.Changes+p.Rollbacks+p.Before > mostChanges:
-		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: more than %d, or fewer than none", p.Before, p.Changes, p.Rollbacks, mostChanges)}
+		return &InvalidSchedule{"how", fmt.Sprintf("%q is none of %s", p.How, strings.Join(FaultPatterns(), ", "))}
+	case p.Changes < 0 || p.Rollbacks < 0 || p.Before < 0 || p.Changes+p.Rollbacks+p.Before > maxChanges:
+		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: more than %d, or fewer than none", p.Before, p.Changes, p.Rollbacks, maxChanges)}
 	}
 	return nil
 }
 
 const (
-	mostChanges = 20_000
-	planIn      = 2 // regions that a revision leaves in
+	maxChanges = 20_000
+	planServers      = 2 // regions that a revision leaves in
 )
 
 // Changed is what a plan came to.
-type Changed struct {
+type PlanResult struct {
 	Everywhere, Nowhere, Mixed int
-	InForce                    []time.Duration // from the call until its operator was told, sorted
-	Newcomers                  map[string]int  // by how they were answered
-	CameBack, Judged           int             // balancers after a fault; of these, those whose first newcomer came to a region
+	SettleTimes                    []time.Duration // from the call until its operator was told, sorted
+	Answers                  map[string]int  // by how they were answered
+	Recovered, Judged           int             // balancers after a fault; of these, those whose first newcomer came to a region
 	Faults                     int
-	Lasted                     time.Duration
-	Rolled, Equal              int // rollbacks settled, and those whose content is the old one's by hash at all
+	Duration                     time.Duration
+	Rollbacks, Equal              int // rollbacks settled, and those whose content is the old one's by hash at all
 	Entries                    int // in the history at the end
 	Leaders                    int // balancers that told their own
 }
 
 // comeback is a balancer whose fault has ended.
-type comeback struct {
+type recovery struct {
 	by string
 	at time.Duration
 }
 
 // changes plays a plan.
-func (w *Scenario) changes(p *Plan, began time.Duration) {
+func (w *Scenario) playPlan(p *Plan, began time.Duration) {
 	rng := rand.New(rand.NewPCG(p.Seed, 31))
 	n := 0
 	next := func(c Call) Result {
 		n++
-		return w.operate(n, c)
+		return w.playCall(n, c)
 	}
 	only := func() int { return 1 + rng.IntN(w.Schedule.Regions) }
 	for made := 0; made < p.Before && w.Now() < began+p.Within; {
@@ -115,10 +115,10 @@
 			made++
 		}
 	}
-	from, counted := w.Now(), w.answered()
+	from, counted := w.Now(), w.answerCounts()
 	over := make(chan struct{})
 	var faults sync.WaitGroup
-	faults.Go(func() { w.rounds(hows[p.How], rand.New(rand.NewPCG(p.Seed, 37)), over) })
+	faults.Go(func() { w.playFaultRounds(faultPatterns[p.How], rand.New(rand.NewPCG(p.Seed, 37)), over) })
 	for made := 0; made < p.Changes+p.Rollbacks && w.Now() < began+p.Within; {
 		c := Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: only(), From: rng.IntN(2) == 0, Lost: rng.IntN(3) == 0, Again: rng.IntN(3) == 0}
 		if rng.IntN(3) == 0 {
@@ -138,24 +138,24 @@
 	}
 	close(over)
 	faults.Wait()
-	lasted, answers := w.Now()-from, w.answered()
-	list := w.eachLeads()
+	lasted, answers := w.Now()-from, w.answerCounts()
+	list := w.collectLeaderHistories()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = list
-	w.changed = &Changed{Newcomers: map[string]int{}, Lasted: lasted, Faults: len(w.comebacks)}
+	w.leaderHistories = list
+	w.planResult = &PlanResult{Answers: map[string]int{}, Duration: lasted, Faults: len(w.recoveries)}
 	for what, n := range answers {
-		w.changed.Newcomers[what] = n - counted[what]
+		w.planResult.Answers[what] = n - counted[what]
 	}
 }
 
 // rounds begins and ends faults until the changes are over.
-func (w *Scenario) rounds(h how, rng *rand.Rand, over <-chan struct{}) {
+func (w *Scenario) playFaultRounds(h faultPattern, rng *rand.Rand, over <-chan struct{}) {
 	draw := func(span [2]time.Duration) time.Duration {
 		return span[0] + time.Duration(rng.Int64N(max(1, int64(span[1]-span[0]))))
 	}
 	for goesOn := true; goesOn; {
-		list, long, calm := h.draw(rng, w.Schedule), draw(h.fault), draw(h.pause)
+		list, long, calm := h.generate(rng, w.Schedule), draw(h.fault), draw(h.pause)
 		var ends []func()
 		for _, f := range list {
 			ends = append(ends, w.StartFault(f))
@@ -164,7 +164,7 @@
 		var all sync.WaitGroup
 		for i, f := range list {
 			w.mu.Lock()
-			w.comebacks = append(w.comebacks, comeback{w.name(f.A - 1), w.Now()})
+			w.recoveries = append(w.recoveries, recovery{w.name(f.A - 1), w.Now()})
 			w.mu.Unlock()
 			all.Go(ends[i]) // a process takes its time to start
 		}
@@ -174,7 +174,7 @@
 }
 
 // answered is how newcomers were answered so far.
-func (w *Scenario) answered() map[string]int {
+func (w *Scenario) answerCounts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := map[string]int{}
@@ -186,10 +186,10 @@
 
 // PlanOutcome is the invariant of a run of changes: each in force everywhere or nowhere, every balancer that comes back routes its first
 // newcomer by what is in force, and a rollback has the content of what it goes back to, at all.
-type PlanOutcome struct{ atTheEnd }
+type PlanOutcome struct{ finalOnly }
 
 // told is what one balancer, as the leader, gives out of the history: its own copy, applied from its own folder's log.
-type told struct {
+type leaderHistory struct {
 	by      string
 	history []Entry
 	hashes  map[uint64]string // of the contents that it gives out, by number
@@ -198,24 +198,24 @@
 // Judge counts, and tells what isn't so.
 func (PlanOutcome) Judge(w *Scenario) (broken []string) {
 	w.mu.Lock()
-	c, backs, list := w.changed, slices.Clone(w.comebacks), w.told
+	c, backs, list := w.planResult, slices.Clone(w.recoveries), w.leaderHistories
 	w.mu.Unlock()
 	if len(list) == 0 {
 		return []string{"no balancer came to tell its history as the leader"}
 	}
 	c.Leaders = len(list)
 	ops := w.record.Ops()
-	broken = c.places(ops, list)
+	broken = c.countOutcomes(ops, list)
 	w.record.mu.Lock()
 	routed := slices.Clone(w.record.routed)
 	w.record.mu.Unlock()
-	broken = append(broken, c.firsts(backs, firstRouted(routed), w.record.Works(), contents(ops, list[0].history))...)
-	return append(broken, c.rolled(list)...)
+	broken = append(broken, c.judgeFirstRequests(backs, arrivalsByBalancer(routed), w.record.Works(), summarize(ops, list[0].history))...)
+	return append(broken, c.judgeRollbacks(list)...)
 }
 
 // eachLeads has one balancer after the other lead, by ending whoever does, and reads the history that each has. Not all come to lead
 // within the rounds that there are: at least most of them have to, and what they tell is judged.
-func (w *Scenario) eachLeads() (list []told) {
+func (w *Scenario) collectLeaderHistories() (list []leaderHistory) {
 	for range 4 * w.Schedule.Balancers {
 		if w.settle([]Invariant{Convergence{}}, 20*w.options.SilentAfter+w.revisionsSettle()) != "" {
 			return list
@@ -224,8 +224,8 @@
 		if i == 0 {
 			continue
 		}
-		if name := w.name(i - 1); !slices.ContainsFunc(list, func(t told) bool { return t.by == name }) {
-			if t, ok := w.tells(i - 1); ok && w.leader(0) == i {
+		if name := w.name(i - 1); !slices.ContainsFunc(list, func(t leaderHistory) bool { return t.by == name }) {
+			if t, ok := w.readLeaderHistory(i - 1); ok && w.leader(0) == i {
 				list = append(list, t)
 			}
 		}
@@ -238,14 +238,14 @@
 }
 
 // tells reads a history, and the contents of what was rolled back to and from.
-func (w *Scenario) tells(i int) (t told, ok bool) {
-	t = told{by: w.name(i), hashes: map[uint64]string{}}
+func (w *Scenario) readLeaderHistory(i int) (t leaderHistory, ok bool) {
+	t = leaderHistory{by: w.name(i), hashes: map[uint64]string{}}
 	var err error
 	if t.history, err = w.history(i); err != nil {
 		return t, false
 	}
 	for _, e := range t.history {
-		if of, ok := e.back(); ok {
+		if of, ok := e.rollbackTarget(); ok {
 			for _, n := range []uint64{of, e.Number} {
 				if t.hashes[n] == "" {
 					if c, err := w.contentOf(i, n); err == nil {
@@ -259,13 +259,13 @@
 }
 
 // back is what a rollback goes back to.
-func (e Entry) back() (of uint64, ok bool) {
+func (e Entry) rollbackTarget() (of uint64, ok bool) {
 	n, _ := fmt.Sscanf(e.Kind, "rollback-of-%d", &of)
 	return of, n == 1
 }
 
 // places counts where each change is in force in the end.
-func (c *Changed) places(ops []Op, list []told) (broken []string) {
+func (c *PlanResult) countOutcomes(ops []Op, list []leaderHistory) (broken []string) {
 	held := make([]map[string]Entry, len(list))
 	for i, t := range list {
 		held[i] = map[string]Entry{}
@@ -296,23 +296,23 @@
 		default:
 			c.Everywhere++
 			if o.Result == Settled {
-				c.InForce = append(c.InForce, o.Returned-o.Called)
+				c.SettleTimes = append(c.SettleTimes, o.Returned-o.Called)
 			}
 		}
 	}
-	slices.Sort(c.InForce)
+	slices.Sort(c.SettleTimes)
 	return broken
 }
 
 // arrival is a newcomer's coming to a region.
 type arrival struct {
 	at     time.Duration
-	region string
+	server string
 }
 
 // firsts judges the first newcomer of each balancer after its fault: it has to go by what is in force, whatever had been in force
 // before the fault. A newcomer takes up to underWay from the decision to the region.
-func (c *Changed) firsts(backs []comeback, by map[string][]arrival, works []Work, say map[uint64]says) (broken []string) {
+func (c *PlanResult) judgeFirstRequests(backs []recovery, by map[string][]arrival, works []Work, say map[uint64]revisionSummary) (broken []string) {
 	began := map[uint64]time.Duration{} // number: first at work anywhere
 	for _, k := range works {
 		if at, ok := began[k.Number]; !ok || k.From < at {
@@ -321,7 +321,7 @@
 	}
 	seen := map[string]time.Duration{}
 	for _, b := range backs {
-		c.CameBack++
+		c.Recovered++
 		list := by[b.by]
 		i, _ := slices.BinarySearchFunc(list, b.at, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
 		if i == len(list) || seen[b.by] == list[i].at && i > 0 {
@@ -332,20 +332,20 @@
 		c.Judged++
 		may, had := false, ""
 		for _, k := range works {
-			if k.By != b.by || k.From-soon > e.at || e.at-underWay > k.To {
+			if k.By != b.by || k.From-logDelay > e.at || e.at-maxTransit > k.To {
 				continue
 			}
-			decided := max(k.From, e.at-underWay) // at the earliest, by this one
+			decided := max(k.From, e.at-maxTransit) // at the earliest, by this one
 			current := true
 			for n, at := range began {
 				current = current && (n <= k.Number || at > decided)
 			}
 			had += fmt.Sprintf(" %d", k.Number)
-			may = may || current && !leftOut(say[k.Number].out, e.region)
+			may = may || current && !isExcluded(say[k.Number].excluded, e.server)
 		}
 		if !may {
 			broken = append(broken, fmt.Sprintf("%s came back at %v and sent its first newcomer at %v to %s, not by what is in force: at work there was%s", b.by,
-				b.at.Round(time.Millisecond), e.at.Round(time.Millisecond), e.region, cmp.Or(had, " none")))
+				b.at.Round(time.Millisecond), e.at.Round(time.Millisecond), e.server, cmp.Or(had, " none")))
 		}
 	}
 	return broken
@@ -353,13 +353,13 @@
 
 // rolled compares each rollback with what it goes back to, as each balancer has both: the hashes in the history, and those of the
 // contents that it gives out.
-func (c *Changed) rolled(list []told) (broken []string) {
+func (c *PlanResult) judgeRollbacks(list []leaderHistory) (broken []string) {
 	for _, e := range list[0].history {
-		of, ok := e.back()
+		of, ok := e.rollbackTarget()
 		if !ok {
 			continue
 		}
-		c.Rolled++
+		c.Rollbacks++
 		why := ""
 		for _, t := range list {
 			for _, n := range []uint64{of, e.Number} {
@@ -383,9 +383,9 @@
 
 // contentOf is a revision's content as balancer i gives it out.
 func (w *Scenario) contentOf(i int, n uint64) (*revision.Content, error) {
-	a, err := callLine(w.manage(i), fmt.Sprintf("revision get %d", n), callWait)
-	for again := 0; again < 5 && (err != nil || !a.OK && asksAgain(a.Text)); again++ { // it says nothing of the content
-		a, err = callLine(w.manage(i), fmt.Sprintf("revision get %d", n), callWait)
+	a, err := callLine(w.managementAddr(i), fmt.Sprintf("revision get %d", n), callWait)
+	for again := 0; again < 5 && (err != nil || !a.OK && isRetryable(a.Text)); again++ { // it says nothing of the content
+		a, err = callLine(w.managementAddr(i), fmt.Sprintf("revision get %d", n), callWait)
 	}
 	if err != nil || !a.OK {
 		return nil, &NoAnswer{fmt.Sprint("revision get ", n), a.Text, err}
@@ -395,24 +395,24 @@
 
 // Row is a run of changes in one row of a table; RowHead is above it.
 func (r *Report) Row() string {
-	c := r.Changed
+	c := r.PlanResult
 	if c == nil {
 		return fmt.Sprintf("| %s | not played: %s |", r.Schedule.Name, strings.Join(r.Broken, "; "))
 	}
 	half, most := time.Duration(0), time.Duration(0)
-	if n := len(c.InForce); n > 0 {
-		half, most = c.InForce[n/2], c.InForce[n-1]
+	if n := len(c.SettleTimes); n > 0 {
+		half, most = c.SettleTimes[n/2], c.SettleTimes[n-1]
 	}
-	served, refused, silent := c.Newcomers["UP"], c.Newcomers["BUSY"], 0
-	for what, n := range c.Newcomers {
+	served, refused, silent := c.Answers["UP"], c.Answers["BUSY"], 0
+	for what, n := range c.Answers {
 		if what != "UP" && what != "BUSY" {
 			silent += n
 		}
 	}
-	seconds := c.Lasted.Seconds()
+	seconds := c.Duration.Seconds()
 	return fmt.Sprintf("| %s | %s | %.0f | %d | %d | %d | %d | %.2f / %.1f | %.1f | %.1f | %.1f | %d of %d | %d of %d | %d | %d | %d |", r.Schedule.Name, cmp.Or(r.Schedule.OnCut, "refuse"), seconds,
 		c.Faults, c.Everywhere, c.Nowhere, c.Mixed, half.Seconds(), most.Seconds(), float64(served)/seconds, float64(refused)/seconds, float64(silent)/seconds,
-		c.Judged, c.CameBack, c.Equal, c.Rolled, c.Entries, c.Leaders, len(r.Broken))
+		c.Judged, c.Recovered, c.Equal, c.Rollbacks, c.Entries, c.Leaders, len(r.Broken))
 }
 
 // RowHead is above rows.
@@ -421,7 +421,7 @@
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 
 // firstRouted is what came to regions by balancer, in the order of time.
-func firstRouted(routed []rules.Event) map[string][]arrival {
+func arrivalsByBalancer(routed []rules.Event) map[string][]arrival {
 	by := map[string][]arrival{}
 	for _, e := range routed {
 		by[e.By] = append(by[e.By], arrival{e.At, e.Region})
--- a/internal/faultinjection/content.go
+++ b/internal/faultinjection/content.go
@@ -10,9 +10,9 @@
 
 // This file owns what the revisions of a fault run say: the region that one leaves out, and the size of its links.
 
-type says struct {
-	out   string // with commas between them
-	bytes float64
+type revisionSummary struct {
+	excluded   string // with commas between them
+	linkBytes float64
 }
 
 // content is what a call proposes: a note that names it, and a region left out that betrays who goes by it.
@@ -23,25 +23,25 @@
 	}
 	if n := len(w.Regions); c.Only > 0 {
 		for i, g := range w.Regions {
-			if at := (i - c.Only + 1 + n) % n; at >= planIn {
+			if at := (i - c.Only + 1 + n) % n; at >= planServers {
 				r.Servers = append(r.Servers, revision.Place{ID: g.Name, Excluded: true})
 			}
 		}
 	}
 	if c.Bytes > 0 {
-		r.Links = w.table(c.Bytes)
+		r.Links = w.linkTable(c.Bytes)
 	}
 	return r
 }
 
 // leftOut tells whether a region is among those left out.
-func leftOut(out, region string) bool { return slices.Contains(strings.Split(out, ","), region) }
+func isExcluded(out, region string) bool { return slices.Contains(strings.Split(out, ","), region) }
 
 // contents are those of a history, by number: an operator's as it was asked for, a way back as what it goes back to.
-func contents(ops []Op, history []Entry) map[uint64]says {
-	asked, list := map[string]says{}, map[uint64]says{}
+func summarize(ops []Op, history []Entry) map[uint64]revisionSummary {
+	asked, list := map[string]revisionSummary{}, map[uint64]revisionSummary{}
 	for _, o := range ops {
-		asked[o.Key] = says{o.Out, o.Bytes}
+		asked[o.Key] = revisionSummary{o.Out, o.Bytes}
 	}
 	for _, e := range history {
 		back := e.Kind[strings.LastIndexByte(e.Kind, '-')+1:]
--- a/internal/faultinjection/cover.go
+++ b/internal/faultinjection/cover.go
@@ -24,7 +24,7 @@
 	}
 	at := map[uint32]int{}
 	for i := range n {
-		h, ok := w.held((i + 1) % n)
+		h, ok := w.queryMembers((i + 1) % n)
 		if !ok {
 			return w.name((i+1)%n) + " does not answer the call peers"
 		}
--- a/internal/faultinjection/durability.go
+++ b/internal/faultinjection/durability.go
@@ -12,7 +12,7 @@
 // Durability is the invariant that what is settled is never lost nor altered: one number means one content at all times and everywhere,
 // each request that was told to be settled stands in the history of every balancer under the number that was told, once, and the
 // numbers in the history have no gap.
-type Durability struct{ atTheEnd }
+type Durability struct{ finalOnly }
 
 // Entry is one revision in a history.
 type Entry struct {
@@ -32,15 +32,15 @@
 		}
 		histories = append(histories, h)
 	}
-	return append(kept(w.record.Works(), w.record.Ops(), histories, w.name), w.record.odd...)
+	return append(checkHistories(w.record.Works(), w.record.Ops(), histories, w.name), w.record.unparsed...)
 }
 
 // history reads what a balancer keeps.
 func (w *Scenario) history(i int) (list []Entry, err error) {
 	for after := uint64(0); ; {
-		a, err := callLine(w.manage(i), fmt.Sprintf("revision list %d", after), callWait)
-		for end := w.Now() + operatorWait; (err != nil || asksAgain(a.Text)) && w.Now() < end && pause(w.over, 50*time.Millisecond); { // as an operator does
-			a, err = callLine(w.manage(i), fmt.Sprintf("revision list %d", after), callWait)
+		a, err := callLine(w.managementAddr(i), fmt.Sprintf("revision list %d", after), callWait)
+		for end := w.Now() + operatorWait; (err != nil || isRetryable(a.Text)) && w.Now() < end && pause(w.over, 50*time.Millisecond); { // as an operator does
+			a, err = callLine(w.managementAddr(i), fmt.Sprintf("revision list %d", after), callWait)
 		}
 		if err != nil || !a.OK {
 			return nil, &NoAnswer{fmt.Sprint("revision list ", after), a.Text, err}
@@ -59,7 +59,7 @@
 	}
 }
 
-func kept(works []Work, ops []Op, histories [][]Entry, name func(int) string) (broken []string) {
+func checkHistories(works []Work, ops []Op, histories [][]Entry, name func(int) string) (broken []string) {
 	hashes := map[uint64]map[string]bool{}
 	mark := func(n uint64, hash string) {
 		if hashes[n] == nil {
@@ -96,7 +96,7 @@
 	}
 	for _, o := range ops {
 		later := Op{}
-		if later.told(o.Again); o.Again.Text != "" && (later.Result != o.Result || later.Settled != o.Settled) && (later.Result != Unknown || !asksAgain(o.Again.Text)) {
+		if later.recordAnswer(o.Again); o.Again.Text != "" && (later.Result != o.Result || later.Settled != o.Settled) && (later.Result != Unknown || !isRetryable(o.Again.Text)) {
 			broken = append(broken, fmt.Sprintf("request %s was told %q, and when it was handed in again %q", o.Key, o.Text, o.Again.Text))
 		}
 	}
--- a/internal/faultinjection/everywhere.go
+++ b/internal/faultinjection/everywhere.go
@@ -19,10 +19,10 @@
 		}
 		all = append(all, s)
 	}
-	return everywhere(all, w.name)
+	return checkConvergence(all, w.name)
 }
 
-func everywhere(all []Status, name func(int) string) string {
+func checkConvergence(all []Status, name func(int) string) string {
 	for i, s := range all {
 		switch {
 		case s.Leader == "":
--- a/internal/faultinjection/faults.go
+++ b/internal/faultinjection/faults.go
@@ -10,10 +10,10 @@
 // The faults of processes and links. Each begins, and ends by what begin returns. A fault that keeps a balancer from
 // answering, or a terminal from hearing it, is told to the world: what is lost by it breaks no rule.
 
-func anyOne(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(s.Balancers)} }
+func anyBalancer(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(s.Balancers)} }
 
-func someOrAll(rng *rand.Rand, s *Schedule) Fault {
-	f := anyOne(rng, s)
+func oneOrAll(rng *rand.Rand, s *Schedule) Fault {
+	f := anyBalancer(rng, s)
 	if rng.IntN(5) == 0 {
 		f.A = 0
 	}
@@ -21,12 +21,12 @@
 }
 
 // pair is a directed link between two, or from one to all.
-func pair(rng *rand.Rand, s *Schedule) Fault {
+func randomPeerLink(rng *rand.Rand, s *Schedule) Fault {
 	f := Fault{A: 1 + rng.IntN(s.Balancers), B: rng.IntN(s.Balancers + 1)}
 	return f
 }
 
-func toRegion(rng *rand.Rand, s *Schedule) Fault {
+func randomServerLink(rng *rand.Rand, s *Schedule) Fault {
 	return Fault{A: rng.IntN(s.Balancers + 1), B: rng.IntN(s.Regions + 1)}
 }
 
@@ -40,11 +40,11 @@
 }
 
 // process is a fault that ends processes and starts them again when it is over.
-func process(change func(w *Scenario, i int), dir func(w *Scenario, i int)) func(*Scenario, Fault) func() {
+func processFault(change func(w *Scenario, i int), dir func(w *Scenario, i int)) func(*Scenario, Fault) func() {
 	return func(w *Scenario, f Fault) func() {
 		w.each(f.A, func(i int) {
-			w.trouble(i, true)
-			if w.hold(i, 1) {
+			w.setDisturbed(i, true)
+			if w.adjustDown(i, 1) {
 				change(w, i)
 			}
 		})
@@ -53,44 +53,44 @@
 				if dir != nil {
 					dir(w, i)
 				}
-				if w.hold(i, -1) {
+				if w.adjustDown(i, -1) {
 					w.start(i)
 				}
-				w.trouble(i, false)
+				w.setDisturbed(i, false)
 			})
 		}
 	}
 }
 
-func weather(links func(w *Scenario, f Fault) []*link, of func(f Fault) LinkFaults, terminals bool) func(*Scenario, Fault) func() {
+func linkFault(links func(w *Scenario, f Fault) []*link, of func(f Fault) LinkFaults, terminals bool) func(*Scenario, Fault) func() {
 	return func(w *Scenario, f Fault) func() {
 		list := links(w, f)
 		for _, l := range list {
 			l.set(of(f))
 		}
 		if terminals {
-			w.each(f.A, func(i int) { w.trouble(i, true) })
+			w.each(f.A, func(i int) { w.setDisturbed(i, true) })
 		}
 		return func() {
 			for _, l := range list {
 				l.set(LinkFaults{})
 			}
 			if terminals {
-				w.each(f.A, func(i int) { w.trouble(i, false) })
+				w.each(f.A, func(i int) { w.setDisturbed(i, false) })
 			}
 		}
 	}
 }
 
 // talk are the links from A to B and, for both ways, back.
-func talk(back bool) func(w *Scenario, f Fault) []*link {
+func peerLinksFrom(back bool) func(w *Scenario, f Fault) []*link {
 	return func(w *Scenario, f Fault) (list []*link) {
 		for i := range w.Schedule.Balancers {
 			for j := range w.Schedule.Balancers {
 				from := (f.A == 0 || f.A == i+1) && (f.B == 0 || f.B == j+1)
 				to := back && (f.A == 0 || f.A == j+1) && (f.B == 0 || f.B == i+1)
 				if i != j && (from || to) {
-					list = append(list, w.talks(i, j)...)
+					list = append(list, w.linksBetween(i, j)...)
 				}
 			}
 		}
@@ -99,18 +99,18 @@
 }
 
 // halves are all links between the first A balancers and the others.
-func halves(w *Scenario, f Fault) (list []*link) {
+func linksBetweenHalves(w *Scenario, f Fault) (list []*link) {
 	for i := range w.Schedule.Balancers {
 		for j := range w.Schedule.Balancers {
 			if (i < f.A) != (j < f.A) {
-				list = append(list, w.talks(i, j)...)
+				list = append(list, w.linksBetween(i, j)...)
 			}
 		}
 	}
 	return list
 }
 
-func regionLinks(w *Scenario, f Fault) (list []*link) {
+func serverLinksOf(w *Scenario, f Fault) (list []*link) {
 	w.each(f.A, func(i int) {
 		for j, s := range w.serverLinks[i] {
 			if f.B == 0 || f.B == j+1 {
@@ -121,38 +121,38 @@
 	return list
 }
 
-func discoveryLinks(w *Scenario, f Fault) (list []*link) {
+func discoveryLinksOf(w *Scenario, f Fault) (list []*link) {
 	w.each(f.A, func(i int) { list = append(list, &w.discoveryLinks[i].link) })
 	return list
 }
 
-func terminalLinks(w *Scenario, f Fault) (list []*link) {
+func clientLinksOf(w *Scenario, f Fault) (list []*link) {
 	w.each(f.A, func(i int) { list = append(list, &w.clientLinks[i].link) })
 	return list
 }
 
 func init() {
-	register("kill", kind{draw: someOrAll, begin: process(func(w *Scenario, i int) { w.kill(i) }, nil)})
-	register("kill-lose-state", kind{draw: someOrAll, begin: process(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) {
+	register("kill", kind{generate: oneOrAll, begin: processFault(func(w *Scenario, i int) { w.kill(i) }, nil)})
+	register("kill-lose-state", kind{generate: oneOrAll, begin: processFault(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) {
 		_ = os.RemoveAll(w.dirs[i])
 		_ = os.MkdirAll(w.dirs[i], 0o700)
 	})})
-	register("kill-no-state", kind{draw: anyOne, begin: process(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) {
+	register("kill-no-state", kind{generate: anyBalancer, begin: processFault(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) {
 		// Nothing can be written there: what stands in for a full disk.
 		_ = os.RemoveAll(w.dirs[i])
 		_ = os.WriteFile(w.dirs[i], nil, 0o600)
 	})})
-	register("leave", kind{draw: anyOne, begin: process(func(w *Scenario, i int) { w.leave(i) }, nil)})
-	register("flap", kind{draw: anyOne, begin: func(w *Scenario, f Fault) func() {
+	register("leave", kind{generate: anyBalancer, begin: processFault(func(w *Scenario, i int) { w.leave(i) }, nil)})
+	register("flap", kind{generate: anyBalancer, begin: func(w *Scenario, f Fault) func() {
 		stop, over := make(chan struct{}), make(chan struct{})
-		w.each(f.A, func(i int) { w.trouble(i, true) })
+		w.each(f.A, func(i int) { w.setDisturbed(i, true) })
 		die := func(i int) {
-			if w.hold(i, 1) {
+			if w.adjustDown(i, 1) {
 				w.kill(i)
 			}
 		}
 		rise := func(i int) {
-			if w.hold(i, -1) {
+			if w.adjustDown(i, -1) {
 				w.start(i)
 			}
 		}
@@ -170,46 +170,46 @@
 		return func() {
 			close(stop)
 			<-over
-			w.each(f.A, func(i int) { w.trouble(i, false) })
+			w.each(f.A, func(i int) { w.setDisturbed(i, false) })
 		}
 	}})
-	register("stop", kind{draw: someOrAll, begin: func(w *Scenario, f Fault) func() {
+	register("stop", kind{generate: oneOrAll, begin: func(w *Scenario, f Fault) func() {
 		var goOn []func()
-		w.each(f.A, func(i int) { w.trouble(i, true); goOn = append(goOn, w.still(i)) })
+		w.each(f.A, func(i int) { w.setDisturbed(i, true); goOn = append(goOn, w.suspend(i)) })
 		return func() {
 			for _, on := range goOn {
 				on()
 			}
-			w.each(f.A, func(i int) { w.trouble(i, false) })
+			w.each(f.A, func(i int) { w.setDisturbed(i, false) })
 		}
 	}})
-	register("talk-cut", kind{draw: pair, toB: "balancer", begin: weather(talk(true), func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
-	register("talk-one-way", kind{draw: pair, toB: "balancer", begin: weather(talk(false), func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
-	register("talk-loss", kind{draw: func(rng *rand.Rand, s *Schedule) Fault {
-		f := pair(rng, s)
+	register("talk-cut", kind{generate: randomPeerLink, targetB: "balancer", begin: linkFault(peerLinksFrom(true), func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	register("talk-one-way", kind{generate: randomPeerLink, targetB: "balancer", begin: linkFault(peerLinksFrom(false), func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	register("talk-loss", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
+		f := randomPeerLink(rng, s)
 		f.Value = []float64{0.1, 0.3, 0.9}[rng.IntN(3)]
 		return f
-	}, toB: "balancer", begin: weather(talk(true), func(f Fault) LinkFaults { return LinkFaults{Loss: min(f.Value, 1), Double: 0.1} }, false)})
-	register("talk-late", kind{draw: func(rng *rand.Rand, s *Schedule) Fault {
-		f := pair(rng, s)
+	}, targetB: "balancer", begin: linkFault(peerLinksFrom(true), func(f Fault) LinkFaults { return LinkFaults{Loss: min(f.Value, 1), Duplicate: 0.1} }, false)})
+	register("talk-late", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
+		f := randomPeerLink(rng, s)
 		f.Value = 10 + 400*rng.Float64() // ms
 		return f
-	}, toB: "balancer", begin: weather(talk(true), func(f Fault) LinkFaults {
+	}, targetB: "balancer", begin: linkFault(peerLinksFrom(true), func(f Fault) LinkFaults {
 		d := time.Duration(f.Value * float64(time.Millisecond))
-		return LinkFaults{Delay: d / 2, Jitter: d, Double: 0.2}
+		return LinkFaults{Delay: d / 2, Jitter: d, Duplicate: 0.2}
 	}, false)})
-	register("halves", kind{draw: func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(max(1, s.Balancers-1))} },
-		begin: weather(halves, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
-	register("region-late", kind{draw: func(rng *rand.Rand, s *Schedule) Fault {
-		f := toRegion(rng, s)
+	register("halves", kind{generate: func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(max(1, s.Balancers-1))} },
+		begin: linkFault(linksBetweenHalves, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	register("region-late", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
+		f := randomServerLink(rng, s)
 		f.Value = 5 + 200*rng.Float64()
 		return f
-	}, toB: "region", begin: weather(regionLinks, func(f Fault) LinkFaults {
+	}, targetB: "region", begin: linkFault(serverLinksOf, func(f Fault) LinkFaults {
 		return LinkFaults{Delay: time.Duration(f.Value * float64(time.Millisecond))}
 	}, false)})
-	register("region-thinks", kind{draw: func(rng *rand.Rand, s *Schedule) Fault {
+	register("region-thinks", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
 		return Fault{B: rng.IntN(s.Regions + 1), Value: 200 + 2500*rng.Float64()} // ms until its answer
-	}, toB: "region", begin: func(w *Scenario, f Fault) func() {
+	}, targetB: "region", begin: func(w *Scenario, f Fault) func() {
 		set := func(d time.Duration) {
 			for j, r := range w.Regions {
 				if f.B == 0 || f.B == j+1 {
@@ -220,9 +220,9 @@
 		set(time.Duration(f.Value * float64(time.Millisecond)))
 		return func() { set(0) }
 	}})
-	register("region-refuses", kind{draw: toRegion, toB: "region", begin: weather(regionLinks, func(Fault) LinkFaults { return LinkFaults{Refuse: true} }, false)})
-	register("region-cut", kind{draw: toRegion, toB: "region", begin: weather(regionLinks, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
-	register("region-resets", kind{draw: toRegion, toB: "region", begin: func(w *Scenario, f Fault) func() {
+	register("region-refuses", kind{generate: randomServerLink, targetB: "region", begin: linkFault(serverLinksOf, func(Fault) LinkFaults { return LinkFaults{Refuse: true} }, false)})
+	register("region-cut", kind{generate: randomServerLink, targetB: "region", begin: linkFault(serverLinksOf, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	register("region-resets", kind{generate: randomServerLink, targetB: "region", begin: func(w *Scenario, f Fault) func() {
 		w.each(f.A, func(i int) {
 			for j, s := range w.serverLinks[i] {
 				if f.B == 0 || f.B == j+1 {
@@ -232,13 +232,13 @@
 		})
 		return func() {}
 	}})
-	register("region-drains", kind{draw: func(rng *rand.Rand, s *Schedule) Fault { return Fault{B: 1 + rng.IntN(s.Regions)} }, toB: "region",
+	register("region-drains", kind{generate: func(rng *rand.Rand, s *Schedule) Fault { return Fault{B: 1 + rng.IntN(s.Regions)} }, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
 			name := w.Regions[max(0, f.B-1)].Name
 			w.Discovery.Tell(name, "draining")
 			return func() { w.Discovery.Tell(name, "ready") }
 		}})
-	register("region-anew", kind{draw: func(rng *rand.Rand, s *Schedule) Fault { return Fault{B: 1 + rng.IntN(s.Regions)} }, toB: "region",
+	register("region-anew", kind{generate: func(rng *rand.Rand, s *Schedule) Fault { return Fault{B: 1 + rng.IntN(s.Regions)} }, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
 			r := w.Regions[max(0, f.B-1)]
 			w.Discovery.Tell(r.Name, "gone")
@@ -248,14 +248,14 @@
 				w.Discovery.Renew(r.Name)
 			}
 		}})
-	register("discovery-cut", kind{draw: someOrAll, begin: weather(discoveryLinks, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
-	register("discovery-refuses", kind{draw: someOrAll, begin: weather(discoveryLinks, func(Fault) LinkFaults { return LinkFaults{Refuse: true} }, false)})
-	register("terminals-cut", kind{draw: anyOne, begin: weather(terminalLinks, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, true)})
-	register("terminals-slow", kind{draw: func(rng *rand.Rand, s *Schedule) Fault {
-		f := anyOne(rng, s)
+	register("discovery-cut", kind{generate: oneOrAll, begin: linkFault(discoveryLinksOf, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	register("discovery-refuses", kind{generate: oneOrAll, begin: linkFault(discoveryLinksOf, func(Fault) LinkFaults { return LinkFaults{Refuse: true} }, false)})
+	register("terminals-cut", kind{generate: anyBalancer, begin: linkFault(clientLinksOf, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, true)})
+	register("terminals-slow", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
+		f := anyBalancer(rng, s)
 		f.Value = 200 + 5000*rng.Float64()
 		return f
-	}, begin: weather(terminalLinks, func(f Fault) LinkFaults { return LinkFaults{Rate: int(max(50, f.Value))} }, true)})
+	}, begin: linkFault(clientLinksOf, func(f Fault) LinkFaults { return LinkFaults{Rate: int(max(50, f.Value))} }, true)})
 }
 
 // pause waits, and tells whether the run goes on.
--- a/internal/faultinjection/folders.go
+++ b/internal/faultinjection/folders.go
@@ -17,33 +17,33 @@
 // at some moment. Fewer than half of the voters are hit in one fault run: a log that most voters have lost is gone, and says so.
 
 func init() {
-	loser := func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(losers(s.Balancers))} }
-	register("folder-lost", kind{needs: revisionsOn, draw: loser, begin: process(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) { _ = os.RemoveAll(w.folder(i)) })})
-	register("folder-damaged", kind{needs: revisionsOn, draw: func(rng *rand.Rand, s *Schedule) Fault {
+	loser := func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(maxFolderLosses(s.Balancers))} }
+	register("folder-lost", kind{needs: revisionsOn, generate: loser, begin: processFault(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) { _ = os.RemoveAll(w.folder(i)) })})
+	register("folder-damaged", kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault {
 		f := loser(rng, s)
 		f.Value = rng.Float64()
 		return f
-	}, begin: func(w *Scenario, f Fault) func() { return w.unusable(f, func(i int) { damage(w.folder(i), f.Value) }) }})
-	register("folder-no-folder", kind{needs: revisionsOn, draw: loser, begin: func(w *Scenario, f Fault) func() {
-		return w.unusable(f, func(i int) {
+	}, begin: func(w *Scenario, f Fault) func() { return w.damageFolder(f, func(i int) { flipBytes(w.folder(i), f.Value) }) }})
+	register("folder-no-folder", kind{needs: revisionsOn, generate: loser, begin: func(w *Scenario, f Fault) func() {
+		return w.damageFolder(f, func(i int) {
 			_ = os.RemoveAll(w.folder(i))
 			_ = os.WriteFile(w.folder(i), []byte("no folder"), 0o600)
 		})
 	}})
-	register("disk-full", kind{needs: revisionsOn, draw: func(rng *rand.Rand, s *Schedule) Fault {
-		f := anyOne(rng, s)
+	register("disk-full", kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault {
+		f := anyBalancer(rng, s)
 		f.Value = rng.Float64()
 		return f
-	}, begin: diskFull})
+	}, begin: limitFileSize})
 }
 
 // unusable kills a balancer, has something done to its folder, and starts it with that: it has to refuse in a line that says what
 // to do, or to go on as if nothing had been. In the end the folder is taken away, as the operators' page says.
-func (w *Scenario) unusable(f Fault, spoil func(i int)) func() {
+func (w *Scenario) damageFolder(f Fault, spoil func(i int)) func() {
 	tried := make(chan struct{})
 	w.each(f.A, func(i int) {
-		w.trouble(i, true)
-		if w.hold(i, 1) {
+		w.setDisturbed(i, true)
+		if w.adjustDown(i, 1) {
 			w.kill(i)
 		}
 	})
@@ -53,18 +53,18 @@
 			w.starting[i].Lock()
 			defer w.starting[i].Unlock()
 			spoil(i)
-			process := w.number()
+			process := w.nextProcessNumber()
 			w.SawBy(w.name(i), rules.Started, "", "", "")
-			p, err := w.Start(w.noted(i, process, w.launch(i)))
+			p, err := w.Start(w.recordLines(i, process, w.launch(i)))
 			switch {
 			case err == nil:
 				time.Sleep(100 * time.Millisecond)
-				w.record.over(process, w.Now())
+				w.record.endProcess(process, w.Now())
 				p.Kill()
 			case strings.Contains(err.Error(), "no PONG within"):
-				w.find("%s with a spoilt folder neither starts nor ends: %v", w.name(i), err)
+				w.addViolation("%s with a spoilt folder neither starts nor ends: %v", w.name(i), err)
 			case !strings.Contains(err.Error(), "do: "):
-				w.find("%s with a spoilt folder does not say what to do: %v", w.name(i), err)
+				w.addViolation("%s with a spoilt folder does not say what to do: %v", w.name(i), err)
 			}
 		})
 	}()
@@ -72,16 +72,16 @@
 		<-tried
 		w.each(f.A, func(i int) {
 			_ = os.RemoveAll(w.folder(i))
-			if w.hold(i, -1) {
+			if w.adjustDown(i, -1) {
 				w.start(i)
 			}
-			w.trouble(i, false)
+			w.setDisturbed(i, false)
 		})
 	}
 }
 
 // damage changes bytes in the middle of each file of a folder, at a place between its begin and its end.
-func damage(folder string, at float64) {
+func flipBytes(folder string, at float64) {
 	_ = filepath.WalkDir(folder, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return nil
@@ -100,7 +100,7 @@
 
 // diskFull has no file of a process grow beyond a place that it may have reached: a write there fails, in the middle if it
 // stands across it. A process may end by it, and is started again afterwards.
-func diskFull(w *Scenario, f Fault) func() {
+func limitFileSize(w *Scenario, f Fault) func() {
 	set := func(i int, most uint64) {
 		w.mu.Lock()
 		p := w.processes[i]
@@ -110,8 +110,8 @@
 		}
 	}
 	w.each(f.A, func(i int) {
-		w.trouble(i, true)
-		w.mayEnd(i, 1)
+		w.setDisturbed(i, true)
+		w.expectExit(i, 1)
 		size := int64(0)
 		_ = filepath.WalkDir(w.folder(i), func(path string, d os.DirEntry, err error) error {
 			if err == nil && !d.IsDir() {
@@ -130,22 +130,22 @@
 			if s, ok := w.status(i); ok && strings.Contains(s.Text, "role=broken") { // its operator does what it says: starts it again
 				w.kill(i)
 			}
-			w.mayEnd(i, -1)
+			w.expectExit(i, -1)
 			w.start(i)
-			w.trouble(i, false)
+			w.setDisturbed(i, false)
 		})
 	}
 }
 
 // mayEnd has a balancer be excused from ending by itself, or no longer.
-func (w *Scenario) mayEnd(i, more int) {
+func (w *Scenario) expectExit(i, more int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expectedExits[i] += more
 }
 
 // number counts the processes that the run has started.
-func (w *Scenario) number() int {
+func (w *Scenario) nextProcessNumber() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
@@ -153,12 +153,12 @@
 }
 
 // noted has what a process logs noted, as balancer i's process of this number.
-func (w *Scenario) noted(i, process int, l fake.Launch) fake.Launch {
+func (w *Scenario) recordLines(i, process int, l fake.Launch) fake.Launch {
 	name := w.name(i)
 	l.Lines = func(line string) {
-		w.record.line(name, process, line)
+		w.record.parseLine(name, process, line)
 		if w.options.Logs != "" {
-			w.record.log(w.options.Logs, name, process, line)
+			w.record.writeLog(w.options.Logs, name, process, line)
 		}
 	}
 	return l
--- a/internal/faultinjection/golden_test.go
+++ b/internal/faultinjection/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // A seed draws the same schedule as in earlier versions, and a schedule that one of them printed is read and written again.
-func TestFormOfSchedules(t *testing.T) {
+func TestScheduleFormat(t *testing.T) {
 	golden.JSON[Schedule](t, "schedule-fields.json")
 	for seed := range uint64(6) {
 		s := Draw(seed, 5, 20)
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -19,7 +19,7 @@
 func name(i int) string { return fmt.Sprintf("b%02d", i+1) }
 
 // verdict holds what an invariant found against a part of what it has to say; "" for nothing.
-func verdict(t *testing.T, of string, broken []string, want string) {
+func checkFound(t *testing.T, of string, broken []string, want string) {
 	t.Helper()
 	got := strings.Join(broken, "; ")
 	if want == "" && got != "" || !strings.Contains(got, want) {
@@ -28,25 +28,25 @@
 }
 
 // Lines of a log become times at work, whatever else stands in them; what was stopped and then killed did nothing since.
-func TestTimesAtWork(t *testing.T) {
+func TestWorkFromLogLines(t *testing.T) {
 	r := newRecord(0)
 	at := func(d time.Duration) int64 { return r.epoch + d.Microseconds() }
 	say := func(process int, what string, n int, d time.Duration, more string) {
-		r.line("b01", process, fmt.Sprintf(`time=2026-01-01T00:00:00Z level=INFO msg="revision %s" number=%d hash=h%d at=%d%s`, what, n, n, at(d), more))
+		r.parseLine("b01", process, fmt.Sprintf(`time=2026-01-01T00:00:00Z level=INFO msg="revision %s" number=%d hash=h%d at=%d%s`, what, n, n, at(d), more))
 	}
 	say(1, "at work", 0, 10*ms, "")
 	say(1, "at work", 0, 20*ms, "") // renewed
-	r.line("b01", 1, `level=INFO msg="something else" number=7 at=1`)
+	r.parseLine("b01", 1, `level=INFO msg="something else" number=7 at=1`)
 	say(1, "let go", 0, 50*ms, ` why="in between"`)
 	say(1, "at work", 1, 60*ms, "")
-	r.stands(1, 70*ms, true)
-	r.over(1, 900*ms)
+	r.setStopped(1, 70*ms, true)
+	r.endProcess(1, 900*ms)
 	say(2, "at work", 2, 80*ms, "")
 	say(2, "at work", 3, 90*ms, "")
 	got := ""
 	for _, w := range r.Works() {
 		to := w.To
-		if to == forEver {
+		if to == unbounded {
 			to = 0
 		}
 		got += fmt.Sprintf("%d %s %v-%v %s, ", w.Number, w.Hash, w.From, to, w.Why)
@@ -54,37 +54,37 @@
 	if want := "0 h0 10ms-50ms in between, 1 h1 60ms-70ms the process ended, 2 h2 80ms-90ms the next one, 3 h3 90ms-0s , "; got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
-	r.over(3, 200*ms)
+	r.endProcess(3, 200*ms)
 	say(3, "at work", 3, 100*ms, "") // its last line, read after it was killed
 	if w := r.Works(); w[4].To != 200*ms {
 		t.Errorf("the last one ends %v", w[4].To)
 	}
-	r.line("b01", 1, `msg="revision at work" number=x at=1`)
-	if len(r.odd) != 1 {
+	r.parseLine("b01", 1, `msg="revision at work" number=x at=1`)
+	if len(r.unparsed) != 1 {
 		t.Error("a line that can't be read was passed over")
 	}
 }
 
-func TestOneRevision(t *testing.T) {
+func TestSingleRevision(t *testing.T) {
 	for of, x := range map[string]struct {
 		list []Work
 		want string
 	}{
-		"one after the other": {[]Work{{By: "a", Number: 1, To: 10 * ms}, {By: "b", Number: 1, From: ms, To: 12 * ms}, {By: "a", Number: 2, From: 13 * ms, To: forEver},
-			{By: "b", Number: 2, From: 20 * ms, To: forEver}}, ""},
-		"two at once": {[]Work{{By: "a", Number: 1, To: 10 * ms}, {By: "b", Number: 2, From: 9 * ms, To: forEver}}, "two revisions at work"},
-		"one process of a name that was forgotten": {[]Work{{By: "a", Process: 1, Number: 1, To: forEver}, {By: "a", Process: 2, Number: 2, From: 9 * ms, To: forEver}}, "two revisions at work"},
-		"back": {[]Work{{By: "a", Number: 2, To: 10 * ms}, {By: "b", Number: 1, From: 11 * ms, To: forEver}}, "went to work by revision 1"},
+		"one after the other": {[]Work{{By: "a", Number: 1, To: 10 * ms}, {By: "b", Number: 1, From: ms, To: 12 * ms}, {By: "a", Number: 2, From: 13 * ms, To: unbounded},
+			{By: "b", Number: 2, From: 20 * ms, To: unbounded}}, ""},
+		"two at once": {[]Work{{By: "a", Number: 1, To: 10 * ms}, {By: "b", Number: 2, From: 9 * ms, To: unbounded}}, "two revisions at work"},
+		"one process of a name that was forgotten": {[]Work{{By: "a", Process: 1, Number: 1, To: unbounded}, {By: "a", Process: 2, Number: 2, From: 9 * ms, To: unbounded}}, "two revisions at work"},
+		"back": {[]Work{{By: "a", Number: 2, To: 10 * ms}, {By: "b", Number: 1, From: 11 * ms, To: unbounded}}, "went to work by revision 1"},
 	} {
-		verdict(t, of, oneRevision(x.list, 0), x.want)
+		checkFound(t, of, checkSingleRevision(x.list, 0), x.want)
 	}
 }
 
-func TestNewcomers(t *testing.T) {
+func TestRoutingRevision(t *testing.T) {
 	works := []Work{{By: "a", Number: 1, From: 0, To: 1000 * ms}, {By: "a", Number: 2, From: 1010 * ms, To: 2000 * ms}}
-	out := contents([]Op{{Key: "k", Out: "r1"}, {Key: "l", Out: "r2"}}, []Entry{{Number: 1, Key: "k", Kind: "propose"}, {Number: 2, Key: "l", Kind: "propose"},
+	out := summarize([]Op{{Key: "k", Out: "r1"}, {Key: "l", Out: "r2"}}, []Entry{{Number: 1, Key: "k", Kind: "propose"}, {Number: 2, Key: "l", Kind: "propose"},
 		{Number: 3, Key: "m", Kind: "rollback-of-1"}})
-	if out[3].out != "r1" {
+	if out[3].excluded != "r1" {
 		t.Fatal(out)
 	}
 	calm := func(time.Duration) bool { return false }
@@ -102,11 +102,11 @@
 		"lapsed":             {rules.Event{At: 2600 * ms, Region: "r3", By: "a"}, calm, "no revision was at work"},
 		"never at work":      {rules.Event{At: 500 * ms, Region: "r3", By: "b"}, calm, "no revision was at work"},
 	} {
-		verdict(t, of, newcomers([]rules.Event{x.e}, works, out, x.disturbed, func(_ string, _, _, over time.Duration) bool { return over < 0 }), x.want)
+		checkFound(t, of, checkRouting([]rules.Event{x.e}, works, out, x.disturbed, func(_ string, _, _, over time.Duration) bool { return over < 0 }), x.want)
 	}
 }
 
-func TestEverywhere(t *testing.T) {
+func TestConvergence(t *testing.T) {
 	same, ok := readStatus("here=3 phase=at-work until=900ms role=voter in-force=3 hash=x leader=b02 reign=4 voters=b01,b02 members=2(b01,b02) pending=none watch=none history=0..3 on_cut=refuse")
 	if !ok || same.Leader != "b02" {
 		t.Fatalf("%+v", same)
@@ -118,18 +118,18 @@
 		s    Status
 		want string
 	}{"same": {same, ""}, "altered": {other, "b02 by 3 (y)"}, "behind": {less, "b02 by 2"}, "between": {between, "not at work"}, "pending": {pending, "pending"}} {
-		verdict(t, of, []string{everywhere([]Status{same, x.s}, name)}, x.want)
+		checkFound(t, of, []string{checkConvergence([]Status{same, x.s}, name)}, x.want)
 	}
 }
 
-func TestKept(t *testing.T) {
+func TestDurability(t *testing.T) {
 	works := []Work{{Number: 1, Hash: "h1"}, {Number: 2, Hash: "h2"}}
 	ops := []Op{{Key: "k1", Result: Settled, Settled: 1}, {Key: "k2", Result: Settled, Settled: 2}, {Key: "k3", Result: Ended}}
 	both := []Entry{{Number: 1, Hash: "h1", Key: "k1"}, {Number: 2, Hash: "h2", Key: "k2"}}
 	again := Op{Key: "k1", Result: Settled, Settled: 1, Again: management.Answer{OK: true, Text: revision.SettledText(2, "h2", "k1")}}
-	verdict(t, "told otherwise", kept(works, []Op{again}, [][]Entry{both}, name), "handed in again")
+	checkFound(t, "told otherwise", checkHistories(works, []Op{again}, [][]Entry{both}, name), "handed in again")
 	again.Again.Text = revision.SettledText(1, "h1", "k1")
-	verdict(t, "told the same", kept(works, []Op{again}, [][]Entry{both}, name), "")
+	checkFound(t, "told the same", checkHistories(works, []Op{again}, [][]Entry{both}, name), "")
 	for of, x := range map[string]struct {
 		second []Entry
 		want   string
@@ -141,11 +141,11 @@
 		"a gap":    {[]Entry{{Number: 1, Hash: "h1", Key: "k1"}, {Number: 3, Hash: "h2", Key: "k2"}}, "keeps revision 3 after 1"},
 		"nowhere?": {append(both[:2:2], Entry{Number: 3, Hash: "h3", Key: "k3"}), "request k3 was told"},
 	} {
-		verdict(t, of, kept(works, ops, [][]Entry{both, x.second}, name), x.want)
+		checkFound(t, of, checkHistories(works, ops, [][]Entry{both, x.second}, name), x.want)
 	}
 }
 
-func TestLinear(t *testing.T) {
+func TestLinearizability(t *testing.T) {
 	op := func(key string, from int64, called, returned int, r Result, n uint64) Op {
 		o := Op{Key: key, From: from, Called: time.Duration(called), Returned: time.Duration(returned), Result: r, Settled: n}
 		if r == Refused {
@@ -163,17 +163,17 @@
 		"told what is long past": {[]Op{op("a", -1, 0, 10, Settled, 1), op("b", -1, 11, 12, Settled, 2), op("c", 0, 13, 14, Refused, 1)},
 			[]Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 2, Hash: "", Key: "b"}}, "no order"},
 		"settled before it was asked for": {[]Op{op("b", -1, 0, 5, Settled, 2), op("a", -1, 6, 10, Settled, 1)}, []Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 2, Hash: "", Key: "b"}}, "no order"},
-		"nobody was told":                 {[]Op{op("a", 0, 0, int(forEver), Unknown, 0), op("b", 1, 5, 6, Settled, 2)}, []Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 2, Hash: "", Key: "b"}}, ""},
+		"nobody was told":                 {[]Op{op("a", 0, 0, int(unbounded), Unknown, 0), op("b", 1, 5, 6, Settled, 2)}, []Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 2, Hash: "", Key: "b"}}, ""},
 		"nobody asked for it, a guard":    {[]Op{op("a", 0, 0, 5, Settled, 1), op("b", 2, 8, 9, Settled, 3)}, []Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 2, Hash: "", Key: "guard-1"}, {Number: 3, Hash: "", Key: "b"}}, ""},
 		"a number left out":               {[]Op{op("a", 0, 0, 5, Settled, 1), op("b", -1, 8, 9, Settled, 3)}, []Entry{{Number: 1, Hash: "", Key: "a"}, {Number: 3, Hash: "", Key: "b"}}, "no order"},
 		"nowhere changes nothing":         {[]Op{op("a", 0, 0, 5, Ended, 0), op("b", 0, 8, 9, Settled, 1)}, []Entry{{Number: 1, Hash: "", Key: "b"}}, ""},
 	} {
-		verdict(t, of, linear(x.ops, x.history), x.want)
+		checkFound(t, of, checkLinear(x.ops, x.history), x.want)
 	}
 }
 
 func TestLinkSumAndShare(t *testing.T) {
-	works := []Work{{By: "a", Number: 1, From: 0, To: forEver}}
+	works := []Work{{By: "a", Number: 1, From: 0, To: unbounded}}
 	never := func(_, _ time.Duration) bool { return false }
 	onTime := func(_, _ time.Duration) time.Duration { return 0 }
 	for of, x := range map[string]struct {
@@ -186,16 +186,16 @@
 		"less than the guaranteed part": {500, 60e3, 0, "", "guaranteed part is 24000"}, "one starved": {2400, 60e3, 3 * time.Second, "", "without a byte for 3s"},
 	} {
 		l := newLedger()
-		for at := time.Duration(0); at < 10*time.Second; at += slot {
+		for at := time.Duration(0); at < 10*time.Second; at += slotLength {
 			l.add("east>west", "bulk", at, x.each)
 		}
-		p := l.pours(0, true)
-		p.took(5*time.Second, 1) // nothing at all before the calm
-		for at := 5*time.Second + x.still; at <= 10*time.Second; at += slot {
-			p.took(at, 1)
+		p := l.startTransfer(0, true)
+		p.receive(5*time.Second, 1) // nothing at all before the calm
+		for at := 5*time.Second + x.still; at <= 10*time.Second; at += slotLength {
+			p.receive(at, 1)
 		}
-		verdict(t, of, linkSum(l, works, map[uint64]says{1: {bytes: x.size}}, 10*time.Second, never, onTime), x.sum)
-		verdict(t, of, (&LinkShare{from: 5 * time.Second, to: 8 * time.Second}).judge(l, x.size), x.share)
+		checkFound(t, of, checkLinkSum(l, works, map[uint64]revisionSummary{1: {linkBytes: x.size}}, 10*time.Second, never, onTime), x.sum)
+		checkFound(t, of, (&LinkShare{from: 5 * time.Second, to: 8 * time.Second}).judge(l, x.size), x.share)
 	}
 }
 
@@ -207,7 +207,7 @@
 		"-" + revision.RetryLaterPrefix + "no leader; do: wait": "0 0 0", "-" + hint.Line(&revision.ProposalPending{Key: "op2", By: "x"}): "0 0 0",
 	} {
 		o := &Op{}
-		o.told(management.Answer{OK: text[0] == '+', Text: text[1:]})
+		o.recordAnswer(management.Answer{OK: text[0] == '+', Text: text[1:]})
 		if got := fmt.Sprintf("%d %d %d", o.Result, o.Settled, o.InForce); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
 		}
@@ -215,7 +215,7 @@
 }
 
 // Every drawn fault run can be played, and hits the folders of fewer than half of the voters.
-func TestDrawnSchedules(t *testing.T) {
+func TestGeneratedSchedules(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
 		n := 1 + int(seed%9)
@@ -236,7 +236,7 @@
 		}
 	}
 	for _, k := range Kinds() {
-		if seen[k] == kinds[k].hand {
+		if seen[k] == kinds[k].manualOnly {
 			t.Errorf("%s: drawn %v", k, seen[k])
 		}
 	}
@@ -256,8 +256,8 @@
 }
 
 // A change is in force at all who tell, or at none; what differs between two is neither.
-func TestPlaces(t *testing.T) {
-	ops := []Op{{Key: "a", Result: Settled, Settled: 1, Called: ms, Returned: 5 * ms}, {Key: "b", Result: Ended}, {Key: "c", Result: Unknown}, {Key: "d", Result: Untaken}}
+func TestCountOutcomes(t *testing.T) {
+	ops := []Op{{Key: "a", Result: Settled, Settled: 1, Called: ms, Returned: 5 * ms}, {Key: "b", Result: Ended}, {Key: "c", Result: Unknown}, {Key: "d", Result: Rejected}}
 	of := func(keys ...string) (h []Entry) {
 		for i, k := range keys {
 			h = append(h, Entry{Number: uint64(i + 1), Key: k, Hash: "h" + k})
@@ -274,8 +274,8 @@
 		"at one alone":         {of("a", "c"), of("a"), 1, 1, 1, "request c is settled at b01 alone"},
 		"another number":       {of("a", "c"), of("c", "a"), 0, 1, 2, "or differs"},
 	} {
-		c := &Changed{}
-		verdict(t, name, c.places(ops, []told{{by: "b01", history: x.one}, {by: "b02", history: x.other}}), x.want)
+		c := &PlanResult{}
+		checkFound(t, name, c.countOutcomes(ops, []leaderHistory{{by: "b01", history: x.one}, {by: "b02", history: x.other}}), x.want)
 		if c.Everywhere != x.everywhere || c.Nowhere != x.nowhere || c.Mixed != x.mix {
 			t.Errorf("%s: %d everywhere, %d nowhere, %d mixed", name, c.Everywhere, c.Nowhere, c.Mixed)
 		}
@@ -283,10 +283,10 @@
 }
 
 // Who comes back after a fault goes by what is in force, not by what was before it, even where it doesn't say so itself.
-func TestFirstNewcomers(t *testing.T) {
-	say := map[uint64]says{1: {out: "r1,r2"}, 2: {out: "r3"}}
-	works := []Work{{By: "b01", Number: 1, To: 100 * ms}, {By: "b02", Number: 1, To: 1000 * ms}, {By: "b02", Number: 2, From: 1100 * ms, To: forEver},
-		{By: "b01", Number: 2, From: 3000 * ms, To: forEver}}
+func TestFirstRequestsAfterFault(t *testing.T) {
+	say := map[uint64]revisionSummary{1: {excluded: "r1,r2"}, 2: {excluded: "r3"}}
+	works := []Work{{By: "b01", Number: 1, To: 100 * ms}, {By: "b02", Number: 1, To: 1000 * ms}, {By: "b02", Number: 2, From: 1100 * ms, To: unbounded},
+		{By: "b01", Number: 2, From: 3000 * ms, To: unbounded}}
 	late := append([]Work{{By: "b01", Number: 1, From: 2000 * ms, To: 2500 * ms}}, works...)
 	for name, x := range map[string]struct {
 		works []Work
@@ -300,31 +300,31 @@
 		"by an old one":              {late, []arrival{{2400 * ms, "r3"}}, 1, "at work there was 1"},
 		"nobody came":                {works, []arrival{{50 * ms, "r3"}}, 0, ""},
 	} {
-		c := &Changed{}
-		verdict(t, name, c.firsts([]comeback{{"b01", 1500 * ms}}, map[string][]arrival{"b01": x.by}, x.works, say), x.want)
-		if c.CameBack != 1 || c.Judged != x.judge {
-			t.Errorf("%s: %d of %d judged", name, c.Judged, c.CameBack)
+		c := &PlanResult{}
+		checkFound(t, name, c.judgeFirstRequests([]recovery{{"b01", 1500 * ms}}, map[string][]arrival{"b01": x.by}, x.works, say), x.want)
+		if c.Recovered != 1 || c.Judged != x.judge {
+			t.Errorf("%s: %d of %d judged", name, c.Judged, c.Recovered)
 		}
 	}
 }
 
 // A rollback has what it goes back to, in the history and in the content that is given out, at all.
-func TestRolledBack(t *testing.T) {
+func TestRollbackContent(t *testing.T) {
 	h := []Entry{{Number: 1, Hash: "x", Kind: "propose"}, {Number: 2, Hash: "y", Kind: "propose"}, {Number: 3, Hash: "x", Kind: "rollback-of-1"}}
-	good := told{"b01", h, map[uint64]string{1: "x", 3: "x"}}
+	good := leaderHistory{"b01", h, map[uint64]string{1: "x", 3: "x"}}
 	for name, x := range map[string]struct {
-		other told
+		other leaderHistory
 		want  string
 	}{
-		"equal":              {told{"b02", h, map[uint64]string{1: "x", 3: "x"}}, ""},
-		"another content":    {told{"b02", h, map[uint64]string{1: "x", 3: "y"}}, "gives out a content of y"},
-		"another in history": {told{"b02", []Entry{h[0], h[1], {Number: 3, Hash: "y"}}, map[uint64]string{1: "x", 3: "x"}}, "b02 has y as revision 3"},
-		"not kept":           {told{"b02", h[:2], map[uint64]string{1: "x"}}, "b02 keeps no revision 3"},
+		"equal":              {leaderHistory{"b02", h, map[uint64]string{1: "x", 3: "x"}}, ""},
+		"another content":    {leaderHistory{"b02", h, map[uint64]string{1: "x", 3: "y"}}, "gives out a content of y"},
+		"another in history": {leaderHistory{"b02", []Entry{h[0], h[1], {Number: 3, Hash: "y"}}, map[uint64]string{1: "x", 3: "x"}}, "b02 has y as revision 3"},
+		"not kept":           {leaderHistory{"b02", h[:2], map[uint64]string{1: "x"}}, "b02 keeps no revision 3"},
 	} {
-		c := &Changed{}
-		verdict(t, name, c.rolled([]told{good, x.other}), x.want)
-		if c.Rolled != 1 || (c.Equal == 1) != (x.want == "") {
-			t.Errorf("%s: %d of %d", name, c.Equal, c.Rolled)
+		c := &PlanResult{}
+		checkFound(t, name, c.judgeRollbacks([]leaderHistory{good, x.other}), x.want)
+		if c.Rollbacks != 1 || (c.Equal == 1) != (x.want == "") {
+			t.Errorf("%s: %d of %d", name, c.Equal, c.Rollbacks)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 	for _, x := range []struct {
 		p    Plan
 		want string
-	}{{Plan{How: "none"}, "how: "}, {Plan{How: "calm", Changes: mostChanges + 1}, "changes: "}, {Plan{How: "calm", Before: -1}, "changes: "}} {
+	}{{Plan{How: "none"}, "how: "}, {Plan{How: "calm", Changes: maxChanges + 1}, "changes: "}, {Plan{How: "calm", Before: -1}, "changes: "}} {
 		if _, err := Run(x.p.Schedule(5, ""), Options{Net: 20, Revisions: true, Plan: &x.p}); err == nil || !strings.HasPrefix(err.Error(), x.want) || hint.Of(err) == "" {
 			t.Errorf("%+v: %v", x.p, err)
 		}
@@ -342,10 +342,10 @@
 	if _, err := Run((&Plan{How: "calm"}).Schedule(5, ""), Options{Net: 20, Plan: &Plan{How: "calm"}}); err == nil || !strings.HasPrefix(err.Error(), "plan: ") {
 		t.Error(err)
 	}
-	for _, name := range Hows() {
+	for _, name := range FaultPatterns() {
 		s := (&Plan{How: name}).Schedule(5, "hold")
 		for seed := range uint64(50) {
-			list := hows[name].draw(rand.New(rand.NewPCG(seed, 1)), s)
+			list := faultPatterns[name].generate(rand.New(rand.NewPCG(seed, 1)), s)
 			s.Faults = list
 			if err := s.Check(); err != nil || name == "mixed" && (len(list) < 1 || len(list) > 2) || len(list) == 2 && list[0].A == list[1].A {
 				t.Fatal(name, seed, list, err)
--- a/internal/faultinjection/late.go
+++ b/internal/faultinjection/late.go
@@ -25,20 +25,20 @@
 // no matter of time, nor an answer that stays out for longer than the machine stood.
 
 const (
-	beatEvery = 5 * time.Millisecond
-	lookEvery = 250 * time.Millisecond
-	seenBy    = 2 * lookEvery // the system counts a wait once it is over, and this process may look late
-	tooLate   = 0.25          // of a run's time, without a processor: what was kept then proves little
-	mostBeats = 200_000       // late ones that are kept, of each processor
-	syncEvery = 50 * time.Millisecond
-	syncUsual = 20 * time.Millisecond // a write that is on the disk by then is on time
+	timerInterval = 5 * time.Millisecond
+	pollInterval = 250 * time.Millisecond
+	observationDelay    = 2 * pollInterval // the system counts a wait once it is over, and this process may look late
+	maxLateShare   = 0.25          // of a run's time, without a processor: what was kept then proves little
+	maxTimerSamples = 200_000       // late ones that are kept, of each processor
+	syncInterval = 50 * time.Millisecond
+	syncAllowance = 20 * time.Millisecond // a write that is on the disk by then is on time
 )
 
 // moment is what had been waited by a time, in all.
-type moment struct{ at, waited time.Duration }
+type waitSample struct{ at, waited time.Duration }
 
 // waits is a sum that grows, kept by time.
-type waits []moment
+type waits []waitSample
 
 func (l waits) by(at time.Duration) time.Duration {
 	if len(l) == 0 {
@@ -53,7 +53,7 @@
 // add makes the sum grow.
 func (l *waits) add(at, more time.Duration) {
 	if sum := l.by(at) + more; more > 0 || len(*l) == 0 {
-		*l = append(*l, moment{at, sum})
+		*l = append(*l, waitSample{at, sum})
 	}
 }
 
@@ -63,10 +63,10 @@
 	mu   sync.Mutex
 	late []waits
 	disk waits
-	out  time.Duration // when the write that isn't on the disk yet began, 0 for none
+	writeSince  time.Duration // when the write that isn't on the disk yet began, 0 for none
 }
 
-var theMachine = sync.OnceValue(func() *machine {
+var sharedMachine = sync.OnceValue(func() *machine {
 	m := &machine{zero: time.Now()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,29 +77,29 @@
 			one.Zero()
 			one.Set(cpu)
 			m.late = append(m.late, nil)
-			go m.beat(len(m.late)-1, one)
+			go m.measureTimer(len(m.late)-1, one)
 		}
 	}
 	if f, err := os.CreateTemp("", "oatlab-late"); err == nil {
 		_ = os.Remove(f.Name()) // it lives on while it is open, and no longer
-		go m.write(f)
+		go m.measureDisk(f)
 	}
 	return m
 })
 
 // write puts a byte on the disk where fault runs have their folders, over and over. What the agreement settles waits for such writes, so
 // processes that are founding can't answer while the disk stands.
-func (m *machine) write(f *os.File) {
-	for b := []byte{0}; ; time.Sleep(syncEvery) {
+func (m *machine) measureDisk(f *os.File) {
+	for b := []byte{0}; ; time.Sleep(syncInterval) {
 		m.mu.Lock()
-		m.out = time.Since(m.zero)
+		m.writeSince = time.Since(m.zero)
 		m.mu.Unlock()
 		_, err := f.WriteAt(b, 0)
 		err = errors.Join(err, f.Sync())
 		m.mu.Lock()
 		now := time.Since(m.zero)
-		m.disk.add(now, max(0, now-m.out-syncUsual))
-		m.out = 0
+		m.disk.add(now, max(0, now-m.writeSince-syncAllowance))
+		m.writeSince = 0
 		m.mu.Unlock()
 		if err != nil {
 			return // nothing more is known of this disk
@@ -112,19 +112,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	late := m.disk.within(from, to)
-	if m.out > 0 {
-		late += max(0, to-max(m.out, from)-syncUsual)
+	if m.writeSince > 0 {
+		late += max(0, to-max(m.writeSince, from)-syncAllowance)
 	}
 	return late
 }
 
 // starved is why a fault run that missed something at its start could not begin: for a quarter of the time or more the machine's timers, or its
 // disk, were late. nil if neither was.
-func (w *Scenario) starved(missed string) error {
-	own, _, _ := w.wholeLate()
+func (w *Scenario) overloadError(missed string) error {
+	own, _, _ := w.overallLateness()
 	all := w.Now()
 	disk := float64(w.late.m.diskLate(w.late.began, w.late.began+all)) / float64(all)
-	if max(own, disk) <= tooLate {
+	if max(own, disk) <= maxLateShare {
 		return nil
 	}
 	return &MachineOverloaded{own, disk, missed}
@@ -132,7 +132,7 @@
 
 // beat sleeps and sends itself a datagram, over and over, on a thread that stays at one processor. A stalled processor holds up whatever
 // threads and packets stand there, while all others come on time.
-func (m *machine) beat(k int, cpu unix.CPUSet) {
+func (m *machine) measureTimer(k int, cpu unix.CPUSet) {
 	runtime.LockOSThread()
 	_ = unix.SchedSetaffinity(0, &cpu)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, 0)
@@ -143,16 +143,16 @@
 	self, _ := unix.Getsockname(fd)
 	b := make([]byte, 1)
 	for {
-		due := time.Since(m.zero) + beatEvery
-		wait := unix.NsecToTimespec(int64(beatEvery))
+		due := time.Since(m.zero) + timerInterval
+		wait := unix.NsecToTimespec(int64(timerInterval))
 		_ = unix.Nanosleep(&wait, nil)
 		if err == nil && unix.Sendto(fd, b, 0, self) == nil {
 			_, _, _ = unix.Recvfrom(fd, b, 0)
 		}
 		now := time.Since(m.zero)
 		m.mu.Lock()
-		if len(m.late[k]) > mostBeats {
-			m.late[k] = slices.Clone(m.late[k][mostBeats/2:])
+		if len(m.late[k]) > maxTimerSamples {
+			m.late[k] = slices.Clone(m.late[k][maxTimerSamples/2:])
 		}
 		m.late[k].add(now, now-due-time.Millisecond) // no timer is better than that
 		m.mu.Unlock()
@@ -178,62 +178,62 @@
 	m     *machine
 	began time.Duration // of the run, by the machine's time
 	mu    sync.Mutex
-	of    []waits // of each balancer's processes
-	runs  []running
-	at    time.Duration // last looked at
+	waits    []waits // of each balancer's processes
+	tracked  []trackedProcess
+	polledAt    time.Duration // last looked at
 }
 
-type running struct {
+type trackedProcess struct {
 	balancer int
 	p        *fake.Process
 	seen     map[string]time.Duration // by thread
 }
 
 // beats looks at the balancers' threads until the run ends.
-func (w *Scenario) beats() {
-	for pause(w.ended, lookEvery) {
-		w.look()
+func (w *Scenario) pollThreadsUntilEnd() {
+	for pause(w.ended, pollInterval) {
+		w.pollThreads()
 	}
 }
 
 // runs has a process's threads looked at from now on.
-func (w *Scenario) runs(i int, p *fake.Process) {
+func (w *Scenario) trackProcess(i int, p *fake.Process) {
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
-	w.late.runs = append(w.late.runs, running{i, p, map[string]time.Duration{}})
+	w.late.tracked = append(w.late.tracked, trackedProcess{i, p, map[string]time.Duration{}})
 }
 
 // look reads how long each thread has waited in a queue for a processor, no more often than every lookEvery: looking takes
 // processors too. Where the system doesn't tell, nothing is known.
-func (w *Scenario) look() {
+func (w *Scenario) pollThreads() {
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
 	now := w.Now()
-	if now-w.late.at < lookEvery && len(w.late.of) > 0 {
+	if now-w.late.polledAt < pollInterval && len(w.late.waits) > 0 {
 		return
 	}
-	w.late.at = now
-	for len(w.late.of) < w.Schedule.Balancers {
-		w.late.of = append(w.late.of, nil)
+	w.late.polledAt = now
+	for len(w.late.waits) < w.Schedule.Balancers {
+		w.late.waits = append(w.late.waits, nil)
 	}
-	for k := 0; k < len(w.late.runs); k++ {
-		r := w.late.runs[k]
+	for k := 0; k < len(w.late.tracked); k++ {
+		r := w.late.tracked[k]
 		if err := r.p.Over(0); err == nil || err.Error() != "still running" {
-			w.late.runs = append(w.late.runs[:k], w.late.runs[k+1:]...)
+			w.late.tracked = append(w.late.tracked[:k], w.late.tracked[k+1:]...)
 			k--
 			continue
 		}
 		sum := time.Duration(0)
-		for file, waited := range waitedFor(r.p.PID()) {
+		for file, waited := range threadWaits(r.p.PID()) {
 			sum += waited - r.seen[file]
 			r.seen[file] = waited
 		}
-		w.late.of[r.balancer].add(now, sum)
+		w.late.waits[r.balancer].add(now, sum)
 	}
 }
 
 // waitedFor is how long each thread of a process has waited in all, by its file.
-func waitedFor(pid int) map[string]time.Duration {
+func threadWaits(pid int) map[string]time.Duration {
 	list := map[string]time.Duration{}
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
@@ -248,13 +248,13 @@
 
 // lateFor is how long, within a time, the machine and balancer i's processes were late; the most of all balancers for -1.
 func (w *Scenario) lateFor(i int, from, to time.Duration) time.Duration {
-	w.look()
-	to += seenBy
+	w.pollThreads()
+	to += observationDelay
 	own, _, _ := w.late.m.within(w.late.began+from, w.late.began+to)
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
 	most := time.Duration(0)
-	for k, of := range w.late.of {
+	for k, of := range w.late.waits {
 		if i < 0 || i == k {
 			most = max(most, of.within(from, to))
 		}
@@ -263,16 +263,16 @@
 }
 
 // void tells that the machine was late by as much as something at balancer i was over its time. Either is noted.
-func (w *Scenario) void(i int, from, over time.Duration, format string, args ...any) bool {
-	return w.voidThen(i, from, w.Now(), over, format, args...)
+func (w *Scenario) excusedByMachine(i int, from, over time.Duration, format string, args ...any) bool {
+	return w.excusedByMachineUntil(i, from, w.Now(), over, format, args...)
 }
 
 // voidThen is void for a time that is over.
-func (w *Scenario) voidThen(i int, from, to, over time.Duration, format string, args ...any) bool {
-	time.Sleep(max(0, to+seenBy-w.Now()))
+func (w *Scenario) excusedByMachineUntil(i int, from, to, over time.Duration, format string, args ...any) bool {
+	time.Sleep(max(0, to+observationDelay-w.Now()))
 	late := w.lateFor(i, from, to)
 	if late < over {
-		w.find("%s, and the machine was %v late", fmt.Sprintf(format, args...), late.Round(time.Millisecond))
+		w.addViolation("%s, and the machine was %v late", fmt.Sprintf(format, args...), late.Round(time.Millisecond))
 		return false
 	}
 	w.mu.Lock()
@@ -283,14 +283,14 @@
 
 // wholeLate is the part of the run's time by which timers were late, and that in which the balancers' threads waited for processors, in
 // the mean, and the most that a timer was late.
-func (w *Scenario) wholeLate() (own, theirs float64, atOnce time.Duration) {
-	w.look()
+func (w *Scenario) overallLateness() (own, theirs float64, atOnce time.Duration) {
+	w.pollThreads()
 	all := w.Now()
 	_, late, atOnce := w.late.m.within(w.late.began, w.late.began+all)
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
-	for _, of := range w.late.of {
-		theirs += float64(of.within(0, all)) / float64(all) / float64(len(w.late.of))
+	for _, of := range w.late.waits {
+		theirs += float64(of.within(0, all)) / float64(all) / float64(len(w.late.waits))
 	}
 	return float64(late) / float64(all), theirs, atOnce
 }
--- a/internal/faultinjection/late_test.go
+++ b/internal/faultinjection/late_test.go
@@ -10,7 +10,7 @@
 
 // What comes late by no more than the machine was is void; an answer that is later than that, or never came, and what is no matter
 // of time, breaks the rules whatever the machine does.
-func TestTheMachineIsLate(t *testing.T) {
+func TestLateMachineExcuses(t *testing.T) {
 	parties, err := fake.New(1)
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +20,7 @@
 	w := &Scenario{World: parties, Schedule: &Schedule{Balancers: 2}, disturbances: make([][]span, 2)}
 	now := w.Now()
 	w.late.m = &machine{late: []waits{{{0, 0}, {now, 10 * ms}}, nil}}
-	w.late.of = []waits{{{0, 0}, {now, 30 * ms}}, nil}
+	w.late.waits = []waits{{{0, 0}, {now, 30 * ms}}, nil}
 	late := func(d time.Duration) fake.Answer { return fake.Answer{What: "none", Late: d} }
 	for of, x := range map[string]struct {
 		got, want bool
@@ -32,10 +32,10 @@
 		"late after that":              {w.excuse(0, now+1)(late(9 * ms)), false},
 		"never":                        {w.excuse(0, 0)(late(0)), false},
 		"a connection that broke":      {w.excuse(0, 0)(fake.Answer{What: "reset"}), false},
-		"no matter of time":            {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, By: "b01"}}), false},
-		"cut, and nothing was read":    {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, Kind: rules.Lost, Text: "b01: EOF"}}), false},
-		"a rule of time":               {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 39 * ms}), true},
-		"a rule of time, long overdue": {w.byTheMachine(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 41 * ms}), false},
+		"no matter of time":            {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}}), false},
+		"cut, and nothing was read":    {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, Kind: rules.Lost, Text: "b01: EOF"}}), false},
+		"a rule of time":               {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 39 * ms}), true},
+		"a rule of time, long overdue": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 41 * ms}), false},
 	} {
 		if x.got != x.want {
 			t.Errorf("%s: excused %v", of, x.got)
@@ -48,7 +48,7 @@
 
 // A fault run that could not begin while the disk stood shows nothing, be the write on the disk by then or not; one that missed its start
 // with a disk on time is broken.
-func TestTheDiskStands(t *testing.T) {
+func TestLateDiskExcuses(t *testing.T) {
 	parties, err := fake.New(1)
 	if err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 	}{
 		"on time":          {&machine{disk: waits{{0, 0}, {now, now / 10}}}, false},
 		"late":             {&machine{disk: waits{{0, 0}, {now, now}}}, true},
-		"a write is out":   {&machine{disk: waits{{0, 0}}, out: 1}, true},
-		"it has just left": {&machine{disk: waits{{0, 0}}, out: now}, false},
+		"a write is out":   {&machine{disk: waits{{0, 0}}, writeSince: 1}, true},
+		"it has just left": {&machine{disk: waits{{0, 0}}, writeSince: now}, false},
 	} {
 		w.late.m = x.m
-		if err := w.starved("no PONG"); (err != nil) != x.void {
+		if err := w.overloadError("no PONG"); (err != nil) != x.void {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/faultinjection/leader.go
+++ b/internal/faultinjection/leader.go
@@ -11,20 +11,20 @@
 
 func init() {
 	for name, as := range map[string]string{"leader-killed": "kill", "leader-stops": "stop", "leader-cut": "talk-cut", "leader-unheard": "talk-one-way"} {
-		register(name, kind{needs: revisionsOn, draw: func(rng *rand.Rand, s *Schedule) Fault { return anyOne(rng, s) }, begin: func(w *Scenario, f Fault) func() {
+		register(name, kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault { return anyBalancer(rng, s) }, begin: func(w *Scenario, f Fault) func() {
 			f.A = w.leader(f.A)
 			return kinds[as].begin(w, f)
 		}})
 	}
-	register("reader-killed", kind{needs: revisionsOn, hand: true, draw: anyOne, begin: func(w *Scenario, f Fault) func() {
-		f.A = w.reader(f.A)
+	register("reader-killed", kind{needs: revisionsOn, manualOnly: true, generate: anyBalancer, begin: func(w *Scenario, f Fault) func() {
+		f.A = w.nonVoter(f.A)
 		return kinds["kill"].begin(w, f)
 	}})
 }
 
 // reader is the first balancer from a on that has no vote, as any living one has it; a where all have one, or nobody knows.
-func (w *Scenario) reader(a int) int {
-	for _, i := range w.alive() {
+func (w *Scenario) nonVoter(a int) int {
+	for _, i := range w.undisturbed() {
 		s, ok := w.status(i)
 		if !ok || s.Leader == "" {
 			continue
@@ -44,7 +44,7 @@
 func (w *Scenario) leader(otherwise int) int {
 	votes := make([]int, w.Schedule.Balancers)
 	best := -1
-	for _, i := range w.alive() {
+	for _, i := range w.undisturbed() {
 		s, _ := w.status(i)
 		for j := range votes {
 			if s.Leader == w.name(j) {
--- a/internal/faultinjection/linear.go
+++ b/internal/faultinjection/linear.go
@@ -12,7 +12,7 @@
 // Linearizability is the invariant that the operators' calls, together, are those of one register that is compared and set: there is one
 // order of them, each at some moment between its call and its answer, in which every answer is right. A request whose outcome
 // nobody was told may be in that order or not.
-type Linearizability struct{ atTheEnd }
+type Linearizability struct{ finalOnly }
 
 // Judge has the calls checked, and with them what stands in the history without a call that was told so (the way back of a
 // guarded change among them).
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil // Kept says so
 	}
-	return linear(w.record.Ops(), h)
+	return checkLinear(w.record.Ops(), h)
 }
 
 // casRegister is the state: what is in force, and what became of each key.
@@ -37,7 +37,7 @@
 	return n, ok
 }
 
-func (r casRegister) with(key string, n uint64) casRegister {
+func (r casRegister) withOutcome(key string, n uint64) casRegister {
 	list := append(strings.Fields(r.done), fmt.Sprintf("%s=%d", key, n))
 	sort.Strings(list)
 	r.done = " " + strings.Join(list, " ")
@@ -59,7 +59,7 @@
 				return []any{r}
 			}
 			if fits && o.Settled == r.inForce+1 {
-				return []any{r.with(o.Key, o.Settled)}
+				return []any{r.withOutcome(o.Key, o.Settled)}
 			}
 			return nil
 		case Refused:
@@ -69,7 +69,7 @@
 			return nil
 		case Unknown:
 			if fits {
-				return []any{r, r.with(o.Key, r.inForce+1)}
+				return []any{r, r.withOutcome(o.Key, r.inForce+1)}
 			}
 			return []any{r}
 		case Ended:
@@ -77,7 +77,7 @@
 				return nil
 			}
 			if !done {
-				r = r.with(o.Key, 0)
+				r = r.withOutcome(o.Key, 0)
 			}
 			return []any{r}
 		}
@@ -90,7 +90,7 @@
 	},
 }
 
-func linear(ops []Op, history []Entry) []string {
+func checkLinear(ops []Op, history []Entry) []string {
 	told := map[string]bool{}
 	at := map[uint64]Op{}
 	for _, o := range ops {
@@ -106,7 +106,7 @@
 		if told[e.Key] {
 			continue
 		}
-		o := Op{Key: e.Key, From: -1, Result: Settled, Settled: e.Number, Returned: forEver}
+		o := Op{Key: e.Key, From: -1, Result: Settled, Settled: e.Number, Returned: unbounded}
 		for i := range ops { // its operator gave up before it was told
 			if ops[i].Key == e.Key {
 				o.From, o.Called = ops[i].From, ops[i].Called
@@ -116,7 +116,7 @@
 		add(o)
 	}
 	for _, o := range ops {
-		if o.Result == Untaken || o.Result == Unknown { // an unknown one that isn't in the history left nothing
+		if o.Result == Rejected || o.Result == Unknown { // an unknown one that isn't in the history left nothing
 			continue
 		}
 		add(o)
--- a/internal/faultinjection/links.go
+++ b/internal/faultinjection/links.go
@@ -19,12 +19,12 @@
 const (
 	east, west = "east", "west"
 	linkBytes  = 60e3 // a second
-	leastChat  = 0.3
-	leastBulk  = 0.4
-	safePart   = 0.1
-	pourPiece  = 1024
-	poursAt    = 2                     // bulk terminals of each balancer, each of which sends
-	pourEach   = 15 * time.Millisecond // a piece: 68 kB a second, more than the link by itself
+	chatShare  = 0.3
+	bulkShare  = 0.4
+	safeShare   = 0.1
+	bulkChunkBytes  = 1024
+	bulkClientsPerBalancer    = 2                     // bulk terminals of each balancer, each of which sends
+	bulkInterval   = 15 * time.Millisecond // a piece: 68 kB a second, more than the link by itself
 )
 
 // zone is where balancer i stands: every other one in the east, where links are on.
@@ -39,7 +39,7 @@
 }
 
 // site puts the regions into zones: most of them in the west, so that what comes in the east has to cross.
-func (w *Scenario) site() {
+func (w *Scenario) placeServers() {
 	for j, r := range w.Regions {
 		if r.Zone = west; j == len(w.Regions)-1 && j > 1 {
 			r.Zone = east
@@ -73,43 +73,43 @@
 }
 
 // table is a revision's table of links, of one size.
-func (w *Scenario) table(bytes float64) []revision.Link {
-	classes := []revision.LinkClass{{Name: "chat", Priority: 1, MinShare: leastChat, Weight: 1}, {Name: "bulk", Priority: 2, MinShare: leastBulk, Weight: 1}}
+func (w *Scenario) linkTable(bytes float64) []revision.Link {
+	classes := []revision.LinkClass{{Name: "chat", Priority: 1, MinShare: chatShare, Weight: 1}, {Name: "bulk", Priority: 2, MinShare: bulkShare, Weight: 1}}
 	return []revision.Link{{From: east, To: west, Bytes: bytes, Classes: classes}, {From: west, To: east, Bytes: bytes, Classes: classes}}
 }
 
 func (w *Scenario) linksSection() *edgeconfig.Links {
-	return &edgeconfig.Links{SafePart: safePart, Lease: edgeconfig.Duration(w.options.Lease), Buffer: 64 << 10}
+	return &edgeconfig.Links{SafePart: safeShare, Lease: edgeconfig.Duration(w.options.Lease), Buffer: 64 << 10}
 }
 
 // pour starts the bulk terminals.
-func (w *Scenario) pour() {
+func (w *Scenario) startBulkClients() {
 	for i := range w.Schedule.Balancers {
-		for n := range poursAt {
-			w.asking.Add(1)
-			w.Go(func() { defer w.asking.Done(); w.bulk(i, rand.New(rand.NewPCG(uint64(i), uint64(n)))) })
+		for n := range bulkClientsPerBalancer {
+			w.clients.Add(1)
+			w.Go(func() { defer w.clients.Done(); w.runBulkClient(i, rand.New(rand.NewPCG(uint64(i), uint64(n)))) })
 		}
 	}
 }
 
-func (w *Scenario) bulk(i int, rng *rand.Rand) {
+func (w *Scenario) runBulkClient(i int, rng *rand.Rand) {
 	for pause(w.stop, time.Duration(50+rng.IntN(200))*time.Millisecond) {
 		since := w.Now()
-		t, err := w.Connect("", w.addr(linksIn+i+1, 1, terminalPort))
+		t, err := w.Connect("", w.addr(linksIn+i+1, 1, clientPort))
 		if err != nil {
 			continue
 		}
 		t.By = w.name(i)
-		t.Excuse, t.After = w.excuse(i, since), listenOn
+		t.Excuse, t.After = w.excuse(i, since), lateAnswerWait
 		a := t.Open(fake.Ask{Key: "bulk" + t.ID, Class: "bulk"})
 		if a.What == "UP" {
-			w.pourOver(t, i, since, strings.TrimPrefix(a.Line, "UP "), rng)
+			w.sendBulk(t, i, since, strings.TrimPrefix(a.Line, "UP "), rng)
 		}
 		t.Break()
 	}
 }
 
-func (w *Scenario) pourOver(t *fake.Terminal, i int, since time.Duration, receipt string, rng *rand.Rand) {
+func (w *Scenario) sendBulk(t *fake.Terminal, i int, since time.Duration, receipt string, rng *rand.Rand) {
 	region, _, _ := strings.Cut(receipt, "-")
 	from, to := w.zoneOf(region), w.zone(i)
 	stop, over := make(chan struct{}), make(chan struct{})
@@ -122,40 +122,40 @@
 		case <-time.After(most):
 		}
 	}()
-	p := w.ledger.pours(w.Now(), from != to)
-	each := pourEach
+	p := w.ledger.startTransfer(w.Now(), from != to)
+	each := bulkInterval
 	if from == to { // nothing bounds it
 		each *= 10
 	}
-	err := t.Pour(pourPiece, each, stop, func(n int) {
-		p.took(w.Now(), n)
+	err := t.Pour(bulkChunkBytes, each, stop, func(n int) {
+		p.receive(w.Now(), n)
 		if from != to {
 			w.ledger.add(from+">"+to, "bulk", w.Now(), n)
 		}
 	})
 	close(over)
-	p.ends(w.Now())
+	p.end(w.Now())
 	select {
 	case <-stop:
 		return
 	default:
 	}
 	switch {
-	case err == fake.ErrMoved, w.troubled(i, since), w.regionFaults(since):
+	case err == fake.ErrMoved, w.disturbedSince(i, since), w.serverLinksDisturbedSince(since):
 	case err != nil:
 		w.Saw(rules.Lost, t.ID, "", w.name(i)+": bulk: "+err.Error())
 	}
 }
 
 // slot is the ledger's resolution.
-const slot = 50 * time.Millisecond
+const slotLength = 50 * time.Millisecond
 
 // ledger holds the bytes that came over links, by slots of time, and the terminals that poured.
 type ledger struct {
 	mu    sync.Mutex
 	bytes map[string]map[int]int            // by link, slot
-	by    map[string]map[string]map[int]int // by link, class, slot
-	list  []*bulkTransfer
+	byClass    map[string]map[string]map[int]int // by link, class, slot
+	transfers  []*bulkTransfer
 }
 
 type bulkTransfer struct {
@@ -167,20 +167,20 @@
 }
 
 func newLedger() *ledger {
-	return &ledger{bytes: map[string]map[int]int{}, by: map[string]map[string]map[int]int{}}
+	return &ledger{bytes: map[string]map[int]int{}, byClass: map[string]map[string]map[int]int{}}
 }
 
 func (l *ledger) add(link, class string, at time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.bytes[link] == nil {
-		l.bytes[link], l.by[link] = map[int]int{}, map[string]map[int]int{}
+		l.bytes[link], l.byClass[link] = map[int]int{}, map[string]map[int]int{}
 	}
-	if l.by[link][class] == nil {
-		l.by[link][class] = map[int]int{}
+	if l.byClass[link][class] == nil {
+		l.byClass[link][class] = map[int]int{}
 	}
-	l.bytes[link][int(at/slot)] += n
-	l.by[link][class][int(at/slot)] += n
+	l.bytes[link][int(at/slotLength)] += n
+	l.byClass[link][class][int(at/slotLength)] += n
 }
 
 // sum is what came over a link of a class, or of all for "", from one time to another.
@@ -189,44 +189,44 @@
 	defer l.mu.Unlock()
 	of := l.bytes[link]
 	if class != "" {
-		of = l.by[link][class]
+		of = l.byClass[link][class]
 	}
-	for s := int(from / slot); s < int(to/slot); s++ {
+	for s := int(from / slotLength); s < int(to/slotLength); s++ {
 		n += of[s]
 	}
 	return n
 }
 
-func (l *ledger) pours(at time.Duration, crosses bool) *bulkTransfer {
-	p := &bulkTransfer{from: at, to: forEver, last: at, crosses: crosses}
+func (l *ledger) startTransfer(at time.Duration, crosses bool) *bulkTransfer {
+	p := &bulkTransfer{from: at, to: unbounded, last: at, crosses: crosses}
 	l.mu.Lock()
-	l.list = append(l.list, p)
+	l.transfers = append(l.transfers, p)
 	l.mu.Unlock()
 	return p
 }
 
-func (p *bulkTransfer) took(at time.Duration, n int) {
+func (p *bulkTransfer) receive(at time.Duration, n int) {
 	p.mu.Lock()
-	p.gap(at)
+	p.noteGap(at)
 	p.last = at
 	p.mu.Unlock()
 }
 
-func (p *bulkTransfer) ends(at time.Duration) {
+func (p *bulkTransfer) end(at time.Duration) {
 	p.mu.Lock()
-	p.gap(at)
+	p.noteGap(at)
 	p.to = at
 	p.mu.Unlock()
 }
 
-func (p *bulkTransfer) gap(at time.Duration) {
+func (p *bulkTransfer) noteGap(at time.Duration) {
 	if at-p.last > 500*time.Millisecond {
 		p.gaps = append(p.gaps, span{p.last, at})
 	}
 }
 
 // longest is how long no bytes came at most, within a time.
-func (p *bulkTransfer) longest(from, to time.Duration) (d time.Duration) {
+func (p *bulkTransfer) longestGap(from, to time.Duration) (d time.Duration) {
 	for _, g := range append(p.gaps, span{p.last, to}) {
 		d = max(d, min(g.to, to)-max(g.from, from))
 	}
--- a/internal/faultinjection/linksum.go
+++ b/internal/faultinjection/linksum.go
@@ -8,7 +8,7 @@
 // LinkSum is the invariant that what all balancers send over a link never exceeds it: in no second does more come at its far end
 // than the link bears and the bursts that all may have saved, by the largest size that was in force about then. What a disturbed
 // way has held back comes at once later, and isn't judged.
-type LinkSum struct{ atTheEnd }
+type LinkSum struct{ finalOnly }
 
 const (
 	sumWindow = time.Second
@@ -18,13 +18,13 @@
 // Judge adds up.
 func (LinkSum) Judge(w *Scenario) []string {
 	h, _ := w.history(0)
-	return linkSum(w.ledger, w.record.Works(), contents(w.record.Ops(), h), w.Now(), w.heldBack, func(from, to time.Duration) time.Duration { return w.lateFor(-1, from, to) })
+	return checkLinkSum(w.ledger, w.record.Works(), summarize(w.record.Ops(), h), w.Now(), w.linksDelayed, func(from, to time.Duration) time.Duration { return w.lateFor(-1, from, to) })
 }
 
-func linkSum(l *ledger, works []Work, say map[uint64]says, end time.Duration, held func(from, to time.Duration) bool,
+func checkLinkSum(l *ledger, works []Work, say map[uint64]revisionSummary, end time.Duration, held func(from, to time.Duration) bool,
 	late func(from, to time.Duration) time.Duration) (broken []string) {
 	for _, link := range []string{east + ">" + west, west + ">" + east} {
-		for from := time.Duration(0); from+sumWindow < end && len(broken) < 3; from += slot {
+		for from := time.Duration(0); from+sumWindow < end && len(broken) < 3; from += slotLength {
 			to := from + sumWindow
 			if held(from, to) {
 				continue
@@ -32,10 +32,10 @@
 			most, bound := 0.0, true
 			for _, k := range works {
 				if k.From <= to && k.To >= from-sumWindow {
-					if say[k.Number].bytes == 0 { // no table of links then: nothing is bounded
+					if say[k.Number].linkBytes == 0 { // no table of links then: nothing is bounded
 						bound = false
 					}
-					most = max(most, say[k.Number].bytes)
+					most = max(most, say[k.Number].linkBytes)
 				}
 			}
 			n := l.sum(link, "", from, to)
@@ -49,8 +49,8 @@
 }
 
 // heldBack tells whether a disturbed way may have held bytes back that came in this time.
-func (w *Scenario) heldBack(from, to time.Duration) bool {
-	since := w.faultsFrom()
+func (w *Scenario) linksDelayed(from, to time.Duration) bool {
+	since := w.faultsBegan()
 	for _, f := range w.Schedule.Faults {
 		switch f.Kind {
 		case "region-late", "region-cut", "region-resets", "terminals-cut", "terminals-slow", "region-thinks":
--- a/internal/faultinjection/members.go
+++ b/internal/faultinjection/members.go
@@ -23,12 +23,12 @@
 	members    map[string]map[string]string // by name, the words of its line
 }
 
-func ask(addr, call string) (string, bool) {
+func callManagement(addr, call string) (string, bool) {
 	a, err := management.Call(addr, call)
 	return a.Text, err == nil && a.OK
 }
 
-func words(text string) map[string]string {
+func parseMemberLine(text string) map[string]string {
 	m := map[string]string{}
 	for i, f := range strings.Fields(text) {
 		name, value, ok := strings.Cut(f, "=")
@@ -44,27 +44,27 @@
 	return m
 }
 
-func (w *Scenario) held(i int) (h memberView, ok bool) {
+func (w *Scenario) queryMembers(i int) (h memberView, ok bool) {
 	addr := w.launch(i).Management
-	text, ok := ask(addr, "peers")
+	text, ok := callManagement(addr, "peers")
 	if !ok {
 		return h, false
 	}
-	self := words(text)
+	self := parseMemberLine(text)
 	h = memberView{generation: self["generation"], flags: self["flags"], members: map[string]map[string]string{}}
 	for name := ""; ; {
-		text, ok := ask(addr, "peers >"+name)
+		text, ok := callManagement(addr, "peers >"+name)
 		if !ok || text == "-" {
 			return h, ok
 		}
-		m := words(text)
+		m := parseMemberLine(text)
 		name = m["name"]
 		h.members[name] = m
 	}
 }
 
 // alive are the balancers that run now and are not disturbed.
-func (w *Scenario) alive() (list []int) {
+func (w *Scenario) undisturbed() (list []int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, dead := range w.killed {
@@ -84,8 +84,8 @@
 	if m.seen == nil {
 		m.seen = map[string][2]uint64{}
 	}
-	for _, i := range w.alive() {
-		h, ok := w.held(i)
+	for _, i := range w.undisturbed() {
+		h, ok := w.queryMembers(i)
 		if !ok {
 			continue
 		}
@@ -100,7 +100,7 @@
 				at := fmt.Sprint(w.name(i), h.generation, name, key)
 				was := m.seen[at]
 				if generation < was[0] || generation == was[0] && version < was[1] {
-					w.find("%s went back with %s of %s: generation %d version %d after %d, %d", w.name(i), key, name, generation, version, was[0], was[1])
+					w.addViolation("%s went back with %s of %s: generation %d version %d after %d, %d", w.name(i), key, name, generation, version, was[0], was[1])
 				}
 				m.seen[at] = [2]uint64{generation, version}
 			}
@@ -112,7 +112,7 @@
 func (m *Membership) Settled(w *Scenario) string {
 	var all []memberView
 	for i := range w.Schedule.Balancers {
-		h, ok := w.held(i)
+		h, ok := w.queryMembers(i)
 		if !ok {
 			return w.name(i) + " does not answer the call peers"
 		}
--- a/internal/faultinjection/newcomers.go
+++ b/internal/faultinjection/newcomers.go
@@ -10,30 +10,30 @@
 // Newcomers is the invariant that each is routed by a revision at work: the regions that revisions leave out betray who routes
 // by another one. What was decided may take a little until it has come to the region, and a link to regions that is
 // disturbed longer: what came then isn't judged.
-type Newcomers struct{ atTheEnd }
+type RoutingRevision struct{ finalOnly }
 
 const (
-	underWay = 400 * time.Millisecond // a connection that is given up takes 250
-	soon     = 20 * time.Millisecond  // a line of a log is written when the loop has taken the permit up
+	maxTransit = 400 * time.Millisecond // a connection that is given up takes 250
+	logDelay     = 20 * time.Millisecond  // a line of a log is written when the loop has taken the permit up
 )
 
 // Judge looks at all that came to regions.
-func (Newcomers) Judge(w *Scenario) []string {
+func (RoutingRevision) Judge(w *Scenario) []string {
 	w.record.mu.Lock()
 	routed := w.record.routed
 	w.record.mu.Unlock()
 	h, _ := w.history(0) // Kept says so where there is none
-	return newcomers(routed, w.record.Works(), contents(w.record.Ops(), h), w.disturbed, func(by string, from, to, over time.Duration) bool {
+	return checkRouting(routed, w.record.Works(), summarize(w.record.Ops(), h), w.serverLinksDisturbed, func(by string, from, to, over time.Duration) bool {
 		for i := range w.Schedule.Balancers {
 			if w.name(i) == by {
-				return w.voidThen(i, from, to, over, "%s: a newcomer came to a region %v late", by, over.Round(time.Millisecond))
+				return w.excusedByMachineUntil(i, from, to, over, "%s: a newcomer came to a region %v late", by, over.Round(time.Millisecond))
 			}
 		}
 		return false
 	})
 }
 
-func newcomers(routed []rules.Event, works []Work, say map[uint64]says, disturbed func(time.Duration) bool,
+func checkRouting(routed []rules.Event, works []Work, say map[uint64]revisionSummary, disturbed func(time.Duration) bool,
 	excused func(by string, from, to, over time.Duration) bool) (broken []string) {
 	by := map[string][]Work{}
 	for _, k := range works {
@@ -43,7 +43,7 @@
 		if e.By == "" || disturbed(e.At) {
 			continue
 		}
-		may, had, last, next := false, "", Work{}, forEver
+		may, had, last, next := false, "", Work{}, unbounded
 		for _, k := range by[e.By] {
 			if k.To < e.At {
 				last = k
@@ -51,12 +51,12 @@
 			if k.From > e.At {
 				next = min(next, k.From)
 			}
-			if k.From-soon <= e.At && e.At-underWay <= k.To {
+			if k.From-logDelay <= e.At && e.At-maxTransit <= k.To {
 				had += fmt.Sprintf(" %d", k.Number)
-				may = may || !leftOut(say[k.Number].out, e.Region)
+				may = may || !isExcluded(say[k.Number].excluded, e.Region)
 			}
 		}
-		if over := e.At - underWay - last.To; !may && last.By != "" && say[last.Number].out != e.Region && excused(e.By, last.To, e.At, over) {
+		if over := e.At - maxTransit - last.To; !may && last.By != "" && say[last.Number].excluded != e.Region && excused(e.By, last.To, e.At, over) {
 			continue
 		}
 		switch {
@@ -73,11 +73,11 @@
 }
 
 // disturbed tells whether links to regions are, or were a moment ago.
-func (w *Scenario) disturbed(at time.Duration) bool {
+func (w *Scenario) serverLinksDisturbed(at time.Duration) bool {
 	for _, f := range w.Schedule.Faults {
 		switch f.Kind {
 		case "region-late", "region-cut", "region-refuses", "region-resets":
-			if from := w.faultsFrom() + time.Duration(f.At); at >= from && at <= from+time.Duration(f.For)+time.Second {
+			if from := w.faultsBegan() + time.Duration(f.At); at >= from && at <= from+time.Duration(f.For)+time.Second {
 				return true
 			}
 		}
--- a/internal/faultinjection/onerevision.go
+++ b/internal/faultinjection/onerevision.go
@@ -9,15 +9,15 @@
 
 // SingleRevision is the invariant that no two revisions are at work for new decisions at the same time, over all processes, and
 // that the numbers at work never go back.
-type SingleRevision struct{ atTheEnd }
+type SingleRevision struct{ finalOnly }
 
 // Judge reads the times at work.
-func (SingleRevision) Judge(w *Scenario) []string { return oneRevision(w.record.Works(), w.began) }
+func (SingleRevision) Judge(w *Scenario) []string { return checkSingleRevision(w.record.Works(), w.began) }
 
-func oneRevision(list []Work, since time.Duration) (broken []string) {
+func checkSingleRevision(list []Work, since time.Duration) (broken []string) {
 	slices.SortStableFunc(list, func(a, b Work) int { return cmp.Compare(a.From, b.From) })
 	at := func(d time.Duration) string {
-		if d == forEver {
+		if d == unbounded {
 			return "the end"
 		}
 		return fmt.Sprint((d - since).Round(time.Millisecond / 10))
--- a/internal/faultinjection/operators.go
+++ b/internal/faultinjection/operators.go
@@ -42,7 +42,7 @@
 	Settled                // as a revision
 	Refused                // something else is in force
 	Ended                  // nowhere, for a reason
-	Untaken                // it was never taken up: another one was pending, or it was turned down at once
+	Rejected                // it was never taken up: another one was pending, or it was turned down at once
 	Observed               // no operator's: found in the history
 )
 
@@ -81,8 +81,8 @@
 )
 
 // operate plays one call, and tells what its operator was told.
-func (w *Scenario) operate(n int, c Call) Result {
-	o := &Op{Key: fmt.Sprintf("op%d-%d", n, w.options.Net), Kind: c.Kind, From: -1, Called: w.Now(), Returned: forEver}
+func (w *Scenario) playCall(n int, c Call) Result {
+	o := &Op{Key: fmt.Sprintf("op%d-%d", n, w.options.Net), Kind: c.Kind, From: -1, Called: w.Now(), Returned: unbounded}
 	defer func() {
 		w.record.mu.Lock()
 		w.record.ops = append(w.record.ops, o)
@@ -96,7 +96,7 @@
 	inForce, known := w.inForce(to[0])
 	if c.From {
 		if !known {
-			o.Result, o.Returned = Untaken, w.Now()
+			o.Result, o.Returned = Rejected, w.Now()
 			return o.Result
 		}
 		o.From, from = int64(inForce), strconv.FormatUint(inForce, 10)
@@ -108,12 +108,12 @@
 	line := ""
 	switch c.Kind {
 	case "replace":
-		a, _ := callLine(w.manage(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)), 8*time.Second)
-		o.Result, o.Returned, o.Text = Untaken, w.Now(), a.Text
+		a, _ := callLine(w.managementAddr(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)), 8*time.Second)
+		o.Result, o.Returned, o.Text = Rejected, w.Now(), a.Text
 		return o.Result
 	case "rollback":
 		if !known || inForce == 0 {
-			o.Result, o.Returned = Untaken, w.Now()
+			o.Result, o.Returned = Rejected, w.Now()
 			return o.Result
 		}
 		of := max(1, int64(inForce)-int64(c.Back))
@@ -130,9 +130,9 @@
 		o.Bytes = c.Bytes
 		line = fmt.Sprintf("revision propose %s %s %s - op%d %s", o.Key, from, watch, n, body)
 	}
-	w.request(o, line, to, c.Lost)
+	w.submit(o, line, to, c.Lost)
 	if c.Again && (o.Result == Settled || o.Result == Ended) {
-		if a, err := callLine(w.manage(to[0]), line, callWait); err == nil {
+		if a, err := callLine(w.managementAddr(to[0]), line, callWait); err == nil {
 			o.Again = a
 		}
 	}
@@ -140,10 +140,10 @@
 }
 
 // request hands a line in until something is known of it, then asks what became of it.
-func (w *Scenario) request(o *Op, line string, to []int, lost bool) {
+func (w *Scenario) submit(o *Op, line string, to []int, lost bool) {
 	end := w.Now() + operatorWait
 	for _, i := range to[1:] {
-		go func() { _, _ = callLine(w.manage(i), line, callWait) }()
+		go func() { _, _ = callLine(w.managementAddr(i), line, callWait) }()
 	}
 	for n := 0; w.Now() < end; n++ {
 		at := (to[0] + n) % w.Schedule.Balancers
@@ -151,18 +151,18 @@
 		if lost && n == 0 {
 			wait = time.Millisecond
 		}
-		a, err := callLine(w.manage(at), line, wait)
+		a, err := callLine(w.managementAddr(at), line, wait)
 		if o.Text = a.Text; err == nil {
-			if o.told(a); o.Result != Unknown {
+			if o.recordAnswer(a); o.Result != Unknown {
 				o.Returned = w.Now()
 				return
 			}
-			if !a.OK && !asksAgain(a.Text) {
-				o.Returned, o.Result = w.Now(), Untaken
+			if !a.OK && !isRetryable(a.Text) {
+				o.Returned, o.Result = w.Now(), Rejected
 				return
 			}
 		}
-		if err == nil && a.OK && w.follow(o, at, end) {
+		if err == nil && a.OK && w.awaitOutcome(o, at, end) {
 			return
 		}
 		if !pause(w.over, 50*time.Millisecond) {
@@ -172,10 +172,10 @@
 }
 
 // follow asks what became of a request that was taken up.
-func (w *Scenario) follow(o *Op, at int, end time.Duration) bool {
+func (w *Scenario) awaitOutcome(o *Op, at int, end time.Duration) bool {
 	for n := 0; w.Now() < end; n++ {
-		if a, err := callLine(w.manage((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key, callWait); err == nil {
-			if o.told(a); o.Result != Unknown {
+		if a, err := callLine(w.managementAddr((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key, callWait); err == nil {
+			if o.recordAnswer(a); o.Result != Unknown {
 				o.Text, o.Returned = a.Text, w.Now()
 				return true
 			}
@@ -187,7 +187,7 @@
 	return true
 }
 
-func (w *Scenario) manage(i int) string { return w.launch(i).Management }
+func (w *Scenario) managementAddr(i int) string { return w.launch(i).Management }
 
 // callLine makes one call; err tells that no whole answer came.
 func callLine(addr, line string, wait time.Duration) (management.Answer, error) {
@@ -210,7 +210,7 @@
 }
 
 // DrawCalls draws what operators do in a fault run: a change every half second or so, from several sides.
-func DrawCalls(seed uint64, s *Schedule, links bool) (list []Call) {
+func GenerateCalls(seed uint64, s *Schedule, links bool) (list []Call) {
 	rng := rand.New(rand.NewPCG(seed, 29))
 	for at := 0.1 + 0.3*rng.Float64(); at < s.Seconds; at += 0.1 + 0.8*rng.Float64() {
 		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose", To: 1 + rng.IntN(s.Balancers),
@@ -240,13 +240,13 @@
 var callKinds = []string{"propose", "rollback", "replace"}
 
 // operators starts all calls of the schedule, each at its time.
-func (w *Scenario) operators(began time.Duration, all *sync.WaitGroup) {
+func (w *Scenario) startCalls(began time.Duration, all *sync.WaitGroup) {
 	for n, c := range w.Schedule.Calls {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			if pause(w.over, max(0, began+time.Duration(c.At)-w.Now())) {
-				w.operate(n+1, c)
+				w.playCall(n+1, c)
 			}
 		}()
 	}
--- a/internal/faultinjection/record.go
+++ b/internal/faultinjection/record.go
@@ -26,7 +26,7 @@
 	Why     string // it ended
 }
 
-const forEver = time.Duration(1 << 62)
+const unbounded = time.Duration(1 << 62)
 
 // Record is what was noted.
 type Record struct {
@@ -34,26 +34,26 @@
 	epoch  int64 // the run's begin by the clock of the day, in microseconds
 	work   []*Work
 	open   map[int]*Work
-	still  map[int]time.Duration // processes that stand still, since when
+	stopped  map[int]time.Duration // processes that stand still, since when
 	ended  map[int]time.Duration // processes that were ended, when: a line of theirs may come later
 	routed []rules.Event
 	ops    []*Op
-	odd    []string            // lines of logs that say what can't be
+	unparsed    []string            // lines of logs that say what can't be
 	logs   map[string]*os.File // by balancer and process, where they are kept
 }
 
 func newRecord(now time.Duration) *Record {
-	return &Record{epoch: time.Now().UnixMicro() - now.Microseconds(), open: map[int]*Work{}, still: map[int]time.Duration{}, ended: map[int]time.Duration{}}
+	return &Record{epoch: time.Now().UnixMicro() - now.Microseconds(), open: map[int]*Work{}, stopped: map[int]time.Duration{}, ended: map[int]time.Duration{}}
 }
 
 // keep has all lines of all processes kept in a folder.
-func (r *Record) keep(folder string) error {
+func (r *Record) keepLogs(folder string) error {
 	r.logs = map[string]*os.File{}
 	return os.MkdirAll(folder, 0o700)
 }
 
 // log writes a line to where its process's lines are kept, if they are.
-func (r *Record) log(folder, by string, process int, line string) {
+func (r *Record) writeLog(folder, by string, process int, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name := by + "." + strconv.Itoa(process) + ".log"
@@ -78,7 +78,7 @@
 }
 
 // line takes one line of a process's log, in slog's text form.
-func (r *Record) line(by string, process int, line string) {
+func (r *Record) parseLine(by string, process int, line string) {
 	began := strings.Contains(line, `msg="revision at work"`)
 	if !began && !strings.Contains(line, `msg="revision let go"`) {
 		return
@@ -89,7 +89,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err1 != nil || err2 != nil {
-		r.odd = append(r.odd, by+" logs "+line)
+		r.unparsed = append(r.unparsed, by+" logs "+line)
 		return
 	}
 	at := time.Duration(micros-r.epoch) * time.Microsecond
@@ -98,20 +98,20 @@
 		if w != nil && w.Number == number {
 			return
 		}
-		r.end(process, at, "the next one")
-		w = &Work{By: by, Process: process, Number: number, Hash: f["hash"], From: at, To: forEver}
+		r.endWork(process, at, "the next one")
+		w = &Work{By: by, Process: process, Number: number, Hash: f["hash"], From: at, To: unbounded}
 		r.work, r.open[process] = append(r.work, w), w
 		if end, ok := r.ended[process]; ok {
-			r.end(process, end, "the process ended")
+			r.endWork(process, end, "the process ended")
 		}
 		return
 	}
 	if w != nil && w.Number == number {
-		r.end(process, at, f["why"])
+		r.endWork(process, at, f["why"])
 	}
 }
 
-func (r *Record) end(process int, at time.Duration, why string) {
+func (r *Record) endWork(process int, at time.Duration, why string) {
 	if w := r.open[process]; w != nil {
 		w.To, w.Why = max(w.From, at), why
 		delete(r.open, process)
@@ -119,37 +119,37 @@
 }
 
 // stands notes that a process is made to stand still, or goes on: one that is killed meanwhile did nothing since.
-func (r *Record) stands(process int, at time.Duration, still bool) {
+func (r *Record) setStopped(process int, at time.Duration, still bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if still {
-		r.still[process] = at
+		r.stopped[process] = at
 	} else {
-		delete(r.still, process)
+		delete(r.stopped, process)
 	}
 }
 
 // isStill tells whether a process stands still.
-func (r *Record) isStill(process int) bool {
+func (r *Record) isStopped(process int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, still := r.still[process]
+	_, still := r.stopped[process]
 	return still
 }
 
 // over notes that a process is ended by force from that time on.
-func (r *Record) over(process int, at time.Duration) {
+func (r *Record) endProcess(process int, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if since, ok := r.still[process]; ok {
+	if since, ok := r.stopped[process]; ok {
 		at = min(at, since)
 	}
 	r.ended[process] = at
-	r.end(process, at, "the process ended")
+	r.endWork(process, at, "the process ended")
 }
 
 // saw keeps what a region was asked for.
-func (r *Record) saw(e rules.Event) {
+func (r *Record) addRouted(e rules.Event) {
 	if e.Kind == rules.Routed {
 		r.mu.Lock()
 		r.routed = append(r.routed, e)
--- a/internal/faultinjection/relay.go
+++ b/internal/faultinjection/relay.go
@@ -23,26 +23,26 @@
 	Refuse       bool          // streams only: new connections are reset at once
 	Delay        time.Duration // one way
 	Jitter       time.Duration
-	Loss, Double float64 // datagrams only
+	Loss, Duplicate float64 // datagrams only
 	Rate         int     // bytes a second, streams only; 0 for no bound
 }
 
 // link is one directed way, whose weather can change.
 type link struct {
 	mu sync.Mutex
-	w  LinkFaults
+	faults  LinkFaults
 }
 
 func (l *link) set(w LinkFaults) {
 	l.mu.Lock()
-	l.w = w
+	l.faults = w
 	l.mu.Unlock()
 }
 
-func (l *link) now() LinkFaults {
+func (l *link) current() LinkFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.w
+	return l.faults
 }
 
 func (w LinkFaults) wait() time.Duration {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := patiently(func() (*net.UDPConn, error) { return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a)) })
+	c, err := retryInUse(func() (*net.UDPConn, error) { return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a)) })
 	if err != nil {
 		return nil, err
 	}
@@ -79,12 +79,12 @@
 		if err != nil {
 			return
 		}
-		w := d.now()
+		w := d.current()
 		if w.Cut || w.Loss > 0 && rand.Float64() < w.Loss {
 			continue
 		}
 		times := 1
-		if w.Double > 0 && rand.Float64() < w.Double {
+		if w.Duplicate > 0 && rand.Float64() < w.Duplicate {
 			times = 2
 		}
 		for range times {
@@ -107,13 +107,13 @@
 	ended func(line string)
 
 	open  sync.WaitGroup
-	mine  sync.Mutex
+	connMu  sync.Mutex
 	conns map[net.Conn]bool
-	over  bool
+	closed  bool
 }
 
 func newStreams(at, from, to string) (*streams, error) {
-	l, err := patiently(func() (net.Listener, error) { return net.Listen("tcp", at) })
+	l, err := retryInUse(func() (net.Listener, error) { return net.Listen("tcp", at) })
 	if err != nil {
 		return nil, err
 	}
@@ -123,41 +123,41 @@
 func (s *streams) close() {
 	_ = s.listener.Close()
 	s.breakAll()
-	s.mine.Lock()
-	s.over = true
-	s.mine.Unlock()
+	s.connMu.Lock()
+	s.closed = true
+	s.connMu.Unlock()
 	s.open.Wait()
 }
 
 // breakAll resets whatever is open.
 func (s *streams) breakAll() {
-	s.mine.Lock()
-	defer s.mine.Unlock()
+	s.connMu.Lock()
+	defer s.connMu.Unlock()
 	for c := range s.conns {
-		hard(c)
+		resetConn(c)
 	}
 }
 
-func hard(c net.Conn) {
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (s *streams) keep(c net.Conn) bool {
-	s.mine.Lock()
-	defer s.mine.Unlock()
-	if !s.over {
+func (s *streams) addConn(c net.Conn) bool {
+	s.connMu.Lock()
+	defer s.connMu.Unlock()
+	if !s.closed {
 		s.conns[c] = true
 	}
-	return !s.over
+	return !s.closed
 }
 
-func (s *streams) drop(c net.Conn) {
-	s.mine.Lock()
+func (s *streams) removeConn(c net.Conn) {
+	s.connMu.Lock()
 	delete(s.conns, c)
-	s.mine.Unlock()
+	s.connMu.Unlock()
 	_ = c.Close()
 }
 
@@ -167,14 +167,14 @@
 		if err != nil {
 			return
 		}
-		if s.now().Refuse || !s.keep(c) {
-			hard(c)
+		if s.current().Refuse || !s.addConn(c) {
+			resetConn(c)
 			continue
 		}
 		s.open.Add(1)
 		go func() {
 			defer s.open.Done()
-			defer s.drop(c)
+			defer s.removeConn(c)
 			s.serve(c)
 		}()
 	}
@@ -187,25 +187,25 @@
 	}
 	far, err := d.Dial("tcp", s.to)
 	if err != nil {
-		hard(near)
+		resetConn(near)
 		return
 	}
-	if !s.keep(far) {
-		hard(far)
+	if !s.addConn(far) {
+		resetConn(far)
 		return
 	}
-	defer s.drop(far)
+	defer s.removeConn(far)
 	var first string
 	var two sync.WaitGroup
 	two.Add(2)
-	go func() { defer two.Done(); s.pass(near, far, &first) }()
-	go func() { defer two.Done(); s.pass(far, near, nil) }()
+	go func() { defer two.Done(); s.copyOneWay(near, far, &first) }()
+	go func() { defer two.Done(); s.copyOneWay(far, near, nil) }()
 	two.Wait()
 }
 
 // pass copies one way. A cut holds what comes, as a network that has lost its way would: nothing is told of an end, and
 // what waits goes on when the cut is over.
-func (s *streams) pass(from, to net.Conn, first *string) {
+func (s *streams) copyOneWay(from, to net.Conn, first *string) {
 	in := bufio.NewReaderSize(from, 32<<10)
 	for {
 		b, err := in.Peek(1)
@@ -214,33 +214,33 @@
 			if first != nil && *first == "" && strings.HasPrefix(string(b), "OPEN ") {
 				*first, _, _ = strings.Cut(string(b), "\r")
 			}
-			w := s.now()
+			w := s.current()
 			for w.Cut {
-				if s.gone(from, in) { // who sent it has given it up: it never arrives
-					s.tellEnd(first)
-					hard(to)
+				if s.senderClosed(from, in) { // who sent it has given it up: it never arrives
+					s.reportEnd(first)
+					resetConn(to)
 					return
 				}
-				w = s.now()
+				w = s.current()
 			}
 			if wait := w.wait(); wait > 0 {
 				time.Sleep(wait)
 			}
 			if w.Rate > 0 {
 				end := time.Now().Add(time.Duration(len(b)) * time.Second / time.Duration(w.Rate))
-				for s.now().Rate == w.Rate && time.Now().Before(end) && !s.isOver() { // no longer than the link is slow
+				for s.current().Rate == w.Rate && time.Now().Before(end) && !s.isClosed() { // no longer than the link is slow
 					time.Sleep(min(20*time.Millisecond, time.Until(end)))
 				}
 			}
 			if _, err := to.Write(b); err != nil {
-				hard(from)
+				resetConn(from)
 				return
 			}
 			_, _ = in.Discard(len(b))
 			continue
 		}
-		s.tellEnd(first)
-		for s.now().Cut && !s.isOver() {
+		s.reportEnd(first)
+		for s.current().Cut && !s.isClosed() {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if err == io.EOF {
@@ -248,42 +248,42 @@
 				_ = t.CloseWrite()
 			}
 		} else {
-			hard(to)
+			resetConn(to)
 		}
 		return
 	}
 }
 
-func (s *streams) tellEnd(first *string) {
-	if first != nil && *first != "" && s.now().Cut && s.ended != nil {
+func (s *streams) reportEnd(first *string) {
+	if first != nil && *first != "" && s.current().Cut && s.ended != nil {
 		s.ended(*first)
 	}
 }
 
 // gone waits a little, and tells whether a side has ended meanwhile.
-func (s *streams) gone(c net.Conn, in *bufio.Reader) bool {
+func (s *streams) senderClosed(c net.Conn, in *bufio.Reader) bool {
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 	_, err := in.Peek(in.Buffered() + 1)
 	_ = c.SetReadDeadline(time.Time{})
 	var late net.Error
 	switch {
 	case err == nil, errors.As(err, &late) && late.Timeout():
-		return s.isOver()
+		return s.isClosed()
 	case errors.Is(err, bufio.ErrBufferFull):
 		time.Sleep(5 * time.Millisecond)
-		return s.isOver()
+		return s.isClosed()
 	}
 	return true
 }
 
-func (s *streams) isOver() bool {
-	s.mine.Lock()
-	defer s.mine.Unlock()
-	return s.over
+func (s *streams) isClosed() bool {
+	s.connMu.Lock()
+	defer s.connMu.Unlock()
+	return s.closed
 }
 
 // patiently opens an address that the run before may not have let go of yet: a write under way keeps a closed socket.
-func patiently[T any](open func() (T, error)) (got T, err error) {
+func retryInUse[T any](open func() (T, error)) (got T, err error) {
 	for range 40 {
 		if got, err = open(); !errors.Is(err, syscall.EADDRINUSE) {
 			return got, err
--- a/internal/faultinjection/revisions.go
+++ b/internal/faultinjection/revisions.go
@@ -17,15 +17,15 @@
 }
 
 // atTheEnd is an invariant that has nothing to look for before all is over.
-type atTheEnd struct{}
+type finalOnly struct{}
 
 // During has nothing to look for.
-func (atTheEnd) During(*Scenario) {}
+func (finalOnly) During(*Scenario) {}
 
 // Settled misses nothing.
-func (atTheEnd) Settled(*Scenario) string { return "" }
+func (finalOnly) Settled(*Scenario) string { return "" }
 
-const agreePort = 7100
+const agreementPort = 7100
 
 // voters is how many of so many balancers hold a vote.
 func voters(balancers int) int {
@@ -39,7 +39,7 @@
 }
 
 // losers is how many of the first balancers may lose their folders in one fault run: fewer than half of the votes, whoever holds them.
-func losers(balancers int) int { return max(1, (voters(balancers)-1)/2) }
+func maxFolderLosses(balancers int) int { return max(1, (voters(balancers)-1)/2) }
 
 // revisions are the edge file's section for balancer i, with the ways opened that it goes by.
 func (w *Scenario) revisions(i int) (*edgeconfig.Revisions, error) {
@@ -48,12 +48,12 @@
 	reach := map[string]string{}
 	var members []edgeconfig.Candidate
 	for j := range n {
-		members = append(members, edgeconfig.Candidate{Name: w.name(j), Zone: w.zone(j), Addr: w.addr(0, j+1, agreePort)})
+		members = append(members, edgeconfig.Candidate{Name: w.name(j), Zone: w.zone(j), Addr: w.addr(0, j+1, agreementPort)})
 		if i == j {
 			continue
 		}
-		at := w.addr(i+1, j+1, agreePort)
-		s, err := w.way(at, "", w.addr(0, j+1, agreePort))
+		at := w.addr(i+1, j+1, agreementPort)
+		s, err := w.openRelay(at, "", w.addr(0, j+1, agreementPort))
 		if err != nil {
 			return nil, err
 		}
@@ -64,10 +64,10 @@
 	if cut == "" {
 		cut = "refuse"
 	}
-	r := &edgeconfig.Revisions{Cluster: "faults", Listen: w.addr(0, i+1, agreePort), Members: members, Voters: voters(n), Reach: reach, Folder: w.folder(i),
+	r := &edgeconfig.Revisions{Cluster: "faults", Listen: w.addr(0, i+1, agreementPort), Members: members, Voters: voters(n), Reach: reach, Folder: w.folder(i),
 		Lease: edgeconfig.Duration(w.options.Lease), OnCut: cut, Deadline: edgeconfig.Duration(3 * w.options.Lease), History: 1000, HistoryBytes: 4 << 20}
 	if p := w.options.Plan; p != nil { // all that is made is kept, to be judged
-		r.History, r.HistoryBytes = mostChanges, 32<<20
+		r.History, r.HistoryBytes = maxChanges, 32<<20
 	}
 	if n > voters(n) {
 		r.ReplaceAfter = edgeconfig.Duration(4 * time.Second)
@@ -79,7 +79,7 @@
 func (w *Scenario) folder(i int) string { return filepath.Join(w.temp, w.name(i)+".agree") }
 
 // talks are all relays from i to j, of datagrams and of streams.
-func (w *Scenario) talks(i, j int) (list []*link) {
+func (w *Scenario) linksBetween(i, j int) (list []*link) {
 	if w.peerLinks[i][j] != nil {
 		list = append(list, &w.peerLinks[i][j].link)
 	}
--- a/internal/faultinjection/run.go
+++ b/internal/faultinjection/run.go
@@ -18,16 +18,16 @@
 	Settled  time.Duration // after the last fault, until all members agreed
 	Served   int
 	Members  Membership
-	Cold     float64         // most that a region was sent while cold, over what it could do
+	WarmingUpLoad     float64         // most that a region was sent while cold, over what it could do
 	Settles  int             // revisions settled, where they are on
-	Asked    int             // changes that operators asked for
-	InForce  []time.Duration // from an operator's call to its being told that the revision is settled
+	Requested    int             // changes that operators asked for
+	SettleTimes  []time.Duration // from an operator's call to its being told that the revision is settled
 	Calls    []string        // each with what its operator was told
-	Used     float64         // of a link, in the calm after the last fault
-	Changed  *Changed        // where a plan was played
+	LinkUse     float64         // of a link, in the calm after the last fault
+	PlanResult  *PlanResult        // where a plan was played
 	Void     []string        // what the machine may have caused: the run shows nothing
 	Late     [2]float64      // parts of the time by which this process's timers were late, and balancers waited for processors
-	Worst    time.Duration   // by which a timer was late
+	MaxTimerDelay    time.Duration   // by which a timer was late
 }
 
 // Invariant judges the processes of a fault run from outside, beside the checker of the rules. Later work registers its own.
@@ -51,7 +51,7 @@
 	}
 	share := &LinkShare{}
 	if o.Revisions {
-		invariants = append(invariants, Convergence{}, SingleRevision{}, Newcomers{}, Durability{}, Linearizability{})
+		invariants = append(invariants, Convergence{}, SingleRevision{}, RoutingRevision{}, Durability{}, Linearizability{})
 	}
 	if o.Links {
 		invariants = append(invariants, LinkSum{}, share)
@@ -63,14 +63,14 @@
 		invariants = nil
 	}
 	if missing := w.settle(invariants, 20*w.options.SilentAfter+2*time.Second+w.revisionsSettle()); missing != "" {
-		if err := w.starved(missing); err != nil {
+		if err := w.overloadError(missing); err != nil {
 			return nil, err
 		}
 		return &Report{Schedule: s, Broken: []string{"before any fault: " + missing}}, nil
 	}
 	if o.Links { // who pours without a table is bounded by nothing
-		w.operate(0, Call{Kind: "propose", To: 1, Bytes: linkBytes})
-		w.pour()
+		w.playCall(0, Call{Kind: "propose", To: 1, Bytes: linkBytes})
+		w.startBulkClients()
 		if !pause(w.stop, time.Second) {
 			return nil, &NotRun{hint.Annotated{What: "it was ended", Do: "play it again"}}
 		}
@@ -92,10 +92,10 @@
 	}()
 	var operators sync.WaitGroup
 	if o.Revisions {
-		w.operators(began, &operators)
+		w.startCalls(began, &operators)
 	}
 	if o.Plan != nil {
-		w.changes(o.Plan, began)
+		w.playPlan(o.Plan, began)
 	} else {
 		w.play(began)
 	}
@@ -105,16 +105,16 @@
 	close(over)
 	looking.Wait()
 	if missing != "" {
-		w.find("%v after the last fault: %s", r.Settled.Round(10*time.Millisecond), missing)
+		w.addViolation("%v after the last fault: %s", r.Settled.Round(10*time.Millisecond), missing)
 	}
 	if operators.Wait(); missing == "" && len(w.record.Ops()) > 0 {
 		time.Sleep(w.longestWatch()) // a change may be taken back until then
 		if missing = w.settle([]Invariant{Convergence{}}, w.revisionsSettle()); missing != "" {
-			w.find("after the last call of an operator: %s", missing)
+			w.addViolation("after the last call of an operator: %s", missing)
 		}
 	}
 	if o.Links {
-		share.Calm(w)
+		share.Measure(w)
 	}
 	time.Sleep(200 * time.Millisecond)
 	r.Broken = w.Judge()
@@ -125,25 +125,25 @@
 			}
 		}
 	}
-	r.Late[0], r.Late[1], r.Worst = w.wholeLate()
+	r.Late[0], r.Late[1], r.MaxTimerDelay = w.overallLateness()
 	r.Void = w.machineCauses
-	if r.Late[0] > tooLate {
+	if r.Late[0] > maxLateShare {
 		r.Void = append(r.Void, fmt.Sprintf("timers were late for %.0f%% of the time", 100*r.Late[0]))
 	}
 	for _, op := range w.record.Ops() {
 		r.Calls = append(r.Calls, fmt.Sprintf("%v after %v: %s %s: %s %s", (op.Called-began).Round(time.Millisecond), (min(op.Returned, w.Now())-op.Called).Round(time.Millisecond),
 			op.Key, op.Kind, op.Result, op.Text))
-		if r.Asked++; op.Result == Settled {
+		if r.Requested++; op.Result == Settled {
 			r.Settles++
-			r.InForce = append(r.InForce, op.Returned-op.Called)
+			r.SettleTimes = append(r.SettleTimes, op.Returned-op.Called)
 		}
 	}
-	r.Used = share.Used
-	r.Changed = w.changed
+	r.LinkUse = share.LinkUse
+	r.PlanResult = w.planResult
 	r.Served = w.Count()
 	r.Members = *members
 	for _, g := range w.Regions {
-		r.Cold = max(r.Cold, g.Pushed())
+		r.WarmingUpLoad = max(r.WarmingUpLoad, g.Pushed())
 	}
 	if r.Served == 0 && s.Terminals > 0 {
 		r.Broken = append(r.Broken, "nobody was served: the run tests nothing")
@@ -154,8 +154,8 @@
 // Judge ends the terminals' part, and tells what was broken.
 func (w *Scenario) Judge() []string {
 	w.stopOnce.Do(func() { close(w.stop) })
-	w.asking.Wait() // whoever has asked gets an answer
-	v := w.ViolationsBut(w.byTheMachine)
+	w.clients.Wait() // whoever has asked gets an answer
+	v := w.ViolationsBut(w.excusedViolation)
 	broken := w.Violations()
 	if v != "" {
 		broken = append(broken, v)
@@ -164,9 +164,9 @@
 }
 
 // byTheMachine tells that a rule of time was broken by no more than the machine was late.
-func (w *Scenario) byTheMachine(v rules.Violation) bool {
+func (w *Scenario) excusedViolation(v rules.Violation) bool {
 	if v.Event.Kind == rules.Lost { // a terminal that reads nothing for so long may be cut, with the MOVE that it didn't read
-		v.Over = mustRead
+		v.Over = readTimeout
 		v.Event.By, _, _ = strings.Cut(v.Event.Text, ":")
 	}
 	if v.Over <= 0 {
@@ -174,19 +174,19 @@
 	}
 	from := v.Event.At - v.Over
 	for _, e := range v.History {
-		from = min(from, max(e.At, v.Event.At-longAgo-v.Over))
+		from = min(from, max(e.At, v.Event.At-excuseWindow-v.Over))
 	}
 	for i := range w.Schedule.Balancers {
 		if w.name(i) == v.Event.By {
-			return w.voidThen(i, from, v.Event.At, v.Over, "%s: %s by %v", w.name(i), v.Rule, v.Over.Round(time.Millisecond))
+			return w.excusedByMachineUntil(i, from, v.Event.At, v.Over, "%s: %s by %v", w.name(i), v.Rule, v.Over.Round(time.Millisecond))
 		}
 	}
-	return w.voidThen(-1, from, v.Event.At, v.Over, "%s by %v", v.Rule, v.Over.Round(time.Millisecond))
+	return w.excusedByMachineUntil(-1, from, v.Event.At, v.Over, "%s by %v", v.Rule, v.Over.Round(time.Millisecond))
 }
 
 const (
-	longAgo  = 2 * time.Second
-	mustRead = 5 * time.Second
+	excuseWindow  = 2 * time.Second
+	readTimeout = 5 * time.Second
 )
 
 // Count is how many transactions a region took so far.
@@ -202,7 +202,7 @@
 // MembershipViews is what each living balancer says of the others, in a few words.
 func (w *Scenario) MembershipViews() (list []string) {
 	for i := range w.Schedule.Balancers {
-		h, ok := w.held(i)
+		h, ok := w.queryMembers(i)
 		if !ok {
 			list = append(list, w.name(i)+" is silent")
 			continue
@@ -253,11 +253,11 @@
 		over := w.Now() - began - most
 		if missing == "" {
 			if over > 0 { // it says what it finds
-				w.void(-1, began, over, "settled %v late", over.Round(time.Millisecond))
+				w.excusedByMachine(-1, began, over, "settled %v late", over.Round(time.Millisecond))
 			}
 			return ""
 		}
-		if over > min(most, w.lateFor(-1, began, w.Now()))+seenBy {
+		if over > min(most, w.lateFor(-1, began, w.Now()))+observationDelay {
 			return missing
 		}
 	}
@@ -310,20 +310,20 @@
 		verdict = "VOID: " + r.Void[0]
 	}
 	more := ""
-	if r.Asked > 0 {
-		more = fmt.Sprintf(", %d of %d changes settled", r.Settles, r.Asked)
-		if n := len(r.InForce); n > 0 {
-			slices.Sort(r.InForce)
-			more += fmt.Sprintf(" within %v, %v at most", r.InForce[n/2].Round(time.Millisecond), r.InForce[n-1].Round(time.Millisecond))
+	if r.Requested > 0 {
+		more = fmt.Sprintf(", %d of %d changes settled", r.Settles, r.Requested)
+		if n := len(r.SettleTimes); n > 0 {
+			slices.Sort(r.SettleTimes)
+			more += fmt.Sprintf(" within %v, %v at most", r.SettleTimes[n/2].Round(time.Millisecond), r.SettleTimes[n-1].Round(time.Millisecond))
 		}
 	}
-	if r.Used > 0 {
-		more += fmt.Sprintf(", a link at %.0f%%", 100*r.Used)
+	if r.LinkUse > 0 {
+		more += fmt.Sprintf(", a link at %.0f%%", 100*r.LinkUse)
 	}
 	cold := ""
-	if r.Cold > 0 {
-		cold = fmt.Sprintf(", a cold region at %.1f of what it can do", r.Cold)
+	if r.WarmingUpLoad > 0 {
+		cold = fmt.Sprintf(", a cold region at %.1f of what it can do", r.WarmingUpLoad)
 	}
 	return fmt.Sprintf("%s: %d faults, %d served, settled after %v, %d false ends%s%s, timers late %.1f%% and %v at most, processes wait %.0f%%: %s", r.Schedule.Name, len(r.Schedule.Faults), r.Served,
-		r.Settled.Round(10*time.Millisecond), r.Members.False, cold, more, 100*r.Late[0], r.Worst.Round(time.Millisecond), 100*r.Late[1], verdict)
+		r.Settled.Round(10*time.Millisecond), r.Members.False, cold, more, 100*r.Late[0], r.MaxTimerDelay.Round(time.Millisecond), 100*r.Late[1], verdict)
 }
--- a/internal/faultinjection/schedule.go
+++ b/internal/faultinjection/schedule.go
@@ -59,19 +59,19 @@
 
 // A fault run's size has bounds: each balancer is a process, each link a relay.
 const (
-	mostBalancers = 50
-	mostRegions   = 60
-	mostTerminals = 500
-	mostSeconds   = 600
+	maxBalancers = 50
+	maxServers   = 60
+	maxClients = 500
+	maxSeconds   = 600
 )
 
 // kind is what a fault does. Each is registered by the file that holds it: later work adds its own in a file of its own.
 type kind struct {
-	draw  func(rng *rand.Rand, s *Schedule) Fault // A, B and Value; times are drawn for all
+	generate  func(rng *rand.Rand, s *Schedule) Fault // A, B and Value; times are drawn for all
 	begin func(w *Scenario, f Fault) (end func())
-	toB   string // what B counts: "balancer", "region" or "" for nothing
+	targetB   string // what B counts: "balancer", "region" or "" for nothing
 	needs string // revisionsOn where it does nothing without; "" for a fault of any fault run
-	hand  bool   // it stands in schedules made by hand only, and is never drawn
+	manualOnly  bool   // it stands in schedules made by hand only, and is never drawn
 }
 
 const revisionsOn = "revisions"
@@ -99,25 +99,25 @@
 // Check names the first field that can't work.
 func (s *Schedule) Check() error {
 	switch {
-	case s.Balancers < 1 || s.Balancers > mostBalancers:
-		return &InvalidSchedule{"balancers", fmt.Sprintf("%d is outside 1 to %d", s.Balancers, mostBalancers)}
-	case s.Regions < 1 || s.Regions > mostRegions:
-		return &InvalidSchedule{"regions", fmt.Sprintf("%d is outside 1 to %d", s.Regions, mostRegions)}
-	case s.Terminals < 0 || s.Terminals > mostTerminals:
-		return &InvalidSchedule{"terminals", fmt.Sprintf("%d is outside 0 to %d", s.Terminals, mostTerminals)}
-	case !(s.Seconds > 0 && s.Seconds <= mostSeconds):
-		return &InvalidSchedule{"seconds", fmt.Sprintf("%v is outside 0 to %d", s.Seconds, mostSeconds)}
+	case s.Balancers < 1 || s.Balancers > maxBalancers:
+		return &InvalidSchedule{"balancers", fmt.Sprintf("%d is outside 1 to %d", s.Balancers, maxBalancers)}
+	case s.Regions < 1 || s.Regions > maxServers:
+		return &InvalidSchedule{"regions", fmt.Sprintf("%d is outside 1 to %d", s.Regions, maxServers)}
+	case s.Terminals < 0 || s.Terminals > maxClients:
+		return &InvalidSchedule{"terminals", fmt.Sprintf("%d is outside 0 to %d", s.Terminals, maxClients)}
+	case !(s.Seconds > 0 && s.Seconds <= maxSeconds):
+		return &InvalidSchedule{"seconds", fmt.Sprintf("%v is outside 0 to %d", s.Seconds, maxSeconds)}
 	}
 	for i, f := range s.Faults {
 		k, ok := kinds[f.Kind]
-		most := map[string]int{"balancer": s.Balancers, "region": s.Regions}[k.toB]
+		most := map[string]int{"balancer": s.Balancers, "region": s.Regions}[k.targetB]
 		switch {
 		case !ok:
 			return &InvalidSchedule{fmt.Sprintf("faults[%d].kind", i), fmt.Sprintf("%q is none of %s", f.Kind, strings.Join(Kinds(), ", "))}
 		case f.A < 0 || f.A > s.Balancers:
 			return &InvalidSchedule{fmt.Sprintf("faults[%d].a", i), fmt.Sprintf("there is no balancer %d", f.A)}
 		case f.B < 0 || f.B > most:
-			return &InvalidSchedule{fmt.Sprintf("faults[%d].b", i), fmt.Sprintf("there is no %s %d", k.toB, f.B)}
+			return &InvalidSchedule{fmt.Sprintf("faults[%d].b", i), fmt.Sprintf("there is no %s %d", k.targetB, f.B)}
 		case time.Duration(f.At+f.For).Seconds() > s.Seconds:
 			return &InvalidSchedule{fmt.Sprintf("faults[%d]", i), fmt.Sprintf("ends %v after the start, the run after %vs", time.Duration(f.At+f.For), s.Seconds)}
 		case !(f.Value >= 0 && f.Value <= 1e9):
@@ -148,24 +148,24 @@
 // Draw makes a schedule from a seed: one to eight faults, some at once, some after each other. The first is of each kind
 // in turn from seed to seed, and lasts; the others are of any.
 func Draw(seed uint64, balancers int, seconds float64) *Schedule {
-	return draw(seed, balancers, seconds, slices.DeleteFunc(Kinds(), func(name string) bool { return kinds[name].needs != "" }))
+	return generate(seed, balancers, seconds, slices.DeleteFunc(Kinds(), func(name string) bool { return kinds[name].needs != "" }))
 }
 
 // DrawRevisions makes a schedule with operators' calls and, among the others, the faults that concern revisions.
 func DrawRevisions(seed uint64, balancers int, seconds float64, links bool) *Schedule {
-	names := slices.DeleteFunc(Kinds(), func(name string) bool { return kinds[name].hand })
+	names := slices.DeleteFunc(Kinds(), func(name string) bool { return kinds[name].manualOnly })
 	if voters(balancers) < 3 { // whoever has the only vote must not lose its folder
 		names = slices.DeleteFunc(names, func(name string) bool { return strings.HasPrefix(name, "folder-") })
 	}
-	s := draw(seed, balancers, seconds, names)
-	s.Calls = DrawCalls(seed, s, links)
+	s := generate(seed, balancers, seconds, names)
+	s.Calls = GenerateCalls(seed, s, links)
 	if seed%3 == 0 {
 		s.OnCut = "hold"
 	}
 	return s
 }
 
-func draw(seed uint64, balancers int, seconds float64, names []string) *Schedule {
+func generate(seed uint64, balancers int, seconds float64, names []string) *Schedule {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	s := &Schedule{Name: fmt.Sprintf("seed-%d", seed), Balancers: balancers, Regions: 4 + rng.IntN(5), Terminals: 4 * balancers, Seconds: seconds}
 	for n := range 1 + rng.IntN(8) {
@@ -173,7 +173,7 @@
 		if n == 0 {
 			name = names[seed%uint64(len(names))]
 		}
-		f := kinds[name].draw(rng, s)
+		f := kinds[name].generate(rng, s)
 		f.Kind = name
 		at := rng.Float64() * seconds * 0.8
 		long := (0.05 + 0.5*rng.Float64()) * seconds
--- a/internal/faultinjection/upgrade.go
+++ b/internal/faultinjection/upgrade.go
@@ -16,7 +16,7 @@
 
 const upgradeKinds = "upgrade"
 
-func upgrades(s *Schedule) bool {
+func hasUpgrades(s *Schedule) bool {
 	for _, f := range s.Faults {
 		if strings.HasPrefix(f.Kind, upgradeKinds) {
 			return true
@@ -26,7 +26,7 @@
 }
 
 // holdListener opens the listening socket that a balancer's processes inherit.
-func (w *Scenario) holdListener(l *fake.Launch) error {
+func (w *Scenario) openListener(l *fake.Launch) error {
 	at, err := net.Listen("tcp", l.Addr)
 	if err != nil {
 		return err
@@ -47,44 +47,44 @@
 	p, dead, launch := w.processes[i], w.killed[i], w.launches[i]
 	w.upgraded++
 	// Both answer operators for a while, and one that leaves may still do so at the next upgrade: each has its own address.
-	launch.Management = w.addr(0, i+1, managePort+w.upgraded)
+	launch.Management = w.addr(0, i+1, managementPort+w.upgraded)
 	w.mu.Unlock()
 	if p == nil || dead {
 		return // another fault has it down: there is nothing to upgrade
 	}
-	process := w.number()
-	q, err := w.Start(w.noted(i, process, launch))
+	process := w.nextProcessNumber()
+	q, err := w.Start(w.recordLines(i, process, launch))
 	if err != nil {
-		w.find("%s: the second process failed to start: %v", w.name(i), err)
+		w.addViolation("%s: the second process failed to start: %v", w.name(i), err)
 		return
 	}
 	time.Sleep(100 * time.Millisecond)
 	if how == "second-killed" {
-		w.record.over(process, w.Now())
+		w.record.endProcess(process, w.Now())
 		q.Kill()
 		return
 	}
 	w.mu.Lock()
 	if w.killed[i] { // it died meanwhile, and starts by that fault again
 		w.mu.Unlock()
-		w.record.over(process, w.Now())
+		w.record.endProcess(process, w.Now())
 		q.Kill()
 		return
 	}
 	p = w.processes[i] // another one than before where a fault has had it die and start anew meanwhile
 	first := w.numbers[i]
 	w.processes[i], w.launches[i], w.numbers[i] = q, launch, process
-	w.runs(i, q)
+	w.trackProcess(i, q)
 	w.mu.Unlock()
 	w.SawBy(w.name(i), rules.Started, "", "", "")
-	defer func() { w.record.over(first, w.Now()) }()
+	defer func() { w.record.endProcess(first, w.Now()) }()
 	if how == "first-killed" {
-		w.record.over(first, w.Now())
+		w.record.endProcess(first, w.Now())
 		p.Kill()
 		return
 	}
-	if err := w.sendOff(i, first, p, 6*time.Second); err != nil {
-		w.find("%s: the first process did not leave: %v", w.name(i), err)
+	if err := w.terminate(i, first, p, 6*time.Second); err != nil {
+		w.addViolation("%s: the first process did not leave: %v", w.name(i), err)
 		p.Kill()
 	}
 }
@@ -92,14 +92,14 @@
 func init() {
 	for _, how := range []string{"", "first-killed", "second-killed"} {
 		name := strings.TrimSuffix(upgradeKinds+"-"+how, "-")
-		register(name, kind{draw: func(rng *rand.Rand, s *Schedule) Fault { return anyOne(rng, s) }, begin: func(w *Scenario, f Fault) func() {
+		register(name, kind{generate: func(rng *rand.Rand, s *Schedule) Fault { return anyBalancer(rng, s) }, begin: func(w *Scenario, f Fault) func() {
 			over := make(chan struct{})
 			go func() {
 				defer close(over)
 				w.each(f.A, func(i int) {
 					if how != "" { // who stands at the one that is killed loses it
-						w.trouble(i, true)
-						defer w.trouble(i, false)
+						w.setDisturbed(i, true)
+						defer w.setDisturbed(i, false)
 					}
 					w.upgrade(i, how)
 				})
--- a/internal/faultinjection/world.go
+++ b/internal/faultinjection/world.go
@@ -71,13 +71,13 @@
 	late          lateness
 	stop          chan struct{}
 	ended         chan struct{}  // all of it
-	asking        sync.WaitGroup // terminals
+	clients        sync.WaitGroup // terminals
 	stopOnce      sync.Once
 	Served        int
 	answers       map[string]int // newcomers, by how they were answered
-	comebacks     []comeback
-	changed       *Changed
-	told          []told
+	recoveries     []recovery
+	planResult       *PlanResult
+	leaderHistories          []leaderHistory
 }
 
 // span is a time in which a balancer may owe something and not give it.
@@ -94,7 +94,7 @@
 // Addresses: 0.i is balancer i itself, i.j the way from i to j, 100+i.* the ways of i to regions, 250 its own source
 // there, 251 to discovery, 160+i.1 the way of terminals to it.
 const (
-	talkPort, terminalPort, managePort, regionPort, discoveryPort = 7000, 9000, 9300, 9200, 8000
+	peerPort, clientPort, managementPort, serverPort, discoveryPort = 7000, 9000, 9300, 9200, 8000
 	linksOut, linksIn, sourceByte, discoveryByte                  = 100, 160, 250, 251
 )
 
@@ -133,20 +133,20 @@
 	opened := w
 	w.record = newRecord(w.Now())
 	w.OnClose(sync.OnceFunc(func() { close(opened.ended) }))
-	w.late.m = theMachine()
+	w.late.m = sharedMachine()
 	w.late.began = time.Since(w.late.m.zero) - w.Now()
-	w.Go(opened.beats)
+	w.Go(opened.pollThreadsUntilEnd)
 	if o.Logs != "" {
-		if err = w.record.keep(o.Logs); err != nil {
+		if err = w.record.keepLogs(o.Logs); err != nil {
 			return nil, err
 		}
 		w.OnClose(w.record.closeLogs)
 	}
 	if o.Revisions {
-		w.Watch = w.record.saw
+		w.Watch = w.record.addRouted
 	}
 	if o.Links {
-		w.site()
+		w.placeServers()
 	}
 	defer func() {
 		if err != nil {
@@ -155,7 +155,7 @@
 	}()
 	in := s.Regions
 	if o.Plan != nil {
-		in = planIn
+		in = planServers
 	}
 	for _, r := range w.Regions { // all that are in half full if every terminal stands
 		r.SetWeight(min(0.25, 0.5*float64(in)/float64(max(1, s.Terminals))))
@@ -183,15 +183,15 @@
 	}
 	all.Wait()
 	if found := w.Violations(); len(found) > 0 {
-		if err := w.starved(strings.Join(found, "\n")); err != nil {
+		if err := w.overloadError(strings.Join(found, "\n")); err != nil {
 			return nil, err
 		}
 		return nil, &NotRun{hint.Annotated{What: strings.Join(found, "\n"), Do: "see what the processes log, and that the addresses of --net are free"}}
 	}
 	w.Go(w.watchProcesses)
 	for n := range s.Terminals {
-		w.asking.Add(1)
-		w.Go(func() { defer w.asking.Done(); w.terminal(n) })
+		w.clients.Add(1)
+		w.Go(func() { defer w.clients.Done(); w.runClient(n) })
 	}
 	return w, nil
 }
@@ -222,8 +222,8 @@
 		if i == j || w.options.Off {
 			continue
 		}
-		at := w.addr(i+1, j+1, talkPort)
-		d, err := newDatagrams(at, w.addr(0, j+1, talkPort))
+		at := w.addr(i+1, j+1, peerPort)
+		d, err := newDatagrams(at, w.addr(0, j+1, peerPort))
 		if err != nil {
 			return err
 		}
@@ -238,8 +238,8 @@
 	dial := map[string]string{}
 	w.serverLinks = append(w.serverLinks, nil)
 	for j, r := range w.Regions {
-		at := w.addr(linksOut+i+1, j+1, regionPort)
-		s, err := w.way(at, fmt.Sprintf("127.%d.%d.%d", w.options.Net, linksOut+i+1, sourceByte), r.Addr)
+		at := w.addr(linksOut+i+1, j+1, serverPort)
+		s, err := w.openRelay(at, fmt.Sprintf("127.%d.%d.%d", w.options.Net, linksOut+i+1, sourceByte), r.Addr)
 		if err != nil {
 			return err
 		}
@@ -255,13 +255,13 @@
 	if err != nil {
 		return err
 	}
-	s, err := w.way(w.addr(linksOut+i+1, discoveryByte, discoveryPort), "", front)
+	s, err := w.openRelay(w.addr(linksOut+i+1, discoveryByte, discoveryPort), "", front)
 	if err != nil {
 		return err
 	}
 	w.discoveryLinks = append(w.discoveryLinks, s)
-	listen := w.addr(0, i+1, terminalPort)
-	if s, err = w.way(w.addr(linksIn+i+1, 1, terminalPort), "", listen); err != nil {
+	listen := w.addr(0, i+1, clientPort)
+	if s, err = w.openRelay(w.addr(linksIn+i+1, 1, clientPort), "", listen); err != nil {
 		return err
 	}
 	w.clientLinks = append(w.clientLinks, s)
@@ -277,11 +277,11 @@
 	if err := os.WriteFile(config, body, 0o600); err != nil {
 		return err
 	}
-	l := fake.Launch{Binary: w.options.Binary, Config: config, Addr: listen, Management: w.addr(0, i+1, managePort),
+	l := fake.Launch{Binary: w.options.Binary, Config: config, Addr: listen, Management: w.addr(0, i+1, managementPort),
 		Env: append([]string{"TMPDIR=" + dir}, w.options.Env...)}
 	if !w.options.Off {
 		file := filepath.Join(w.temp, w.name(i)+".edge.json")
-		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults", Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, talkPort), Join: join,
+		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults", Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, peerPort), Join: join,
 			Reach: reach, SilentAfter: edgeconfig.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
 			SignalEvery: edgeconfig.Duration(200 * time.Millisecond), SignalLife: edgeconfig.Duration(2 * time.Second),
 			Subset: w.options.Subset, Readings: w.options.Readings, Turns: w.options.Turns}}
@@ -302,8 +302,8 @@
 		}
 		l.Args = []string{"--edge", file}
 	}
-	if upgrades(w.Schedule) {
-		if err := w.holdListener(&l); err != nil {
+	if hasUpgrades(w.Schedule) {
+		if err := w.openListener(&l); err != nil {
 			return err
 		}
 	}
@@ -319,7 +319,7 @@
 	return nil
 }
 
-func (w *Scenario) way(at, from, to string) (*streams, error) {
+func (w *Scenario) openRelay(at, from, to string) (*streams, error) {
 	s, err := newStreams(at, from, to)
 	if err != nil {
 		return nil, err
@@ -344,12 +344,12 @@
 		return
 	}
 	w.SawBy(w.name(i), rules.Started, "", "", "")
-	process := w.number()
-	p, err := w.Start(w.noted(i, process, w.launch(i)))
+	process := w.nextProcessNumber()
+	p, err := w.Start(w.recordLines(i, process, w.launch(i)))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.down[i] > 0 && err == nil {
-		w.record.over(process, w.Now())
+		w.record.endProcess(process, w.Now())
 		p.Kill()
 		return
 	}
@@ -362,11 +362,11 @@
 		return
 	}
 	w.processes[i], w.killed[i], w.numbers[i] = p, false, process
-	w.runs(i, p)
+	w.trackProcess(i, p)
 }
 
 // hold keeps a balancer dead for one more fault, or for one less; it tells whether it is the first or the last of them.
-func (w *Scenario) hold(i, more int) bool {
+func (w *Scenario) adjustDown(i, more int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down[i] += more
@@ -379,7 +379,7 @@
 	return w.launches[i]
 }
 
-func (w *Scenario) take(i int, killed bool) *fake.Process {
+func (w *Scenario) setKilled(i int, killed bool) *fake.Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killed[i] = killed
@@ -387,30 +387,30 @@
 }
 
 func (w *Scenario) kill(i int) {
-	if p := w.take(i, true); p != nil {
-		w.record.over(w.process(i), w.Now())
+	if p := w.setKilled(i, true); p != nil {
+		w.record.endProcess(w.processNumber(i), w.Now())
 		p.Kill()
 	}
 }
 
 // leave ends a balancer with SIGTERM, and by force if it doesn't go.
 func (w *Scenario) leave(i int) {
-	p := w.take(i, true)
+	p := w.setKilled(i, true)
 	if p == nil {
 		return
 	}
-	process := w.process(i)
-	if err := w.sendOff(i, process, p, 5*time.Second); err != nil && err.Error() == "still running" {
-		w.find("%s did not leave: %v\n%s", w.name(i), err, last(p.Log(), 2000))
-		w.record.over(process, w.Now())
+	process := w.processNumber(i)
+	if err := w.terminate(i, process, p, 5*time.Second); err != nil && err.Error() == "still running" {
+		w.addViolation("%s did not leave: %v\n%s", w.name(i), err, tail(p.Log(), 2000))
+		w.record.endProcess(process, w.Now())
 		p.Kill()
 	}
-	w.record.over(process, w.Now())
+	w.record.endProcess(process, w.Now())
 }
 
 // sendOff has a process of balancer i leave, which may take it so long: not counting what it stands still, nor what it waits
 // for processors.
-func (w *Scenario) sendOff(i, process int, p *fake.Process, most time.Duration) error {
+func (w *Scenario) terminate(i, process int, p *fake.Process, most time.Duration) error {
 	began := w.Now()
 	p.Signal(syscall.SIGTERM)
 	for ran := time.Duration(0); ; {
@@ -418,28 +418,28 @@
 		err := p.Over(50 * time.Millisecond)
 		if err == nil || err.Error() != "still running" {
 			if ran > most {
-				w.void(i, began, ran-most, "%s left %v late", w.name(i), (ran - most).Round(time.Millisecond))
+				w.excusedByMachine(i, began, ran-most, "%s left %v late", w.name(i), (ran - most).Round(time.Millisecond))
 			}
 			return err
 		}
-		if !w.record.isStill(process) {
+		if !w.record.isStopped(process) {
 			ran += w.Now() - was
 		}
-		if ran-most > min(most, w.lateFor(i, began, w.Now()))+seenBy {
+		if ran-most > min(most, w.lateFor(i, began, w.Now()))+observationDelay {
 			return err
 		}
 	}
 }
 
 // process is the number of balancer i's process.
-func (w *Scenario) process(i int) int {
+func (w *Scenario) processNumber(i int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.numbers[i]
 }
 
 // still has balancer i's process stand still until it is told to go on: the same process, whoever has its place by then.
-func (w *Scenario) still(i int) (goOn func()) {
+func (w *Scenario) suspend(i int) (goOn func()) {
 	w.mu.Lock()
 	p, process := w.processes[i], w.numbers[i]
 	w.mu.Unlock()
@@ -447,9 +447,9 @@
 		return func() {}
 	}
 	p.Signal(syscall.SIGSTOP)
-	w.record.stands(process, w.Now(), true)
+	w.record.setStopped(process, w.Now(), true)
 	return func() {
-		w.record.stands(process, w.Now(), false)
+		w.record.setStopped(process, w.Now(), false)
 		p.Signal(syscall.SIGCONT)
 	}
 }
@@ -464,38 +464,38 @@
 			}
 			if err := p.Over(0); err == nil || err.Error() != "still running" {
 				w.killed[i] = true
-				w.record.over(w.numbers[i], w.Now())
+				w.record.endProcess(w.numbers[i], w.Now())
 				if w.expectedExits[i] > 0 {
 					continue
 				}
-				w.violations = append(w.violations, fmt.Sprintf("%s crashed: %v\n%s", w.name(i), err, last(p.Log(), 2000)))
+				w.violations = append(w.violations, fmt.Sprintf("%s crashed: %v\n%s", w.name(i), err, tail(p.Log(), 2000)))
 			}
 		}
 		w.mu.Unlock()
 	}
 }
 
-func last(text string, n int) string { return text[max(0, len(text)-n):] }
+func tail(text string, n int) string { return text[max(0, len(text)-n):] }
 
-const listenOn = 4 * time.Second // for an answer that is late
+const lateAnswerWait = 4 * time.Second // for an answer that is late
 
 // excuse tells whether balancer i owes nobody an answer who began to ask then, or the machine was as late as the answer.
 func (w *Scenario) excuse(i int, since time.Duration) func(fake.Answer) bool {
 	return func(a fake.Answer) bool {
 		switch {
-		case w.troubled(i, since):
+		case w.disturbedSince(i, since):
 			return true
 		case a.Late > 0:
-			return w.void(i, since, a.Late, "%s answered %v late", w.name(i), a.Late.Round(time.Millisecond))
+			return w.excusedByMachine(i, since, a.Late, "%s answered %v late", w.name(i), a.Late.Round(time.Millisecond))
 		case a.What == "none":
-			return w.void(i, since, listenOn, "%s gave no answer for %v after its time", w.name(i), listenOn)
+			return w.excusedByMachine(i, since, lateAnswerWait, "%s gave no answer for %v after its time", w.name(i), lateAnswerWait)
 		}
 		return false
 	}
 }
 
 // trouble notes that a balancer may leave something unanswered from now on, or no longer.
-func (w *Scenario) trouble(i int, on bool) {
+func (w *Scenario) setDisturbed(i int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if on {
@@ -511,7 +511,7 @@
 }
 
 // troubled tells whether it was so at any time since then.
-func (w *Scenario) troubled(i int, since time.Duration) bool {
+func (w *Scenario) disturbedSince(i int, since time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.disturbances[i] {
@@ -522,7 +522,7 @@
 	return false
 }
 
-func (w *Scenario) find(format string, args ...any) {
+func (w *Scenario) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.violations) < 20 {
@@ -538,18 +538,18 @@
 }
 
 // terminal asks, stands for a while sending lines, and comes again, as one client does after another.
-func (w *Scenario) terminal(n int) {
+func (w *Scenario) runClient(n int) {
 	key := fmt.Sprintf("key%d", n)
 	rng := rand.New(rand.NewPCG(uint64(n), 7))
 	for pause(w.stop, time.Duration(10+rng.IntN(150))*time.Millisecond) {
 		i := rng.IntN(w.Schedule.Balancers)
 		since := w.Now()
-		t, err := w.Connect("", w.addr(linksIn+i+1, 1, terminalPort))
+		t, err := w.Connect("", w.addr(linksIn+i+1, 1, clientPort))
 		if err != nil {
 			continue
 		}
 		t.By = w.name(i)
-		t.Excuse, t.After = w.excuse(i, since), listenOn
+		t.Excuse, t.After = w.excuse(i, since), lateAnswerWait
 		a := t.Open(fake.Ask{Key: key, More: fmt.Sprintf(",g=group%d", n%7)})
 		w.mu.Lock()
 		w.answers[a.What]++
@@ -558,7 +558,7 @@
 		}
 		w.mu.Unlock()
 		if a.What == "UP" {
-			w.stand(t, i, since, rng)
+			w.echoLines(t, i, since, rng)
 		}
 		t.Break()
 	}
@@ -566,7 +566,7 @@
 
 // stand sends lines for a while. What a cut link or a region has broken is no fault of the balancer's; elsewhere only
 // MOVE ends a connection.
-func (w *Scenario) stand(t *fake.Terminal, i int, since time.Duration, rng *rand.Rand) {
+func (w *Scenario) echoLines(t *fake.Terminal, i int, since time.Duration, rng *rand.Rand) {
 	for range 1 + rng.IntN(12) {
 		err := t.Echo(9 * time.Second)
 		switch {
@@ -579,7 +579,7 @@
 				return
 			default:
 			}
-			if !w.troubled(i, since) && !w.regionFaults(since) {
+			if !w.disturbedSince(i, since) && !w.serverLinksDisturbedSince(since) {
 				w.Saw(rules.Lost, t.ID, "", fmt.Sprintf("%s: %v", w.name(i), err))
 			}
 			return
@@ -591,16 +591,16 @@
 }
 
 // regionFaults tells whether links to regions were disturbed at any time since then.
-func (w *Scenario) regionFaults(since time.Duration) bool {
+func (w *Scenario) serverLinksDisturbedSince(since time.Duration) bool {
 	for _, f := range w.Schedule.Faults {
-		if strings.HasPrefix(f.Kind, "region-") && time.Duration(f.At+f.For)+w.faultsFrom()+8*time.Second >= since {
+		if strings.HasPrefix(f.Kind, "region-") && time.Duration(f.At+f.For)+w.faultsBegan()+8*time.Second >= since {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Scenario) faultsFrom() time.Duration {
+func (w *Scenario) faultsBegan() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.began
