--- a/internal/faultinjection/answers.go
+++ b/internal/faultinjection/answers.go
@@ -9,11 +9,11 @@
 	"oatloft/internal/revision"
 )
 
-// This file owns how the answers of a balancer to operators' calls on revisions are read.
+// This file parses a balancer's answers to operators' calls on revisions.
 
 var inForcePattern = regexp.MustCompile(`^revision (\d+) is in force \(`)
 
-// told takes what an answer says of a request.
+// recordAnswer records the outcome that an answer reports for the request.
 func (o *Op) recordAnswer(a management.Answer) {
 	if n, settled, _ := revision.ReadAnswer(a.Text); settled && a.OK {
 		o.Result, o.Settled = Settled, n
@@ -28,23 +28,24 @@
 	}
 }
 
-// asksAgain tells whether a no says nothing of the request itself: it may be handed in again.
+// isRetryable reports whether an error answer leaves the outcome of the request open, so that it may be submitted
+// again.
 func isRetryable(text string) bool {
 	return strings.HasPrefix(text, revision.RetryLaterPrefix) || strings.HasPrefix(text, "busy:")
 }
 
-// Status is what a balancer says of revisions.
+// Status is a balancer's answer to the call "revision status".
 type Status struct {
-	Number  uint64 // by which it routes, or did last
-	InForce uint64 // as the leader has it
-	Hash    string // of that
+	Number  uint64 // the revision that it routes by, or last routed by
+	InForce uint64 // as reported by the leader
+	Hash    string // of revision Number
 	Phase   string
-	Pending string // the key of what is pending, "" for nothing
-	Leader  string // who leads, by name
+	Pending string // key of the pending request, "" for none
+	Leader  string // name of the leader, "" for none
 	Text    string
 }
 
-// status asks balancer i.
+// status queries balancer i.
 func (w *Scenario) status(i int) (s Status, ok bool) {
 	a, err := callLine(w.managementAddr(i), "revision status", callWait)
 	if err != nil || !a.OK {
@@ -67,7 +68,7 @@
 	return s, err == nil
 }
 
-// inForce is what balancer i holds to be in force.
+// inForce returns the revision that balancer i reports as in force.
 func (w *Scenario) inForce(i int) (uint64, bool) {
 	s, ok := w.status(i)
 	return s.InForce, ok && s.Leader != ""
--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -14,27 +14,29 @@
 	"oatloft/internal/rules"
 )
 
-// This file owns long runs of changes: operators who hand in one after the other for as long as faults come and go, and the count
-// of what became of each. The run's invariants judge them; what is judged here besides is what comes back: the first newcomer of
-// every balancer after its fault, and the contents that were rolled back to.
+// This file runs long series of changes: operators submit one change after the other while faults begin and end, and
+// the outcome of each is counted. The invariants of the run judge the changes. In addition, this file checks the first
+// request that every balancer routes after its fault, and the contents of rollbacks.
 
-// Plan says how many changes are made, and what goes on meanwhile. A fault run that has one plays no faults or calls of its schedule.
+// Plan sets how many changes are made, and which faults occur meanwhile. A fault run with a plan ignores the faults and
+// calls of its schedule.
 type Plan struct {
 	Seed      uint64
-	Before    int           // revisions that are settled in calm first
-	Changes   int           // asked for under faults, taken up each
-	Rollbacks int           // after them, under faults too, to drawn revisions of all there are
-	How       string        // one of Hows
-	Within    time.Duration // no change is begun later
+	Before    int           // revisions that are settled first, without faults
+	Changes   int           // accepted requests, under faults
+	Rollbacks int           // after the changes, under faults too, to random earlier revisions
+	How       string        // one of FaultPatterns
+	Within    time.Duration // no change begins later than this after the start
 }
 
-// how is what goes on while changes are made: rounds of a fault at some balancers, with a pause after each.
+// faultPattern describes the faults while changes are made: rounds of a fault at some balancers, with a pause after
+// each.
 type faultPattern struct {
-	fault, pause [2]time.Duration // from, to
-	generate         func(rng *rand.Rand, s *Schedule) []Fault
+	fault, pause [2]time.Duration // shortest, longest
+	generate     func(rng *rand.Rand, s *Schedule) []Fault
 }
 
-// drawnOf gives so many balancers a fault each, of drawn kinds.
+// randomFaults returns a generator that gives from least to most balancers a fault each, of random kinds.
 func randomFaults(least, most int, kinds ...string) func(rng *rand.Rand, s *Schedule) []Fault {
 	return func(rng *rand.Rand, s *Schedule) (list []Fault) {
 		for _, i := range rng.Perm(s.Balancers)[:min(s.Balancers, least+rng.IntN(most-least+1))] {
@@ -44,10 +46,12 @@
 	}
 }
 
-// hows are made for five balancers: two of them are fewer than half, three are most.
+// faultPatterns are made for five balancers: two are a minority, three a majority.
 var faultPatterns = map[string]faultPattern{
-	"calm": {[2]time.Duration{time.Second, time.Second}, [2]time.Duration{}, func(*rand.Rand, *Schedule) []Fault { return nil }},
-	"mixed": {[2]time.Duration{300 * time.Millisecond, 4 * time.Second}, [2]time.Duration{50 * time.Millisecond, time.Second},
+	"calm": {[2]time.Duration{time.Second, time.Second}, [2]time.Duration{},
+		func(*rand.Rand, *Schedule) []Fault { return nil }},
+	"mixed": {[2]time.Duration{300 * time.Millisecond, 4 * time.Second},
+		[2]time.Duration{50 * time.Millisecond, time.Second},
 		randomFaults(1, 2, "kill", "stop", "talk-cut", "talk-one-way")},
 	"one-down":      {fixedLength, fixedLength, randomFaults(1, 1, "kill")},
 	"two-down":      {fixedLength, fixedLength, randomFaults(2, 2, "kill")},
@@ -57,70 +61,74 @@
 
 var fixedLength = [2]time.Duration{6 * time.Second, 6 * time.Second}
 
-// Hows are the names of what may go on.
+// FaultPatterns returns the names of the fault patterns.
 func FaultPatterns() []string {
 	return []string{"mixed", "calm", "one-down", "two-down", "one-cut", "majority-lost"}
 }
 
-// Schedule is the run that a plan is played in.
+// Schedule returns the schedule of a run of the plan.
 func (p *Plan) Schedule(balancers int, onCut string) *Schedule {
-	return &Schedule{Name: fmt.Sprintf("changes-%d-%s", p.Seed, p.How), Balancers: balancers, Regions: 6, Terminals: 4 * balancers, Seconds: 1, OnCut: onCut}
+	return &Schedule{Name: fmt.Sprintf("changes-%d-%s", p.Seed, p.How), Balancers: balancers, Regions: 6,
+		Terminals: 4 * balancers, Seconds: 1, OnCut: onCut}
 }
 
 func (p *Plan) check() error {
 	switch _, ok := faultPatterns[p.How]; {
 	case !ok:
-		return &InvalidSchedule{"how", fmt.Sprintf("%q is none of %s", p.How, strings.Join(FaultPatterns(), ", "))}
+		return &InvalidSchedule{"how", fmt.Sprintf("%q is not one of %s", p.How, strings.Join(FaultPatterns(), ", "))}
 	case p.Changes < 0 || p.Rollbacks < 0 || p.Before < 0 || p.Changes+p.Rollbacks+p.Before > maxChanges:
-		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: more than %d, or fewer than none", p.Before, p.Changes, p.Rollbacks, maxChanges)}
+		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: the sum exceeds %d, or one is negative", p.Before,
+			p.Changes, p.Rollbacks, maxChanges)}
 	}
 	return nil
 }
 
 const (
-	maxChanges = 20_000
-	planServers      = 2 // regions that a revision leaves in
+	maxChanges  = 20_000
+	planServers = 2 // servers that a revision does not exclude
 )
 
-// Changed is what a plan came to.
+// PlanResult is the outcome of a plan.
 type PlanResult struct {
 	Everywhere, Nowhere, Mixed int
-	SettleTimes                    []time.Duration // from the call until its operator was told, sorted
-	Answers                  map[string]int  // by how they were answered
-	Recovered, Judged           int             // balancers after a fault; of these, those whose first newcomer came to a region
-	Faults                     int
-	Duration                     time.Duration
-	Rollbacks, Equal              int // rollbacks settled, and those whose content is the old one's by hash at all
-	Entries                    int // in the history at the end
-	Leaders                    int // balancers that told their own
+	SettleTimes                []time.Duration // from each call to the answer that it is settled, sorted
+	Answers                    map[string]int  // client requests, by the kind of their answer
+	// balancers after a fault; of these, those whose first request reached a server
+	Recovered, Judged int
+	Faults            int
+	Duration          time.Duration
+	Rollbacks, Equal  int // rollbacks settled; of these, those that have the old content's hash at all balancers
+	Entries           int // of the history at the end
+	Leaders           int // balancers that returned their history as the leader
 }
 
-// comeback is a balancer whose fault has ended.
+// recovery is the end of a balancer's fault.
 type recovery struct {
 	by string
 	at time.Duration
 }
 
-// changes plays a plan.
+// playPlan runs a plan.
 func (w *Scenario) playPlan(p *Plan, began time.Duration) {
 	rng := rand.New(rand.NewPCG(p.Seed, 31))
-	n := 0
-	next := func(c Call) Result {
-		n++
-		return w.playCall(n, c)
+	count := 0
+	nextCall := func(c Call) Result {
+		count++
+		return w.playCall(count, c)
 	}
-	only := func() int { return 1 + rng.IntN(w.Schedule.Regions) }
+	randomServer := func() int { return 1 + rng.IntN(w.Schedule.Regions) }
 	for made := 0; made < p.Before && w.Now() < began+p.Within; {
-		if next(Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: only()}) == Settled {
+		if nextCall(Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: randomServer()}) == Settled {
 			made++
 		}
 	}
-	from, counted := w.Now(), w.answerCounts()
-	over := make(chan struct{})
+	from, answersBefore := w.Now(), w.answerCounts()
+	faultsOver := make(chan struct{})
 	var faults sync.WaitGroup
-	faults.Go(func() { w.playFaultRounds(faultPatterns[p.How], rand.New(rand.NewPCG(p.Seed, 37)), over) })
+	faults.Go(func() { w.playFaultRounds(faultPatterns[p.How], rand.New(rand.NewPCG(p.Seed, 37)), faultsOver) })
 	for made := 0; made < p.Changes+p.Rollbacks && w.Now() < began+p.Within; {
-		c := Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: only(), From: rng.IntN(2) == 0, Lost: rng.IntN(3) == 0, Again: rng.IntN(3) == 0}
+		c := Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: randomServer(), From: rng.IntN(2) == 0,
+			Lost: rng.IntN(3) == 0, Again: rng.IntN(3) == 0}
 		if rng.IntN(3) == 0 {
 			c.Also = 1 + rng.IntN(w.Schedule.Balancers)
 		}
@@ -129,92 +137,96 @@
 		} else if rng.IntN(6) == 0 {
 			c.Kind, c.Only, c.Back = "rollback", 0, 1+rng.IntN(3)
 		}
-		if r := next(c); r == Settled || r == Ended || r == Unknown {
+		if r := nextCall(c); r == Settled || r == Ended || r == Unknown {
 			made++
 		}
 		if !pause(w.over, time.Duration(rng.IntN(300))*time.Millisecond) {
 			break
 		}
 	}
-	close(over)
+	close(faultsOver)
 	faults.Wait()
 	lasted, answers := w.Now()-from, w.answerCounts()
-	list := w.collectLeaderHistories()
+	histories := w.collectLeaderHistories()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaderHistories = list
+	w.leaderHistories = histories
 	w.planResult = &PlanResult{Answers: map[string]int{}, Duration: lasted, Faults: len(w.recoveries)}
-	for what, n := range answers {
-		w.planResult.Answers[what] = n - counted[what]
+	for kind, count := range answers {
+		w.planResult.Answers[kind] = count - answersBefore[kind]
 	}
 }
 
-// rounds begins and ends faults until the changes are over.
+// playFaultRounds starts and ends faults until over is closed.
 func (w *Scenario) playFaultRounds(h faultPattern, rng *rand.Rand, over <-chan struct{}) {
-	draw := func(span [2]time.Duration) time.Duration {
+	randomIn := func(span [2]time.Duration) time.Duration {
 		return span[0] + time.Duration(rng.Int64N(max(1, int64(span[1]-span[0]))))
 	}
-	for goesOn := true; goesOn; {
-		list, long, calm := h.generate(rng, w.Schedule), draw(h.fault), draw(h.pause)
+	for continues := true; continues; {
+		list, faultTime, pauseTime := h.generate(rng, w.Schedule), randomIn(h.fault), randomIn(h.pause)
 		var ends []func()
 		for _, f := range list {
 			ends = append(ends, w.StartFault(f))
 		}
-		goesOn = pause(over, long)
+		continues = pause(over, faultTime)
 		var all sync.WaitGroup
 		for i, f := range list {
 			w.mu.Lock()
 			w.recoveries = append(w.recoveries, recovery{w.name(f.A - 1), w.Now()})
 			w.mu.Unlock()
-			all.Go(ends[i]) // a process takes its time to start
+			all.Go(ends[i]) // starting a process is slow
 		}
 		all.Wait()
-		goesOn = goesOn && pause(over, calm)
+		continues = continues && pause(over, pauseTime)
 	}
 }
 
-// answered is how newcomers were answered so far.
+// answerCounts returns the number of client requests so far by the kind of their answer.
 func (w *Scenario) answerCounts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := map[string]int{}
-	for what, n := range w.answers {
-		m[what] = n
+	for kind, n := range w.answers {
+		m[kind] = n
 	}
 	return m
 }
 
-// PlanOutcome is the invariant of a run of changes: each in force everywhere or nowhere, every balancer that comes back routes its first
-// newcomer by what is in force, and a rollback has the content of what it goes back to, at all.
+// PlanOutcome is the invariant of a run of changes: each change is in force at every balancer or at none, every
+// balancer routes its first request after a fault by the revision in force, and a rollback has the content of the
+// revision that it restores, at every balancer.
 type PlanOutcome struct{ finalOnly }
 
-// told is what one balancer, as the leader, gives out of the history: its own copy, applied from its own folder's log.
+// leaderHistory is the history that one balancer returns as the leader: its own copy, applied from the log in its own
+// folder.
 type leaderHistory struct {
 	by      string
 	history []Entry
-	hashes  map[uint64]string // of the contents that it gives out, by number
+	hashes  map[uint64]string // of the contents that it returns, by number
 }
 
-// Judge counts, and tells what isn't so.
+// Judge counts the outcomes, and returns the violations.
 func (PlanOutcome) Judge(w *Scenario) (broken []string) {
 	w.mu.Lock()
-	c, backs, list := w.planResult, slices.Clone(w.recoveries), w.leaderHistories
+	result, recoveries, list := w.planResult, slices.Clone(w.recoveries), w.leaderHistories
 	w.mu.Unlock()
 	if len(list) == 0 {
-		return []string{"no balancer came to tell its history as the leader"}
+		return []string{"no balancer returned its history as the leader"}
 	}
-	c.Leaders = len(list)
+	result.Leaders = len(list)
 	ops := w.record.Ops()
-	broken = c.countOutcomes(ops, list)
+	broken = result.countOutcomes(ops, list)
 	w.record.mu.Lock()
 	routed := slices.Clone(w.record.routed)
 	w.record.mu.Unlock()
-	broken = append(broken, c.judgeFirstRequests(backs, arrivalsByBalancer(routed), w.record.Works(), summarize(ops, list[0].history))...)
-	return append(broken, c.judgeRollbacks(list)...)
+	broken = append(broken, result.judgeFirstRequests(recoveries, arrivalsByBalancer(routed), w.record.Works(),
+		summarize(ops, list[0].history))...)
+	return append(broken, result.judgeRollbacks(list)...)
 }
 
-// eachLeads has one balancer after the other lead, by ending whoever does, and reads the history that each has. Not all come to lead
-// within the rounds that there are: at least most of them have to, and what they tell is judged.
+// collectLeaderHistories makes one balancer after the other the leader, by killing the current one, and reads the
+// history of each, up to the number of voters. Some balancers may not lead within the number of rounds, but most should;
+// the histories of those that did are judged.
 func (w *Scenario) collectLeaderHistories() (list []leaderHistory) {
 	for range 4 * w.Schedule.Balancers {
 		if w.settle([]Invariant{Convergence{}}, 20*w.options.SilentAfter+w.revisionsSettle()) != "" {
@@ -237,7 +249,7 @@
 	return list
 }
 
-// tells reads a history, and the contents of what was rolled back to and from.
+// readLeaderHistory reads a history, and the contents of the rollbacks in it and of the revisions that they restore.
 func (w *Scenario) readLeaderHistory(i int) (t leaderHistory, ok bool) {
 	t = leaderHistory{by: w.name(i), hashes: map[uint64]string{}}
 	var err error
@@ -258,19 +270,19 @@
 	return t, true
 }
 
-// back is what a rollback goes back to.
+// rollbackTarget returns the revision that a rollback restores.
 func (e Entry) rollbackTarget() (of uint64, ok bool) {
 	n, _ := fmt.Sscanf(e.Kind, "rollback-of-%d", &of)
 	return of, n == 1
 }
 
-// places counts where each change is in force in the end.
+// countOutcomes counts the changes that are in force at all, at some and at no balancers in the end.
 func (c *PlanResult) countOutcomes(ops []Op, list []leaderHistory) (broken []string) {
-	held := make([]map[string]Entry, len(list))
+	byKey := make([]map[string]Entry, len(list))
 	for i, t := range list {
-		held[i] = map[string]Entry{}
+		byKey[i] = map[string]Entry{}
 		for _, e := range t.history {
-			held[i][e.Key] = e
+			byKey[i][e.Key] = e
 		}
 		c.Entries = len(t.history)
 	}
@@ -280,17 +292,17 @@
 		}
 		var at []string
 		differs := false
-		for i := range held {
-			e, ok := held[i][o.Key]
+		for i := range byKey {
+			e, ok := byKey[i][o.Key]
 			if ok {
 				at = append(at, list[i].by)
 			}
-			differs = differs || e.Number != held[0][o.Key].Number || e.Hash != held[0][o.Key].Hash
+			differs = differs || e.Number != byKey[0][o.Key].Number || e.Hash != byKey[0][o.Key].Hash
 		}
 		switch {
-		case len(at) > 0 && len(at) < len(held) || differs:
+		case len(at) > 0 && len(at) < len(byKey) || differs:
 			c.Mixed++
-			broken = append(broken, fmt.Sprintf("request %s is settled at %s alone, or differs", o.Key, strings.Join(at, ", ")))
+			broken = append(broken, fmt.Sprintf("request %s is settled only at %s, or differs", o.Key, strings.Join(at, ", ")))
 		case len(at) == 0:
 			c.Nowhere++
 		default:
@@ -304,55 +316,58 @@
 	return broken
 }
 
-// arrival is a newcomer's coming to a region.
+// arrival is the arrival of a request at a server.
 type arrival struct {
 	at     time.Duration
 	server string
 }
 
-// firsts judges the first newcomer of each balancer after its fault: it has to go by what is in force, whatever had been in force
-// before the fault. A newcomer takes up to underWay from the decision to the region.
-func (c *PlanResult) judgeFirstRequests(backs []recovery, by map[string][]arrival, works []Work, say map[uint64]revisionSummary) (broken []string) {
-	began := map[uint64]time.Duration{} // number: first at work anywhere
+// judgeFirstRequests judges the first request that each balancer routes after its fault: it has to follow the revision
+// in force, whatever was in force before the fault. A request arrives at the server up to maxTransit after the
+// decision.
+func (c *PlanResult) judgeFirstRequests(recoveries []recovery, by map[string][]arrival, works []Work,
+	summaries map[uint64]revisionSummary) (broken []string) {
+	began := map[uint64]time.Duration{} // by revision: first active at any balancer
 	for _, k := range works {
 		if at, ok := began[k.Number]; !ok || k.From < at {
 			began[k.Number] = k.From
 		}
 	}
 	seen := map[string]time.Duration{}
-	for _, b := range backs {
+	for _, b := range recoveries {
 		c.Recovered++
 		list := by[b.by]
 		i, _ := slices.BinarySearchFunc(list, b.at, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
 		if i == len(list) || seen[b.by] == list[i].at && i > 0 {
-			continue // it had another fault before anybody came, or nobody came any more
+			continue // another fault came before the first request, or no request came
 		}
 		e := list[i]
 		seen[b.by] = e.at
 		c.Judged++
-		may, had := false, ""
+		valid, active := false, ""
 		for _, k := range works {
 			if k.By != b.by || k.From-logDelay > e.at || e.at-maxTransit > k.To {
 				continue
 			}
-			decided := max(k.From, e.at-maxTransit) // at the earliest, by this one
+			decided := max(k.From, e.at-maxTransit) // the earliest time of a decision by this revision
 			current := true
 			for n, at := range began {
 				current = current && (n <= k.Number || at > decided)
 			}
-			had += fmt.Sprintf(" %d", k.Number)
-			may = may || current && !isExcluded(say[k.Number].excluded, e.server)
+			active += fmt.Sprintf(" %d", k.Number)
+			valid = valid || current && !isExcluded(summaries[k.Number].excluded, e.server)
 		}
-		if !may {
-			broken = append(broken, fmt.Sprintf("%s came back at %v and sent its first newcomer at %v to %s, not by what is in force: at work there was%s", b.by,
-				b.at.Round(time.Millisecond), e.at.Round(time.Millisecond), e.server, cmp.Or(had, " none")))
+		if !valid {
+			broken = append(broken, fmt.Sprintf("%s recovered at %v and routed its first request at %v to %s, "+
+				"not by the revision in force: active there was%s", b.by,
+				b.at.Round(time.Millisecond), e.at.Round(time.Millisecond), e.server, cmp.Or(active, " none")))
 		}
 	}
 	return broken
 }
 
-// rolled compares each rollback with what it goes back to, as each balancer has both: the hashes in the history, and those of the
-// contents that it gives out.
+// judgeRollbacks compares each rollback with the revision that it restores at every balancer: the hashes in the
+// history, and those of the contents that the balancer returns.
 func (c *PlanResult) judgeRollbacks(list []leaderHistory) (broken []string) {
 	for _, e := range list[0].history {
 		of, ok := e.rollbackTarget()
@@ -366,25 +381,27 @@
 				at := slices.IndexFunc(t.history, func(x Entry) bool { return x.Number == n })
 				switch {
 				case at < 0:
-					why = fmt.Sprintf("%s keeps no revision %d", t.by, n)
+					why = fmt.Sprintf("%s has no revision %d", t.by, n)
 				case t.history[at].Hash != e.Hash || t.hashes[n] != e.Hash:
-					why = fmt.Sprintf("%s has %s as revision %d, and gives out a content of %s", t.by, t.history[at].Hash, n, cmp.Or(t.hashes[n], "none"))
+					why = fmt.Sprintf("%s has %s as revision %d, and returns a content with hash %s", t.by, t.history[at].Hash, n,
+						cmp.Or(t.hashes[n], "none"))
 				}
 			}
 		}
 		if why == "" {
 			c.Equal++
 		} else {
-			broken = append(broken, fmt.Sprintf("revision %d goes back to %d, hash %s: %s", e.Number, of, e.Hash, why))
+			broken = append(broken, fmt.Sprintf("revision %d rolls back to %d, hash %s: %s", e.Number, of, e.Hash, why))
 		}
 	}
 	return broken[:min(5, len(broken))]
 }
 
-// contentOf is a revision's content as balancer i gives it out.
+// contentOf reads the content of revision n from balancer i.
 func (w *Scenario) contentOf(i int, n uint64) (*revision.Content, error) {
 	a, err := callLine(w.managementAddr(i), fmt.Sprintf("revision get %d", n), callWait)
-	for again := 0; again < 5 && (err != nil || !a.OK && isRetryable(a.Text)); again++ { // it says nothing of the content
+	// Retries while the answer leaves open whether the revision exists.
+	for again := 0; again < 5 && (err != nil || !a.OK && isRetryable(a.Text)); again++ {
 		a, err = callLine(w.managementAddr(i), fmt.Sprintf("revision get %d", n), callWait)
 	}
 	if err != nil || !a.OK {
@@ -393,34 +410,38 @@
 	return revision.Decode([]byte(a.Text[strings.IndexByte(a.Text, '{'):]))
 }
 
-// Row is a run of changes in one row of a table; RowHead is above it.
+// Row returns the result of a run of changes as a row of a table with the heading RowHead.
 func (r *Report) Row() string {
 	c := r.PlanResult
 	if c == nil {
 		return fmt.Sprintf("| %s | not played: %s |", r.Schedule.Name, strings.Join(r.Broken, "; "))
 	}
-	half, most := time.Duration(0), time.Duration(0)
+	median, longest := time.Duration(0), time.Duration(0)
 	if n := len(c.SettleTimes); n > 0 {
-		half, most = c.SettleTimes[n/2], c.SettleTimes[n-1]
+		median, longest = c.SettleTimes[n/2], c.SettleTimes[n-1]
 	}
-	served, refused, silent := c.Answers["UP"], c.Answers["BUSY"], 0
-	for what, n := range c.Answers {
-		if what != "UP" && what != "BUSY" {
-			silent += n
+	served, refused, unanswered := c.Answers["UP"], c.Answers["BUSY"], 0
+	for kind, n := range c.Answers {
+		if kind != "UP" && kind != "BUSY" {
+			unanswered += n
 		}
 	}
 	seconds := c.Duration.Seconds()
-	return fmt.Sprintf("| %s | %s | %.0f | %d | %d | %d | %d | %.2f / %.1f | %.1f | %.1f | %.1f | %d of %d | %d of %d | %d | %d | %d |", r.Schedule.Name, cmp.Or(r.Schedule.OnCut, "refuse"), seconds,
-		c.Faults, c.Everywhere, c.Nowhere, c.Mixed, half.Seconds(), most.Seconds(), float64(served)/seconds, float64(refused)/seconds, float64(silent)/seconds,
+	return fmt.Sprintf("| %s | %s | %.0f | %d | %d | %d | %d | %.2f / %.1f | "+
+		"%.1f | %.1f | %.1f | %d of %d | %d of %d | %d | %d | %d |", r.Schedule.Name, cmp.Or(r.Schedule.OnCut, "refuse"),
+		seconds,
+		c.Faults, c.Everywhere, c.Nowhere, c.Mixed, median.Seconds(), longest.Seconds(), float64(served)/seconds,
+		float64(refused)/seconds, float64(unanswered)/seconds,
 		c.Judged, c.Recovered, c.Equal, c.Rollbacks, c.Entries, c.Leaders, len(r.Broken))
 }
 
-// RowHead is above rows.
-const RowHead = "| run | on_cut | s | faults | in force everywhere | nowhere | mixed | in force after, median / most, s | newcomers served /s | refused /s | no answer /s | " +
-	"first newcomers judged | rollbacks equal at all | revisions | broken |\n" +
+// RowHead is the heading of the table whose rows Report.Row returns.
+const RowHead = "| run | on_cut | s | faults | in force everywhere | nowhere | mixed | " +
+	"in force after, median / most, s | requests served /s | refused /s | no answer /s | " +
+	"first requests judged | rollbacks equal everywhere | revisions | broken |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 
-// firstRouted is what came to regions by balancer, in the order of time.
+// arrivalsByBalancer returns the requests that reached servers by balancer, in order of time.
 func arrivalsByBalancer(routed []rules.Event) map[string][]arrival {
 	by := map[string][]arrival{}
 	for _, e := range routed {
--- a/internal/faultinjection/content.go
+++ b/internal/faultinjection/content.go
@@ -8,14 +8,17 @@
 	"oatloft/internal/revision"
 )
 
-// This file owns what the revisions of a fault run say: the region that one leaves out, and the size of its links.
+// This file builds the contents of the revisions in a fault run: the servers that one excludes, and the size of its
+// links.
 
+// revisionSummary is the part of a revision's content that the invariants need.
 type revisionSummary struct {
-	excluded   string // with commas between them
-	linkBytes float64
+	excluded  string  // excluded servers, separated by commas
+	linkBytes float64 // bytes per second; 0 without a table of links
 }
 
-// content is what a call proposes: a note that names it, and a region left out that betrays who goes by it.
+// content returns the content that a call proposes. Its note is the key of the request. The server that it excludes
+// shows which balancers route by it.
 func (w *Scenario) content(key string, c Call) *revision.Content {
 	r := &revision.Content{Form: revision.Form, Note: key}
 	if c.Out > 0 {
@@ -34,21 +37,24 @@
 	return r
 }
 
-// leftOut tells whether a region is among those left out.
-func isExcluded(out, region string) bool { return slices.Contains(strings.Split(out, ","), region) }
+// isExcluded reports whether a server is in the comma-separated list out.
+func isExcluded(excluded, server string) bool {
+	return slices.Contains(strings.Split(excluded, ","), server)
+}
 
-// contents are those of a history, by number: an operator's as it was asked for, a way back as what it goes back to.
+// summarize returns the contents of a history by revision: for a proposal what its operator requested, for a rollback
+// the content of the revision that it restores.
 func summarize(ops []Op, history []Entry) map[uint64]revisionSummary {
-	asked, list := map[string]revisionSummary{}, map[uint64]revisionSummary{}
+	proposed, list := map[string]revisionSummary{}, map[uint64]revisionSummary{}
 	for _, o := range ops {
-		asked[o.Key] = revisionSummary{o.Out, o.Bytes}
+		proposed[o.Key] = revisionSummary{o.Out, o.Bytes}
 	}
 	for _, e := range history {
-		back := e.Kind[strings.LastIndexByte(e.Kind, '-')+1:]
-		if n, err := strconv.ParseUint(back, 10, 64); err == nil {
+		target := e.Kind[strings.LastIndexByte(e.Kind, '-')+1:]
+		if n, err := strconv.ParseUint(target, 10, 64); err == nil {
 			list[e.Number] = list[n]
 		} else {
-			list[e.Number] = asked[e.Key]
+			list[e.Number] = proposed[e.Key]
 		}
 	}
 	return list
--- a/internal/faultinjection/cover.go
+++ b/internal/faultinjection/cover.go
@@ -8,15 +8,15 @@
 	"oatloft/internal/coordination"
 )
 
-// Coverage is the invariant of subsets: after the last fault, every region that is ready is looked at by as many balancers as
-// each other, within one, by what the balancers say of themselves and the others have heard. While faults go on views
-// differ, and nothing is held against anybody.
+// Coverage is the invariant of subsets: after the last fault, the numbers of balancers that probe each ready server
+// differ by at most one. It reads the subset that each balancer reports from another balancer, as received there.
+// During faults the views differ, and nothing is judged.
 type Coverage struct{}
 
-// During has nothing to look for.
+// During checks nothing.
 func (Coverage) During(*Scenario) {}
 
-// Settled adds up what each says, as heard by the next.
+// Settled adds up the subset of each balancer, as received by the next one.
 func (Coverage) Settled(w *Scenario) string {
 	n := w.Schedule.Balancers
 	if n < 2 {
@@ -31,7 +31,7 @@
 		value, _, _ := strings.Cut(h.members[w.name(i)][coordination.SubsetKey], "/")
 		marks, err := hex.DecodeString(value)
 		if err != nil || len(marks) == 0 || len(marks)%4 != 0 {
-			return fmt.Sprintf("%s has not heard what %s looks at", w.name((i+1)%n), w.name(i))
+			return fmt.Sprintf("%s has not received which servers %s probes", w.name((i+1)%n), w.name(i))
 		}
 		for ; len(marks) > 0; marks = marks[4:] {
 			at[uint32(marks[0])<<24|uint32(marks[1])<<16|uint32(marks[2])<<8|uint32(marks[3])]++
@@ -43,7 +43,7 @@
 		least, most = min(least, c), max(most, c)
 	}
 	if most-least > 1 || least == 0 {
-		return fmt.Sprintf("regions are looked at by %d to %d balancers", least, most)
+		return fmt.Sprintf("servers are probed by %d to %d balancers", least, most)
 	}
 	return ""
 }
--- a/internal/faultinjection/everywhere.go
+++ b/internal/faultinjection/everywhere.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Convergence is the invariant that after the last fault, within the time that a fault run has to settle, every balancer routes by
-// one and the same revision, and nothing is pending.
+// Convergence is the invariant that after the last fault, within the settling time of the run, all balancers route by
+// the same revision and no change is pending.
 type Convergence struct{}
 
-// During has nothing to look for.
+// During checks nothing.
 func (Convergence) During(*Scenario) {}
 
-// Settled asks all for what they go by.
+// Settled compares the status of all balancers.
 func (Convergence) Settled(w *Scenario) string {
 	var all []Status
 	for i := range w.Schedule.Balancers {
@@ -26,13 +26,14 @@
 	for i, s := range all {
 		switch {
 		case s.Leader == "":
-			return fmt.Sprintf("%s knows of no leader: %s", name(i), s.Text)
+			return fmt.Sprintf("%s knows no leader: %s", name(i), s.Text)
 		case s.Phase != "at-work" || s.Number != s.InForce:
-			return fmt.Sprintf("%s is not at work by what is in force: %s", name(i), s.Text)
+			return fmt.Sprintf("%s does not route by the revision in force: %s", name(i), s.Text)
 		case s.Pending != "":
-			return fmt.Sprintf("%s holds a change to be pending: %s", name(i), s.Text)
+			return fmt.Sprintf("%s reports a pending change: %s", name(i), s.Text)
 		case s.Number != all[0].Number || s.Hash != all[0].Hash:
-			return fmt.Sprintf("%s goes by revision %d (%s), %s by %d (%s)", name(0), all[0].Number, all[0].Hash, name(i), s.Number, s.Hash)
+			return fmt.Sprintf("%s routes by revision %d (%s), %s by %d (%s)", name(0), all[0].Number, all[0].Hash, name(i),
+				s.Number, s.Hash)
 		}
 	}
 	return ""
--- a/internal/faultinjection/folders.go
+++ b/internal/faultinjection/folders.go
@@ -13,18 +13,23 @@
 	"oatloft/internal/rules"
 )
 
-// Faults of the folders in which members keep their part of the log: lost, damaged, not to be written to, and a disk that is full
-// at some moment. Fewer than half of the voters are hit in one fault run: a log that most voters have lost is gone, and says so.
+// This file holds the faults of the folders in which members store their copy of the log: lost, damaged, not writable,
+// and a disk that becomes full. Fewer than half of the voters are hit in one fault run: a log that most voters have
+// lost cannot be recovered, and the balancers report that.
 
 func init() {
-	loser := func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(maxFolderLosses(s.Balancers))} }
-	register("folder-lost", kind{needs: revisionsOn, generate: loser, begin: processFault(func(w *Scenario, i int) { w.kill(i) }, func(w *Scenario, i int) { _ = os.RemoveAll(w.folder(i)) })})
+	voterFault := func(rng *rand.Rand, s *Schedule) Fault { return Fault{A: 1 + rng.IntN(maxFolderLosses(s.Balancers))} }
+	register("folder-lost", kind{needs: revisionsOn, generate: voterFault,
+		begin: processFault(func(w *Scenario, i int) { w.kill(i) },
+			func(w *Scenario, i int) { _ = os.RemoveAll(w.folder(i)) })})
 	register("folder-damaged", kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault {
-		f := loser(rng, s)
+		f := voterFault(rng, s)
 		f.Value = rng.Float64()
 		return f
-	}, begin: func(w *Scenario, f Fault) func() { return w.damageFolder(f, func(i int) { flipBytes(w.folder(i), f.Value) }) }})
-	register("folder-no-folder", kind{needs: revisionsOn, generate: loser, begin: func(w *Scenario, f Fault) func() {
+	}, begin: func(w *Scenario, f Fault) func() {
+		return w.damageFolder(f, func(i int) { flipBytes(w.folder(i), f.Value) })
+	}})
+	register("folder-no-folder", kind{needs: revisionsOn, generate: voterFault, begin: func(w *Scenario, f Fault) func() {
 		return w.damageFolder(f, func(i int) {
 			_ = os.RemoveAll(w.folder(i))
 			_ = os.WriteFile(w.folder(i), []byte("no folder"), 0o600)
@@ -37,10 +42,10 @@
 	}, begin: limitFileSize})
 }
 
-// unusable kills a balancer, has something done to its folder, and starts it with that: it has to refuse in a line that says what
-// to do, or to go on as if nothing had been. In the end the folder is taken away, as the operators' page says.
-func (w *Scenario) damageFolder(f Fault, spoil func(i int)) func() {
-	tried := make(chan struct{})
+// damageFolder kills a balancer, damages its folder, and starts it again: it has to exit with a line that says what to
+// do, or to start normally. At the end the folder is removed, as the operators' page says.
+func (w *Scenario) damageFolder(f Fault, damage func(i int)) func() {
+	started := make(chan struct{})
 	w.each(f.A, func(i int) {
 		w.setDisturbed(i, true)
 		if w.adjustDown(i, 1) {
@@ -48,11 +53,11 @@
 		}
 	})
 	go func() {
-		defer close(tried)
+		defer close(started)
 		w.each(f.A, func(i int) {
 			w.starting[i].Lock()
 			defer w.starting[i].Unlock()
-			spoil(i)
+			damage(i)
 			process := w.nextProcessNumber()
 			w.SawBy(w.name(i), rules.Started, "", "", "")
 			p, err := w.Start(w.recordLines(i, process, w.launch(i)))
@@ -62,14 +67,14 @@
 				w.record.endProcess(process, w.Now())
 				p.Kill()
 			case strings.Contains(err.Error(), "no PONG within"):
-				w.addViolation("%s with a spoilt folder neither starts nor ends: %v", w.name(i), err)
+				w.addViolation("%s with a damaged folder neither starts nor exits: %v", w.name(i), err)
 			case !strings.Contains(err.Error(), "do: "):
-				w.addViolation("%s with a spoilt folder does not say what to do: %v", w.name(i), err)
+				w.addViolation("%s with a damaged folder exits without a hint: %v", w.name(i), err)
 			}
 		})
 	}()
 	return func() {
-		<-tried
+		<-started
 		w.each(f.A, func(i int) {
 			_ = os.RemoveAll(w.folder(i))
 			if w.adjustDown(i, -1) {
@@ -80,7 +85,8 @@
 	}
 }
 
-// damage changes bytes in the middle of each file of a folder, at a place between its begin and its end.
+// flipBytes inverts bits of up to 512 bytes in each file of a folder, from the position at, a fraction of the file's
+// size.
 func flipBytes(folder string, at float64) {
 	_ = filepath.WalkDir(folder, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -98,15 +104,16 @@
 	})
 }
 
-// diskFull has no file of a process grow beyond a place that it may have reached: a write there fails, in the middle if it
-// stands across it. A process may end by it, and is started again afterwards.
+// limitFileSize bounds the size of the files that a process writes, at or below their present size: a write beyond the
+// bound fails, or is cut short if it crosses the bound. The process may exit because of it, and is started again
+// afterwards.
 func limitFileSize(w *Scenario, f Fault) func() {
-	set := func(i int, most uint64) {
+	set := func(i int, limit uint64) {
 		w.mu.Lock()
 		p := w.processes[i]
 		w.mu.Unlock()
 		if p != nil {
-			_ = unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+			_ = unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: unix.RLIM_INFINITY}, nil)
 		}
 	}
 	w.each(f.A, func(i int) {
@@ -127,7 +134,8 @@
 		w.each(f.A, func(i int) {
 			set(i, unix.RLIM_INFINITY)
 			time.Sleep(20 * time.Millisecond)
-			if s, ok := w.status(i); ok && strings.Contains(s.Text, "role=broken") { // its operator does what it says: starts it again
+			// A member in role broken asks its operator for a restart.
+			if s, ok := w.status(i); ok && strings.Contains(s.Text, "role=broken") {
 				w.kill(i)
 			}
 			w.expectExit(i, -1)
@@ -137,14 +145,14 @@
 	}
 }
 
-// mayEnd has a balancer be excused from ending by itself, or no longer.
+// expectExit adds more to the number of faults by which balancer i may exit.
 func (w *Scenario) expectExit(i, more int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expectedExits[i] += more
 }
 
-// number counts the processes that the run has started.
+// nextProcessNumber counts the processes that the run has started, and returns the number of the next one.
 func (w *Scenario) nextProcessNumber() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,7 +160,7 @@
 	return w.started
 }
 
-// noted has what a process logs noted, as balancer i's process of this number.
+// recordLines adds to l that the log lines of the process are recorded, as process number process of balancer i.
 func (w *Scenario) recordLines(i, process int, l fake.Launch) fake.Launch {
 	name := w.name(i)
 	l.Lines = func(line string) {
--- a/internal/faultinjection/golden_test.go
+++ b/internal/faultinjection/golden_test.go
@@ -9,7 +9,8 @@
 	"oatloft/internal/golden"
 )
 
-// A seed draws the same schedule as in earlier versions, and a schedule that one of them printed is read and written again.
+// A seed generates the same schedule as in earlier versions, and a schedule printed by one of them is read and written
+// unchanged.
 func TestScheduleFormat(t *testing.T) {
 	golden.JSON[Schedule](t, "schedule-fields.json")
 	for seed := range uint64(6) {
--- a/internal/faultinjection/late.go
+++ b/internal/faultinjection/late.go
@@ -19,51 +19,55 @@
 	"oatloft/internal/fake"
 )
 
-// This file owns how late the machine was, apart from how late a balancer was: for each processor that this process may use, by how
-// much a timer there and a datagram over loopback come late; how long the threads of each balancer waited for a processor, as the
-// system tells; and by how much a write to the disk comes late, which excuses a fault run that could not begin, and nothing else. What took longer than it may by no more than that is held against nobody: the run is void. It must never excuse what is
-// no matter of time, nor an answer that stays out for longer than the machine stood.
+// This file measures the delays of the machine, to tell them from delays of a balancer: for each processor that this
+// process may use, the delay of a timer and of a datagram over loopback; the time that the threads of each balancer
+// waited for a processor, as the system reports it; and the delay of writes to the disk, which excuses only a fault run
+// that could not begin. A time limit that is exceeded by no more than these delays makes the run void. A violation that
+// does not concern time is never excused, nor an answer that is later than the measured delay.
 
 const (
-	timerInterval = 5 * time.Millisecond
-	pollInterval = 250 * time.Millisecond
-	observationDelay    = 2 * pollInterval // the system counts a wait once it is over, and this process may look late
-	maxLateShare   = 0.25          // of a run's time, without a processor: what was kept then proves little
-	maxTimerSamples = 200_000       // late ones that are kept, of each processor
-	syncInterval = 50 * time.Millisecond
-	syncAllowance = 20 * time.Millisecond // a write that is on the disk by then is on time
+	timerInterval    = 5 * time.Millisecond
+	pollInterval     = 250 * time.Millisecond
+	observationDelay = 2 * pollInterval // the system counts a wait once it is over, and this process may poll late
+	maxLateShare     = 0.25             // of a run's time; a run on a machine that was late for longer proves little
+	maxTimerSamples  = 200_000          // late samples that are kept for each processor
+	syncInterval     = 50 * time.Millisecond
+	syncAllowance    = 20 * time.Millisecond // a write that takes no longer is on time
 )
 
-// moment is what had been waited by a time, in all.
+// waitSample is the total wait up to a time.
 type waitSample struct{ at, waited time.Duration }
 
-// waits is a sum that grows, kept by time.
+// waits are the samples of a growing total, in order of time.
 type waits []waitSample
 
+// by returns the total at a time.
 func (l waits) by(at time.Duration) time.Duration {
 	if len(l) == 0 {
 		return 0
 	}
-	// Of what was before the first look nothing is known.
+	// Nothing is known of the time before the first sample.
 	return l[max(0, sort.Search(len(l), func(i int) bool { return l[i].at > at })-1)].waited
 }
 
+// within returns the increase of the total in a period.
 func (l waits) within(from, to time.Duration) time.Duration { return l.by(to) - l.by(from) }
 
-// add makes the sum grow.
+// add increases the total by more at a time.
 func (l *waits) add(at, more time.Duration) {
 	if sum := l.by(at) + more; more > 0 || len(*l) == 0 {
 		*l = append(*l, waitSample{at, sum})
 	}
 }
 
-// machine is how late timers and loopback are at each processor, and the disk, of all fault runs of this process.
+// machine measures the delays of timers and loopback at each processor, and of the disk, for all fault runs of this
+// process.
 type machine struct {
-	zero time.Time
-	mu   sync.Mutex
-	late []waits
-	disk waits
-	writeSince  time.Duration // when the write that isn't on the disk yet began, 0 for none
+	zero       time.Time
+	mu         sync.Mutex
+	late       []waits
+	disk       waits
+	writeSince time.Duration // start of the write in progress, 0 for none
 }
 
 var sharedMachine = sync.OnceValue(func() *machine {
@@ -81,14 +85,14 @@
 		}
 	}
 	if f, err := os.CreateTemp("", "oatlab-late"); err == nil {
-		_ = os.Remove(f.Name()) // it lives on while it is open, and no longer
+		_ = os.Remove(f.Name()) // the open file is deleted when the process ends
 		go m.measureDisk(f)
 	}
 	return m
 })
 
-// write puts a byte on the disk where fault runs have their folders, over and over. What the agreement settles waits for such writes, so
-// processes that are founding can't answer while the disk stands.
+// measureDisk repeatedly writes a byte to the disk that holds the folders of fault runs. The consensus log waits for
+// such writes, so processes that found a cluster can't answer while the disk stalls.
 func (m *machine) measureDisk(f *os.File) {
 	for b := []byte{0}; ; time.Sleep(syncInterval) {
 		m.mu.Lock()
@@ -102,12 +106,12 @@
 		m.writeSince = 0
 		m.mu.Unlock()
 		if err != nil {
-			return // nothing more is known of this disk
+			return // this disk can't be measured any more
 		}
 	}
 }
 
-// diskLate is by how much writes to the disk came late in a time, one that is still out among them.
+// diskLate returns the total delay of writes to the disk in a period, including the write in progress.
 func (m *machine) diskLate(from, to time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,8 +122,8 @@
 	return late
 }
 
-// starved is why a fault run that missed something at its start could not begin: for a quarter of the time or more the machine's timers, or its
-// disk, were late. nil if neither was.
+// overloadError returns a MachineOverloaded error for a fault run that failed at its start if the machine's timers or
+// its disk were late for more than a quarter of the time, and nil otherwise.
 func (w *Scenario) overloadError(missed string) error {
 	own, _, _ := w.overallLateness()
 	all := w.Now()
@@ -130,8 +134,8 @@
 	return &MachineOverloaded{own, disk, missed}
 }
 
-// beat sleeps and sends itself a datagram, over and over, on a thread that stays at one processor. A stalled processor holds up whatever
-// threads and packets stand there, while all others come on time.
+// measureTimer repeatedly sleeps and sends itself a datagram, on a thread that is bound to one processor. A stalled
+// processor delays the threads and packets that are assigned to it, while all others are on time.
 func (m *machine) measureTimer(k int, cpu unix.CPUSet) {
 	runtime.LockOSThread()
 	_ = unix.SchedSetaffinity(0, &cpu)
@@ -154,12 +158,12 @@
 		if len(m.late[k]) > maxTimerSamples {
 			m.late[k] = slices.Clone(m.late[k][maxTimerSamples/2:])
 		}
-		m.late[k].add(now, now-due-time.Millisecond) // no timer is better than that
+		m.late[k].add(now, now-due-time.Millisecond) // timers are accurate to 1 ms at best
 		m.mu.Unlock()
 	}
 }
 
-// within is the most that a processor was late in a time, all of them in the mean, and the most at once.
+// within returns, for a period, the largest total delay of a processor, the mean of all, and the largest single delay.
 func (m *machine) within(from, to time.Duration) (most, mean, atOnce time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,38 +177,39 @@
 	return most, mean, atOnce
 }
 
-// lateness is what is known of the machine in a fault run.
+// lateness holds the delays of the machine during a fault run.
 type lateness struct {
-	m     *machine
-	began time.Duration // of the run, by the machine's time
-	mu    sync.Mutex
-	waits    []waits // of each balancer's processes
+	m        *machine
+	began    time.Duration // start of the run, on the clock of machine
+	mu       sync.Mutex
+	waits    []waits // for processors, by balancer
 	tracked  []trackedProcess
-	polledAt    time.Duration // last looked at
+	polledAt time.Duration // time of the last poll
 }
 
+// trackedProcess is a process whose threads are polled.
 type trackedProcess struct {
 	balancer int
 	p        *fake.Process
-	seen     map[string]time.Duration // by thread
+	seen     map[string]time.Duration // waits by the file of the thread
 }
 
-// beats looks at the balancers' threads until the run ends.
+// pollThreadsUntilEnd polls the balancers' threads until the run ends.
 func (w *Scenario) pollThreadsUntilEnd() {
 	for pause(w.ended, pollInterval) {
 		w.pollThreads()
 	}
 }
 
-// runs has a process's threads looked at from now on.
+// trackProcess starts the polling of a process's threads.
 func (w *Scenario) trackProcess(i int, p *fake.Process) {
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
 	w.late.tracked = append(w.late.tracked, trackedProcess{i, p, map[string]time.Duration{}})
 }
 
-// look reads how long each thread has waited in a queue for a processor, no more often than every lookEvery: looking takes
-// processors too. Where the system doesn't tell, nothing is known.
+// pollThreads reads how long each thread has waited for a processor, at most once per pollInterval since polling takes
+// processor time too. Where the system has no such count, the waits stay 0.
 func (w *Scenario) pollThreads() {
 	w.late.mu.Lock()
 	defer w.late.mu.Unlock()
@@ -232,7 +237,7 @@
 	}
 }
 
-// waitedFor is how long each thread of a process has waited in all, by its file.
+// threadWaits returns the total wait of each thread of a process, by the file of the thread.
 func threadWaits(pid int) map[string]time.Duration {
 	list := map[string]time.Duration{}
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -246,7 +251,8 @@
 	return list
 }
 
-// lateFor is how long, within a time, the machine and balancer i's processes were late; the most of all balancers for -1.
+// lateFor returns the delay of the machine plus the wait of balancer i's processes in a period; for -1 the largest wait
+// of all balancers.
 func (w *Scenario) lateFor(i int, from, to time.Duration) time.Duration {
 	w.pollThreads()
 	to += observationDelay
@@ -262,12 +268,13 @@
 	return min(most, to-from) + min(own, to-from)
 }
 
-// void tells that the machine was late by as much as something at balancer i was over its time. Either is noted.
+// excusedByMachine reports whether the machine was late by at least the time over by which an event at balancer i
+// missed its time limit. It records the event as a machine cause or as a violation.
 func (w *Scenario) excusedByMachine(i int, from, over time.Duration, format string, args ...any) bool {
 	return w.excusedByMachineUntil(i, from, w.Now(), over, format, args...)
 }
 
-// voidThen is void for a time that is over.
+// excusedByMachineUntil is excusedByMachine for a period that ended at to.
 func (w *Scenario) excusedByMachineUntil(i int, from, to, over time.Duration, format string, args ...any) bool {
 	time.Sleep(max(0, to+observationDelay-w.Now()))
 	late := w.lateFor(i, from, to)
@@ -277,12 +284,13 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.machineCauses = append(w.machineCauses, fmt.Sprintf(format, args...)+fmt.Sprintf(", and the machine was %v late", late.Round(time.Millisecond)))
+	w.machineCauses = append(w.machineCauses, fmt.Sprintf(format, args...)+fmt.Sprintf(", and the machine was %v late",
+		late.Round(time.Millisecond)))
 	return true
 }
 
-// wholeLate is the part of the run's time by which timers were late, and that in which the balancers' threads waited for processors, in
-// the mean, and the most that a timer was late.
+// overallLateness returns the share of the run's time by which timers were late, the mean share in which the balancers'
+// threads waited for processors, and the largest delay of a timer.
 func (w *Scenario) overallLateness() (own, theirs float64, atOnce time.Duration) {
 	w.pollThreads()
 	all := w.Now()
@@ -295,18 +303,20 @@
 	return float64(late) / float64(all), theirs, atOnce
 }
 
-// MachineOverloaded is the error that a fault run could not begin, and the machine had no processor to give, or its disk stood.
+// MachineOverloaded is the error that a fault run could not begin since the machine's processors or its disk were late.
 type MachineOverloaded struct {
-	Late  float64 // part of the time by which timers were late
-	Disk  float64 // and by which writes to the disk were
+	Late  float64 // share of the time by which timers were late
+	Disk  float64 // share of the time by which writes to the disk were late
 	Cause string
 }
 
+// Error returns the delays of timers and disk, and the failure of the run.
 func (e *MachineOverloaded) Error() string {
-	return fmt.Sprintf("timers were late for %.0f%% of the time, and the disk for %.0f%%: %s", 100*e.Late, 100*e.Disk, e.Cause)
+	return fmt.Sprintf("timers were late for %.0f%% of the time, and the disk for %.0f%%: %s", 100*e.Late, 100*e.Disk,
+		e.Cause)
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do.
 func (e *MachineOverloaded) Hint() string {
-	return "play it again when the machine has less to do, or with fewer --jobs"
+	return "run it again when the machine is less busy, or with fewer --jobs"
 }
--- a/internal/faultinjection/late_test.go
+++ b/internal/faultinjection/late_test.go
@@ -8,8 +8,8 @@
 	"oatloft/internal/rules"
 )
 
-// What comes late by no more than the machine was is void; an answer that is later than that, or never came, and what is no matter
-// of time, breaks the rules whatever the machine does.
+// An answer that is late by no more than the machine makes the run void. A later or missing answer, and a violation
+// that does not concern time, counts whatever the delay of the machine.
 func TestLateMachineExcuses(t *testing.T) {
 	parties, err := fake.New(1)
 	if err != nil {
@@ -25,29 +25,34 @@
 	for of, x := range map[string]struct {
 		got, want bool
 	}{
-		"later than processors":        {w.excuse(0, 0)(late(41 * ms)), false},
-		"as late as processors":        {w.excuse(0, 0)(late(39 * ms)), true},
-		"another balancer's":           {w.excuse(1, 0)(late(39 * ms)), false},
-		"this process's own":           {w.excuse(1, 0)(late(9 * ms)), true},
-		"late after that":              {w.excuse(0, now+1)(late(9 * ms)), false},
-		"never":                        {w.excuse(0, 0)(late(0)), false},
-		"a connection that broke":      {w.excuse(0, 0)(fake.Answer{What: "reset"}), false},
-		"no matter of time":            {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}}), false},
-		"cut, and nothing was read":    {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, Kind: rules.Lost, Text: "b01: EOF"}}), false},
-		"a rule of time":               {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 39 * ms}), true},
-		"a rule of time, long overdue": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}, History: []rules.Event{{}}, Over: 41 * ms}), false},
+		"later than processors":   {w.excuse(0, 0)(late(41 * ms)), false},
+		"as late as processors":   {w.excuse(0, 0)(late(39 * ms)), true},
+		"another balancer's":      {w.excuse(1, 0)(late(39 * ms)), false},
+		"delay of this process":   {w.excuse(1, 0)(late(9 * ms)), true},
+		"late after that":         {w.excuse(0, now+1)(late(9 * ms)), false},
+		"never":                   {w.excuse(0, 0)(late(0)), false},
+		"a connection that broke": {w.excuse(0, 0)(fake.Answer{What: "reset"}), false},
+		"not about time": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"}}),
+			false},
+		"disconnected, and nothing was read": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now,
+			Kind: rules.Lost, Text: "b01: EOF"}}), false},
+		"a time limit": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"},
+			History: []rules.Event{{}}, Over: 39 * ms}), true},
+		"a time limit, exceeded by more": {w.excusedViolation(rules.Violation{Event: rules.Event{At: now, By: "b01"},
+			History: []rules.Event{{}}, Over: 41 * ms}), false},
 	} {
 		if x.got != x.want {
 			t.Errorf("%s: excused %v", of, x.got)
 		}
 	}
-	if r := (&Report{Schedule: w.Schedule, Void: w.machineCauses}); len(w.machineCauses) != 3 || r.Line()[len(r.Line())-len("late"):] != "late" {
+	if r := (&Report{Schedule: w.Schedule, Void: w.machineCauses}); len(w.machineCauses) != 3 ||
+		r.Line()[len(r.Line())-len("late"):] != "late" {
 		t.Errorf("%d: %s", len(w.machineCauses), r.Line())
 	}
 }
 
-// A fault run that could not begin while the disk stood shows nothing, be the write on the disk by then or not; one that missed its start
-// with a disk on time is broken.
+// A fault run that could not begin while the disk stalled is excused, whether the write has completed or not. A run
+// that failed at its start with a disk on time is a failure.
 func TestLateDiskExcuses(t *testing.T) {
 	parties, err := fake.New(1)
 	if err != nil {
@@ -61,10 +66,10 @@
 		m    *machine
 		void bool
 	}{
-		"on time":          {&machine{disk: waits{{0, 0}, {now, now / 10}}}, false},
-		"late":             {&machine{disk: waits{{0, 0}, {now, now}}}, true},
-		"a write is out":   {&machine{disk: waits{{0, 0}}, writeSince: 1}, true},
-		"it has just left": {&machine{disk: waits{{0, 0}}, writeSince: now}, false},
+		"on time":                     {&machine{disk: waits{{0, 0}, {now, now / 10}}}, false},
+		"late":                        {&machine{disk: waits{{0, 0}, {now, now}}}, true},
+		"a write in progress":         {&machine{disk: waits{{0, 0}}, writeSince: 1}, true},
+		"a write that has just begun": {&machine{disk: waits{{0, 0}}, writeSince: now}, false},
 	} {
 		w.late.m = x.m
 		if err := w.overloadError("no PONG"); (err != nil) != x.void {
--- a/internal/faultinjection/leader.go
+++ b/internal/faultinjection/leader.go
@@ -6,23 +6,29 @@
 	"strings"
 )
 
-// Faults of whoever leads at the time, or has no vote: it is killed, made to stand still, or cut off from all others, one way or both, while
-// changes are under way.
+// This file holds the faults of the current leader and of members without a vote: the leader is killed, stopped, or cut
+// off from all others in one or both directions, and a member without a vote is killed, while changes are in progress.
 
 func init() {
-	for name, as := range map[string]string{"leader-killed": "kill", "leader-stops": "stop", "leader-cut": "talk-cut", "leader-unheard": "talk-one-way"} {
-		register(name, kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault { return anyBalancer(rng, s) }, begin: func(w *Scenario, f Fault) func() {
+	for name, as := range map[string]string{"leader-killed": "kill", "leader-stops": "stop", "leader-cut": "talk-cut",
+		"leader-unheard": "talk-one-way"} {
+		register(name, kind{needs: revisionsOn, generate: func(rng *rand.Rand,
+			s *Schedule) Fault {
+			return anyBalancer(rng, s)
+		}, begin: func(w *Scenario, f Fault) func() {
 			f.A = w.leader(f.A)
 			return kinds[as].begin(w, f)
 		}})
 	}
-	register("reader-killed", kind{needs: revisionsOn, manualOnly: true, generate: anyBalancer, begin: func(w *Scenario, f Fault) func() {
-		f.A = w.nonVoter(f.A)
-		return kinds["kill"].begin(w, f)
-	}})
+	register("reader-killed", kind{needs: revisionsOn, manualOnly: true, generate: anyBalancer,
+		begin: func(w *Scenario, f Fault) func() {
+			f.A = w.nonVoter(f.A)
+			return kinds["kill"].begin(w, f)
+		}})
 }
 
-// reader is the first balancer from a on that has no vote, as any living one has it; a where all have one, or nobody knows.
+// nonVoter returns the first balancer from a on that has no vote, by the status of any undisturbed one; it returns a if
+// all have a vote, or if no balancer reports the voters.
 func (w *Scenario) nonVoter(a int) int {
 	for _, i := range w.undisturbed() {
 		s, ok := w.status(i)
@@ -40,7 +46,7 @@
 	return a
 }
 
-// leader is who leads now, as most balancers have it; otherwise it is a where nobody knows.
+// leader returns the leader that most balancers report, or otherwise if none reports one.
 func (w *Scenario) leader(otherwise int) int {
 	votes := make([]int, w.Schedule.Balancers)
 	best := -1
--- a/internal/faultinjection/linear.go
+++ b/internal/faultinjection/linear.go
@@ -9,25 +9,25 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Linearizability is the invariant that the operators' calls, together, are those of one register that is compared and set: there is one
-// order of them, each at some moment between its call and its answer, in which every answer is right. A request whose outcome
-// nobody was told may be in that order or not.
+// Linearizability is the invariant that the operators' calls behave as operations on one compare-and-set register:
+// there is a sequential order, with each operation between its call and its answer, in which every answer is correct. A
+// request with an unknown outcome may be in that order or not.
 type Linearizability struct{ finalOnly }
 
-// Judge has the calls checked, and with them what stands in the history without a call that was told so (the way back of a
-// guarded change among them).
+// Judge checks the calls, and with them the revisions in the history that no call reported as settled, such as the
+// rollback of a guarded change.
 func (Linearizability) Judge(w *Scenario) []string {
 	h, err := w.history(0)
 	if err != nil {
-		return nil // Kept says so
+		return nil // Durability reports it
 	}
 	return checkLinear(w.record.Ops(), h)
 }
 
-// casRegister is the state: what is in force, and what became of each key.
+// casRegister is the state of the model: the revision in force, and the outcome of each key.
 type casRegister struct {
 	inForce uint64
-	done    string // " key=number" of all that are settled, by key; "key=0" where ended
+	done    string // " key=number" for each settled key, " key=0" for each ended one, sorted
 }
 
 func (r casRegister) outcome(key string) (uint64, bool) {
@@ -91,32 +91,33 @@
 }
 
 func checkLinear(ops []Op, history []Entry) []string {
-	told := map[string]bool{}
-	at := map[uint64]Op{}
+	settled := map[string]bool{}
+	byNumber := map[uint64]Op{}
 	for _, o := range ops {
 		if o.Result == Settled {
-			told[o.Key], at[o.Settled] = true, o
+			settled[o.Key], byNumber[o.Settled] = true, o
 		}
 	}
 	var list []porcupine.Operation
 	add := func(o Op) {
-		list = append(list, porcupine.Operation{ClientId: len(list), Input: o, Call: int64(o.Called), Return: int64(o.Returned)})
+		list = append(list, porcupine.Operation{ClientId: len(list), Input: o, Call: int64(o.Called),
+			Return: int64(o.Returned)})
 	}
 	for _, e := range history {
-		if told[e.Key] {
+		if settled[e.Key] {
 			continue
 		}
 		o := Op{Key: e.Key, From: -1, Result: Settled, Settled: e.Number, Returned: unbounded}
-		for i := range ops { // its operator gave up before it was told
+		for i := range ops { // its operator gave up before the answer
 			if ops[i].Key == e.Key {
 				o.From, o.Called = ops[i].From, ops[i].Called
 			}
 		}
-		told[e.Key] = true
+		settled[e.Key] = true
 		add(o)
 	}
 	for _, o := range ops {
-		if o.Result == Rejected || o.Result == Unknown { // an unknown one that isn't in the history left nothing
+		if o.Result == Rejected || o.Result == Unknown { // an unknown one that isn't in the history had no effect
 			continue
 		}
 		add(o)
@@ -124,15 +125,16 @@
 	model := registerModel.ToModel()
 	switch porcupine.CheckOperationsTimeout(model, list, 20*time.Second) {
 	case porcupine.Illegal:
-		lines := []string{"no order of the operators' calls makes all answers right:"}
+		lines := []string{"no sequential order of the operators' calls explains all answers:"}
 		for _, o := range list {
-			x := o.Input.(Op)
-			lines = append(lines, fmt.Sprintf("  %v to %v: %s %s", time.Duration(o.Call).Round(time.Millisecond), time.Duration(min(o.Return, int64(time.Hour))).Round(time.Millisecond),
-				registerModel.DescribeOperation(x, nil), x.Text))
+			op := o.Input.(Op)
+			lines = append(lines, fmt.Sprintf("  %v to %v: %s %s", time.Duration(o.Call).Round(time.Millisecond),
+				time.Duration(min(o.Return, int64(time.Hour))).Round(time.Millisecond),
+				registerModel.DescribeOperation(op, nil), op.Text))
 		}
 		return []string{strings.Join(lines, "\n")}
 	case porcupine.Unknown:
-		return []string{"whether the operators' calls can be put in order was not found out within 20 s"}
+		return []string{"the linearizability check of the operators' calls did not finish within 20 s"}
 	}
 	return nil
 }
--- a/internal/faultinjection/links.go
+++ b/internal/faultinjection/links.go
@@ -12,22 +12,22 @@
 	"oatloft/internal/rules"
 )
 
-// This file owns what a fault run with links adds: two zones, the table of links between them that revisions set, terminals of a bulk
-// class that send as fast as they are let, and the ledger of what has come over a link, counted at its far end: by regions what
-// came from terminals, by terminals what came from regions.
+// This file holds what a fault run with links adds: two zones, the table of links between them that revisions set,
+// clients of a bulk class that send as fast as they are allowed to, and the ledger of the bytes that crossed a link.
+// Bytes are counted at the receiver: by servers for bytes from clients, by clients for bytes from servers.
 
 const (
-	east, west = "east", "west"
-	linkBytes  = 60e3 // a second
-	chatShare  = 0.3
-	bulkShare  = 0.4
-	safeShare   = 0.1
-	bulkChunkBytes  = 1024
-	bulkClientsPerBalancer    = 2                     // bulk terminals of each balancer, each of which sends
-	bulkInterval   = 15 * time.Millisecond // a piece: 68 kB a second, more than the link by itself
+	east, west             = "east", "west"
+	linkBytes              = 60e3 // capacity of a link, bytes per second
+	chatShare              = 0.3  // of a link's capacity, guaranteed to class chat
+	bulkShare              = 0.4  // of a link's capacity, guaranteed to class bulk
+	safeShare              = 0.1  // safe_part of the links section
+	bulkChunkBytes         = 1024
+	bulkClientsPerBalancer = 2                     // each of which sends
+	bulkInterval           = 15 * time.Millisecond // between chunks: 68 kB/s, more than the link's capacity
 )
 
-// zone is where balancer i stands: every other one in the east, where links are on.
+// zone returns the zone of balancer i: with links, every other one is in the east.
 func (w *Scenario) zone(i int) string {
 	switch {
 	case !w.options.Links:
@@ -38,7 +38,8 @@
 	return west
 }
 
-// site puts the regions into zones: most of them in the west, so that what comes in the east has to cross.
+// placeServers assigns the servers to zones: most of them to the west, so that requests to balancers in the east have
+// to cross a link.
 func (w *Scenario) placeServers() {
 	for j, r := range w.Regions {
 		if r.Zone = west; j == len(w.Regions)-1 && j > 1 {
@@ -47,17 +48,17 @@
 		w.Discovery.Tell(r.Name, "ready")
 	}
 	w.ledger = newLedger()
-	w.Carried = func(by, region, class string, n int) {
+	w.Carried = func(by, server, class string, n int) {
 		if by == "" {
 			return
 		}
-		if from, to := w.zoneOf(by), w.zoneOf(region); from != to {
+		if from, to := w.zoneOf(by), w.zoneOf(server); from != to {
 			w.ledger.add(from+">"+to, class, w.Now(), n)
 		}
 	}
 }
 
-// zoneOf is the zone of a balancer or region.
+// zoneOf returns the zone of a balancer or server.
 func (w *Scenario) zoneOf(name string) string {
 	for _, r := range w.Regions {
 		if r.Name == name {
@@ -72,17 +73,19 @@
 	return ""
 }
 
-// table is a revision's table of links, of one size.
+// linkTable returns a revision's table of links, each with a capacity of bytes per second.
 func (w *Scenario) linkTable(bytes float64) []revision.Link {
-	classes := []revision.LinkClass{{Name: "chat", Priority: 1, MinShare: chatShare, Weight: 1}, {Name: "bulk", Priority: 2, MinShare: bulkShare, Weight: 1}}
-	return []revision.Link{{From: east, To: west, Bytes: bytes, Classes: classes}, {From: west, To: east, Bytes: bytes, Classes: classes}}
+	classes := []revision.LinkClass{{Name: "chat", Priority: 1, MinShare: chatShare, Weight: 1},
+		{Name: "bulk", Priority: 2, MinShare: bulkShare, Weight: 1}}
+	return []revision.Link{{From: east, To: west, Bytes: bytes, Classes: classes},
+		{From: west, To: east, Bytes: bytes, Classes: classes}}
 }
 
 func (w *Scenario) linksSection() *edgeconfig.Links {
 	return &edgeconfig.Links{SafePart: safeShare, Lease: edgeconfig.Duration(w.options.Lease), Buffer: 64 << 10}
 }
 
-// pour starts the bulk terminals.
+// startBulkClients starts the clients of class bulk.
 func (w *Scenario) startBulkClients() {
 	for i := range w.Schedule.Balancers {
 		for n := range bulkClientsPerBalancer {
@@ -110,31 +113,32 @@
 }
 
 func (w *Scenario) sendBulk(t *fake.Terminal, i int, since time.Duration, receipt string, rng *rand.Rand) {
-	region, _, _ := strings.Cut(receipt, "-")
-	from, to := w.zoneOf(region), w.zone(i)
+	server, _, _ := strings.Cut(receipt, "-")
+	from, to := w.zoneOf(server), w.zone(i)
 	stop, over := make(chan struct{}), make(chan struct{})
-	most := time.Duration(4000+rng.IntN(4000)) * time.Millisecond // drawn here: the goroutine below can outlive this call
+	// Generated here since the goroutine below can outlive this call.
+	longest := time.Duration(4000+rng.IntN(4000)) * time.Millisecond
 	go func() {
 		defer close(stop)
 		select {
 		case <-w.stop:
 		case <-over:
-		case <-time.After(most):
+		case <-time.After(longest):
 		}
 	}()
-	p := w.ledger.startTransfer(w.Now(), from != to)
-	each := bulkInterval
-	if from == to { // nothing bounds it
-		each *= 10
+	transfer := w.ledger.startTransfer(w.Now(), from != to)
+	interval := bulkInterval
+	if from == to { // no link bounds the rate
+		interval *= 10
 	}
-	err := t.Pour(bulkChunkBytes, each, stop, func(n int) {
-		p.receive(w.Now(), n)
+	err := t.Pour(bulkChunkBytes, interval, stop, func(n int) {
+		transfer.receive(w.Now(), n)
 		if from != to {
 			w.ledger.add(from+">"+to, "bulk", w.Now(), n)
 		}
 	})
 	close(over)
-	p.end(w.Now())
+	transfer.end(w.Now())
 	select {
 	case <-stop:
 		return
@@ -147,23 +151,24 @@
 	}
 }
 
-// slot is the ledger's resolution.
+// slotLength is the ledger's resolution.
 const slotLength = 50 * time.Millisecond
 
-// ledger holds the bytes that came over links, by slots of time, and the terminals that poured.
+// ledger holds the bytes that crossed links, by slots of time, and the bulk transfers.
 type ledger struct {
-	mu    sync.Mutex
-	bytes map[string]map[int]int            // by link, slot
-	byClass    map[string]map[string]map[int]int // by link, class, slot
-	transfers  []*bulkTransfer
+	mu        sync.Mutex
+	bytes     map[string]map[int]int            // by link and slot
+	byClass   map[string]map[string]map[int]int // by link, class and slot
+	transfers []*bulkTransfer
 }
 
+// bulkTransfer is one connection of a bulk client.
 type bulkTransfer struct {
 	mu       sync.Mutex
 	from, to time.Duration
 	crosses  bool
-	last     time.Duration // bytes came
-	gaps     []span        // without any, for more than a moment
+	last     time.Duration // bytes were last received
+	gaps     []span        // periods of more than 500 ms without a byte
 }
 
 func newLedger() *ledger {
@@ -183,7 +188,7 @@
 	l.byClass[link][class][int(at/slotLength)] += n
 }
 
-// sum is what came over a link of a class, or of all for "", from one time to another.
+// sum returns the bytes of a class, or of all for "", that crossed a link in a period.
 func (l *ledger) sum(link, class string, from, to time.Duration) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,7 +230,7 @@
 	}
 }
 
-// longest is how long no bytes came at most, within a time.
+// longestGap returns the longest time without a byte in a period.
 func (p *bulkTransfer) longestGap(from, to time.Duration) (d time.Duration) {
 	for _, g := range append(p.gaps, span{p.last, to}) {
 		d = max(d, min(g.to, to)-max(g.from, from))
--- a/internal/faultinjection/linksum.go
+++ b/internal/faultinjection/linksum.go
@@ -5,50 +5,54 @@
 	"time"
 )
 
-// LinkSum is the invariant that what all balancers send over a link never exceeds it: in no second does more come at its far end
-// than the link bears and the bursts that all may have saved, by the largest size that was in force about then. What a disturbed
-// way has held back comes at once later, and isn't judged.
+// LinkSum is the invariant that all balancers together never exceed the capacity of a link: in no second do more bytes
+// arrive than its capacity, by the largest table in force around that time, plus the bursts that the balancers may have
+// saved. Bytes that a disturbed connection delayed arrive later at once, and aren't judged.
 type LinkSum struct{ finalOnly }
 
 const (
 	sumWindow = time.Second
-	sumBurst  = 0.25 // of a second's bytes: bursts saved by the balancers, and what observers are late by
+	sumBurst  = 0.25 // share of a second's bytes: bursts saved by the balancers, and the delay of the observers
 )
 
-// Judge adds up.
+// Judge adds up the bytes of each second.
 func (LinkSum) Judge(w *Scenario) []string {
 	h, _ := w.history(0)
-	return checkLinkSum(w.ledger, w.record.Works(), summarize(w.record.Ops(), h), w.Now(), w.linksDelayed, func(from, to time.Duration) time.Duration { return w.lateFor(-1, from, to) })
+	return checkLinkSum(w.ledger, w.record.Works(), summarize(w.record.Ops(), h), w.Now(), w.linksDelayed,
+		func(from, to time.Duration) time.Duration { return w.lateFor(-1, from, to) })
 }
 
-func checkLinkSum(l *ledger, works []Work, say map[uint64]revisionSummary, end time.Duration, held func(from, to time.Duration) bool,
+func checkLinkSum(l *ledger, works []Work, summaries map[uint64]revisionSummary, end time.Duration,
+	delayed func(from, to time.Duration) bool,
 	late func(from, to time.Duration) time.Duration) (broken []string) {
 	for _, link := range []string{east + ">" + west, west + ">" + east} {
 		for from := time.Duration(0); from+sumWindow < end && len(broken) < 3; from += slotLength {
 			to := from + sumWindow
-			if held(from, to) {
+			if delayed(from, to) {
 				continue
 			}
-			most, bound := 0.0, true
+			capacity, bounded := 0.0, true
 			for _, k := range works {
 				if k.From <= to && k.To >= from-sumWindow {
-					if say[k.Number].linkBytes == 0 { // no table of links then: nothing is bounded
-						bound = false
+					if summaries[k.Number].linkBytes == 0 { // without a table of links nothing is bounded
+						bounded = false
 					}
-					most = max(most, say[k.Number].linkBytes)
+					capacity = max(capacity, summaries[k.Number].linkBytes)
 				}
 			}
 			n := l.sum(link, "", from, to)
-			// What came late, for want of a processor, may come in one second with what was on time.
-			if bound && most > 0 && float64(n) > most*(1+sumBurst) && float64(n) > most*(1+sumBurst+late(from, to).Seconds()) {
-				broken = append(broken, fmt.Sprintf("%d bytes over %s from %v to %v, which bears %.0f a second", n, link, from.Round(time.Millisecond), to.Round(time.Millisecond), most))
+			// Bytes that were late for lack of a processor may arrive in the same second as bytes that were on time.
+			if bounded && capacity > 0 && float64(n) > capacity*(1+sumBurst) &&
+				float64(n) > capacity*(1+sumBurst+late(from, to).Seconds()) {
+				broken = append(broken, fmt.Sprintf("%d bytes over %s from %v to %v, whose capacity is %.0f bytes/s", n, link,
+					from.Round(time.Millisecond), to.Round(time.Millisecond), capacity))
 			}
 		}
 	}
 	return broken
 }
 
-// heldBack tells whether a disturbed way may have held bytes back that came in this time.
+// linksDelayed reports whether a disturbed connection may have delayed bytes that arrived in this period.
 func (w *Scenario) linksDelayed(from, to time.Duration) bool {
 	since := w.faultsBegan()
 	for _, f := range w.Schedule.Faults {
--- a/internal/faultinjection/members.go
+++ b/internal/faultinjection/members.go
@@ -8,19 +8,19 @@
 	"oatloft/internal/management"
 )
 
-// Membership is the invariant of internal/membership: what balancers hold of each other. While faults go on no signal may go back
-// in time at any observer; after the last one, all that live hold each other alive, by their present starts, and no view
-// is old. It sees what operators see, by the call peers.
+// Membership is the invariant of internal/membership, the balancers' views of each other. During faults no signal may
+// return to an older version at any observer. After the last fault, all running balancers report each other as alive,
+// with their current generations, and no view is out of date. The views are read by the operators' call peers.
 type Membership struct {
-	False int // times somebody alive and not disturbed was held to be gone
+	False int // times that an undisturbed running balancer was reported as gone
 	seen  map[string][2]uint64
 }
 
-// memberView is what one balancer says of itself and of the others.
+// memberView is one balancer's report of itself and of the others.
 type memberView struct {
 	generation string
 	flags      string
-	members    map[string]map[string]string // by name, the words of its line
+	members    map[string]map[string]string // fields of the line of each, by name
 }
 
 func callManagement(addr, call string) (string, bool) {
@@ -63,23 +63,23 @@
 	}
 }
 
-// alive are the balancers that run now and are not disturbed.
+// undisturbed returns the balancers that run now and are not disturbed.
 func (w *Scenario) undisturbed() (list []int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i, dead := range w.killed {
-		well := !dead
+	for i, killed := range w.killed {
+		undisturbed := !killed
 		for _, s := range w.disturbances[i] {
-			well = well && s.to < w.Now()
+			undisturbed = undisturbed && s.to < w.Now()
 		}
-		if well {
+		if undisturbed {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-// During looks for signals that went back.
+// During checks for signals that returned to an older version.
 func (m *Membership) During(w *Scenario) {
 	if m.seen == nil {
 		m.seen = map[string][2]uint64{}
@@ -92,15 +92,16 @@
 		for name, o := range h.members {
 			generation, _ := strconv.ParseUint(o["generation"], 10, 64)
 			for key, value := range o {
-				_, text, is := strings.Cut(value, "#")
-				if !is {
+				_, text, versioned := strings.Cut(value, "#")
+				if !versioned {
 					continue
 				}
 				version, _ := strconv.ParseUint(text, 10, 64)
 				at := fmt.Sprint(w.name(i), h.generation, name, key)
-				was := m.seen[at]
-				if generation < was[0] || generation == was[0] && version < was[1] {
-					w.addViolation("%s went back with %s of %s: generation %d version %d after %d, %d", w.name(i), key, name, generation, version, was[0], was[1])
+				previous := m.seen[at]
+				if generation < previous[0] || generation == previous[0] && version < previous[1] {
+					w.addViolation("%s reports an older %s of %s: generation %d version %d after %d, %d", w.name(i), key, name,
+						generation, version, previous[0], previous[1])
 				}
 				m.seen[at] = [2]uint64{generation, version}
 			}
@@ -108,7 +109,7 @@
 	}
 }
 
-// Settled asks all for what they hold.
+// Settled compares the views of all balancers.
 func (m *Membership) Settled(w *Scenario) string {
 	var all []memberView
 	for i := range w.Schedule.Balancers {
@@ -120,7 +121,7 @@
 	}
 	for i, h := range all {
 		if h.flags != "" {
-			return w.name(i) + " says" + h.flags
+			return w.name(i) + " reports" + h.flags
 		}
 		for j, o := range all {
 			if i == j {
@@ -131,9 +132,9 @@
 			case r == nil:
 				return fmt.Sprintf("%s does not know %s", w.name(i), w.name(j))
 			case r["state"] != "alive":
-				return fmt.Sprintf("%s holds %s to be %s", w.name(i), w.name(j), r["state"])
+				return fmt.Sprintf("%s reports %s as %s", w.name(i), w.name(j), r["state"])
 			case r["generation"] != o.generation:
-				return fmt.Sprintf("%s knows %s by generation %s, it is %s", w.name(i), w.name(j), r["generation"], o.generation)
+				return fmt.Sprintf("%s knows %s with generation %s, it has %s", w.name(i), w.name(j), r["generation"], o.generation)
 			}
 		}
 	}
--- a/internal/faultinjection/newcomers.go
+++ b/internal/faultinjection/newcomers.go
@@ -7,33 +7,36 @@
 	"oatloft/internal/rules"
 )
 
-// Newcomers is the invariant that each is routed by a revision at work: the regions that revisions leave out betray who routes
-// by another one. What was decided may take a little until it has come to the region, and a link to regions that is
-// disturbed longer: what came then isn't judged.
+// RoutingRevision is the invariant that each request is routed by an active revision: the server that a revision
+// excludes shows which one a balancer routed by. A request may arrive at the server up to maxTransit after the
+// decision. Requests that arrive while a link to servers is disturbed may be later, and aren't judged.
 type RoutingRevision struct{ finalOnly }
 
 const (
-	maxTransit = 400 * time.Millisecond // a connection that is given up takes 250
-	logDelay     = 20 * time.Millisecond  // a line of a log is written when the loop has taken the permit up
+	maxTransit = 400 * time.Millisecond // a connection attempt is abandoned after 250 ms
+	logDelay   = 20 * time.Millisecond  // a log line is written once the loop has applied the lease
 )
 
-// Judge looks at all that came to regions.
+// Judge checks all requests that reached servers.
 func (RoutingRevision) Judge(w *Scenario) []string {
 	w.record.mu.Lock()
 	routed := w.record.routed
 	w.record.mu.Unlock()
-	h, _ := w.history(0) // Kept says so where there is none
-	return checkRouting(routed, w.record.Works(), summarize(w.record.Ops(), h), w.serverLinksDisturbed, func(by string, from, to, over time.Duration) bool {
-		for i := range w.Schedule.Balancers {
-			if w.name(i) == by {
-				return w.excusedByMachineUntil(i, from, to, over, "%s: a newcomer came to a region %v late", by, over.Round(time.Millisecond))
+	h, _ := w.history(0) // Durability reports a missing history
+	return checkRouting(routed, w.record.Works(), summarize(w.record.Ops(), h), w.serverLinksDisturbed,
+		func(by string, from, to, over time.Duration) bool {
+			for i := range w.Schedule.Balancers {
+				if w.name(i) == by {
+					return w.excusedByMachineUntil(i, from, to, over, "%s: a request reached a server %v late", by,
+						over.Round(time.Millisecond))
+				}
 			}
-		}
-		return false
-	})
+			return false
+		})
 }
 
-func checkRouting(routed []rules.Event, works []Work, say map[uint64]revisionSummary, disturbed func(time.Duration) bool,
+func checkRouting(routed []rules.Event, works []Work, summaries map[uint64]revisionSummary,
+	disturbed func(time.Duration) bool,
 	excused func(by string, from, to, over time.Duration) bool) (broken []string) {
 	by := map[string][]Work{}
 	for _, k := range works {
@@ -43,7 +46,7 @@
 		if e.By == "" || disturbed(e.At) {
 			continue
 		}
-		may, had, last, next := false, "", Work{}, unbounded
+		valid, active, last, next := false, "", Work{}, unbounded
 		for _, k := range by[e.By] {
 			if k.To < e.At {
 				last = k
@@ -52,27 +55,30 @@
 				next = min(next, k.From)
 			}
 			if k.From-logDelay <= e.At && e.At-maxTransit <= k.To {
-				had += fmt.Sprintf(" %d", k.Number)
-				may = may || !isExcluded(say[k.Number].excluded, e.Region)
+				active += fmt.Sprintf(" %d", k.Number)
+				valid = valid || !isExcluded(summaries[k.Number].excluded, e.Region)
 			}
 		}
-		if over := e.At - maxTransit - last.To; !may && last.By != "" && say[last.Number].excluded != e.Region && excused(e.By, last.To, e.At, over) {
+		if over := e.At - maxTransit - last.To; !valid && last.By != "" && summaries[last.Number].excluded != e.Region &&
+			excused(e.By, last.To, e.At, over) {
 			continue
 		}
 		switch {
-		case may:
-		case had == "":
-			broken = append(broken, fmt.Sprintf("%s sent a newcomer to %s at %v while no revision was at work there: let go %v before, at work %v after", e.By, e.Region,
+		case valid:
+		case active == "":
+			broken = append(broken, fmt.Sprintf("%s routed a request to %s at %v while it had no active revision: "+
+				"the last one ended %v before, the next one began %v after", e.By, e.Region,
 				e.At.Round(time.Millisecond), (e.At-last.To).Round(time.Millisecond), (next-e.At).Round(time.Millisecond)))
 		default:
-			broken = append(broken, fmt.Sprintf("%s sent a newcomer to %s at %v, which is left out by what was at work there:%s", e.By, e.Region,
-				e.At.Round(time.Millisecond), had))
+			broken = append(broken, fmt.Sprintf("%s routed a request to %s at %v, which its active revisions exclude:%s", e.By,
+				e.Region,
+				e.At.Round(time.Millisecond), active))
 		}
 	}
 	return broken[:min(len(broken), 5)]
 }
 
-// disturbed tells whether links to regions are, or were a moment ago.
+// serverLinksDisturbed reports whether links to servers were disturbed at a time or within a second before.
 func (w *Scenario) serverLinksDisturbed(at time.Duration) bool {
 	for _, f := range w.Schedule.Faults {
 		switch f.Kind {
--- a/internal/faultinjection/operators.go
+++ b/internal/faultinjection/operators.go
@@ -14,38 +14,40 @@
 	"oatloft/internal/revision"
 )
 
-// This file owns the operators of a fault run: calls from a script, each made as a tool makes it, with a key of its own, handed in
-// again after a lost answer, at another balancer where one is silent, and asked after until it is settled or has ended.
+// This file plays the operators of a fault run: calls from a script, each made as an operator's tool makes it. Each
+// request has its own key, is submitted again after a lost answer, at another balancer if one does not answer, and is
+// followed until it is settled or has ended.
 
 // Call is one operator's call in a schedule.
 type Call struct {
 	At    Span    `json:"at"`
 	Kind  string  `json:"kind"`            // propose, rollback, replace
 	To    int     `json:"to"`              // the balancer that is called, from 1
-	Also  int     `json:"also,omitempty"`  // the same request is handed to this one at the same time
-	Only  int     `json:"only,omitempty"`  // propose: all regions are left out but this one and the next
-	Out   int     `json:"out,omitempty"`   // propose: the region that is left out; replace: the voter
-	Back  int     `json:"back,omitempty"`  // rollback: so many revisions before the one in force; replace: who gets the vote
-	From  bool    `json:"from,omitempty"`  // only if what it sees in force still is
-	Lost  bool    `json:"lost,omitempty"`  // the first answer is not waited for
-	Again bool    `json:"again,omitempty"` // the same request is handed in again when all is known
-	Watch Span    `json:"watch,omitempty"`
-	Bytes float64 `json:"bytes,omitempty"` // of the links in the revision, a second
+	Also  int     `json:"also,omitempty"`  // a balancer that gets the same request at the same time
+	Only  int     `json:"only,omitempty"`  // propose: all servers are excluded except this one and the next
+	Out   int     `json:"out,omitempty"`   // propose: the excluded server; replace: the voter
+	Back  int     `json:"back,omitempty"`  // rollback: number of revisions before the one in force; replace: the new voter
+	From  bool    `json:"from,omitempty"`  // only if the revision in force has not changed
+	Lost  bool    `json:"lost,omitempty"`  // the operator does not wait for the first answer
+	Again bool    `json:"again,omitempty"` // the same request is submitted again once its outcome is known
+	Watch Span    `json:"watch,omitempty"` // how long the guard watches the change
+	Bytes float64 `json:"bytes,omitempty"` // capacity of the links in the revision, bytes per second
 }
 
-// Result is what an operator was told in the end.
+// Result is the outcome of a request, as its operator knows it in the end.
 type Result uint8
 
-// The results.
+// The results of requests.
 const (
 	Unknown  Result = iota // it may be settled or not
-	Settled                // as a revision
-	Refused                // something else is in force
-	Ended                  // nowhere, for a reason
-	Rejected                // it was never taken up: another one was pending, or it was turned down at once
-	Observed               // no operator's: found in the history
+	Settled                // it became a revision
+	Refused                // another revision is in force
+	Ended                  // it failed for a reason, and is in force nowhere
+	Rejected               // it was never accepted: another one was pending, or it was invalid
+	Observed               // a revision in the history that no operator requested
 )
 
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"unknown", "settled", "refused", "ended", "untaken", "observed"}[r]
 }
@@ -55,17 +57,17 @@
 	Key              string
 	Kind             string
 	From             int64  // -1 for whatever is in force
-	Out              string // regions left out, with commas between them
+	Out              string // excluded servers, separated by commas
 	Bytes            float64
 	Called, Returned time.Duration
 	Result           Result
 	Settled          uint64            // the revision's number
-	InForce          uint64            // where refused: what it was told is in force
+	InForce          uint64            // if refused: the revision reported as in force
 	Text             string            // the last answer
-	Again            management.Answer // what the same request was told later, without a text if it wasn't handed in again
+	Again            management.Answer // the answer when submitted again, without a text if it wasn't
 }
 
-// Ops are the operators' requests so far.
+// Ops returns the operators' requests so far.
 func (r *Record) Ops() (list []Op) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,10 +79,10 @@
 
 const (
 	callWait     = 1500 * time.Millisecond
-	operatorWait = 12 * time.Second // an operator goes on asking for so long what became of its request
+	operatorWait = 12 * time.Second // an operator queries the outcome of its request for this long
 )
 
-// operate plays one call, and tells what its operator was told.
+// playCall plays one call, and returns its result.
 func (w *Scenario) playCall(n int, c Call) Result {
 	o := &Op{Key: fmt.Sprintf("op%d-%d", n, w.options.Net), Kind: c.Kind, From: -1, Called: w.Now(), Returned: unbounded}
 	defer func() {
@@ -108,7 +110,8 @@
 	line := ""
 	switch c.Kind {
 	case "replace":
-		a, _ := callLine(w.managementAddr(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)), 8*time.Second)
+		a, _ := callLine(w.managementAddr(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)),
+			8*time.Second)
 		o.Result, o.Returned, o.Text = Rejected, w.Now(), a.Text
 		return o.Result
 	case "rollback":
@@ -139,7 +142,7 @@
 	return o.Result
 }
 
-// request hands a line in until something is known of it, then asks what became of it.
+// submit submits a line until a balancer accepts or answers it, then waits for the outcome.
 func (w *Scenario) submit(o *Op, line string, to []int, lost bool) {
 	end := w.Now() + operatorWait
 	for _, i := range to[1:] {
@@ -171,10 +174,11 @@
 	}
 }
 
-// follow asks what became of a request that was taken up.
+// awaitOutcome queries the outcome of an accepted request.
 func (w *Scenario) awaitOutcome(o *Op, at int, end time.Duration) bool {
 	for n := 0; w.Now() < end; n++ {
-		if a, err := callLine(w.managementAddr((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key, callWait); err == nil {
+		if a, err := callLine(w.managementAddr((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key,
+			callWait); err == nil {
 			if o.recordAnswer(a); o.Result != Unknown {
 				o.Text, o.Returned = a.Text, w.Now()
 				return true
@@ -189,7 +193,7 @@
 
 func (w *Scenario) managementAddr(i int) string { return w.launch(i).Management }
 
-// callLine makes one call; err tells that no whole answer came.
+// callLine makes one call; err is set if no complete answer came.
 func callLine(addr, line string, wait time.Duration) (management.Answer, error) {
 	c, err := net.DialTimeout("tcp", addr, wait)
 	if err != nil {
@@ -209,11 +213,12 @@
 	return management.Answer{OK: sign == "+OK", Text: text}, nil
 }
 
-// DrawCalls draws what operators do in a fault run: a change every half second or so, from several sides.
+// GenerateCalls generates the operators' calls of a fault run: a change about every half second, at several balancers.
 func GenerateCalls(seed uint64, s *Schedule, links bool) (list []Call) {
 	rng := rand.New(rand.NewPCG(seed, 29))
 	for at := 0.1 + 0.3*rng.Float64(); at < s.Seconds; at += 0.1 + 0.8*rng.Float64() {
-		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose", To: 1 + rng.IntN(s.Balancers),
+		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose",
+			To:  1 + rng.IntN(s.Balancers),
 			Out: 1 + rng.IntN(s.Regions), From: rng.IntN(2) == 0, Lost: rng.IntN(4) == 0, Again: rng.IntN(4) == 0}
 		if rng.IntN(4) == 0 {
 			c.Also = 1 + rng.IntN(s.Balancers)
@@ -236,10 +241,10 @@
 	return list
 }
 
-// callKinds are the words that a schedule's calls may be of.
+// callKinds are the kinds of calls in a schedule.
 var callKinds = []string{"propose", "rollback", "replace"}
 
-// operators starts all calls of the schedule, each at its time.
+// startCalls starts all calls of the schedule, each at its time.
 func (w *Scenario) startCalls(began time.Duration, all *sync.WaitGroup) {
 	for n, c := range w.Schedule.Calls {
 		all.Add(1)
@@ -252,8 +257,8 @@
 	}
 }
 
-// revisionsSettle is how much longer all take to agree where revisions are on: a leader is voted for, waits for what an earlier
-// one may have granted, and a change that was pending ends by its deadline.
+// revisionsSettle returns the additional time to settle with revisions: a leader is elected, waits until the leases of
+// its predecessor have expired, and a pending change ends by its deadline.
 func (w *Scenario) revisionsSettle() time.Duration {
 	if !w.options.Revisions {
 		return 0
--- a/internal/faultinjection/record.go
+++ b/internal/faultinjection/record.go
@@ -11,48 +11,49 @@
 	"oatloft/internal/rules"
 )
 
-// This file owns what is noted of a fault run with revisions while it goes on: from when to when each process routed newcomers by
-// which revision (the processes say so in their logs, by the clock that all of them share), what came to regions, and what
-// operators asked for and were told. It judges nothing: the invariants read it once all is over.
+// This file records events during a fault run with revisions: the periods in which each process routed requests by each
+// revision (the processes log them, by the clock that all of them share), the requests that reached servers, and the
+// operators' requests with their answers. The invariants read the record at the end of the run.
 
-// Work is a time in which one process routed newcomers by one revision.
+// Work is a period in which one process routed new requests by one revision.
 type Work struct {
 	By      string // the balancer
-	Process int    // of all that the run has started
+	Process int    // number among all processes that the run has started
 	Number  uint64
 	Hash    string
-	From    time.Duration // of the run's time
+	From    time.Duration // on the clock of the run
 	To      time.Duration
-	Why     string // it ended
+	Why     string // reason of its end
 }
 
 const unbounded = time.Duration(1 << 62)
 
-// Record is what was noted.
+// Record holds the events of a fault run.
 type Record struct {
-	mu     sync.Mutex
-	epoch  int64 // the run's begin by the clock of the day, in microseconds
-	work   []*Work
-	open   map[int]*Work
-	stopped  map[int]time.Duration // processes that stand still, since when
-	ended  map[int]time.Duration // processes that were ended, when: a line of theirs may come later
-	routed []rules.Event
-	ops    []*Op
-	unparsed    []string            // lines of logs that say what can't be
-	logs   map[string]*os.File // by balancer and process, where they are kept
+	mu       sync.Mutex
+	epoch    int64 // start of the run in Unix time, microseconds
+	work     []*Work
+	open     map[int]*Work
+	stopped  map[int]time.Duration // stopped processes, with the time of the stop
+	ended    map[int]time.Duration // ended processes, with the time of the end; their log lines may come later
+	routed   []rules.Event
+	ops      []*Op
+	unparsed []string            // log lines that can't be parsed
+	logs     map[string]*os.File // by balancer and process, if logs are kept
 }
 
 func newRecord(now time.Duration) *Record {
-	return &Record{epoch: time.Now().UnixMicro() - now.Microseconds(), open: map[int]*Work{}, stopped: map[int]time.Duration{}, ended: map[int]time.Duration{}}
+	return &Record{epoch: time.Now().UnixMicro() - now.Microseconds(), open: map[int]*Work{},
+		stopped: map[int]time.Duration{}, ended: map[int]time.Duration{}}
 }
 
-// keep has all lines of all processes kept in a folder.
+// keepLogs makes writeLog keep the lines of all processes in a folder.
 func (r *Record) keepLogs(folder string) error {
 	r.logs = map[string]*os.File{}
 	return os.MkdirAll(folder, 0o700)
 }
 
-// log writes a line to where its process's lines are kept, if they are.
+// writeLog writes a line to the log file of its process, if logs are kept.
 func (r *Record) writeLog(folder, by string, process int, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// closeLogs ends them.
+// closeLogs closes the log files.
 func (r *Record) closeLogs() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +78,7 @@
 	r.logs = nil
 }
 
-// line takes one line of a process's log, in slog's text form.
+// parseLine records one line of a process's log, in slog's text format.
 func (r *Record) parseLine(by string, process int, line string) {
 	began := strings.Contains(line, `msg="revision at work"`)
 	if !began && !strings.Contains(line, `msg="revision let go"`) {
@@ -118,26 +119,27 @@
 	}
 }
 
-// stands notes that a process is made to stand still, or goes on: one that is killed meanwhile did nothing since.
-func (r *Record) setStopped(process int, at time.Duration, still bool) {
+// setStopped records that a process is stopped, or continues: one that is killed while stopped did nothing since the
+// stop.
+func (r *Record) setStopped(process int, at time.Duration, stopped bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if still {
+	if stopped {
 		r.stopped[process] = at
 	} else {
 		delete(r.stopped, process)
 	}
 }
 
-// isStill tells whether a process stands still.
+// isStopped reports whether a process is stopped.
 func (r *Record) isStopped(process int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, still := r.stopped[process]
-	return still
+	_, stopped := r.stopped[process]
+	return stopped
 }
 
-// over notes that a process is ended by force from that time on.
+// endProcess records that a process was killed at a time.
 func (r *Record) endProcess(process int, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +150,7 @@
 	r.endWork(process, at, "the process ended")
 }
 
-// saw keeps what a region was asked for.
+// addRouted records a request that reached a server.
 func (r *Record) addRouted(e rules.Event) {
 	if e.Kind == rules.Routed {
 		r.mu.Lock()
@@ -157,7 +159,7 @@
 	}
 }
 
-// Works are all times at work so far.
+// Works returns all periods of routing so far.
 func (r *Record) Works() (list []Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,7 +169,7 @@
 	return list
 }
 
-// fields are the words name=value of a line, with quotes taken off.
+// fields returns the name=value pairs of a line, with unquoted values.
 func fields(line string) map[string]string {
 	m := map[string]string{}
 	for line != "" {
--- a/internal/faultinjection/relay.go
+++ b/internal/faultinjection/relay.go
@@ -1,7 +1,7 @@
-// Package faultinjection tests several balancers together: it starts several processes of the balancer with stand-in regions, discovery and
-// terminals on loopback, puts faults between them by a schedule, and has the rules judge what all of them did together.
-// Every directed link passes through a relay of its own. It owns schedules, relays and the judgement over processes; it
-// must never look into a balancer but by its second address, and never send anything off loopback.
+// Package faultinjection tests several balancers together: it starts several processes of the balancer with simulated
+// servers, discovery and clients on loopback, injects faults between them by a schedule, and checks the behaviour of
+// all processes against the rules. Every directed link passes through its own relay. The package inspects a balancer
+// only by its management address, and sends nothing beyond loopback.
 package faultinjection
 
 import (
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// LinkFaults is what a link does to what passes.
+// LinkFaults describes how a link disturbs its traffic.
 type LinkFaults struct {
-	Cut          bool          // nothing passes; what is open stays open and silent
-	Refuse       bool          // streams only: new connections are reset at once
-	Delay        time.Duration // one way
-	Jitter       time.Duration
-	Loss, Duplicate float64 // datagrams only
-	Rate         int     // bytes a second, streams only; 0 for no bound
+	Cut             bool          // nothing passes; open connections stay open and silent
+	Refuse          bool          // streams only: new connections are reset at once
+	Delay           time.Duration // one way
+	Jitter          time.Duration // added to Delay, at random from 0 to this
+	Loss, Duplicate float64       // probabilities, datagrams only
+	Rate            int           // bytes per second, streams only; 0 for no limit
 }
 
-// link is one directed way, whose weather can change.
+// link is one direction of a connection, whose faults can change.
 type link struct {
-	mu sync.Mutex
-	faults  LinkFaults
+	mu     sync.Mutex
+	faults LinkFaults
 }
 
 func (l *link) set(w LinkFaults) {
@@ -49,7 +49,7 @@
 	return w.Delay + time.Duration(rand.Float64()*float64(w.Jitter))
 }
 
-// datagrams passes on what comes to at, to another address.
+// datagrams forwards the datagrams that arrive at its socket to another address.
 type datagrams struct {
 	link
 	conn *net.UDPConn
@@ -98,18 +98,19 @@
 	}
 }
 
-// streams passes connections on, from an address of its own if from is set.
+// streams forwards connections, from the local address from if it is set.
 type streams struct {
 	link
 	listener net.Listener
 	from, to string
-	// ended is told the first line of a connection whose near side has ended while the link was cut: nobody else can know.
+	// ended is called with the first line of a connection whose near side ended while the link was cut, since the far side
+	// can't notice the end.
 	ended func(line string)
 
-	open  sync.WaitGroup
-	connMu  sync.Mutex
-	conns map[net.Conn]bool
-	closed  bool
+	open   sync.WaitGroup
+	connMu sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
 }
 
 func newStreams(at, from, to string) (*streams, error) {
@@ -129,7 +130,7 @@
 	s.open.Wait()
 }
 
-// breakAll resets whatever is open.
+// breakAll resets all open connections.
 func (s *streams) breakAll() {
 	s.connMu.Lock()
 	defer s.connMu.Unlock()
@@ -203,8 +204,8 @@
 	two.Wait()
 }
 
-// pass copies one way. A cut holds what comes, as a network that has lost its way would: nothing is told of an end, and
-// what waits goes on when the cut is over.
+// copyOneWay copies one direction. A cut delays the bytes, as a network without a route does: the end of the connection
+// is not forwarded, and waiting bytes are forwarded when the cut is over.
 func (s *streams) copyOneWay(from, to net.Conn, first *string) {
 	in := bufio.NewReaderSize(from, 32<<10)
 	for {
@@ -216,7 +217,7 @@
 			}
 			w := s.current()
 			for w.Cut {
-				if s.senderClosed(from, in) { // who sent it has given it up: it never arrives
+				if s.senderClosed(from, in) { // the sender has closed the connection: the bytes never arrive
 					s.reportEnd(first)
 					resetConn(to)
 					return
@@ -228,7 +229,8 @@
 			}
 			if w.Rate > 0 {
 				end := time.Now().Add(time.Duration(len(b)) * time.Second / time.Duration(w.Rate))
-				for s.current().Rate == w.Rate && time.Now().Before(end) && !s.isClosed() { // no longer than the link is slow
+				// Ends early when the rate of the link changes.
+				for s.current().Rate == w.Rate && time.Now().Before(end) && !s.isClosed() {
 					time.Sleep(min(20*time.Millisecond, time.Until(end)))
 				}
 			}
@@ -260,7 +262,7 @@
 	}
 }
 
-// gone waits a little, and tells whether a side has ended meanwhile.
+// senderClosed waits up to 5 ms, and reports whether the sender has closed the connection meanwhile.
 func (s *streams) senderClosed(c net.Conn, in *bufio.Reader) bool {
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 	_, err := in.Peek(in.Buffered() + 1)
@@ -282,7 +284,8 @@
 	return s.closed
 }
 
-// patiently opens an address that the run before may not have let go of yet: a write under way keeps a closed socket.
+// retryInUse retries to open an address that the previous run may not have released yet: a write in progress keeps a
+// closed socket open.
 func retryInUse[T any](open func() (T, error)) (got T, err error) {
 	for range 40 {
 		if got, err = open(); !errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/faultinjection/run.go
+++ b/internal/faultinjection/run.go
@@ -11,33 +11,34 @@
 	"oatloft/internal/rules"
 )
 
-// Report is what a fault run came to.
+// Report is the outcome of a fault run.
 type Report struct {
-	Schedule *Schedule
-	Broken   []string
-	Settled  time.Duration // after the last fault, until all members agreed
-	Served   int
-	Members  Membership
-	WarmingUpLoad     float64         // most that a region was sent while cold, over what it could do
-	Settles  int             // revisions settled, where they are on
-	Requested    int             // changes that operators asked for
-	SettleTimes  []time.Duration // from an operator's call to its being told that the revision is settled
-	Calls    []string        // each with what its operator was told
-	LinkUse     float64         // of a link, in the calm after the last fault
-	PlanResult  *PlanResult        // where a plan was played
-	Void     []string        // what the machine may have caused: the run shows nothing
-	Late     [2]float64      // parts of the time by which this process's timers were late, and balancers waited for processors
-	MaxTimerDelay    time.Duration   // by which a timer was late
+	Schedule      *Schedule
+	Broken        []string
+	Settled       time.Duration // time after the last fault until all members agreed
+	Served        int
+	Members       Membership
+	WarmingUpLoad float64         // highest load of a server while warming up, relative to its capacity then
+	Settles       int             // requested changes that were settled
+	Requested     int             // changes that operators requested
+	SettleTimes   []time.Duration // from an operator's call to the answer that the revision is settled
+	Calls         []string        // each with its answer
+	LinkUse       float64         // share of a link's capacity that was used after the last fault
+	PlanResult    *PlanResult     // outcome of Options.Plan, nil without one
+	Void          []string        // violations that the machine may have caused: the run proves nothing
+	Late          [2]float64      // shares of the time by which timers were late, and balancers waited for processors
+	MaxTimerDelay time.Duration   // largest delay of a timer
 }
 
-// Invariant judges the processes of a fault run from outside, beside the checker of the rules. Later work registers its own.
+// Invariant checks the processes of a fault run from outside, in addition to the checker of the rules.
 type Invariant interface {
-	// During looks while faults go on, Settled after the last: "" once all is as it should be, else what is missing.
+	// During checks the processes while faults occur. Settled is called after the last fault: it returns "" once the
+	// invariant holds, else what is missing.
 	During(w *Scenario)
 	Settled(w *Scenario) string
 }
 
-// Run plays a schedule: faults, each at its time, then time to settle, then the judgement.
+// Run plays a schedule: it starts each fault at its time, waits until the balancers have settled, and judges the run.
 func Run(s *Schedule, o Options) (*Report, error) {
 	w, err := Open(s, o)
 	if err != nil {
@@ -56,7 +57,7 @@
 	if o.Links {
 		invariants = append(invariants, LinkSum{}, share)
 	}
-	if o.Plan != nil { // of the members' own rules other fault runs tell more
+	if o.Plan != nil { // other fault runs check membership more thoroughly
 		invariants = append(invariants[1:], PlanOutcome{})
 	}
 	if o.Off {
@@ -68,31 +69,31 @@
 		}
 		return &Report{Schedule: s, Broken: []string{"before any fault: " + missing}}, nil
 	}
-	if o.Links { // who pours without a table is bounded by nothing
+	if o.Links { // without a table of links bulk clients have no limit
 		w.playCall(0, Call{Kind: "propose", To: 1, Bytes: linkBytes})
 		w.startBulkClients()
 		if !pause(w.stop, time.Second) {
-			return nil, &NotRun{hint.Annotated{What: "it was ended", Do: "play it again"}}
+			return nil, &NotRun{hint.Annotated{What: "the run was interrupted", Do: "run it again"}}
 		}
 	}
 	began := w.Now()
 	w.mu.Lock()
 	w.began = began
 	w.mu.Unlock()
-	over := make(chan struct{})
-	var looking sync.WaitGroup
-	looking.Add(1)
+	stopPolling := make(chan struct{})
+	var polling sync.WaitGroup
+	polling.Add(1)
 	go func() {
-		defer looking.Done()
-		for pause(over, 300*time.Millisecond) {
+		defer polling.Done()
+		for pause(stopPolling, 300*time.Millisecond) {
 			for _, i := range invariants {
 				i.During(w)
 			}
 		}
 	}()
-	var operators sync.WaitGroup
+	var calls sync.WaitGroup
 	if o.Revisions {
-		w.startCalls(began, &operators)
+		w.startCalls(began, &calls)
 	}
 	if o.Plan != nil {
 		w.playPlan(o.Plan, began)
@@ -102,13 +103,13 @@
 	last := w.Now()
 	missing := w.settle(invariants, 15*w.options.SilentAfter+3*time.Second+w.revisionsSettle())
 	r := &Report{Schedule: s, Settled: w.Now() - last}
-	close(over)
-	looking.Wait()
+	close(stopPolling)
+	polling.Wait()
 	if missing != "" {
 		w.addViolation("%v after the last fault: %s", r.Settled.Round(10*time.Millisecond), missing)
 	}
-	if operators.Wait(); missing == "" && len(w.record.Ops()) > 0 {
-		time.Sleep(w.longestWatch()) // a change may be taken back until then
+	if calls.Wait(); missing == "" && len(w.record.Ops()) > 0 {
+		time.Sleep(w.longestWatch()) // a change may be rolled back until then
 		if missing = w.settle([]Invariant{Convergence{}}, w.revisionsSettle()); missing != "" {
 			w.addViolation("after the last call of an operator: %s", missing)
 		}
@@ -118,7 +119,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	r.Broken = w.Judge()
-	if missing == "" { // otherwise there is nobody to ask
+	if missing == "" { // otherwise some balancers may not answer
 		for _, i := range invariants {
 			if j, ok := i.(Judge); ok {
 				r.Broken = append(r.Broken, j.Judge(w)...)
@@ -131,7 +132,8 @@
 		r.Void = append(r.Void, fmt.Sprintf("timers were late for %.0f%% of the time", 100*r.Late[0]))
 	}
 	for _, op := range w.record.Ops() {
-		r.Calls = append(r.Calls, fmt.Sprintf("%v after %v: %s %s: %s %s", (op.Called-began).Round(time.Millisecond), (min(op.Returned, w.Now())-op.Called).Round(time.Millisecond),
+		r.Calls = append(r.Calls, fmt.Sprintf("%v after %v: %s %s: %s %s", (op.Called-began).Round(time.Millisecond),
+			(min(op.Returned, w.Now())-op.Called).Round(time.Millisecond),
 			op.Key, op.Kind, op.Result, op.Text))
 		if r.Requested++; op.Result == Settled {
 			r.Settles++
@@ -146,15 +148,15 @@
 		r.WarmingUpLoad = max(r.WarmingUpLoad, g.Pushed())
 	}
 	if r.Served == 0 && s.Terminals > 0 {
-		r.Broken = append(r.Broken, "nobody was served: the run tests nothing")
+		r.Broken = append(r.Broken, "no request was served: the run tests nothing")
 	}
 	return r, nil
 }
 
-// Judge ends the terminals' part, and tells what was broken.
+// Judge stops the clients, and returns the violations.
 func (w *Scenario) Judge() []string {
 	w.stopOnce.Do(func() { close(w.stop) })
-	w.clients.Wait() // whoever has asked gets an answer
+	w.clients.Wait() // clients with a pending request wait for the answer
 	v := w.ViolationsBut(w.excusedViolation)
 	broken := w.Violations()
 	if v != "" {
@@ -163,9 +165,10 @@
 	return broken
 }
 
-// byTheMachine tells that a rule of time was broken by no more than the machine was late.
+// excusedViolation reports whether a time limit was exceeded by no more than the machine was late.
 func (w *Scenario) excusedViolation(v rules.Violation) bool {
-	if v.Event.Kind == rules.Lost { // a terminal that reads nothing for so long may be cut, with the MOVE that it didn't read
+	// A client that reads nothing for readTimeout may be disconnected, with a MOVE that it did not read.
+	if v.Event.Kind == rules.Lost {
 		v.Over = readTimeout
 		v.Event.By, _, _ = strings.Cut(v.Event.Text, ":")
 	}
@@ -178,28 +181,29 @@
 	}
 	for i := range w.Schedule.Balancers {
 		if w.name(i) == v.Event.By {
-			return w.excusedByMachineUntil(i, from, v.Event.At, v.Over, "%s: %s by %v", w.name(i), v.Rule, v.Over.Round(time.Millisecond))
+			return w.excusedByMachineUntil(i, from, v.Event.At, v.Over, "%s: %s by %v", w.name(i), v.Rule,
+				v.Over.Round(time.Millisecond))
 		}
 	}
 	return w.excusedByMachineUntil(-1, from, v.Event.At, v.Over, "%s by %v", v.Rule, v.Over.Round(time.Millisecond))
 }
 
 const (
-	excuseWindow  = 2 * time.Second
-	readTimeout = 5 * time.Second
+	excuseWindow = 2 * time.Second
+	readTimeout  = 5 * time.Second
 )
 
-// Count is how many transactions a region took so far.
+// Count returns the number of requests that servers have accepted so far.
 func (w *Scenario) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.Served
 }
 
-// StartFault starts a fault by hand; what it returns ends it. The fault has to be of a known kind.
+// StartFault starts a fault outside of the schedule, and returns a function that ends it. The kind must be a known one.
 func (w *Scenario) StartFault(f Fault) (end func()) { return kinds[f.Kind].begin(w, f) }
 
-// MembershipViews is what each living balancer says of the others, in a few words.
+// MembershipViews returns a short text for each balancer with its view of the others.
 func (w *Scenario) MembershipViews() (list []string) {
 	for i := range w.Schedule.Balancers {
 		h, ok := w.queryMembers(i)
@@ -207,16 +211,17 @@
 			list = append(list, w.name(i)+" is silent")
 			continue
 		}
-		by := map[string]int{}
+		counts := map[string]int{}
 		for _, m := range h.members {
-			by[m["state"]]++
+			counts[m["state"]]++
 		}
-		list = append(list, fmt.Sprintf("%s sees %d alive, %d gone%s", w.name(i), by["alive"]+by["leaving"], by["suspect"]+by["gone"], h.flags))
+		list = append(list, fmt.Sprintf("%s sees %d alive, %d gone%s", w.name(i), counts["alive"]+counts["leaving"],
+			counts["suspect"]+counts["gone"], h.flags))
 	}
 	return list
 }
 
-// play begins and ends the faults in their order of time.
+// play starts and ends the faults in order of time.
 func (w *Scenario) play(began time.Duration) {
 	type moment struct {
 		at  time.Duration
@@ -227,10 +232,10 @@
 	for _, f := range w.Schedule.Faults {
 		ended := make(chan func(), 1)
 		ends.Add(1)
-		// A fault that takes its time, as a process that leaves, must not put off the end of another one.
+		// A fault that starts slowly, such as a process that shuts down, must not delay the end of another one.
 		list = append(list, moment{time.Duration(f.At), func() { go func() { ended <- kinds[f.Kind].begin(w, f) }() }},
 			moment{time.Duration(f.At + f.For), func() {
-				go func() { defer ends.Done(); (<-ended)() }() // a process takes its time to start
+				go func() { defer ends.Done(); (<-ended)() }() // starting a process is slow
 			}})
 	}
 	slices.SortStableFunc(list, func(a, b moment) int { return int(a.at - b.at) })
@@ -241,38 +246,39 @@
 	ends.Wait()
 }
 
-// settle waits until every invariant says that all is as it should be; it returns what is missing when the time is over.
-func (w *Scenario) settle(list []Invariant, most time.Duration) (missing string) {
+// settle waits until Settled of every invariant returns ""; after the time most it returns what is missing.
+func (w *Scenario) settle(invariants []Invariant, limit time.Duration) (missing string) {
 	for began := w.Now(); ; time.Sleep(30 * time.Millisecond) {
 		missing = ""
-		for _, i := range list {
+		for _, i := range invariants {
 			if missing = i.Settled(w); missing != "" {
 				break
 			}
 		}
-		over := w.Now() - began - most
+		over := w.Now() - began - limit
 		if missing == "" {
-			if over > 0 { // it says what it finds
+			if over > 0 { // records the delay as a violation or a machine cause
 				w.excusedByMachine(-1, began, over, "settled %v late", over.Round(time.Millisecond))
 			}
 			return ""
 		}
-		if over > min(most, w.lateFor(-1, began, w.Now()))+observationDelay {
+		if over > min(limit, w.lateFor(-1, began, w.Now()))+observationDelay {
 			return missing
 		}
 	}
 }
 
-// Shrink looks for the fewest faults that still break, by leaving out what isn't needed. It plays at most so many times.
+// Shrink looks for the smallest set of faults that still violates an invariant, by leaving out faults. It plays at most
+// the given number of runs.
 func Shrink(s *Schedule, o Options, plays int) (*Schedule, *Report) {
 	var found *Report
-	breaks := func(faults []Fault) bool {
+	fails := func(faults []Fault) bool {
 		if plays--; plays < 0 {
 			return false
 		}
-		less := *s
-		less.Faults = faults
-		r, err := Run(&less, o)
+		smaller := *s
+		smaller.Faults = faults
+		r, err := Run(&smaller, o)
 		if err == nil && len(r.Broken) > 0 {
 			found = r
 			return true
@@ -280,27 +286,27 @@
 		return false
 	}
 	best := slices.Clone(s.Faults)
-	for part := max(1, len(best)/2); part >= 1 && len(best) > 0; {
-		smaller := false
-		for at := 0; at < len(best) && plays > 0; {
-			without := slices.Concat(best[:at], best[min(at+part, len(best)):])
-			if breaks(without) {
-				best, smaller = without, true
+	for size := max(1, len(best)/2); size >= 1 && len(best) > 0; {
+		reduced := false
+		for start := 0; start < len(best) && plays > 0; {
+			without := slices.Concat(best[:start], best[min(start+size, len(best)):])
+			if fails(without) {
+				best, reduced = without, true
 			} else {
-				at += part
+				start += size
 			}
 		}
-		if part == 1 && !smaller || plays <= 0 {
+		if size == 1 && !reduced || plays <= 0 {
 			break
 		}
-		part = max(1, part/2)
+		size = max(1, size/2)
 	}
-	less := *s
-	less.Name, less.Faults = s.Name+"-shrunk", best
-	return &less, found
+	smaller := *s
+	smaller.Name, smaller.Faults = s.Name+"-shrunk", best
+	return &smaller, found
 }
 
-// Line is a run's outcome in one line.
+// Line returns the outcome of a run in one line.
 func (r *Report) Line() string {
 	verdict := "kept"
 	switch {
@@ -309,21 +315,24 @@
 	case len(r.Void) > 0:
 		verdict = "VOID: " + r.Void[0]
 	}
-	more := ""
+	details := ""
 	if r.Requested > 0 {
-		more = fmt.Sprintf(", %d of %d changes settled", r.Settles, r.Requested)
+		details = fmt.Sprintf(", %d of %d changes settled", r.Settles, r.Requested)
 		if n := len(r.SettleTimes); n > 0 {
 			slices.Sort(r.SettleTimes)
-			more += fmt.Sprintf(" within %v, %v at most", r.SettleTimes[n/2].Round(time.Millisecond), r.SettleTimes[n-1].Round(time.Millisecond))
+			details += fmt.Sprintf(" within %v, %v at most", r.SettleTimes[n/2].Round(time.Millisecond),
+				r.SettleTimes[n-1].Round(time.Millisecond))
 		}
 	}
 	if r.LinkUse > 0 {
-		more += fmt.Sprintf(", a link at %.0f%%", 100*r.LinkUse)
+		details += fmt.Sprintf(", a link at %.0f%%", 100*r.LinkUse)
 	}
-	cold := ""
+	warmingUp := ""
 	if r.WarmingUpLoad > 0 {
-		cold = fmt.Sprintf(", a cold region at %.1f of what it can do", r.WarmingUpLoad)
+		warmingUp = fmt.Sprintf(", a warming-up server at %.1f of its capacity", r.WarmingUpLoad)
 	}
-	return fmt.Sprintf("%s: %d faults, %d served, settled after %v, %d false ends%s%s, timers late %.1f%% and %v at most, processes wait %.0f%%: %s", r.Schedule.Name, len(r.Schedule.Faults), r.Served,
-		r.Settled.Round(10*time.Millisecond), r.Members.False, cold, more, 100*r.Late[0], r.MaxTimerDelay.Round(time.Millisecond), 100*r.Late[1], verdict)
+	return fmt.Sprintf("%s: %d faults, %d served, settled after %v, %d false ends%s%s, "+
+		"timers late %.1f%% and %v at most, processes wait %.0f%%: %s", r.Schedule.Name, len(r.Schedule.Faults), r.Served,
+		r.Settled.Round(10*time.Millisecond), r.Members.False, warmingUp, details, 100*r.Late[0],
+		r.MaxTimerDelay.Round(time.Millisecond), 100*r.Late[1], verdict)
 }
--- a/internal/faultinjection/world.go
+++ b/internal/faultinjection/world.go
@@ -19,24 +19,24 @@
 	"oatloft/internal/rules"
 )
 
-// Options say how a fault run is run.
+// Options configure a fault run.
 type Options struct {
-	Binary      string        // of the balancer
-	Net         int           // second byte of the run's addresses, 20 to 119: fault runs side by side need their own
-	SilentAfter time.Duration // of the members; 600 ms if 0
-	Env         []string      // further environment of the balancers
-	Off         bool          // without the peers section: nobody knows of anybody
-	Subset      int           // regions that a balancer looks at by itself; 0 for all
-	Readings    bool          // one probe serves many
-	Turns       bool          // shares, slots and clock go by the members
-	Revisions   bool          // one routing revision for all, and operators that change it
-	Links       bool          // scarce links between two zones; needs Revisions
-	Lease       time.Duration // of the permission to route by a revision; 1 s if 0
-	Logs        string        // folder for what the processes log; nowhere if ""
-	Plan        *Plan         // changes made one after the other under faults, in place of the schedule's; needs Revisions
+	Binary      string        // the balancer's executable
+	Net         int           // second byte of the run's addresses, 20 to 119; concurrent fault runs need different ones
+	SilentAfter time.Duration // silent_after of the members; 0 stands for 600 ms
+	Env         []string      // additional environment of the balancers
+	Off         bool          // without the peers section: no balancer knows another
+	Subset      int           // servers that a balancer probes itself; 0 for all
+	Readings    bool          // balancers share the results of probes
+	Turns       bool          // shares, slots and the clock depend on the members
+	Revisions   bool          // all balancers route by one revision, which operators change
+	Links       bool          // limited links between two zones; needs Revisions
+	Lease       time.Duration // to route by a revision; 0 stands for 1 s
+	Logs        string        // folder for the logs of the processes; "" for none
+	Plan        *Plan         // changes under faults, in place of the schedule's faults and calls; needs Revisions
 }
 
-// Scenario is one fault run under way.
+// Scenario is one fault run in progress.
 type Scenario struct {
 	*fake.World
 	Schedule *Schedule
@@ -45,45 +45,45 @@
 	dirs     []string
 
 	peerLinks      [][]*datagrams // from, to
-	agreementLinks [][]*streams   // from, to; where revisions are on
-	serverLinks    [][]*streams   // balancer, region
+	agreementLinks [][]*streams   // from, to; with revisions
+	serverLinks    [][]*streams   // balancer, server
 	discoveryLinks []*streams
 	clientLinks    []*streams
 
-	mu            sync.Mutex
-	processes     []*fake.Process
-	numbers       []int // of the processes, as the record has them
-	started       int   // processes so far
-	expectedExits []int // faults by which it may end by itself
-	record        *Record
-	ledger        *ledger
-	over          chan struct{} // operators make no further calls
-	launches      []fake.Launch
-	killed        []bool // on purpose
-	upgraded      int    // upgrades so far
-	starting      []*sync.Mutex
-	upgrading     []*sync.Mutex
-	down          []int // faults that keep it dead
-	disturbances  [][]span
-	violations    []string
-	began         time.Duration // of the faults
-	machineCauses []string      // what is held against the machine
-	late          lateness
-	stop          chan struct{}
-	ended         chan struct{}  // all of it
-	clients        sync.WaitGroup // terminals
-	stopOnce      sync.Once
-	Served        int
-	answers       map[string]int // newcomers, by how they were answered
-	recoveries     []recovery
-	planResult       *PlanResult
-	leaderHistories          []leaderHistory
+	mu              sync.Mutex
+	processes       []*fake.Process
+	numbers         []int // of the processes, as in the record
+	started         int   // number of processes so far
+	expectedExits   []int // by balancer: active faults by which it may exit
+	record          *Record
+	ledger          *ledger
+	over            chan struct{} // closed when operators make no further calls
+	launches        []fake.Launch
+	killed          []bool // by balancer: it does not run, since a fault ended it or since it exited
+	upgraded        int    // number of upgrades so far
+	starting        []*sync.Mutex
+	upgrading       []*sync.Mutex
+	down            []int // by balancer: active faults that keep it from running
+	disturbances    [][]span
+	violations      []string
+	began           time.Duration // start of the faults
+	machineCauses   []string      // violations that the machine may have caused
+	late            lateness
+	stop            chan struct{}
+	ended           chan struct{}  // closed at the end of the run
+	clients         sync.WaitGroup // running clients
+	stopOnce        sync.Once
+	Served          int            // requests that servers have accepted
+	answers         map[string]int // client requests, by the kind of their answer
+	recoveries      []recovery
+	planResult      *PlanResult
+	leaderHistories []leaderHistory
 }
 
-// span is a time in which a balancer may owe something and not give it.
+// span is a period, for example one in which a balancer may leave requests unanswered.
 type span struct{ from, to time.Duration }
 
-const settleTime = 700 * time.Millisecond // what was on its way meanwhile
+const settleTime = 700 * time.Millisecond // allowance for requests in flight when a fault ends
 
 func (w *Scenario) addr(a, b, c int) string {
 	return fmt.Sprintf("127.%d.%d.%d", w.options.Net, a, b) + fmt.Sprintf(":%d", c)
@@ -91,14 +91,14 @@
 
 func (w *Scenario) name(i int) string { return fmt.Sprintf("b%02d", i+1) }
 
-// Addresses: 0.i is balancer i itself, i.j the way from i to j, 100+i.* the ways of i to regions, 250 its own source
-// there, 251 to discovery, 160+i.1 the way of terminals to it.
+// The last two bytes of addresses: 0.i is balancer i itself, i.j the relay from i to j, 100+i.* the relays from i to
+// servers, with 250 as the relays' source address and 251 for discovery, 160+i.1 the relay from clients to balancer i.
 const (
 	peerPort, clientPort, managementPort, serverPort, discoveryPort = 7000, 9000, 9300, 9200, 8000
-	linksOut, linksIn, sourceByte, discoveryByte                  = 100, 160, 250, 251
+	linksOut, linksIn, sourceByte, discoveryByte                    = 100, 160, 250, 251
 )
 
-// Open starts the parties and the balancers of a schedule. Close ends all of them.
+// Open starts the servers, discovery, clients and balancers of a schedule. Close stops all of them.
 func Open(s *Schedule, o Options) (w *Scenario, err error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 		o.Revisions, o.Links = false, false
 	}
 	if o.Links && !o.Revisions {
-		return nil, &InvalidSchedule{"links", "they are set by revisions, which are off"}
+		return nil, &InvalidSchedule{"links", "links are set by revisions, which are off"}
 	}
 	if o.Plan != nil {
 		if err := o.Plan.check(); err != nil {
@@ -126,16 +126,17 @@
 			return nil, &InvalidSchedule{"plan", "changes are made to revisions, which are off"}
 		}
 	}
-	w = &Scenario{Schedule: s, options: o, stop: make(chan struct{}), over: make(chan struct{}), ended: make(chan struct{}), answers: map[string]int{}}
+	w = &Scenario{Schedule: s, options: o, stop: make(chan struct{}), over: make(chan struct{}),
+		ended: make(chan struct{}), answers: map[string]int{}}
 	if w.World, err = fake.New(s.Regions); err != nil {
 		return nil, err
 	}
-	opened := w
+	scenario := w
 	w.record = newRecord(w.Now())
-	w.OnClose(sync.OnceFunc(func() { close(opened.ended) }))
+	w.OnClose(sync.OnceFunc(func() { close(scenario.ended) }))
 	w.late.m = sharedMachine()
 	w.late.began = time.Since(w.late.m.zero) - w.Now()
-	w.Go(opened.pollThreadsUntilEnd)
+	w.Go(scenario.pollThreadsUntilEnd)
 	if o.Logs != "" {
 		if err = w.record.keepLogs(o.Logs); err != nil {
 			return nil, err
@@ -150,15 +151,15 @@
 	}
 	defer func() {
 		if err != nil {
-			opened.Close()
+			scenario.Close()
 		}
 	}()
-	in := s.Regions
+	included := s.Regions
 	if o.Plan != nil {
-		in = planServers
+		included = planServers
 	}
-	for _, r := range w.Regions { // all that are in half full if every terminal stands
-		r.SetWeight(min(0.25, 0.5*float64(in)/float64(max(1, s.Terminals))))
+	for _, r := range w.Regions { // the included servers are half full if every client is connected
+		r.SetWeight(min(0.25, 0.5*float64(included)/float64(max(1, s.Terminals))))
 	}
 	w.Who = func(from net.Addr) string {
 		t, ok := from.(*net.TCPAddr)
@@ -170,7 +171,7 @@
 	if w.temp, err = os.MkdirTemp("", "oatlab-faults"); err != nil {
 		return nil, err
 	}
-	w.OnClose(func() { _ = os.RemoveAll(opened.temp) }) // w is nil where this function fails
+	w.OnClose(func() { _ = os.RemoveAll(scenario.temp) }) // w is nil if this function fails
 	for i := range s.Balancers {
 		if err = w.prepare(i); err != nil {
 			return nil, err
@@ -186,7 +187,8 @@
 		if err := w.overloadError(strings.Join(found, "\n")); err != nil {
 			return nil, err
 		}
-		return nil, &NotRun{hint.Annotated{What: strings.Join(found, "\n"), Do: "see what the processes log, and that the addresses of --net are free"}}
+		return nil, &NotRun{hint.Annotated{What: strings.Join(found, "\n"),
+			Do: "check the logs of the processes, and that the addresses of --net are free"}}
 	}
 	w.Go(w.watchProcesses)
 	for n := range s.Terminals {
@@ -196,7 +198,7 @@
 	return w, nil
 }
 
-// Close ends the run.
+// Close stops the clients, the operators' calls and all processes.
 func (w *Scenario) Close() {
 	w.stopOnce.Do(func() { close(w.stop) })
 	w.mu.Lock()
@@ -212,7 +214,7 @@
 	w.World.Close()
 }
 
-// prepare opens the ways of a balancer and writes its files.
+// prepare opens the relays of a balancer and writes its files.
 func (w *Scenario) prepare(i int) (err error) {
 	n := w.Schedule.Balancers
 	w.peerLinks = append(w.peerLinks, make([]*datagrams, n))
@@ -243,9 +245,9 @@
 		if err != nil {
 			return err
 		}
-		s.ended = func(line string) { // the balancer has given the task up, and the region can't know
+		s.ended = func(line string) { // the balancer has abandoned the attempt, and the server can't notice
 			if f := strings.Fields(line); len(f) > 1 {
-				w.Saw(rules.RoutedEnded, f[1], r.Name, "given up over a cut link")
+				w.Saw(rules.RoutedEnded, f[1], r.Name, "abandoned over a cut link")
 			}
 		}
 		w.serverLinks[i] = append(w.serverLinks[i], s)
@@ -281,10 +283,11 @@
 		Env: append([]string{"TMPDIR=" + dir}, w.options.Env...)}
 	if !w.options.Off {
 		file := filepath.Join(w.temp, w.name(i)+".edge.json")
-		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults", Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, peerPort), Join: join,
-			Reach: reach, SilentAfter: edgeconfig.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
-			SignalEvery: edgeconfig.Duration(200 * time.Millisecond), SignalLife: edgeconfig.Duration(2 * time.Second),
-			Subset: w.options.Subset, Readings: w.options.Readings, Turns: w.options.Turns}}
+		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults",
+			Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, peerPort), Join: join,
+				Reach: reach, SilentAfter: edgeconfig.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
+				SignalEvery: edgeconfig.Duration(200 * time.Millisecond), SignalLife: edgeconfig.Duration(2 * time.Second),
+				Subset: w.options.Subset, Readings: w.options.Readings, Turns: w.options.Turns}}
 		if w.options.Revisions {
 			if e.Revisions, err = w.revisions(i); err != nil {
 				return err
@@ -335,7 +338,8 @@
 		return
 	default:
 	}
-	w.starting[i].Lock() // a start takes its time, and another fault may end what it has started, or start it again
+	// A start is slow: another fault may end the new process, or start the balancer again, meanwhile.
+	w.starting[i].Lock()
 	defer w.starting[i].Unlock()
 	w.mu.Lock()
 	needed := w.down[i] <= 0 && w.killed[i]
@@ -365,7 +369,8 @@
 	w.trackProcess(i, p)
 }
 
-// hold keeps a balancer dead for one more fault, or for one less; it tells whether it is the first or the last of them.
+// adjustDown adds more, 1 or -1, to the number of faults that keep a balancer from running, and reports whether the
+// fault is the first or was the last of them.
 func (w *Scenario) adjustDown(i, more int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -393,7 +398,7 @@
 	}
 }
 
-// leave ends a balancer with SIGTERM, and by force if it doesn't go.
+// leave shuts a balancer down with SIGTERM, and kills it if it does not exit.
 func (w *Scenario) leave(i int) {
 	p := w.setKilled(i, true)
 	if p == nil {
@@ -401,45 +406,47 @@
 	}
 	process := w.processNumber(i)
 	if err := w.terminate(i, process, p, 5*time.Second); err != nil && err.Error() == "still running" {
-		w.addViolation("%s did not leave: %v\n%s", w.name(i), err, tail(p.Log(), 2000))
+		w.addViolation("%s did not shut down: %v\n%s", w.name(i), err, tail(p.Log(), 2000))
 		w.record.endProcess(process, w.Now())
 		p.Kill()
 	}
 	w.record.endProcess(process, w.Now())
 }
 
-// sendOff has a process of balancer i leave, which may take it so long: not counting what it stands still, nor what it waits
-// for processors.
-func (w *Scenario) terminate(i, process int, p *fake.Process, most time.Duration) error {
+// terminate sends SIGTERM to a process of balancer i, and waits until it exits, for at most the time most. The time in
+// which the process is stopped does not count, and waits for processors are excused.
+func (w *Scenario) terminate(i, process int, p *fake.Process, limit time.Duration) error {
 	began := w.Now()
 	p.Signal(syscall.SIGTERM)
-	for ran := time.Duration(0); ; {
-		was := w.Now()
+	for elapsed := time.Duration(0); ; {
+		before := w.Now()
 		err := p.Over(50 * time.Millisecond)
 		if err == nil || err.Error() != "still running" {
-			if ran > most {
-				w.excusedByMachine(i, began, ran-most, "%s left %v late", w.name(i), (ran - most).Round(time.Millisecond))
+			if elapsed > limit {
+				w.excusedByMachine(i, began, elapsed-limit, "%s shut down %v late", w.name(i),
+					(elapsed - limit).Round(time.Millisecond))
 			}
 			return err
 		}
 		if !w.record.isStopped(process) {
-			ran += w.Now() - was
+			elapsed += w.Now() - before
 		}
-		if ran-most > min(most, w.lateFor(i, began, w.Now()))+observationDelay {
+		if elapsed-limit > min(limit, w.lateFor(i, began, w.Now()))+observationDelay {
 			return err
 		}
 	}
 }
 
-// process is the number of balancer i's process.
+// processNumber returns the number of balancer i's process.
 func (w *Scenario) processNumber(i int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.numbers[i]
 }
 
-// still has balancer i's process stand still until it is told to go on: the same process, whoever has its place by then.
-func (w *Scenario) suspend(i int) (goOn func()) {
+// suspend stops balancer i's process, and returns a function that continues the same process, even if another one has
+// replaced it.
+func (w *Scenario) suspend(i int) (resume func()) {
 	w.mu.Lock()
 	p, process := w.processes[i], w.numbers[i]
 	w.mu.Unlock()
@@ -454,7 +461,7 @@
 	}
 }
 
-// watchProcesses finds a balancer that ends by itself.
+// watchProcesses detects balancers that exit without a fault.
 func (w *Scenario) watchProcesses() {
 	for pause(w.stop, 100*time.Millisecond) {
 		w.mu.Lock()
@@ -477,9 +484,10 @@
 
 func tail(text string, n int) string { return text[max(0, len(text)-n):] }
 
-const lateAnswerWait = 4 * time.Second // for an answer that is late
+const lateAnswerWait = 4 * time.Second // time that a client waits for a late answer
 
-// excuse tells whether balancer i owes nobody an answer who began to ask then, or the machine was as late as the answer.
+// excuse returns a function that reports whether balancer i may leave a request that began at since unanswered, or the
+// machine was as late as the answer.
 func (w *Scenario) excuse(i int, since time.Duration) func(fake.Answer) bool {
 	return func(a fake.Answer) bool {
 		switch {
@@ -488,13 +496,14 @@
 		case a.Late > 0:
 			return w.excusedByMachine(i, since, a.Late, "%s answered %v late", w.name(i), a.Late.Round(time.Millisecond))
 		case a.What == "none":
-			return w.excusedByMachine(i, since, lateAnswerWait, "%s gave no answer for %v after its time", w.name(i), lateAnswerWait)
+			return w.excusedByMachine(i, since, lateAnswerWait, "%s gave no answer within %v after its deadline", w.name(i),
+				lateAnswerWait)
 		}
 		return false
 	}
 }
 
-// trouble notes that a balancer may leave something unanswered from now on, or no longer.
+// setDisturbed records the start or the end of a period in which a balancer may leave requests unanswered.
 func (w *Scenario) setDisturbed(i int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -510,7 +519,7 @@
 	}
 }
 
-// troubled tells whether it was so at any time since then.
+// disturbedSince reports whether balancer i was disturbed at any time since then.
 func (w *Scenario) disturbedSince(i int, since time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -530,14 +539,14 @@
 	}
 }
 
-// Violations is what was found so far, beside the rules' own checker.
+// Violations returns the violations found so far, without those of the rules' checker.
 func (w *Scenario) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.violations...)
 }
 
-// terminal asks, stands for a while sending lines, and comes again, as one client does after another.
+// runClient repeatedly connects, sends a request, exchanges lines for a while, and disconnects.
 func (w *Scenario) runClient(n int) {
 	key := fmt.Sprintf("key%d", n)
 	rng := rand.New(rand.NewPCG(uint64(n), 7))
@@ -564,8 +573,8 @@
 	}
 }
 
-// stand sends lines for a while. What a cut link or a region has broken is no fault of the balancer's; elsewhere only
-// MOVE ends a connection.
+// echoLines exchanges a random number of lines with the server. A connection that a disturbed balancer or link to
+// servers has broken is not a violation; otherwise only MOVE may end a connection.
 func (w *Scenario) echoLines(t *fake.Terminal, i int, since time.Duration, rng *rand.Rand) {
 	for range 1 + rng.IntN(12) {
 		err := t.Echo(9 * time.Second)
@@ -590,7 +599,7 @@
 	}
 }
 
-// regionFaults tells whether links to regions were disturbed at any time since then.
+// serverLinksDisturbedSince reports whether links to servers were disturbed at any time since then.
 func (w *Scenario) serverLinksDisturbedSince(since time.Duration) bool {
 	for _, f := range w.Schedule.Faults {
 		if strings.HasPrefix(f.Kind, "region-") && time.Duration(f.At+f.For)+w.faultsBegan()+8*time.Second >= since {
