--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -316,7 +316,7 @@
 	return broken
 }
 
-// arrival is the arrival of a request at a server.
+// arrival is a request that reached a server.
 type arrival struct {
 	at     time.Duration
 	server string
--- a/internal/golden/flags.go
+++ b/internal/golden/flags.go
@@ -9,7 +9,7 @@
 )
 
 // Flags checks the command line of a program, given as the struct that kong parses into: every command, argument and
-// flag with its names, environment variables, allowed values and default. Help texts are not part of the form.
+// flag with its names, environment variables, allowed values and default. Help texts are not compared.
 func Flags(t testing.TB, name string, commandLine any) {
 	t.Helper()
 	parser, err := kong.New(commandLine, kong.Name("program"))
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden compares what a test produces with a file that an earlier version of the program wrote, and fills
-// values of any type with distinct figures for such files. Only tests import it.
+// Package golden compares the output of a test with a file written by an earlier version of the program, and fills
+// values of any type with distinct data for such files. Only tests import it.
 //
-// The files stand in testdata/golden beside the test. They hold forms that another process or a later version
-// reads, so a difference is a change of such a form and not a reason to write the file again. GOLDEN_UPDATE=1
-// writes files that are missing and leaves the others alone.
+// The files are in testdata/golden next to the test. They hold formats that another process or a later version reads,
+// so a difference is a change of the format and not a reason to write the file again. GOLDEN_UPDATE=1 writes missing
+// files and leaves the others unchanged.
 package golden
 
 import (
@@ -30,7 +30,7 @@
 	return want
 }
 
-// Check fails the test unless got is byte for byte what the golden file of that name holds.
+// Check fails the test unless got equals the golden file of that name byte for byte.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(folder, name)
@@ -40,12 +40,12 @@
 		}
 	}
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s has changed its form:\ngot  %.2000q\nwant %.2000q", name, got, want)
+		t.Errorf("%s has changed its format:\ngot  %.2000q\nwant %.2000q", name, got, want)
 	}
 }
 
-// JSON checks the JSON form of T: a value with every field set is written as the golden file has it, and that file
-// is read and written again to the same bytes.
+// JSON checks the JSON format of T: a value with every field set is encoded as in the golden file, and the file is
+// decoded and encoded to the same bytes.
 func JSON[T any](t testing.TB, name string) {
 	t.Helper()
 	var filled T
@@ -53,7 +53,7 @@
 	Check(t, name, marshal(t, filled))
 	var read T
 	if err := json.Unmarshal(Read(t, name), &read); err != nil {
-		t.Fatalf("%s can't be read any more: %v", name, err)
+		t.Fatalf("%s can no longer be decoded: %v", name, err)
 	}
 	Check(t, name, marshal(t, read))
 }
@@ -67,8 +67,8 @@
 	return append(body, '\n')
 }
 
-// Fill sets every exported field that v, a pointer, leads to: figures count up in the order of the fields, lists
-// and maps get one entry. Equal types are filled alike.
+// Fill sets every exported field of the value that v points to, recursively: numbers count up in the order of the
+// fields, and slices and maps get one entry. Equal types get equal values.
 func Fill(v any) {
 	next := 0
 	fill(reflect.ValueOf(v).Elem(), &next)
--- a/internal/testrun/documented_test.go
+++ b/internal/testrun/documented_test.go
@@ -14,7 +14,7 @@
 // contracts are methods whose meaning the standard library defines.
 var contracts = []string{"Error", "String", "Unwrap"}
 
-// TestExportedItemsAreDocumented holds that each exported item of the module has a comment. Constants, variables and
+// TestExportedItemsAreDocumented checks that each exported item of the module has a comment. Constants, variables and
 // types may share the comment of their group, or have one at the end of their line.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestUndocumentedItemsAreFound holds the check itself to samples.
+// TestUndocumentedItemsAreFound applies the check to samples.
 func TestUndocumentedItemsAreFound(t *testing.T) {
 	for source, want := range map[string][]string{
 		"func F() {}":                             {"F"},
@@ -77,7 +77,7 @@
 	}
 }
 
-// undocumented lists the exported items of a file that have no comment.
+// undocumented returns the exported items of a file that have no comment.
 func undocumented(file *ast.File) (names []*ast.Ident) {
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
@@ -94,7 +94,8 @@
 	return names
 }
 
-// isPublic tells whether a function can be reached from other packages, or a method adds to a contract of its own.
+// isPublic reports whether other packages can call a function, or whether a method is neither on an unexported type nor
+// one of contracts.
 func isPublic(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
@@ -102,7 +103,7 @@
 	return !slices.Contains(contracts, function.Name.Name) && receiver(function.Recv.List[0].Type).IsExported()
 }
 
-// receiver is the name of a receiver's type.
+// receiver returns the name of a receiver's type.
 func receiver(expression ast.Expr) *ast.Ident {
 	switch expression := expression.(type) {
 	case *ast.StarExpr:
--- a/internal/testrun/knownred.go
+++ b/internal/testrun/knownred.go
@@ -13,17 +13,17 @@
 	"oatloft/internal/hint"
 )
 
-// maxKnownRed is how many tests may be known to fail at a time.
+// maxKnownRed is the maximum number of tests in the list of known failures.
 const maxKnownRed = 3
 
-// knownRed is a test that fails for a real fault which is not mended yet.
+// knownRed is a test that fails because of a real fault that is not fixed yet.
 type knownRed struct {
 	test  string
 	cause string
 	issue string
 }
 
-// badList is a list of known failures that can't be taken as it stands.
+// badList is the error that a list of known failures is invalid.
 type badList struct{ hint.Annotated }
 
 func badLine(where, what, do string) error {
@@ -35,7 +35,7 @@
 	knownRedIssue = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// readKnownRed reads the list in a file; a file that isn't there is an empty list.
+// readKnownRed reads the list in a file; a missing file is an empty list.
 func readKnownRed(file string) ([]knownRed, error) {
 	text, err := os.ReadFile(file)
 	if os.IsNotExist(err) {
@@ -47,7 +47,7 @@
 	return parseKnownRed(filepath.Base(file), string(text))
 }
 
-// parseKnownRed takes lines of the form "TestName | cause | issue N"; empty lines are passed over.
+// parseKnownRed parses lines of the form "TestName | cause | issue N", and ignores empty lines.
 func parseKnownRed(file, text string) ([]knownRed, error) {
 	var list []knownRed
 	seen := map[string]bool{}
@@ -67,7 +67,7 @@
 		seen[red.test] = true
 		list = append(list, red)
 		if len(list) > maxKnownRed {
-			return nil, badLine(where, fmt.Sprintf("more than %d tests are listed", maxKnownRed), "mend one of them first")
+			return nil, badLine(where, fmt.Sprintf("more than %d tests are listed", maxKnownRed), "fix one of them first")
 		}
 	}
 	return list, nil
@@ -76,7 +76,7 @@
 func parseKnownRedLine(where, line string) (knownRed, error) {
 	fields := strings.Split(line, "|")
 	if len(fields) != 3 {
-		return knownRed{}, badLine(where, "the line is not of the form TestName | cause | issue N", "write it so")
+		return knownRed{}, badLine(where, "the line is not of the form TestName | cause | issue N", "write it in this form")
 	}
 	red := knownRed{
 		test:  strings.TrimSpace(fields[0]),
@@ -87,19 +87,19 @@
 	case !knownRedTest.MatchString(red.test):
 		return knownRed{}, badLine(
 			where,
-			fmt.Sprintf("%q is no test's name", red.test),
-			"name one test, without its subtests",
+			fmt.Sprintf("%q is not a test's name", red.test),
+			"name one test, without subtests",
 		)
 	case red.cause == "":
-		return knownRed{}, badLine(where, red.test+" has no cause", "say why it fails")
+		return knownRed{}, badLine(where, red.test+" has no cause", "state why it fails")
 	case !knownRedIssue.MatchString(red.issue):
 		return knownRed{}, badLine(where, red.test+" names no issue", "file one, and end the line with issue N")
 	}
 	return red, nil
 }
 
-// checkDeclared refuses tests that no file declares, and names that more than one package declares: -skip would pass
-// over all of them.
+// checkDeclared returns an error for a test that no file declares, and for a name that more than one package declares:
+// -skip would skip all of them.
 func checkDeclared(list []knownRed, files []string) error {
 	declared, err := countTests(list, files)
 	if err != nil {
@@ -108,7 +108,7 @@
 	for _, red := range list {
 		switch n := declared[red.test]; {
 		case n == 0:
-			return badLine(red.test, "no package has a test of this name", "mend the name, or remove the line")
+			return badLine(red.test, "no package has a test of this name", "correct the name, or remove the line")
 		case n > 1:
 			return badLine(red.test, fmt.Sprintf("%d packages have a test of this name", n), "rename the one that fails")
 		}
@@ -125,7 +125,7 @@
 	for _, file := range files {
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "mend the test file"}}
+			return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "correct the test file"}}
 		}
 		for _, declaration := range parsed.Decls {
 			if function, ok := declaration.(*ast.FuncDecl); ok && function.Recv == nil {
@@ -136,7 +136,7 @@
 	return declared, nil
 }
 
-// skipArguments are the arguments that make go test pass over the listed tests and no others.
+// skipArguments returns the arguments that make go test skip the listed tests and no others.
 func skipArguments(list []knownRed) []string {
 	if len(list) == 0 {
 		return nil
--- a/internal/testrun/main.go
+++ b/internal/testrun/main.go
@@ -1,5 +1,5 @@
-// Command testrun runs the project's test command for .ci/run: it passes over the tests that KNOWN-RED.txt lists,
-// prints what go test prints, and names the slowest tests at the end. It is no part of the shipped programs.
+// Command testrun runs the project's test command for .ci/run: it skips the tests that KNOWN-RED.txt lists, prints the
+// output of go test, and lists the slowest tests at the end. It is not part of the released programs.
 package main
 
 import (
@@ -13,14 +13,14 @@
 	"oatloft/internal/hint"
 )
 
-// notRun is a command that could not be run, or was no test command.
+// notRun is the error that a command could not be run, or is not a test command.
 type notRun struct{ hint.Annotated }
 
 func main() {
 	err := run(os.Stdout, os.Args[1:])
 	var failed *exec.ExitError
 	if errors.As(err, &failed) {
-		os.Exit(max(failed.ExitCode(), 1)) // go test has said what failed
+		os.Exit(max(failed.ExitCode(), 1)) // go test has printed what failed
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "testrun:", hint.Line(err))
@@ -28,11 +28,11 @@
 	}
 }
 
-// run runs a command such as go test -race ./... in the working directory, which has to be the module's root.
+// run runs a command such as go test -race ./... in the working directory, which must be the module's root.
 func run(out io.Writer, command []string) error {
 	if len(command) < 3 || command[0] != "go" || command[1] != "test" {
-		return &notRun{hint.Annotated{What: fmt.Sprintf("%q is no test command", strings.Join(command, " ")),
-			Do: "name go test, its flags and the packages"}}
+		return &notRun{hint.Annotated{What: fmt.Sprintf("%q is not a test command", strings.Join(command, " ")),
+			Do: "pass go test, its flags and the packages"}}
 	}
 	list, err := readKnownRed("KNOWN-RED.txt")
 	if err != nil {
@@ -53,23 +53,23 @@
 
 func printKnownRed(out io.Writer, list []knownRed) {
 	for _, red := range list {
-		_, _ = fmt.Fprintf(out, "known to fail, passed over: %s (%s, %s)\n", red.test, red.cause, red.issue)
+		_, _ = fmt.Fprintf(out, "known to fail, skipped: %s (%s, %s)\n", red.test, red.cause, red.issue)
 	}
 }
 
-// testFiles lists the test files that go test would compile for a pattern of packages.
+// testFiles returns the test files that go test would compile for a package pattern.
 func testFiles(packages string) ([]string, error) {
 	const format = "{{$d := .Dir}}{{range .TestGoFiles}}{{$d}}/{{.}}\n{{end}}{{range .XTestGoFiles}}{{$d}}/{{.}}\n{{end}}"
 	command := exec.Command("go", "list", "-f", format, packages)
 	command.Stderr = os.Stderr
 	out, err := command.Output()
 	if err != nil {
-		return nil, &notRun{hint.Annotated{Where: "go list " + packages, Cause: err, Do: "mend what it says"}}
+		return nil, &notRun{hint.Annotated{Where: "go list " + packages, Cause: err, Do: "fix the error that it reports"}}
 	}
 	return strings.Fields(string(out)), nil
 }
 
-// test runs the command with its events on, and prints the report. Its error is that of go test.
+// test runs the command with -json, and prints the report. It returns the error of go test.
 func test(out io.Writer, command []string, list []knownRed) error {
 	arguments := append([]string{"test", "-json"}, skipArguments(list)...)
 	tests := exec.Command("go", append(arguments, command[2:]...)...)
@@ -79,7 +79,7 @@
 		err = tests.Start()
 	}
 	if err != nil {
-		return &notRun{hint.Annotated{Where: "go test", Cause: err, Do: "see that go is on the path"}}
+		return &notRun{hint.Annotated{Where: "go test", Cause: err, Do: "check that go is on the path"}}
 	}
 	lines := report{out: out}
 	if err := lines.read(events); err != nil {
--- a/internal/testrun/report.go
+++ b/internal/testrun/report.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// slowestShown is how many of the slowest tests the report names.
+// slowestShown is the number of slowest tests that the report lists.
 const slowestShown = 10
 
 // testEvent is an event of go test -json.
@@ -17,24 +17,26 @@
 	Action     string
 	Package    string
 	ImportPath string // of a build that failed
-	Test       string // "" where the event is the package's
+	Test       string // "" for an event of the package
 	Output     string
 	Elapsed    float64 // seconds
 }
 
+// timedTest is a test with its duration.
 type timedTest struct {
 	pkg, test string
 	seconds   float64
 }
 
-// report turns the events of go test -json into what go test prints without it, and keeps the times of the tests.
+// report turns the events of go test -json into the output of go test without -json, and keeps the durations of the
+// tests.
 type report struct {
 	out    io.Writer
 	output map[string][]string // by package
 	tests  []timedTest
 }
 
-// read takes all events; lines that are none are printed as they are.
+// read processes all events; lines that are not events are printed unchanged.
 func (r *report) read(in io.Reader) error {
 	r.output = map[string][]string{}
 	lines := bufio.NewReader(in)
@@ -56,7 +58,7 @@
 func (r *report) take(line string) {
 	var event testEvent
 	if json.Unmarshal([]byte(line), &event) != nil {
-		_, _ = fmt.Fprint(r.out, line) // nobody reads the report then
+		_, _ = fmt.Fprint(r.out, line) // if writing fails, nobody reads the report
 		return
 	}
 	switch event.Action {
@@ -69,7 +71,7 @@
 	}
 }
 
-// end takes the end of a test or of a package.
+// end records the end of a test, or prints the package that ended.
 func (r *report) end(event testEvent) {
 	if event.Test != "" {
 		if !strings.Contains(event.Test, "/") {
@@ -81,7 +83,7 @@
 	delete(r.output, event.Package)
 }
 
-// printPackage prints the closing line of a package, and all that it said if it failed.
+// printPackage prints the closing line of a package, and its whole output if it failed.
 func (r *report) printPackage(name string, failed bool) {
 	for _, line := range joinLines(r.output[name]) {
 		if failed && !isProgress(line) || isClosing(line, name) {
@@ -90,19 +92,19 @@
 	}
 }
 
-// flush prints what packages without an end have said: go test itself was ended.
+// flush prints the output of packages without an end, which remain if go test itself was killed.
 func (r *report) flush() {
 	for name := range r.output {
 		r.printPackage(name, true)
 	}
 }
 
-// joinLines joins the pieces of lines that came in several events.
+// joinLines joins lines that were split over several events.
 func joinLines(pieces []string) []string {
 	return slices.Collect(strings.Lines(strings.Join(pieces, "")))
 }
 
-// isProgress tells whether a line only says that a test began, paused, went on or passed.
+// isProgress reports whether a line only reports that a test started, paused, continued, passed or was skipped.
 func isProgress(line string) bool {
 	line = strings.TrimLeft(line, " ")
 	for _, prefix := range []string{"=== RUN", "=== PAUSE", "=== CONT", "=== NAME", "--- PASS", "--- SKIP"} {
@@ -113,7 +115,7 @@
 	return false
 }
 
-// isClosing tells whether a line is the one with which go test closes a package.
+// isClosing reports whether a line is the one with which go test ends a package.
 func isClosing(line, name string) bool {
 	fields := strings.Fields(line)
 	return len(fields) > 1 && fields[1] == name && (fields[0] == "ok" || fields[0] == "?" || fields[0] == "FAIL") ||
--- a/internal/testrun/testrun_test.go
+++ b/internal/testrun/testrun_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestKnownRedLinesThatAreRefused(t *testing.T) {
+func TestInvalidKnownRedLinesAreRefused(t *testing.T) {
 	four := ""
 	for i := range maxKnownRed + 1 {
 		four += fmt.Sprintf("Test%d | cause | issue 1\n", i)
@@ -48,10 +48,10 @@
 		{"TestOne | cause | issue", "names no issue"},
 		{"TestOne | cause | issue 0", "names no issue"},
 		{"TestOne | cause | issue 1 and 2", "names no issue"},
-		{"Test.* | cause | issue 1", "no test's name"},
-		{"TestOne/part | cause | issue 1", "no test's name"},
-		{" | cause | issue 1", "no test's name"},
-		{"one | cause | issue 1", "no test's name"},
+		{"Test.* | cause | issue 1", "not a test's name"},
+		{"TestOne/part | cause | issue 1", "not a test's name"},
+		{" | cause | issue 1", "not a test's name"},
+		{"one | cause | issue 1", "not a test's name"},
 		{"TestOne | cause | issue 1\nTestOne | other | issue 2", "twice"},
 	} {
 		list, err := parseKnownRed("KNOWN-RED.txt", row.text)
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestReport reads what go test -json wrote on a package that passed, one that failed, one without tests, one whose
+// TestReport reads the output of go test -json for a package that passed, one that failed, one without tests, one whose
 // build failed and one that never ended.
 func TestReport(t *testing.T) {
 	events := `not an event
@@ -138,18 +138,19 @@
 	}
 }
 
-// TestCommandsThatAreNoTests refuses what README.md might come to name by mistake.
-func TestCommandsThatAreNoTests(t *testing.T) {
+// TestOtherCommandsAreRefused checks that commands other than go test, which README.md might name by mistake, are
+// refused.
+func TestOtherCommandsAreRefused(t *testing.T) {
 	for _, command := range [][]string{nil, {"go"}, {"go", "test"}, {"go", "vet", "./..."}, {"true", "test", "./..."}} {
-		if err := run(io.Discard, command); err == nil || !strings.Contains(err.Error(), "no test command") {
+		if err := run(io.Discard, command); err == nil || !strings.Contains(err.Error(), "not a test command") {
 			t.Errorf("%q: got %v", command, err)
 		}
 	}
 }
 
-// TestRunPassesOverTheListedTestOnly runs go test in a small module: the listed test fails and is passed over, a test
-// whose name begins alike runs, and without the list the run fails.
-func TestRunPassesOverTheListedTestOnly(t *testing.T) {
+// TestRunSkipsOnlyTheListedTest runs go test in a small module: the listed test fails and is skipped, a test whose name
+// has the same prefix runs, and without the list the run fails.
+func TestRunSkipsOnlyTheListedTest(t *testing.T) {
 	t.Chdir(t.TempDir())
 	write := func(name, body string) {
 		if err := os.WriteFile(name, []byte(body), 0o600); err != nil {
@@ -166,8 +167,8 @@
 	if err := run(&out, command); err != nil {
 		t.Fatalf("with the list: %v\n%s", err, out.String())
 	}
-	const passedOver = "known to fail, passed over: TestRed (it is broken, issue 5)\n"
-	if got := out.String(); !strings.HasSuffix(got, passedOver) || !strings.Contains(got, "s  TestRedder  small\n") {
+	const skipped = "known to fail, skipped: TestRed (it is broken, issue 5)\n"
+	if got := out.String(); !strings.HasSuffix(got, skipped) || !strings.Contains(got, "s  TestRedder  small\n") {
 		t.Errorf("with the list: %q", got)
 	}
 
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire speaks the line protocol of the bench: it turns batches of lines into the policy
-// package's events and its actions into lines. It decides nothing.
+// Package wire implements the line protocol of the bench: it decodes batches of lines into events of package policy,
+// and encodes its actions as lines.
 package wire
 
 import (
@@ -16,7 +16,7 @@
 	"oatloft/policy"
 )
 
-// Start begins an instance: everything it knew before is void.
+// Start starts an instance, without any earlier state.
 type Start struct {
 	Seed   int64
 	Config policy.Config
@@ -31,7 +31,7 @@
 	What     any
 }
 
-// Batch holds the events of one moment.
+// Batch holds the events of one point in time.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
@@ -40,14 +40,14 @@
 // Reader reads batches.
 type Reader struct {
 	in   *bufio.Reader
-	line int // number of the line read last
+	line int // number of the last line read
 }
 
 // NewReader returns a Reader on in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<20)} }
 
-// Read returns the next batch, or io.EOF where the input ends between two batches. Any other error
-// names the line and the reason.
+// Read returns the next batch, or io.EOF if the input ends between two batches. Any other error contains the line and
+// the reason.
 func (r *Reader) Read() (*Batch, error) {
 	text, err := r.next()
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	word, f := split(text)
 	if word != "turn" {
-		return nil, r.errorf("%q where a batch should begin", word)
+		return nil, r.errorf("%q at the start of a batch", word)
 	}
 	f.Required("ts-ms")
 	b := &Batch{Now: f.Millis("ts-ms")}
@@ -94,7 +94,7 @@
 	if list, ok := e.What.(policy.ServerList); ok {
 		n := f.Integer("rows-in")
 		if f.Err != nil || n < 0 {
-			return r.errorf("members: rows-in %q is no count", f.Text("rows-in"))
+			return r.errorf("members: rows-in %q is not a count", f.Text("rows-in"))
 		}
 		servers, err := r.items(n)
 		if err != nil {
@@ -116,7 +116,7 @@
 		}
 		word, f := split(text)
 		if word != "item" {
-			return nil, r.errorf("%q where %d entries were announced and %d came", word, n, len(servers))
+			return nil, r.errorf("%q in place of an item: %d announced, %d received", word, n, len(servers))
 		}
 		s := policy.Server{
 			ID:        f.Required("server"),
@@ -134,7 +134,7 @@
 	return servers, nil
 }
 
-// inside returns the next line of a batch that has begun.
+// inside returns the next line within a batch.
 func (r *Reader) inside() (string, error) {
 	text, err := r.next()
 	if errors.Is(err, io.EOF) {
@@ -143,7 +143,7 @@
 	return text, err
 }
 
-// next returns the next line that is not blank; one may stand between two batches.
+// next returns the next line that is not blank. Blank lines may separate batches.
 func (r *Reader) next() (string, error) {
 	for {
 		text, err := r.in.ReadString('\n')
@@ -157,11 +157,12 @@
 	}
 }
 
-// Malformed is a line of the bench that can't be read.
+// Malformed is the error that a line of the bench can't be decoded.
 type Malformed struct{ hint.Annotated }
 
 func (r *Reader) errorf(format string, args ...any) error {
-	return &Malformed{hint.Annotated{Where: fmt.Sprintf("line %d", r.line), What: fmt.Sprintf(format, args...), Do: "see that the bench and this program are of the same protocol"}}
+	return &Malformed{hint.Annotated{Where: fmt.Sprintf("line %d", r.line), What: fmt.Sprintf(format, args...),
+		Do: "check that the bench and this program use the same version of the protocol"}}
 }
 
 func split(text string) (string, *settings.Fields) {
@@ -184,8 +185,8 @@
 	"skipped": policy.ResultSkipped,
 }
 
-// decoders hold one function an event; what is not listed here is ignored. Messages between balancers
-// are left out on purpose: instances share nothing.
+// decoders holds one function per event; other events are ignored. Messages between balancers are omitted
+// intentionally: instances share no state.
 var decoders = map[string]func(*settings.Fields) any{
 	"provision": func(f *settings.Fields) any {
 		seed, err := strconv.ParseInt(f.Required("seed"), 10, 64)
@@ -218,7 +219,7 @@
 		case 2:
 			return policy.MessageDelay{ID: f.Required("id"), Server: f.Required("server"), Delay: f.Millis("x")}
 		}
-		return nil // a kind of note that this version does not know
+		return nil // a kind of hint that this version does not know
 	},
 	"echo": func(f *settings.Fields) any {
 		return policy.ProbeResult{Server: f.Required("server"), Result: settings.OneOf(f, "state-code", results),
@@ -228,6 +229,7 @@
 	"reminder":         func(f *settings.Fields) any { return policy.TimerFired{Token: f.Required("token")} },
 }
 
+// request decodes the fields of a request.
 func request(f *settings.Fields) policy.Request {
 	return policy.Request{
 		ID:      f.Required("id"),
@@ -240,7 +242,7 @@
 	}
 }
 
-// report reads a load report; columns that mean nothing to the policy are ignored.
+// report decodes a load report; columns that the policy does not use are ignored.
 func report(f *settings.Fields) *policy.LoadReport {
 	text := f.Text("load")
 	if text == "" || text == "-" || text == settings.Null {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -18,7 +18,7 @@
 // NewWriter returns a Writer on out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<20)} }
 
-// Action adds one action of an instance to the reply.
+// Action appends one action of an instance to the reply.
 func (w *Writer) Action(instance int, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
@@ -47,7 +47,7 @@
 	w.end()
 }
 
-// Flush ends the reply and sends it.
+// Flush completes the reply and sends it.
 func (w *Writer) Flush() error {
 	if _, err := w.out.WriteString("next\n"); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return w
 }
 
-// end writes the line; an error stays with the buffered writer and shows at Flush.
+// end writes the line; the buffered writer keeps an error until Flush returns it.
 func (w *Writer) end() {
 	w.buf = append(w.buf, '\n')
 	_, _ = w.out.Write(w.buf)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,7 +41,8 @@
 		"members balancer-id=3 how=patch serial=41 rows-in=2",
 		"item server=10.0.0.1:5003 hall=a flavor=x group=2 stage-state=quiescing rating=1.5",
 		"item server=10.0.0.2:5003 hall=b flavor=x group=0 stage-state=live rating=1 since-ms=6100.5",
-		"job_in balancer-id=3 id=3c2f patience-left-ms=240.0 work-ms=12.5 tenant=t room=c:x name-key=s-k category=map mid-flow=1",
+		"job_in balancer-id=3 id=3c2f patience-left-ms=240.0 work-ms=12.5 " +
+			"tenant=t room=c:x name-key=s-k category=map mid-flow=1",
 		"existing balancer-id=3 id=3c30 server=10.0.0.1:5003 category=map",
 		"started balancer-id=3 id=3c2f shot=1 server=10.0.0.1:5003 rtt-ms=18.5",
 		"settled balancer-id=3 id=3c2f shot=0 server=10.0.0.1:5003 state-code=busy rtt-ms=1 load=x0:0.5",
@@ -57,10 +58,12 @@
 		t.Fatal(err)
 	}
 	want := []any{
-		&Start{Seed: -5, Config: policy.Config{Zone: "b", Balancers: 2, TimerResolution: 4 * ms, MaxAttempts: 3, ProbesEnabled: true,
+		&Start{Seed: -5, Config: policy.Config{Zone: "b", Balancers: 2, TimerResolution: 4 * ms, MaxAttempts: 3,
+			ProbesEnabled:    true,
 			PollEndpointList: true, PollInterval: 10 * time.Second,
 			Classes: []policy.Class{
-				{Name: "map", LatencyObjective: 800 * ms, MessageLatencyObjective: 50 * ms, Idempotency: policy.IdempotentByKey, KeyTTL: 5 * time.Second},
+				{Name: "map", LatencyObjective: 800 * ms, MessageLatencyObjective: 50 * ms, Idempotency: policy.IdempotentByKey,
+					KeyTTL: 5 * time.Second},
 				{Name: "sync", LatencyObjective: 300 * ms, MessageLatencyObjective: 60 * ms, Idempotency: policy.NotIdempotent}},
 			Tenants: []policy.Tenant{{Name: "t", ConnectionQuota: 133}}}},
 		policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{
@@ -90,7 +93,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestErrorsNameMalformedLines(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"hello\n", "line 1: \"hello\""},
 		{"turn\nflush\n", "line 1: turn: ts-ms is missing"},
@@ -121,7 +124,7 @@
 }
 
 // A site with tenants but without quotas lists null for each.
-func TestNullIsNotTold(t *testing.T) {
+func TestNullIsUnset(t *testing.T) {
 	batches, err := readAll("turn ts-ms=1\nprovision balancer-id=0 seed=1 family-info.tenant-quota-connections=null,5 " +
 		"family-info.message-aim-ms=null tenants.count=2 tenants.0.name=a tenants.1.name=b balancers=null\n" +
 		"echo balancer-id=0 server=s state-code=done load=x0:null,rif:3\nflush\n")
