--- a/internal/apache/httpd.go
+++ b/internal/apache/httpd.go
@@ -9,41 +9,41 @@
 	"strings"
 )
 
-// Bounds on httpd's configuration.
+// Limits of httpd's configuration.
 const (
-	MaxNesting  = 32   // sections within sections, and files within files
-	MaxIncludes = 1000 // files in all
-	MaxNodes    = 1 << 20
+	MaxNesting  = 32      // depth of nested sections, and of nested includes
+	MaxIncludes = 1000    // number of files
+	MaxNodes    = 1 << 20 // number of directives
 )
 
-// Node is one directive of an httpd configuration, or a section with what stands in it.
+// Node is one directive of an httpd configuration, or a section with its directives.
 type Node struct {
 	Pos
-	Name     string // as written; names are compared without regard to case
+	Name     string // as written; names are case-insensitive
 	Args     []string
 	Section  bool
 	Children []*Node
-	Skipped  string // why it doesn't hold: an <IfDefine> that isn't defined. It still gets its row
-	Fault    string // why it can't be used
+	Skipped  string // why it has no effect, such as an <IfDefine> of an undefined name; it is reported all the same
+	Fault    string // why it can't be used, "" if it can
 }
 
-// Is compares names as httpd does.
+// Is reports whether the directive has a name, compared as httpd does.
 func (n *Node) Is(name string) bool { return strings.EqualFold(n.Name, name) }
 
-// Httpd reads a configuration with all that it includes. Files come from Root alone, by slash-separated paths within it;
-// an include that leads out of it, comes back to a file that is being read, or names nothing is a fault of its directive.
+// Httpd reads a configuration with its includes. Files are read only from Root, by slash-separated paths within it; an
+// include that leads out of Root, refers to a file that is being read, or matches no file is a fault of its directive.
 type Httpd struct {
-	Root    fs.FS             // an os.Root's: os.DirFS follows links that lead out
+	Root    fs.FS             // use the FS of an os.Root: os.DirFS follows links that lead out of the directory
 	Base    string            // ServerRoot as a path within Root, for relative includes
-	Defines map[string]string // -D on httpd's command line; Define adds to them
-	Modules []string          // those that count as loaded for <IfModule>, as they are written there
+	Defines map[string]string // from -D on httpd's command line; Define adds to them
+	Modules []string          // treated as loaded by <IfModule>, as written there
 
 	open  []string // files being read
 	files int
 	nodes int
 }
 
-// Read reads a file and what it includes. The error is of the file itself; all else is a node's fault.
+// Read reads a file and its includes. It returns an error only for the file itself; other problems are faults of nodes.
 func (h *Httpd) Read(file string) ([]*Node, error) {
 	if h.Defines == nil {
 		h.Defines = map[string]string{}
@@ -55,7 +55,7 @@
 	return top.Children, nil
 }
 
-func (h *Httpd) read(file string, into *Node, skipped string) error {
+func (h *Httpd) read(file string, parent *Node, skipped string) error {
 	if h.files++; h.files > MaxIncludes {
 		return fmt.Errorf("more than %d files", MaxIncludes)
 	}
@@ -63,14 +63,14 @@
 		return fmt.Errorf("%s includes itself", strings.Join(append(h.open, file), " -> "))
 	}
 	if len(h.open) >= MaxNesting {
-		return fmt.Errorf("files within files, more than %d deep", MaxNesting)
+		return fmt.Errorf("includes nested more than %d deep", MaxNesting)
 	}
 	info, err := fs.Stat(h.Root, file)
 	switch {
 	case err != nil:
 		return err
 	case !info.Mode().IsRegular():
-		return fmt.Errorf("%s: not a plain file", file)
+		return fmt.Errorf("%s: not a regular file", file)
 	case info.Size() > MaxFile:
 		return fmt.Errorf("%s: longer than %d bytes", file, MaxFile)
 	}
@@ -88,7 +88,7 @@
 		node    *Node
 		skipped string
 	}
-	stack := []level{{into, skipped}}
+	stack := []level{{parent, skipped}}
 	for _, l := range lines {
 		if h.nodes++; h.nodes > MaxNodes {
 			return fmt.Errorf("%v: more than %d directives", l.Pos, MaxNodes)
@@ -96,7 +96,7 @@
 		top := stack[len(stack)-1]
 		n := &Node{Pos: l.Pos, Fault: l.Fault, Skipped: top.skipped}
 		if n.Fault != "" {
-			n.Name = clip(l.Text)
+			n.Name = truncate(l.Text)
 			top.node.Children = append(top.node.Children, n)
 			continue
 		}
@@ -104,7 +104,7 @@
 		if name, ok := strings.CutPrefix(text, "</"); ok {
 			name = strings.TrimSpace(strings.TrimSuffix(name, ">"))
 			if len(stack) == 1 || !top.node.Is(name) {
-				n.Name, n.Fault = text, fmt.Sprintf("closes %s, which isn't open here", clip(name))
+				n.Name, n.Fault = text, fmt.Sprintf("closes %s, which is not open here", truncate(name))
 				top.node.Children = append(top.node.Children, n)
 				continue
 			}
@@ -117,10 +117,10 @@
 				n.Fault = "opens a section without >"
 			}
 		}
-		words, fault := h.words(text)
+		words, fault := h.parseWords(text)
 		if len(words) == 0 {
-			words = []string{clip(l.Text)}
-			fault = "is no directive"
+			words = []string{truncate(l.Text)}
+			fault = "is not a directive"
 		}
 		if n.Name, n.Args = words[0], words[1:]; n.Fault == "" {
 			n.Fault = fault
@@ -128,30 +128,31 @@
 		top.node.Children = append(top.node.Children, n)
 		if n.Section {
 			if len(stack) > MaxNesting {
-				return fmt.Errorf("%v: sections within sections, more than %d deep", l.Pos, MaxNesting)
+				return fmt.Errorf("%v: sections nested more than %d deep", l.Pos, MaxNesting)
 			}
-			stack = append(stack, level{n, either(top.skipped, h.skip(n))})
+			stack = append(stack, level{n, firstNonEmpty(top.skipped, h.skipReason(n))})
 			continue
 		}
 		if n.Fault == "" && n.Skipped == "" {
-			h.obey(n)
+			h.apply(n)
 		}
 	}
 	for _, open := range stack[1:] {
-		open.node.Fault = either(open.node.Fault, "is never closed in its file")
+		open.node.Fault = firstNonEmpty(open.node.Fault, "is never closed in its file")
 	}
 	return nil
 }
 
-func either(a, b string) string {
+// firstNonEmpty returns a, or b if a is "".
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// obey does what directives do to the reading itself.
-func (h *Httpd) obey(n *Node) {
+// apply executes the directives that affect parsing.
+func (h *Httpd) apply(n *Node) {
 	switch {
 	case n.Is("Define") && len(n.Args) == 1:
 		h.Defines[n.Args[0]] = ""
@@ -164,17 +165,18 @@
 	}
 }
 
+// include reads the files of an include, and returns the fault of the directive.
 func (h *Httpd) include(n *Node) string {
 	if len(n.Args) != 1 {
-		return "wants one file or pattern"
+		return "needs one file or pattern"
 	}
 	name := n.Args[0]
 	if !strings.HasPrefix(name, "/") {
 		name = path.Join("/", h.Base, name)
 	}
-	// Cleaned as a path from the root, .. can't lead out; that it was tried is worth a fault all the same.
+	// The cleaned path can't lead out of the root even with .., but the attempt is reported as a fault.
 	if strings.Contains(n.Args[0], "..") && !fs.ValidPath(strings.TrimPrefix(n.Args[0], "/")) {
-		return fmt.Sprintf("%q may lead out of the root that was given", clip(n.Args[0]))
+		return fmt.Sprintf("%q may lead out of the root that was given", truncate(n.Args[0]))
 	}
 	name = strings.TrimPrefix(path.Clean(name), "/")
 	if name == "" {
@@ -182,7 +184,7 @@
 	}
 	files, err := fs.Glob(h.Root, name)
 	if err != nil {
-		return fmt.Sprintf("%q is no pattern", clip(n.Args[0]))
+		return fmt.Sprintf("%q is not a valid pattern", truncate(n.Args[0]))
 	}
 	if info, err := fs.Stat(h.Root, name); err == nil && info.IsDir() {
 		if files, err = fs.Glob(h.Root, path.Join(name, "*")); err != nil {
@@ -193,7 +195,7 @@
 		if n.Is("IncludeOptional") {
 			return ""
 		}
-		return fmt.Sprintf("%q names no file within the root that was given", clip(n.Args[0]))
+		return fmt.Sprintf("%q names no file within the root that was given", truncate(n.Args[0]))
 	}
 	var faults []error
 	for _, f := range files { // Glob sorts them, as httpd does
@@ -205,29 +207,30 @@
 	return ""
 }
 
-// skip says why a section's content doesn't hold, where the section is a condition that can be decided here.
-func (h *Httpd) skip(n *Node) string {
+// skipReason returns why a section's content has no effect, or "" if it has or if the condition can't be decided here.
+func (h *Httpd) skipReason(n *Node) string {
 	if len(n.Args) != 1 || n.Fault != "" {
 		return ""
 	}
-	want, not := strings.CutPrefix(n.Args[0], "!")
+	condition, negated := strings.CutPrefix(n.Args[0], "!")
 	holds := false
 	switch {
 	case n.Is("IfDefine"):
-		_, holds = h.Defines[want]
+		_, holds = h.Defines[condition]
 	case n.Is("IfModule"):
-		holds = slices.Contains(h.Modules, want)
+		holds = slices.Contains(h.Modules, condition)
 	default:
 		return ""
 	}
-	if holds == not {
-		return fmt.Sprintf("<%s %s> doesn't hold", n.Name, n.Args[0])
+	if holds == negated {
+		return fmt.Sprintf("<%s %s> does not hold", n.Name, n.Args[0])
 	}
 	return ""
 }
 
-// words splits a directive: words, "quoted" and 'quoted' ones with \ before a quote or a backslash, and ${VAR}.
-func (h *Httpd) words(text string) (words []string, fault string) {
+// parseWords splits a directive into words, which may be in "" or ” with \ before a quote or a backslash, and may
+// contain ${VAR}.
+func (h *Httpd) parseWords(text string) (words []string, fault string) {
 	for i := 0; i < len(text); {
 		if text[i] == ' ' || text[i] == '\t' {
 			i++
@@ -248,22 +251,22 @@
 				}
 			}
 			if !closed {
-				fault = either(fault, "opens a quote that it doesn't close")
+				fault = firstNonEmpty(fault, "opens a quote that it does not close")
 			}
 		} else {
 			for ; i < len(text) && text[i] != ' ' && text[i] != '\t'; i++ {
 				b.WriteByte(text[i])
 			}
 		}
-		word, f := h.vars(b.String())
-		words, fault = append(words, word), either(fault, f)
+		word, f := h.expandVariables(b.String())
+		words, fault = append(words, word), firstNonEmpty(fault, f)
 	}
 	return words, fault
 }
 
-// vars replaces ${VAR} by what was defined before. httpd leaves unknown ones as they are; here they are a fault, since
-// nothing good comes of a host called ${HOST}.
-func (h *Httpd) vars(s string) (string, string) {
+// expandVariables replaces ${VAR} by its earlier definition. httpd leaves undefined variables unchanged; here they are
+// a fault, since a host named ${HOST} can't be used.
+func (h *Httpd) expandVariables(s string) (string, string) {
 	var b strings.Builder
 	for rest := s; ; {
 		i := strings.Index(rest, "${")
@@ -273,17 +276,17 @@
 		}
 		j := strings.IndexByte(rest[i:], '}')
 		if j < 0 {
-			return s, fmt.Sprintf("opens a variable that it doesn't close: %q", clip(rest[i:]))
+			return s, fmt.Sprintf("opens a variable that it does not close: %q", truncate(rest[i:]))
 		}
 		name := rest[i+2 : i+j]
 		value, ok := h.Defines[name]
 		if !ok {
-			return s, fmt.Sprintf("names the variable %q, which nothing defines before it", clip(name))
+			return s, fmt.Sprintf("names the variable %q, which nothing defines before it", truncate(name))
 		}
 		b.WriteString(rest[:i])
 		b.WriteString(value)
 		if rest = rest[i+j+1:]; b.Len()+len(rest) > MaxValue {
-			return clip(s), fmt.Sprintf("is longer than %d bytes with its variables", MaxValue)
+			return truncate(s), fmt.Sprintf("is longer than %d bytes with its variables", MaxValue)
 		}
 	}
 }
--- a/internal/apache/mounts.go
+++ b/internal/apache/mounts.go
@@ -8,16 +8,16 @@
 // Mount is one rule of a uriworkermap.properties file, or of JkMount and JkUnMount.
 type Mount struct {
 	Pos
-	Pattern  string // begins with / or *; * and ? are wildcards
+	Pattern  string // starts with / or *; * and ? are wildcards
 	Worker   string
-	Exclude  bool              // !: what matches goes to no worker
-	Disabled bool              // -: the rule doesn't hold
-	Exact    bool              // no wildcard
-	Options  map[string]string // behind ;
-	Fault    string            // why it can't be used
+	Exclude  bool              // !: matching paths go to no worker
+	Disabled bool              // -: the rule has no effect
+	Exact    bool              // without wildcards
+	Options  map[string]string // after ;
+	Fault    string            // why it can't be used, "" if it can
 }
 
-// mountOptions are all that may stand behind a semicolon.
+// mountOptions are the valid options after a semicolon.
 var mountOptions = map[string]kind{
 	"reply_timeout": number, "sticky_ignore": boolean, "stateless": boolean, "active": list, "disabled": list,
 	"stopped": list, "fail_on_status": text, "use_server_errors": number, "session_cookie": text, "session_path": text,
@@ -25,8 +25,8 @@
 }
 
 // Mounts reads a uriworkermap.properties file: PATTERN=WORKER[;option=value...], with ! and - before the pattern and
-// PATTERN|MORE for two patterns at once (/app|/*: /app and /app/*). Each rule is one mount; what can't be used is one
-// with a fault.
+// PATTERN|MORE for two patterns at once (/app|/*: /app and /app/*). Each pattern is one mount; an invalid rule is a
+// mount with a fault.
 func Mounts(file string, body []byte) ([]Mount, error) {
 	lines, err := Lines(file, body)
 	if err != nil {
@@ -37,44 +37,44 @@
 		left, right, ok := strings.Cut(l.Text, "=")
 		m := Mount{Pos: l.Pos, Pattern: strings.TrimSpace(left), Fault: l.Fault}
 		if m.Fault == "" && !ok {
-			m.Fault = "is no PATTERN=WORKER"
+			m.Fault = "is not PATTERN=WORKER"
 		}
 		if m.Fault != "" {
 			out = append(out, m)
 			continue
 		}
-		for marks := true; marks; { // in any order, each once
+		for morePrefixes := true; morePrefixes; { // in any order, each at most once
 			switch {
 			case strings.HasPrefix(m.Pattern, "!") && !m.Exclude:
 				m.Exclude, m.Pattern = true, m.Pattern[1:]
 			case strings.HasPrefix(m.Pattern, "-") && !m.Disabled:
 				m.Disabled, m.Pattern = true, m.Pattern[1:]
 			default:
-				marks = false
+				morePrefixes = false
 			}
 		}
 		m.Worker, m.Options, m.Fault = mountTarget(strings.TrimSpace(right))
-		first, more, two := strings.Cut(m.Pattern, "|")
+		first, more, split := strings.Cut(m.Pattern, "|")
 		patterns := []string{first}
-		if two {
+		if split {
 			patterns = append(patterns, first+more)
 		}
 		for _, p := range patterns {
-			x := m
-			x.Pattern, x.Exact = p, !strings.ContainsAny(p, "*?")
-			if x.Fault == "" {
+			mount := m
+			mount.Pattern, mount.Exact = p, !strings.ContainsAny(p, "*?")
+			if mount.Fault == "" {
 				switch {
 				case p == "":
-					x.Fault = "has no pattern"
+					mount.Fault = "has no pattern"
 				case p[0] != '/' && p[0] != '*':
-					x.Fault = fmt.Sprintf("%q begins with neither / nor *", clip(p))
+					mount.Fault = fmt.Sprintf("%q starts with neither / nor *", truncate(p))
 				case strings.Contains(p, "|"):
-					x.Fault = "has more than one |"
+					mount.Fault = "has more than one |"
 				case strings.ContainsAny(p, " \t"):
-					x.Fault = fmt.Sprintf("%q has a space in it", clip(p))
+					mount.Fault = fmt.Sprintf("%q contains a space", truncate(p))
 				}
 			}
-			out = append(out, x)
+			out = append(out, mount)
 		}
 	}
 	return out, nil
@@ -94,12 +94,12 @@
 		name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 		k, ok := mountOptions[name]
 		if !ok {
-			return worker, options, "option " + unknown(name, mountOptions)
+			return worker, options, "option " + unknownDirective(name, mountOptions)
 		}
 		if _, twice := options[name]; twice {
 			return worker, options, fmt.Sprintf("sets the option %s twice", name)
 		}
-		if f := fits(k, value); f != "" {
+		if f := checkValue(k, value); f != "" {
 			return worker, options, fmt.Sprintf("option %s: %s", name, f)
 		}
 		if options == nil {
@@ -110,11 +110,12 @@
 	return worker, options, ""
 }
 
-// Matches tells whether a path is one that the mount names. A wildcard * stands for any bytes, / included, ? for one.
-func (m *Mount) Matches(path string) bool { return wild(m.Pattern, path) }
+// Matches reports whether a path matches the mount's pattern. The wildcard * stands for any bytes, including /, and ?
+// for one byte.
+func (m *Mount) Matches(path string) bool { return matchesWildcard(m.Pattern, path) }
 
-// wild matches in time of pattern times path at most: the latest * alone is tried again.
-func wild(pattern, s string) bool {
+// matchesWildcard takes at most time proportional to pattern times path: it backtracks only to the latest *.
+func matchesWildcard(pattern, s string) bool {
 	p, i, star, from := 0, 0, -1, 0
 	for i < len(s) {
 		switch {
@@ -137,9 +138,10 @@
 	return p == len(pattern)
 }
 
-// Choose finds the mount that holds for a path, as mod_jk does: of those that match and are not disabled, the one with the
-// longest pattern, an exact one before a wildcard of the same length, and of the same pattern the last. If that rule's worker is
-// excluded for the path (an exclusion of the same worker, or of * for all), there is none.
+// Choose returns the mount that applies to a path, as mod_jk does: of the matching mounts that are not disabled, the
+// one with the longest pattern, an exact one before a wildcard of the same length, and the last one of equal patterns.
+// It returns nil if none matches, or if the worker is excluded for the path (by an exclusion of that worker, or of *
+// for all).
 func Choose(mounts []Mount, path string) *Mount {
 	var best *Mount
 	for i := range mounts {
@@ -147,7 +149,8 @@
 		if m.Fault != "" || m.Disabled || m.Exclude || !m.Matches(path) {
 			continue
 		}
-		if best == nil || len(m.Pattern) > len(best.Pattern) || len(m.Pattern) == len(best.Pattern) && (m.Exact || !best.Exact) {
+		if best == nil || len(m.Pattern) > len(best.Pattern) || len(m.Pattern) == len(best.Pattern) &&
+			(m.Exact || !best.Exact) {
 			best = m
 		}
 	}
--- a/internal/apache/mounts_test.go
+++ b/internal/apache/mounts_test.go
@@ -10,14 +10,16 @@
 )
 
 func TestMounts(t *testing.T) {
-	text := "# mounts\n/app|/*=lb;reply_timeout=10;stopped=n1,n2\n!/app/*.gif=lb\n-/old/*=lb\n/exact=w\n/app/admin/*=w\n*.jsp=w\n!-/x=lb\n"
+	text := "# mounts\n/app|/*=lb;reply_timeout=10;stopped=n1,n2\n!/app/*.gif=lb\n" +
+		"-/old/*=lb\n/exact=w\n/app/admin/*=w\n*.jsp=w\n!-/x=lb\n"
 	mounts, err := Mounts("m", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, m := range mounts {
-		got = append(got, fmt.Sprintf("%d %s=%s %v %v %v%s", m.Line, m.Pattern, m.Worker, m.Exclude, m.Disabled, len(m.Options), m.Fault))
+		got = append(got, fmt.Sprintf("%d %s=%s %v %v %v%s", m.Line, m.Pattern, m.Worker, m.Exclude, m.Disabled,
+			len(m.Options), m.Fault))
 	}
 	want := `2 /app=lb false false 2
 2 /app/*=lb false false 2
@@ -31,8 +33,9 @@
 		t.Fatal(strings.Join(got, "\n"))
 	}
 	for path, want := range map[string]string{
-		"/app": "lb", "/app/": "lb", "/app/x": "lb", "/apple": "", "/app/a.gif": "", "/app/admin/x": "w", "/app/admin/a.gif": "w",
-		"/old/x": "", "/exact": "w", "/exact/": "", "/any/a.jsp": "w", "/app/admin": "lb", "/": "",
+		"/app": "lb", "/app/": "lb", "/app/x": "lb", "/apple": "", "/app/a.gif": "", "/app/admin/x": "w",
+		"/app/admin/a.gif": "w",
+		"/old/x":           "", "/exact": "w", "/exact/": "", "/any/a.jsp": "w", "/app/admin": "lb", "/": "",
 	} {
 		got := ""
 		if m := Choose(mounts, path); m != nil {
@@ -46,16 +49,16 @@
 
 func TestMountFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"/app":                              "is no PATTERN=WORKER",
+		"/app":                              "is not PATTERN=WORKER",
 		"/app=":                             "names no worker",
 		"=lb":                               "has no pattern",
-		"app/*=lb":                          "begins with neither / nor *",
-		"/a b=lb":                           "has a space",
+		"app/*=lb":                          "starts with neither / nor *",
+		"/a b=lb":                           "contains a space",
 		"/a=lb;reply_timeot=1":              `did you mean "reply_timeout"?`,
-		"/a=lb;reply_timeout=soon":          `option reply_timeout: "soon" is no number`,
+		"/a=lb;reply_timeout=soon":          `option reply_timeout: "soon" is not a number`,
 		"/a=lb;stateless=1;stateless=0":     "sets the option stateless twice",
 		"/a\x00=lb":                         "holds a NUL byte",
-		"!!/a=lb":                           "begins with neither / nor *",
+		"!!/a=lb":                           "starts with neither / nor *",
 		"/a=" + strings.Repeat("x", 70<<10): "longer than",
 	} {
 		mounts, err := Mounts("m", []byte(text))
@@ -65,14 +68,15 @@
 	}
 }
 
-// Wildcards mean what the same expression means in a regular one.
+// A pattern matches the same paths as the equivalent regular expression.
 func TestWildcards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pattern := rapid.StringMatching(`[ab*?/]{0,8}`).Draw(t, "pattern")
 		path := rapid.StringMatching(`[ab/]{0,10}`).Draw(t, "path")
-		re := regexp.MustCompile("(?s)^" + strings.NewReplacer(`\*`, ".*", `\?`, ".").Replace(regexp.QuoteMeta(pattern)) + "$")
-		if wild(pattern, path) != re.MatchString(path) {
-			t.Fatalf("%q against %q: %v", pattern, path, wild(pattern, path))
+		re := regexp.MustCompile("(?s)^" + strings.NewReplacer(`\*`, ".*", `\?`,
+			".").Replace(regexp.QuoteMeta(pattern)) + "$")
+		if matchesWildcard(pattern, path) != re.MatchString(path) {
+			t.Fatalf("%q against %q: %v", pattern, path, matchesWildcard(pattern, path))
 		}
 	})
 }
--- a/internal/apache/source.go
+++ b/internal/apache/source.go
@@ -1,8 +1,8 @@
-// Package apache reads what Apache installations write of their backends: mod_jk's workers.properties and uriworkermap.properties,
-// and httpd's configuration. It owns the published formats and the account of what became of each directive; it must never pass anything over
-// without a row in that account, never guess at a value, and never read a file that it was not given.
+// Package apache parses the configuration of backends in Apache installations: mod_jk's workers.properties and
+// uriworkermap.properties, and httpd's configuration. It implements the published formats and reports the outcome of
+// each directive: no directive is skipped without an entry, no value is guessed, and only the given files are read.
 //
-// No program imports it yet: an importer of such installations is to be built on it.
+// No program uses it yet, only tests; it is the basis of a future importer of such installations.
 //
 // Formats: Apache Tomcat Connectors 1.2.50, reference guides of workers.properties and uriworkermap.properties; Apache
 // HTTP Server 2.4, configuration files and core.
@@ -15,30 +15,32 @@
 	"unicode/utf8"
 )
 
-// Bounds on what a source may hold. What is beyond them is a row or an error, never a silent cut.
+// Limits of a source. Content beyond them is reported as a fault or an error, never truncated silently.
 const (
-	MaxFile  = 8 << 20 // bytes of a file
-	MaxLine  = 64 << 10
-	MaxValue = 64 << 10 // of a value after its macros
+	MaxFile  = 8 << 20  // bytes of a file
+	MaxLine  = 64 << 10 // bytes of a logical line
+	MaxValue = 64 << 10 // bytes of a value after the expansion of its macros
 )
 
-// Pos is where something stands. Lines and columns count from 1, columns in bytes.
+// Pos is a position in a file. Lines and columns count from 1, columns in bytes.
 type Pos struct {
 	File      string
 	Line, Col int
 }
 
+// String formats the position as file:line:column.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Line is one logical line: physical lines that end with a backslash are joined to the next.
+// Line is one logical line: a physical line that ends with a backslash is joined with the next.
 type Line struct {
 	Pos
 	Text  string
-	Fault string // why it can't be read; its text is cut then
+	Fault string // why it can't be parsed; its text may be truncated then
 }
 
-// Lines splits a file. Blank lines and comments (#) are left out, but a comment doesn't end a continued line's number.
-// A byte order mark, CRLF and Latin-1 are taken as they come; NUL and overlong lines are faults of their line.
+// Lines splits a file into logical lines. Blank lines and comments (#) are omitted but counted; a # in the continuation
+// of a line starts no comment. A byte order mark, CRLF and Latin-1 are accepted; a NUL byte or an overlong line is a
+// fault of its line.
 func Lines(file string, body []byte) ([]Line, error) {
 	if len(body) > MaxFile {
 		return nil, fmt.Errorf("%s: longer than %d bytes", file, MaxFile)
@@ -46,18 +48,18 @@
 	body = bytes.TrimPrefix(body, []byte("\xef\xbb\xbf"))
 	var out []Line
 	var joined strings.Builder
-	start, long := 0, false
+	start, tooLong := 0, false
 	flush := func() {
 		if start == 0 {
 			return
 		}
 		raw := joined.String()
 		text := strings.TrimSpace(raw)
-		l := Line{Pos: Pos{file, start, 1 + len(raw) - len(strings.TrimLeft(raw, " \t"))}, Text: utf8Of(text)}
+		l := Line{Pos: Pos{file, start, 1 + len(raw) - len(strings.TrimLeft(raw, " \t"))}, Text: toUTF8(text)}
 		switch {
-		case long:
+		case tooLong:
 			l.Fault = fmt.Sprintf("longer than %d bytes", MaxLine)
-			l.Text = utf8Of(text[:min(len(text), 64)])
+			l.Text = toUTF8(text[:min(len(text), 64)])
 		case strings.IndexByte(text, 0) >= 0:
 			l.Fault = "holds a NUL byte"
 			l.Text = strings.ReplaceAll(l.Text, "\x00", "\\0")
@@ -66,7 +68,7 @@
 			out = append(out, l)
 		}
 		joined.Reset()
-		start, long = 0, false
+		start, tooLong = 0, false
 	}
 	for n := 1; len(body) > 0; n++ {
 		var line []byte
@@ -77,29 +79,29 @@
 		}
 		line = bytes.TrimRight(line, "\r")
 		if start == 0 {
-			if t := bytes.TrimLeft(line, " \t"); len(t) > 0 && t[0] == '#' {
+			if trimmed := bytes.TrimLeft(line, " \t"); len(trimmed) > 0 && trimmed[0] == '#' {
 				continue
 			}
 			start = n
 		}
-		more := len(line) > 0 && line[len(line)-1] == '\\'
-		if more {
+		continued := len(line) > 0 && line[len(line)-1] == '\\'
+		if continued {
 			line = line[:len(line)-1]
 		}
 		if joined.Len()+len(line) > MaxLine {
-			line, long = line[:max(0, min(len(line), MaxLine-joined.Len()))], true
+			line, tooLong = line[:max(0, min(len(line), MaxLine-joined.Len()))], true
 		}
 		joined.Write(line)
-		if !more {
+		if !continued {
 			flush()
 		}
 	}
-	flush() // a backslash at the end of the file continues nothing
+	flush() // a backslash at the end of the file has no line to continue
 	return out, nil
 }
 
-// utf8Of takes bytes that are no UTF-8 for Latin-1, as the files' writers did.
-func utf8Of(s string) string {
+// toUTF8 converts text that is not valid UTF-8 from Latin-1, the usual encoding of such files.
+func toUTF8(s string) string {
 	if utf8.ValidString(s) {
 		return s
 	}
@@ -113,20 +115,19 @@
 // Property is one name and value of a workers.properties file, in the file's order.
 type Property struct {
 	Pos
-	Name, Raw string // Raw as it was written
-	Value     string // with its macros replaced
-	Fault     string // why it can't be used
+	Name, Raw string // Raw is the value as written
+	Value     string // with expanded macros
+	Fault     string // why it can't be used, "" if it can
 }
 
 // Properties reads workers.properties files one after the other, as mod_jk does: a macro $(name) stands for a property
-// that was set before it, in any of them. Nothing of a file is left out: what can't be read is a property with a
-// fault.
+// set before it in any of the files. No line of a file is omitted: an invalid one is a property with a fault.
 type Properties struct {
 	list []Property
-	last map[string]int // by name, the latest
+	last map[string]int // index of the latest valid property by name
 }
 
-// Read takes another file.
+// Read adds the properties of another file.
 func (p *Properties) Read(file string, body []byte) error {
 	if p.last == nil {
 		p.last = map[string]int{}
@@ -144,7 +145,7 @@
 		switch {
 		case l.Fault != "":
 		case !ok:
-			prop.Fault = "is no name=value"
+			prop.Fault = "is not name=value"
 		case prop.Name == "":
 			prop.Fault = "has no name before ="
 		case strings.ContainsAny(prop.Name, " \t"):
@@ -160,10 +161,10 @@
 	return nil
 }
 
-// All lists the properties in the order read.
+// All returns the properties in the order read.
 func (p *Properties) All() []Property { return p.list }
 
-// Get is the latest sound property of a name.
+// Get returns the latest valid property of a name.
 func (p *Properties) Get(name string) (Property, bool) {
 	i, ok := p.last[name]
 	if !ok {
@@ -172,8 +173,8 @@
 	return p.list[i], true
 }
 
-// expand replaces macros. A value that was set before holds none any more, so there can be no cycle: a name that
-// stands for itself has simply not been set. The length is bounded, since each macro may double a value.
+// expand replaces macros. The values of earlier properties contain no macros any more, so no cycle is possible: a macro
+// that refers to its own property is not set yet. The length is bounded, since each macro may double a value.
 func (p *Properties) expand(raw string) (value, fault string) {
 	var b strings.Builder
 	for rest := raw; ; {
@@ -184,12 +185,12 @@
 		}
 		j := strings.IndexByte(rest[i:], ')')
 		if j < 0 {
-			return "", fmt.Sprintf("opens a macro that it doesn't close: %q", clip(rest[i:]))
+			return "", fmt.Sprintf("opens a macro that it doesn't close: %q", truncate(rest[i:]))
 		}
 		name := strings.TrimSpace(rest[i+2 : i+j])
 		prop, ok := p.Get(name)
 		if !ok {
-			return "", fmt.Sprintf("names the macro %q, which nothing sets before it", clip(name))
+			return "", fmt.Sprintf("names the macro %q, which nothing sets before it", truncate(name))
 		}
 		b.WriteString(rest[:i])
 		b.WriteString(prop.Value)
@@ -204,11 +205,12 @@
 	return b.String(), ""
 }
 
-func clip(s string) string {
-	const most = 40
-	if len(s) <= most {
+// truncate shortens a text for messages.
+func truncate(s string) string {
+	const maxBytes = 40
+	if len(s) <= maxBytes {
 		return s
 	}
 	r := []rune(s)
-	return string(r[:min(len(r), most)]) + "..."
+	return string(r[:min(len(r), maxBytes)]) + "..."
 }
--- a/internal/apache/source_test.go
+++ b/internal/apache/source_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each text is read whole: what can be used as name=value, what can't as a fault, each at its place.
+// Each text is parsed completely: valid lines into name=value, the others into faults, each with its position.
 func TestProperties(t *testing.T) {
 	for name, x := range map[string]struct{ text, want string }{
 		"plain":        {"worker.list=a\n", `1:1 worker.list="a"`},
@@ -18,20 +18,24 @@
 		"latin-1":      {"a=caf\xe9", `1:1 a="café"`},
 		"equals":       {"a=b=c", `1:1 a="b=c"`},
 		"empty value":  {"a=", `1:1 a=""`},
-		"macro":        {"h=example\nworker.a.host=$(h).org\nb=$(worker.a.host)/$( h )", `1:1 h="example"` + "\n" + `2:1 worker.a.host="example.org"` + "\n" + `3:1 b="example.org/example"`},
-		"later wins":   {"h=1\nh=2\na=$(h)", `1:1 h="1"` + "\n" + `2:1 h="2"` + "\n" + `3:1 a="2"`},
-		"builds up":    {"h=1\nh=$(h)2", `1:1 h="1"` + "\n" + `2:1 h="12"`},
+		"macro": {"h=example\nworker.a.host=$(h).org\nb=$(worker.a.host)/$( h )",
+			`1:1 h="example"` + "\n" + `2:1 worker.a.host="example.org"` + "\n" + `3:1 b="example.org/example"`},
+		"later wins": {"h=1\nh=2\na=$(h)", `1:1 h="1"` + "\n" + `2:1 h="2"` + "\n" + `3:1 a="2"`},
+		"builds up":  {"h=1\nh=$(h)2", `1:1 h="1"` + "\n" + `2:1 h="12"`},
 
-		"unset macro":     {"a=$(b)\nb=1", `1:1 a: names the macro "b", which nothing sets before it` + "\n" + `2:1 b="1"`},
-		"itself":          {"a=$(a)", `1:1 a: names the macro "a", which nothing sets before it`},
-		"a cycle":         {"a=$(b)\nb=$(a)", `1:1 a: names the macro "b", which nothing sets before it` + "\n" + `2:1 b: names the macro "a", which nothing sets before it`},
-		"open macro":      {"a=$(b", `1:1 a: opens a macro that it doesn't close: "$(b"`},
-		"no value":        {"worker.list", `1:1 : is no name=value`},
-		"no name":         {"=x", `1:1 : has no name before =`},
-		"two words":       {"a b=x", `1:1 a b: has a name with a space in it`},
-		"nul":             {"a=b\x00c", `1:1 a: holds a NUL byte`},
-		"long":            {"a=" + strings.Repeat("x", 1<<20) + "\nb=1", `1:1 a: longer than 65536 bytes` + "\n" + `2:1 b="1"`},
-		"long, continued": {strings.Repeat("a="+strings.Repeat("x", 1000)+"\\\n", 100) + "\nb=1", `1:1 a: longer than 65536 bytes` + "\n" + `102:1 b="1"`},
+		"unset macro": {"a=$(b)\nb=1", `1:1 a: names the macro "b", which nothing sets before it` + "\n" + `2:1 b="1"`},
+		"itself":      {"a=$(a)", `1:1 a: names the macro "a", which nothing sets before it`},
+		"a cycle": {"a=$(b)\nb=$(a)", `1:1 a: names the macro "b", which nothing sets before it` + "\n" +
+			`2:1 b: names the macro "a", which nothing sets before it`},
+		"open macro": {"a=$(b", `1:1 a: opens a macro that it doesn't close: "$(b"`},
+		"no value":   {"worker.list", `1:1 : is not name=value`},
+		"no name":    {"=x", `1:1 : has no name before =`},
+		"two words":  {"a b=x", `1:1 a b: has a name with a space in it`},
+		"nul":        {"a=b\x00c", `1:1 a: holds a NUL byte`},
+		"long": {"a=" + strings.Repeat("x", 1<<20) + "\nb=1",
+			`1:1 a: longer than 65536 bytes` + "\n" + `2:1 b="1"`},
+		"long, continued": {strings.Repeat("a="+strings.Repeat("x", 1000)+"\\\n", 100) + "\nb=1",
+			`1:1 a: longer than 65536 bytes` + "\n" + `102:1 b="1"`},
 	} {
 		var p Properties
 		if err := p.Read("f", []byte(x.text)); err != nil {
@@ -52,7 +56,7 @@
 	}
 }
 
-// Macros that double each other's values end at the bound, not at the machine's memory.
+// Macros that double each other's values stop at the limit, before they exhaust the memory.
 func TestMacrosAreBounded(t *testing.T) {
 	text := "a0=xxxxxxxxxx\n"
 	for i := range 60 {
@@ -75,11 +79,11 @@
 		t.Fatal(faults)
 	}
 	if err := p.Read("f", make([]byte, MaxFile+1)); err == nil {
-		t.Fatal("a file without bounds")
+		t.Fatal("a file over the size limit was accepted")
 	}
 }
 
-// No text makes the reader panic, every logical line becomes one property, and values stay within bounds.
+// No text makes the parser panic, every logical line becomes one property, and values stay within the limit.
 func FuzzProperties(f *testing.F) {
 	for _, s := range []string{"worker.list=a\n", "a=$(b)\\\n", "\xef\xbb\xbf#\r\n=", "h=1\na=$(h)$(h)\n", "a=\x00\xff"} {
 		f.Add([]byte(s))
@@ -97,8 +101,9 @@
 			if len(v.Value) > MaxValue || v.Line < 1 || v.Col < 1 || i > 0 && v.Line <= p.All()[i-1].Line {
 				t.Fatalf("%+v", v)
 			}
-			if v.Fault == "" && strings.Contains(v.Raw, "$(") && strings.Contains(v.Value, "$(") && !strings.Contains(v.Raw, ")") {
-				t.Fatalf("a macro was left: %+v", v)
+			if v.Fault == "" && strings.Contains(v.Raw, "$(") && strings.Contains(v.Value, "$(") &&
+				!strings.Contains(v.Raw, ")") {
+				t.Fatalf("a macro was not expanded: %+v", v)
 			}
 		}
 	})
--- a/internal/apache/workers.go
+++ b/internal/apache/workers.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// kind says what a directive's value is.
+// kind is the type of a directive's value.
 type kind uint8
 
 const (
 	text   kind = iota
-	number      // not negative
-	signed
+	number      // a non-negative integer
+	signed      // an integer
 	boolean
-	list // of names, several lines add up
+	list // of names; the lists of several lines are concatenated
 )
 
-// directives are all of mod_jk's worker directives, of 1.2.50's reference, by name, with those that older versions had.
+// directives are all worker directives of mod_jk by name, from the reference of 1.2.50, and those of older versions.
 var directives = map[string]kind{
 	"type": text, "host": text, "port": number, "source": text, "secret": text, "prefer_ipv6": boolean,
 	"connection_pool_size": number, "connection_pool_minsize": number, "connection_pool_timeout": number,
@@ -33,43 +33,44 @@
 	"activation": text, "route": text, "redirect": text, "distance": signed, "domain": text, "mount": list,
 	"css": text, "ns": text, "xmlns": text, "doctype": text, "prefix": text, "good": text, "bad": text, "user": text,
 	"user_case_insensitive": boolean, "read_only": boolean, "nodes": list, "secretkey": text,
-	// of older versions
+	// from older versions
 	"balanced_workers": list, "jvm_route": text, "disabled": boolean, "stopped": boolean, "cachesize": number,
-	"cache_timeout": number, "recycle_timeout": number, "local_worker": boolean, "local_worker_only": boolean, "cache": number,
+	"cache_timeout": number, "recycle_timeout": number, "local_worker": boolean, "local_worker_only": boolean,
+	"cache": number,
 }
 
-// globals belong to no worker.
+// globals are the directives that belong to no worker.
 var globals = map[string]kind{"list": list, "maintain": number}
 
-// Setting is a directive of one worker as it holds for it.
+// Setting is a directive that applies to a worker.
 type Setting struct {
 	Property
-	From string // the worker whose own it is: another one where it came through reference
+	From string // the worker that sets it: a different one if it is inherited by reference
 }
 
-// Worker is one worker with what holds for it.
+// Worker is one worker with its own directives.
 type Worker struct {
 	Name   string
-	Listed bool // named by worker.list: requests may be sent to it
+	Listed bool // in worker.list: requests may be sent to it
 	own    map[string][]Property
 }
 
-// Workers is what one or several workers.properties files say.
+// Workers is the content of one or several workers.properties files.
 type Workers struct {
 	list   []*Worker // by name
 	byName map[string]*Worker
 	props  Properties
 	Global map[string][]Property
-	Faults []Property // every property that can't be used, with the reason
+	Faults []Property // all invalid properties, with the reasons
 }
 
-// ReadWorkers makes sense of properties. It fails for none: what can't be used stands in Faults, and every property is
-// either there, a global, or a worker's own.
+// ReadWorkers assigns properties to workers. Every property becomes a global or a directive of a worker, defines a
+// macro, or is added to Faults if it is invalid.
 func ReadWorkers(p Properties) *Workers {
 	w := &Workers{byName: map[string]*Worker{}, props: p, Global: map[string][]Property{}}
 	for _, prop := range p.All() {
 		if prop.Fault == "" {
-			prop.Fault = w.place(prop)
+			prop.Fault = w.assign(prop)
 		}
 		if prop.Fault != "" {
 			w.Faults = append(w.Faults, prop)
@@ -94,22 +95,22 @@
 	return x
 }
 
-// place gives a property to whom it belongs, or says why it can't.
-func (w *Workers) place(prop Property) (fault string) {
+// assign adds a property to the globals or to its worker, or returns why it is invalid.
+func (w *Workers) assign(prop Property) (fault string) {
 	if !strings.HasPrefix(prop.Name, "worker.") {
 		if strings.Contains(prop.Name, ".") {
-			return fmt.Sprintf("%q begins with no worker.", clip(prop.Name))
+			return fmt.Sprintf("%q does not start with worker.", truncate(prop.Name))
 		}
-		return "" // a macro's definition
+		return "" // defines a macro
 	}
 	rest := strings.TrimPrefix(prop.Name, "worker.")
 	i := strings.LastIndexByte(rest, '.')
 	if i < 0 {
 		k, ok := globals[rest]
 		if !ok {
-			return unknown(rest, globals)
+			return unknownDirective(rest, globals)
 		}
-		if fault = fits(k, prop.Value); fault == "" {
+		if fault = checkValue(k, prop.Value); fault == "" {
 			w.Global[rest] = append(w.Global[rest], prop)
 		}
 		return fault
@@ -117,55 +118,57 @@
 	name, directive := rest[:i], rest[i+1:]
 	k, ok := directives[directive]
 	if !ok {
-		return unknown(directive, directives)
+		return unknownDirective(directive, directives)
 	}
 	if name == "" || strings.Trim(name, "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_.") != "" {
-		return fmt.Sprintf("%q is no worker's name: letters, digits, - and _", clip(name))
+		return fmt.Sprintf("%q is not a valid worker name: use letters, digits, - and _", truncate(name))
 	}
-	if fault = fits(k, prop.Value); fault == "" {
+	if fault = checkValue(k, prop.Value); fault == "" {
 		x := w.worker(name)
 		x.own[directive] = append(x.own[directive], prop)
 	}
 	return fault
 }
 
-// fits says why a value is none of its kind.
-func fits(k kind, value string) string {
+// checkValue returns why a value is not of a kind, or "" if it is.
+func checkValue(k kind, value string) string {
 	digits := func(s string) bool { return s != "" && strings.Trim(s, "0123456789") == "" && len(s) <= 10 }
 	switch {
 	case k == number && !digits(value):
-		return fmt.Sprintf("%q is no number", clip(value))
+		return fmt.Sprintf("%q is not a number", truncate(value))
 	case k == signed && !digits(strings.TrimPrefix(value, "-")):
-		return fmt.Sprintf("%q is no number", clip(value))
-	case k == boolean && !slices.Contains([]string{"1", "0", "t", "f", "y", "n", "true", "false", "on", "off", "yes", "no"}, strings.ToLower(value)):
-		return fmt.Sprintf("%q is neither true nor false", clip(value))
+		return fmt.Sprintf("%q is not a number", truncate(value))
+	case k == boolean && !slices.Contains([]string{"1", "0", "t", "f", "y", "n", "true", "false", "on", "off", "yes",
+		"no"}, strings.ToLower(value)):
+		return fmt.Sprintf("%q is neither true nor false", truncate(value))
 	case k == list && len(Names(value)) == 0:
 		return "is an empty list"
 	}
 	return ""
 }
 
-// Names splits a list as mod_jk does: commas, spaces and tabs.
+// Names splits a list at commas, spaces and tabs, as mod_jk does.
 func Names(value string) []string {
 	return strings.FieldsFunc(value, func(r rune) bool { return r == ',' || r == ' ' || r == '\t' })
 }
 
-// unknown names a directive that isn't one, and the one that was meant if one letter makes the difference.
-func unknown(name string, known map[string]kind) string {
+// unknownDirective returns the fault of an unknown directive, with a known one as a suggestion if they differ by one
+// letter.
+func unknownDirective(name string, known map[string]kind) string {
 	best := ""
 	for k := range known {
-		if near(name, k) && (best == "" || k < best) {
+		if isOneEditAway(name, k) && (best == "" || k < best) {
 			best = k
 		}
 	}
 	if best != "" {
-		return fmt.Sprintf("%q is no directive of mod_jk; did you mean %q?", clip(name), best)
+		return fmt.Sprintf("%q is not a directive of mod_jk; did you mean %q?", truncate(name), best)
 	}
-	return fmt.Sprintf("%q is no directive of mod_jk", clip(name))
+	return fmt.Sprintf("%q is not a directive of mod_jk", truncate(name))
 }
 
-// near tells whether one letter more, less, other or swapped with its neighbour makes b of a.
-func near(a, b string) bool {
+// isOneEditAway reports whether a becomes b by adding, removing, replacing or swapping one letter with its neighbour.
+func isOneEditAway(a, b string) bool {
 	if len(a) > len(b) {
 		a, b = b, a
 	}
@@ -180,21 +183,21 @@
 		return a[i:] == b[i+1:]
 	}
 	if i == len(a) {
-		return false // the same
+		return false // equal
 	}
 	return a[i+1:] == b[i+1:] || i+1 < len(a) && a[i] == b[i+1] && a[i+1] == b[i] && a[i+2:] == b[i+2:]
 }
 
-// All lists the workers by name, those included that only a list names.
+// All returns the workers sorted by name, including those that only occur in a list.
 func (w *Workers) All() []*Worker { return w.list }
 
-// Settings is what holds for a worker: its own directives and, for those that it doesn't set, those of the worker that
-// it refers to, and so on. Of a list all lines add up; of the rest the last one holds, and the others are returned as
-// overridden. A chain that comes back to itself, or leads nowhere, is an error at the reference's place.
-func (w *Workers) Settings(name string) (held map[string][]Setting, overridden []Setting, err error) {
-	held = map[string][]Setting{}
+// Settings returns the directives that apply to a worker: its own, and for those that it does not set, the ones of the
+// worker that it refers to, and so on. The lines of a list are concatenated; of other directives the last one applies,
+// and the others are returned as overridden. A cyclic or dangling reference is an error with its position.
+func (w *Workers) Settings(name string) (effective map[string][]Setting, overridden []Setting, err error) {
+	effective = map[string][]Setting{}
 	if w.byName[name] == nil {
-		return held, nil, fmt.Errorf("there is no worker %q", clip(name))
+		return effective, nil, fmt.Errorf("there is no worker %q", truncate(name))
 	}
 	seen := map[string]bool{}
 	var path []string
@@ -203,7 +206,7 @@
 		seen[name] = true
 		path = append(path, name)
 		for directive, props := range x.own {
-			if _, set := held[directive]; set || directive == "reference" {
+			if _, set := effective[directive]; set || directive == "reference" {
 				continue
 			}
 			for i, p := range props {
@@ -212,7 +215,7 @@
 					overridden = append(overridden, s)
 					continue
 				}
-				held[directive] = append(held[directive], s)
+				effective[directive] = append(effective[directive], s)
 			}
 		}
 		refs := x.own["reference"]
@@ -223,13 +226,14 @@
 		name = strings.TrimPrefix(ref.Value, "worker.")
 		switch {
 		case seen[name]:
-			return held, overridden, fmt.Errorf("%v: reference: %s comes back to %s", ref.Pos, strings.Join(path, " -> "), name)
+			return effective, overridden, fmt.Errorf("%v: reference: %s refers back to %s", ref.Pos, strings.Join(path, " -> "),
+				name)
 		case w.byName[name] == nil:
-			return held, overridden, fmt.Errorf("%v: reference: there is no worker %q", ref.Pos, clip(name))
+			return effective, overridden, fmt.Errorf("%v: reference: there is no worker %q", ref.Pos, truncate(name))
 		}
 	}
 	slices.SortFunc(overridden, func(a, b Setting) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line))
 	})
-	return held, overridden, nil
+	return effective, overridden, nil
 }
--- a/internal/apache/workers_test.go
+++ b/internal/apache/workers_test.go
@@ -16,24 +16,24 @@
 	return ReadWorkers(p)
 }
 
-// What is wrong with a property is said with its place, a typo with what was meant, and all of them add up.
+// An invalid property is reported with its position, and a misspelt directive with a suggestion.
 func TestWorkerFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"worker.a.lbfactr=2":             `"lbfactr" is no directive of mod_jk; did you mean "lbfactor"?`,
+		"worker.a.lbfactr=2":             `"lbfactr" is not a directive of mod_jk; did you mean "lbfactor"?`,
 		"worker.a.hots=h":                `did you mean "host"?`,
 		"worker.a.prot=1":                `did you mean "port"?`,
-		"worker.a.weight=1":              `"weight" is no directive of mod_jk`,
+		"worker.a.weight=1":              `"weight" is not a directive of mod_jk`,
 		"worker.lst=a":                   `did you mean "list"?`,
-		"worker.a.port=80a":              `"80a" is no number`,
-		"worker.a.lbfactor=-1":           `"-1" is no number`,
+		"worker.a.port=80a":              `"80a" is not a number`,
+		"worker.a.lbfactor=-1":           `"-1" is not a number`,
 		"worker.a.sticky_session=maybe":  `neither true nor false`,
 		"worker.lb.balance_workers= , ":  `is an empty list`,
 		"worker.a b.port=1":              `a name with a space`,
-		"worker.a/b.port=1":              `is no worker's name`,
-		"wroker.a.port=1":                `begins with no worker.`,
-		"worker.a.lbfactor=99999999999":  `is no number`,
+		"worker.a/b.port=1":              `is not a valid worker name`,
+		"wroker.a.port=1":                `does not start with worker.`,
+		"worker.a.lbfactor=99999999999":  `is not a number`,
 		"worker.a.port=$(unset)":         `names the macro "unset"`,
-		"# only a comment\nworker.a.x.y": `is no name=value`,
+		"# only a comment\nworker.a.x.y": `is not name=value`,
 	} {
 		w := workers(t, text)
 		if len(w.Faults) != 1 || !strings.Contains(w.Faults[0].Fault, want) || w.Faults[0].Line == 0 {
@@ -45,23 +45,25 @@
 	}
 }
 
-// Lists add up over lines and files; of anything else the last line holds, and what it overrides is told.
+// Lists are concatenated over lines and files; of other directives the last line applies, and the overridden ones are
+// returned.
 func TestSettings(t *testing.T) {
 	w := workers(t, "worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=a\nworker.a.lbfactor=2\n",
-		"worker.lb.balance_workers=b,a\nworker.list=jk, more\nworker.a.lbfactor=3\nworker.t.port=8009\nworker.t.reference=base\n"+
+		"worker.lb.balance_workers=b,a\nworker.list=jk, more\nworker.a.lbfactor=3\n"+
+			"worker.t.port=8009\nworker.t.reference=base\n"+
 			"worker.base.host=h\nworker.base.port=1\nworker.a.reference=worker.t\nworker.base.balance_workers=x\n")
-	held, over, err := w.Settings("a")
-	if err != nil || len(over) != 1 || over[0].Pos.String() != "a:4:1" || over[0].Value != "2" {
-		t.Fatal(over, err)
+	effective, overridden, err := w.Settings("a")
+	if err != nil || len(overridden) != 1 || overridden[0].Pos.String() != "a:4:1" || overridden[0].Value != "2" {
+		t.Fatal(overridden, err)
 	}
 	for directive, want := range map[string]string{"lbfactor": "3 a", "port": "8009 t", "host": "h base"} {
-		if s := held[directive]; len(s) != 1 || s[0].Value+" "+s[0].From != want {
+		if s := effective[directive]; len(s) != 1 || s[0].Value+" "+s[0].From != want {
 			t.Errorf("%s: %+v, want %s", directive, s, want)
 		}
 	}
-	held, _, err = w.Settings("lb")
-	if err != nil || len(held["balance_workers"]) != 2 || held["balance_workers"][1].File != "b" {
-		t.Fatal(held, err)
+	effective, _, err = w.Settings("lb")
+	if err != nil || len(effective["balance_workers"]) != 2 || effective["balance_workers"][1].File != "b" {
+		t.Fatal(effective, err)
 	}
 	var listed []string
 	for _, x := range w.All() {
@@ -76,11 +78,11 @@
 
 func TestReferences(t *testing.T) {
 	if _, _, err := workers(t, "worker.a.host=h").Settings("b"); err == nil {
-		t.Error("a worker that nobody named")
+		t.Error("an unknown worker was accepted")
 	}
 	for text, want := range map[string]string{
-		"worker.a.reference=a": "f:1:1: reference: a comes back to a",
-		"worker.a.reference=b\nworker.b.reference=c\nworker.c.reference=b": "f:3:1: reference: a -> b -> c comes back to b",
+		"worker.a.reference=a": "f:1:1: reference: a refers back to a",
+		"worker.a.reference=b\nworker.b.reference=c\nworker.c.reference=b": "f:3:1: reference: a -> b -> c refers back to b",
 		"worker.a.reference=b": `f:1:1: reference: there is no worker "b"`,
 		"worker.a.reference=b\nworker.a.reference=worker.c\nworker.c.host=h\n": "",
 	} {
