--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -225,7 +225,7 @@
 }
 
 // collectLeaderHistories makes one balancer after the other the leader, by killing the current one, and reads the
-// history of each, up to the number of voters. Some balancers may not lead within the number of rounds, but most should;
+// history of each, up to the number of voters. Some balancers may not lead within the rounds, but most should;
 // the histories of those that did are judged.
 func (w *Scenario) collectLeaderHistories() (list []leaderHistory) {
 	for range 4 * w.Schedule.Balancers {
@@ -428,9 +428,9 @@
 	}
 	seconds := c.Duration.Seconds()
 	return fmt.Sprintf("| %s | %s | %.0f | %d | %d | %d | %d | %.2f / %.1f | "+
-		"%.1f | %.1f | %.1f | %d of %d | %d of %d | %d | %d | %d |", r.Schedule.Name, cmp.Or(r.Schedule.OnCut, "refuse"),
-		seconds,
-		c.Faults, c.Everywhere, c.Nowhere, c.Mixed, median.Seconds(), longest.Seconds(), float64(served)/seconds,
+		"%.1f | %.1f | %.1f | %d of %d | %d of %d | %d | %d | %d |",
+		r.Schedule.Name, cmp.Or(r.Schedule.OnCut, "refuse"), seconds, c.Faults, c.Everywhere, c.Nowhere, c.Mixed,
+		median.Seconds(), longest.Seconds(), float64(served)/seconds,
 		float64(refused)/seconds, float64(unanswered)/seconds,
 		c.Judged, c.Recovered, c.Equal, c.Rollbacks, c.Entries, c.Leaders, len(r.Broken))
 }
--- a/internal/faultinjection/content.go
+++ b/internal/faultinjection/content.go
@@ -37,7 +37,7 @@
 	return r
 }
 
-// isExcluded reports whether a server is in the comma-separated list out.
+// isExcluded reports whether a server is in the comma-separated list excluded.
 func isExcluded(excluded, server string) bool {
 	return slices.Contains(strings.Split(excluded, ","), server)
 }
--- a/internal/faultinjection/faults.go
+++ b/internal/faultinjection/faults.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// processFault is a fault that ends processes and starts them again when it is over. Before the start dir, if not nil,
-// changes the balancer's files.
+// processFault is a fault that ends processes and starts them again when it is over. Before the start,
+// beforeStart, if not nil, changes the balancer's files.
 func processFault(end func(w *Scenario, i int), beforeStart func(w *Scenario, i int)) func(*Scenario, Fault) func() {
 	return func(w *Scenario, f Fault) func() {
 		w.each(f.A, func(i int) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// linkFault is a fault that sets the behaviour of links, and marks the balancers as disturbed if terminals is set.
-func linkFault(links func(w *Scenario, f Fault) []*link, of func(f Fault) LinkFaults, disturbs bool) func(*Scenario,
-	Fault) func() {
+// linkFault is a fault that sets the behaviour of links, and marks the balancers as disturbed if disturbs is set.
+func linkFault(links func(w *Scenario, f Fault) []*link, of func(f Fault) LinkFaults,
+	disturbs bool) func(*Scenario, Fault) func() {
 	return func(w *Scenario, f Fault) func() {
 		list := links(w, f)
 		for _, l := range list {
@@ -207,11 +207,9 @@
 		d := time.Duration(f.Value * float64(time.Millisecond))
 		return LinkFaults{Delay: d / 2, Jitter: d, Duplicate: 0.2}
 	}, false)})
-	register("halves", kind{generate: func(rng *rand.Rand,
-		s *Schedule) Fault {
+	register("halves", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
 		return Fault{A: 1 + rng.IntN(max(1, s.Balancers-1))}
-	},
-		begin: linkFault(linksBetweenHalves, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
+	}, begin: linkFault(linksBetweenHalves, func(Fault) LinkFaults { return LinkFaults{Cut: true} }, false)})
 	register("region-late", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
 		f := randomServerLink(rng, s)
 		f.Value = 5 + 200*rng.Float64()
@@ -247,8 +245,7 @@
 			})
 			return func() {}
 		}})
-	register("region-drains", kind{generate: func(rng *rand.Rand,
-		s *Schedule) Fault {
+	register("region-drains", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
 		return Fault{B: 1 + rng.IntN(s.Regions)}
 	}, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
@@ -256,8 +253,7 @@
 			w.Discovery.Tell(name, "draining")
 			return func() { w.Discovery.Tell(name, "ready") }
 		}})
-	register("region-anew", kind{generate: func(rng *rand.Rand,
-		s *Schedule) Fault {
+	register("region-anew", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
 		return Fault{B: 1 + rng.IntN(s.Regions)}
 	}, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
--- a/internal/faultinjection/folders.go
+++ b/internal/faultinjection/folders.go
@@ -104,9 +104,9 @@
 	})
 }
 
-// limitFileSize bounds the size of the files that a process writes, at or below their present size: a write beyond the
-// bound fails, or is cut short if it crosses the bound. The process may exit because of it, and is started again
-// afterwards.
+// limitFileSize bounds the size of the files that a process writes to a fraction of the present size of its largest
+// file of the log: a write beyond the bound fails, or is cut short if it crosses the bound. The process may exit
+// because of it, and is started again afterwards.
 func limitFileSize(w *Scenario, f Fault) func() {
 	set := func(i int, limit uint64) {
 		w.mu.Lock()
--- a/internal/faultinjection/leader.go
+++ b/internal/faultinjection/leader.go
@@ -12,8 +12,7 @@
 func init() {
 	for name, as := range map[string]string{"leader-killed": "kill", "leader-stops": "stop", "leader-cut": "talk-cut",
 		"leader-unheard": "talk-one-way"} {
-		register(name, kind{needs: revisionsOn, generate: func(rng *rand.Rand,
-			s *Schedule) Fault {
+		register(name, kind{needs: revisionsOn, generate: func(rng *rand.Rand, s *Schedule) Fault {
 			return anyBalancer(rng, s)
 		}, begin: func(w *Scenario, f Fault) func() {
 			f.A = w.leader(f.A)
--- a/internal/faultinjection/newcomers.go
+++ b/internal/faultinjection/routing.go
@@ -70,9 +70,8 @@
 				"the last one ended %v before, the next one began %v after", e.By, e.Region,
 				e.At.Round(time.Millisecond), (e.At-last.To).Round(time.Millisecond), (next-e.At).Round(time.Millisecond)))
 		default:
-			broken = append(broken, fmt.Sprintf("%s routed a request to %s at %v, which its active revisions exclude:%s", e.By,
-				e.Region,
-				e.At.Round(time.Millisecond), active))
+			broken = append(broken, fmt.Sprintf("%s routed a request to %s at %v, which its active revisions exclude:%s",
+				e.By, e.Region, e.At.Round(time.Millisecond), active))
 		}
 	}
 	return broken[:min(len(broken), 5)]
--- a/internal/faultinjection/run.go
+++ b/internal/faultinjection/run.go
@@ -246,7 +246,7 @@
 	ends.Wait()
 }
 
-// settle waits until Settled of every invariant returns ""; after the time most it returns what is missing.
+// settle waits until Settled of every invariant returns ""; after the time limit it returns what is missing.
 func (w *Scenario) settle(invariants []Invariant, limit time.Duration) (missing string) {
 	for began := w.Now(); ; time.Sleep(30 * time.Millisecond) {
 		missing = ""
--- a/internal/faultinjection/world.go
+++ b/internal/faultinjection/world.go
@@ -413,7 +413,7 @@
 	w.record.endProcess(process, w.Now())
 }
 
-// terminate sends SIGTERM to a process of balancer i, and waits until it exits, for at most the time most. The time in
+// terminate sends SIGTERM to a process of balancer i, and waits until it exits, for at most the time limit. The time in
 // which the process is stopped does not count, and waits for processors are excused.
 func (w *Scenario) terminate(i, process int, p *fake.Process, limit time.Duration) error {
 	began := w.Now()
