--- a/internal/faultinjection/operators.go
+++ b/internal/faultinjection/operators.go
@@ -14,38 +14,40 @@
 	"oatloft/internal/revision"
 )
 
-// This file owns the operators of a fault run: calls from a script, each made as a tool makes it, with a key of its own, handed in
-// again after a lost answer, at another balancer where one is silent, and asked after until it is settled or has ended.
+// This file plays the operators of a fault run: calls from a script, each made as an operator's tool makes it. Each
+// request has its own key, is submitted again after a lost answer, at another balancer if one does not answer, and is
+// followed until it is settled or has ended.
 
 // Call is one operator's call in a schedule.
 type Call struct {
 	At    Span    `json:"at"`
 	Kind  string  `json:"kind"`            // propose, rollback, replace
 	To    int     `json:"to"`              // the balancer that is called, from 1
-	Also  int     `json:"also,omitempty"`  // the same request is handed to this one at the same time
-	Only  int     `json:"only,omitempty"`  // propose: all regions are left out but this one and the next
-	Out   int     `json:"out,omitempty"`   // propose: the region that is left out; replace: the voter
-	Back  int     `json:"back,omitempty"`  // rollback: so many revisions before the one in force; replace: who gets the vote
-	From  bool    `json:"from,omitempty"`  // only if what it sees in force still is
-	Lost  bool    `json:"lost,omitempty"`  // the first answer is not waited for
-	Again bool    `json:"again,omitempty"` // the same request is handed in again when all is known
-	Watch Span    `json:"watch,omitempty"`
-	Bytes float64 `json:"bytes,omitempty"` // of the links in the revision, a second
+	Also  int     `json:"also,omitempty"`  // a balancer that gets the same request at the same time
+	Only  int     `json:"only,omitempty"`  // propose: all servers are excluded except this one and the next
+	Out   int     `json:"out,omitempty"`   // propose: the excluded server; replace: the voter
+	Back  int     `json:"back,omitempty"`  // rollback: number of revisions before the one in force; replace: the new voter
+	From  bool    `json:"from,omitempty"`  // only if the revision in force has not changed
+	Lost  bool    `json:"lost,omitempty"`  // the operator does not wait for the first answer
+	Again bool    `json:"again,omitempty"` // the same request is submitted again once its outcome is known
+	Watch Span    `json:"watch,omitempty"` // how long the guard watches the change
+	Bytes float64 `json:"bytes,omitempty"` // capacity of the links in the revision, bytes per second
 }
 
-// Result is what an operator was told in the end.
+// Result is the outcome of a request, as its operator knows it in the end.
 type Result uint8
 
-// The results.
+// The results of requests.
 const (
 	Unknown  Result = iota // it may be settled or not
-	Settled                // as a revision
-	Refused                // something else is in force
-	Ended                  // nowhere, for a reason
-	Untaken                // it was never taken up: another one was pending, or it was turned down at once
-	Observed               // no operator's: found in the history
+	Settled                // it became a revision
+	Refused                // another revision is in force
+	Ended                  // it failed for a reason, and is in force nowhere
+	Rejected               // it was never accepted: another one was pending, or it was invalid
+	Observed               // a revision in the history that no operator requested
 )
 
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"unknown", "settled", "refused", "ended", "untaken", "observed"}[r]
 }
@@ -55,17 +57,17 @@
 	Key              string
 	Kind             string
 	From             int64  // -1 for whatever is in force
-	Out              string // regions left out, with commas between them
+	Out              string // excluded servers, separated by commas
 	Bytes            float64
 	Called, Returned time.Duration
 	Result           Result
 	Settled          uint64            // the revision's number
-	InForce          uint64            // where refused: what it was told is in force
+	InForce          uint64            // if refused: the revision reported as in force
 	Text             string            // the last answer
-	Again            management.Answer // what the same request was told later, without a text if it wasn't handed in again
+	Again            management.Answer // the answer when submitted again, without a text if it wasn't
 }
 
-// Ops are the operators' requests so far.
+// Ops returns the operators' requests so far.
 func (r *Record) Ops() (list []Op) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,12 +79,12 @@
 
 const (
 	callWait     = 1500 * time.Millisecond
-	operatorWait = 12 * time.Second // an operator goes on asking for so long what became of its request
+	operatorWait = 12 * time.Second // an operator queries the outcome of its request for this long
 )
 
-// operate plays one call, and tells what its operator was told.
-func (w *Scenario) operate(n int, c Call) Result {
-	o := &Op{Key: fmt.Sprintf("op%d-%d", n, w.options.Net), Kind: c.Kind, From: -1, Called: w.Now(), Returned: forEver}
+// playCall plays one call, and returns its result.
+func (w *Scenario) playCall(n int, c Call) Result {
+	o := &Op{Key: fmt.Sprintf("op%d-%d", n, w.options.Net), Kind: c.Kind, From: -1, Called: w.Now(), Returned: unbounded}
 	defer func() {
 		w.record.mu.Lock()
 		w.record.ops = append(w.record.ops, o)
@@ -96,7 +98,7 @@
 	inForce, known := w.inForce(to[0])
 	if c.From {
 		if !known {
-			o.Result, o.Returned = Untaken, w.Now()
+			o.Result, o.Returned = Rejected, w.Now()
 			return o.Result
 		}
 		o.From, from = int64(inForce), strconv.FormatUint(inForce, 10)
@@ -108,12 +110,13 @@
 	line := ""
 	switch c.Kind {
 	case "replace":
-		a, _ := callLine(w.manage(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)), 8*time.Second)
-		o.Result, o.Returned, o.Text = Untaken, w.Now(), a.Text
+		a, _ := callLine(w.managementAddr(to[0]), fmt.Sprintf("revision replace %s %s", w.name(c.Out-1), w.name(c.Back-1)),
+			8*time.Second)
+		o.Result, o.Returned, o.Text = Rejected, w.Now(), a.Text
 		return o.Result
 	case "rollback":
 		if !known || inForce == 0 {
-			o.Result, o.Returned = Untaken, w.Now()
+			o.Result, o.Returned = Rejected, w.Now()
 			return o.Result
 		}
 		of := max(1, int64(inForce)-int64(c.Back))
@@ -130,20 +133,20 @@
 		o.Bytes = c.Bytes
 		line = fmt.Sprintf("revision propose %s %s %s - op%d %s", o.Key, from, watch, n, body)
 	}
-	w.request(o, line, to, c.Lost)
+	w.submit(o, line, to, c.Lost)
 	if c.Again && (o.Result == Settled || o.Result == Ended) {
-		if a, err := callLine(w.manage(to[0]), line, callWait); err == nil {
+		if a, err := callLine(w.managementAddr(to[0]), line, callWait); err == nil {
 			o.Again = a
 		}
 	}
 	return o.Result
 }
 
-// request hands a line in until something is known of it, then asks what became of it.
-func (w *Scenario) request(o *Op, line string, to []int, lost bool) {
+// submit submits a line until a balancer accepts or answers it, then waits for the outcome.
+func (w *Scenario) submit(o *Op, line string, to []int, lost bool) {
 	end := w.Now() + operatorWait
 	for _, i := range to[1:] {
-		go func() { _, _ = callLine(w.manage(i), line, callWait) }()
+		go func() { _, _ = callLine(w.managementAddr(i), line, callWait) }()
 	}
 	for n := 0; w.Now() < end; n++ {
 		at := (to[0] + n) % w.Schedule.Balancers
@@ -151,18 +154,18 @@
 		if lost && n == 0 {
 			wait = time.Millisecond
 		}
-		a, err := callLine(w.manage(at), line, wait)
+		a, err := callLine(w.managementAddr(at), line, wait)
 		if o.Text = a.Text; err == nil {
-			if o.told(a); o.Result != Unknown {
+			if o.recordAnswer(a); o.Result != Unknown {
 				o.Returned = w.Now()
 				return
 			}
-			if !a.OK && !asksAgain(a.Text) {
-				o.Returned, o.Result = w.Now(), Untaken
+			if !a.OK && !isRetryable(a.Text) {
+				o.Returned, o.Result = w.Now(), Rejected
 				return
 			}
 		}
-		if err == nil && a.OK && w.follow(o, at, end) {
+		if err == nil && a.OK && w.awaitOutcome(o, at, end) {
 			return
 		}
 		if !pause(w.over, 50*time.Millisecond) {
@@ -171,11 +174,12 @@
 	}
 }
 
-// follow asks what became of a request that was taken up.
-func (w *Scenario) follow(o *Op, at int, end time.Duration) bool {
+// awaitOutcome queries the outcome of an accepted request.
+func (w *Scenario) awaitOutcome(o *Op, at int, end time.Duration) bool {
 	for n := 0; w.Now() < end; n++ {
-		if a, err := callLine(w.manage((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key, callWait); err == nil {
-			if o.told(a); o.Result != Unknown {
+		if a, err := callLine(w.managementAddr((at+n/3)%w.Schedule.Balancers), "revision outcome "+o.Key,
+			callWait); err == nil {
+			if o.recordAnswer(a); o.Result != Unknown {
 				o.Text, o.Returned = a.Text, w.Now()
 				return true
 			}
@@ -187,9 +191,9 @@
 	return true
 }
 
-func (w *Scenario) manage(i int) string { return w.launch(i).Management }
+func (w *Scenario) managementAddr(i int) string { return w.launch(i).Management }
 
-// callLine makes one call; err tells that no whole answer came.
+// callLine makes one call; err is set if no complete answer came.
 func callLine(addr, line string, wait time.Duration) (management.Answer, error) {
 	c, err := net.DialTimeout("tcp", addr, wait)
 	if err != nil {
@@ -209,11 +213,12 @@
 	return management.Answer{OK: sign == "+OK", Text: text}, nil
 }
 
-// DrawCalls draws what operators do in a fault run: a change every half second or so, from several sides.
-func DrawCalls(seed uint64, s *Schedule, links bool) (list []Call) {
+// GenerateCalls generates the operators' calls of a fault run: a change about every half second, at several balancers.
+func GenerateCalls(seed uint64, s *Schedule, links bool) (list []Call) {
 	rng := rand.New(rand.NewPCG(seed, 29))
 	for at := 0.1 + 0.3*rng.Float64(); at < s.Seconds; at += 0.1 + 0.8*rng.Float64() {
-		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose", To: 1 + rng.IntN(s.Balancers),
+		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose",
+			To:  1 + rng.IntN(s.Balancers),
 			Out: 1 + rng.IntN(s.Regions), From: rng.IntN(2) == 0, Lost: rng.IntN(4) == 0, Again: rng.IntN(4) == 0}
 		if rng.IntN(4) == 0 {
 			c.Also = 1 + rng.IntN(s.Balancers)
@@ -236,24 +241,24 @@
 	return list
 }
 
-// callKinds are the words that a schedule's calls may be of.
+// callKinds are the kinds of calls in a schedule.
 var callKinds = []string{"propose", "rollback", "replace"}
 
-// operators starts all calls of the schedule, each at its time.
-func (w *Scenario) operators(began time.Duration, all *sync.WaitGroup) {
+// startCalls starts all calls of the schedule, each at its time.
+func (w *Scenario) startCalls(began time.Duration, all *sync.WaitGroup) {
 	for n, c := range w.Schedule.Calls {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			if pause(w.over, max(0, began+time.Duration(c.At)-w.Now())) {
-				w.operate(n+1, c)
+				w.playCall(n+1, c)
 			}
 		}()
 	}
 }
 
-// revisionsSettle is how much longer all take to agree where revisions are on: a leader is voted for, waits for what an earlier
-// one may have granted, and a change that was pending ends by its deadline.
+// revisionsSettle returns the additional time to settle with revisions: a leader is elected, waits until the leases of
+// its predecessor have expired, and a pending change ends by its deadline.
 func (w *Scenario) revisionsSettle() time.Duration {
 	if !w.options.Revisions {
 		return 0
