--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// broken is the end of the exchange with the bench.
-type broken struct{ hint.Annotated }
+// linkError is the end of the exchange with the bench.
+type linkError struct{ hint.Annotated }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
@@ -36,14 +36,14 @@
 			return nil
 		}
 		if err != nil {
-			return &broken{hint.Annotated{What: "reading", Cause: err, Do: "see which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "reading", Cause: err, Do: "see which program is at the other end"}}
 		}
 		for _, e := range batch.Events {
 			switch what := e.What.(type) {
 			case *wire.Start:
 				b, err := policy.New(what.Config, what.Seed)
 				if err != nil {
-					return &broken{hint.Annotated{
+					return &linkError{hint.Annotated{
 						What:  fmt.Sprintf("starting instance %d", e.Instance),
 						Cause: err,
 						Do:    "see the settings that it was given",
@@ -64,7 +64,7 @@
 			}
 		}
 		if err := w.Flush(); err != nil {
-			return &broken{hint.Annotated{What: "writing", Cause: err, Do: "see which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "writing", Cause: err, Do: "see which program is at the other end"}}
 		}
 	}
 }
--- a/cmd/oatloft/admission_test.go
+++ b/cmd/oatloft/admission_test.go
@@ -33,30 +33,30 @@
  "memory":{"base":"16MiB","silent":"8KiB","transaction":"32KiB","max_share":0.8},
  "come_back":{"advise":true,"per_second":50,"least":"200ms","most":"2s"}}}`
 
-// rig is a balancer with admission in a world of its own.
-type rig struct {
+// harness is a balancer with admission in a world of its own.
+type harness struct {
 	*fake.World
 	t            *testing.T
 	dir          string
 	edge, config string
-	p            *fake.Process
+	process            *fake.Process
 	launch       fake.Launch
 	options      fake.Options
 }
 
-func newRig(t *testing.T, o fake.Options, l fake.Launch, edge ...string) *rig {
+func newHarness(t *testing.T, o fake.Options, l fake.Launch, edge ...string) *harness {
 	t.Helper()
 	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{World: w, t: t, dir: t.TempDir(), options: o}
+	r := &harness{World: w, t: t, dir: t.TempDir(), options: o}
 	t.Cleanup(func() {
-		if strings.Contains(r.p.Log(), "DATA RACE") || strings.Contains(r.p.Log(), "panic:") {
+		if strings.Contains(r.process.Log(), "DATA RACE") || strings.Contains(r.process.Log(), "panic:") {
 			t.Error("the balancer's own log tells of a fault")
 		}
 		if t.Failed() {
-			t.Log(r.p.Log())
+			t.Log(r.process.Log())
 		}
 		w.Close()
 	})
@@ -72,23 +72,23 @@
 	return r
 }
 
-func (r *rig) start() {
+func (r *harness) start() {
 	r.t.Helper()
 	var err error
-	if r.p, err = r.Start(r.launch); err != nil {
+	if r.process, err = r.Start(r.launch); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *rig) write(path, text string) {
+func (r *harness) write(path, text string) {
 	r.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// until waits for a condition.
-func (r *rig) until(what string, ok func() bool) {
+// waitFor waits for a condition.
+func (r *harness) waitFor(what string, ok func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -97,11 +97,11 @@
 	}
 }
 
-// stand has n terminals stand, each from an address and with a key of its own.
-func (r *rig) stand(n int, name string) (list []*fake.Terminal) {
+// establish has n terminals establish, each from an address and with a key of its own.
+func (r *harness) establish(n int, name string) (list []*fake.Terminal) {
 	r.t.Helper()
 	for i := range n {
-		t, err := r.Connect(fmt.Sprintf("127.30.%d.%d", i/8, i%8+1), r.p.Addr)
+		t, err := r.Connect(fmt.Sprintf("127.30.%d.%d", i/8, i%8+1), r.process.Addr)
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 	return list
 }
 
-func (r *rig) echo(list []*fake.Terminal) {
+func (r *harness) echoAll(list []*fake.Terminal) {
 	r.t.Helper()
 	for i, t := range list {
 		if err := t.Echo(3 * time.Second); err != nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// burst has n terminals ask at once and returns how often each answer came.
-func (r *rig) burst(n int, from func(i int) string, key string) map[string]int {
+// openConcurrently has n terminals ask at once and returns how often each answer came.
+func (r *harness) openConcurrently(n int, from func(i int) string, key string) map[string]int {
 	by := map[string]int{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -132,7 +132,7 @@
 		go func() {
 			defer wait.Done()
 			what := "no connection"
-			if t, err := r.Connect(from(i), r.p.Addr); err == nil {
+			if t, err := r.Connect(from(i), r.process.Addr); err == nil {
 				defer t.Break()
 				what = t.Open(fake.Ask{Key: fmt.Sprint(key, i)}).What
 			}
@@ -145,7 +145,7 @@
 	return by
 }
 
-func (r *rig) sound() {
+func (r *harness) checkInvariants() {
 	r.t.Helper()
 	if v := r.Violations(); v != "" {
 		r.t.Error(v)
@@ -156,13 +156,13 @@
 }
 
 // One address, thousands of connections, each kind of noise: others are served, and what is answered is a line.
-func TestOneNoisyAddress(t *testing.T) {
+func TestFloodFromOneAddress(t *testing.T) {
 	for _, kind := range []fake.Noise{fake.OpenClose, fake.OpenSilent, fake.OpenKeep, fake.OpenAsk, fake.OpenBytes} {
 		t.Run(string(kind), func(t *testing.T) {
-			r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
-			f := r.Flood(kind, 8, func(int) string { return "127.66.0.66" }, r.p.Addr)
-			r.until("a flood", func() bool { return f.Opened.Load() > 1000 })
-			g := r.Serve(fake.Customers(100), 50, 300*time.Millisecond, r.p.Addr)
+			r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
+			f := r.Flood(kind, 8, func(int) string { return "127.66.0.66" }, r.process.Addr)
+			r.waitFor("a flood", func() bool { return f.Opened.Load() > 1000 })
+			g := r.Serve(fake.Customers(100), 50, 300*time.Millisecond, r.process.Addr)
 			f.Stop()
 			if g.Share() < 0.99 || g.Cut > 0 {
 				t.Errorf("%d of %d served, %v, %d cut", g.Served, g.Asked, g.By, g.Cut)
@@ -170,44 +170,44 @@
 			if kind == fake.OpenKeep && f.Got.Load() > 16+8 { // what it held at once; a loop gives none back
 				t.Errorf("the noisy address got %d", f.Got.Load())
 			}
-			r.sound()
+			r.checkInvariants()
 		})
 	}
 }
 
 // 250 addresses that behave as one, while 55 % of all known clients reconnect within 0.8 s: those come first.
-func TestKnownClientsReconnectInAFlood(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64, Advice: true}, fake.Launch{Descriptors: 512})
+func TestKnownClientsReconnectDuringFlood(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64, Advice: true}, fake.Launch{Descriptors: 512})
 	customers := fake.Customers(100)
-	if g := r.Serve(customers, 100, 500*time.Millisecond, r.p.Addr); g.Served != 100 {
+	if g := r.Serve(customers, 100, 500*time.Millisecond, r.process.Addr); g.Served != 100 {
 		t.Fatal(g.By)
 	}
-	f := r.Flood(fake.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
-	r.until("strangers at their bound", func() bool { return f.Refused.Load() > 200 })
+	f := r.Flood(fake.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr)
+	r.waitFor("strangers at their bound", func() bool { return f.Refused.Load() > 200 })
 	back := customers[:55]
-	g := r.Serve(back, 55/0.8, 2*time.Second, r.p.Addr)
+	g := r.Serve(back, 55/0.8, 2*time.Second, r.process.Addr)
 	f.Stop()
 	if g.Served < len(back)-1 || g.Cut > 0 {
 		t.Errorf("%d of %d known clients served, %v, %d cut", g.Served, len(back), g.By, g.Cut)
 	}
-	r.sound()
+	r.checkInvariants()
 }
 
 // The limit is reached in the middle of a burst: each that asks gets one line, those who stand stay.
-func TestLimitInABurst(t *testing.T) {
+func TestDescriptorLimitInBurst(t *testing.T) {
 	for _, n := range []int{256, 512, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := newRig(t, fake.Options{Sockets: n, MemoryMB: 64}, fake.Launch{Descriptors: n})
-			standing := r.stand(20, "early")
-			by := r.burst(n, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
+			r := newHarness(t, fake.Options{Sockets: n, MemoryMB: 64}, fake.Launch{Descriptors: n})
+			standing := r.establish(20, "early")
+			by := r.openConcurrently(n, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
 			if by["UP"] == 0 || by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != n {
 				t.Error(by)
 			}
-			if held := r.p.Descriptors(); held > n {
+			if held := r.process.Descriptors(); held > n {
 				t.Error(held, "descriptors")
 			}
-			r.echo(standing)
-			r.sound()
+			r.echoAll(standing)
+			r.checkInvariants()
 		})
 	}
 }
@@ -215,46 +215,46 @@
 // The process runs out of descriptors long before the limit that it was told: somebody else holds most of them.
 // Dialing fails for transactions that were picked up; still each gets one line, and once there is room again
 // newcomers are served.
-func TestExhaustionBeforeTheLimit(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
-	standing := r.stand(10, "early")
-	by := r.burst(200, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
+func TestDescriptorsExhaustedBelowLimit(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
+	standing := r.establish(10, "early")
+	by := r.openConcurrently(200, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
 	if by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != 200 {
 		t.Error(by)
 	}
-	r.echo(standing)
-	if !strings.Contains(r.p.Log(), "no descriptor left") {
+	r.echoAll(standing)
+	if !strings.Contains(r.process.Log(), "no descriptor left") {
 		t.Error("it never ran out")
 	}
 	n := 0
-	r.until("served again", func() bool {
+	r.waitFor("served again", func() bool {
 		n++
-		c, err := r.Connect(fmt.Sprintf("127.41.%d.%d", n/8%250, n%8+1), r.p.Addr)
+		c, err := r.Connect(fmt.Sprintf("127.41.%d.%d", n/8%250, n%8+1), r.process.Addr)
 		if err != nil {
 			return false
 		}
 		defer c.Break()
 		return c.Open(fake.Ask{Key: "late"}).What == "UP"
 	})
-	r.sound()
+	r.checkInvariants()
 }
 
 // A transaction is picked up, and then the process has no descriptor for its routed task, though the ledger had set
 // one aside. A silent terminal makes room, and the dial, which waits for that, succeeds.
-func TestDialWaitsForADescriptor(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
+func TestDialWaitsForDescriptor(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
 	// Whether room is made before a dial needs it hangs on the scheduler: the burst comes again until one had to wait.
-	for n := 0; n < 40 && !strings.Contains(r.p.Log(), "a dial waits"); n++ {
+	for n := 0; n < 40 && !strings.Contains(r.process.Log(), "a dial waits"); n++ {
 		burstAtTheLimit(t, r)
 	}
-	if !strings.Contains(r.p.Log(), "a dial waits") {
+	if !strings.Contains(r.process.Log(), "a dial waits") {
 		t.Error("no dial had to wait")
 	}
-	r.sound()
+	r.checkInvariants()
 }
 
 // burstAtTheLimit fills the process with silent terminals, and has twelve of them ask at once.
-func burstAtTheLimit(t *testing.T, r *rig) {
+func burstAtTheLimit(t *testing.T, r *harness) {
 	t.Helper()
 	var silent []*fake.Terminal
 	defer func() {
@@ -264,13 +264,13 @@
 	}()
 	time.Sleep(50 * time.Millisecond) // connections from before are closed by then
 	// One after the other, up to what accepting needs in passing.
-	for n, had := 0, r.p.Descriptors(); had < 508; n, had = n+1, had+1 {
-		c, err := r.Connect(fmt.Sprintf("127.40.%d.%d", n/8, n%8+1), r.p.Addr)
+	for n, had := 0, r.process.Descriptors(); had < 508; n, had = n+1, had+1 {
+		c, err := r.Connect(fmt.Sprintf("127.40.%d.%d", n/8, n%8+1), r.process.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		silent = append(silent, c)
-		r.until("taken in", func() bool { return r.p.Descriptors() > had })
+		r.waitFor("taken in", func() bool { return r.process.Descriptors() > had })
 	}
 	var wait sync.WaitGroup
 	for _, c := range silent[len(silent)-12:] { // more dials at once than there are descriptors
@@ -287,13 +287,13 @@
 
 // The limit falls below what is in use by a reload: who stands stays, newcomers are refused until it rises again.
 // A file of settings that can't work changes nothing, nor does one that switches admission off.
-func TestReloadLowersTheLimit(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512})
-	standing := r.stand(60, "early")
+func TestReloadLowersLimit(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512})
+	standing := r.establish(60, "early")
 	reload := func(line string, times int) {
 		t.Helper()
-		r.p.Signal(syscall.SIGHUP)
-		r.until(line, func() bool { return strings.Count(r.p.Log(), line) >= times })
+		r.process.Signal(syscall.SIGHUP)
+		r.waitFor(line, func() bool { return strings.Count(r.process.Log(), line) >= times })
 	}
 	config := func(sockets int) {
 		r.options.Sockets = sockets
@@ -301,7 +301,7 @@
 	}
 	ask := func() string {
 		t.Helper()
-		c, err := r.Connect("127.41.0.1", r.p.Addr)
+		c, err := r.Connect("127.41.0.1", r.process.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +313,7 @@
 	if got := ask(); got != "BUSY" {
 		t.Error("below what is in use:", got)
 	}
-	r.echo(standing)
+	r.echoAll(standing)
 	good, _ := os.ReadFile(r.edge)
 	config(512)
 	r.write(r.edge, strings.Replace(string(good), `"max_silent":8`, `"max_silent":0`, 1))
@@ -325,48 +325,48 @@
 	reload("can't be switched on or off", 1)
 	r.write(r.edge, string(good))
 	reload("msg=reloaded", 2)
-	r.until("room", func() bool { return ask() == "UP" })
-	r.echo(standing)
-	r.sound()
+	r.waitFor("room", func() bool { return ask() == "UP" })
+	r.echoAll(standing)
+	r.checkInvariants()
 }
 
 // SIGTERM in a flood: every answer that is owed is given, and the program leaves.
-func TestLeaveInAFlood(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
+func TestShutdownDuringFlood(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
 	for _, region := range r.Regions {
 		region.SetDelay(200 * time.Millisecond) // there is something owed at any time
 	}
-	f := r.Flood(fake.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.p.Addr)
-	r.until("a flood", func() bool { return f.Got.Load() > 20 })
-	r.p.Signal(syscall.SIGTERM)
+	f := r.Flood(fake.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr)
+	r.waitFor("a flood", func() bool { return f.Got.Load() > 20 })
+	r.process.Signal(syscall.SIGTERM)
 	time.Sleep(400 * time.Millisecond) // so long the platform's front sends new ones
 	f.Stop()
-	if err := r.p.Over(10 * time.Second); err != nil {
+	if err := r.process.Over(10 * time.Second); err != nil {
 		t.Error(err)
 	}
-	r.sound()
+	r.checkInvariants()
 }
 
 // Who is known stays known across a restart; a damaged file is a line, and the balancer starts empty.
-func TestKnownAcrossARestart(t *testing.T) {
+func TestKnownClientsSurviveRestart(t *testing.T) {
 	known := filepath.Join(t.TempDir(), "known")
-	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256}, "$known", known)
-	if g := r.Serve(fake.Customers(20), 100, 500*time.Millisecond, r.p.Addr); g.Served != 20 {
+	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256}, "$known", known)
+	if g := r.Serve(fake.Customers(20), 100, 500*time.Millisecond, r.process.Addr); g.Served != 20 {
 		t.Fatal(g.By)
 	}
 	again := func(want string) {
 		t.Helper()
-		r.p.Signal(syscall.SIGTERM)
-		if err := r.p.Over(10 * time.Second); err != nil {
+		r.process.Signal(syscall.SIGTERM)
+		if err := r.process.Over(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 		r.start()
-		if !strings.Contains(r.p.Log(), want) {
-			t.Errorf("no %q in\n%s", want, r.p.Log())
+		if !strings.Contains(r.process.Log(), want) {
+			t.Errorf("no %q in\n%s", want, r.process.Log())
 		}
 	}
 	again(`msg="known clients restored" clients=20 of=20`)
-	r.p.Kill()
+	r.process.Kill()
 	body, err := os.ReadFile(known)
 	if err != nil {
 		t.Fatal(err)
@@ -374,12 +374,12 @@
 	body[100] ^= 1
 	r.write(known, string(body))
 	r.start()
-	if !strings.Contains(r.p.Log(), "known clients not restored") ||
-		!strings.Contains(r.p.Log(), "the checksum doesn't fit") {
-		t.Error(r.p.Log())
+	if !strings.Contains(r.process.Log(), "known clients not restored") ||
+		!strings.Contains(r.process.Log(), "the checksum doesn't fit") {
+		t.Error(r.process.Log())
 	}
-	if g := r.Serve(fake.Customers(5), 100, 100*time.Millisecond, r.p.Addr); g.Served != 5 {
+	if g := r.Serve(fake.Customers(5), 100, 100*time.Millisecond, r.process.Addr); g.Served != 5 {
 		t.Error(g.By)
 	}
-	r.sound()
+	r.checkInvariants()
 }
--- a/cmd/oatloft/faults_test.go
+++ b/cmd/oatloft/faults_test.go
@@ -64,17 +64,17 @@
 }
 
 // Without the section of the edge file no socket for others is opened, whatever else is on: the platform refuses it.
-func TestNoPeersUnlessTheEdgeFileSaysSo(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: free(t)})
+func TestNoPeersWithoutEdgeSection(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: freeAddress(t)})
 	if a := fake.Call(r.launch.Management, "peers"); !strings.HasPrefix(a, "-ERR peers are off") {
 		t.Errorf("peers: %q", a)
 	}
-	if n := r.p.Datagrams(); n != 0 {
+	if n := r.process.Datagrams(); n != 0 {
 		t.Errorf("%d UDP sockets", n)
 	}
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.8.4.9:0")
 	if err != nil {
--- a/cmd/oatloft/day_test.go
+++ b/cmd/oatloft/operations_test.go
@@ -22,7 +22,7 @@
 // service is a balancer as the operators' staff run it: a listening socket that the platform holds, and as many
 // processes on it as there are versions at work.
 type service struct {
-	*rig
+	*harness
 	listener *os.File
 	calls    int
 }
@@ -33,10 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{rig: &rig{World: w, t: t, dir: t.TempDir(), options: o}}
+	s := &service{harness: &harness{World: w, t: t, dir: t.TempDir(), options: o}}
 	t.Cleanup(func() {
-		if s.p != nil && t.Failed() {
-			t.Log(s.p.Log())
+		if s.process != nil && t.Failed() {
+			t.Log(s.process.Log())
 		}
 		w.Close()
 	})
@@ -71,7 +71,7 @@
 	}
 	s.launch.Management = l.Addr().String()
 	_ = l.Close()
-	old = s.p
+	old = s.process
 	s.start()
 	return old
 }
@@ -84,38 +84,38 @@
 	}
 }
 
-// out has a region left out, and the checker hold the balancer to it.
-func (s *service) out(region string) {
+// startMaintenance has a region left startMaintenance, and the checker hold the balancer to it.
+func (s *service) startMaintenance(region string) {
 	s.t.Helper()
 	s.call("maint-on "+region, "+OK")
 	s.Saw(rules.Told, "", region, "draining")
 }
 
-func (s *service) back(region string) {
+func (s *service) endMaintenance(region string) {
 	s.t.Helper()
 	s.Saw(rules.Told, "", region, "ready")
 	s.call("maint-off "+region, "+OK")
 }
 
-func (s *service) sound() {
+func (s *service) checkInvariants() {
 	s.t.Helper()
 	if v := s.Violations(); v != "" {
 		s.t.Error(v)
 	}
 }
 
-// ask opens a transaction and closes it; it returns the region that took it, or the answer.
-func (s *service) ask(key string) string {
+// openOnce opens a transaction and closes it; it returns the region that took it, or the answer.
+func (s *service) openOnce(key string) string {
 	s.t.Helper()
 	c, err := s.Connect("", s.launch.Addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer c.Break()
-	return where(c.Open(fake.Ask{Key: strings.ReplaceAll(key, " ", "-")}))
+	return serverOrAnswer(c.Open(fake.Ask{Key: strings.ReplaceAll(key, " ", "-")}))
 }
 
-func where(a fake.Answer) string {
+func serverOrAnswer(a fake.Answer) string {
 	if receipt, up := strings.CutPrefix(a.Line, "UP "); up {
 		region, _, _ := strings.Cut(receipt, "-")
 		return region
@@ -135,7 +135,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if where(c.Open(fake.Ask{Key: fmt.Sprint("s", i)})) == "r1" {
+		if serverOrAnswer(c.Open(fake.Ask{Key: fmt.Sprint("s", i)})) == "r1" {
 			at++
 			standing = append(standing, c)
 		}
@@ -143,8 +143,8 @@
 	if at == 0 {
 		t.Fatal("nobody stands at r1")
 	}
-	s.out("r1")
-	s.out("r1") // calls out may come more than once
+	s.startMaintenance("r1")
+	s.startMaintenance("r1") // calls out may come more than once
 	for _, c := range standing {
 		if err := c.Moved(3 * time.Second); err != nil {
 			t.Fatal("a terminal at the region left out:", err)
@@ -154,28 +154,28 @@
 		s.Discovery.Tell("r1", health)
 		s.Saw(rules.Told, "", "r1", "draining") // what discovery says is not what holds
 		for i := range 15 {
-			if got := s.ask(fmt.Sprint(health, i)); got == "r1" || !strings.HasPrefix(got, "r") {
+			if got := s.openOnce(fmt.Sprint(health, i)); got == "r1" || !strings.HasPrefix(got, "r") {
 				t.Fatalf("discovery says %s: %s", health, got)
 			}
 		}
 	}
 	for _, r := range []string{"r2", "r3", "r4"} {
-		s.out(r)
+		s.startMaintenance(r)
 	}
 	time.Sleep(600 * time.Millisecond)
-	if got := s.ask("none left"); got != "BUSY" && got != "ERR" {
+	if got := s.openOnce("none left"); got != "BUSY" && got != "ERR" {
 		t.Fatal("with all regions left out:", got)
 	}
-	s.back("r1")
-	s.until("r1 is used again", func() bool { return s.ask("back") == "r1" })
+	s.endMaintenance("r1")
+	s.waitFor("r1 is used again", func() bool { return s.openOnce("back") == "r1" })
 	if err := os.RemoveAll(s.dir); err != nil {
 		t.Fatal(err)
 	}
 	s.call("maint-on r1", "-ERR nothing changed: handover") // it can't be kept: nothing has changed
-	if got := s.ask("still"); got != "r1" {
+	if got := s.openOnce("still"); got != "r1" {
 		t.Fatal("after a no:", got)
 	}
-	s.sound()
+	s.checkInvariants()
 }
 
 // A drained balancer says no to the front, serves who comes all the same, has standing terminals make way in time
@@ -202,7 +202,7 @@
 			t.Fatal("PING in standby:", got)
 		}
 		s.call("status", "-ERR standby")
-		if got := s.ask("on the way"); !strings.HasPrefix(got, "r") {
+		if got := s.openOnce("on the way"); !strings.HasPrefix(got, "r") {
 			t.Fatal("who comes all the same:", got)
 		}
 		for i, c := range standing {
@@ -221,7 +221,7 @@
 			t.Fatal("PING after active:", got)
 		}
 		s.call("status", "+OK")
-		s.sound()
+		s.checkInvariants()
 	}
 }
 
@@ -229,7 +229,7 @@
 // so; standing terminals are moved and come back where they stood; the old process leaves early and by itself.
 func TestUpgrade(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
-	s.out("r2")
+	s.startMaintenance("r2")
 	time.Sleep(600 * time.Millisecond)
 	stood := map[string]string{}
 	standing := map[string]*fake.Terminal{}
@@ -239,7 +239,7 @@
 			t.Fatal(err)
 		}
 		standing[key] = c
-		return where(c.Open(fake.Ask{Key: key}))
+		return serverOrAnswer(c.Open(fake.Ask{Key: key}))
 	}
 	for i := range 40 {
 		key := fmt.Sprint("k", i)
@@ -311,8 +311,8 @@
 		s.write(filepath.Join(s.dir, "oatloft-n1-"+name+".json"), `{"form":"oatloft","version":9}`)
 	}
 	old := s.upgrade()
-	if strings.Count(s.p.Log(), "not read") != 2 {
-		t.Error("files of a later version:", s.p.Log())
+	if strings.Count(s.process.Log(), "not read") != 2 {
+		t.Error("files of a later version:", s.process.Log())
 	}
 	old.Signal(syscall.SIGTERM)
 	if err := old.Over(4 * time.Second); err != nil {
@@ -321,7 +321,7 @@
 	// One that can't start leaves the other at work.
 	bad := s.launch
 	bad.Config, bad.Management = filepath.Join(s.dir, "none.json"), ""
-	if out, err := run(bad); err == nil || strings.Count(out, "\n") != 1 {
+	if out, err := runToExit(bad); err == nil || strings.Count(out, "\n") != 1 {
 		t.Errorf("a configuration that isn't there: %v %q", err, out)
 	}
 	stop.Store(true)
@@ -329,11 +329,11 @@
 	if asked.Load() < 100 {
 		t.Error("little traffic:", asked.Load())
 	}
-	s.sound()
+	s.checkInvariants()
 }
 
-// run starts a balancer that is not expected to last, and returns what it wrote.
-func run(l fake.Launch, env ...string) (string, error) {
+// runToExit starts a balancer that is not expected to last, and returns what it wrote.
+func runToExit(l fake.Launch, env ...string) (string, error) {
 	cmd := exec.Command(l.Binary, "serve", "--config", l.Config)
 	cmd.Env = append(append(os.Environ(), l.Env...), "PROXY_FD=3")
 	cmd.Env = append(cmd.Env, env...)
@@ -347,7 +347,7 @@
 }
 
 // A descriptor that can't be what it should ends the start with one line, and so does an operators' address.
-func TestInheritedFaults(t *testing.T) {
+func TestInvalidInheritedDescriptor(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64})
 	file, err := os.Open(s.config)
 	if err != nil {
@@ -379,13 +379,13 @@
 	} {
 		l := s.launch
 		l.Listener = x.file
-		out, err := run(l, x.env)
+		out, err := runToExit(l, x.env)
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(out, "\n") != 1 || !strings.Contains(out, x.want) {
 			t.Errorf("%s: %v, %q", x.env, err, out)
 		}
 	}
-	if got := s.ask("still served"); !strings.HasPrefix(got, "r") {
+	if got := s.openOnce("still served"); !strings.HasPrefix(got, "r") {
 		t.Error(got)
 	}
 }
@@ -419,24 +419,24 @@
 
 // Who asked while the process stood still has waited since then: its answer comes within the time that it waits,
 // counted from its asking, also where no region answers.
-func TestAskedWhileItStoodStill(t *testing.T) {
-	r := newRig(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: free(t)})
+func TestRequestWhileSuspended(t *testing.T) {
+	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: freeAddress(t)})
 	for _, g := range r.Regions {
 		g.Set(fake.Stalled)
 	}
-	r.p.Signal(syscall.SIGSTOP)
-	c, err := r.Connect("", r.p.Addr)
+	r.process.Signal(syscall.SIGSTOP)
+	c, err := r.Connect("", r.process.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Break()
-	time.AfterFunc(1200*time.Millisecond, func() { r.p.Signal(syscall.SIGCONT) })
+	time.AfterFunc(1200*time.Millisecond, func() { r.process.Signal(syscall.SIGCONT) })
 	c.After = 4 * time.Second
 	c.Excuse = func(fake.Answer) bool { return true }
 	if a := c.Open(fake.Ask{Key: "k"}); a.What != "ERR" && a.What != "BUSY" {
 		t.Errorf("%+v", a)
 	}
-	d, err := r.Connect("", r.p.Addr) // who asks now has waited for nothing
+	d, err := r.Connect("", r.process.Addr) // who asks now has waited for nothing
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/oatloft/restart_test.go
+++ b/cmd/oatloft/restart_test.go
@@ -16,8 +16,8 @@
 	"oatloft/internal/fake"
 )
 
-// restartWait is how long these tests wait for what has to come. It is no bound that a rule sets.
-const restartWait = 30 * time.Second
+// restartTimeout is how long these tests wait for what has to come. It is no bound that a rule sets.
+const restartTimeout = 30 * time.Second
 
 // newRestartWorld is a world with so many regions, and the options for its balancers.
 func newRestartWorld(t *testing.T, regions int) (*fake.World, fake.Options) {
@@ -30,9 +30,9 @@
 	return w, fake.Options{Sockets: 512, MemoryMB: 64}
 }
 
-// restartConfig writes a balancer's configuration, with known in place of what it would know of the regions (""
+// writeRestartConfig writes a balancer's configuration, with known in place of what it would know of the regions (""
 // leaves it).
-func restartConfig(t *testing.T, w *fake.World, name string, o fake.Options, known string) fake.Launch {
+func writeRestartConfig(t *testing.T, w *fake.World, name string, o fake.Options, known string) fake.Launch {
 	t.Helper()
 	path, addr, err := w.WriteConfig(t.TempDir(), name, "127.8.5.1", o)
 	if err != nil {
@@ -58,11 +58,11 @@
 	return fake.Launch{Binary: os.Args[0], Config: path, Addr: addr}
 }
 
-// restartServes waits until a balancer serves a client: the first requests may be turned away.
-func restartServes(t *testing.T, w *fake.World, addr string) {
+// waitUntilServing waits until a balancer serves a client: the first requests may be turned away.
+func waitUntilServing(t *testing.T, w *fake.World, addr string) {
 	t.Helper()
 	last := ""
-	for end := time.Now().Add(restartWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(restartTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		c, err := w.Connect("", addr)
 		if err != nil {
 			last = err.Error()
@@ -99,7 +99,7 @@
 
 // A balancer is ready at once whatever discovery does, and serves by the list that it knows: Start fails where no
 // PONG comes within 10 s.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+func TestReadyWithoutDiscovery(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	closed, err := net.Listen("tcp", "127.8.5.2:0")
 	if err != nil {
@@ -110,14 +110,14 @@
 		for _, known := range []string{"", "null"} {
 			t.Run(fmt.Sprintf("%s, known %q", name, known), func(t *testing.T) {
 				o.Discovery = discovery
-				l := restartConfig(t, w, "n1", o, known)
+				l := writeRestartConfig(t, w, "n1", o, known)
 				p, err := w.Start(l)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer p.Kill()
 				if known == "" {
-					restartServes(t, w, l.Addr)
+					waitUntilServing(t, w, l.Addr)
 				} else if c, err := w.Connect("", l.Addr); err != nil {
 					t.Error(err)
 				} else if a := c.Open(fake.Ask{Key: "k"}); a.What == "UP" || a.Line == "" {
@@ -129,7 +129,7 @@
 }
 
 // A balancer that knows nobody, or by an old list only regions that are gone, serves once discovery can be asked.
-func TestServesOnceDiscoveryIsBack(t *testing.T) {
+func TestServesAfterDiscoveryReturns(t *testing.T) {
 	for name, known := range map[string]string{"no list": "null", "an old list": `{"seq":0,"whole":true,"hosts":[
 		{"host":"gone","dial":"127.8.5.3:1","site":"here","class":"m","block":0,"health":"ready","share":1,"born_ms":0}]}`} {
 		t.Run(name, func(t *testing.T) {
@@ -137,25 +137,25 @@
 			w.Discovery.Cut(true)
 			w.Discovery.Tell("r1", "ready") // its list is newer than none
 			w.Discovery.Tell("r2", "ready")
-			l := restartConfig(t, w, "n1", o, known)
+			l := writeRestartConfig(t, w, "n1", o, known)
 			p, err := w.Start(l)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer p.Kill()
 			w.Discovery.Cut(false)
-			restartServes(t, w, l.Addr)
+			waitUntilServing(t, w, l.Addr)
 		})
 	}
 }
 
 // All balancers may be restarted at once: each is ready, and serves.
-func TestAllAreRestartedAtOnce(t *testing.T) {
+func TestAllRestartedAtOnce(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	o.Balancers = 4
 	launches := make([]fake.Launch, o.Balancers)
 	for i := range launches {
-		launches[i] = restartConfig(t, w, fmt.Sprint("n", i), o, "")
+		launches[i] = writeRestartConfig(t, w, fmt.Sprint("n", i), o, "")
 	}
 	all := func() (list []*fake.Process) {
 		var wait sync.WaitGroup
@@ -181,13 +181,13 @@
 	for _, p := range all() {
 		p.Signal(syscall.SIGTERM)
 		defer func() {
-			if err := p.Over(restartWait); err != nil {
+			if err := p.Over(restartTimeout); err != nil {
 				t.Error(err)
 			}
 		}()
 	}
 	for _, l := range launches { // the addresses are free again once each has left
-		for end := time.Now().Add(restartWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(restartTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", l.Addr)
 			if err != nil {
 				break
@@ -196,25 +196,25 @@
 		}
 	}
 	for i, p := range all() {
-		restartServes(t, w, launches[i].Addr)
+		waitUntilServing(t, w, launches[i].Addr)
 		p.Kill()
 	}
 }
 
-// cuedRegion answers requests on cue, and probes at once.
-type cuedRegion struct {
+// manualServer answers requests on cue, and probes at once.
+type manualServer struct {
 	addr  string
-	asked chan net.Conn // a request has been read
+	opened chan net.Conn // a request has been read
 }
 
-func newCuedRegion(t *testing.T) *cuedRegion {
+func newManualServer(t *testing.T) *manualServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.8.5.4:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	r := &cuedRegion{l.Addr().String(), make(chan net.Conn, 9)}
+	r := &manualServer{l.Addr().String(), make(chan net.Conn, 9)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -230,7 +230,7 @@
 						return
 					}
 					if strings.HasPrefix(line, "OPEN ") {
-						r.asked <- c
+						r.opened <- c
 						return
 					}
 					fmt.Fprint(c, "PONG latency_ms=3.5,inflight=1,x0=0.2\r\n")
@@ -243,16 +243,16 @@
 
 // Signals come in all orders, and more than once, while a request is out: it gets its one answer, and the process
 // ends by itself with 0. Each answer is given on cue, after the last signal.
-func TestSignalsWhileARequestIsOut(t *testing.T) {
+func TestSignalsDuringUnansweredRequest(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGINT, syscall.SIGTERM},
 		{syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(fmt.Sprint(signals), func(t *testing.T) {
 			w, o := newRestartWorld(t, 1)
-			region := newCuedRegion(t)
+			region := newManualServer(t)
 			o.PassThrough, o.Dial, o.Discovery = true, map[string]string{"r1": region.addr}, silentDiscovery(t)
-			l := restartConfig(t, w, "n1", o, "")
+			l := writeRestartConfig(t, w, "n1", o, "")
 			p, err := w.Start(l)
 			if err != nil {
 				t.Fatal(err)
@@ -267,12 +267,12 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = c.Close() }()
-			_ = c.SetDeadline(time.Now().Add(restartWait))
+			_ = c.SetDeadline(time.Now().Add(restartTimeout))
 			fmt.Fprint(c, "OPEN 1 k c=chat,t=acme,d=60000\r\n")
 			var task net.Conn
 			select {
-			case task = <-region.asked:
-			case <-time.After(restartWait):
+			case task = <-region.opened:
+			case <-time.After(restartTimeout):
 				t.Fatal("nobody asked the region")
 			}
 			for _, s := range signals {
@@ -289,7 +289,7 @@
 			if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 				t.Errorf("behind the answer %q, %v", rest, err)
 			}
-			if err := p.Over(restartWait); err != nil {
+			if err := p.Over(restartTimeout); err != nil {
 				t.Error("how it ended:", err)
 			}
 		})
--- a/cmd/oatloft/revisions_test.go
+++ b/cmd/oatloft/revisions_test.go
@@ -23,7 +23,7 @@
 	t        *testing.T
 	dir      string
 	launches []fake.Launch
-	p        []*fake.Process
+	processes        []*fake.Process
 }
 
 const clusterLease = 1200 * time.Millisecond
@@ -35,10 +35,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{World: w, t: t, dir: t.TempDir(), p: make([]*fake.Process, n)}
+	c := &cluster{World: w, t: t, dir: t.TempDir(), processes: make([]*fake.Process, n)}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for i, p := range c.p {
+			for i, p := range c.processes {
 				if p != nil {
 					log := p.Log()
 					t.Logf("b%d:\n%s", i+1, log[max(0, len(log)-4000):])
@@ -49,7 +49,7 @@
 	})
 	var members []edgeconfig.Candidate
 	for i := range n {
-		members = append(members, edgeconfig.Candidate{Name: fmt.Sprint("b", i+1), Addr: freeAt(t, net)})
+		members = append(members, edgeconfig.Candidate{Name: fmt.Sprint("b", i+1), Addr: freeAddressAt(t, net)})
 	}
 	for i := range n {
 		name := members[i].Name
@@ -91,7 +91,7 @@
 		}
 		c.launches = append(
 			c.launches,
-			fake.Launch{Binary: os.Args[0], Config: config, Addr: addr, Management: freeAt(t, net),
+			fake.Launch{Binary: os.Args[0], Config: config, Addr: addr, Management: freeAddressAt(t, net),
 				Args: []string{"--edge", file}, Env: []string{"TMPDIR=" + dir}},
 		)
 	}
@@ -100,8 +100,8 @@
 
 var ports atomic.Int32
 
-// freeAt is an address that nobody else takes: below the ports that the system deals out by itself.
-func freeAt(t *testing.T, net_ int) string {
+// freeAddressAt is an address that nobody else takes: below the ports that the system deals out by itself.
+func freeAddressAt(t *testing.T, net_ int) string {
 	t.Helper()
 	for range 100 {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.2:%d", net_, 9500+ports.Add(1)))
@@ -118,7 +118,7 @@
 func (c *cluster) start(which ...int) {
 	c.t.Helper()
 	if len(which) == 0 {
-		for i := range c.p {
+		for i := range c.processes {
 			which = append(which, i)
 		}
 	}
@@ -126,7 +126,7 @@
 	for _, i := range which {
 		go func() {
 			p, err := c.Start(c.launches[i])
-			c.p[i] = p
+			c.processes[i] = p
 			for end := time.Now().Add(15 * time.Second); err == nil; time.Sleep(10 * time.Millisecond) {
 				if answer := fake.Call(c.launches[i].Management, "status"); strings.HasPrefix(answer, "+OK") {
 					break
@@ -167,12 +167,12 @@
 		`{"oatloft_revision":1,"note":"","classes":[],"tenants":[],"regions":[{"id":%q,"out":true,"weight":0}],"zones":[],"budgets":{"retries":0,"setups":0,"cold":0},"moves":{"per_second":0},"links":[]}`,
 		out,
 	)
-	c.handIn(i, fmt.Sprintf("revision propose %s %s - - tester %s", key, from, body))
+	c.submit(i, fmt.Sprintf("revision propose %s %s - - tester %s", key, from, body))
 }
 
-// handIn repeats a call with the same key until it is taken, as operators' tools do: who leads may be unknown for a
+// submit repeats a call with the same key until it is taken, as operators' tools do: who leads may be unknown for a
 // moment.
-func (c *cluster) handIn(i int, line string) {
+func (c *cluster) submit(i int, line string) {
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -184,8 +184,8 @@
 	c.t.Fatalf("b%d: %.60s: %q", i+1, line, text)
 }
 
-// settled waits until what became of a proposal is known at balancer i.
-func (c *cluster) settled(i int, key, want string, within time.Duration) string {
+// waitSettled waits until what became of a proposal is known at balancer i.
+func (c *cluster) waitSettled(i int, key, want string, within time.Duration) string {
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -198,8 +198,8 @@
 	return ""
 }
 
-// follows waits until balancer i says that it goes by a revision.
-func (c *cluster) follows(i int, number string, within time.Duration) {
+// waitInForce waits until balancer i says that it goes by a revision.
+func (c *cluster) waitInForce(i int, number string, within time.Duration) {
 	c.t.Helper()
 	text := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -211,8 +211,8 @@
 	c.t.Fatalf("b%d: %q, not at work by %s within %v", i+1, text, number, within)
 }
 
-// ask has n newcomers ask balancer i, and counts answers and regions.
-func (c *cluster) ask(i, n int) map[string]int {
+// openMany has n newcomers openMany balancer i, and counts answers and regions.
+func (c *cluster) openMany(i, n int) map[string]int {
 	c.t.Helper()
 	at := map[string]int{}
 	for k := range n {
@@ -221,7 +221,7 @@
 			at["none"]++
 			continue
 		}
-		at[where(x.Open(fake.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
+		at[serverOrAnswer(x.Open(fake.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
 		x.Break()
 	}
 	return at
@@ -230,11 +230,11 @@
 // Guards: a balancer takes nobody before it knows what is in force; a change is in force at all or nowhere,
 // whichever balancer it is handed in at; one that starts later goes by it from its first newcomer; the same key
 // makes one revision.
-func TestOneRevisionForAll(t *testing.T) {
+func TestAllBalancersUseOneRevision(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 20)
 	alone := make(chan error, 1)
-	go func() { p, err := c.Start(c.launches[0]); c.p[0] = p; alone <- err }()
+	go func() { p, err := c.Start(c.launches[0]); c.processes[0] = p; alone <- err }()
 	time.Sleep(1200 * time.Millisecond)
 	if got := fake.Ping(c.launches[0].Addr); got != "NO" {
 		t.Errorf("PING before anything is known of what is in force: %q", got)
@@ -242,7 +242,7 @@
 	if a := fake.Call(c.launches[0].Management, "status"); !strings.HasPrefix(a, "-ERR") {
 		t.Errorf("status before anything is known: %q", a)
 	}
-	if at := c.ask(0, 3); at["BUSY"] != 3 {
+	if at := c.openMany(0, 3); at["BUSY"] != 3 {
 		t.Errorf("newcomers before anything is known: %v", at)
 	}
 	c.start(1, 2)
@@ -251,10 +251,10 @@
 	}
 	c.propose(1, "k1", "0", "r1")
 	c.propose(2, "k1", "0", "r1")
-	c.settled(0, "k1", "settled 1 ", 3*time.Second)
+	c.waitSettled(0, "k1", "settled 1 ", 3*time.Second)
 	for i := range 3 {
-		c.follows(i, "1", time.Second)
-		if at := c.ask(i, 30); at["r1"] > 0 || at["r2"]+at["r3"]+at["r4"] != 30 {
+		c.waitInForce(i, "1", time.Second)
+		if at := c.openMany(i, 30); at["r1"] > 0 || at["r2"]+at["r3"]+at["r4"] != 30 {
 			t.Errorf("b%d, without r1: %v", i+1, at)
 		}
 	}
@@ -266,18 +266,18 @@
 	if !strings.Contains(text, `classes[0].name: "video"`) || !strings.Contains(text, "do: ") {
 		t.Errorf("a class that nobody has: %q", text)
 	}
-	c.p[2].Kill()
+	c.processes[2].Kill()
 	c.propose(0, "k3", "1", "r2") // without the one that is down: it has lost its permission first
-	c.settled(1, "k3", "settled 2 ", 8*time.Second)
+	c.waitSettled(1, "k3", "settled 2 ", 8*time.Second)
 	c.start(2)
-	if at := c.ask(2, 30); at["r2"] > 0 || at["r1"] == 0 {
+	if at := c.openMany(2, 30); at["r2"] > 0 || at["r1"] == 0 {
 		t.Errorf("back again, without r2: %v", at)
 	}
-	c.handIn(1, "revision rollback k4 2 - - tester 1")
-	c.settled(2, "k4", "settled 3 ", 3*time.Second)
+	c.submit(1, "revision rollback k4 2 - - tester 1")
+	c.waitSettled(2, "k4", "settled 3 ", 3*time.Second)
 	for i := range 3 {
-		c.follows(i, "3", time.Second)
-		if at := c.ask(i, 20); at["r1"] > 0 {
+		c.waitInForce(i, "3", time.Second)
+		if at := c.openMany(i, 20); at["r1"] > 0 {
 			t.Errorf("b%d, rolled back to without r1: %v", i+1, at)
 		}
 	}
@@ -288,7 +288,7 @@
 
 // Guards: a process that is stopped across the moment of change finds its permit lapsed before it places anybody;
 // the others change without it, and it goes by the new revision from its first newcomer on.
-func TestStoppedAcrossAChange(t *testing.T) {
+func TestSuspendedAcrossChange(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 21)
 	c.start()
@@ -300,7 +300,7 @@
 	}
 	for round, who := range []int{(leader + 1) % 3, leader} { // a follower, then whoever leads
 		key, from, out := fmt.Sprint("s", round), fmt.Sprint(round), fmt.Sprint("r", round+1)
-		c.p[who].Signal(syscall.SIGSTOP)
+		c.processes[who].Signal(syscall.SIGSTOP)
 		other := (who + 1) % 3
 		// What is on its way to the stopped one waits in its sockets, and is read when it wakes up.
 		waiting := make([]*fake.Terminal, 5)
@@ -321,15 +321,15 @@
 				t.Fatalf("b%d stopped: %q", who+1, a.Text)
 			}
 		}
-		c.p[who].Signal(syscall.SIGCONT)
+		c.processes[who].Signal(syscall.SIGCONT)
 		for _, x := range waiting {
-			if a := x.Listen(5 * time.Second); where(a) == out {
+			if a := x.Listen(5 * time.Second); serverOrAnswer(a) == out {
 				t.Errorf("b%d woke up and placed a newcomer at %s, which is left out since", who+1, out)
 			}
 			x.Break()
 		}
-		c.follows(who, fmt.Sprint(round+1), 5*time.Second)
-		if at := c.ask(who, 20); at[out] > 0 {
+		c.waitInForce(who, fmt.Sprint(round+1), 5*time.Second)
+		if at := c.openMany(who, 20); at[out] > 0 {
 			t.Errorf("b%d, awake: %v", who+1, at)
 		}
 	}
@@ -337,29 +337,29 @@
 
 // Guards: whoever holds on when it is cut off stands in the way of a change, which ends nowhere with its name, and
 // goes through once an operator has said that it is off.
-func TestHoldStandsInTheWay(t *testing.T) {
+func TestHoldBlocksChange(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4, 22, 3)
 	c.start()
-	c.p[3].Signal(syscall.SIGSTOP)
+	c.processes[3].Signal(syscall.SIGSTOP)
 	c.propose(0, "h1", "0", "r1")
-	if text := c.settled(1, "h1", "nowhere", 8*time.Second); !strings.Contains(text, "b4") {
+	if text := c.waitSettled(1, "h1", "nowhere", 8*time.Second); !strings.Contains(text, "b4") {
 		t.Errorf("who stood in the way: %q", text)
 	}
-	c.p[3].Signal(syscall.SIGCONT)
-	c.follows(3, "0", 3*time.Second)
-	if at := c.ask(3, 10); at["BUSY"] > 0 {
+	c.processes[3].Signal(syscall.SIGCONT)
+	c.waitInForce(3, "0", 3*time.Second)
+	if at := c.openMany(3, 10); at["BUSY"] > 0 {
 		t.Errorf("it held on, and refused: %v", at)
 	}
-	c.p[3].Kill()
-	c.handIn(0, "revision forget b4")
+	c.processes[3].Kill()
+	c.submit(0, "revision forget b4")
 	c.propose(0, "h2", "0", "r1")
-	c.settled(1, "h2", "settled 1 ", 6*time.Second)
+	c.waitSettled(1, "h2", "settled 1 ", 6*time.Second)
 }
 
 // Guards: where a supervisor holds the listening socket a process that is killed stands in nobody's way, though
 // nothing ends its permission by time: the next one, or the other one of an upgrade, finds that it has ended.
-func TestKilledUnderASupervisor(t *testing.T) {
+func TestKilledUnderSupervisor(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 24, 0, 1, 2)
 	l, err := net.Listen("tcp", c.launches[2].Addr)
@@ -373,24 +373,24 @@
 	t.Cleanup(func() { _ = c.launches[2].Listener.Close() })
 	c.start()
 	for n, step := range []string{"started again", "the first of an upgrade", "the second of an upgrade"} {
-		first, at := c.p[2], c.launches[2].Management
+		first, at := c.processes[2], c.launches[2].Management
 		if n == 0 {
 			first.Kill()
 		}
-		c.launches[2].Management = freeAt(t, 24)
+		c.launches[2].Management = freeAddressAt(t, 24)
 		c.start(2)
 		switch n {
 		case 1:
 			first.Kill()
 		case 2:
-			c.p[2].Kill()
-			c.p[2], c.launches[2].Management = first, at
+			c.processes[2].Kill()
+			c.processes[2], c.launches[2].Management = first, at
 		}
 		key, out := fmt.Sprint("x", n), fmt.Sprint("r", n+1)
 		c.propose(0, key, fmt.Sprint(n), out)
-		c.settled(1, key, fmt.Sprintf("settled %d ", n+1), 6*time.Second)
-		c.follows(2, fmt.Sprint(n+1), 2*time.Second)
-		if at := c.ask(2, 20); at[out] > 0 || at["BUSY"] > 0 {
+		c.waitSettled(1, key, fmt.Sprintf("settled %d ", n+1), 6*time.Second)
+		c.waitInForce(2, fmt.Sprint(n+1), 2*time.Second)
+		if at := c.openMany(2, 20); at[out] > 0 || at["BUSY"] > 0 {
 			t.Errorf("%s: without %s: %v", step, out, at)
 		}
 	}
@@ -401,7 +401,7 @@
 
 // Guards: in an upgrade both processes of one balancer go by one revision, also while a change is made; the later
 // one takes the vote over once the earlier has left.
-func TestUpgradeGoesByOneRevision(t *testing.T) {
+func TestUpgradeUsesOneRevision(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 23)
 	l, err := net.Listen("tcp", c.launches[0].Addr)
@@ -414,12 +414,12 @@
 	_ = l.Close()
 	t.Cleanup(func() { _ = c.launches[0].Listener.Close() })
 	c.start()
-	old, before := c.p[0], c.launches[0].Management
-	c.launches[0].Management = freeAt(t, 23)
+	old, before := c.processes[0], c.launches[0].Management
+	c.launches[0].Management = freeAddressAt(t, 23)
 	c.start(0) // beside the earlier process
 	c.propose(1, "u1", "0", "r1")
-	c.settled(2, "u1", "settled 1 ", 4*time.Second)
-	c.follows(0, "1", time.Second)
+	c.waitSettled(2, "u1", "settled 1 ", 4*time.Second)
+	c.waitInForce(0, "1", time.Second)
 	for end := time.Now().Add(time.Second); ; time.Sleep(20 * time.Millisecond) { // it follows with its next renewal
 		a, err := management.Call(before, "revision status")
 		if err == nil && strings.Contains(a.Text, "here=1 ") && strings.Contains(a.Text, "phase=at-work") {
@@ -429,17 +429,17 @@
 			t.Fatalf("the earlier process: %q, %v", a.Text, err)
 		}
 	}
-	if at := c.ask(0, 40); at["r1"] > 0 || at["BUSY"] > 0 {
+	if at := c.openMany(0, 40); at["r1"] > 0 || at["BUSY"] > 0 {
 		t.Errorf("two processes, without r1: %v", at)
 	}
 	old.Signal(syscall.SIGTERM)
 	if err := old.Over(8 * time.Second); err != nil {
 		t.Errorf("the earlier process: %v", err)
 	}
-	c.p[1].Kill() // of three voters the two that are left have to be enough: b1's later process has its vote
+	c.processes[1].Kill() // of three voters the two that are left have to be enough: b1's later process has its vote
 	c.propose(0, "u2", "1", "r2")
-	c.settled(2, "u2", "settled 2 ", 10*time.Second)
-	if at := c.ask(0, 40); at["r2"] > 0 || at["r1"] == 0 {
+	c.waitSettled(2, "u2", "settled 2 ", 10*time.Second)
+	if at := c.openMany(0, 40); at["r2"] > 0 || at["r1"] == 0 {
 		t.Errorf("after the upgrade, without r2: %v", at)
 	}
 	if v := c.Violations(); v != "" {
--- a/cmd/oatloft/cold_test.go
+++ b/cmd/oatloft/warmup_test.go
@@ -15,64 +15,64 @@
 
 // What the stand-in's settings tell of cold regions, see internal/fake.
 const (
-	coldFill     = 50.0 // connections that fill a region, when warm
-	coldPart     = 0.34
-	coldWhole    = 8600 * time.Millisecond
-	coldMultiple = 4.0
-	coldWindow   = 3 * time.Second
+	warmCapacity     = 50.0 // connections that fill a region, when warm
+	warmUpStart     = 0.34
+	warmUpTime    = 8600 * time.Millisecond
+	overloadMultiple = 4.0
+	boundWindow   = 3 * time.Second
 )
 
-// coldSends notes when requests reach the cold region.
-type coldSends struct {
+// receivedRequests notes when requests reach the cold region.
+type receivedRequests struct {
 	mu   sync.Mutex
-	at   []time.Duration
-	born time.Duration
-	peak float64 // most requests in a window, over the bound
-	most string
+	times   []time.Duration
+	startedAt time.Duration
+	peakShare float64 // most requests in a window, over the bound
+	peakText string
 }
 
-func (c *coldSends) start(at time.Duration) {
+func (c *receivedRequests) start(at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.born, c.at = at, nil
+	c.startedAt, c.times = at, nil
 }
 
-// see holds each request that reaches the region to its bound: N + 2 x root of N + 2 within the window that ends now.
-func (c *coldSends) see(e rules.Event) {
+// record holds each request that reaches the region to its bound: N + 2 x root of N + 2 within the window that ends now.
+func (c *receivedRequests) record(e rules.Event) {
 	if e.Kind != rules.Routed || e.Region != "r5" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at = append(c.at, e.At)
+	c.times = append(c.times, e.At)
 	sum := 0.0
-	for _, at := range c.at {
-		if at > e.At-coldWindow {
+	for _, at := range c.times {
+		if at > e.At-boundWindow {
 			sum++
 		}
 	}
-	ramp := coldPart + (1-coldPart)*float64(e.At-c.born)/float64(coldWhole)
-	n := coldMultiple * coldFill * ramp / coldWhole.Seconds() * coldWindow.Seconds()
-	if part := sum / (n + 2*math.Sqrt(n) + 2); part > c.peak {
-		c.peak, c.most = part, fmt.Sprintf(
+	ramp := warmUpStart + (1-warmUpStart)*float64(e.At-c.startedAt)/float64(warmUpTime)
+	n := overloadMultiple * warmCapacity * ramp / warmUpTime.Seconds() * boundWindow.Seconds()
+	if part := sum / (n + 2*math.Sqrt(n) + 2); part > c.peakShare {
+		c.peakShare, c.peakText = part, fmt.Sprintf(
 			"%.0f requests within %v, %v after the start; it bears %.1f",
 			sum,
-			coldWindow,
-			e.At-c.born,
+			boundWindow,
+			e.At-c.startedAt,
 			n,
 		)
 	}
 }
 
-func (c *coldSends) count() int {
+func (c *receivedRequests) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.at)
+	return len(c.times)
 }
 
-// demand opens a transaction each 10 ms at a balancer until stop, and keeps the last 20 open. What fails is not its
+// sendLoad opens a transaction each 10 ms at a balancer until stop, and keeps the last 20 open. What fails is not its
 // matter: balancers restart meanwhile.
-func demand(w *fake.World, addr, name string, stop <-chan struct{}) {
+func sendLoad(w *fake.World, addr, name string, stop <-chan struct{}) {
 	var open []*fake.Terminal
 	for i := 0; ; i++ {
 		select {
@@ -101,16 +101,16 @@
 // Three balancers in processes of their own, and a region that joins cold while more comes than it bears: the sum
 // keeps to its bound, also when a balancer reads its configuration again, when one is killed and starts anew with
 // no memory of what was sent, and when the region starts once more while it is cold.
-func TestColdRegionBearsWhatAllBalancersSend(t *testing.T) {
+func TestWarmUpBoundAcrossBalancers(t *testing.T) {
 	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	sends := &coldSends{}
-	w.Watch = sends.see
+	sends := &receivedRequests{}
+	w.Watch = sends.record
 	for _, r := range w.Regions {
-		r.SetWeight(1 / coldFill)
+		r.SetWeight(1 / warmCapacity)
 	}
 	var all []*fake.Process
 	var launches []fake.Launch
@@ -130,7 +130,7 @@
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	for i, l := range launches {
-		wait.Go(func() { demand(w, l.Addr, fmt.Sprint("c", i, "-"), stop) })
+		wait.Go(func() { sendLoad(w, l.Addr, fmt.Sprint("c", i, "-"), stop) })
 	}
 	defer wait.Wait()
 	defer close(stop)
@@ -141,37 +141,37 @@
 		}
 		return took >= 150
 	}
-	until(t, "the warm regions serve", warmedUp)
+	waitFor(t, "the warm regions serve", warmedUp)
 	if err := w.AddRegion("r5", "127.9.0.5:0"); err != nil {
 		t.Fatal(err)
 	}
 	cold := w.Regions[4]
 	cold.Set(fake.Lying) // it looks empty: nothing but its budget keeps requests away
-	cold.SetWeight(1 / coldFill)
+	cold.SetWeight(1 / warmCapacity)
 	begin := func() {
 		sends.start(w.Now())
 		w.Discovery.Renew("r5")
 	}
 	begin()
-	until(t, "the cold region is used", func() bool { return sends.count() >= 4 })
+	waitFor(t, "the cold region is used", func() bool { return sends.count() >= 4 })
 	all[0].Signal(syscall.SIGHUP)
-	until(t, "it is used after a SIGHUP", func() bool { return sends.count() >= 8 })
+	waitFor(t, "it is used after a SIGHUP", func() bool { return sends.count() >= 8 })
 	all[1].Kill()
 	if all[1], err = w.Start(launches[1]); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is used after a restart", func() bool { return sends.count() >= 12 })
+	waitFor(t, "it is used after a restart", func() bool { return sends.count() >= 12 })
 	begin()
-	whole := func() bool { return sends.count() >= 6 && w.Now()-sends.born > coldWindow+time.Second }
-	until(t, "it is used for a window after its second start", whole)
-	if sends.mu.Lock(); sends.peak > 1 {
-		t.Error(sends.most)
+	whole := func() bool { return sends.count() >= 6 && w.Now()-sends.startedAt > boundWindow+time.Second }
+	waitFor(t, "it is used for a window after its second start", whole)
+	if sends.mu.Lock(); sends.peakShare > 1 {
+		t.Error(sends.peakText)
 	}
-	t.Logf("%.2f of the bound: %s", sends.peak, sends.most)
+	t.Logf("%.2f of the bound: %s", sends.peakShare, sends.peakText)
 	sends.mu.Unlock()
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/hint/errors_test.go
+++ b/internal/hint/errors_test.go
@@ -34,23 +34,23 @@
 // programs are told one after the other: each with what those before don't hold.
 var programs = []string{"oatloft", "oatloft-revisions", "oatctl", "oatlab"}
 
-// mayBeBare are the functions ("oatloft/internal/x.F") that may make an error of no type of their own, and why.
-var mayBeBare = map[string]string{
+// mayReturnPlainErrors are the functions ("oatloft/internal/x.F") that may make an error of no type of their own, and why.
+var mayReturnPlainErrors = map[string]string{
 	"oatloft/internal/apache.Lines":    "no command reaches the importer: its parsers wait, and its errors with them",
 	"oatloft/internal/apache.Settings": "no command reaches the importer: its parsers wait, and its errors with them",
 	"oatloft/internal/apache.read":     "no command reaches the importer: its parsers wait, and its errors with them",
 }
 
-// code is all that the checks walk over.
-type code struct {
-	set    *token.FileSet
+// analysis is all that the checks walk over.
+type analysis struct {
+	fset    *token.FileSet
 	pkgs   []*pkg
 	calls  map[types.Object][]call // by callee, of our own functions and of those that a variable holds
-	makes  map[*types.TypeName][]lit
-	giver  *types.Interface
+	literals  map[*types.TypeName][]literal
+	hinter  *types.Interface
 	params map[types.Object]param
-	funcs  map[types.Object]decl
-	of     map[types.Object]*types.Signature
+	declarations  map[types.Object]decl
+	signatures     map[types.Object]*types.Signature
 }
 
 type decl struct {
@@ -60,7 +60,7 @@
 
 type pkg struct {
 	path, dir string
-	of        []string // programs that hold it
+	programs        []string // programs that hold it
 	files     []*ast.File
 	types     *types.Package
 	info      *types.Info
@@ -71,20 +71,20 @@
 	x *ast.CallExpr
 }
 
-type lit struct {
+type literal struct {
 	p *pkg
 	x *ast.CompositeLit
 }
 
 type param struct {
-	f types.Object // the function, or the variable that holds it
-	i int
+	function types.Object // the function, or the variable that holds it
+	index int
 }
 
-var loaded *code
+var loaded *analysis
 
 // load reads and checks the types of all packages; those of other modules come as the compiler wrote them.
-func load(t *testing.T) *code {
+func load(t *testing.T) *analysis {
 	t.Helper()
 	if loaded != nil {
 		return loaded
@@ -104,16 +104,16 @@
 		}
 		return rows
 	}
-	c := &code{
-		set:    token.NewFileSet(),
+	c := &analysis{
+		fset:    token.NewFileSet(),
 		calls:  map[types.Object][]call{},
-		makes:  map[*types.TypeName][]lit{},
+		literals:  map[*types.TypeName][]literal{},
 		params: map[types.Object]param{},
-		funcs:  map[types.Object]decl{},
-		of:     map[types.Object]*types.Signature{},
+		declarations:  map[types.Object]decl{},
+		signatures:     map[types.Object]*types.Signature{},
 	}
 	exports, own := map[string]string{}, map[string]*types.Package{}
-	gc := importer.ForCompiler(c.set, "gc", func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) })
+	gc := importer.ForCompiler(c.fset, "gc", func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) })
 	for _, row := range list("-export", "-deps", "-f", "{{.ImportPath}}\t{{.Export}}\t{{.Dir}}\t{{range .GoFiles}}{{.}} {{end}}", "./...") {
 		exports[row[0]] = row[1]
 		if !strings.HasPrefix(row[0], module) {
@@ -122,66 +122,66 @@
 		p := &pkg{path: row[0], dir: row[2], info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{},
 			Defs: map[*ast.Ident]types.Object{}, Uses: map[*ast.Ident]types.Object{}, Selections: map[*ast.SelectorExpr]*types.Selection{}}}
 		for _, name := range strings.Fields(row[3]) {
-			f, err := parser.ParseFile(c.set, filepath.Join(p.dir, name), nil, parser.ParseComments)
+			f, err := parser.ParseFile(c.fset, filepath.Join(p.dir, name), nil, parser.ParseComments)
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.files = append(p.files, f)
 		}
 		var err error // packages come after those that they import
-		p.types, err = (&types.Config{Importer: chosen{own, gc}}).Check(p.path, c.set, p.files, p.info)
+		p.types, err = (&types.Config{Importer: packageImporter{own, gc}}).Check(p.path, c.fset, p.files, p.info)
 		if err != nil {
 			t.Fatal(err)
 		}
 		own[p.path] = p.types
 		c.pkgs = append(c.pkgs, p)
 		if p.path == module+"internal/hint" {
-			c.giver = p.types.Scope().Lookup("Hinter").Type().Underlying().(*types.Interface)
+			c.hinter = p.types.Scope().Lookup("Hinter").Type().Underlying().(*types.Interface)
 		}
 	}
 	for _, p := range c.pkgs {
 		for _, f := range p.files {
-			ast.Inspect(f, func(n ast.Node) bool { c.note(p, n); return true })
+			ast.Inspect(f, func(n ast.Node) bool { c.record(p, n); return true })
 		}
 	}
 	for _, program := range programs {
-		c.hold(program, own[module+"cmd/"+program], map[*types.Package]bool{})
+		c.markImports(program, own[module+"cmd/"+program], map[*types.Package]bool{})
 	}
 	slices.SortFunc(c.pkgs, func(a, b *pkg) int { return strings.Compare(a.path, b.path) })
 	loaded = c
 	return c
 }
 
-// hold notes that a program holds a package, and what that imports.
-func (c *code) hold(program string, t *types.Package, seen map[*types.Package]bool) {
+// markImports notes that a program holds a package, and what that imports.
+func (c *analysis) markImports(program string, t *types.Package, seen map[*types.Package]bool) {
 	if seen[t] || !strings.HasPrefix(t.Path(), module) {
 		return
 	}
 	seen[t] = true
 	for _, p := range c.pkgs {
 		if p.types == t {
-			p.of = append(p.of, program)
+			p.programs = append(p.programs, program)
 		}
 	}
 	for _, i := range t.Imports() {
-		c.hold(program, i, seen)
+		c.markImports(program, i, seen)
 	}
 }
 
-// chosen imports our own packages as they were checked, and all others from gc.
-type chosen struct {
+// packageImporter imports our own packages as they were checked, and all others from gc.
+type packageImporter struct {
 	own map[string]*types.Package
 	gc  types.Importer
 }
 
-func (c chosen) Import(path string) (*types.Package, error) {
+func (c packageImporter) Import(path string) (*types.Package, error) {
 	if p := c.own[path]; p != nil {
 		return p, nil
 	}
 	return c.gc.Import(path)
 }
 
-func (c *code) note(p *pkg, n ast.Node) {
+func (c *analysis) record(p *pkg, n ast.Node) {
 	switch x := n.(type) {
 	case *ast.CallExpr:
 		if f := callee(p, x); f != nil && f.Pkg() != nil && strings.HasPrefix(f.Pkg().Path(), module) {
@@ -189,28 +189,28 @@
 		}
 	case *ast.CompositeLit:
 		if n, ok := types.Unalias(p.info.TypeOf(x)).(*types.Named); ok {
-			c.makes[n.Obj()] = append(c.makes[n.Obj()], lit{p, x})
+			c.literals[n.Obj()] = append(c.literals[n.Obj()], literal{p, x})
 		}
 	case *ast.FuncDecl:
 		f := p.info.Defs[x.Name].(*types.Func)
-		c.funcs[f] = decl{p, x}
-		c.take(f, f.Signature())
+		c.declarations[f] = decl{p, x}
+		c.recordParams(f, f.Signature())
 	case *ast.AssignStmt:
 		for i, v := range x.Rhs {
 			if f, ok := v.(*ast.FuncLit); ok && len(x.Lhs) == len(x.Rhs) {
 				if id, ok := x.Lhs[i].(*ast.Ident); ok {
-					c.take(p.info.ObjectOf(id), p.info.TypeOf(f).(*types.Signature))
+					c.recordParams(p.info.ObjectOf(id), p.info.TypeOf(f).(*types.Signature))
 				}
 			}
 		}
 	}
 }
 
-func (c *code) take(f types.Object, s *types.Signature) {
+func (c *analysis) recordParams(f types.Object, s *types.Signature) {
 	for i := range s.Params().Len() {
 		c.params[s.Params().At(i)] = param{f, i}
 	}
-	c.of[f] = s
+	c.signatures[f] = s
 }
 
 func callee(p *pkg, x *ast.CallExpr) types.Object {
@@ -226,16 +226,16 @@
 	return p.info.Uses[id]
 }
 
-// kind is an error type.
-type kind struct {
+// errorKind is an error type.
+type errorKind struct {
 	p    *pkg
 	name *types.TypeName
 	doc  string
-	says [][2]string // what is said, what to do
+	messages [][2]string // what is said, what to do
 }
 
-// kinds are the error types of a package. Each has to be a Giver.
-func (c *code) kinds(p *pkg, wrong func(token.Pos, string, ...any)) (list []kind) {
+// errorKinds are the error types of a package. Each has to be a Giver.
+func (c *analysis) errorKinds(p *pkg, wrong func(token.Pos, string, ...any)) (list []errorKind) {
 	errorType := types.Universe.Lookup("error").Type().Underlying().(*types.Interface)
 	for _, f := range p.files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -253,7 +253,7 @@
 				if types.IsInterface(name.Type()) || !types.Implements(ptr, errorType) || p.path == module+"internal/hint" {
 					continue
 				}
-				if !types.Implements(ptr, c.giver) {
+				if !types.Implements(ptr, c.hinter) {
 					wrong(s.Pos(), "%s gives no advice", name.Name())
 					continue
 				}
@@ -261,11 +261,11 @@
 				if doc == nil {
 					doc = d.Doc
 				}
-				k := kind{p: p, name: name, doc: strings.Join(strings.Fields(doc.Text()), " ")}
+				k := errorKind{p: p, name: name, doc: strings.Join(strings.Fields(doc.Text()), " ")}
 				if k.doc == "" {
 					wrong(s.Pos(), "%s has no comment that says when it comes", name.Name())
 				}
-				c.sayings(&k, wrong)
+				c.collectMessages(&k, wrong)
 				list = append(list, k)
 			}
 			return true
@@ -274,74 +274,74 @@
 	return list
 }
 
-// bound is what stands for a parameter or a field while an expression is read: an expression at another place.
-type bound struct {
+// binding is what stands for a parameter or a field while an expression is read: an expression at another place.
+type binding struct {
 	p   *pkg
 	x   ast.Expr // nil for a field that is left empty
 	env env
 }
 
-type env map[types.Object]bound
+type env map[types.Object]binding
 
-// sayings reads what a type says, from the places that make it.
-func (c *code) sayings(k *kind, wrong func(token.Pos, string, ...any)) {
+// collectMessages reads what a type says, from the places that make it.
+func (c *analysis) collectMessages(k *errorKind, wrong func(token.Pos, string, ...any)) {
 	add := func(at token.Pos, said, do []string) {
 		do = slices.DeleteFunc(do, func(s string) bool { return strings.TrimSpace(s) == "" })
 		if len(do) == 0 {
 			wrong(at, "%s without advice", k.name.Name())
 		}
-		row := [2]string{cells(said, true), cells(do, false)}
-		if !slices.Contains(k.says, row) {
-			k.says = append(k.says, row)
+		row := [2]string{tableCell(said, true), tableCell(do, false)}
+		if !slices.Contains(k.messages, row) {
+			k.messages = append(k.messages, row)
 		}
 	}
 	st, _ := k.name.Type().Underlying().(*types.Struct)
-	for _, l := range c.makes[k.name] {
+	for _, l := range c.literals[k.name] {
 		if st == nil {
 			continue
 		}
-		for _, e := range c.envs(l) {
+		for _, e := range c.callEnvs(l) {
 			var do []string
 			said := []string{""}
-			if i := slices.IndexFunc(l.x.Elts, func(x ast.Expr) bool { return isWords(l.p, x) }); i >= 0 {
-				parts := fieldsOf(l.x.Elts[i].(*ast.CompositeLit), nil)
+			if i := slices.IndexFunc(l.x.Elts, func(x ast.Expr) bool { return isAnnotated(l.p, x) }); i >= 0 {
+				parts := fieldValues(l.x.Elts[i].(*ast.CompositeLit), nil)
 				for _, name := range []string{"Where", "What", "Cause"} {
 					if x := parts[name]; x != nil {
 						part := []string{"‹cause›"}
 						if name != "Cause" {
-							part = c.text(l.p, x, e, 4)
+							part = c.evalText(l.p, x, e, 4)
 						}
 						if said[0] != "" {
-							said = cross(said, []string{": "})
+							said = product(said, []string{": "})
 						}
-						said = cross(said, part)
+						said = product(said, part)
 					}
 				}
 				if x := parts["Do"]; x != nil {
-					do = c.text(l.p, x, e, 4)
+					do = c.evalText(l.p, x, e, 4)
 				}
 			} else {
-				given, of := fieldsOf(l.x, st), env{}
+				given, of := fieldValues(l.x, st), env{}
 				for i := range st.NumFields() {
-					of[st.Field(i)] = bound{l.p, given[st.Field(i).Name()], e}
+					of[st.Field(i)] = binding{l.p, given[st.Field(i).Name()], e}
 				}
-				said, do = c.returns(k, "Error", of), c.returns(k, "Hint", of)
+				said, do = c.methodResults(k, "Error", of), c.methodResults(k, "Hint", of)
 			}
 			add(l.x.Pos(), said, do)
 		}
 	}
-	if len(k.says) == 0 {
-		add(k.name.Pos(), c.returns(k, "Error", nil), c.returns(k, "Hint", nil))
+	if len(k.messages) == 0 {
+		add(k.name.Pos(), c.methodResults(k, "Error", nil), c.methodResults(k, "Hint", nil))
 	}
 }
 
-func isWords(p *pkg, x ast.Expr) bool {
+func isAnnotated(p *pkg, x ast.Expr) bool {
 	_, ok := x.(*ast.CompositeLit)
 	return ok && p.info.TypeOf(x).String() == module+"internal/hint.Annotated"
 }
 
-// fieldsOf are the values of a literal by their fields' names; st names those that are given without.
-func fieldsOf(x *ast.CompositeLit, st *types.Struct) map[string]ast.Expr {
+// fieldValues are the values of a literal by their fields' names; st names those that are given without.
+func fieldValues(x *ast.CompositeLit, st *types.Struct) map[string]ast.Expr {
 	of := map[string]ast.Expr{}
 	for i, e := range x.Elts {
 		if kv, ok := e.(*ast.KeyValueExpr); ok {
@@ -353,19 +353,19 @@
 	return of
 }
 
-// envs are the calls of the function that holds a literal, as far as the literal hangs on its parameters; else one
+// callEnvs are the calls of the function that holds a literal, as far as the literal hangs on its parameters; else one
 // that is empty.
-func (c *code) envs(l lit) []env {
+func (c *analysis) callEnvs(l literal) []env {
 	var f types.Object
 	ast.Inspect(l.x, func(n ast.Node) bool {
 		if id, ok := n.(*ast.Ident); ok {
 			if from, ok := c.params[l.p.info.Uses[id]]; ok {
-				f = from.f
+				f = from.function
 			}
 		}
 		return true
 	})
-	if f == nil || len(c.calls[f]) == 0 || len(c.calls[f]) > mostTexts {
+	if f == nil || len(c.calls[f]) == 0 || len(c.calls[f]) > maxTexts {
 		return []env{nil}
 	}
 	var list []env
@@ -375,18 +375,18 @@
 	return list
 }
 
-func (c *code) bind(f types.Object, x call, outer env) env {
+func (c *analysis) bind(f types.Object, x call, outer env) env {
 	e := maps.Clone(outer)
 	if e == nil {
 		e = env{}
 	}
-	for i := range min(c.of[f].Params().Len(), len(x.x.Args)) {
-		e[c.of[f].Params().At(i)] = bound{x.p, x.x.Args[i], outer}
+	for i := range min(c.signatures[f].Params().Len(), len(x.x.Args)) {
+		e[c.signatures[f].Params().At(i)] = binding{x.p, x.x.Args[i], outer}
 	}
 	return e
 }
 
-func (c *code) returns(k *kind, method string, e env) (list []string) {
+func (c *analysis) methodResults(k *errorKind, method string, e env) (list []string) {
 	for _, f := range k.p.files {
 		for _, d := range f.Decls {
 			d, ok := d.(*ast.FuncDecl)
@@ -406,12 +406,12 @@
 }
 
 // results are what a function's body returns.
-func (c *code) results(p *pkg, body *ast.BlockStmt, e env, depth int) (list []string) {
+func (c *analysis) results(p *pkg, body *ast.BlockStmt, e env, depth int) (list []string) {
 	over := false
 	ast.Inspect(body, func(n ast.Node) bool {
 		switch x := n.(type) {
 		case *ast.IfStmt:
-			switch c.holds(p, x.Cond, e, depth) {
+			switch c.evalEmptyCheck(p, x.Cond, e, depth) {
 			case "yes":
 				in := c.results(p, x.Body, e, depth)
 				list, over = append(list, in...), len(in) > 0
@@ -421,7 +421,7 @@
 			}
 		case *ast.ReturnStmt:
 			if !over && len(x.Results) == 1 {
-				list = append(list, c.text(p, x.Results[0], e, depth)...)
+				list = append(list, c.evalText(p, x.Results[0], e, depth)...)
 			}
 		}
 		return !over
@@ -429,8 +429,8 @@
 	return list
 }
 
-// holds tells whether a comparison with "" holds, as far as it can be seen.
-func (c *code) holds(p *pkg, x ast.Expr, e env, depth int) string {
+// evalEmptyCheck tells whether a comparison with "" evalEmptyCheck, as far as it can be seen.
+func (c *analysis) evalEmptyCheck(p *pkg, x ast.Expr, e env, depth int) string {
 	b, ok := x.(*ast.BinaryExpr)
 	if !ok || b.Op != token.EQL && b.Op != token.NEQ {
 		return ""
@@ -438,9 +438,9 @@
 	if v := p.info.Types[b.Y].Value; v == nil || v.Kind() != constant.String || constant.StringVal(v) != "" {
 		return ""
 	}
-	list := c.text(p, b.X, e, depth)
+	list := c.evalText(p, b.X, e, depth)
 	switch {
-	case len(list) == 0 || slices.ContainsFunc(list, nothingElse.MatchString):
+	case len(list) == 0 || slices.ContainsFunc(list, placeholderOnly.MatchString):
 		return ""
 	case slices.Index(list, "") < 0 == (b.Op == token.NEQ):
 		return "yes"
@@ -450,7 +450,7 @@
 	return ""
 }
 
-func cross(a, b []string) (out []string) {
+func product(a, b []string) (out []string) {
 	for _, x := range a {
 		for _, y := range b {
 			out = append(out, x+y)
@@ -461,14 +461,14 @@
 
 var verb = regexp.MustCompile(`%[-+# 0]*[0-9]*(\.[0-9]+)?[a-zA-Z%]`)
 
-const mostTexts = 24 // of one expression, and calls of one function; more are said by a name
+const maxTexts = 24 // of one expression, and calls of one function; more are said by a name
 
-// text is what an expression may say: its value where that is constant, the parts that vary as ‹name›.
-func (c *code) text(p *pkg, x ast.Expr, e env, depth int) []string {
+// evalText is what an expression may say: its value where that is constant, the parts that vary as ‹name›.
+func (c *analysis) evalText(p *pkg, x ast.Expr, e env, depth int) []string {
 	if tv := p.info.Types[x]; tv.Value != nil && tv.Value.Kind() == constant.String {
 		return []string{constant.StringVal(tv.Value)}
 	}
-	name := []string{"‹" + nameOf(x) + "›"}
+	name := []string{"‹" + lastName(x) + "›"}
 	if depth == 0 {
 		return name
 	}
@@ -481,18 +481,18 @@
 		if b.x == nil {
 			return []string{""}
 		}
-		out := c.text(b.p, b.x, b.env, depth-1)
-		if len(out) == 0 || len(out) > mostTexts ||
-			slices.ContainsFunc(out, func(s string) bool { return nothingElse.MatchString(s) }) {
+		out := c.evalText(b.p, b.x, b.env, depth-1)
+		if len(out) == 0 || len(out) > maxTexts ||
+			slices.ContainsFunc(out, func(s string) bool { return placeholderOnly.MatchString(s) }) {
 			return name
 		}
 		return out
 	}
 	switch x := x.(type) {
 	case *ast.ParenExpr:
-		return c.text(p, x.X, e, depth)
+		return c.evalText(p, x.X, e, depth)
 	case *ast.BinaryExpr:
-		if out := cross(c.part(p, x.X, e, depth), c.part(p, x.Y, e, depth)); x.Op == token.ADD && len(out) > 0 && len(out) <= mostTexts {
+		if out := product(c.evalPart(p, x.X, e, depth), c.evalPart(p, x.Y, e, depth)); x.Op == token.ADD && len(out) > 0 && len(out) <= maxTexts {
 			return out
 		}
 	case *ast.Ident:
@@ -514,31 +514,31 @@
 				args = nil
 				if from, ok := c.params[p.info.Uses[id]]; ok {
 					if b, ok := e[p.info.Uses[id]]; ok {
-						for _, call := range c.calls[from.f] {
-							if from.i < len(call.x.Args) && call.x.Args[from.i] == b.x {
-								args = call.x.Args[from.i:]
+						for _, call := range c.calls[from.function] {
+							if from.index < len(call.x.Args) && call.x.Args[from.index] == b.x {
+								args = call.x.Args[from.index:]
 							}
 						}
 					}
 				}
 			}
 			var out []string
-			for _, form := range c.text(p, x.Args[0], e, depth) {
+			for _, form := range c.evalText(p, x.Args[0], e, depth) {
 				forms := []string{""}
 				for i, at := 0, 0; ; i++ {
 					loc := verb.FindStringIndex(form[at:])
 					if loc == nil {
-						forms = cross(forms, []string{form[at:]})
+						forms = product(forms, []string{form[at:]})
 						break
 					}
 					put := []string{"‹…›"}
 					if form[at+loc[1]-1] == '%' {
 						put, i = []string{"%"}, i-1
 					} else if i < len(args) {
-						put = c.part(p, args[i], e, depth-1)
+						put = c.evalPart(p, args[i], e, depth-1)
 					}
-					forms = cross(forms, []string{form[at : at+loc[0]]})
-					if forms, at = cross(forms, put), at+loc[1]; len(forms) > mostTexts {
+					forms = product(forms, []string{form[at : at+loc[0]]})
+					if forms, at = product(forms, put), at+loc[1]; len(forms) > maxTexts {
 						return name
 					}
 				}
@@ -551,13 +551,13 @@
 		case "cmp.Or":
 			var out []string
 			for _, a := range x.Args {
-				out = append(out, c.text(p, a, e, depth-1)...)
+				out = append(out, c.evalText(p, a, e, depth-1)...)
 			}
 			return out
 		}
-		if d := c.funcs[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/hint" && c.of[f].Results().Len() == 1 &&
-			c.of[f].Results().At(0).Type() == types.Typ[types.String] {
-			if out := c.results(d.p, d.d.Body, c.bind(f, call{p, x}, e), depth-1); len(out) > 0 && len(out) <= mostTexts {
+		if d := c.declarations[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/hint" && c.signatures[f].Results().Len() == 1 &&
+			c.signatures[f].Results().At(0).Type() == types.Typ[types.String] {
+			if out := c.results(d.p, d.d.Body, c.bind(f, call{p, x}, e), depth-1); len(out) > 0 && len(out) <= maxTexts {
 				return out
 			}
 		}
@@ -565,61 +565,61 @@
 	return name
 }
 
-// part is text for a piece of a longer one: what may be empty is said by its name.
-func (c *code) part(p *pkg, x ast.Expr, e env, depth int) []string {
-	list := c.text(p, x, e, depth)
+// evalPart is text for a piece of a longer one: what may be empty is said by its name.
+func (c *analysis) evalPart(p *pkg, x ast.Expr, e env, depth int) []string {
+	list := c.evalText(p, x, e, depth)
 	for i, s := range list {
 		if s == "" && p.info.Types[x].Value == nil {
-			list[i] = "‹" + nameOf(x) + "›"
+			list[i] = "‹" + lastName(x) + "›"
 		}
 	}
 	return list
 }
 
-var nothingElse = regexp.MustCompile(`^‹[^›]*›$`)
+var placeholderOnly = regexp.MustCompile(`^‹[^›]*›$`)
 
-// nameOf is the last name in an expression, which says best what stands there.
-func nameOf(x ast.Expr) string {
+// lastName is the last name in an expression, which says best what stands there.
+func lastName(x ast.Expr) string {
 	switch x := x.(type) {
 	case *ast.Ident:
 		return x.Name
 	case *ast.SelectorExpr:
 		if x.Sel.Name == "Error" || x.Sel.Name == "String" {
-			return nameOf(x.X)
+			return lastName(x.X)
 		}
 		return x.Sel.Name
 	case *ast.CallExpr:
 		if len(x.Args) > 0 {
-			return nameOf(x.Args[0])
+			return lastName(x.Args[0])
 		}
-		return nameOf(x.Fun)
+		return lastName(x.Fun)
 	case *ast.IndexExpr:
-		return nameOf(x.X)
+		return lastName(x.X)
 	case *ast.SliceExpr:
-		return nameOf(x.X)
+		return lastName(x.X)
 	case *ast.StarExpr:
-		return nameOf(x.X)
+		return lastName(x.X)
 	}
 	return "…"
 }
 
-// wrongs collects what the walk finds.
-func (c *code) wrongs(t *testing.T) func(token.Pos, string, ...any) {
+// reporter collects what the walk finds.
+func (c *analysis) reporter(t *testing.T) func(token.Pos, string, ...any) {
 	return func(at token.Pos, format string, args ...any) {
-		t.Errorf("%v: %s", c.set.Position(at), fmt.Sprintf(format, args...))
+		t.Errorf("%v: %s", c.fset.Position(at), fmt.Sprintf(format, args...))
 	}
 }
 
 // Every error type of every package says what an operator can do, and no code outside tests makes an error of no
 // such type.
-func TestAllAdvise(t *testing.T) {
+func TestAllErrorsHaveHints(t *testing.T) {
 	c := load(t)
 	found, left := 0, map[string]bool{}
-	for name := range mayBeBare {
+	for name := range mayReturnPlainErrors {
 		left[name] = true
 	}
 	for _, p := range c.pkgs {
-		found += len(c.kinds(p, c.wrongs(t)))
+		found += len(c.errorKinds(p, c.reporter(t)))
 		for _, f := range p.files {
 			for _, d := range f.Decls {
 				name := p.path
@@ -632,8 +632,8 @@
 						return true
 					}
 					if f, ok := p.info.Uses[id].(*types.Func); ok && (f.FullName() == "errors.New" || f.FullName() == "fmt.Errorf") {
-						if _, may := mayBeBare[name]; !may {
-							c.wrongs(t)(id.Pos(), "%s makes an error that gives no advice", name)
+						if _, may := mayReturnPlainErrors[name]; !may {
+							c.reporter(t)(id.Pos(), "%s makes an error that gives no advice", name)
 						}
 						delete(left, name)
 					}
@@ -666,7 +666,7 @@
 }
 
 // page writes docs/operators/errors.md.
-func (c *code) page(t *testing.T) []byte {
+func (c *analysis) page(t *testing.T) []byte {
 	var b bytes.Buffer
 	b.WriteString(`# Errors
 
@@ -684,8 +684,8 @@
 | cause | what to do |
 | --- | --- |
 `)
-	for _, s := range system {
-		fmt.Fprintf(&b, "| `%v` | %s |\n", s.is, s.do)
+	for _, s := range systemErrors {
+		fmt.Fprintf(&b, "| `%v` | %s |\n", s.errno, s.hint)
 	}
 	for _, part := range []struct {
 		program, title, intro string
@@ -698,19 +698,19 @@
 	} {
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n", part.title, part.intro)
 		for _, p := range c.pkgs {
-			if first(p.of) != part.program {
+			if firstProgram(p.programs) != part.program {
 				continue
 			}
-			kinds := c.kinds(p, c.wrongs(t))
+			kinds := c.errorKinds(p, c.reporter(t))
 			if len(kinds) == 0 {
 				continue
 			}
-			slices.SortFunc(kinds, func(a, b kind) int { return strings.Compare(a.name.Name(), b.name.Name()) })
+			slices.SortFunc(kinds, func(a, b errorKind) int { return strings.Compare(a.name.Name(), b.name.Name()) })
 			fmt.Fprintf(&b, "\n### %s\n", strings.TrimPrefix(p.path, module))
 			for _, k := range kinds {
-				fmt.Fprintf(&b, "\n**%s.** %s\n\n| what is said | what to do |\n| --- | --- |\n", k.name.Name(), why(k))
-				slices.SortFunc(k.says, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
-				for _, s := range k.says {
+				fmt.Fprintf(&b, "\n**%s.** %s\n\n| what is said | what to do |\n| --- | --- |\n", k.name.Name(), description(k))
+				slices.SortFunc(k.messages, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
+				for _, s := range k.messages {
 					fmt.Fprintf(&b, "| %s | %s |\n", s[0], s[1])
 				}
 			}
@@ -719,7 +719,7 @@
 	return b.Bytes()
 }
 
-func first(list []string) string {
+func firstProgram(list []string) string {
 	for _, name := range programs {
 		if slices.Contains(list, name) {
 			return name
@@ -728,8 +728,8 @@
 	return ""
 }
 
-// why is a type's comment as a sentence of its own.
-func why(k kind) string {
+// description is a type's comment as a sentence of its own.
+func description(k errorKind) string {
 	s := strings.TrimPrefix(k.doc, k.name.Name()+" ")
 	for _, head := range []string{"is the error that ", "is that ", "says that ", "is "} {
 		if rest, ok := strings.CutPrefix(s, head); ok {
@@ -740,8 +740,8 @@
 	return strings.ToUpper(s[:1]) + s[1:]
 }
 
-// cells is one cell of a table: what may be said, one below the other.
-func cells(list []string, quoted bool) string {
+// tableCell is one cell of a table: what may be said, one below the other.
+func tableCell(list []string, quoted bool) string {
 	var out []string
 	for _, s := range list {
 		if s = strings.ReplaceAll(strings.Join(strings.Fields(s), " "), "|", "\\|"); s == "" {
--- a/internal/hint/hint.go
+++ b/internal/hint/hint.go
@@ -35,7 +35,7 @@
 
 func (w *Annotated) Error() string {
 	s := w.Where
-	for _, part := range [...]string{w.What, text(w.Cause)} {
+	for _, part := range [...]string{w.What, errorText(w.Cause)} {
 		if s != "" && part != "" {
 			s += ": "
 		}
@@ -44,7 +44,7 @@
 	return s
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -59,18 +59,18 @@
 	if do := Of(w.Cause); do != "" {
 		return do
 	}
-	for _, s := range system {
-		if errors.Is(w.Cause, s.is) {
-			return s.do
+	for _, s := range systemErrors {
+		if errors.Is(w.Cause, s.errno) {
+			return s.hint
 		}
 	}
 	return w.Do
 }
 
-// system is what to do where the system's error says it, whatever failed.
-var system = []struct {
-	is syscall.Errno
-	do string
+// systemErrors is what to do where the systemErrors's error says it, whatever failed.
+var systemErrors = []struct {
+	errno syscall.Errno
+	hint string
 }{
 	{syscall.ENOSPC, "make room on the disk"},
 	{syscall.EDQUOT, "make room on the disk, or raise the user's quota"},
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -13,20 +13,20 @@
 	"oatloft/internal/hint"
 )
 
-// Unfit is a flag of the log that can't work.
-type Unfit struct{ hint.Annotated }
+// InvalidFlag is a flag of the log that can't work.
+type InvalidFlag struct{ hint.Annotated }
 
-// worded writes errors in their one form, with what an operator can do. A line without an error goes through as it
+// hintHandler writes errors in their one form, with what an operator can do. A line without an error goes through as it
 // is.
-type worded struct{ slog.Handler }
+type hintHandler struct{ slog.Handler }
 
-func (h worded) Handle(ctx context.Context, r slog.Record) error {
+func (h hintHandler) Handle(ctx context.Context, r slog.Record) error {
 	any := false
-	r.Attrs(func(a slog.Attr) bool { _, any = isError(a); return !any })
+	r.Attrs(func(a slog.Attr) bool { _, any = errorValue(a); return !any })
 	if any {
 		said := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
 		r.Attrs(func(a slog.Attr) bool {
-			if err, ok := isError(a); ok {
+			if err, ok := errorValue(a); ok {
 				a.Value = slog.StringValue(hint.Line(err))
 			}
 			said.AddAttrs(a)
@@ -37,10 +37,10 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-func (h worded) WithAttrs(list []slog.Attr) slog.Handler { return worded{h.Handler.WithAttrs(list)} }
-func (h worded) WithGroup(name string) slog.Handler      { return worded{h.Handler.WithGroup(name)} }
+func (h hintHandler) WithAttrs(list []slog.Attr) slog.Handler { return hintHandler{h.Handler.WithAttrs(list)} }
+func (h hintHandler) WithGroup(name string) slog.Handler      { return hintHandler{h.Handler.WithGroup(name)} }
 
-func isError(a slog.Attr) (error, bool) {
+func errorValue(a slog.Attr) (error, bool) {
 	if a.Value.Kind() != slog.KindAny {
 		return nil, false
 	}
@@ -52,7 +52,7 @@
 func New(w io.Writer, format, level string) (*slog.Logger, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
-		return nil, &Unfit{
+		return nil, &InvalidFlag{
 			hint.Annotated{
 				Where: "log level",
 				What:  fmt.Sprintf("%q is none of debug, info, warn, error", level),
@@ -63,11 +63,11 @@
 	opts := &slog.HandlerOptions{Level: l}
 	switch format {
 	case "text":
-		return slog.New(worded{slog.NewTextHandler(w, opts)}), nil
+		return slog.New(hintHandler{slog.NewTextHandler(w, opts)}), nil
 	case "json":
-		return slog.New(worded{slog.NewJSONHandler(w, opts)}), nil
+		return slog.New(hintHandler{slog.NewJSONHandler(w, opts)}), nil
 	}
-	return nil, &Unfit{
+	return nil, &InvalidFlag{
 		hint.Annotated{
 			Where: "log format",
 			What:  fmt.Sprintf("%q is neither text nor json", format),
@@ -81,19 +81,19 @@
 // concurrent use.
 type Limited struct {
 	log   *slog.Logger
-	every time.Duration
+	interval time.Duration
 	mu    sync.Mutex
-	of    map[string]*class
+	classes    map[string]*classState
 }
 
-type class struct {
+type classState struct {
 	next    time.Time
 	skipped int64
 }
 
 // Limit returns a limiter for log's lines.
 func Limit(log *slog.Logger, every time.Duration) *Limited {
-	return &Limited{log: log, every: every, of: map[string]*class{}}
+	return &Limited{log: log, interval: every, classes: map[string]*classState{}}
 }
 
 // Say writes a line of a class, or counts it for the class's next.
@@ -102,10 +102,10 @@
 		return
 	}
 	l.mu.Lock()
-	c := l.of[kind]
+	c := l.classes[kind]
 	if c == nil {
-		c = &class{}
-		l.of[kind] = c
+		c = &classState{}
+		l.classes[kind] = c
 	}
 	if now.Before(c.next) {
 		c.skipped++
@@ -113,7 +113,7 @@
 		return
 	}
 	skipped := c.skipped
-	c.next, c.skipped = now.Add(l.every), 0
+	c.next, c.skipped = now.Add(l.interval), 0
 	l.mu.Unlock()
 	l.log.LogAttrs(
 		context.Background(),
@@ -126,7 +126,7 @@
 func (l *Limited) Flush(now time.Time) {
 	l.mu.Lock()
 	left := map[string]int64{}
-	for kind, c := range l.of {
+	for kind, c := range l.classes {
 		if c.skipped > 0 && !now.Before(c.next) {
 			left[kind], c.skipped = c.skipped, 0
 		}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestNewNamesWhatIsWrong(t *testing.T) {
+func TestNewRejectsUnknownValues(t *testing.T) {
 	for _, x := range [][2]string{{"xml", "info"}, {"text", "loud"}} {
 		if _, err := New(&bytes.Buffer{}, x[0], x[1]); err == nil {
 			t.Error(x)
@@ -38,7 +38,7 @@
 }
 
 // An error in a line says what to do, in both forms, however it is wrapped; other values stay as they are.
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsCarryHints(t *testing.T) {
 	for form, want := range map[string]string{"text": `err="at x: log format: \"y\" is neither text nor json; do: set one of the two" n=3`,
 		"json": `"err":"at x: log format: \"y\" is neither text nor json; do: set one of the two","n":3`} {
 		var b strings.Builder
--- a/internal/program/elsewhere_test.go
+++ b/internal/program/exec_test.go
@@ -22,7 +22,7 @@
 
 // Where the edge file has the section revisions the program beside this one goes on: the same process, the same
 // words, environment and descriptors. Where it isn't there, or the section isn't, that is told, or nothing changes.
-func TestGoesOnElsewhere(t *testing.T) {
+func TestExecRevisionsProgram(t *testing.T) {
 	dir := t.TempDir()
 	own, err := os.Executable()
 	if err != nil {
@@ -83,7 +83,7 @@
 	if said, _ := os.ReadFile(inherited.Name()); string(said) != "it\n" {
 		t.Errorf("the inherited descriptor got %q", said)
 	}
-	if err := os.WriteFile(program+Suffix, []byte("#!/bin/sh\n"+startedAs+"=\"$"+startedAs+" or so\" exec "+program+" \"$@\" --edge "+without+"\n"), 0o700); err != nil {
+	if err := os.WriteFile(program+Suffix, []byte("#!/bin/sh\n"+builtVariable+"=\"$"+builtVariable+" or so\" exec "+program+" \"$@\" --edge "+without+"\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if out, _ := run(with); !strings.Contains(out, "built from other sources") ||
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -40,7 +40,7 @@
 	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given."         env:"PROXY_EDGE"                   type:"path"`
 }
 
-func (s source) beside() proxy.Overrides {
+func (s source) overrides() proxy.Overrides {
 	return proxy.Overrides{
 		Name:       s.Name,
 		Listen:     s.Listen,
@@ -52,15 +52,15 @@
 }
 
 func (s source) load() (proxy.Config, error) {
-	cfg, err := proxy.LoadConfig(s.Config, s.beside())
+	cfg, err := proxy.LoadConfig(s.Config, s.overrides())
 	if err == nil {
-		err = s.edge(&cfg)
+		err = s.addEdgeSettings(&cfg)
 	}
 	return cfg, err
 }
 
-// edge adds our own settings.
-func (s source) edge(cfg *proxy.Config) error {
+// addEdgeSettings adds our own settings.
+func (s source) addEdgeSettings(cfg *proxy.Config) error {
 	if s.Edge == "" {
 		return nil
 	}
@@ -80,11 +80,11 @@
 // Suffix is what the name of the program that holds the agreement has more than that of this one, in the same folder.
 const Suffix = "-revisions"
 
-// elsewhere goes on as the program beside this one where the edge file asks for what this one doesn't hold. It is
+// execRevisionsProgram goes on as the program beside this one where the edge file asks for what this one doesn't hold. It is
 // the same process, with the same descriptors: nothing has been opened yet, and no signal is caught. Who has no
 // such section pays nothing for it: the agreement is a third of the larger program, and a program's size is what
 // most of its idle memory is.
-func (s *serve) elsewhere() error {
+func (s *serve) execRevisionsProgram() error {
 	if s.Edge == "" || lease.Start != nil {
 		return nil
 	}
@@ -95,55 +95,55 @@
 	path, err := os.Executable()
 	if err == nil {
 		path += Suffix
-		err = syscall.Exec(path, append([]string{path}, os.Args[1:]...), append(os.Environ(), startedAs+"="+built()))
+		err = syscall.Exec(path, append([]string{path}, os.Args[1:]...), append(os.Environ(), builtVariable+"="+buildDescription()))
 	}
-	return &NotBeside{path, err}
+	return &RevisionsProgramNotStarted{path, err}
 }
 
-// startedAs is the variable by which the one program tells the other what it was built from.
-const startedAs = "OATLOFT_BUILT"
+// builtVariable is the variable by which the one program tells the other what it was built from.
+const builtVariable = "OATLOFT_BUILT"
 
-// together tells whether the program that started this one was built from the same sources: their edge files,
+// checkSameBuild tells whether the program that started this one was built from the same sources: their edge files,
 // folders and messages are.
-func together() error {
-	if by, set := os.LookupEnv(startedAs); set && by != built() {
-		return &Apart{by, built()}
+func checkSameBuild() error {
+	if by, set := os.LookupEnv(builtVariable); set && by != buildDescription() {
+		return &BuildMismatch{by, buildDescription()}
 	}
 	return nil
 }
 
-// Apart is the error that the two programs which lie side by side were built from different sources.
-type Apart struct{ Starter, Own string }
+// BuildMismatch is the error that the two programs which lie side by side were built from different sources.
+type BuildMismatch struct{ Starter, Own string }
 
-func (e *Apart) Error() string {
+func (e *BuildMismatch) Error() string {
 	return "revisions: the program that holds the agreement was built from other sources: it is " + e.Own + ", what started it is " + e.Starter
 }
 
 // Hint is what an operator can do.
-func (e *Apart) Hint() string {
+func (e *BuildMismatch) Hint() string {
 	return "install both of one version (go build -o bin/ ./cmd/... makes both), and start again"
 }
 
-// NotBeside is the error that the program which holds the agreement isn't where it has to be.
-type NotBeside struct {
+// RevisionsProgramNotStarted is the error that the program which holds the agreement isn't where it has to be.
+type RevisionsProgramNotStarted struct {
 	Path  string
 	Cause error
 }
 
-func (e *NotBeside) Error() string {
+func (e *RevisionsProgramNotStarted) Error() string {
 	return "revisions: the program that holds the agreement can't be started: " + e.Path + ": " + e.Cause.Error()
 }
 
 // Unwrap is the cause.
-func (e *NotBeside) Unwrap() error { return e.Cause }
+func (e *RevisionsProgramNotStarted) Unwrap() error { return e.Cause }
 
 // Hint is what an operator can do.
-func (e *NotBeside) Hint() string {
+func (e *RevisionsProgramNotStarted) Hint() string {
 	return "install it there, of the same version (go build -o bin/ ./cmd/... makes both), or leave the section revisions out"
 }
 
 func (s *serve) Run() error {
-	if err := cmp.Or(s.elsewhere(), together()); err != nil {
+	if err := cmp.Or(s.execRevisionsProgram(), checkSameBuild()); err != nil {
 		return err
 	}
 	// Caught before anything listens: a signal that nobody catches ends the program.
@@ -165,18 +165,18 @@
 	if err := server.Start(); err != nil {
 		return err
 	}
-	return server.Run(context.Background(), leave, report, s.reloads(again, log))
+	return server.Run(context.Background(), leave, report, s.configReloads(again, log))
 }
 
-// reloads reads the configuration again at each signal. A file that can't work is one line in the log, and
+// configReloads reads the configuration again at each signal. A file that can't work is one line in the log, and
 // what was read before stays.
-func (s *serve) reloads(again <-chan struct{}, log *slog.Logger) <-chan proxy.Config {
+func (s *serve) configReloads(again <-chan struct{}, log *slog.Logger) <-chan proxy.Config {
 	out := make(chan proxy.Config)
 	go func() {
 		for range again {
-			cfg, err := proxy.ReloadConfig(s.Config, s.beside())
+			cfg, err := proxy.ReloadConfig(s.Config, s.overrides())
 			if err == nil {
-				err = s.edge(&cfg)
+				err = s.addEdgeSettings(&cfg)
 			}
 			if err != nil {
 				log.Error("not reloaded, the old configuration stays", "err", err)
@@ -219,15 +219,15 @@
 	return nil
 }
 
-// unknown is that the program can't tell what it is.
-type unknown struct{ hint.Annotated }
+// noBuildInfo is that the program can't tell what it is.
+type noBuildInfo struct{ hint.Annotated }
 
 type version struct{}
 
 func (version) Run() error {
-	line := built()
+	line := buildDescription()
 	if line == "" {
-		return &unknown{
+		return &noBuildInfo{
 			hint.Annotated{
 				Where: "version",
 				What:  "this program was built without its build information",
@@ -239,8 +239,8 @@
 	return nil
 }
 
-// built says what this program was built from, and by what; "" if it doesn't know.
-func built() string {
+// buildDescription says what this program was buildDescription from, and by what; "" if it doesn't know.
+func buildDescription() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
