--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink hosts balancer instances for the bench: batches of events come in on standard
-// input, replies go out on standard output.
+// Command benchlink hosts balancer instances for the bench. It reads batches of events from standard input and writes
+// the resulting actions to standard output.
 package main
 
 import (
@@ -15,17 +15,18 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // events are many and short-lived; memory is not scarce
+	// Percent of growth before a collection: events are many and short-lived, and memory is not scarce.
+	debug.SetGCPercent(400)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
 }
 
-// linkError is the end of the exchange with the bench.
+// linkError is an error that ends the exchange with the bench.
 type linkError struct{ hint.Annotated }
 
-// serve answers batches until the input ends.
+// serve answers batches until the end of the input.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	instances := make(map[int]*policy.Balancer)
@@ -36,17 +37,17 @@
 			return nil
 		}
 		if err != nil {
-			return &linkError{hint.Annotated{What: "reading", Cause: err, Do: "see which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "cannot read a batch", Cause: err, Do: "check which program is at the other end"}}
 		}
 		for _, e := range batch.Events {
-			switch what := e.What.(type) {
+			switch event := e.What.(type) {
 			case *wire.Start:
-				b, err := policy.New(what.Config, what.Seed)
+				b, err := policy.New(event.Config, event.Seed)
 				if err != nil {
 					return &linkError{hint.Annotated{
-						What:  fmt.Sprintf("starting instance %d", e.Instance),
+						What:  fmt.Sprintf("cannot start instance %d", e.Instance),
 						Cause: err,
-						Do:    "see the settings that it was given",
+						Do:    "check the settings that it was given",
 					}}
 				}
 				instances[e.Instance] = b
@@ -55,16 +56,16 @@
 			case policy.Event:
 				b := instances[e.Instance]
 				if b == nil {
-					continue // stopped: nothing concerns it any more
+					continue // the instance has been stopped
 				}
-				actions = b.Step(batch.Now, what, actions[:0])
+				actions = b.Step(batch.Now, event, actions[:0])
 				for _, a := range actions {
 					w.Action(e.Instance, a)
 				}
 			}
 		}
 		if err := w.Flush(); err != nil {
-			return &linkError{hint.Annotated{What: "writing", Cause: err, Do: "see which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "cannot write actions", Cause: err, Do: "check which program is at the other end"}}
 		}
 	}
 }
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -12,7 +12,7 @@
 	"family-info.message-aim-ms=50 granularity-ms=4 limits.max-attempts=3 limits.probes=true reporting.how=pull " +
 	"rules.cold-ms=8000 rules.cold-from=0.3 rules.fall-multiple=3 rules.tip-after-ms=1000 zone=a"
 
-// script is a short day for the instances with the given numbers.
+// script returns a short sequence of events for the instances with the given numbers.
 func script(instances ...int) string {
 	var s strings.Builder
 	each := func(format string, args ...any) {
@@ -33,7 +33,8 @@
 		fmt.Fprintf(&s, "\nturn ts-ms=%d\n", 1020+20*n)
 		each("job_in balancer-id=%[1]d id=%016[2]x patience-left-ms=1000 name-key=k%[2]d category=map", n)
 		for k := range 5 {
-			each("echo balancer-id=%[1]d server=10.0.0.%[2]d:1 state-code=done rtt-ms=1 load=x0:0.%[3]d,rif:9", k, 1+(n+k)%6)
+			each("echo balancer-id=%[1]d server=10.0.0.%[2]d:1 state-code=done rtt-ms=1 load=x0:0.%[3]d,rif:9",
+				k, 1+(n+k)%6)
 		}
 		each("reminder balancer-id=%[1]d token=tick")
 		fmt.Fprintln(&s, "flush")
@@ -50,7 +51,7 @@
 	return out.String()
 }
 
-// The same events give the same bytes, again and in whichever process an instance lives.
+// The same events give the same bytes, both when repeated and when an instance runs in a process of its own.
 func TestReplay(t *testing.T) {
 	together := serveText(t, script(0, 1, 2))
 	if again := serveText(t, script(0, 1, 2)); again != together {
@@ -79,7 +80,10 @@
 		{"empty batch", "turn ts-ms=1\nflush\n", "next\n", ""},
 		{"event for an instance that is not there", "turn ts-ms=1\nreminder balancer-id=4 token=a\nflush\n", "next\n", ""},
 		{"malformed", "turn ts-ms=1\nreminder balancer-id=x token=a\nflush\n", "", "line 2"},
-		{"impossible settings", "turn ts-ms=1\nprovision balancer-id=4 seed=1 balancers=1 limits.max-attempts=1\nflush\n", "", "no classes"},
+		{
+			"invalid settings",
+			"turn ts-ms=1\nprovision balancer-id=4 seed=1 balancers=1 limits.max-attempts=1\nflush\n", "", "no classes",
+		},
 		{"stopped", "turn ts-ms=1\nprovision balancer-id=4 seed=1 " + setup +
 			"\nshutdown balancer-id=4\nreminder balancer-id=4 token=tick\nflush\n", "next\n", ""},
 	} {
--- a/cmd/oatloft-revisions/main.go
+++ b/cmd/oatloft-revisions/main.go
@@ -1,5 +1,5 @@
-// Command oatloft-revisions is the balancer with the agreement in it. oatloft goes on as this program where the
-// edge file has the section revisions; started by itself it does the same.
+// Command oatloft-revisions is the balancer with support for routing revisions. oatloft executes it in its own place
+// if the edge file has the section revisions; it can be started directly as well.
 package main
 
 import (
--- a/cmd/oatloft/admission_test.go
+++ b/cmd/oatloft/admission_test.go
@@ -39,7 +39,7 @@
 	t            *testing.T
 	dir          string
 	edge, config string
-	process            *fake.Process
+	process      *fake.Process
 	launch       fake.Launch
 	options      fake.Options
 }
--- a/cmd/oatloft/main.go
+++ b/cmd/oatloft/main.go
@@ -1,5 +1,5 @@
-// Command oatloft is the balancer. It holds no agreement: oatloft-revisions, beside it, does, and takes its place
-// where the edge file has the section revisions.
+// Command oatloft is the balancer, without the consensus code. If the edge file has the section revisions, it executes
+// oatloft-revisions, installed in the same folder, in its own place.
 package main
 
 import "oatloft/internal/program"
--- a/cmd/oatloft/restart_test.go
+++ b/cmd/oatloft/restart_test.go
@@ -203,7 +203,7 @@
 
 // manualServer answers requests on cue, and probes at once.
 type manualServer struct {
-	addr  string
+	addr   string
 	opened chan net.Conn // a request has been read
 }
 
--- a/cmd/oatloft/revisions_test.go
+++ b/cmd/oatloft/revisions_test.go
@@ -20,10 +20,10 @@
 // cluster is several balancers of one world, each a process of its own, that go by one revision.
 type cluster struct {
 	*fake.World
-	t        *testing.T
-	dir      string
-	launches []fake.Launch
-	processes        []*fake.Process
+	t         *testing.T
+	dir       string
+	launches  []fake.Launch
+	processes []*fake.Process
 }
 
 const clusterLease = 1200 * time.Millisecond
--- a/cmd/oatloft/warmup_test.go
+++ b/cmd/oatloft/warmup_test.go
@@ -16,19 +16,19 @@
 // What the stand-in's settings tell of cold regions, see internal/fake.
 const (
 	warmCapacity     = 50.0 // connections that fill a region, when warm
-	warmUpStart     = 0.34
-	warmUpTime    = 8600 * time.Millisecond
+	warmUpStart      = 0.34
+	warmUpTime       = 8600 * time.Millisecond
 	overloadMultiple = 4.0
-	boundWindow   = 3 * time.Second
+	boundWindow      = 3 * time.Second
 )
 
 // receivedRequests notes when requests reach the cold region.
 type receivedRequests struct {
-	mu   sync.Mutex
-	times   []time.Duration
+	mu        sync.Mutex
+	times     []time.Duration
 	startedAt time.Duration
 	peakShare float64 // most requests in a window, over the bound
-	peakText string
+	peakText  string
 }
 
 func (c *receivedRequests) start(at time.Duration) {
--- a/internal/hint/errors_test.go
+++ b/internal/hint/errors_test.go
@@ -43,14 +43,14 @@
 
 // analysis is all that the checks walk over.
 type analysis struct {
-	fset    *token.FileSet
-	pkgs   []*pkg
-	calls  map[types.Object][]call // by callee, of our own functions and of those that a variable holds
-	literals  map[*types.TypeName][]literal
-	hinter  *types.Interface
-	params map[types.Object]param
-	declarations  map[types.Object]decl
-	signatures     map[types.Object]*types.Signature
+	fset         *token.FileSet
+	pkgs         []*pkg
+	calls        map[types.Object][]call // by callee, of our own functions and of those that a variable holds
+	literals     map[*types.TypeName][]literal
+	hinter       *types.Interface
+	params       map[types.Object]param
+	declarations map[types.Object]decl
+	signatures   map[types.Object]*types.Signature
 }
 
 type decl struct {
@@ -60,7 +60,7 @@
 
 type pkg struct {
 	path, dir string
-	programs        []string // programs that hold it
+	programs  []string // programs that hold it
 	files     []*ast.File
 	types     *types.Package
 	info      *types.Info
@@ -78,7 +78,7 @@
 
 type param struct {
 	function types.Object // the function, or the variable that holds it
-	index int
+	index    int
 }
 
 var loaded *analysis
@@ -105,12 +105,12 @@
 		return rows
 	}
 	c := &analysis{
-		fset:    token.NewFileSet(),
-		calls:  map[types.Object][]call{},
-		literals:  map[*types.TypeName][]literal{},
-		params: map[types.Object]param{},
-		declarations:  map[types.Object]decl{},
-		signatures:     map[types.Object]*types.Signature{},
+		fset:         token.NewFileSet(),
+		calls:        map[types.Object][]call{},
+		literals:     map[*types.TypeName][]literal{},
+		params:       map[types.Object]param{},
+		declarations: map[types.Object]decl{},
+		signatures:   map[types.Object]*types.Signature{},
 	}
 	exports, own := map[string]string{}, map[string]*types.Package{}
 	gc := importer.ForCompiler(c.fset, "gc", func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) })
@@ -228,9 +228,9 @@
 
 // errorKind is an error type.
 type errorKind struct {
-	p    *pkg
-	name *types.TypeName
-	doc  string
+	p        *pkg
+	name     *types.TypeName
+	doc      string
 	messages [][2]string // what is said, what to do
 }
 
--- a/internal/hint/hint.go
+++ b/internal/hint/hint.go
@@ -1,7 +1,7 @@
-// Package hint is the one form of errors that tell an operator what to do: what went wrong, where, the cause, and
-// what can be done about it. It owns how such an error reads in a log, at exit and in the answer to a call; it must
-// never decide anything. Each package keeps error types of its own, so that errors.As tells them apart, and embeds
-// or returns the words here.
+// Package hint defines errors that carry a hint for the operator: where the error occurred, what is wrong, its cause,
+// and what can be done about it. It defines how such an error is formatted in a log, at exit and in the answer to a
+// call, and makes no decisions. Each package declares its own error types, so that errors.As distinguishes them, and
+// embeds or returns the types of this package.
 package hint
 
 import (
@@ -9,33 +9,34 @@
 	"syscall"
 )
 
-// Hinter is an error that says what an operator can do. Every error type of the packages that use this one is a
-// Giver.
+// Hinter is an error that describes what an operator can do. Every error type of the packages that use this one
+// implements it.
 type Hinter interface {
 	error
-	Hint() string // one sentence without its full stop, never empty
+	Hint() string // one sentence without a full stop, never empty
 }
 
-// Of is what an operator can do about err: the advice of the first Giver in its chain, "" if there is none.
+// Of returns what an operator can do about err: the hint of the first Hinter in its chain, or "" if there is none.
 func Of(err error) string {
-	var g Hinter
-	if errors.As(err, &g) {
-		return g.Hint()
+	var hinter Hinter
+	if errors.As(err, &hinter) {
+		return hinter.Hint()
 	}
 	return ""
 }
 
-// Annotated are the parts of an error. A package embeds them in a type of its own, so that its methods are *Words'.
+// Annotated holds the parts of an error. A package embeds it in its own error type, which so gets the methods of
+// *Annotated.
 type Annotated struct {
-	Where string // a setting, a file, an address; "" where What says it
-	What  string // what is wrong; "" where the cause says it
+	Where string // a setting, a file or an address; "" if What names it
+	What  string // what is wrong; "" if the cause describes it
 	Cause error
 	Do    string // what an operator can do, never empty
 }
 
-func (w *Annotated) Error() string {
-	s := w.Where
-	for _, part := range [...]string{w.What, errorText(w.Cause)} {
+func (a *Annotated) Error() string {
+	s := a.Where
+	for _, part := range [...]string{a.What, errorText(a.Cause)} {
 		if s != "" && part != "" {
 			s += ": "
 		}
@@ -51,43 +52,43 @@
 	return err.Error()
 }
 
-// Unwrap implements errors.Is and errors.As.
-func (w *Annotated) Unwrap() error { return w.Cause }
+// Unwrap returns the cause, for errors.Is and errors.As.
+func (a *Annotated) Unwrap() error { return a.Cause }
 
-// Hint implements Giver. A cause that gives advice knows better, and so does the system's own error.
-func (w *Annotated) Hint() string {
-	if do := Of(w.Cause); do != "" {
+// Hint implements Hinter. The hint of a cause or of a system error takes precedence, because it is closer to the fault.
+func (a *Annotated) Hint() string {
+	if do := Of(a.Cause); do != "" {
 		return do
 	}
 	for _, s := range systemErrors {
-		if errors.Is(w.Cause, s.errno) {
+		if errors.Is(a.Cause, s.errno) {
 			return s.hint
 		}
 	}
-	return w.Do
+	return a.Do
 }
 
-// systemErrors is what to do where the systemErrors's error says it, whatever failed.
+// systemErrors lists the system errors that determine the hint by themselves, whatever operation failed.
 var systemErrors = []struct {
 	errno syscall.Errno
-	hint string
+	hint  string
 }{
-	{syscall.ENOSPC, "make room on the disk"},
-	{syscall.EDQUOT, "make room on the disk, or raise the user's quota"},
-	{syscall.EACCES, "give the program's user the right to it"},
-	{syscall.EPERM, "give the program's user the right to it"},
-	{syscall.EROFS, "name a folder on a disk that can be written"},
-	{syscall.EADDRINUSE, "another process has this address: end that one, or give another address"},
-	{syscall.EADDRNOTAVAIL, "give an address that this machine has"},
+	{syscall.ENOSPC, "free disk space"},
+	{syscall.EDQUOT, "free disk space, or raise the user's quota"},
+	{syscall.EACCES, "grant the program's user access to it"},
+	{syscall.EPERM, "grant the program's user access to it"},
+	{syscall.EROFS, "set a folder on a writable file system"},
+	{syscall.EADDRINUSE, "another process uses this address: stop that process, or set another address"},
+	{syscall.EADDRNOTAVAIL, "set an address that this machine has"},
 	{syscall.EMFILE, "raise the limit on open files (ulimit -n)"},
 	{syscall.ENFILE, "raise the machine's limit on open files (fs.file-max)"},
-	{syscall.ECONNREFUSED, "nobody listens there: see that the address is right and the program runs"},
+	{syscall.ECONNREFUSED, "nothing listens on this address: check the address and that the program is running"},
 }
 
-// Line is err in one line, with what can be done about it behind: "what; do: advice".
+// Line returns err in one line, followed by its hint if it has one: "what; do: hint".
 func Line(err error) string {
-	if a := Of(err); a != "" {
-		return err.Error() + "; do: " + a
+	if do := Of(err); do != "" {
+		return err.Error() + "; do: " + do
 	}
 	return err.Error()
 }
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -24,26 +24,29 @@
 
 type namedError struct{ Annotated }
 
-// A cause that gives advice is nearer to the fault, and so is the system's own; errors.Is and errors.As see through.
+// The hint of a cause or of a system error replaces the error's own, and errors.Is and errors.As find the cause.
 func TestAnnotated(t *testing.T) {
 	full := &fs.PathError{Op: "write", Path: "/x", Err: syscall.ENOSPC}
 	for _, x := range []struct {
-		of         Annotated
-		text, does string
+		err        Annotated
+		text, hint string
 	}{
 		{Annotated{Where: "a.b", What: "too long", Do: "cut it"}, "a.b: too long", "cut it"},
 		{Annotated{What: "too long", Do: "cut it"}, "too long", "cut it"},
 		{Annotated{Where: "f", Cause: hintedError{}, Do: "mend f"}, "f: off", "switch it on"},
-		{Annotated{Where: "f", What: "not kept", Cause: full, Do: "mend f"}, "f: not kept: write /x: no space left on device", "make room on the disk"},
+		{
+			Annotated{Where: "f", What: "not kept", Cause: full, Do: "mend f"},
+			"f: not kept: write /x: no space left on device", "free disk space",
+		},
 		{Annotated{Cause: errors.New("plain"), Do: "mend f"}, "plain", "mend f"},
 	} {
-		err := fmt.Errorf("%w", &namedError{x.of})
-		if err.Error() != x.text || Of(err) != x.does {
-			t.Errorf("%+v: %s", x.of, Line(err))
+		err := fmt.Errorf("%w", &namedError{x.err})
+		if err.Error() != x.text || Of(err) != x.hint {
+			t.Errorf("%+v: %s", x.err, Line(err))
 		}
-		var n *namedError
-		if !errors.As(err, &n) || x.of.Cause != nil && !errors.Is(err, x.of.Cause) {
-			t.Errorf("%+v is not seen through", x.of)
+		var named *namedError
+		if !errors.As(err, &named) || x.err.Cause != nil && !errors.Is(err, x.err.Cause) {
+			t.Errorf("%+v cannot be unwrapped", x.err)
 		}
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,6 @@
-// Package logs makes the program's loggers on log/slog. It owns the choice of form and level and the limit on
-// repeated lines; it must never decide what is worth a line, nor keep one back without counting it.
+// Package logs creates the program's loggers on log/slog. It selects the output format and level, formats errors with
+// their hints, and limits the rate of repeated lines. It does not decide which events are logged, and counts every
+// line that it suppresses.
 package logs
 
 import (
@@ -13,32 +14,35 @@
 	"oatloft/internal/hint"
 )
 
-// InvalidFlag is a flag of the log that can't work.
+// InvalidFlag reports an invalid value of a logging flag.
 type InvalidFlag struct{ hint.Annotated }
 
-// hintHandler writes errors in their one form, with what an operator can do. A line without an error goes through as it
-// is.
+// hintHandler formats error attributes with their hints. Records without an error pass unchanged.
 type hintHandler struct{ slog.Handler }
 
 func (h hintHandler) Handle(ctx context.Context, r slog.Record) error {
-	any := false
-	r.Attrs(func(a slog.Attr) bool { _, any = errorValue(a); return !any })
-	if any {
-		said := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
+	found := false
+	r.Attrs(func(a slog.Attr) bool { _, found = errorValue(a); return !found })
+	if found {
+		formatted := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
 		r.Attrs(func(a slog.Attr) bool {
 			if err, ok := errorValue(a); ok {
 				a.Value = slog.StringValue(hint.Line(err))
 			}
-			said.AddAttrs(a)
+			formatted.AddAttrs(a)
 			return true
 		})
-		r = said
+		r = formatted
 	}
 	return h.Handler.Handle(ctx, r)
 }
 
-func (h hintHandler) WithAttrs(list []slog.Attr) slog.Handler { return hintHandler{h.Handler.WithAttrs(list)} }
-func (h hintHandler) WithGroup(name string) slog.Handler      { return hintHandler{h.Handler.WithGroup(name)} }
+func (h hintHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return hintHandler{h.Handler.WithAttrs(attrs)}
+}
+func (h hintHandler) WithGroup(name string) slog.Handler {
+	return hintHandler{h.Handler.WithGroup(name)}
+}
 
 func errorValue(a slog.Attr) (error, bool) {
 	if a.Value.Kind() != slog.KindAny {
@@ -48,7 +52,8 @@
 	return err, ok
 }
 
-// New returns a logger that writes to w as "text" or "json", from level ("debug", "info", "warn", "error") on.
+// New returns a logger that writes to w in the given format ("text" or "json") lines of the given level ("debug",
+// "info", "warn" or "error") and above.
 func New(w io.Writer, format, level string) (*slog.Logger, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -56,7 +61,7 @@
 			hint.Annotated{
 				Where: "log level",
 				What:  fmt.Sprintf("%q is none of debug, info, warn, error", level),
-				Do:    "set one of these",
+				Do:    "set one of these levels",
 			},
 		}
 	}
@@ -71,19 +76,19 @@
 		hint.Annotated{
 			Where: "log format",
 			What:  fmt.Sprintf("%q is neither text nor json", format),
-			Do:    "set one of the two",
+			Do:    "set one of the two formats",
 		},
 	}
 }
 
-// Limited writes one line a class and interval at most, with the number of those that it stands for, so that a
-// flood of events is no flood of lines. Classes are few: the code's own words, never a client's. It is safe for
-// concurrent use.
+// Limited writes at most one line per class and interval, with the number of lines suppressed since the class's last
+// one, so that a flood of events does not flood the log. Classes are a small set of names from the code, never values
+// sent by a client. It is safe for concurrent use.
 type Limited struct {
-	log   *slog.Logger
+	log      *slog.Logger
 	interval time.Duration
-	mu    sync.Mutex
-	classes    map[string]*classState
+	mu       sync.Mutex
+	classes  map[string]*classState
 }
 
 type classState struct {
@@ -91,21 +96,21 @@
 	skipped int64
 }
 
-// Limit returns a limiter for log's lines.
-func Limit(log *slog.Logger, every time.Duration) *Limited {
-	return &Limited{log: log, interval: every, classes: map[string]*classState{}}
+// Limit returns a Limited that writes to log, at most one line of each class per interval.
+func Limit(log *slog.Logger, interval time.Duration) *Limited {
+	return &Limited{log: log, interval: interval, classes: map[string]*classState{}}
 }
 
-// Say writes a line of a class, or counts it for the class's next.
-func (l *Limited) Say(now time.Time, level slog.Level, kind, msg string, attrs ...slog.Attr) {
+// Say writes a line of a class, or counts it as suppressed until the class's next line.
+func (l *Limited) Say(now time.Time, level slog.Level, class, msg string, attrs ...slog.Attr) {
 	if !l.log.Enabled(context.Background(), level) {
 		return
 	}
 	l.mu.Lock()
-	c := l.classes[kind]
+	c := l.classes[class]
 	if c == nil {
 		c = &classState{}
-		l.classes[kind] = c
+		l.classes[class] = c
 	}
 	if now.Before(c.next) {
 		c.skipped++
@@ -119,25 +124,25 @@
 		context.Background(),
 		level,
 		msg,
-		append(attrs, slog.String("class", kind), slog.Int64("more", skipped))...)
+		append(attrs, slog.String("class", class), slog.Int64("more", skipped))...)
 }
 
-// Flush writes a line for every class that still stands for some.
+// Flush writes a line for every class that has suppressed lines and whose interval has passed.
 func (l *Limited) Flush(now time.Time) {
 	l.mu.Lock()
-	left := map[string]int64{}
-	for kind, c := range l.classes {
+	suppressed := map[string]int64{}
+	for class, c := range l.classes {
 		if c.skipped > 0 && !now.Before(c.next) {
-			left[kind], c.skipped = c.skipped, 0
+			suppressed[class], c.skipped = c.skipped, 0
 		}
 	}
 	l.mu.Unlock()
-	for kind, n := range left {
+	for class, n := range suppressed {
 		l.log.LogAttrs(
 			context.Background(),
 			slog.LevelInfo,
-			"not logged one by one",
-			slog.String("class", kind),
+			"repeated log lines suppressed",
+			slog.String("class", class),
 			slog.Int64("more", n),
 		)
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A flood of one class is one line a second, and the next one tells how many it stands for.
+// A flood of lines of one class is limited to one line per second, which carries the number of suppressed lines.
 func TestLimited(t *testing.T) {
 	var out bytes.Buffer
 	log, err := New(&out, "json", "info")
@@ -19,7 +19,7 @@
 	l, now := Limit(log, time.Second), time.Unix(1, 0)
 	for i := range 3000 {
 		l.Say(now.Add(time.Duration(i)*time.Millisecond), slog.LevelInfo, "refused", "refused", slog.Int("n", i))
-		l.Say(now, slog.LevelDebug, "quiet", "never")
+		l.Say(now, slog.LevelDebug, "quiet", "below the level")
 	}
 	l.Say(now, slog.LevelWarn, "other", "another class")
 	l.Flush(now.Add(time.Hour))
@@ -37,19 +37,21 @@
 	}
 }
 
-// An error in a line says what to do, in both forms, however it is wrapped; other values stay as they are.
+// An error attribute is logged with its hint in both formats, also if it is wrapped; other attributes are unchanged.
 func TestErrorsCarryHints(t *testing.T) {
-	for form, want := range map[string]string{"text": `err="at x: log format: \"y\" is neither text nor json; do: set one of the two" n=3`,
-		"json": `"err":"at x: log format: \"y\" is neither text nor json; do: set one of the two","n":3`} {
+	for format, want := range map[string]string{
+		"text": `err="at x: log format: \"y\" is neither text nor json; do: set one of the two formats" n=3`,
+		"json": `"err":"at x: log format: \"y\" is neither text nor json; do: set one of the two formats","n":3`,
+	} {
 		var b strings.Builder
-		log, err := New(&b, form, "info")
+		log, err := New(&b, format, "info")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, wrong := New(&b, "y", "info")
-		log.With("a", 1).Error("no", "err", fmt.Errorf("at x: %w", wrong), "n", 3)
+		_, formatErr := New(&b, "y", "info")
+		log.With("a", 1).Error("no", "err", fmt.Errorf("at x: %w", formatErr), "n", 3)
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("%s: %s", form, b.String())
+			t.Errorf("%s: %s", format, b.String())
 		}
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,7 +1,7 @@
-// Package program is the balancer's command line: it starts the program or checks what it would start with. It must
-// never hold anything of what the program does, nor import internal/revision/host: a program that holds it imports
-// it by itself (cmd/oatloft-revisions), and is taken in this one's place where the edge file has the section
-// revisions.
+// Package program is the balancer's command line: it starts the balancer, or checks the configuration that it would
+// start with. It implements nothing of the balancer, and does not import internal/revision/host: the program that
+// contains that package imports it itself (cmd/oatloft-revisions), and is executed in place of this one if the edge
+// file has the section revisions.
 package program
 
 import (
@@ -25,19 +25,19 @@
 
 type flags struct {
 	Serve   serve   `cmd:"" help:"Run a balancer in the foreground."`
-	Check   check   `cmd:"" help:"Read a configuration, and say what is wrong with it."`
+	Check   check   `cmd:"" help:"Read a configuration, and report what is wrong with it."`
 	Version version `cmd:"" help:"Print the version."`
 }
 
 type source struct {
-	Config     string `help:"Configuration file (JSON)."                                                           env:"PROXY_CONFIG"     required:"" type:"path"`
-	Name       string `help:"The balancer's name, in place of the configuration's."                                env:"PROXY_NAME"`
-	Listen     string `help:"Where terminals connect, host:port."                                                  env:"PROXY_LISTEN"`
-	Discovery  string `help:"Discovery's host:port."                                                               env:"PROXY_DISCOVERY"`
-	Management string `help:"Where operators call, host:port; nowhere if not given."                               env:"PROXY_MANAGEMENT"`
-	Inherited  string `help:"Descriptor of a listening socket held by the platform, taken in place of an own one." env:"PROXY_FD"                                 name:"fd"`
-	State      string `help:"Directory for what one process leaves to the next."                                   env:"TMPDIR"                       type:"path"`
-	Edge       string `help:"Our own settings, compiled by oatctl edge compile (JSON); none if not given."         env:"PROXY_EDGE"                   type:"path"`
+	Config     string `help:"Configuration file (JSON)."                                               env:"PROXY_CONFIG"     required:"" type:"path"`
+	Name       string `help:"The balancer's name; overrides the configuration."                        env:"PROXY_NAME"`
+	Listen     string `help:"Address for clients, host:port."                                          env:"PROXY_LISTEN"`
+	Discovery  string `help:"Address of discovery, host:port."                                         env:"PROXY_DISCOVERY"`
+	Management string `help:"Address for operators' calls, host:port; none if not given."              env:"PROXY_MANAGEMENT"`
+	Inherited  string `help:"Descriptor of a listening socket to inherit instead of opening one."      env:"PROXY_FD"                                 name:"fd"`
+	State      string `help:"Directory for the state that a process passes to its successor."          env:"TMPDIR"                       type:"path"`
+	Edge       string `help:"Edge settings (JSON), compiled by oatctl edge compile; none if not given." env:"PROXY_EDGE"                   type:"path"`
 }
 
 func (s source) overrides() proxy.Overrides {
@@ -59,37 +59,37 @@
 	return cfg, err
 }
 
-// addEdgeSettings adds our own settings.
+// addEdgeSettings adds the settings of the edge file, if one is given.
 func (s source) addEdgeSettings(cfg *proxy.Config) error {
 	if s.Edge == "" {
 		return nil
 	}
-	e, err := edgeconfig.Load(s.Edge)
+	edge, err := edgeconfig.Load(s.Edge)
 	if err != nil {
 		return err
 	}
-	return cfg.SetEdge(e)
+	return cfg.SetEdge(edge)
 }
 
 type serve struct {
 	source
-	LogLevel  string `help:"From which level on lines are logged."    enum:"debug,info,warn,error" default:"info"`
-	LogFormat string `help:"How lines are written on standard error." enum:"text,json"             default:"text"`
+	LogLevel  string `help:"Lowest level of lines that are logged."    enum:"debug,info,warn,error" default:"info"`
+	LogFormat string `help:"Format of the log on standard error." enum:"text,json"             default:"text"`
 }
 
-// Suffix is what the name of the program that holds the agreement has more than that of this one, in the same folder.
+// Suffix is appended to this program's path to obtain the path of the program that supports revisions.
 const Suffix = "-revisions"
 
-// execRevisionsProgram goes on as the program beside this one where the edge file asks for what this one doesn't hold. It is
-// the same process, with the same descriptors: nothing has been opened yet, and no signal is caught. Who has no
-// such section pays nothing for it: the agreement is a third of the larger program, and a program's size is what
-// most of its idle memory is.
+// execRevisionsProgram executes the program with revision support, installed in the same folder, if the edge file has
+// the section revisions and this program lacks it. The process and its descriptors stay the same: nothing has been
+// opened yet, and no signal is caught. Deployments without revisions use the smaller program, because the consensus
+// code is a third of the larger one, and most of a program's idle memory is its own size.
 func (s *serve) execRevisionsProgram() error {
 	if s.Edge == "" || lease.Start != nil {
 		return nil
 	}
-	e, err := edgeconfig.Load(s.Edge)
-	if err != nil || e.Revisions == nil {
+	edge, err := edgeconfig.Load(s.Edge)
+	if err != nil || edge.Revisions == nil {
 		return err
 	}
 	path, err := os.Executable()
@@ -100,55 +100,56 @@
 	return &RevisionsProgramNotStarted{path, err}
 }
 
-// builtVariable is the variable by which the one program tells the other what it was built from.
+// builtVariable is the environment variable that passes the starting program's build description to the other program.
 const builtVariable = "OATLOFT_BUILT"
 
-// checkSameBuild tells whether the program that started this one was built from the same sources: their edge files,
-// folders and messages are.
+// checkSameBuild returns an error if the program that started this one was built from other sources, because both
+// have to agree on the formats of edge files, state folders and messages.
 func checkSameBuild() error {
-	if by, set := os.LookupEnv(builtVariable); set && by != buildDescription() {
-		return &BuildMismatch{by, buildDescription()}
+	if starter, set := os.LookupEnv(builtVariable); set && starter != buildDescription() {
+		return &BuildMismatch{starter, buildDescription()}
 	}
 	return nil
 }
 
-// BuildMismatch is the error that the two programs which lie side by side were built from different sources.
+// BuildMismatch is the error that oatloft and oatloft-revisions were built from different sources.
 type BuildMismatch struct{ Starter, Own string }
 
 func (e *BuildMismatch) Error() string {
-	return "revisions: the program that holds the agreement was built from other sources: it is " + e.Own + ", what started it is " + e.Starter
+	return "revisions: the program with revision support was built from other sources: it is " + e.Own +
+		", the program that started it is " + e.Starter
 }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do.
 func (e *BuildMismatch) Hint() string {
-	return "install both of one version (go build -o bin/ ./cmd/... makes both), and start again"
+	return "install both programs of the same version (go build -o bin/ ./cmd/... builds both), and start again"
 }
 
-// RevisionsProgramNotStarted is the error that the program which holds the agreement isn't where it has to be.
+// RevisionsProgramNotStarted is the error that the program with revision support could not be executed.
 type RevisionsProgramNotStarted struct {
 	Path  string
 	Cause error
 }
 
 func (e *RevisionsProgramNotStarted) Error() string {
-	return "revisions: the program that holds the agreement can't be started: " + e.Path + ": " + e.Cause.Error()
+	return "revisions: cannot start the program with revision support: " + e.Path + ": " + e.Cause.Error()
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *RevisionsProgramNotStarted) Unwrap() error { return e.Cause }
 
-// Hint is what an operator can do.
+// Hint returns what an operator can do.
 func (e *RevisionsProgramNotStarted) Hint() string {
-	return "install it there, of the same version (go build -o bin/ ./cmd/... makes both), or leave the section revisions out"
+	return "install it there, of the same version (go build -o bin/ ./cmd/... builds both), or remove the section revisions"
 }
 
 func (s *serve) Run() error {
 	if err := cmp.Or(s.execRevisionsProgram(), checkSameBuild()); err != nil {
 		return err
 	}
-	// Caught before anything listens: a signal that nobody catches ends the program.
-	leave, report := signals(syscall.SIGTERM, syscall.SIGINT), signals(syscall.SIGUSR1)
-	again := signals(syscall.SIGHUP)
+	// Signals are caught before anything listens: one that is not caught would end the program.
+	shutdown, report := signals(syscall.SIGTERM, syscall.SIGINT), signals(syscall.SIGUSR1)
+	reload := signals(syscall.SIGHUP)
 	log, err := logs.New(os.Stderr, s.LogFormat, s.LogLevel)
 	if err != nil {
 		return err
@@ -158,28 +159,28 @@
 		return err
 	}
 	cfg.SetLimits()
-	server, err := proxy.New(cfg, log)
+	balancer, err := proxy.New(cfg, log)
 	if err != nil {
 		return err
 	}
-	if err := server.Start(); err != nil {
+	if err := balancer.Start(); err != nil {
 		return err
 	}
-	return server.Run(context.Background(), leave, report, s.configReloads(again, log))
+	return balancer.Run(context.Background(), shutdown, report, s.configReloads(reload, log))
 }
 
-// configReloads reads the configuration again at each signal. A file that can't work is one line in the log, and
-// what was read before stays.
-func (s *serve) configReloads(again <-chan struct{}, log *slog.Logger) <-chan proxy.Config {
+// configReloads reads the configuration again at each signal. An invalid file is reported by one line in the log, and
+// the previous configuration stays in force.
+func (s *serve) configReloads(reload <-chan struct{}, log *slog.Logger) <-chan proxy.Config {
 	out := make(chan proxy.Config)
 	go func() {
-		for range again {
+		for range reload {
 			cfg, err := proxy.ReloadConfig(s.Config, s.overrides())
 			if err == nil {
 				err = s.addEdgeSettings(&cfg)
 			}
 			if err != nil {
-				log.Error("not reloaded, the old configuration stays", "err", err)
+				log.Error("reload failed, the old configuration stays in force", "err", err)
 				continue
 			}
 			out <- cfg
@@ -188,10 +189,10 @@
 	return out
 }
 
-// signals turns signals into plain events.
-func signals(which ...os.Signal) <-chan struct{} {
+// signals returns a channel that receives a value for each of the given signals.
+func signals(caught ...os.Signal) <-chan struct{} {
 	in, out := make(chan os.Signal, 1), make(chan struct{})
-	signal.Notify(in, which...)
+	signal.Notify(in, caught...)
 	go func() {
 		for range in {
 			out <- struct{}{}
@@ -210,16 +211,16 @@
 	if err := cfg.CheckAddresses(); err != nil {
 		return err
 	}
-	regions := 0
+	servers := 0
 	if cfg.KnownEndpoints != nil {
-		regions = len(cfg.KnownEndpoints.Endpoints)
+		servers = len(cfg.KnownEndpoints.Endpoints)
 	}
 	fmt.Printf("%s: listens on %s, discovery at %s, %d classes, %d tenants, %d regions known\n",
-		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Core.Policy.Classes), len(cfg.Core.Policy.Tenants), regions)
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Core.Policy.Classes), len(cfg.Core.Policy.Tenants), servers)
 	return nil
 }
 
-// noBuildInfo is that the program can't tell what it is.
+// noBuildInfo is the error that the program does not contain its build information.
 type noBuildInfo struct{ hint.Annotated }
 
 type version struct{}
@@ -231,7 +232,7 @@
 			hint.Annotated{
 				Where: "version",
 				What:  "this program was built without its build information",
-				Do:    "build it in its repository by go build",
+				Do:    "build it in its repository with go build",
 			},
 		}
 	}
@@ -239,7 +240,8 @@
 	return nil
 }
 
-// buildDescription says what this program was buildDescription from, and by what; "" if it doesn't know.
+// buildDescription returns the version, revision and Go version that this program was built from, or "" if they are
+// unknown.
 func buildDescription() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -254,7 +256,7 @@
 	return line + " " + info.GoVersion
 }
 
-// Main runs the command line, and ends the process where it fails.
+// Main runs the command line, and ends the process with exit code 1 if it fails.
 func Main() {
 	ctx := kong.Parse(&flags{}, kong.Name("oatloft"), kong.Description("A balancer for long-lived connections."))
 	if err := ctx.Run(); err != nil {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// SIGHUP once ended the program. It has the file read again: one that can't work is a line in the log and
-// changes nothing, a good one holds, also where PROXY_DISCOVERY named another address at the start.
+// Guards against a program that ends at SIGHUP. The signal makes it read the file again: an invalid file changes
+// nothing, and a valid one takes effect, also if PROXY_DISCOVERY named another address at the start.
 func TestReload(t *testing.T) {
-	var calls [2]chan string
+	var calls [2]chan string // received by two discovery servers
 	var addrs [2]string
 	for i := range calls {
 		l, err := net.Listen("tcp", "127.8.1.2:0")
@@ -48,12 +48,13 @@
 		LogFormat: "text",
 	}
 	write := func(discovery string) {
-		text := strings.NewReplacer("$discovery", discovery, "$r1", "127.8.1.2:1", "$r2", "127.8.1.2:2").Replace(string(body))
+		text := strings.NewReplacer("$discovery", discovery, "$r1", "127.8.1.2:1", "$r2", "127.8.1.2:2").
+			Replace(string(body))
 		if err := os.WriteFile(s.Config, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	call := func(i int) {
+	waitForCall := func(i int) {
 		t.Helper()
 		select {
 		case line := <-calls[i]:
@@ -61,25 +62,25 @@
 				t.Fatal(line)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("no call at", i)
+			t.Fatal("no call at discovery", i)
 		}
 	}
 	write("127.8.1.2:3")
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
-	call(0) // the variable's address, not the file's
+	waitForCall(0) // the environment variable's address, not the file's
 	write("nowhere")
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	select {
 	case err := <-ended:
 		t.Fatal("ended:", err)
 	case <-calls[1]:
-		t.Fatal("a call by a file that can't work")
+		t.Fatal("an invalid file caused a call")
 	case <-time.After(300 * time.Millisecond):
 	}
 	write(addrs[1])
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	call(1)
+	waitForCall(1)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	if err := <-ended; err != nil {
 		t.Fatal(err)
