--- a/internal/hint/errors_test.go
+++ b/internal/hint/errors_test.go
@@ -1,7 +1,7 @@
 package hint
 
-// This file owns two checks over the types of all packages: that each error says what an operator can do, and that
-// docs/operators/errors.md says what the code says. It must never list errors by hand.
+// This file has two checks over the types of all packages: that every error has a hint for the operator, and that
+// docs/operators/errors.md agrees with the code. The errors are found in the code and never listed by hand.
 
 import (
 	"bytes"
@@ -24,28 +24,29 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write docs/operators/errors.md anew")
+var update = flag.Bool("update", false, "regenerate docs/operators/errors.md")
 
 const (
 	module = "oatloft/"
 	page   = "../../docs/operators/errors.md"
 )
 
-// programs are told one after the other: each with what those before don't hold.
+// programs lists the programs in the page's order: each section has the packages that no earlier program contains.
 var programs = []string{"oatloft", "oatloft-revisions", "oatctl", "oatlab"}
 
-// mayReturnPlainErrors are the functions ("oatloft/internal/x.F") that may make an error of no type of their own, and why.
+// mayReturnPlainErrors maps each function ("oatloft/internal/x.F") that may create an error without a type of its own
+// to the reason.
 var mayReturnPlainErrors = map[string]string{
-	"oatloft/internal/apache.Lines":    "no command reaches the importer: its parsers wait, and its errors with them",
-	"oatloft/internal/apache.Settings": "no command reaches the importer: its parsers wait, and its errors with them",
-	"oatloft/internal/apache.read":     "no command reaches the importer: its parsers wait, and its errors with them",
+	"oatloft/internal/apache.Lines":    "no command uses the importer yet, so no operator sees its errors",
+	"oatloft/internal/apache.Settings": "no command uses the importer yet, so no operator sees its errors",
+	"oatloft/internal/apache.read":     "no command uses the importer yet, so no operator sees its errors",
 }
 
-// analysis is all that the checks walk over.
+// analysis holds the syntax and types of all packages, indexed for the checks.
 type analysis struct {
 	fset         *token.FileSet
 	pkgs         []*pkg
-	calls        map[types.Object][]call // by callee, of our own functions and of those that a variable holds
+	calls        map[types.Object][]call // by callee: this module's functions and variables that hold functions
 	literals     map[*types.TypeName][]literal
 	hinter       *types.Interface
 	params       map[types.Object]param
@@ -60,7 +61,7 @@
 
 type pkg struct {
 	path, dir string
-	programs  []string // programs that hold it
+	programs  []string // programs that contain it
 	files     []*ast.File
 	types     *types.Package
 	info      *types.Info
@@ -83,7 +84,8 @@
 
 var loaded *analysis
 
-// load reads and checks the types of all packages; those of other modules come as the compiler wrote them.
+// load parses and type-checks all packages of this module; those of other modules are read from the compiler's export
+// data.
 func load(t *testing.T) *analysis {
 	t.Helper()
 	if loaded != nil {
@@ -92,11 +94,11 @@
 	list := func(args ...string) [][]string {
 		cmd := exec.Command("go", append([]string{"list"}, args...)...)
 		cmd.Dir = "../.."
-		var said bytes.Buffer
-		cmd.Stderr = &said
+		var stderr bytes.Buffer
+		cmd.Stderr = &stderr
 		out, err := cmd.Output()
 		if err != nil {
-			t.Fatalf("go list %v: %v\n%s", args, err, said.String())
+			t.Fatalf("go list %v: %v\n%s", args, err, stderr.String())
 		}
 		var rows [][]string
 		for line := range strings.Lines(string(out)) {
@@ -114,13 +116,15 @@
 	}
 	exports, own := map[string]string{}, map[string]*types.Package{}
 	gc := importer.ForCompiler(c.fset, "gc", func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) })
-	for _, row := range list("-export", "-deps", "-f", "{{.ImportPath}}\t{{.Export}}\t{{.Dir}}\t{{range .GoFiles}}{{.}} {{end}}", "./...") {
+	for _, row := range list("-export", "-deps", "-f",
+		"{{.ImportPath}}\t{{.Export}}\t{{.Dir}}\t{{range .GoFiles}}{{.}} {{end}}", "./...") {
 		exports[row[0]] = row[1]
 		if !strings.HasPrefix(row[0], module) {
 			continue
 		}
 		p := &pkg{path: row[0], dir: row[2], info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{},
-			Defs: map[*ast.Ident]types.Object{}, Uses: map[*ast.Ident]types.Object{}, Selections: map[*ast.SelectorExpr]*types.Selection{}}}
+			Defs: map[*ast.Ident]types.Object{}, Uses: map[*ast.Ident]types.Object{},
+			Selections: map[*ast.SelectorExpr]*types.Selection{}}}
 		for _, name := range strings.Fields(row[3]) {
 			f, err := parser.ParseFile(c.fset, filepath.Join(p.dir, name), nil, parser.ParseComments)
 			if err != nil {
@@ -128,7 +132,7 @@
 			}
 			p.files = append(p.files, f)
 		}
-		var err error // packages come after those that they import
+		var err error // go list prints packages after those that they import
 		p.types, err = (&types.Config{Importer: packageImporter{own, gc}}).Check(p.path, c.fset, p.files, p.info)
 		if err != nil {
 			t.Fatal(err)
@@ -152,7 +156,7 @@
 	return c
 }
 
-// markImports notes that a program holds a package, and what that imports.
+// markImports records that a program contains a package and all that it imports.
 func (c *analysis) markImports(program string, t *types.Package, seen map[*types.Package]bool) {
 	if seen[t] || !strings.HasPrefix(t.Path(), module) {
 		return
@@ -168,7 +172,7 @@
 	}
 }
 
-// packageImporter imports our own packages as they were checked, and all others from gc.
+// packageImporter imports this module's packages as they were checked, and all others from export data.
 type packageImporter struct {
 	own map[string]*types.Package
 	gc  types.Importer
@@ -226,16 +230,16 @@
 	return p.info.Uses[id]
 }
 
-// errorKind is an error type.
+// errorKind is an error type and its messages.
 type errorKind struct {
 	p        *pkg
 	name     *types.TypeName
 	doc      string
-	messages [][2]string // what is said, what to do
+	messages [][2]string // message and hint
 }
 
-// errorKinds are the error types of a package. Each has to be a Giver.
-func (c *analysis) errorKinds(p *pkg, wrong func(token.Pos, string, ...any)) (list []errorKind) {
+// errorKinds returns the error types of a package. Each has to implement Hinter.
+func (c *analysis) errorKinds(p *pkg, report func(token.Pos, string, ...any)) (list []errorKind) {
 	errorType := types.Universe.Lookup("error").Type().Underlying().(*types.Interface)
 	for _, f := range p.files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -254,7 +258,7 @@
 					continue
 				}
 				if !types.Implements(ptr, c.hinter) {
-					wrong(s.Pos(), "%s gives no advice", name.Name())
+					report(s.Pos(), "%s has no hint", name.Name())
 					continue
 				}
 				doc := s.Doc
@@ -263,9 +267,9 @@
 				}
 				k := errorKind{p: p, name: name, doc: strings.Join(strings.Fields(doc.Text()), " ")}
 				if k.doc == "" {
-					wrong(s.Pos(), "%s has no comment that says when it comes", name.Name())
+					report(s.Pos(), "%s has no comment that describes when it occurs", name.Name())
 				}
-				c.collectMessages(&k, wrong)
+				c.collectMessages(&k, report)
 				list = append(list, k)
 			}
 			return true
@@ -274,23 +278,23 @@
 	return list
 }
 
-// binding is what stands for a parameter or a field while an expression is read: an expression at another place.
+// binding is the expression that is the value of a parameter or field while another expression is evaluated.
 type binding struct {
 	p   *pkg
-	x   ast.Expr // nil for a field that is left empty
+	x   ast.Expr // nil for a field that is not set
 	env env
 }
 
 type env map[types.Object]binding
 
-// collectMessages reads what a type says, from the places that make it.
-func (c *analysis) collectMessages(k *errorKind, wrong func(token.Pos, string, ...any)) {
-	add := func(at token.Pos, said, do []string) {
-		do = slices.DeleteFunc(do, func(s string) bool { return strings.TrimSpace(s) == "" })
-		if len(do) == 0 {
-			wrong(at, "%s without advice", k.name.Name())
+// collectMessages determines the messages and hints of an error type from the places that create it.
+func (c *analysis) collectMessages(k *errorKind, report func(token.Pos, string, ...any)) {
+	add := func(at token.Pos, messages, hints []string) {
+		hints = slices.DeleteFunc(hints, func(s string) bool { return strings.TrimSpace(s) == "" })
+		if len(hints) == 0 {
+			report(at, "%s without a hint", k.name.Name())
 		}
-		row := [2]string{tableCell(said, true), tableCell(do, false)}
+		row := [2]string{tableCell(messages, true), tableCell(hints, false)}
 		if !slices.Contains(k.messages, row) {
 			k.messages = append(k.messages, row)
 		}
@@ -301,8 +305,8 @@
 			continue
 		}
 		for _, e := range c.callEnvs(l) {
-			var do []string
-			said := []string{""}
+			var hints []string
+			messages := []string{""}
 			if i := slices.IndexFunc(l.x.Elts, func(x ast.Expr) bool { return isAnnotated(l.p, x) }); i >= 0 {
 				parts := fieldValues(l.x.Elts[i].(*ast.CompositeLit), nil)
 				for _, name := range []string{"Where", "What", "Cause"} {
@@ -311,23 +315,23 @@
 						if name != "Cause" {
 							part = c.evalText(l.p, x, e, 4)
 						}
-						if said[0] != "" {
-							said = product(said, []string{": "})
+						if messages[0] != "" {
+							messages = product(messages, []string{": "})
 						}
-						said = product(said, part)
+						messages = product(messages, part)
 					}
 				}
 				if x := parts["Do"]; x != nil {
-					do = c.evalText(l.p, x, e, 4)
+					hints = c.evalText(l.p, x, e, 4)
 				}
 			} else {
-				given, of := fieldValues(l.x, st), env{}
+				values, bindings := fieldValues(l.x, st), env{}
 				for i := range st.NumFields() {
-					of[st.Field(i)] = binding{l.p, given[st.Field(i).Name()], e}
+					bindings[st.Field(i)] = binding{l.p, values[st.Field(i).Name()], e}
 				}
-				said, do = c.methodResults(k, "Error", of), c.methodResults(k, "Hint", of)
+				messages, hints = c.methodResults(k, "Error", bindings), c.methodResults(k, "Hint", bindings)
 			}
-			add(l.x.Pos(), said, do)
+			add(l.x.Pos(), messages, hints)
 		}
 	}
 	if len(k.messages) == 0 {
@@ -340,21 +344,21 @@
 	return ok && p.info.TypeOf(x).String() == module+"internal/hint.Annotated"
 }
 
-// fieldValues are the values of a literal by their fields' names; st names those that are given without.
+// fieldValues returns the values of a literal by field name; st names the fields of an unkeyed literal.
 func fieldValues(x *ast.CompositeLit, st *types.Struct) map[string]ast.Expr {
-	of := map[string]ast.Expr{}
+	values := map[string]ast.Expr{}
 	for i, e := range x.Elts {
 		if kv, ok := e.(*ast.KeyValueExpr); ok {
-			of[kv.Key.(*ast.Ident).Name] = kv.Value
+			values[kv.Key.(*ast.Ident).Name] = kv.Value
 		} else if st != nil {
-			of[st.Field(i).Name()] = e
+			values[st.Field(i).Name()] = e
 		}
 	}
-	return of
+	return values
 }
 
-// callEnvs are the calls of the function that holds a literal, as far as the literal hangs on its parameters; else one
-// that is empty.
+// callEnvs returns the bindings of each call of the function that contains a literal, if the literal depends on its
+// parameters, and otherwise one without bindings.
 func (c *analysis) callEnvs(l literal) []env {
 	var f types.Object
 	ast.Inspect(l.x, func(n ast.Node) bool {
@@ -405,31 +409,31 @@
 	return list
 }
 
-// results are what a function's body returns.
+// results returns the texts that a function's body may return.
 func (c *analysis) results(p *pkg, body *ast.BlockStmt, e env, depth int) (list []string) {
-	over := false
+	returned := false
 	ast.Inspect(body, func(n ast.Node) bool {
 		switch x := n.(type) {
 		case *ast.IfStmt:
 			switch c.evalEmptyCheck(p, x.Cond, e, depth) {
 			case "yes":
 				in := c.results(p, x.Body, e, depth)
-				list, over = append(list, in...), len(in) > 0
+				list, returned = append(list, in...), len(in) > 0
 				return false
 			case "no":
 				return false
 			}
 		case *ast.ReturnStmt:
-			if !over && len(x.Results) == 1 {
+			if !returned && len(x.Results) == 1 {
 				list = append(list, c.evalText(p, x.Results[0], e, depth)...)
 			}
 		}
-		return !over
+		return !returned
 	})
 	return list
 }
 
-// evalEmptyCheck tells whether a comparison with "" evalEmptyCheck, as far as it can be seen.
+// evalEmptyCheck returns "yes" or "no" if the result of a comparison with "" is known, and otherwise "".
 func (c *analysis) evalEmptyCheck(p *pkg, x ast.Expr, e env, depth int) string {
 	b, ok := x.(*ast.BinaryExpr)
 	if !ok || b.Op != token.EQL && b.Op != token.NEQ {
@@ -461,9 +465,9 @@
 
 var verb = regexp.MustCompile(`%[-+# 0]*[0-9]*(\.[0-9]+)?[a-zA-Z%]`)
 
-const maxTexts = 24 // of one expression, and calls of one function; more are said by a name
+const maxTexts = 24 // texts of one expression, and calls of one function; if there are more, a placeholder is used
 
-// evalText is what an expression may say: its value where that is constant, the parts that vary as ‹name›.
+// evalText returns the texts that an expression may have: its value if that is constant, with varying parts as ‹name›.
 func (c *analysis) evalText(p *pkg, x ast.Expr, e env, depth int) []string {
 	if tv := p.info.Types[x]; tv.Value != nil && tv.Value.Kind() == constant.String {
 		return []string{constant.StringVal(tv.Value)}
@@ -472,8 +476,8 @@
 	if depth == 0 {
 		return name
 	}
-	// through reads what stands for a parameter or a field; where that is no more than another name, this one is kept.
-	through := func(obj types.Object) []string {
+	// resolve evaluates the binding of a parameter or field; if that is only another placeholder, this name is kept.
+	resolve := func(obj types.Object) []string {
 		b, ok := e[obj]
 		if !ok {
 			return name
@@ -492,13 +496,14 @@
 	case *ast.ParenExpr:
 		return c.evalText(p, x.X, e, depth)
 	case *ast.BinaryExpr:
-		if out := product(c.evalPart(p, x.X, e, depth), c.evalPart(p, x.Y, e, depth)); x.Op == token.ADD && len(out) > 0 && len(out) <= maxTexts {
+		if out := product(c.evalPart(p, x.X, e, depth), c.evalPart(p, x.Y, e, depth)); x.Op == token.ADD &&
+			len(out) > 0 && len(out) <= maxTexts {
 			return out
 		}
 	case *ast.Ident:
-		return through(p.info.Uses[x])
+		return resolve(p.info.Uses[x])
 	case *ast.SelectorExpr:
-		return through(p.info.Uses[x.Sel])
+		return resolve(p.info.Uses[x.Sel])
 	case *ast.CallExpr:
 		f := callee(p, x)
 		if f == nil {
@@ -510,7 +515,7 @@
 		switch f.Pkg().Name() + "." + f.Name() {
 		case "fmt.Sprintf":
 			args := x.Args[1:]
-			if id, ok := x.Args[len(x.Args)-1].(*ast.Ident); ok && x.Ellipsis.IsValid() { // the caller's own
+			if id, ok := x.Args[len(x.Args)-1].(*ast.Ident); ok && x.Ellipsis.IsValid() { // passed on from the caller
 				args = nil
 				if from, ok := c.params[p.info.Uses[id]]; ok {
 					if b, ok := e[p.info.Uses[id]]; ok {
@@ -523,26 +528,26 @@
 				}
 			}
 			var out []string
-			for _, form := range c.evalText(p, x.Args[0], e, depth) {
-				forms := []string{""}
+			for _, format := range c.evalText(p, x.Args[0], e, depth) {
+				texts := []string{""}
 				for i, at := 0, 0; ; i++ {
-					loc := verb.FindStringIndex(form[at:])
+					loc := verb.FindStringIndex(format[at:])
 					if loc == nil {
-						forms = product(forms, []string{form[at:]})
+						texts = product(texts, []string{format[at:]})
 						break
 					}
-					put := []string{"‹…›"}
-					if form[at+loc[1]-1] == '%' {
-						put, i = []string{"%"}, i-1
+					values := []string{"‹…›"}
+					if format[at+loc[1]-1] == '%' {
+						values, i = []string{"%"}, i-1
 					} else if i < len(args) {
-						put = c.evalPart(p, args[i], e, depth-1)
+						values = c.evalPart(p, args[i], e, depth-1)
 					}
-					forms = product(forms, []string{form[at : at+loc[0]]})
-					if forms, at = product(forms, put), at+loc[1]; len(forms) > maxTexts {
+					texts = product(texts, []string{format[at : at+loc[0]]})
+					if texts, at = product(texts, values), at+loc[1]; len(texts) > maxTexts {
 						return name
 					}
 				}
-				out = append(out, forms...)
+				out = append(out, texts...)
 			}
 			if len(out) == 0 {
 				return name
@@ -555,9 +560,11 @@
 			}
 			return out
 		}
-		if d := c.declarations[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/hint" && c.signatures[f].Results().Len() == 1 &&
+		if d := c.declarations[f]; d.d != nil && d.d.Body != nil && d.p.path != module+"internal/hint" &&
+			c.signatures[f].Results().Len() == 1 &&
 			c.signatures[f].Results().At(0).Type() == types.Typ[types.String] {
-			if out := c.results(d.p, d.d.Body, c.bind(f, call{p, x}, e), depth-1); len(out) > 0 && len(out) <= maxTexts {
+			if out := c.results(d.p, d.d.Body, c.bind(f, call{p, x}, e), depth-1); len(out) > 0 &&
+				len(out) <= maxTexts {
 				return out
 			}
 		}
@@ -565,7 +572,7 @@
 	return name
 }
 
-// evalPart is text for a piece of a longer one: what may be empty is said by its name.
+// evalPart is evalText for a part of a longer text: a varying part that may be empty becomes a placeholder.
 func (c *analysis) evalPart(p *pkg, x ast.Expr, e env, depth int) []string {
 	list := c.evalText(p, x, e, depth)
 	for i, s := range list {
@@ -578,7 +585,7 @@
 
 var placeholderOnly = regexp.MustCompile(`^‹[^›]*›$`)
 
-// lastName is the last name in an expression, which says best what stands there.
+// lastName returns the last name in an expression, which describes its value best.
 func lastName(x ast.Expr) string {
 	switch x := x.(type) {
 	case *ast.Ident:
@@ -603,20 +610,20 @@
 	return "…"
 }
 
-// reporter collects what the walk finds.
+// reporter returns a function that reports a test error at a position in the source.
 func (c *analysis) reporter(t *testing.T) func(token.Pos, string, ...any) {
 	return func(at token.Pos, format string, args ...any) {
 		t.Errorf("%v: %s", c.fset.Position(at), fmt.Sprintf(format, args...))
 	}
 }
 
-// Every error type of every package says what an operator can do, and no code outside tests makes an error of no
-// such type.
+// Every error type of every package has a hint for the operator, and no code outside tests creates an error of another
+// type.
 func TestAllErrorsHaveHints(t *testing.T) {
 	c := load(t)
-	found, left := 0, map[string]bool{}
+	found, unused := 0, map[string]bool{}
 	for name := range mayReturnPlainErrors {
-		left[name] = true
+		unused[name] = true
 	}
 	for _, p := range c.pkgs {
 		found += len(c.errorKinds(p, c.reporter(t)))
@@ -631,11 +638,12 @@
 					if !ok {
 						return true
 					}
-					if f, ok := p.info.Uses[id].(*types.Func); ok && (f.FullName() == "errors.New" || f.FullName() == "fmt.Errorf") {
+					if f, ok := p.info.Uses[id].(*types.Func); ok &&
+						(f.FullName() == "errors.New" || f.FullName() == "fmt.Errorf") {
 						if _, may := mayReturnPlainErrors[name]; !may {
-							c.reporter(t)(id.Pos(), "%s makes an error that gives no advice", name)
+							c.reporter(t)(id.Pos(), "%s creates an error without a hint", name)
 						}
-						delete(left, name)
+						delete(unused, name)
 					}
 					return true
 				})
@@ -645,12 +653,12 @@
 	if found < 50 {
 		t.Errorf("%d error types found", found)
 	}
-	for name := range left {
-		t.Errorf("%s makes no bare error any more: take it out of the list", name)
+	for name := range unused {
+		t.Errorf("%s creates no plain error any more: remove it from mayReturnPlainErrors", name)
 	}
 }
 
-// The page says what the code says. -update writes it.
+// The page agrees with the code. -update regenerates it.
 func TestPage(t *testing.T) {
 	c := load(t)
 	want := c.page(t)
@@ -661,25 +669,26 @@
 	}
 	have, err := os.ReadFile(page)
 	if err != nil || !bytes.Equal(have, want) {
-		t.Errorf("docs/operators/errors.md is old (%v): go test ./internal/hint -run TestPage -update", err)
+		t.Errorf("docs/operators/errors.md is out of date (%v): go test ./internal/hint -run TestPage -update", err)
 	}
 }
 
-// page writes docs/operators/errors.md.
+// page returns the contents of docs/operators/errors.md.
 func (c *analysis) page(t *testing.T) []byte {
 	var b bytes.Buffer
 	b.WriteString(`# Errors
 
-What the programs say when something is wrong, and what to do about it. This page is made from the code; a test fails when it is old.
+The errors of the programs, and what to do about them. This page is generated from the code; a test fails when it is out of date.
 
-An error reads ` + "`where: what: cause; do: advice`" + `, in one line: in the log (field ` + "`err`" + `), as the last line of a program that ends (exit 1) and behind
-` + "`-ERR`" + ` in the answer to a call. Search this page for a piece of the line that doesn't vary; what varies stands here as ‹name›. Where a cause is
-given that has advice of its own, the line ends with the cause's advice, which is nearer to the fault. Answers to ` + "`status`" + ` (` + "`starting`" + `, ` + "`standby`" + `,
-` + "`leaving`" + `) are states, not errors: see [day-to-day.md](day-to-day.md).
+An error has the form ` + "`where: what: cause; do: hint`" + `, in one line: in the log (field ` + "`err`" + `),
+as the last line of a program that ends with exit code 1, and after ` + "`-ERR`" + ` in the answer to a call. Search
+this page for a constant part of the line; varying parts are shown as ‹name›. If the cause has a hint of its own, the
+line ends with that hint, which is closer to the fault. Answers to ` + "`status`" + ` (` + "`starting`" + `,
+` + "`standby`" + `, ` + "`leaving`" + `) are states, not errors: see [day-to-day.md](day-to-day.md).
 
-## Whatever failed
+## System errors
 
-What the machine itself says has the same advice everywhere.
+Errors of the operating system have the same hint everywhere.
 
 | cause | what to do |
 | --- | --- |
@@ -690,11 +699,14 @@
 	for _, part := range []struct {
 		program, title, intro string
 	}{
-		{"oatloft", "The balancer", "`oatloft serve` and `oatloft check`, in logs, at exit and in answers to calls; `oatctl` says the same where it checks the same."},
-		{"oatloft-revisions", "The balancer with routing revisions", "`oatloft-revisions`, in whose place `oatloft` starts where the edge file has the section `revisions`; besides what is said above."},
-		{"oatctl", "The operator's desk", "`oatctl`, besides what a balancer answers."},
-		{"oatlab", "The laboratory", "`oatlab` and its stand-ins; none of it is part of a deployment."},
-		{"", "The rest", "What no program above holds: readers of other servers' files, the bench's link."},
+		{"oatloft", "The balancer", "`oatloft serve` and `oatloft check`, in logs, at exit and in answers to calls; " +
+			"`oatctl` reports the same errors where it makes the same checks."},
+		{"oatloft-revisions", "The balancer with routing revisions", "`oatloft-revisions`, which `oatloft` executes " +
+			"in its own place if the edge file has the section `revisions`; in addition to the errors above."},
+		{"oatctl", "The operator's tool", "`oatctl`, in addition to a balancer's answers."},
+		{"oatlab", "The test laboratory", "`oatlab` and its simulated servers; none of it is part of a deployment."},
+		{"", "Other packages", "Packages that no program above contains: " +
+			"parsers of other servers' files, the bench's link."},
 	} {
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n", part.title, part.intro)
 		for _, p := range c.pkgs {
@@ -708,7 +720,7 @@
 			slices.SortFunc(kinds, func(a, b errorKind) int { return strings.Compare(a.name.Name(), b.name.Name()) })
 			fmt.Fprintf(&b, "\n### %s\n", strings.TrimPrefix(p.path, module))
 			for _, k := range kinds {
-				fmt.Fprintf(&b, "\n**%s.** %s\n\n| what is said | what to do |\n| --- | --- |\n", k.name.Name(), description(k))
+				fmt.Fprintf(&b, "\n**%s.** %s\n\n| message | what to do |\n| --- | --- |\n", k.name.Name(), description(k))
 				slices.SortFunc(k.messages, func(a, b [2]string) int { return strings.Compare(a[0], b[0]) })
 				for _, s := range k.messages {
 					fmt.Fprintf(&b, "| %s | %s |\n", s[0], s[1])
@@ -728,7 +740,7 @@
 	return ""
 }
 
-// description is a type's comment as a sentence of its own.
+// description returns a type's comment as a sentence without the type's name.
 func description(k errorKind) string {
 	s := strings.TrimPrefix(k.doc, k.name.Name()+" ")
 	for _, head := range []string{"is the error that ", "is that ", "says that ", "is "} {
@@ -740,7 +752,7 @@
 	return strings.ToUpper(s[:1]) + s[1:]
 }
 
-// tableCell is one cell of a table: what may be said, one below the other.
+// tableCell returns one cell of a table, with the texts one below the other.
 func tableCell(list []string, quoted bool) string {
 	var out []string
 	for _, s := range list {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -30,13 +30,13 @@
 }
 
 type source struct {
-	Config     string `help:"Configuration file (JSON)."                                               env:"PROXY_CONFIG"     required:"" type:"path"`
-	Name       string `help:"The balancer's name; overrides the configuration."                        env:"PROXY_NAME"`
-	Listen     string `help:"Address for clients, host:port."                                          env:"PROXY_LISTEN"`
-	Discovery  string `help:"Address of discovery, host:port."                                         env:"PROXY_DISCOVERY"`
-	Management string `help:"Address for operators' calls, host:port; none if not given."              env:"PROXY_MANAGEMENT"`
-	Inherited  string `help:"Descriptor of a listening socket to inherit instead of opening one."      env:"PROXY_FD"                                 name:"fd"`
-	State      string `help:"Directory for the state that a process passes to its successor."          env:"TMPDIR"                       type:"path"`
+	Config     string `help:"Configuration file (JSON)."                                                env:"PROXY_CONFIG"     required:"" type:"path"`
+	Name       string `help:"The balancer's name; overrides the configuration."                         env:"PROXY_NAME"`
+	Listen     string `help:"Address for clients, host:port."                                           env:"PROXY_LISTEN"`
+	Discovery  string `help:"Address of discovery, host:port."                                          env:"PROXY_DISCOVERY"`
+	Management string `help:"Address for operators' calls, host:port; none if not given."               env:"PROXY_MANAGEMENT"`
+	Inherited  string `help:"Descriptor of a listening socket to inherit instead of opening one."       env:"PROXY_FD"                                 name:"fd"`
+	State      string `help:"Directory for the state that a process passes to its successor."           env:"TMPDIR"                       type:"path"`
 	Edge       string `help:"Edge settings (JSON), compiled by oatctl edge compile; none if not given." env:"PROXY_EDGE"                   type:"path"`
 }
 
@@ -73,8 +73,8 @@
 
 type serve struct {
 	source
-	LogLevel  string `help:"Lowest level of lines that are logged."    enum:"debug,info,warn,error" default:"info"`
-	LogFormat string `help:"Format of the log on standard error." enum:"text,json"             default:"text"`
+	LogLevel  string `help:"Lowest level of lines that are logged." enum:"debug,info,warn,error" default:"info"`
+	LogFormat string `help:"Format of the log on standard error."   enum:"text,json"             default:"text"`
 }
 
 // Suffix is appended to this program's path to obtain the path of the program that supports revisions.
