--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -37,8 +37,7 @@
 			return nil
 		}
 		if err != nil {
-			return &linkError{hint.Annotated{
-				What: "cannot read a batch", Cause: err, Do: "check which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "reading", Cause: err, Do: "check which program is at the other end"}}
 		}
 		for _, e := range batch.Events {
 			switch event := e.What.(type) {
@@ -66,8 +65,7 @@
 			}
 		}
 		if err := w.Flush(); err != nil {
-			return &linkError{hint.Annotated{
-				What: "cannot write actions", Cause: err, Do: "check which program is at the other end"}}
+			return &linkError{hint.Annotated{What: "writing", Cause: err, Do: "check which program is at the other end"}}
 		}
 	}
 }
--- a/cmd/oatloft/admission_test.go
+++ b/cmd/oatloft/admission_test.go
@@ -11,11 +11,12 @@
 	"time"
 
 	"oatloft/internal/fake"
-	_ "oatloft/internal/revision/host" // the tests of revisions play this program, too
+	_ "oatloft/internal/revision/host" // the tests of revisions run this test binary as the balancer
 	"oatloft/internal/rules"
 )
 
-// The test's own program is the balancer too: descriptors are a process's.
+// TestMain runs the test binary as a balancer if it is started with serve: descriptors are counted per process, so
+// each balancer needs a process of its own.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		main()
@@ -33,7 +34,7 @@
  "memory":{"base":"16MiB","silent":"8KiB","transaction":"32KiB","max_share":0.8},
  "come_back":{"advise":true,"per_second":50,"least":"200ms","most":"2s"}}}`
 
-// harness is a balancer with admission in a world of its own.
+// harness runs one balancer with admission control in a simulated world of its own.
 type harness struct {
 	*fake.World
 	t            *testing.T
@@ -53,7 +54,7 @@
 	r := &harness{World: w, t: t, dir: t.TempDir(), options: o}
 	t.Cleanup(func() {
 		if strings.Contains(r.process.Log(), "DATA RACE") || strings.Contains(r.process.Log(), "panic:") {
-			t.Error("the balancer's own log tells of a fault")
+			t.Error("the balancer's log has a data race or a panic")
 		}
 		if t.Failed() {
 			t.Log(r.process.Log())
@@ -87,17 +88,17 @@
 	}
 }
 
-// waitFor waits for a condition.
+// waitFor waits up to 10 s for a condition.
 func (r *harness) waitFor(what string, ok func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatal("in vain:", what)
+			r.t.Fatal("timeout waiting for:", what)
 		}
 	}
 }
 
-// establish has n terminals establish, each from an address and with a key of its own.
+// establish opens and keeps n clients, each from an address and with a key of its own.
 func (r *harness) establish(n int, name string) (list []*fake.Terminal) {
 	r.t.Helper()
 	for i := range n {
@@ -106,7 +107,7 @@
 			r.t.Fatal(err)
 		}
 		if a := t.Open(fake.Ask{Key: fmt.Sprint(name, i)}); a.What != "UP" {
-			r.t.Fatalf("terminal %d: %+v", i, a)
+			r.t.Fatalf("client %d: %+v", i, a)
 		}
 		list = append(list, t)
 	}
@@ -117,12 +118,12 @@
 	r.t.Helper()
 	for i, t := range list {
 		if err := t.Echo(3 * time.Second); err != nil {
-			r.t.Fatalf("standing terminal %d: %v", i, err)
+			r.t.Fatalf("established client %d: %v", i, err)
 		}
 	}
 }
 
-// openConcurrently has n terminals ask at once and returns how often each answer came.
+// openConcurrently opens n clients at once, and returns how often each answer was received.
 func (r *harness) openConcurrently(n int, from func(i int) string, key string) map[string]int {
 	by := map[string]int{}
 	var mu sync.Mutex
@@ -151,80 +152,85 @@
 		r.t.Error(v)
 	}
 	if r.Checker.Count(rules.Asked) == 0 || r.Checker.Count(rules.Routed) == 0 {
-		r.t.Error("the checker saw nothing")
+		r.t.Error("the checker recorded no events")
 	}
 }
 
-// One address, thousands of connections, each kind of noise: others are served, and what is answered is a line.
+// While one address opens thousands of connections, other clients are served, and every answer is a whole line. One
+// run for each kind of noise.
 func TestFloodFromOneAddress(t *testing.T) {
 	for _, kind := range []fake.Noise{fake.OpenClose, fake.OpenSilent, fake.OpenKeep, fake.OpenAsk, fake.OpenBytes} {
 		t.Run(string(kind), func(t *testing.T) {
 			r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
-			f := r.Flood(kind, 8, func(int) string { return "127.66.0.66" }, r.process.Addr)
-			r.waitFor("a flood", func() bool { return f.Opened.Load() > 1000 })
+			flood := r.Flood(kind, 8, func(int) string { return "127.66.0.66" }, r.process.Addr)
+			r.waitFor("a flood", func() bool { return flood.Opened.Load() > 1000 })
 			g := r.Serve(fake.Customers(100), 50, 300*time.Millisecond, r.process.Addr)
-			f.Stop()
+			flood.Stop()
 			if g.Share() < 0.99 || g.Cut > 0 {
 				t.Errorf("%d of %d served, %v, %d cut", g.Served, g.Asked, g.By, g.Cut)
 			}
-			if kind == fake.OpenKeep && f.Got.Load() > 16+8 { // what it held at once; a loop gives none back
-				t.Errorf("the noisy address got %d", f.Got.Load())
+			// The number that it may have at once: a loop closes no connection that it was granted.
+			if kind == fake.OpenKeep && flood.Got.Load() > 16+8 {
+				t.Errorf("the noisy address was granted %d connections", flood.Got.Load())
 			}
 			r.checkInvariants()
 		})
 	}
 }
 
-// 250 addresses that behave as one, while 55 % of all known clients reconnect within 0.8 s: those come first.
+// While 250 addresses flood the balancer and 55 % of all known clients reconnect within 0.8 s, the known clients take
+// precedence.
 func TestKnownClientsReconnectDuringFlood(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64, Advice: true}, fake.Launch{Descriptors: 512})
 	customers := fake.Customers(100)
 	if g := r.Serve(customers, 100, 500*time.Millisecond, r.process.Addr); g.Served != 100 {
 		t.Fatal(g.By)
 	}
-	f := r.Flood(fake.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr)
-	r.waitFor("strangers at their bound", func() bool { return f.Refused.Load() > 200 })
-	back := customers[:55]
-	g := r.Serve(back, 55/0.8, 2*time.Second, r.process.Addr)
-	f.Stop()
-	if g.Served < len(back)-1 || g.Cut > 0 {
-		t.Errorf("%d of %d known clients served, %v, %d cut", g.Served, len(back), g.By, g.Cut)
+	flood := r.Flood(
+		fake.OpenKeep, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr,
+	)
+	r.waitFor("unknown clients at their limit", func() bool { return flood.Refused.Load() > 200 })
+	returning := customers[:55]
+	g := r.Serve(returning, 55/0.8, 2*time.Second, r.process.Addr)
+	flood.Stop()
+	if g.Served < len(returning)-1 || g.Cut > 0 {
+		t.Errorf("%d of %d known clients served, %v, %d cut", g.Served, len(returning), g.By, g.Cut)
 	}
 	r.checkInvariants()
 }
 
-// The limit is reached in the middle of a burst: each that asks gets one line, those who stand stay.
+// If the descriptor limit is reached during a burst, each client gets one line, and established clients stay.
 func TestDescriptorLimitInBurst(t *testing.T) {
 	for _, n := range []int{256, 512, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			r := newHarness(t, fake.Options{Sockets: n, MemoryMB: 64}, fake.Launch{Descriptors: n})
-			standing := r.establish(20, "early")
-			by := r.openConcurrently(n, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
-			if by["UP"] == 0 || by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != n {
-				t.Error(by)
+			established := r.establish(20, "early")
+			answers := r.openConcurrently(n, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
+			if answers["UP"] == 0 || answers["BUSY"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != n {
+				t.Error(answers)
 			}
-			if held := r.process.Descriptors(); held > n {
-				t.Error(held, "descriptors")
+			if open := r.process.Descriptors(); open > n {
+				t.Error(open, "descriptors")
 			}
-			r.echoAll(standing)
+			r.echoAll(established)
 			r.checkInvariants()
 		})
 	}
 }
 
-// The process runs out of descriptors long before the limit that it was told: somebody else holds most of them.
-// Dialing fails for transactions that were picked up; still each gets one line, and once there is room again
-// newcomers are served.
+// The process runs out of descriptors long before its configured limit, because inherited ones use most of them.
+// Dials then fail for requests that were accepted; each request still gets one line, and new clients are served once
+// descriptors are free again.
 func TestDescriptorsExhaustedBelowLimit(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
-	standing := r.establish(10, "early")
-	by := r.openConcurrently(200, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
-	if by["BUSY"] == 0 || by["UP"]+by["BUSY"]+by["ERR"] != 200 {
-		t.Error(by)
+	established := r.establish(10, "early")
+	answers := r.openConcurrently(200, func(i int) string { return fmt.Sprintf("127.40.%d.%d", i/8, i%8+1) }, "burst")
+	if answers["BUSY"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 200 {
+		t.Error(answers)
 	}
-	r.echoAll(standing)
+	r.echoAll(established)
 	if !strings.Contains(r.process.Log(), "no descriptor left") {
-		t.Error("it never ran out")
+		t.Error("the process never ran out of descriptors")
 	}
 	n := 0
 	r.waitFor("served again", func() bool {
@@ -239,21 +245,22 @@
 	r.checkInvariants()
 }
 
-// A transaction is picked up, and then the process has no descriptor for its routed task, though the ledger had set
-// one aside. A silent terminal makes room, and the dial, which waits for that, succeeds.
+// A request is accepted, and then the process has no descriptor for the connection to the server, although the
+// descriptor budget had reserved one. Closing a silent client frees one, and the dial, which waits for it, succeeds.
 func TestDialWaitsForDescriptor(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512, Inherited: 400})
-	// Whether room is made before a dial needs it hangs on the scheduler: the burst comes again until one had to wait.
-	for n := 0; n < 40 && !strings.Contains(r.process.Log(), "a dial waits"); n++ {
+	// Whether a descriptor is freed before a dial needs it depends on the scheduler: the burst is repeated until a dial
+	// had to wait.
+	for n := 0; n < 40 && !strings.Contains(r.process.Log(), "no free file descriptor, dial will be retried"); n++ {
 		burstAtTheLimit(t, r)
 	}
-	if !strings.Contains(r.process.Log(), "a dial waits") {
+	if !strings.Contains(r.process.Log(), "no free file descriptor, dial will be retried") {
 		t.Error("no dial had to wait")
 	}
 	r.checkInvariants()
 }
 
-// burstAtTheLimit fills the process with silent terminals, and has twelve of them ask at once.
+// burstAtTheLimit fills the process with silent clients, and has twelve of them send a request at once.
 func burstAtTheLimit(t *testing.T, r *harness) {
 	t.Helper()
 	var silent []*fake.Terminal
@@ -262,15 +269,15 @@
 			c.Break()
 		}
 	}()
-	time.Sleep(50 * time.Millisecond) // connections from before are closed by then
-	// One after the other, up to what accepting needs in passing.
-	for n, had := 0, r.process.Descriptors(); had < 508; n, had = n+1, had+1 {
+	time.Sleep(50 * time.Millisecond) // until earlier connections are closed
+	// One after the other, up to 508 of 512: accepting uses some descriptors for a moment.
+	for n, open := 0, r.process.Descriptors(); open < 508; n, open = n+1, open+1 {
 		c, err := r.Connect(fmt.Sprintf("127.40.%d.%d", n/8, n%8+1), r.process.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		silent = append(silent, c)
-		r.waitFor("taken in", func() bool { return r.process.Descriptors() > had })
+		r.waitFor("the connection is accepted", func() bool { return r.process.Descriptors() > open })
 	}
 	var wait sync.WaitGroup
 	for _, c := range silent[len(silent)-12:] { // more dials at once than there are descriptors
@@ -285,21 +292,21 @@
 	wait.Wait()
 }
 
-// The limit falls below what is in use by a reload: who stands stays, newcomers are refused until it rises again.
-// A file of settings that can't work changes nothing, nor does one that switches admission off.
+// A reload lowers the limit below current use: established clients stay, and new ones are refused until it rises again.
+// An invalid settings file changes nothing, and neither does one that switches admission off.
 func TestReloadLowersLimit(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 512, MemoryMB: 64}, fake.Launch{Descriptors: 512})
-	standing := r.establish(60, "early")
+	established := r.establish(60, "early")
 	reload := func(line string, times int) {
 		t.Helper()
 		r.process.Signal(syscall.SIGHUP)
 		r.waitFor(line, func() bool { return strings.Count(r.process.Log(), line) >= times })
 	}
-	config := func(sockets int) {
+	writeConfig := func(sockets int) {
 		r.options.Sockets = sockets
 		r.write(r.config, string(r.Config("n1", r.launch.Addr, r.options)))
 	}
-	ask := func() string {
+	openOne := func() string {
 		t.Helper()
 		c, err := r.Connect("127.41.0.1", r.process.Addr)
 		if err != nil {
@@ -308,53 +315,55 @@
 		defer c.Close()
 		return c.Open(fake.Ask{Key: "late"}).What
 	}
-	config(128)
+	writeConfig(128)
 	reload("msg=reloaded", 1)
-	if got := ask(); got != "BUSY" {
-		t.Error("below what is in use:", got)
+	if got := openOne(); got != "BUSY" {
+		t.Error("limit below current use:", got)
 	}
-	r.echoAll(standing)
-	good, _ := os.ReadFile(r.edge)
-	config(512)
-	r.write(r.edge, strings.Replace(string(good), `"max_silent":8`, `"max_silent":0`, 1))
+	r.echoAll(established)
+	valid, _ := os.ReadFile(r.edge)
+	writeConfig(512)
+	r.write(r.edge, strings.Replace(string(valid), `"max_silent":8`, `"max_silent":0`, 1))
 	reload("admission.address.max_silent: out of bounds", 1)
-	if got := ask(); got != "BUSY" {
-		t.Error("half of a reload was taken:", got)
+	if got := openOne(); got != "BUSY" {
+		t.Error("half of a reload was applied:", got)
 	}
 	r.write(r.edge, `{"oatloft_edge":1,"source":"test","admission":null}`)
 	reload("can't be switched on or off", 1)
-	r.write(r.edge, string(good))
+	r.write(r.edge, string(valid))
 	reload("msg=reloaded", 2)
-	r.waitFor("room", func() bool { return ask() == "UP" })
-	r.echoAll(standing)
+	r.waitFor("capacity", func() bool { return openOne() == "UP" })
+	r.echoAll(established)
 	r.checkInvariants()
 }
 
-// SIGTERM in a flood: every answer that is owed is given, and the program leaves.
+// After SIGTERM during a flood, every unanswered request is answered, and the program ends.
 func TestShutdownDuringFlood(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256})
-	for _, region := range r.Regions {
-		region.SetDelay(200 * time.Millisecond) // there is something owed at any time
+	for _, server := range r.Regions {
+		server.SetDelay(200 * time.Millisecond) // so that some request is unanswered at any time
 	}
-	f := r.Flood(fake.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr)
-	r.waitFor("a flood", func() bool { return f.Got.Load() > 20 })
+	flood := r.Flood(
+		fake.OpenAsk, 16, func(i int) string { return fmt.Sprintf("127.66.%d.%d", i%10, i%250/10+1) }, r.process.Addr,
+	)
+	r.waitFor("a flood", func() bool { return flood.Got.Load() > 20 })
 	r.process.Signal(syscall.SIGTERM)
-	time.Sleep(400 * time.Millisecond) // so long the platform's front sends new ones
-	f.Stop()
+	time.Sleep(400 * time.Millisecond) // the platform's front end sends new connections for as long
+	flood.Stop()
 	if err := r.process.Over(10 * time.Second); err != nil {
 		t.Error(err)
 	}
 	r.checkInvariants()
 }
 
-// Who is known stays known across a restart; a damaged file is a line, and the balancer starts empty.
+// Known clients stay known across a restart; a damaged file is reported in one line, and the balancer starts with none.
 func TestKnownClientsSurviveRestart(t *testing.T) {
 	known := filepath.Join(t.TempDir(), "known")
 	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Descriptors: 256}, "$known", known)
 	if g := r.Serve(fake.Customers(20), 100, 500*time.Millisecond, r.process.Addr); g.Served != 20 {
 		t.Fatal(g.By)
 	}
-	again := func(want string) {
+	restart := func(want string) {
 		t.Helper()
 		r.process.Signal(syscall.SIGTERM)
 		if err := r.process.Over(10 * time.Second); err != nil {
@@ -365,7 +374,7 @@
 			t.Errorf("no %q in\n%s", want, r.process.Log())
 		}
 	}
-	again(`msg="known clients restored" clients=20 of=20`)
+	restart(`msg="known clients restored" clients=20 of=20`)
 	r.process.Kill()
 	body, err := os.ReadFile(known)
 	if err != nil {
--- a/cmd/oatloft/faults_test.go
+++ b/cmd/oatloft/faults_test.go
@@ -12,13 +12,13 @@
 	"oatloft/internal/faultinjection"
 )
 
-// Several processes of this program, with faults between them. The schedules are files, and the same ones in each
-// run; oatlab faults draws others.
+// Runs several processes of the balancer, with faults injected between them. The schedules are files, the same in each
+// run; oatlab faults generates others.
 func TestFaultSchedules(t *testing.T) {
 	playFaultSchedules(t, "faults", faultinjection.Options{Net: 60})
 }
 
-// With one routing revision for all, operators that change it meanwhile, and scarce links between two zones.
+// The same with one routing revision for all balancers, operators that change it, and limited links between two zones.
 func TestFaultSchedulesRevisions(t *testing.T) {
 	playFaultSchedules(
 		t,
@@ -27,7 +27,7 @@
 	)
 }
 
-// playFaultSchedules plays all schedules of a folder side by side, each at a net of its own from Net on.
+// playFaultSchedules runs all schedules of a folder in parallel, each in its own network, numbered from o.Net.
 func playFaultSchedules(t *testing.T, folder string, o faultinjection.Options) {
 	files, err := filepath.Glob("testdata/" + folder + "/*.json")
 	if err != nil || len(files) == 0 {
@@ -55,7 +55,7 @@
 				if len(r.Broken) > 0 || len(r.Void) == 0 {
 					return
 				}
-				if try == 2 { // this machine has no processors to give: nothing was shown
+				if try == 2 { // the machine lacks processor time, so that the run proves nothing
 					t.Skip(r.Void[0])
 				}
 			}
@@ -63,7 +63,8 @@
 	}
 }
 
-// Without the section of the edge file no socket for others is opened, whatever else is on: the platform refuses it.
+// Without the peers section of the edge file, no UDP socket is opened, whatever else is configured: the platform
+// refuses it.
 func TestNoPeersWithoutEdgeSection(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: freeAddress(t)})
 	if a := fake.Call(r.launch.Management, "peers"); !strings.HasPrefix(a, "-ERR peers are off") {
--- a/cmd/oatloft/operations_test.go
+++ b/cmd/oatloft/operations_test.go
@@ -19,8 +19,8 @@
 	"oatloft/internal/rules"
 )
 
-// service is a balancer as the operators' staff run it: a listening socket that the platform holds, and as many
-// processes on it as there are versions at work.
+// service runs a balancer as operators do: the platform holds the listening socket, and each running version has a
+// process on it.
 type service struct {
 	*harness
 	listener *os.File
@@ -62,10 +62,10 @@
 	return s
 }
 
-// upgrade starts the next process, and returns the one before.
+// upgrade starts the next process, and returns the previous one.
 func (s *service) upgrade() (old *fake.Process) {
 	s.t.Helper()
-	l, err := net.Listen("tcp", "127.8.4.2:0") // a new second address for each
+	l, err := net.Listen("tcp", "127.8.4.2:0") // a new management address for each process
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -84,17 +84,17 @@
 	}
 }
 
-// startMaintenance has a region left startMaintenance, and the checker hold the balancer to it.
-func (s *service) startMaintenance(region string) {
+// startMaintenance puts a server into maintenance, and notifies the checker that it must get no requests.
+func (s *service) startMaintenance(server string) {
 	s.t.Helper()
-	s.call("maint-on "+region, "+OK")
-	s.Saw(rules.Told, "", region, "draining")
+	s.call("maint-on "+server, "+OK")
+	s.Saw(rules.Told, "", server, "draining")
 }
 
-func (s *service) endMaintenance(region string) {
+func (s *service) endMaintenance(server string) {
 	s.t.Helper()
-	s.Saw(rules.Told, "", region, "ready")
-	s.call("maint-off "+region, "+OK")
+	s.Saw(rules.Told, "", server, "ready")
+	s.call("maint-off "+server, "+OK")
 }
 
 func (s *service) checkInvariants() {
@@ -104,7 +104,7 @@
 	}
 }
 
-// openOnce opens a transaction and closes it; it returns the region that took it, or the answer.
+// openOnce opens a request and closes it. It returns the server that took it, or the answer if none did.
 func (s *service) openOnce(key string) string {
 	s.t.Helper()
 	c, err := s.Connect("", s.launch.Addr)
@@ -117,45 +117,45 @@
 
 func serverOrAnswer(a fake.Answer) string {
 	if receipt, up := strings.CutPrefix(a.Line, "UP "); up {
-		region, _, _ := strings.Cut(receipt, "-")
-		return region
+		server, _, _ := strings.Cut(receipt, "-")
+		return server
 	}
 	return a.What
 }
 
-// A region called out gets nothing, whatever discovery says of it; its terminals are moved; it comes back by one
-// call.
+// A server in maintenance gets no requests, whatever discovery reports about it; its clients are moved; one call ends
+// the maintenance.
 func TestMaintenance(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
 	s.call("maint-on nobody", "-ERR nobody was never listed")
-	var standing []*fake.Terminal
-	at := 0
+	var established []*fake.Terminal
+	onR1 := 0
 	for i := range 24 {
 		c, err := s.Connect("", s.launch.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if serverOrAnswer(c.Open(fake.Ask{Key: fmt.Sprint("s", i)})) == "r1" {
-			at++
-			standing = append(standing, c)
+			onR1++
+			established = append(established, c)
 		}
 	}
-	if at == 0 {
-		t.Fatal("nobody stands at r1")
+	if onR1 == 0 {
+		t.Fatal("no client was placed on r1")
 	}
 	s.startMaintenance("r1")
-	s.startMaintenance("r1") // calls out may come more than once
-	for _, c := range standing {
+	s.startMaintenance("r1") // the call may be repeated
+	for _, c := range established {
 		if err := c.Moved(3 * time.Second); err != nil {
-			t.Fatal("a terminal at the region left out:", err)
+			t.Fatal("a client on the server in maintenance:", err)
 		}
 	}
 	for _, health := range []string{"draining", "ready", "gone", "ready", "ready"} {
 		s.Discovery.Tell("r1", health)
-		s.Saw(rules.Told, "", "r1", "draining") // what discovery says is not what holds
+		s.Saw(rules.Told, "", "r1", "draining") // maintenance takes precedence over discovery
 		for i := range 15 {
 			if got := s.openOnce(fmt.Sprint(health, i)); got == "r1" || !strings.HasPrefix(got, "r") {
-				t.Fatalf("discovery says %s: %s", health, got)
+				t.Fatalf("discovery reports %s: %s", health, got)
 			}
 		}
 	}
@@ -164,26 +164,26 @@
 	}
 	time.Sleep(600 * time.Millisecond)
 	if got := s.openOnce("none left"); got != "BUSY" && got != "ERR" {
-		t.Fatal("with all regions left out:", got)
+		t.Fatal("with all servers in maintenance:", got)
 	}
 	s.endMaintenance("r1")
 	s.waitFor("r1 is used again", func() bool { return s.openOnce("back") == "r1" })
 	if err := os.RemoveAll(s.dir); err != nil {
 		t.Fatal(err)
 	}
-	s.call("maint-on r1", "-ERR nothing changed: handover") // it can't be kept: nothing has changed
+	s.call("maint-on r1", "-ERR nothing changed: handover") // the file cannot be written
 	if got := s.openOnce("still"); got != "r1" {
-		t.Fatal("after a no:", got)
+		t.Fatal("after a refused call:", got)
 	}
 	s.checkInvariants()
 }
 
-// A drained balancer says no to the front, serves who comes all the same, has standing terminals make way in time
-// where their connections end here, and is back at a call.
+// A drained balancer answers NO to the platform's front end, and still serves the clients that connect. It moves its
+// established clients in time if their connections end at the balancer, and one call ends the drain.
 func TestStandby(t *testing.T) {
-	for _, pass := range []bool{false, true} {
-		s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: pass})
-		var standing []*fake.Terminal
+	for _, passThrough := range []bool{false, true} {
+		s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: passThrough})
+		var established []*fake.Terminal
 		for i := range 20 {
 			c, err := s.Connect("", s.launch.Addr)
 			if err != nil {
@@ -192,7 +192,7 @@
 			if a := c.Open(fake.Ask{Key: fmt.Sprint(i)}); a.What != "UP" {
 				t.Fatal(a)
 			}
-			standing = append(standing, c)
+			established = append(established, c)
 		}
 		s.call("active", "+OK")
 		s.call("standby", "+OK")
@@ -203,16 +203,16 @@
 		}
 		s.call("status", "-ERR standby")
 		if got := s.openOnce("on the way"); !strings.HasPrefix(got, "r") {
-			t.Fatal("who comes all the same:", got)
+			t.Fatal("a new client during the drain:", got)
 		}
-		for i, c := range standing {
+		for i, c := range established {
 			switch err := c.Moved(4*time.Second - time.Since(began)); {
-			case pass && !errors.Is(err, os.ErrDeadlineExceeded):
-				t.Fatal("packets pass through, and yet:", err)
-			case !pass && (err != nil || i == 0 && time.Since(began) < 200*time.Millisecond):
-				t.Fatalf("terminal %d after %v: %v", i, time.Since(began), err)
+			case passThrough && !errors.Is(err, os.ErrDeadlineExceeded):
+				t.Fatal("a client was moved although packets pass through:", err)
+			case !passThrough && (err != nil || i == 0 && time.Since(began) < 200*time.Millisecond):
+				t.Fatalf("client %d after %v: %v", i, time.Since(began), err)
 			}
-			if pass {
+			if passThrough {
 				break
 			}
 		}
@@ -225,29 +225,30 @@
 	}
 }
 
-// Two upgrades in a row under traffic: every connection gets its answer, whoever accepted it; a region left out stays
-// so; standing terminals are moved and come back where they stood; the old process leaves early and by itself.
+// Two upgrades in a row under traffic: every connection gets its answer, whichever process accepted it; a server in
+// maintenance stays in it; established clients are moved and return to their server; the old process ends early and by
+// itself.
 func TestUpgrade(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64, PassThrough: true})
 	s.startMaintenance("r2")
 	time.Sleep(600 * time.Millisecond)
-	stood := map[string]string{}
-	standing := map[string]*fake.Terminal{}
-	stand := func(key string) string {
+	servers := map[string]string{}
+	established := map[string]*fake.Terminal{}
+	establish := func(key string) string {
 		c, err := s.Connect("", s.launch.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		standing[key] = c
+		established[key] = c
 		return serverOrAnswer(c.Open(fake.Ask{Key: key}))
 	}
 	for i := range 40 {
 		key := fmt.Sprint("k", i)
-		stood[key] = stand(key)
+		servers[key] = establish(key)
 	}
 	var stop atomic.Bool
 	var wait sync.WaitGroup
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for i := range 4 {
 		wait.Add(1)
 		go func() {
@@ -255,29 +256,29 @@
 			for n := 0; !stop.Load(); n++ {
 				c, err := s.Connect("", s.launch.Addr)
 				if err != nil {
-					t.Error("at the door:", err)
+					t.Error("cannot connect:", err)
 					return
 				}
 				if a := c.Open(fake.Ask{Key: fmt.Sprintf("t%d-%d", i, n)}); a.What != "UP" {
-					t.Error("under way:", a)
+					t.Error("request during the upgrades:", a)
 				}
 				c.Break()
-				asked.Add(1)
+				requests.Add(1)
 			}
 		}()
 	}
 	for round := range 2 {
 		old := s.upgrade()
-		s.call("maint-on r2", "+OK") // known to the new one, and in force before its yes
+		s.call("maint-on r2", "+OK") // known to the new process, and in force before it answers
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		for i := range 60 { // a burst is in the queue when the signal comes
+		for i := range 60 { // a burst that is queued when the signal arrives
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
 				c, err := s.Connect("", s.launch.Addr)
 				if err != nil {
-					t.Error("at the door:", err)
+					t.Error("cannot connect:", err)
 					return
 				}
 				if a := c.Open(fake.Ask{Key: fmt.Sprintf("burst%d-%d", round, i)}); a.What != "UP" && a.What != "BUSY" {
@@ -288,51 +289,51 @@
 		}
 		old.Signal(syscall.SIGTERM)
 		same := 0
-		for key, c := range standing {
+		for key, c := range established {
 			if err := c.Moved(4 * time.Second); err != nil {
 				t.Fatalf("round %d, %s: %v", round, key, err)
 			}
-			if got := stand(key); got == stood[key] {
+			if got := establish(key); got == servers[key] {
 				same++
 			} else {
-				stood[key] = got
+				servers[key] = got
 			}
 		}
-		if same < len(standing)*3/4 {
-			t.Errorf("round %d: %d of %d came back where they stood", round, same, len(standing))
+		if same < len(established)*3/4 {
+			t.Errorf("round %d: %d of %d returned to their server", round, same, len(established))
 		}
 		if err := old.Over(4 * time.Second); err != nil || time.Since(began) > 4*time.Second {
 			t.Errorf("the old process: %v after %v\n%s", err, time.Since(began), old.Log())
 		}
 	}
-	// A file that is damaged, or a later version's, is one line and an empty start, and no more.
+	// A file that is damaged or of a later version is reported in one line, and the process starts without it.
 	s.Saw(rules.Told, "", "r2", "ready")
 	for _, name := range []string{"maintenance", "left"} {
 		s.write(filepath.Join(s.dir, "oatloft-n1-"+name+".json"), `{"form":"oatloft","version":9}`)
 	}
 	old := s.upgrade()
-	if strings.Count(s.process.Log(), "not read") != 2 {
+	if strings.Count(s.process.Log(), `msg="cannot read the `) != 2 {
 		t.Error("files of a later version:", s.process.Log())
 	}
 	old.Signal(syscall.SIGTERM)
 	if err := old.Over(4 * time.Second); err != nil {
 		t.Error(err)
 	}
-	// One that can't start leaves the other at work.
-	bad := s.launch
-	bad.Config, bad.Management = filepath.Join(s.dir, "none.json"), ""
-	if out, err := runToExit(bad); err == nil || strings.Count(out, "\n") != 1 {
-		t.Errorf("a configuration that isn't there: %v %q", err, out)
+	// A process that cannot start leaves the other one running.
+	invalid := s.launch
+	invalid.Config, invalid.Management = filepath.Join(s.dir, "none.json"), ""
+	if out, err := runToExit(invalid); err == nil || strings.Count(out, "\n") != 1 {
+		t.Errorf("a missing configuration: %v %q", err, out)
 	}
 	stop.Store(true)
 	wait.Wait()
-	if asked.Load() < 100 {
-		t.Error("little traffic:", asked.Load())
+	if requests.Load() < 100 {
+		t.Error("too little traffic:", requests.Load())
 	}
 	s.checkInvariants()
 }
 
-// runToExit starts a balancer that is not expected to last, and returns what it wrote.
+// runToExit runs a balancer that is expected to end by itself within 5 s, and returns its output.
 func runToExit(l fake.Launch, env ...string) (string, error) {
 	cmd := exec.Command(l.Binary, "serve", "--config", l.Config)
 	cmd.Env = append(append(os.Environ(), l.Env...), "PROXY_FD=3")
@@ -346,7 +347,7 @@
 	return out.String(), err
 }
 
-// A descriptor that can't be what it should ends the start with one line, and so does an operators' address.
+// An invalid inherited descriptor or operators' address makes the start fail with one line.
 func TestInvalidInheritedDescriptor(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 512, MemoryMB: 64})
 	file, err := os.Open(s.config)
@@ -364,24 +365,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elsewhere, err := other.(*net.TCPListener).File()
+	otherListener, err := other.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _, _ = elsewhere.Close(), other.Close() }()
+	defer func() { _, _ = otherListener.Close(), other.Close() }()
 	for _, x := range []struct {
 		file      *os.File
 		env, want string
 	}{
-		{s.listener, "PROXY_FD=three", "PROXY_FD: "}, {s.listener, "PROXY_FD=1", "PROXY_FD: "}, {s.listener, "PROXY_FD=200", "is not open"},
-		{file, "X=", "is no socket"}, {idle, "X=", "does not listen"}, {elsewhere, "X=", "not on " + s.launch.Addr},
-		{s.listener, "PROXY_MANAGEMENT=nowhere", "management: "}, {s.listener, "PROXY_MANAGEMENT=192.0.2.1:9", "management: "},
+		{s.listener, "PROXY_FD=three", "PROXY_FD: "},
+		{s.listener, "PROXY_FD=1", "PROXY_FD: "},
+		{s.listener, "PROXY_FD=200", "is not open"},
+		{file, "X=", "is no socket"},
+		{idle, "X=", "does not listen"},
+		{otherListener, "X=", "not on " + s.launch.Addr},
+		{s.listener, "PROXY_MANAGEMENT=nowhere", "management: "},
+		{s.listener, "PROXY_MANAGEMENT=192.0.2.1:9", "management: "},
 	} {
 		l := s.launch
 		l.Listener = x.file
 		out, err := runToExit(l, x.env)
 		var exit *exec.ExitError
-		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(out, "\n") != 1 || !strings.Contains(out, x.want) {
+		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(out, "\n") != 1 ||
+			!strings.Contains(out, x.want) {
 			t.Errorf("%s: %v, %q", x.env, err, out)
 		}
 	}
@@ -390,12 +397,12 @@
 	}
 }
 
-// A flood of terminals and hundreds of silent callers keep no operator from an answer within a second.
+// An operator's call is answered within a second, despite 200 silent clients and 200 silent management connections.
 func TestCallsUnderLoad(t *testing.T) {
 	s := newService(t, fake.Options{Sockets: 128, MemoryMB: 64, PassThrough: true})
-	var held []io.Closer
+	var open []io.Closer
 	defer func() {
-		for _, c := range held {
+		for _, c := range open {
 			_ = c.Close()
 		}
 	}()
@@ -405,7 +412,7 @@
 			addr = s.launch.Management
 		}
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
-			held = append(held, c)
+			open = append(open, c)
 		}
 	}
 	for _, line := range []string{"status", "maint-on r1", "standby", "active", "maint-off r1"} {
@@ -417,8 +424,8 @@
 	}
 }
 
-// Who asked while the process stood still has waited since then: its answer comes within the time that it waits,
-// counted from its asking, also where no region answers.
+// A request that arrives while the process is suspended has waited since then: its answer arrives within the client's
+// timeout, counted from the time of the request, also if no server answers.
 func TestRequestWhileSuspended(t *testing.T) {
 	r := newHarness(t, fake.Options{Sockets: 256, MemoryMB: 64}, fake.Launch{Management: freeAddress(t)})
 	for _, g := range r.Regions {
@@ -436,12 +443,12 @@
 	if a := c.Open(fake.Ask{Key: "k"}); a.What != "ERR" && a.What != "BUSY" {
 		t.Errorf("%+v", a)
 	}
-	d, err := r.Connect("", r.process.Addr) // who asks now has waited for nothing
+	later, err := r.Connect("", r.process.Addr) // its whole timeout is left
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Break()
-	if a := d.Open(fake.Ask{Key: "k"}); a.Took < time.Second || a.What == "none" {
+	defer later.Break()
+	if a := later.Open(fake.Ask{Key: "k"}); a.Took < time.Second || a.What == "none" {
 		t.Errorf("later: %+v", a)
 	}
 }
--- a/cmd/oatloft/restart_test.go
+++ b/cmd/oatloft/restart_test.go
@@ -16,13 +16,13 @@
 	"oatloft/internal/fake"
 )
 
-// restartTimeout is how long these tests wait for what has to come. It is no bound that a rule sets.
+// restartTimeout is how long these tests wait for an expected event. It is not a limit that a rule sets.
 const restartTimeout = 30 * time.Second
 
-// newRestartWorld is a world with so many regions, and the options for its balancers.
-func newRestartWorld(t *testing.T, regions int) (*fake.World, fake.Options) {
+// newRestartWorld returns a simulated world with the given number of servers, and the options for its balancers.
+func newRestartWorld(t *testing.T, servers int) (*fake.World, fake.Options) {
 	t.Helper()
-	w, err := fake.New(regions)
+	w, err := fake.New(servers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 	return w, fake.Options{Sockets: 512, MemoryMB: 64}
 }
 
-// writeRestartConfig writes a balancer's configuration, with known in place of what it would know of the regions (""
-// leaves it).
+// writeRestartConfig writes a balancer's configuration, with known in place of its list of known servers; "" leaves the
+// list as it is.
 func writeRestartConfig(t *testing.T, w *fake.World, name string, o fake.Options, known string) fake.Launch {
 	t.Helper()
 	path, addr, err := w.WriteConfig(t.TempDir(), name, "127.8.5.1", o)
@@ -58,7 +58,7 @@
 	return fake.Launch{Binary: os.Args[0], Config: path, Addr: addr}
 }
 
-// waitUntilServing waits until a balancer serves a client: the first requests may be turned away.
+// waitUntilServing waits until a balancer serves a client: the first requests may be rejected.
 func waitUntilServing(t *testing.T, w *fake.World, addr string) {
 	t.Helper()
 	last := ""
@@ -74,10 +74,10 @@
 			return
 		}
 	}
-	t.Errorf("%s is ready and serves nobody: %s", addr, last)
+	t.Errorf("%s is ready and serves no client: %s", addr, last)
 }
 
-// silentDiscovery takes calls and answers none.
+// silentDiscovery accepts connections and answers no call.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.8.5.2:0")
@@ -97,8 +97,8 @@
 	return l.Addr().String()
 }
 
-// A balancer is ready at once whatever discovery does, and serves by the list that it knows: Start fails where no
-// PONG comes within 10 s.
+// A balancer is ready at once, whether discovery is down or silent, and serves from the list that it knows. World.Start
+// fails if the balancer does not answer PONG within 10 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	closed, err := net.Listen("tcp", "127.8.5.2:0")
@@ -121,21 +121,21 @@
 				} else if c, err := w.Connect("", l.Addr); err != nil {
 					t.Error(err)
 				} else if a := c.Open(fake.Ask{Key: "k"}); a.What == "UP" || a.Line == "" {
-					t.Errorf("knows nobody, and answers %+v", a)
+					t.Errorf("knows no server, and answers %+v", a)
 				}
 			})
 		}
 	}
 }
 
-// A balancer that knows nobody, or by an old list only regions that are gone, serves once discovery can be asked.
+// A balancer that knows no server, or from an old list only servers that are gone, serves once discovery is reachable.
 func TestServesAfterDiscoveryReturns(t *testing.T) {
 	for name, known := range map[string]string{"no list": "null", "an old list": `{"seq":0,"whole":true,"hosts":[
 		{"host":"gone","dial":"127.8.5.3:1","site":"here","class":"m","block":0,"health":"ready","share":1,"born_ms":0}]}`} {
 		t.Run(name, func(t *testing.T) {
 			w, o := newRestartWorld(t, 2)
 			w.Discovery.Cut(true)
-			w.Discovery.Tell("r1", "ready") // its list is newer than none
+			w.Discovery.Tell("r1", "ready") // makes discovery's list newer than an empty one
 			w.Discovery.Tell("r2", "ready")
 			l := writeRestartConfig(t, w, "n1", o, known)
 			p, err := w.Start(l)
@@ -149,7 +149,7 @@
 	}
 }
 
-// All balancers may be restarted at once: each is ready, and serves.
+// All balancers may be restarted at once: each becomes ready and serves.
 func TestAllRestartedAtOnce(t *testing.T) {
 	w, o := newRestartWorld(t, 2)
 	o.Balancers = 4
@@ -157,7 +157,7 @@
 	for i := range launches {
 		launches[i] = writeRestartConfig(t, w, fmt.Sprint("n", i), o, "")
 	}
-	all := func() (list []*fake.Process) {
+	startAll := func() (list []*fake.Process) {
 		var wait sync.WaitGroup
 		list = make([]*fake.Process, len(launches))
 		for i, l := range launches {
@@ -178,7 +178,7 @@
 		}
 		return list
 	}
-	for _, p := range all() {
+	for _, p := range startAll() {
 		p.Signal(syscall.SIGTERM)
 		defer func() {
 			if err := p.Over(restartTimeout); err != nil {
@@ -186,7 +186,7 @@
 			}
 		}()
 	}
-	for _, l := range launches { // the addresses are free again once each has left
+	for _, l := range launches { // the addresses are free again once all processes have ended
 		for end := time.Now().Add(restartTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", l.Addr)
 			if err != nil {
@@ -195,16 +195,16 @@
 			_ = c.Close()
 		}
 	}
-	for i, p := range all() {
+	for i, p := range startAll() {
 		waitUntilServing(t, w, launches[i].Addr)
 		p.Kill()
 	}
 }
 
-// manualServer answers requests on cue, and probes at once.
+// manualServer answers probes at once, and leaves the answers to requests to the test.
 type manualServer struct {
 	addr   string
-	opened chan net.Conn // a request has been read
+	opened chan net.Conn // connections on which a request has been read
 }
 
 func newManualServer(t *testing.T) *manualServer {
@@ -241,17 +241,18 @@
 	return r
 }
 
-// Signals come in all orders, and more than once, while a request is out: it gets its one answer, and the process
-// ends by itself with 0. Each answer is given on cue, after the last signal.
+// Signals arrive in several orders, and repeatedly, while a request is unanswered: it gets exactly one answer, and the
+// process ends by itself with exit code 0. The test lets the server answer after the last signal.
 func TestSignalsDuringUnansweredRequest(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGINT, syscall.SIGTERM},
-		{syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
+		{syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP},
+		{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(fmt.Sprint(signals), func(t *testing.T) {
 			w, o := newRestartWorld(t, 1)
-			region := newManualServer(t)
-			o.PassThrough, o.Dial, o.Discovery = true, map[string]string{"r1": region.addr}, silentDiscovery(t)
+			server := newManualServer(t)
+			o.PassThrough, o.Dial, o.Discovery = true, map[string]string{"r1": server.addr}, silentDiscovery(t)
 			l := writeRestartConfig(t, w, "n1", o, "")
 			p, err := w.Start(l)
 			if err != nil {
@@ -269,28 +270,28 @@
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(restartTimeout))
 			fmt.Fprint(c, "OPEN 1 k c=chat,t=acme,d=60000\r\n")
-			var task net.Conn
+			var attempt net.Conn
 			select {
-			case task = <-region.opened:
+			case attempt = <-server.opened:
 			case <-time.After(restartTimeout):
-				t.Fatal("nobody asked the region")
+				t.Fatal("the server got no request")
 			}
 			for _, s := range signals {
 				p.Signal(s)
 			}
-			fmt.Fprint(task, "UP 1\r\n")
+			fmt.Fprint(attempt, "UP 1\r\n")
 			in := bufio.NewReader(c)
 			if line, err := in.ReadString('\n'); line != "UP 1\r\n" {
 				t.Fatalf("answered %q, %v", line, err)
 			}
 			_ = c.(*net.TCPConn).CloseWrite()
-			_, _ = io.Copy(io.Discard, task)
-			_ = task.Close()
+			_, _ = io.Copy(io.Discard, attempt)
+			_ = attempt.Close()
 			if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-				t.Errorf("behind the answer %q, %v", rest, err)
+				t.Errorf("after the answer %q, %v", rest, err)
 			}
 			if err := p.Over(restartTimeout); err != nil {
-				t.Error("how it ended:", err)
+				t.Error("the process ended with:", err)
 			}
 		})
 	}
--- a/cmd/oatloft/revisions_test.go
+++ b/cmd/oatloft/revisions_test.go
@@ -17,7 +17,7 @@
 	"oatloft/internal/management"
 )
 
-// cluster is several balancers of one world, each a process of its own, that go by one revision.
+// cluster runs several balancers of one simulated world, each in its own process, that use one routing revision.
 type cluster struct {
 	*fake.World
 	t         *testing.T
@@ -28,8 +28,9 @@
 
 const clusterLease = 1200 * time.Millisecond
 
-// newCluster starts n balancers, three of them voters where there are as many, at 127.8.net.
-func newCluster(t *testing.T, n, net int, hold ...int) *cluster {
+// newCluster prepares n balancers at addresses 127.8.net.x; three of them, or all if there are fewer, are voters. Those
+// in holding keep to their revision when they are cut off.
+func newCluster(t *testing.T, n, net int, holding ...int) *cluster {
 	t.Helper()
 	w, err := fake.New(4)
 	if err != nil {
@@ -70,13 +71,11 @@
 			Form:   edgeconfig.Form,
 			Source: "test",
 			Revisions: &edgeconfig.Revisions{Cluster: "test", Listen: members[i].Addr, Members: members,
-				Voters: min(
-					3,
-					n,
-				), Reach: map[string]string{}, Folder: filepath.Join(dir, "agree"), Lease: edgeconfig.Duration(clusterLease), OnCut: "refuse",
+				Voters: min(3, n), Reach: map[string]string{}, Folder: filepath.Join(dir, "agree"),
+				Lease: edgeconfig.Duration(clusterLease), OnCut: "refuse",
 				Deadline: edgeconfig.Duration(4 * time.Second), History: 100, HistoryBytes: 1 << 20},
 		}
-		for _, h := range hold {
+		for _, h := range holding {
 			if h == i {
 				e.Revisions.OnCut = "hold"
 			}
@@ -100,11 +99,11 @@
 
 var ports atomic.Int32
 
-// freeAddressAt is an address that nobody else takes: below the ports that the system deals out by itself.
-func freeAddressAt(t *testing.T, net_ int) string {
+// freeAddressAt returns an address that nothing else takes: its port is below the system's ephemeral ports.
+func freeAddressAt(t *testing.T, subnet int) string {
 	t.Helper()
 	for range 100 {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.2:%d", net_, 9500+ports.Add(1)))
+		l, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.2:%d", subnet, 9500+ports.Add(1)))
 		if err == nil {
 			defer func() { _ = l.Close() }()
 			return l.Addr().String()
@@ -114,7 +113,7 @@
 	return ""
 }
 
-// start starts balancers side by side: none is ready before enough of them are there.
+// start starts balancers in parallel, because none is ready before enough of them are running.
 func (c *cluster) start(which ...int) {
 	c.t.Helper()
 	if len(which) == 0 {
@@ -144,7 +143,7 @@
 	}
 }
 
-// call is an operator's call at balancer i; what it says must begin with want.
+// call makes an operator's call at balancer i, whose answer must begin with want.
 func (c *cluster) call(i int, line, want string) string {
 	c.t.Helper()
 	a, err := management.Call(c.launches[i].Management, line)
@@ -160,17 +159,18 @@
 	return text
 }
 
-// propose hands in a revision that leaves one region out.
-func (c *cluster) propose(i int, key, from, out string) {
+// propose submits a revision that excludes one server.
+func (c *cluster) propose(i int, key, from, excluded string) {
 	c.t.Helper()
 	body := fmt.Sprintf(
-		`{"oatloft_revision":1,"note":"","classes":[],"tenants":[],"regions":[{"id":%q,"out":true,"weight":0}],"zones":[],"budgets":{"retries":0,"setups":0,"cold":0},"moves":{"per_second":0},"links":[]}`,
-		out,
+		`{"oatloft_revision":1,"note":"","classes":[],"tenants":[],"regions":[{"id":%q,"out":true,"weight":0}],`+
+			`"zones":[],"budgets":{"retries":0,"setups":0,"cold":0},"moves":{"per_second":0},"links":[]}`,
+		excluded,
 	)
 	c.submit(i, fmt.Sprintf("revision propose %s %s - - tester %s", key, from, body))
 }
 
-// submit repeats a call with the same key until it is taken, as operators' tools do: who leads may be unknown for a
+// submit repeats a call with the same key until it is accepted, as operators' tools do: the leader may be unknown for a
 // moment.
 func (c *cluster) submit(i int, line string) {
 	c.t.Helper()
@@ -184,7 +184,7 @@
 	c.t.Fatalf("b%d: %.60s: %q", i+1, line, text)
 }
 
-// waitSettled waits until what became of a proposal is known at balancer i.
+// waitSettled waits until balancer i reports the wanted outcome of a proposal.
 func (c *cluster) waitSettled(i int, key, want string, within time.Duration) string {
 	c.t.Helper()
 	text := ""
@@ -198,7 +198,7 @@
 	return ""
 }
 
-// waitInForce waits until balancer i says that it goes by a revision.
+// waitInForce waits until balancer i reports that a revision is in force.
 func (c *cluster) waitInForce(i int, number string, within time.Duration) {
 	c.t.Helper()
 	text := ""
@@ -208,28 +208,28 @@
 			return
 		}
 	}
-	c.t.Fatalf("b%d: %q, not at work by %s within %v", i+1, text, number, within)
+	c.t.Fatalf("b%d: %q, revision %s not in force within %v", i+1, text, number, within)
 }
 
-// openMany has n newcomers openMany balancer i, and counts answers and regions.
+// openMany opens n new clients at balancer i, and counts the servers and the answers that they got.
 func (c *cluster) openMany(i, n int) map[string]int {
 	c.t.Helper()
-	at := map[string]int{}
+	counts := map[string]int{}
 	for k := range n {
-		x, err := c.Connect("", c.launches[i].Addr)
+		client, err := c.Connect("", c.launches[i].Addr)
 		if err != nil {
-			at["none"]++
+			counts["none"]++
 			continue
 		}
-		at[serverOrAnswer(x.Open(fake.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
-		x.Break()
+		counts[serverOrAnswer(client.Open(fake.Ask{Key: fmt.Sprintf("k%d-%d-%d", i, k, time.Now().UnixNano())}))]++
+		client.Break()
 	}
-	return at
+	return counts
 }
 
-// Guards: a balancer takes nobody before it knows what is in force; a change is in force at all or nowhere,
-// whichever balancer it is handed in at; one that starts later goes by it from its first newcomer; the same key
-// makes one revision.
+// A balancer accepts no client before it knows the revision in force; a change is in force at all balancers or at
+// none, whichever balancer it is submitted to; a balancer that starts later uses it from its first client; proposals
+// with the same key make one revision.
 func TestAllBalancersUseOneRevision(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 20)
@@ -237,13 +237,13 @@
 	go func() { p, err := c.Start(c.launches[0]); c.processes[0] = p; alone <- err }()
 	time.Sleep(1200 * time.Millisecond)
 	if got := fake.Ping(c.launches[0].Addr); got != "NO" {
-		t.Errorf("PING before anything is known of what is in force: %q", got)
+		t.Errorf("PING before the revision in force is known: %q", got)
 	}
 	if a := fake.Call(c.launches[0].Management, "status"); !strings.HasPrefix(a, "-ERR") {
-		t.Errorf("status before anything is known: %q", a)
+		t.Errorf("status before the revision in force is known: %q", a)
 	}
-	if at := c.openMany(0, 3); at["BUSY"] != 3 {
-		t.Errorf("newcomers before anything is known: %v", at)
+	if counts := c.openMany(0, 3); counts["BUSY"] != 3 {
+		t.Errorf("new clients before the revision in force is known: %v", counts)
 	}
 	c.start(1, 2)
 	if err := <-alone; err != nil {
@@ -254,31 +254,33 @@
 	c.waitSettled(0, "k1", "settled 1 ", 3*time.Second)
 	for i := range 3 {
 		c.waitInForce(i, "1", time.Second)
-		if at := c.openMany(i, 30); at["r1"] > 0 || at["r2"]+at["r3"]+at["r4"] != 30 {
-			t.Errorf("b%d, without r1: %v", i+1, at)
+		if counts := c.openMany(i, 30); counts["r1"] > 0 || counts["r2"]+counts["r3"]+counts["r4"] != 30 {
+			t.Errorf("b%d, without r1: %v", i+1, counts)
 		}
 	}
 	text := c.call(
 		0,
-		`revision propose k2 1 - - tester {"oatloft_revision":1,"note":"","classes":[{"name":"video","order":1,"aim":0,"message_aim":0,"attempts":0}],"tenants":[],"regions":[],"zones":[],"budgets":{"retries":0,"setups":0,"cold":0},"moves":{"per_second":0},"links":[]}`,
+		`revision propose k2 1 - - tester {"oatloft_revision":1,"note":"",`+
+			`"classes":[{"name":"video","order":1,"aim":0,"message_aim":0,"attempts":0}],"tenants":[],"regions":[],`+
+			`"zones":[],"budgets":{"retries":0,"setups":0,"cold":0},"moves":{"per_second":0},"links":[]}`,
 		"-ERR",
 	)
 	if !strings.Contains(text, `classes[0].name: "video"`) || !strings.Contains(text, "do: ") {
-		t.Errorf("a class that nobody has: %q", text)
+		t.Errorf("a class that no balancer has: %q", text)
 	}
 	c.processes[2].Kill()
-	c.propose(0, "k3", "1", "r2") // without the one that is down: it has lost its permission first
+	c.propose(0, "k3", "1", "r2") // settles without the one that is down, once its lease has expired
 	c.waitSettled(1, "k3", "settled 2 ", 8*time.Second)
 	c.start(2)
-	if at := c.openMany(2, 30); at["r2"] > 0 || at["r1"] == 0 {
-		t.Errorf("back again, without r2: %v", at)
+	if counts := c.openMany(2, 30); counts["r2"] > 0 || counts["r1"] == 0 {
+		t.Errorf("restarted, without r2: %v", counts)
 	}
 	c.submit(1, "revision rollback k4 2 - - tester 1")
 	c.waitSettled(2, "k4", "settled 3 ", 3*time.Second)
 	for i := range 3 {
 		c.waitInForce(i, "3", time.Second)
-		if at := c.openMany(i, 20); at["r1"] > 0 {
-			t.Errorf("b%d, rolled back to without r1: %v", i+1, at)
+		if counts := c.openMany(i, 20); counts["r1"] > 0 {
+			t.Errorf("b%d, rolled back to the revision without r1: %v", i+1, counts)
 		}
 	}
 	if v := c.Violations(); v != "" {
@@ -286,8 +288,8 @@
 	}
 }
 
-// Guards: a process that is stopped across the moment of change finds its permit lapsed before it places anybody;
-// the others change without it, and it goes by the new revision from its first newcomer on.
+// A process that is suspended while the revision changes finds its lease expired before it places any client; the
+// others change without it, and it uses the new revision from its first client on.
 func TestSuspendedAcrossChange(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 21)
@@ -298,45 +300,45 @@
 			leader = i
 		}
 	}
-	for round, who := range []int{(leader + 1) % 3, leader} { // a follower, then whoever leads
-		key, from, out := fmt.Sprint("s", round), fmt.Sprint(round), fmt.Sprint("r", round+1)
-		c.processes[who].Signal(syscall.SIGSTOP)
-		other := (who + 1) % 3
-		// What is on its way to the stopped one waits in its sockets, and is read when it wakes up.
+	for round, suspended := range []int{(leader + 1) % 3, leader} { // a follower, then the leader
+		key, from, excluded := fmt.Sprint("s", round), fmt.Sprint(round), fmt.Sprint("r", round+1)
+		c.processes[suspended].Signal(syscall.SIGSTOP)
+		other := (suspended + 1) % 3
+		// Requests to the suspended process wait in its sockets, and are read when it continues.
 		waiting := make([]*fake.Terminal, 5)
 		for k := range waiting {
-			x, err := c.Connect("", c.launches[who].Addr)
+			client, err := c.Connect("", c.launches[suspended].Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			waiting[k] = x
-			_ = x.Say(fake.Ask{Key: fmt.Sprint("w", round, k), Wait: 20 * time.Second}.Line(x.ID))
+			waiting[k] = client
+			_ = client.Say(fake.Ask{Key: fmt.Sprint("w", round, k), Wait: 20 * time.Second}.Line(client.ID))
 		}
 		for end := time.Now().Add(8 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-			c.propose(other, key, from, out)
+			c.propose(other, key, from, excluded)
 			if a, err := management.Call(c.launches[other].Management, "revision outcome "+key); err == nil &&
 				strings.Contains(a.Text, "settled ") {
 				break
 			} else if time.Now().After(end) {
-				t.Fatalf("b%d stopped: %q", who+1, a.Text)
+				t.Fatalf("b%d suspended: %q", suspended+1, a.Text)
 			}
 		}
-		c.processes[who].Signal(syscall.SIGCONT)
-		for _, x := range waiting {
-			if a := x.Listen(5 * time.Second); serverOrAnswer(a) == out {
-				t.Errorf("b%d woke up and placed a newcomer at %s, which is left out since", who+1, out)
+		c.processes[suspended].Signal(syscall.SIGCONT)
+		for _, client := range waiting {
+			if a := client.Listen(5 * time.Second); serverOrAnswer(a) == excluded {
+				t.Errorf("b%d continued and placed a client on %s, which has been excluded", suspended+1, excluded)
 			}
-			x.Break()
+			client.Break()
 		}
-		c.waitInForce(who, fmt.Sprint(round+1), 5*time.Second)
-		if at := c.openMany(who, 20); at[out] > 0 {
-			t.Errorf("b%d, awake: %v", who+1, at)
+		c.waitInForce(suspended, fmt.Sprint(round+1), 5*time.Second)
+		if counts := c.openMany(suspended, 20); counts[excluded] > 0 {
+			t.Errorf("b%d, continued: %v", suspended+1, counts)
 		}
 	}
 }
 
-// Guards: whoever holds on when it is cut off stands in the way of a change, which ends nowhere with its name, and
-// goes through once an operator has said that it is off.
+// A balancer that keeps to its revision when it is cut off blocks a change. The change then ends at no balancer, with
+// the blocking one's name, and succeeds once an operator has declared that balancer off.
 func TestHoldBlocksChange(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4, 22, 3)
@@ -344,12 +346,12 @@
 	c.processes[3].Signal(syscall.SIGSTOP)
 	c.propose(0, "h1", "0", "r1")
 	if text := c.waitSettled(1, "h1", "nowhere", 8*time.Second); !strings.Contains(text, "b4") {
-		t.Errorf("who stood in the way: %q", text)
+		t.Errorf("the blocking balancer is not named: %q", text)
 	}
 	c.processes[3].Signal(syscall.SIGCONT)
 	c.waitInForce(3, "0", 3*time.Second)
-	if at := c.openMany(3, 10); at["BUSY"] > 0 {
-		t.Errorf("it held on, and refused: %v", at)
+	if counts := c.openMany(3, 10); counts["BUSY"] > 0 {
+		t.Errorf("it kept its revision, and refused clients: %v", counts)
 	}
 	c.processes[3].Kill()
 	c.submit(0, "revision forget b4")
@@ -357,8 +359,8 @@
 	c.waitSettled(1, "h2", "settled 1 ", 6*time.Second)
 }
 
-// Guards: where a supervisor holds the listening socket a process that is killed stands in nobody's way, though
-// nothing ends its permission by time: the next one, or the other one of an upgrade, finds that it has ended.
+// If a supervisor holds the listening socket, a killed process does not block a change, although its permission does
+// not expire by time: the next process, or the other one of an upgrade, detects that it has ended.
 func TestKilledUnderSupervisor(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 24, 0, 1, 2)
@@ -372,8 +374,8 @@
 	_ = l.Close()
 	t.Cleanup(func() { _ = c.launches[2].Listener.Close() })
 	c.start()
-	for n, step := range []string{"started again", "the first of an upgrade", "the second of an upgrade"} {
-		first, at := c.processes[2], c.launches[2].Management
+	for n, step := range []string{"restarted", "the first process of an upgrade", "the second process of an upgrade"} {
+		first, firstAddr := c.processes[2], c.launches[2].Management
 		if n == 0 {
 			first.Kill()
 		}
@@ -384,14 +386,14 @@
 			first.Kill()
 		case 2:
 			c.processes[2].Kill()
-			c.processes[2], c.launches[2].Management = first, at
+			c.processes[2], c.launches[2].Management = first, firstAddr
 		}
-		key, out := fmt.Sprint("x", n), fmt.Sprint("r", n+1)
-		c.propose(0, key, fmt.Sprint(n), out)
+		key, excluded := fmt.Sprint("x", n), fmt.Sprint("r", n+1)
+		c.propose(0, key, fmt.Sprint(n), excluded)
 		c.waitSettled(1, key, fmt.Sprintf("settled %d ", n+1), 6*time.Second)
 		c.waitInForce(2, fmt.Sprint(n+1), 2*time.Second)
-		if at := c.openMany(2, 20); at[out] > 0 || at["BUSY"] > 0 {
-			t.Errorf("%s: without %s: %v", step, out, at)
+		if counts := c.openMany(2, 20); counts[excluded] > 0 || counts["BUSY"] > 0 {
+			t.Errorf("%s: without %s: %v", step, excluded, counts)
 		}
 	}
 	if v := c.Violations(); v != "" {
@@ -399,8 +401,8 @@
 	}
 }
 
-// Guards: in an upgrade both processes of one balancer go by one revision, also while a change is made; the later
-// one takes the vote over once the earlier has left.
+// During an upgrade both processes of one balancer use one revision, also while a change is made; the new process takes
+// over the vote once the old one has ended.
 func TestUpgradeUsesOneRevision(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 23)
@@ -414,33 +416,33 @@
 	_ = l.Close()
 	t.Cleanup(func() { _ = c.launches[0].Listener.Close() })
 	c.start()
-	old, before := c.processes[0], c.launches[0].Management
+	old, oldAddr := c.processes[0], c.launches[0].Management
 	c.launches[0].Management = freeAddressAt(t, 23)
-	c.start(0) // beside the earlier process
+	c.start(0) // while the old process is still running
 	c.propose(1, "u1", "0", "r1")
 	c.waitSettled(2, "u1", "settled 1 ", 4*time.Second)
 	c.waitInForce(0, "1", time.Second)
-	for end := time.Now().Add(time.Second); ; time.Sleep(20 * time.Millisecond) { // it follows with its next renewal
-		a, err := management.Call(before, "revision status")
+	for end := time.Now().Add(time.Second); ; time.Sleep(20 * time.Millisecond) { // until its next renewal
+		a, err := management.Call(oldAddr, "revision status")
 		if err == nil && strings.Contains(a.Text, "here=1 ") && strings.Contains(a.Text, "phase=at-work") {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the earlier process: %q, %v", a.Text, err)
+			t.Fatalf("the old process: %q, %v", a.Text, err)
 		}
 	}
-	if at := c.openMany(0, 40); at["r1"] > 0 || at["BUSY"] > 0 {
-		t.Errorf("two processes, without r1: %v", at)
+	if counts := c.openMany(0, 40); counts["r1"] > 0 || counts["BUSY"] > 0 {
+		t.Errorf("two processes, without r1: %v", counts)
 	}
 	old.Signal(syscall.SIGTERM)
 	if err := old.Over(8 * time.Second); err != nil {
-		t.Errorf("the earlier process: %v", err)
+		t.Errorf("the old process: %v", err)
 	}
-	c.processes[1].Kill() // of three voters the two that are left have to be enough: b1's later process has its vote
+	c.processes[1].Kill() // the two remaining voters of three must suffice: b1's new process has its vote
 	c.propose(0, "u2", "1", "r2")
 	c.waitSettled(2, "u2", "settled 2 ", 10*time.Second)
-	if at := c.openMany(0, 40); at["r2"] > 0 || at["r1"] == 0 {
-		t.Errorf("after the upgrade, without r2: %v", at)
+	if counts := c.openMany(0, 40); counts["r2"] > 0 || counts["r1"] == 0 {
+		t.Errorf("after the upgrade, without r2: %v", counts)
 	}
 	if v := c.Violations(); v != "" {
 		t.Error(v)
--- a/cmd/oatloft/warmup_test.go
+++ b/cmd/oatloft/warmup_test.go
@@ -13,22 +13,22 @@
 	"oatloft/internal/rules"
 )
 
-// What the stand-in's settings tell of cold regions, see internal/fake.
+// Settings of the simulated servers' warm-up, as in internal/fake.
 const (
-	warmCapacity     = 50.0 // connections that fill a region, when warm
-	warmUpStart      = 0.34
+	warmCapacity     = 50.0 // connections that load a warm server fully
+	warmUpStart      = 0.34 // share of its warm capacity that a server has at its start
 	warmUpTime       = 8600 * time.Millisecond
-	overloadMultiple = 4.0
+	overloadMultiple = 4.0 // multiple of its current capacity that overloads a server
 	boundWindow      = 3 * time.Second
 )
 
-// receivedRequests notes when requests reach the cold region.
+// receivedRequests records when requests reach the server that is warming up.
 type receivedRequests struct {
 	mu        sync.Mutex
 	times     []time.Duration
 	startedAt time.Duration
-	peakShare float64 // most requests in a window, over the bound
-	peakText  string
+	peakShare float64 // largest share of the bound that the requests of a window took
+	peakText  string  // description of that window
 }
 
 func (c *receivedRequests) start(at time.Duration) {
@@ -37,7 +37,8 @@
 	c.startedAt, c.times = at, nil
 }
 
-// record holds each request that reaches the region to its bound: N + 2 x root of N + 2 within the window that ends now.
+// record compares the requests in the window that ends now with the server's bound: N + 2 x the square root of N + 2,
+// where N is the number that the server can take.
 func (c *receivedRequests) record(e rules.Event) {
 	if e.Kind != rules.Routed || e.Region != "r5" {
 		return
@@ -53,9 +54,9 @@
 	}
 	ramp := warmUpStart + (1-warmUpStart)*float64(e.At-c.startedAt)/float64(warmUpTime)
 	n := overloadMultiple * warmCapacity * ramp / warmUpTime.Seconds() * boundWindow.Seconds()
-	if part := sum / (n + 2*math.Sqrt(n) + 2); part > c.peakShare {
-		c.peakShare, c.peakText = part, fmt.Sprintf(
-			"%.0f requests within %v, %v after the start; it bears %.1f",
+	if share := sum / (n + 2*math.Sqrt(n) + 2); share > c.peakShare {
+		c.peakShare, c.peakText = share, fmt.Sprintf(
+			"%.0f requests within %v, %v after the start; the server can take %.1f",
 			sum,
 			boundWindow,
 			e.At-c.startedAt,
@@ -70,8 +71,8 @@
 	return len(c.times)
 }
 
-// sendLoad opens a transaction each 10 ms at a balancer until stop, and keeps the last 20 open. What fails is not its
-// matter: balancers restart meanwhile.
+// sendLoad opens a request every 10 ms at a balancer until stop, and keeps the last 20 open. Failures are ignored,
+// because balancers restart meanwhile.
 func sendLoad(w *fake.World, addr, name string, stop <-chan struct{}) {
 	var open []*fake.Terminal
 	for i := 0; ; i++ {
@@ -98,21 +99,21 @@
 	}
 }
 
-// Three balancers in processes of their own, and a region that joins cold while more comes than it bears: the sum
-// keeps to its bound, also when a balancer reads its configuration again, when one is killed and starts anew with
-// no memory of what was sent, and when the region starts once more while it is cold.
+// A server joins and warms up while three balancers, each in its own process, receive more load than it can take. The
+// sum of their requests stays within the server's bound, also when a balancer reloads its configuration, when one is
+// killed and restarts without a record of what it sent, and when the server restarts during its warm-up.
 func TestWarmUpBoundAcrossBalancers(t *testing.T) {
 	w, err := fake.New(4)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	sends := &receivedRequests{}
-	w.Watch = sends.record
+	received := &receivedRequests{}
+	w.Watch = received.record
 	for _, r := range w.Regions {
 		r.SetWeight(1 / warmCapacity)
 	}
-	var all []*fake.Process
+	var processes []*fake.Process
 	var launches []fake.Launch
 	for i := range 3 {
 		o := fake.Options{Sockets: 512, MemoryMB: 64, Balancers: 3}
@@ -125,7 +126,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all, launches = append(all, p), append(launches, l)
+		processes, launches = append(processes, p), append(launches, l)
 	}
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
@@ -135,47 +136,47 @@
 	defer wait.Wait()
 	defer close(stop)
 	warmedUp := func() bool {
-		took := int64(0)
+		requests := int64(0)
 		for _, r := range w.Regions[:4] {
-			took += r.Took()
+			requests += r.Took()
 		}
-		return took >= 150
+		return requests >= 150
 	}
-	waitFor(t, "the warm regions serve", warmedUp)
+	waitFor(t, "the warm servers take requests", warmedUp)
 	if err := w.AddRegion("r5", "127.9.0.5:0"); err != nil {
 		t.Fatal(err)
 	}
-	cold := w.Regions[4]
-	cold.Set(fake.Lying) // it looks empty: nothing but its budget keeps requests away
-	cold.SetWeight(1 / warmCapacity)
-	begin := func() {
-		sends.start(w.Now())
+	joining := w.Regions[4]
+	joining.Set(fake.Lying) // it reports no load, so that only its warm-up budget keeps requests away
+	joining.SetWeight(1 / warmCapacity)
+	beginWarmUp := func() {
+		received.start(w.Now())
 		w.Discovery.Renew("r5")
 	}
-	begin()
-	waitFor(t, "the cold region is used", func() bool { return sends.count() >= 4 })
-	all[0].Signal(syscall.SIGHUP)
-	waitFor(t, "it is used after a SIGHUP", func() bool { return sends.count() >= 8 })
-	all[1].Kill()
-	if all[1], err = w.Start(launches[1]); err != nil {
+	beginWarmUp()
+	waitFor(t, "the new server is used", func() bool { return received.count() >= 4 })
+	processes[0].Signal(syscall.SIGHUP)
+	waitFor(t, "it is used after a SIGHUP", func() bool { return received.count() >= 8 })
+	processes[1].Kill()
+	if processes[1], err = w.Start(launches[1]); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it is used after a restart", func() bool { return sends.count() >= 12 })
-	begin()
-	whole := func() bool { return sends.count() >= 6 && w.Now()-sends.startedAt > boundWindow+time.Second }
-	waitFor(t, "it is used for a window after its second start", whole)
-	if sends.mu.Lock(); sends.peakShare > 1 {
-		t.Error(sends.peakText)
+	waitFor(t, "it is used after a restart", func() bool { return received.count() >= 12 })
+	beginWarmUp()
+	windowPassed := func() bool { return received.count() >= 6 && w.Now()-received.startedAt > boundWindow+time.Second }
+	waitFor(t, "it is used for a window after its second start", windowPassed)
+	if received.mu.Lock(); received.peakShare > 1 {
+		t.Error(received.peakText)
 	}
-	t.Logf("%.2f of the bound: %s", sends.peakShare, sends.peakText)
-	sends.mu.Unlock()
+	t.Logf("%.2f of the bound: %s", received.peakShare, received.peakText)
+	received.mu.Unlock()
 }
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("timeout waiting for: ", what)
 		}
 	}
 }
--- a/internal/hint/errors_test.go
+++ b/internal/hint/errors_test.go
@@ -678,7 +678,8 @@
 	var b bytes.Buffer
 	b.WriteString(`# Errors
 
-The errors of the programs, and what to do about them. This page is generated from the code; a test fails when it is out of date.
+The errors of the programs, and what to do about them. This page is generated from the code; a test fails when it is
+out of date.
 
 An error has the form ` + "`where: what: cause; do: hint`" + `, in one line: in the log (field ` + "`err`" + `),
 as the last line of a program that ends with exit code 1, and after ` + "`-ERR`" + ` in the answer to a call. Search
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -95,7 +95,11 @@
 	path, err := os.Executable()
 	if err == nil {
 		path += Suffix
-		err = syscall.Exec(path, append([]string{path}, os.Args[1:]...), append(os.Environ(), builtVariable+"="+buildDescription()))
+		err = syscall.Exec(
+			path,
+			append([]string{path}, os.Args[1:]...),
+			append(os.Environ(), builtVariable+"="+buildDescription()),
+		)
 	}
 	return &RevisionsProgramNotStarted{path, err}
 }
@@ -140,7 +144,8 @@
 
 // Hint returns what an operator can do.
 func (e *RevisionsProgramNotStarted) Hint() string {
-	return "install it there, of the same version (go build -o bin/ ./cmd/... builds both), or remove the section revisions"
+	return "install it there, of the same version (go build -o bin/ ./cmd/... builds both), " +
+		"or remove the section revisions"
 }
 
 func (s *serve) Run() error {
