--- a/cmd/oatctl/calls.go
+++ b/cmd/oatctl/calls.go
@@ -7,56 +7,56 @@
 	"oatloft/internal/management"
 )
 
-// at is where a balancer takes operators' calls.
-type at struct {
-	At string `required:"" placeholder:"HOST:PORT" env:"PROXY_MANAGEMENT" help:"The balancer's second address (management)."`
+// managementFlag is the flag with a balancer's management address.
+type managementFlag struct {
+	At string `required:"" placeholder:"HOST:PORT" env:"PROXY_MANAGEMENT" help:"The balancer's management address."`
 }
 
-// one is the address: the first, where the environment names several for calls that any balancer answers.
-func (a at) one() string {
+// first returns the first address: the environment variable may list several, for calls that any balancer can answer.
+func (a managementFlag) first() string {
 	addr, _, _ := strings.Cut(a.At, ",")
 	return addr
 }
 
-func (a at) call(line string) error {
-	answer, err := management.Call(a.one(), line)
+func (a managementFlag) call(line string) error {
+	answer, err := management.Call(a.first(), line)
 	if err != nil {
 		return err
 	}
 	if !answer.OK {
-		return no(answer.Text)
+		return newRefusal(answer.Text)
 	}
 	fmt.Println(answer.Text)
 	return nil
 }
 
 type (
-	status  struct{ at }
-	standby struct{ at }
-	active  struct{ at }
-	maintOn struct {
-		at
-		ID string `arg:"" help:"The server's id, host in discovery's list."`
+	status        struct{ managementFlag }
+	standby       struct{ managementFlag }
+	active        struct{ managementFlag }
+	maintenanceOn struct {
+		managementFlag
+		ID string `arg:"" help:"The server's id: the host in the discovery list."`
 	}
-	maintOff struct {
-		at
-		ID string `arg:"" help:"The server's id, host in discovery's list."`
+	maintenanceOff struct {
+		managementFlag
+		ID string `arg:"" help:"The server's id: the host in the discovery list."`
 	}
 )
 
-func (c *status) Run() error   { return c.call("status") }
-func (c *standby) Run() error  { return c.call("standby") }
-func (c *active) Run() error   { return c.call("active") }
-func (c *maintOn) Run() error  { return c.call("maint-on " + c.ID) }
-func (c *maintOff) Run() error { return c.call("maint-off " + c.ID) }
+func (c *status) Run() error         { return c.call("status") }
+func (c *standby) Run() error        { return c.call("standby") }
+func (c *active) Run() error         { return c.call("active") }
+func (c *maintenanceOn) Run() error  { return c.call("maint-on " + c.ID) }
+func (c *maintenanceOff) Run() error { return c.call("maint-off " + c.ID) }
 
-type peersCall struct {
-	at
-	Name string `arg:"" optional:"" help:"One member only."`
+type peersCommand struct {
+	managementFlag
+	Name string `arg:"" optional:"" help:"Print this member only."`
 }
 
-// Run asks for the summary, and then for one member after the other: an answer is one line.
-func (c *peersCall) Run() error {
+// Run prints the summary and then each member. It makes one call per member because an answer is a single line.
+func (c *peersCommand) Run() error {
 	if c.Name != "" {
 		return c.call("peers " + c.Name)
 	}
@@ -64,12 +64,12 @@
 		return err
 	}
 	for name := ""; ; {
-		answer, err := management.Call(c.one(), "peers >"+name)
+		answer, err := management.Call(c.first(), "peers >"+name)
 		if err != nil {
 			return err
 		}
 		if !answer.OK {
-			return no(answer.Text)
+			return newRefusal(answer.Text)
 		}
 		if answer.Text == "-" {
 			return nil
--- a/cmd/oatctl/main.go
+++ b/cmd/oatctl/main.go
@@ -1,5 +1,6 @@
-// Command oatctl is for the operator's desk: it checks and compiles what balancers run on, and calls them. It may use libraries
-// that would weigh on a balancer; it must never be needed while one serves.
+// Command oatctl is the operator's command-line tool: it validates and compiles the settings of balancers and calls
+// their management addresses. It may import libraries that are too large for the balancer; a balancer that is serving
+// does not depend on it.
 package main
 
 import (
@@ -16,21 +17,21 @@
 
 type flags struct {
 	Edge struct {
-		Check   check   `cmd:"" help:"Say what is wrong with a file of settings."`
-		Compile compile `cmd:"" help:"Check a file of settings and write what a balancer reads (serve --edge)."`
-		Show    show    `cmd:"" help:"Print settings with every default in sight; without a file, the defaults."`
-	} `cmd:"" help:"Our own settings, deploy/edge.cue."`
-	Status   status        `cmd:"" help:"Ask a balancer whether it takes clients."`
-	MaintOn  maintOn       `cmd:"" help:"Have a balancer leave a server out."`
-	MaintOff maintOff      `cmd:"" help:"Have it use that server again."`
-	Peers    peersCall     `cmd:"" help:"Ask a balancer which others it knows of, and what they say."`
-	Revision revisionCalls `cmd:"" help:"Routing revisions: one for all balancers, everywhere or nowhere."`
-	Standby  standby       `cmd:"" help:"Drain a balancer."`
-	Active   active        `cmd:"" help:"Have it take clients again."`
+		Check   check   `cmd:"" help:"Validate a settings file and report its errors."`
+		Compile compile `cmd:"" help:"Validate a settings file and write the form that a balancer reads (serve --edge)."`
+		Show    show    `cmd:"" help:"Print settings with all defaults filled in; without a file, the defaults."`
+	} `cmd:"" help:"The settings in deploy/edge.cue."`
+	Status   status           `cmd:"" help:"Print whether a balancer accepts clients."`
+	MaintOn  maintenanceOn    `cmd:"" help:"Put a server into maintenance on a balancer."`
+	MaintOff maintenanceOff   `cmd:"" help:"Take a server out of maintenance on a balancer."`
+	Peers    peersCommand     `cmd:"" help:"Print the members that a balancer knows and what they have announced."`
+	Revision revisionCommands `cmd:"" help:"Routing revisions: each is applied by all balancers or by none."`
+	Standby  standby          `cmd:"" help:"Drain a balancer."`
+	Active   active           `cmd:"" help:"Let a drained balancer accept clients again."`
 }
 
 type check struct {
-	File string `arg:"" help:"Settings (CUE)."`
+	File string `arg:"" help:"Settings file (CUE)."`
 }
 
 func (c *check) Run() error {
@@ -42,8 +43,8 @@
 }
 
 type compile struct {
-	File string `arg:"" help:"Settings (CUE)."`
-	Out  string `short:"o" help:"Where to write; standard output if not given." type:"path"`
+	File string `arg:"" help:"Settings file (CUE)."`
+	Out  string `short:"o" help:"Output file; standard output if not given." type:"path"`
 }
 
 func (c *compile) Run() error {
@@ -52,25 +53,32 @@
 		return err
 	}
 	if err := c.write(body); err != nil {
-		return &unwritten{hint.Annotated{What: "not written", Cause: err, Do: "see that the folder of --out is there and can be written"}}
+		return &writeError{hint.Annotated{
+			What:  "cannot write the compiled settings",
+			Cause: err,
+			Do:    "check that the directory of --out exists and is writable",
+		}}
 	}
 	return nil
 }
 
-// unwritten is that the compiled settings couldn't be put in place. The file that was there stays.
-type unwritten struct{ hint.Annotated }
+// writeError reports that the compiled settings could not be written. An existing file is left unchanged.
+type writeError struct{ hint.Annotated }
 
 func (c *compile) write(body []byte) (err error) {
 	if c.Out == "" {
 		_, err = os.Stdout.Write(body)
 		return err
 	}
-	// Whole or not at all: a balancer may be told to read it at any time.
-	return renameio.WriteFile(c.Out, body, 0o644, renameio.WithTempDir(filepath.Dir(c.Out)), renameio.WithStaticPermissions(0o644))
+	// The file is replaced atomically, since a balancer may read it at any time.
+	return renameio.WriteFile(
+		c.Out, body, 0o644,
+		renameio.WithTempDir(filepath.Dir(c.Out)), renameio.WithStaticPermissions(0o644),
+	)
 }
 
 type show struct {
-	File string `arg:"" optional:"" help:"Settings (CUE)."`
+	File string `arg:"" optional:"" help:"Settings file (CUE)."`
 }
 
 func (s *show) Run() error {
@@ -82,7 +90,8 @@
 }
 
 func main() {
-	ctx := kong.Parse(&flags{}, kong.Name("oatctl"), kong.Description("Checks and compiles what oatloft balancers run on, and calls them."))
+	ctx := kong.Parse(&flags{}, kong.Name("oatctl"),
+		kong.Description("Validates and compiles the settings of oatloft balancers, and calls their management addresses."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, hint.Line(err))
 		os.Exit(1)
--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -1,7 +1,8 @@
 package main
 
-// Calls about routing revisions. This file owns that a change is handed in once, however often its call has to be repeated: each has a
-// key, and what became of it is asked for by that. It must never tell that a change was made, or was not, without an answer that says so.
+// Calls about routing revisions. A change is proposed with a key, so that it is applied at most once however often the
+// call is repeated, and its outcome is queried by that key. Success or failure is reported only when a balancer has
+// answered so.
 
 import (
 	"context"
@@ -21,72 +22,73 @@
 	"oatloft/internal/revisioncue"
 )
 
-type revisionCalls struct {
-	Propose  propose  `cmd:"" help:"Have all balancers go by a new revision, everywhere or nowhere."`
-	Show     showRev  `cmd:"" help:"Print a revision as it would be proposed."`
-	List     list     `cmd:"" help:"List past revisions and the one in force."`
-	Diff     diff     `cmd:"" help:"Say what a revision or file has otherwise than another."`
-	Rollback rollback `cmd:"" help:"Have the content of a past revision in force again, as a new one."`
-	Status   state    `cmd:"" help:"Ask what is in force, and how a balancer and the others stand to it."`
-	Wait     wait     `cmd:"" help:"Wait for what becomes of a proposal."`
-	Replace  replace  `cmd:"" help:"Give one member's vote to another."`
-	Forget   forget   `cmd:"" help:"Say that a balancer is off for good: changes wait for it no more."`
+type revisionCommands struct {
+	Propose  propose       `cmd:"" help:"Propose a new revision; it is applied by all balancers or by none."`
+	Show     showRevision  `cmd:"" help:"Print a revision as it would be proposed."`
+	List     list          `cmd:"" help:"List past revisions and the one in force."`
+	Diff     diff          `cmd:"" help:"Print the differences between two revisions or files."`
+	Rollback rollback      `cmd:"" help:"Propose the content of a past revision as a new one."`
+	Status   statusCommand `cmd:"" help:"Print the revision in force, and which revision the balancers have."`
+	Wait     wait          `cmd:"" help:"Wait for the outcome of a proposal."`
+	Replace  replace       `cmd:"" help:"Transfer one member's vote to another."`
+	Forget   forget        `cmd:"" help:"Remove a balancer for good, so that changes no longer wait for it."`
 }
 
-// ats is where calls go: to the next address where one doesn't answer.
-type ats struct {
-	At []string `placeholder:"HOST:PORT" env:"PROXY_MANAGEMENT" help:"Balancers' second addresses (management): any one will do, the next is asked where one doesn't answer."`
+// managementFlags is the flag with the balancers to call: when one does not answer, the next one is tried.
+type managementFlags struct {
+	At []string `placeholder:"HOST:PORT" env:"PROXY_MANAGEMENT" help:"Management addresses, tried until one answers."`
 }
 
-// refused is the error that a balancer said no.
-type refused struct{ at, text, do string }
+// refusedError is a call that a balancer has refused.
+type refusedError struct{ at, text, do string }
 
-func (e *refused) Error() string {
+func (e *refusedError) Error() string {
 	if e.at != "" {
 		return e.at + ": " + e.text
 	}
 	return e.text
 }
 
-// Hint is what an operator can do.
-func (e *refused) Hint() string {
+// Hint returns what an operator can do.
+func (e *refusedError) Hint() string {
 	if e.do == "" {
 		return "see docs/operators/errors.md"
 	}
 	return e.do
 }
 
-func no(answer string) *refused {
-	e := &refused{text: answer}
+func newRefusal(answer string) *refusedError {
+	e := &refusedError{text: answer}
 	if i := strings.LastIndex(answer, "; do: "); i >= 0 {
 		e.text, e.do = answer[:i], answer[i+len("; do: "):]
 	}
 	return e
 }
 
-// unanswered is the error that nobody gave an answer that settles it.
-type unanswered struct {
-	key  string // "" where nothing was to be changed
+// unansweredError is a call that no balancer has answered conclusively.
+type unansweredError struct {
+	key  string // "" for a call that changes nothing
 	last error
 }
 
-func (e *unanswered) Error() string {
+func (e *unansweredError) Error() string {
 	if e.key == "" {
 		return "no answer: " + e.last.Error()
 	}
-	return "not known what became of " + e.key + ": " + e.last.Error()
+	return "outcome of proposal " + e.key + " is unknown: " + e.last.Error()
 }
 
-// Hint is what an operator can do.
-func (e *unanswered) Hint() string {
+// Hint returns what an operator can do.
+func (e *unansweredError) Hint() string {
 	if e.key == "" {
-		return "name another balancer by --at; oatctl revision status tells whether most of the voters are there"
+		return "name another balancer with --at; oatctl revision status shows whether a majority of the voters is reachable"
 	}
-	return "ask again by oatctl revision wait " + e.key + ", or make the same call with --key " + e.key + ": it is done once at most"
+	return "run oatctl revision wait " + e.key + ", or repeat the call with --key " + e.key +
+		": it is applied at most once"
 }
 
-// later tells of an answer after which the same call may be made again.
-func later(a management.Answer) bool {
+// isRetryable reports whether the same call may succeed when it is repeated later.
+func isRetryable(a management.Answer) bool {
 	if a.OK {
 		return false
 	}
@@ -98,71 +100,72 @@
 	return false
 }
 
-const callEvery = 250 * time.Millisecond
+// retryInterval is the pause between two calls.
+const retryInterval = 250 * time.Millisecond
 
-// ask makes a call until somebody answers it, or ctx is over. Only calls that may be repeated go this way.
-func (a ats) ask(ctx context.Context, o revision.Order) (string, error) {
+// call repeats a call until a balancer answers it or ctx ends. Use it only for calls that are safe to repeat.
+func (a managementFlags) call(ctx context.Context, o revision.Order) (string, error) {
 	if len(a.At) == 0 {
-		return "", &refused{text: "no balancer to ask", do: "give --at HOST:PORT, or set PROXY_MANAGEMENT"}
+		return "", &refusedError{text: "no balancer address given", do: "give --at HOST:PORT, or set PROXY_MANAGEMENT"}
 	}
 	var last error
 	for i := 0; ; i++ {
-		at := a.At[i%len(a.At)]
-		answer, err := management.Call(at, "revision "+o.String())
+		address := a.At[i%len(a.At)]
+		answer, err := management.Call(address, "revision "+o.String())
 		switch {
 		case err != nil:
 			last = err
-		case later(answer):
-			e := no(strings.TrimPrefix(answer.Text, revision.RetryLaterPrefix))
-			e.at = at
+		case isRetryable(answer):
+			e := newRefusal(strings.TrimPrefix(answer.Text, revision.RetryLaterPrefix))
+			e.at = address
 			last = e
 		case !answer.OK:
-			return "", no(answer.Text)
+			return "", newRefusal(answer.Text)
 		default:
 			return answer.Text, nil
 		}
-		pause := callEvery
+		pause := retryInterval
 		if i < len(a.At)-1 {
-			pause = 0 // there is one that has not been asked yet
+			pause = 0 // some addresses have not been tried yet
 		}
 		select {
 		case <-ctx.Done():
-			return "", &unanswered{o.Key, last}
+			return "", &unansweredError{o.Key, last}
 		case <-time.After(pause):
 		}
 	}
 }
 
-// short is the time for a call that changes nothing.
-func short() (context.Context, context.CancelFunc) {
+// queryContext returns a context with the timeout for calls that change nothing.
+func queryContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 10*time.Second)
 }
 
-// get is revision n and its text's form.
-func (a ats) get(n uint64) (*revision.Content, error) {
-	ctx, cancel := short()
+// fetch returns revision n.
+func (a managementFlags) fetch(n uint64) (*revision.Content, error) {
+	ctx, cancel := queryContext()
 	defer cancel()
-	text, err := a.ask(ctx, revision.Order{Verb: revision.VerbGet, Number: n})
+	text, err := a.call(ctx, revision.Order{Verb: revision.VerbGet, Number: n})
 	if err != nil {
 		return nil, err
 	}
 	return revision.Decode([]byte(text))
 }
 
-// change is what proposals and rollbacks have in common.
-type change struct {
-	ats
-	From     *uint64       `placeholder:"N" help:"Only if this revision is in force; otherwise say which one is."`
-	Watch    time.Duration `placeholder:"30s" help:"Keep it only while refusals, failures and late answers stay as before, for so long; else go back."`
-	Deadline time.Duration `placeholder:"10s" help:"Give it up where not all have agreed by then; the settings' if not given."`
-	By       string        `help:"Who wants it, for the history; the user's name if not given."`
-	Key      string        `help:"Of an earlier call whose answer was lost: the same key makes one revision."`
-	For      time.Duration `default:"2m" help:"Stop asking after this; what was handed in goes on."`
-	NoWait   bool          `help:"Hand it in, and don't wait for what becomes of it."`
+// changeFlags are the flags that proposals and rollbacks share.
+type changeFlags struct {
+	managementFlags
+	From     *uint64       `placeholder:"N" help:"Fail unless this revision is in force, and report which one is."`
+	Watch    time.Duration `placeholder:"30s" help:"Roll back if refusals, failures or late answers rise in this time."`
+	Deadline time.Duration `placeholder:"10s" help:"Time for all balancers to agree; by default the one in the settings."`
+	By       string        `help:"Author recorded in the history; the user's name if not given."`
+	Key      string        `help:"Key of an earlier call whose answer was lost; a key makes one revision."`
+	For      time.Duration `default:"2m" help:"Stop waiting after this; the proposal goes on."`
+	NoWait   bool          `help:"Propose without waiting for the outcome."`
 }
 
-// run hands o in and waits; want is the short hash of what it proposes.
-func (c *change) run(o revision.Order, want string) error {
+// submit proposes o and waits for its outcome; want is the short hash of the proposed content.
+func (c *changeFlags) submit(o revision.Order, want string) error {
 	o.Key, o.Base, o.GuardFor, o.Deadline, o.By = c.Key, revision.Latest, c.Watch, c.Deadline, c.By
 	if o.Key == "" {
 		var b [8]byte
@@ -176,16 +179,16 @@
 	if c.From != nil {
 		o.Base = *c.From
 	}
-	if _, err := revision.ParseOrder(o.String()); err != nil { // as a balancer will read it
+	if _, err := revision.ParseOrder(o.String()); err != nil { // parsed as a balancer will parse it
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "key", o.Key)
-	ctx, cancel := bounded(c.For)
+	ctx, cancel := boundedContext(c.For)
 	defer cancel()
-	text, err := c.ask(ctx, o)
-	if no, ok := err.(*refused); ok { // an earlier try of the same call may have been taken up
-		if text, err = c.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: o.Key}); err != nil {
-			return no
+	text, err := c.call(ctx, o)
+	if refusal, ok := err.(*refusedError); ok { // an earlier call with the same key may have been accepted
+		if text, err = c.call(ctx, revision.Order{Verb: revision.VerbOutcome, Key: o.Key}); err != nil {
+			return refusal
 		}
 	}
 	if err != nil {
@@ -195,96 +198,101 @@
 		fmt.Println(text)
 		return nil
 	}
-	n, hash, err := c.settled(ctx, o.Key, text)
+	n, hash, err := c.awaitOutcome(ctx, o.Key, text)
 	if err != nil {
 		return err
 	}
 	if o.Verb == revision.VerbPropose && hash != want && hash != "-" {
-		return &refused{text: fmt.Sprintf("the key %s was used for another revision, %d (%s); this one is %s, and was not handed in", o.Key, n, hash, want), do: "make the call without --key"}
+		return &refusedError{
+			text: fmt.Sprintf("key %s was already used for another revision, %d (%s); this one, %s, was not proposed",
+				o.Key, n, hash, want),
+			do: "repeat the call without --key",
+		}
 	}
 	fmt.Printf("in force: %d %s\n", n, hash)
 	if c.Watch == 0 {
 		return nil
 	}
-	ctx, end := bounded(c.Watch + c.For)
+	ctx, end := boundedContext(c.Watch + c.For)
 	defer end()
-	return c.kept(ctx, n, c.Watch)
+	return c.awaitWatch(ctx, n, c.Watch)
 }
 
-// bounded ends after d, or when the operator has seen enough.
-func bounded(d time.Duration) (context.Context, context.CancelFunc) {
+// boundedContext returns a context that ends after d or when the operator interrupts the program.
+func boundedContext(d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	ctx, cancel := context.WithTimeout(ctx, d)
 	return ctx, func() { cancel(); stop() }
 }
 
-// settled waits for what becomes of a key, from an answer on.
-func (a ats) settled(ctx context.Context, key, text string) (n uint64, hash string, err error) {
-	said := ""
+// awaitOutcome waits until the proposal with this key is settled; text is the latest answer about it.
+func (a managementFlags) awaitOutcome(ctx context.Context, key, text string) (n uint64, hash string, err error) {
+	printed := ""
 	for {
 		n, in, pending := revision.ReadAnswer(text)
 		switch {
 		case in:
 			return n, strings.Fields(text + " - -")[2], nil
 		case !pending:
-			return 0, "", &unanswered{key, &refused{text: "answered " + text}}
-		case text != said:
-			said = text
+			return 0, "", &unansweredError{key, &refusedError{text: "unexpected answer: " + text}}
+		case text != printed:
+			printed = text
 			fmt.Fprintln(os.Stderr, text)
 		}
 		select {
 		case <-ctx.Done():
-			return 0, "", &unanswered{key, &refused{text: text}}
-		case <-time.After(callEvery):
+			return 0, "", &unansweredError{key, &refusedError{text: text}}
+		case <-time.After(retryInterval):
 		}
-		if text, err = a.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: key}); err != nil {
+		if text, err = a.call(ctx, revision.Order{Verb: revision.VerbOutcome, Key: key}); err != nil {
 			return 0, "", err
 		}
 	}
 }
 
-// takenBack is the error that the watch ended a revision.
-type takenBack struct{ number, now uint64 }
+// rolledBackError reports that a revision was rolled back, or replaced by another, during its watch period.
+type rolledBackError struct{ number, now uint64 }
 
-func (e *takenBack) Error() string {
-	return fmt.Sprintf("revision %d did not stand its watch: %d is in force", e.number, e.now)
+func (e *rolledBackError) Error() string {
+	return fmt.Sprintf("revision %d did not pass its watch period: %d is in force", e.number, e.now)
 }
 
-// Hint is what an operator can do.
-func (e *takenBack) Hint() string {
-	return fmt.Sprintf("see oatctl revision list for why, and oatctl revision diff %d %d for what it had changed", e.now, e.number)
+// Hint returns what an operator can do.
+func (e *rolledBackError) Hint() string {
+	return fmt.Sprintf("see oatctl revision list for the reason, and oatctl revision diff %d %d for the changes",
+		e.now, e.number)
 }
 
-// kept waits for the end of n's watch.
-func (a ats) kept(ctx context.Context, n uint64, watch time.Duration) error {
+// awaitWatch waits until the watch period of revision n has ended.
+func (a managementFlags) awaitWatch(ctx context.Context, n uint64, watch time.Duration) error {
 	fmt.Fprintln(os.Stderr, "watched for", watch)
 	for {
-		text, err := a.ask(ctx, revision.Order{Verb: revision.VerbStatus})
+		text, err := a.call(ctx, revision.Order{Verb: revision.VerbStatus})
 		if err != nil {
 			return err
 		}
-		now, err := strconv.ParseUint(word(text, "in-force"), 10, 64)
-		switch w := word(text, "watch"); {
-		case err != nil: // nobody leads just now
+		now, err := strconv.ParseUint(field(text, "in-force"), 10, 64)
+		switch w := field(text, "watch"); {
+		case err != nil: // there is no leader at the moment
 		case now != n:
-			return &takenBack{n, now}
+			return &rolledBackError{n, now}
 		case w == "kept":
 			fmt.Println("kept:", n)
 			return nil
 		case w == "no-way-back":
-			return &refused{text: fmt.Sprintf("revision %d did not stand its watch, and the way back ended nowhere", n),
-				do: "see oatctl revision status for who doesn't agree, and roll back by hand"}
+			return &refusedError{text: fmt.Sprintf("revision %d did not pass its watch period, and its rollback failed", n),
+				do: "see oatctl revision status for the members that do not agree, and roll back by hand"}
 		}
 		select {
 		case <-ctx.Done():
-			return &unanswered{"", &refused{text: fmt.Sprintf("the watch of revision %d is open", n)}}
-		case <-time.After(callEvery):
+			return &unansweredError{"", &refusedError{text: fmt.Sprintf("the watch period of revision %d has not ended", n)}}
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// word is the value behind name= in an answer.
-func word(text, name string) string {
+// field returns the value of name=value in an answer, or "" if it has none.
+func field(text, name string) string {
 	for _, f := range strings.Fields(text) {
 		if v, ok := strings.CutPrefix(f, name+"="); ok {
 			return v
@@ -293,8 +301,9 @@
 	return ""
 }
 
-// read is an operator's file; - is standard input.
-func read(path string) (string, []byte, *revision.Content, error) {
+// readRevision reads and parses a revision file; - is standard input. It also returns the file's name for messages, and
+// its text.
+func readRevision(path string) (string, []byte, *revision.Content, error) {
 	if path == "-" {
 		body, err := io.ReadAll(io.LimitReader(os.Stdin, revisioncue.Most+1))
 		if err != nil {
@@ -312,13 +321,13 @@
 }
 
 type propose struct {
-	change
+	changeFlags
 	File  string `arg:"" help:"The revision (CUE or JSON); - for standard input."`
-	Check bool   `help:"Only say what is wrong with the file in itself; no balancer is asked."`
+	Check bool   `help:"Only validate the file, without calling a balancer."`
 }
 
 func (c *propose) Run() error {
-	path, body, content, err := read(c.File)
+	path, body, content, err := readRevision(c.File)
 	if err != nil {
 		return err
 	}
@@ -326,8 +335,11 @@
 		fmt.Println(path+": sound,", revision.ShortHash(revision.Hash(content)))
 		return nil
 	}
-	err = c.run(revision.Order{Verb: revision.VerbPropose, Text: revision.Encode(content)}, revision.ShortHash(revision.Hash(content)))
-	if e, ok := err.(*refused); ok && e.at == "" {
+	err = c.submit(
+		revision.Order{Verb: revision.VerbPropose, Text: revision.Encode(content)},
+		revision.ShortHash(revision.Hash(content)),
+	)
+	if e, ok := err.(*refusedError); ok && e.at == "" {
 		if at := revisioncue.Where(path, body, e.text); at != path {
 			e.at = at
 		}
@@ -336,46 +348,46 @@
 }
 
 type rollback struct {
-	change
-	Number uint64 `arg:"" help:"Of a past revision: oatctl revision list."`
+	changeFlags
+	Number uint64 `arg:"" help:"Number of a past revision, see oatctl revision list."`
 }
 
 func (c *rollback) Run() error {
-	return c.run(revision.Order{Verb: revision.VerbRollback, Number: c.Number}, "")
+	return c.submit(revision.Order{Verb: revision.VerbRollback, Number: c.Number}, "")
 }
 
 type wait struct {
-	ats
-	Key string        `arg:"" help:"Of the proposal, as propose and rollback print it first."`
-	For time.Duration `default:"2m" help:"Stop asking after this."`
+	managementFlags
+	Key string        `arg:"" help:"Key of the proposal; propose and rollback print it first."`
+	For time.Duration `default:"2m" help:"Stop waiting after this."`
 }
 
 func (c *wait) Run() error {
-	ctx, cancel := bounded(c.For)
+	ctx, cancel := boundedContext(c.For)
 	defer cancel()
-	text, err := c.ask(ctx, revision.Order{Verb: revision.VerbOutcome, Key: c.Key})
+	text, err := c.call(ctx, revision.Order{Verb: revision.VerbOutcome, Key: c.Key})
 	if err != nil {
 		return err
 	}
-	n, hash, err := c.settled(ctx, c.Key, text)
+	n, hash, err := c.awaitOutcome(ctx, c.Key, text)
 	if err == nil {
 		fmt.Printf("in force: %d %s\n", n, hash)
 	}
 	return err
 }
 
-type showRev struct {
-	ats
-	Number string `arg:"" optional:"" default:"now" help:"Of the revision; now for the one in force."`
-	JSON   bool   `name:"json" help:"As balancers write it, in one line."`
+type showRevision struct {
+	managementFlags
+	Number string `arg:"" optional:"" default:"now" help:"Number of the revision; now for the one in force."`
+	JSON   bool   `name:"json" help:"Print the JSON that balancers exchange, on one line."`
 }
 
-func (c *showRev) Run() error {
-	n, err := number(c.Number)
+func (c *showRevision) Run() error {
+	n, err := parseNumber(c.Number)
 	if err != nil {
 		return err
 	}
-	content, err := c.get(n)
+	content, err := c.fetch(n)
 	if err != nil {
 		return err
 	}
@@ -387,33 +399,36 @@
 	return err
 }
 
-func number(s string) (uint64, error) {
+func parseNumber(s string) (uint64, error) {
 	if s == "now" || s == "-" {
 		return revision.Latest, nil
 	}
 	n, err := strconv.ParseUint(s, 10, 63)
 	if err != nil {
-		return 0, &refused{text: strconv.Quote(s) + " is no number of a revision", do: "take one from oatctl revision list, or now for the one in force"}
+		return 0, &refusedError{
+			text: strconv.Quote(s) + " is not a revision number",
+			do:   "take one from oatctl revision list, or now for the one in force",
+		}
 	}
 	return n, nil
 }
 
 type list struct {
-	ats
-	Last int  `default:"20" help:"So many at the end."`
-	All  bool `help:"All that are kept."`
+	managementFlags
+	Last int  `default:"20" help:"Number of revisions to print, the latest ones."`
+	All  bool `help:"Print the whole history."`
 }
 
 func (c *list) Run() error {
-	ctx, cancel := bounded(10 * time.Minute)
+	ctx, cancel := boundedContext(10 * time.Minute)
 	defer cancel()
 	after := revision.Latest
 	if !c.All {
-		text, err := c.ask(ctx, revision.Order{Verb: revision.VerbStatus})
+		text, err := c.call(ctx, revision.Order{Verb: revision.VerbStatus})
 		if err != nil {
 			return err
 		}
-		first, last, _ := strings.Cut(word(text, "history"), "..")
+		first, last, _ := strings.Cut(field(text, "history"), "..")
 		from, err := strconv.ParseUint(first, 10, 63)
 		to, err2 := strconv.ParseUint(last, 10, 63)
 		if err == nil && err2 == nil && to >= from+uint64(max(c.Last, 0)) {
@@ -421,7 +436,7 @@
 		}
 	}
 	for {
-		text, err := c.ask(ctx, revision.Order{Verb: revision.VerbList, Number: after})
+		text, err := c.call(ctx, revision.Order{Verb: revision.VerbList, Number: after})
 		if err != nil {
 			return err
 		}
@@ -429,27 +444,27 @@
 			return nil
 		}
 		fmt.Println(text)
-		head, _, _ := strings.Cut(text, " ")
-		if after, err = number(head); err != nil {
+		first, _, _ := strings.Cut(text, " ")
+		if after, err = parseNumber(first); err != nil {
 			return err
 		}
 	}
 }
 
 type diff struct {
-	ats
+	managementFlags
 	A string `arg:"" help:"A revision's number, now, or a file."`
-	B string `arg:"" optional:"" default:"now" help:"Likewise; the one in force if not given."`
+	B string `arg:"" optional:"" default:"now" help:"As above; the one in force if not given."`
 }
 
 func (c *diff) Run() error {
 	var sides [2]*revision.Content
-	for i, what := range []string{c.A, c.B} {
-		n, err := number(what)
+	for i, source := range []string{c.A, c.B} {
+		n, err := parseNumber(source)
 		if err == nil {
-			sides[i], err = c.get(n)
-		} else if _, there := os.Stat(what); there == nil {
-			_, _, sides[i], err = read(what)
+			sides[i], err = c.fetch(n)
+		} else if _, statErr := os.Stat(source); statErr == nil {
+			_, _, sides[i], err = readRevision(source)
 		}
 		if err != nil {
 			return err
@@ -465,31 +480,31 @@
 	return nil
 }
 
-type state struct{ ats }
+type statusCommand struct{ managementFlags }
 
-func (c *state) Run() error { return c.say(revision.Order{Verb: revision.VerbStatus}) }
+func (c *statusCommand) Run() error { return c.print(revision.Order{Verb: revision.VerbStatus}) }
 
 type replace struct {
-	ats
+	managementFlags
 	Old string `arg:"" help:"A member that has a vote."`
-	New string `arg:"" help:"One that is to have it."`
+	New string `arg:"" help:"The member that gets the vote."`
 }
 
 func (c *replace) Run() error {
-	return c.say(revision.Order{Verb: revision.VerbReplace, Name: c.Old, NewName: c.New})
+	return c.print(revision.Order{Verb: revision.VerbReplace, Name: c.Old, NewName: c.New})
 }
 
 type forget struct {
-	ats
-	Name string `arg:"" help:"The balancer. Make sure that its process has ended: it could route by an old revision otherwise."`
+	managementFlags
+	Name string `arg:"" help:"The balancer. Its process must have ended: it could route by an old revision."`
 }
 
-func (c *forget) Run() error { return c.say(revision.Order{Verb: revision.VerbForget, Name: c.Name}) }
+func (c *forget) Run() error { return c.print(revision.Order{Verb: revision.VerbForget, Name: c.Name}) }
 
-func (a ats) say(o revision.Order) error {
-	ctx, cancel := short()
+func (a managementFlags) print(o revision.Order) error {
+	ctx, cancel := queryContext()
 	defer cancel()
-	text, err := a.ask(ctx, o)
+	text, err := a.call(ctx, o)
 	if err == nil {
 		fmt.Println(text)
 	}
--- a/cmd/oatctl/revision_test.go
+++ b/cmd/oatctl/revision_test.go
@@ -17,15 +17,15 @@
 	"oatloft/internal/revision"
 )
 
-// balancer is a stand-in that keeps revisions as the log does: by key once, from what is in force.
+// balancer is a fake that keeps revisions as the log does: one per key, each based on the revision in force.
 type balancer struct {
-	mu     sync.Mutex
-	texts  []string
-	keys   map[string]int
-	lose   int    // so many answers are lost, after their call was done
-	later  int    // so many calls are answered that nobody leads
-	no     string // what members say to a proposal
-	status string
+	mu                sync.Mutex
+	texts             []string
+	keys              map[string]int
+	lostAnswers       int    // number of calls to apply without answering them
+	leaderlessAnswers int    // number of calls to answer with the error that there is no leader
+	refusal           string // answer with which members refuse a proposal
+	status            string
 }
 
 func (b *balancer) answer(line string) string {
@@ -34,8 +34,8 @@
 	switch {
 	case err != nil:
 		return "-ERR " + hint.Line(err)
-	case b.later > 0:
-		b.later--
+	case b.leaderlessAnswers > 0:
+		b.leaderlessAnswers--
 		return "-ERR " + revision.RetryLaterPrefix + "nobody leads; do: wait"
 	case o.Verb == revision.VerbStatus:
 		return "+OK " + b.status
@@ -49,8 +49,8 @@
 		n := b.keys[o.Key]
 		c, _ := revision.Decode([]byte(b.texts[n]))
 		return "+OK " + revision.SettledText(uint64(n), revision.Hash(c), o.Key)
-	case b.no != "":
-		return "-ERR " + b.no
+	case b.refusal != "":
+		return "-ERR " + b.refusal
 	case o.Base != revision.Latest && int(o.Base) != in:
 		return fmt.Sprintf("-ERR revision %d is in force, not %d; do: see what has changed", in, o.Base)
 	case o.Verb == revision.VerbRollback:
@@ -61,14 +61,14 @@
 	return "+OK " + revision.PendingText(o.Key, "check")
 }
 
-// with changes or looks at it between two calls.
-func (b *balancer) with(f func()) {
+// locked runs f while no call is being answered.
+func (b *balancer) locked(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-func (b *balancer) made() []string {
+func (b *balancer) revisions() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.texts
@@ -85,8 +85,8 @@
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			b.mu.Lock()
 			answer := b.answer(strings.TrimSpace(line))
-			if b.lose > 0 {
-				b.lose--
+			if b.lostAnswers > 0 {
+				b.lostAnswers--
 			} else {
 				_, _ = io.WriteString(c, answer+"\r\n")
 			}
@@ -97,44 +97,50 @@
 	return l.Addr().String()
 }
 
-func started(t *testing.T) (*balancer, ats, string) {
-	b := &balancer{texts: []string{string(revision.Encode(&revision.Content{Form: revision.Form}))}, keys: map[string]int{}}
+func startBalancer(t *testing.T) (*balancer, managementFlags, string) {
+	b := &balancer{
+		texts: []string{string(revision.Encode(&revision.Content{Form: revision.Form}))},
+		keys:  map[string]int{},
+	}
 	file := filepath.Join(t.TempDir(), "new.cue")
-	if err := os.WriteFile(file, []byte("note: \"bulk last\"\nclasses: [{name: \"bulk\", order: 9}]\n"), 0o600); err != nil {
+	if err := os.WriteFile(file,
+		[]byte("note: \"bulk last\"\nclasses: [{name: \"bulk\", order: 9}]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0") // an address where nobody answers comes first
+	l, err := net.Listen("tcp", "127.0.0.1:0") // closed below: the first address does not answer
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	return b, ats{[]string{l.Addr().String(), b.listen(t)}}, file
+	return b, managementFlags{[]string{l.Addr().String(), b.listen(t)}}, file
 }
 
-// However many answers are lost, and whoever answers first, one call makes one revision.
+// A call makes exactly one revision, even when answers are lost, retries are needed and the first address does not
+// answer.
 func TestProposeOnce(t *testing.T) {
-	b, at, file := started(t)
-	b.with(func() { b.lose, b.later = 2, 2 })
-	p := propose{change: change{ats: at, For: time.Minute}, File: file}
-	if err := p.Run(); err != nil || len(b.made()) != 2 {
-		t.Fatal(err, b.made())
+	b, at, file := startBalancer(t)
+	b.locked(func() { b.lostAnswers, b.leaderlessAnswers = 2, 2 })
+	p := propose{changeFlags: changeFlags{managementFlags: at, For: time.Minute}, File: file}
+	if err := p.Run(); err != nil || len(b.revisions()) != 2 {
+		t.Fatal(err, b.revisions())
 	}
-	r := rollback{change: change{ats: at, For: time.Minute, From: new(uint64)}, Number: 0}
+	r := rollback{changeFlags: changeFlags{managementFlags: at, For: time.Minute, From: new(uint64)}, Number: 0}
 	err := r.Run()
-	if err == nil || !strings.Contains(err.Error(), "revision 1 is in force, not 0") || hint.Of(err) != "see what has changed" || len(b.made()) != 2 {
-		t.Fatal(hint.Line(err), b.made())
+	if err == nil || !strings.Contains(err.Error(), "revision 1 is in force, not 0") ||
+		hint.Of(err) != "see what has changed" || len(b.revisions()) != 2 {
+		t.Fatal(hint.Line(err), b.revisions())
 	}
 	*r.From = 1
-	b.with(func() { b.lose = 1 })
-	if err := r.Run(); err != nil || len(b.made()) != 3 || b.made()[2] != b.made()[0] {
-		t.Fatal(err, b.made())
+	b.locked(func() { b.lostAnswers = 1 })
+	if err := r.Run(); err != nil || len(b.revisions()) != 3 || b.revisions()[2] != b.revisions()[0] {
+		t.Fatal(err, b.revisions())
 	}
 }
 
-// A key that made another revision is no yes to this one.
-func TestProposeOtherKey(t *testing.T) {
-	b, at, file := started(t)
-	p := propose{change: change{ats: at, For: time.Minute, Key: "k"}, File: file}
+// A key that was already used for another revision is reported as an error, not as success.
+func TestProposeReusedKey(t *testing.T) {
+	b, at, file := startBalancer(t)
+	p := propose{changeFlags: changeFlags{managementFlags: at, For: time.Minute, Key: "k"}, File: file}
 	if err := p.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -142,25 +148,28 @@
 		t.Fatal(err)
 	}
 	err := p.Run()
-	if err == nil || !strings.Contains(err.Error(), "used for another revision, 1") || len(b.made()) != 2 {
-		t.Fatal(err, b.made())
+	if err == nil || !strings.Contains(err.Error(), "used for another revision, 1") || len(b.revisions()) != 2 {
+		t.Fatal(err, b.revisions())
 	}
 }
 
-// What a balancer says no to is shown in the operator's file; what nobody answers is not called done or undone.
-func TestProposeTurnedDown(t *testing.T) {
-	b, at, file := started(t)
-	b.with(func() { b.no = `k ended nowhere, for b2: classes[0].name: "bulk" is no class; do: take it out` })
-	p := propose{change: change{ats: at, For: time.Minute}, File: file}
+// A refusal is reported with its position in the operator's file; without an answer, the outcome is reported as
+// unknown.
+func TestProposeRefused(t *testing.T) {
+	b, at, file := startBalancer(t)
+	b.locked(func() { b.refusal = `k ended nowhere, for b2: classes[0].name: "bulk" is no class; do: take it out` })
+	p := propose{changeFlags: changeFlags{managementFlags: at, For: time.Minute}, File: file}
 	err := p.Run()
-	var no *refused
-	if !errors.As(err, &no) || !strings.HasPrefix(err.Error(), file+":2:12: k ended nowhere, for b2") || hint.Of(err) != "take it out" {
+	var refused *refusedError
+	if !errors.As(err, &refused) || !strings.HasPrefix(err.Error(), file+":2:12: k ended nowhere, for b2") ||
+		hint.Of(err) != "take it out" {
 		t.Fatal(hint.Line(err))
 	}
 	p.For = 1
-	b.with(func() { b.later = 1000 })
-	var open *unanswered
-	if err := p.Run(); !errors.As(err, &open) || open.key == "" || !strings.Contains(hint.Of(err), "--key "+open.key) {
+	b.locked(func() { b.leaderlessAnswers = 1000 })
+	var unanswered *unansweredError
+	if err := p.Run(); !errors.As(err, &unanswered) || unanswered.key == "" ||
+		!strings.Contains(hint.Of(err), "--key "+unanswered.key) {
 		t.Fatal(hint.Line(err))
 	}
 	p.Check, p.At = true, nil
@@ -173,18 +182,19 @@
 	}
 }
 
-// A revision that is watched is waited for until it is kept, or another is in force.
-func TestWatched(t *testing.T) {
-	b, at, file := started(t)
-	b.with(func() { b.status = "here=1 phase=AtWork in-force=1 watch=kept history=0..1" })
-	p := propose{change: change{ats: at, For: time.Minute, Watch: time.Minute}, File: file}
+// With a watch period, the call waits until the revision is kept or another one is in force.
+func TestProposeWatch(t *testing.T) {
+	b, at, file := startBalancer(t)
+	b.locked(func() { b.status = "here=1 phase=AtWork in-force=1 watch=kept history=0..1" })
+	p := propose{changeFlags: changeFlags{managementFlags: at, For: time.Minute, Watch: time.Minute}, File: file}
 	if err := p.Run(); err != nil {
 		t.Fatal(err)
 	}
-	b.with(func() { b.status = "here=3 phase=AtWork in-force=3 watch=none history=0..3" })
+	b.locked(func() { b.status = "here=3 phase=AtWork in-force=3 watch=none history=0..3" })
 	p.Key = "another"
-	var back *takenBack
-	if err := p.Run(); !errors.As(err, &back) || back.number != 2 || back.now != 3 || hint.Of(err) == "" {
+	var rolledBack *rolledBackError
+	if err := p.Run(); !errors.As(err, &rolledBack) || rolledBack.number != 2 || rolledBack.now != 3 ||
+		hint.Of(err) == "" {
 		t.Fatal(err)
 	}
 }
