--- a/cmd/oatlab/admission.go
+++ b/cmd/oatlab/admission.go
@@ -72,7 +72,7 @@
 
 // startNoise runs noise until stop is called, which tells what it did.
 func startNoise(addr string, r row, loops int) (stop func() (opened, refused, got int64), err error) {
-	if r.kind == fake.Quiet {
+	if r.kind == fake.NoNoise {
 		return func() (int64, int64, int64) { return 0, 0, 0 }, nil
 	}
 	self, err := os.Executable()
@@ -107,7 +107,7 @@
 
 func (a *admissionTable) Run() error {
 	rows := []row{
-		{"none", fake.Quiet, 1, false},
+		{"none", fake.NoNoise, 1, false},
 		{"one opens and closes", fake.OpenClose, 1, false},
 		{"one opens and says nothing", fake.OpenSilent, 1, false},
 		{"one sends lines without an end", fake.OpenBytes, 1, false},
--- a/internal/fake/terminal.go
+++ b/internal/fake/client.go
@@ -17,20 +17,20 @@
 
 // Terminal is one client connection.
 type Terminal struct {
-	ID   string
-	By   string // the balancer that it asks, where several are judged
-	w    *World
-	conn *net.TCPConn
-	in   *bufio.Reader
-	done bool
-	sent int
+	ID        string
+	By        string // the balancer that it asks, where several are judged
+	w         *World
+	conn      *net.TCPConn
+	in        *bufio.Reader
+	closed    bool
+	linesSent int
 	// Excuse, if set, tells that the balancer owes nothing: it was killed meanwhile, say. What it left unanswered then is
 	// no broken rule.
 	Excuse func(Answer) bool
 	After  time.Duration // it listens on for so long, once it has quit waiting, for how late the answer is
 }
 
-var ids atomic.Int64
+var lastID atomic.Int64
 
 // Ask is what a terminal wants.
 type Ask struct {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Terminal{ID: fmt.Sprintf("%x-%x", os.Getpid(), ids.Add(1)), w: w, conn: c.(*net.TCPConn), in: bufio.NewReaderSize(c, 4096)}, nil
+	return &Terminal{ID: fmt.Sprintf("%x-%x", os.Getpid(), lastID.Add(1)), w: w, conn: c.(*net.TCPConn), in: bufio.NewReaderSize(c, 4096)}, nil
 }
 
 // Answer is how a transaction was answered: "UP", "BUSY", "ERR", "reset" (the connection broke), "end" (it ended
@@ -80,28 +80,28 @@
 	if a.Wait == 0 {
 		a.Wait = 2 * time.Second
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	if _, err := io.WriteString(t.conn, a.Line(t.ID)); err != nil {
 		// It may have been refused before it spoke: what it was told is still there to be read.
-		return t.answer(began, a.Wait)
+		return t.readAnswer(sentAt, a.Wait)
 	}
 	t.w.SawBy(t.By, rules.Asked, t.ID, "", "")
-	return t.answer(began, a.Wait)
+	return t.readAnswer(sentAt, a.Wait)
 }
 
-func (t *Terminal) answer(began time.Time, wait time.Duration) Answer {
-	until := began.Add(wait + 50*time.Millisecond) // the rules' limits on sockets are that much longer
-	_ = t.conn.SetReadDeadline(until)
+func (t *Terminal) readAnswer(sentAt time.Time, wait time.Duration) Answer {
+	deadline := sentAt.Add(wait + 50*time.Millisecond) // the rules' limits on sockets are that much longer
+	_ = t.conn.SetReadDeadline(deadline)
 	line, err := t.in.ReadString('\n')
 	late := time.Duration(0)
 	if errors.Is(err, os.ErrDeadlineExceeded) && t.After > 0 {
-		_ = t.conn.SetReadDeadline(until.Add(t.After))
+		_ = t.conn.SetReadDeadline(deadline.Add(t.After))
 		rest, err := t.in.ReadString('\n')
 		if line += rest; err == nil {
-			late = time.Since(until)
+			late = time.Since(deadline)
 		}
 	}
-	a := Answer{Late: late, Line: strings.TrimRight(line, "\r\n"), Took: time.Since(began)}
+	a := Answer{Late: late, Line: strings.TrimRight(line, "\r\n"), Took: time.Since(sentAt)}
 	_ = t.conn.SetReadDeadline(time.Time{})
 	switch {
 	case err == nil:
@@ -121,7 +121,7 @@
 	switch {
 	case err == nil:
 	case t.Excuse != nil && t.Excuse(a):
-		t.w.Saw(rules.Left, t.ID, "", what)
+		t.w.Saw(rules.ClientClosed, t.ID, "", what)
 	default:
 		t.w.SawBy(t.By, rules.Unanswered, t.ID, "", what)
 	}
@@ -129,13 +129,13 @@
 }
 
 // Listen waits for an answer without asking for anything.
-func (t *Terminal) Listen(wait time.Duration) Answer { return t.answer(time.Now(), wait) }
+func (t *Terminal) Listen(wait time.Duration) Answer { return t.readAnswer(time.Now(), wait) }
 
 // Echo sends a numbered line and waits until it has come back. A MOVE is an error of its own.
 func (t *Terminal) Echo(wait time.Duration) error {
-	t.sent++
-	text := fmt.Sprintf("%s line %d", t.ID, t.sent)
-	t.w.Saw(rules.Sent, t.ID, "", text)
+	t.linesSent++
+	text := fmt.Sprintf("%s line %d", t.ID, t.linesSent)
+	t.w.Saw(rules.LineSent, t.ID, "", text)
 	if _, err := io.WriteString(t.conn, text+"\r\n"); err != nil {
 		return err
 	}
@@ -154,43 +154,43 @@
 // Pour sends pieces of so many bytes, one each pause or as fast as they are taken if they are taken slower, until stop
 // is closed or the connection ends; took is told what has come back. Bytes are not judged one by one: a line's text is the
 // terminal's own, so that anything foreign or out of order in it is an error.
-func (t *Terminal) Pour(piece int, each time.Duration, stop <-chan struct{}, took func(bytes int)) error {
-	line := []byte(strings.Repeat(t.ID+".", piece/(len(t.ID)+1)+1)[:piece-1] + "\n")
+func (t *Terminal) Pour(size int, pause time.Duration, stop <-chan struct{}, onBytes func(bytes int)) error {
+	line := []byte(strings.Repeat(t.ID+".", size/(len(t.ID)+1)+1)[:size-1] + "\n")
 	go func() {
 		for {
 			select {
 			case <-stop:
 				return
-			case <-time.After(each):
+			case <-time.After(pause):
 			}
 			if _, err := t.conn.Write(line); err != nil {
 				return
 			}
 		}
 	}()
-	over := make(chan struct{})
-	defer close(over)
+	returned := make(chan struct{})
+	defer close(returned)
 	go func() {
 		select {
 		case <-stop:
 			_ = t.conn.SetReadDeadline(time.Now())
-		case <-over:
+		case <-returned:
 		}
 	}()
-	at, buf := 0, make([]byte, 16<<10)
+	offset, buf := 0, make([]byte, 16<<10)
 	for {
 		n, err := t.in.Read(buf)
 		if n > 0 {
-			took(n)
+			onBytes(n)
 		}
 		for i, c := range buf[:n] {
-			if c != line[at] {
+			if c != line[offset] {
 				if strings.HasPrefix(string(buf[i:n]), "MOVE\r\n") {
 					return ErrMoved
 				}
-				return &Unserved{hint.Annotated{What: fmt.Sprintf("byte %d of a line", at), Cause: ErrChanged, Do: inBalancer}}
+				return &UnexpectedError{hint.Annotated{What: fmt.Sprintf("byte %d of a line", offset), Cause: ErrChanged, Do: inspectBalancerLog}}
 			}
-			at = (at + 1) % len(line)
+			offset = (offset + 1) % len(line)
 		}
 		if err != nil {
 			return err
@@ -198,26 +198,26 @@
 	}
 }
 
-// Unserved is what a stand-in met that it didn't ask for.
-type Unserved struct{ hint.Annotated }
+// UnexpectedError is what a stand-in met that it didn't ask for.
+type UnexpectedError struct{ hint.Annotated }
 
-const inBalancer = "look into the balancer's log, then play it again with the same seed"
+const inspectBalancerLog = "look into the balancer's log, then play it again with the same seed"
 
 // ErrChanged tells that what came back is not what was sent.
-var ErrChanged error = &Unserved{hint.Annotated{What: "bytes lost, repeated or changed", Do: inBalancer}}
+var ErrChanged error = &UnexpectedError{hint.Annotated{What: "bytes lost, repeated or changed", Do: inspectBalancerLog}}
 
 // Moved waits until the terminal is told to come again; anything else is an error.
 func (t *Terminal) Moved(wait time.Duration) error {
 	_ = t.conn.SetReadDeadline(time.Now().Add(wait))
 	line, err := t.in.ReadString('\n')
 	if err == nil && line != "MOVE\r\n" {
-		err = &Unserved{hint.Annotated{What: fmt.Sprintf("%q in place of MOVE", line), Do: inBalancer}}
+		err = &UnexpectedError{hint.Annotated{What: fmt.Sprintf("%q in place of MOVE", line), Do: inspectBalancerLog}}
 	}
 	return err
 }
 
 // ErrMoved tells that the terminal was told to come again.
-var ErrMoved error = &Unserved{hint.Annotated{What: "moved", Do: "connect again"}}
+var ErrMoved error = &UnexpectedError{hint.Annotated{What: "moved", Do: "connect again"}}
 
 // Say sends bytes as they are.
 func (t *Terminal) Say(text string) error {
@@ -226,18 +226,18 @@
 }
 
 // Close ends the connection in order, Break with a reset.
-func (t *Terminal) Close() { t.end(false) }
+func (t *Terminal) Close() { t.disconnect(false) }
 
 // Break ends the connection with a reset, which leaves no port behind.
-func (t *Terminal) Break() { t.end(true) }
+func (t *Terminal) Break() { t.disconnect(true) }
 
-func (t *Terminal) end(hard bool) {
-	if t.done {
+func (t *Terminal) disconnect(reset bool) {
+	if t.closed {
 		return
 	}
-	t.done = true
-	t.w.Saw(rules.Left, t.ID, "", "")
-	if hard {
+	t.closed = true
+	t.w.Saw(rules.ClientClosed, t.ID, "", "")
+	if reset {
 		_ = t.conn.SetLinger(0)
 	}
 	_ = t.conn.Close()
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -21,16 +21,16 @@
 	changed chan struct{} // closed and made anew at each change
 	seq     int64
 	hosts   map[string]Host
-	log     []change
+	changes []healthChange
 	down    bool
 }
 
-type change struct {
+type healthChange struct {
 	seq  int64
 	host Host
 }
 
-func (d *Discovery) start(w *World) error {
+func (d *Discovery) listenDefault(w *World) error {
 	d.w, d.hosts, d.changed = w, map[string]Host{}, make(chan struct{})
 	for _, h := range w.Hosts() {
 		d.hosts[h.Host] = h
@@ -40,16 +40,16 @@
 		return err
 	}
 	d.Addr = l.Addr().String()
-	d.listen(l, front{d: d})
+	d.listen(l, endpoint{discovery: d})
 	w.OnClose(func() { d.Cut(true) })
 	return nil
 }
 
 // front is where one balancer, or any, asks: the regions' addresses are those that it reaches them at.
-type front struct {
-	d    *Discovery
-	by   string
-	dial map[string]string
+type endpoint struct {
+	discovery     *Discovery
+	balancer      string
+	dialAddresses map[string]string
 }
 
 // Front opens an address of its own for one balancer, which is told dial in place of the regions' addresses.
@@ -58,11 +58,11 @@
 	if err != nil {
 		return "", err
 	}
-	d.listen(l, front{d: d, by: by, dial: dial})
+	d.listen(l, endpoint{discovery: d, balancer: by, dialAddresses: dial})
 	return l.Addr().String(), nil
 }
 
-func (d *Discovery) listen(l net.Listener, f front) {
+func (d *Discovery) listen(l net.Listener, f endpoint) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", f.serve)
 	s := &http.Server{Handler: mux}
@@ -71,12 +71,12 @@
 }
 
 // Tell changes a region's health: ready, draining or gone. Watches that stand are told at once.
-func (d *Discovery) Tell(region, health string) { d.tell(region, health, 0) }
+func (d *Discovery) Tell(region, health string) { d.setHealth(region, health, 0) }
 
 // Renew lists a region again as one that came up just now.
-func (d *Discovery) Renew(region string) { d.tell(region, "ready", time.Now().UnixMilli()) }
+func (d *Discovery) Renew(region string) { d.setHealth(region, "ready", time.Now().UnixMilli()) }
 
-func (d *Discovery) tell(region, health string, born int64) {
+func (d *Discovery) setHealth(region, health string, born int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h, ok := d.hosts[region]
@@ -85,7 +85,7 @@
 			h = Host{Host: r.Name, Dial: r.Addr, Class: "m", Share: 1}
 		}
 		if r.Name == region {
-			h.Site = r.site()
+			h.Site = r.zone()
 		}
 	}
 	if h.Health = health; born > 0 {
@@ -96,7 +96,7 @@
 	} else {
 		d.hosts[region] = h
 	}
-	d.log = append(d.log, change{d.seq, h})
+	d.changes = append(d.changes, healthChange{d.seq, h})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -110,8 +110,8 @@
 	d.changed = make(chan struct{})
 }
 
-func (f front) serve(out http.ResponseWriter, r *http.Request) {
-	d := f.d
+func (f endpoint) serve(out http.ResponseWriter, r *http.Request) {
+	d := f.discovery
 	d.mu.Lock()
 	down := d.down
 	d.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	if r.URL.Query().Get("watch") != "1" {
 		d.mu.Lock()
-		body := d.list(-1, f.dial)
+		body := d.list(-1, f.dialAddresses)
 		d.mu.Unlock()
 		_, _ = out.Write(append(body, '\n'))
 		return
@@ -133,9 +133,9 @@
 		changed, stop := d.changed, d.down
 		var body []byte
 		if from < d.seq {
-			body = d.list(from, f.dial)
+			body = d.list(from, f.dialAddresses)
 		}
-		seq, told := d.seq, d.since(from)
+		seq, reported := d.seq, d.changesAfter(from)
 		d.mu.Unlock()
 		if stop {
 			panic(http.ErrAbortHandler) // ends the connection with the chunk open
@@ -144,8 +144,8 @@
 			return
 		}
 		flush.Flush()
-		for _, c := range told {
-			d.w.SawBy(f.by, rules.Told, "", c.host.Host, c.host.Health)
+		for _, c := range reported {
+			d.w.SawBy(f.balancer, rules.Told, "", c.host.Host, c.host.Health)
 		}
 		from = seq
 		select {
@@ -157,8 +157,8 @@
 	}
 }
 
-func (d *Discovery) since(from int64) (list []change) {
-	for _, c := range d.log {
+func (d *Discovery) changesAfter(from int64) (list []healthChange) {
+	for _, c := range d.changes {
 		if c.seq > from {
 			list = append(list, c)
 		}
@@ -178,7 +178,7 @@
 			msg.Hosts = append(msg.Hosts, h)
 		}
 	}
-	for _, c := range d.since(max(from, 0)) {
+	for _, c := range d.changesAfter(max(from, 0)) {
 		if from >= 0 {
 			msg.Hosts = append(msg.Hosts, c.host)
 		}
--- a/internal/fake/flood.go
+++ b/internal/fake/flood.go
@@ -15,7 +15,7 @@
 
 // The kinds of noise.
 const (
-	Quiet      Noise = "none"
+	NoNoise    Noise = "none"
 	OpenClose  Noise = "opens and closes"
 	OpenSilent Noise = "opens and says nothing"
 	OpenKeep   Noise = "opens and keeps what it gets"
@@ -25,44 +25,44 @@
 
 // Flood runs loops of one kind of noise until it is stopped.
 type Flood struct {
-	Opened, Refused, Got, Broken atomic.Int64
+	Opened, Refused, Got, Failed atomic.Int64
 
-	stop context.CancelFunc
-	wait sync.WaitGroup
+	cancel context.CancelFunc
+	loops  sync.WaitGroup
 }
 
 // Flood starts so many loops against a balancer at addr, from the addresses that from returns in turn. No loop
 // goes faster than the balancer answers.
-func (w *World) Flood(kind Noise, loops int, from func(i int) string, addr string) *Flood {
+func (w *World) Flood(kind Noise, loops int, addressOf func(i int) string, addr string) *Flood {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Flood{stop: cancel}
-	if kind == Quiet {
+	f := &Flood{cancel: cancel}
+	if kind == NoNoise {
 		return f
 	}
 	for i := range loops {
-		f.wait.Add(1)
+		f.loops.Add(1)
 		go func() {
-			defer f.wait.Done()
-			var kept []*Terminal
+			defer f.loops.Done()
+			var open []*Terminal
 			defer func() {
-				for _, t := range kept {
-					t.Break()
+				for _, client := range open {
+					client.Break()
 				}
 			}()
 			for n := 0; ctx.Err() == nil; n++ {
-				t, err := w.Connect(from(i+n*loops), addr)
+				client, err := w.Connect(addressOf(i+n*loops), addr)
 				if err != nil {
-					f.Broken.Add(1)
-					sleep(ctx, time.Millisecond)
+					f.Failed.Add(1)
+					sleepContext(ctx, time.Millisecond)
 					continue
 				}
 				f.Opened.Add(1)
-				if t = f.noise(ctx, kind, t, n); t != nil {
-					kept = append(kept, t)
+				if client = f.connect(ctx, kind, client, n); client != nil {
+					open = append(open, client)
 				}
-				if len(kept) > 200 { // of each loop; thousands in all
-					kept[0].Break()
-					kept = kept[1:]
+				if len(open) > 200 { // of each loop; thousands in all
+					open[0].Break()
+					open = open[1:]
 				}
 			}
 		}()
@@ -71,7 +71,7 @@
 }
 
 // noise does one round, and returns the terminal if it is to be kept open.
-func (f *Flood) noise(ctx context.Context, kind Noise, t *Terminal, n int) *Terminal {
+func (f *Flood) connect(ctx context.Context, kind Noise, t *Terminal, n int) *Terminal {
 	switch kind {
 	case OpenClose:
 	case OpenSilent:
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -109,83 +109,83 @@
 
 // Stop ends the loops and what they kept.
 func (f *Flood) Stop() {
-	f.stop()
-	f.wait.Wait()
+	f.cancel()
+	f.loops.Wait()
 }
 
-// Good is how good terminals fared.
-type Good struct {
+// ServeResult is how good terminals fared.
+type ServeResult struct {
 	Asked, Served int
 	By            map[string]int // answers
-	Late          *hdrhistogram.Histogram
+	Latency       *hdrhistogram.Histogram
 	Echoes, Moved int
 	Cut           int // standing connections that ended before their terminal did
 }
 
 // Share is the share that was served.
-func (g Good) Share() float64 { return float64(g.Served) / float64(max(1, g.Asked)) }
+func (g ServeResult) Share() float64 { return float64(g.Served) / float64(max(1, g.Asked)) }
 
 // Quantile is a quantile of the time from asking to UP.
-func (g Good) Quantile(q float64) time.Duration {
-	return time.Duration(g.Late.ValueAtQuantile(q)) * time.Microsecond
+func (g ServeResult) Quantile(q float64) time.Duration {
+	return time.Duration(g.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Customer is a good terminal: an address and what it asks.
-type Customer struct {
+// GoodClient is a good terminal: an address and what it asks.
+type GoodClient struct {
 	From string
 	Ask  Ask
 }
 
 // Customers makes n of them, each at an address and with a key of its own.
-func Customers(n int) (list []Customer) {
+func Customers(n int) (list []GoodClient) {
 	for i := range n {
-		list = append(list, Customer{fmt.Sprintf("127.%d.%d.%d", 20+i/200, i%200/10, i%10+1), Ask{Key: fmt.Sprintf("customer%d", i)}})
+		list = append(list, GoodClient{fmt.Sprintf("127.%d.%d.%d", 20+i/200, i%200/10, i%10+1), Ask{Key: fmt.Sprintf("customer%d", i)}})
 	}
 	return list
 }
 
 // Serve has each customer come once, so many a second (0: all at once), ask, and stand for a while, a line every
 // 100 ms. It returns when all have ended.
-func (w *World) Serve(list []Customer, perSecond float64, stand time.Duration, addr string) Good {
-	g := Good{By: map[string]int{}, Late: hdrhistogram.New(1, 60_000_000, 3)}
+func (w *World) Serve(goodClients []GoodClient, perSecond float64, hold time.Duration, addr string) ServeResult {
+	result := ServeResult{By: map[string]int{}, Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	began := time.Now()
-	for i, c := range list {
+	var clients sync.WaitGroup
+	start := time.Now()
+	for i, c := range goodClients {
 		if perSecond > 0 {
-			time.Sleep(time.Until(began.Add(time.Duration(float64(i) / perSecond * float64(time.Second)))))
+			time.Sleep(time.Until(start.Add(time.Duration(float64(i) / perSecond * float64(time.Second)))))
 		}
-		wait.Add(1)
+		clients.Add(1)
 		go func() {
-			defer wait.Done()
+			defer clients.Done()
 			t, err := w.Connect(c.From, addr)
 			if err != nil {
 				mu.Lock()
-				g.Asked++
-				g.By["no connection"]++
+				result.Asked++
+				result.By["no connection"]++
 				mu.Unlock()
 				return
 			}
 			defer t.Close()
 			a := t.Open(c.Ask)
 			mu.Lock()
-			g.Asked++
-			g.By[a.What]++
+			result.Asked++
+			result.By[a.What]++
 			if a.What == "UP" {
-				g.Served++
-				_ = g.Late.RecordValue(max(1, a.Took.Microseconds()))
+				result.Served++
+				_ = result.Latency.RecordValue(max(1, a.Took.Microseconds()))
 			}
 			mu.Unlock()
-			for until := time.Now().Add(stand); a.What == "UP" && time.Now().Before(until); {
+			for until := time.Now().Add(hold); a.What == "UP" && time.Now().Before(until); {
 				err := t.Echo(time.Second)
 				mu.Lock()
 				switch {
 				case err == nil:
-					g.Echoes++
+					result.Echoes++
 				case err == ErrMoved:
-					g.Moved++
+					result.Moved++
 				default:
-					g.Cut++
+					result.Cut++
 				}
 				mu.Unlock()
 				if err != nil {
@@ -195,6 +195,6 @@
 			}
 		}()
 	}
-	wait.Wait()
-	return g
+	clients.Wait()
+	return result
 }
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -18,32 +18,32 @@
 
 // Process is a balancer that runs as a process of its own, so that its limits are real.
 type Process struct {
-	Addr string
-	cmd  *exec.Cmd
-	log  log
-	over chan struct{}
-	err  error
+	Addr   string
+	cmd    *exec.Cmd
+	output outputBuffer
+	exited chan struct{}
+	err    error
 }
 
 // log keeps the end of what the process has written.
-type log struct {
-	mu    sync.Mutex
-	buf   bytes.Buffer
-	lines func(line string)
-	begun []byte // of a line that has no end yet
+type outputBuffer struct {
+	mu          sync.Mutex
+	buf         bytes.Buffer
+	onLine      func(line string)
+	partialLine []byte // of a line that has no end yet
 }
 
-func (l *log) Write(b []byte) (int, error) {
+func (l *outputBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.buf.Len() > 1<<20 {
 		l.buf.Next(l.buf.Len() / 2)
 	}
-	if l.lines != nil {
-		l.begun = append(l.begun, b...)
-		for i := bytes.IndexByte(l.begun, '\n'); i >= 0; i = bytes.IndexByte(l.begun, '\n') {
-			l.lines(string(l.begun[:i]))
-			l.begun = l.begun[i+1:]
+	if l.onLine != nil {
+		l.partialLine = append(l.partialLine, b...)
+		for i := bytes.IndexByte(l.partialLine, '\n'); i >= 0; i = bytes.IndexByte(l.partialLine, '\n') {
+			l.onLine(string(l.partialLine[:i]))
+			l.partialLine = l.partialLine[i+1:]
 		}
 	}
 	return l.buf.Write(b)
@@ -62,7 +62,7 @@
 }
 
 // started tells by the answer to status: who waits to hear which revision is in force has started.
-func (l Launch) started(answer string) bool {
+func (l Launch) hasStarted(answer string) bool {
 	return strings.HasPrefix(answer, "+OK") || strings.HasPrefix(answer, "-ERR without a revision")
 }
 
@@ -88,10 +88,10 @@
 	if l.Descriptors > 0 {
 		line = "ulimit -n " + strconv.Itoa(l.Descriptors) + "; " + line
 	}
-	p := &Process{Addr: addr, over: make(chan struct{})}
+	p := &Process{Addr: addr, exited: make(chan struct{})}
 	p.cmd = exec.Command("/bin/sh", append([]string{"-c", line, l.Binary, "serve", "--config", l.Config}, l.Args...)...)
-	p.log.lines = l.Lines
-	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
+	p.output.onLine = l.Lines
+	p.cmd.Stdout, p.cmd.Stderr = &p.output, &p.output
 	p.cmd.Env = append(os.Environ(), l.Env...)
 	if l.Management != "" {
 		p.cmd.Env = append(p.cmd.Env, "PROXY_MANAGEMENT="+l.Management)
@@ -114,22 +114,22 @@
 		return nil, err
 	}
 	w.OnClose(func() { p.Kill() })
-	w.Go(func() { p.err = p.cmd.Wait(); close(p.over) })
+	w.Go(func() { p.err = p.cmd.Wait(); close(p.exited) })
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		switch {
 		case l.Management == "" && Ping(addr) == "PONG":
 			return p, nil
-		case l.Management != "" && l.started(Call(l.Management, "status")):
+		case l.Management != "" && l.hasStarted(Call(l.Management, "status")):
 			return p, nil
 		}
 		select {
-		case <-p.over:
-			return nil, &Unserved{hint.Annotated{What: "no PONG, it ended\n" + p.Log(), Cause: p.err, Do: "mend what its log says"}}
+		case <-p.exited:
+			return nil, &UnexpectedError{hint.Annotated{What: "no PONG, it ended\n" + p.Log(), Cause: p.err, Do: "mend what its log says"}}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	p.Kill() // who comes next finds its addresses free
-	return nil, &Unserved{hint.Annotated{What: "no PONG within 10 s\n" + p.Log(), Do: "see that the address is free and the machine isn't too busy"}}
+	return nil, &UnexpectedError{hint.Annotated{What: "no PONG within 10 s\n" + p.Log(), Do: "see that the address is free and the machine isn't too busy"}}
 }
 
 // Ping is the front's question, and what comes back.
@@ -147,9 +147,9 @@
 
 // Log is what the process has written so far.
 func (p *Process) Log() string {
-	p.log.mu.Lock()
-	defer p.log.mu.Unlock()
-	return p.log.buf.String()
+	p.output.mu.Lock()
+	defer p.output.mu.Unlock()
+	return p.output.buf.String()
 }
 
 // PID is the process's number.
@@ -161,16 +161,16 @@
 // Kill ends it at once.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
-	<-p.over
+	<-p.exited
 }
 
 // Over tells, once it has ended, how.
 func (p *Process) Over(wait time.Duration) error {
 	select {
-	case <-p.over:
+	case <-p.exited:
 		return p.err
 	case <-time.After(wait):
-		return &Unserved{hint.Annotated{What: "still running", Do: inBalancer}}
+		return &UnexpectedError{hint.Annotated{What: "still running", Do: inspectBalancerLog}}
 	}
 }
 
@@ -181,7 +181,7 @@
 }
 
 // ResidentKB is the memory that the process holds now, and the most that it has held.
-func (p *Process) ResidentKB() (now, most int) {
+func (p *Process) ResidentKB() (now, peak int) {
 	body, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for _, line := range strings.Split(string(body), "\n") {
 		if f := strings.Fields(line); len(f) > 1 {
@@ -189,11 +189,11 @@
 			case "VmRSS:":
 				now = n
 			case "VmHWM:":
-				most = n
+				peak = n
 			}
 		}
 	}
-	return now, most
+	return now, peak
 }
 
 // CPU is the processor time that the process has used.
--- a/internal/fake/region.go
+++ b/internal/fake/server.go
@@ -18,14 +18,14 @@
 // The faults. They hold for connections that come while they are set; probes are answered in all but Vanished,
 // Stalled and Reset.
 const (
-	None     Fault = iota
-	Busy           // turns every request away
-	Erring         // answers ERR
-	Reset          // resets after the first line
-	Stalled        // takes the line and says nothing
-	Half           // answers half a line and ends
-	Lying          // reports no load, whatever it holds
-	NoProbes       // answers NO to probes
+	None          Fault = iota
+	Busy                // turns every request away
+	ErrorAnswer         // answers ERR
+	Reset               // resets after the first line
+	Stalled             // takes the line and says nothing
+	PartialAnswer       // answers half a line and ends
+	Lying               // reports no load, whatever it holds
+	RefusedProbes       // answers NO to probes
 )
 
 // Region is one server.
@@ -33,21 +33,21 @@
 	Name, Addr string
 	Zone       string // "here" if ""
 
-	w        *World
-	listener net.Listener
-	fault    atomic.Int32
-	load     atomic.Int64 // what x0 is reported as, in thousandths, for each connection it holds weight more
-	weight   atomic.Int64
-	born     atomic.Int64 // when it came up cold, by the world's clock; 0 for warm
-	pushed   atomic.Int64 // most of what it can do that it was sent while cold, in thousandths
-	delay    atomic.Int64 // before UP
-	open     atomic.Int64
-	took     atomic.Int64
-	probes   atomic.Int64
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	gone     bool
-	receipts int
+	w         *World
+	listener  net.Listener
+	fault     atomic.Int32
+	load      atomic.Int64 // what x0 is reported as, in thousandths, for each connection it holds weight more
+	weight    atomic.Int64
+	startedAt atomic.Int64 // when it came up cold, by the world's clock; 0 for warm
+	peakLoad  atomic.Int64 // most of what it can do that it was sent while cold, in thousandths
+	delay     atomic.Int64 // before UP
+	open      atomic.Int64
+	requests  atomic.Int64
+	probes    atomic.Int64
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	closed    bool
+	receipts  int
 }
 
 // Set has the region do something wrong from now on.
@@ -62,17 +62,17 @@
 // A region that came up can do coldFrom of what it does warm, and all of it after coldFor; it falls over when sent more than
 // tipAt times what it can do for tipAfter. Config tells the balancers so.
 const (
-	coldFrom = 0.34
-	coldFor  = 8600 * time.Millisecond
-	tipAt    = 4.0
-	tipAfter = 3 * time.Second
+	warmUpInitialShare = 0.34
+	warmUpDuration     = 8600 * time.Millisecond
+	overloadFactor     = 4.0
+	overloadDuration   = 3 * time.Second
 )
 
-func (r *Region) x0(connections int64) float64 {
+func (r *Region) loadFactor(connections int64) float64 {
 	x := float64(r.load.Load()+r.weight.Load()*connections) / 1000
-	if born := r.born.Load(); born > 0 {
-		if age := r.w.Now() - time.Duration(born); age < coldFor {
-			x /= coldFrom + (1-coldFrom)*float64(age)/float64(coldFor)
+	if born := r.startedAt.Load(); born > 0 {
+		if age := r.w.Now() - time.Duration(born); age < warmUpDuration {
+			x /= warmUpInitialShare + (1-warmUpInitialShare)*float64(age)/float64(warmUpDuration)
 		}
 	}
 	return x
@@ -80,23 +80,23 @@
 
 // Renew has the region be one that came up just now. Who sends it too much for too long is found.
 func (r *Region) Renew() {
-	r.born.Store(int64(r.w.Now()))
+	r.startedAt.Store(int64(r.w.Now()))
 	r.w.Go(func() {
-		over := time.Duration(0)
-		for was := r.w.Now(); was-time.Duration(r.born.Load()) < coldFor; {
+		overloaded := time.Duration(0)
+		for previous := r.w.Now(); previous-time.Duration(r.startedAt.Load()) < warmUpDuration; {
 			time.Sleep(20 * time.Millisecond)
 			now := r.w.Now()
-			x := r.x0(r.open.Load())
-			r.pushed.Store(max(r.pushed.Load(), int64(1000*x)))
-			if x <= tipAt {
-				over = 0
-			} else if over += now - was; over >= tipAfter {
-				r.w.Saw(rules.PushedOver, "", r.Name, fmt.Sprintf("%.1f times what it can do", x))
+			x := r.loadFactor(r.open.Load())
+			r.peakLoad.Store(max(r.peakLoad.Load(), int64(1000*x)))
+			if x <= overloadFactor {
+				overloaded = 0
+			} else if overloaded += now - previous; overloaded >= overloadDuration {
+				r.w.Saw(rules.ServerOverloaded, "", r.Name, fmt.Sprintf("%.1f times what it can do", x))
 				return
 			}
-			was = now
+			previous = now
 			r.mu.Lock()
-			gone := r.gone
+			gone := r.closed
 			r.mu.Unlock()
 			if gone {
 				return
@@ -106,7 +106,7 @@
 }
 
 // Pushed is the most that it was sent while cold, over what it could do.
-func (r *Region) Pushed() float64 { return float64(r.pushed.Load()) / 1000 }
+func (r *Region) Pushed() float64 { return float64(r.peakLoad.Load()) / 1000 }
 
 // SetDelay sets how long it takes until UP.
 func (r *Region) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
@@ -115,17 +115,17 @@
 func (r *Region) Open() int64 { return r.open.Load() }
 
 // Took is how many requests came.
-func (r *Region) Took() int64 { return r.took.Load() }
+func (r *Region) Took() int64 { return r.requests.Load() }
 
 // Probes is how many probes came.
 func (r *Region) Probes() int64 { return r.probes.Load() }
 
-// Vanish ends the region: its connections are reset and new ones refused.
-func (r *Region) Vanish() {
+// Terminate ends the region: its connections are reset and new ones refused.
+func (r *Region) Terminate() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone = true
+	r.closed = true
 	for c := range r.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
@@ -153,7 +153,7 @@
 			return
 		}
 		r.mu.Lock()
-		if r.gone {
+		if r.closed {
 			r.mu.Unlock()
 			_ = c.Close()
 			continue
@@ -181,22 +181,22 @@
 		line = strings.TrimRight(line, "\r\n")
 		f := Fault(r.fault.Load())
 		if strings.HasPrefix(line, "OPEN ") {
-			r.request(c, in, line, f)
+			r.serveRequest(c, in, line, f)
 			return
 		}
 		r.probes.Add(1)
 		switch {
 		case f == Reset:
-			reset(c)
+			resetConnection(c)
 			return
 		case f == Stalled:
-		case f == NoProbes || line != "STATS" && line != "PING":
+		case f == RefusedProbes || line != "STATS" && line != "PING":
 			fmt.Fprint(c, "NO\r\n")
 		case line == "PING":
 			fmt.Fprint(c, "PONG\r\n")
 		default:
 			n := r.open.Load()
-			x0 := r.x0(n)
+			x0 := r.loadFactor(n)
 			if f == Lying {
 				n, x0 = 0, 0
 			}
@@ -205,27 +205,27 @@
 	}
 }
 
-func (r *Region) request(c net.Conn, in *bufio.Reader, line string, f Fault) {
+func (r *Region) serveRequest(c net.Conn, in *bufio.Reader, line string, f Fault) {
 	words := strings.Split(line, " ")
 	if len(words) != 4 {
 		fmt.Fprint(c, "SYNTAX\r\n")
 		return
 	}
 	id := words[1]
-	r.took.Add(1)
-	r.w.SawBy(r.w.who(c), rules.Routed, id, r.Name, "")
+	r.requests.Add(1)
+	r.w.SawBy(r.w.balancerOf(c), rules.Routed, id, r.Name, "")
 	defer r.w.Saw(rules.RoutedEnded, id, r.Name, "")
 	switch f {
 	case Busy:
 		fmt.Fprint(c, "BUSY\r\n")
 		return
-	case Erring:
+	case ErrorAnswer:
 		fmt.Fprint(c, "ERR\r\n")
 		return
 	case Reset:
-		reset(c)
+		resetConnection(c)
 		return
-	case Half:
+	case PartialAnswer:
 		fmt.Fprint(c, "UP hal")
 		return
 	case Stalled:
@@ -256,7 +256,7 @@
 		n, err := in.Read(buf)
 		if n > 0 {
 			if r.w.Carried != nil {
-				r.w.Carried(r.w.who(c), r.Name, class(words[3]), n)
+				r.w.Carried(r.w.balancerOf(c), r.Name, classOf(words[3]), n)
 			}
 			if _, err := c.Write(buf[:n]); err != nil {
 				return
@@ -269,7 +269,7 @@
 }
 
 // class is what a first line's last field says.
-func class(fields string) string {
+func classOf(fields string) string {
 	for f := range strings.SplitSeq(fields, ",") {
 		if name, ok := strings.CutPrefix(f, "c="); ok {
 			return name
@@ -278,14 +278,14 @@
 	return ""
 }
 
-func (r *Region) site() string {
+func (r *Region) zone() string {
 	if r.Zone == "" {
-		return here
+		return defaultZone
 	}
 	return r.Zone
 }
 
-func reset(c net.Conn) {
+func resetConnection(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/internal/fake/cold_test.go
+++ b/internal/fake/warm_up_test.go
@@ -9,7 +9,7 @@
 )
 
 // A cold region that holds too much for long is found, and one that holds it for a moment is not.
-func TestPushedOver(t *testing.T) {
+func TestServerOverloadedDuringWarmUp(t *testing.T) {
 	w, err := New(2)
 	if err != nil {
 		t.Fatal(err)
@@ -23,8 +23,8 @@
 	time.Sleep(300 * time.Millisecond)
 	w.Regions[1].open.Store(2)
 	w.Regions[0].open.Store(30)
-	time.Sleep(tipAfter + 300*time.Millisecond)
-	if n := w.Checker.Count(rules.PushedOver); n != 1 {
+	time.Sleep(overloadDuration + 300*time.Millisecond)
+	if n := w.Checker.Count(rules.ServerOverloaded); n != 1 {
 		t.Fatalf("%d regions pushed over", n)
 	}
 	if v := w.Violations(); !strings.Contains(v, "a cold region pushed over") || !strings.Contains(v, w.Regions[0].Name) {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -30,24 +30,24 @@
 	// Carried, if set, is told the bytes of a class that a region has read from a balancer. It must not block.
 	Carried func(by, region, class string, bytes int)
 	// Watch, if set, is told every event that the checker is told, before it. It must not block.
-	Watch func(rules.Event)
-	began time.Time
-	mu    sync.Mutex
-	ends  []func()
-	wait  sync.WaitGroup
+	Watch      func(rules.Event)
+	start      time.Time
+	mu         sync.Mutex
+	closers    []func()
+	goroutines sync.WaitGroup
 }
 
 // New starts a world with so many regions, r1 and on, and a discovery that lists them. The regions listen on
 // addresses of their own within 127.9.0.0/16, so that none is reached by mistake.
 func New(regions int) (*World, error) {
-	w := &World{Checker: rules.New(rules.Limits{Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond}), began: time.Now()}
+	w := &World{Checker: rules.New(rules.Limits{Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond}), start: time.Now()}
 	for i := range regions {
 		if err := w.AddRegion(fmt.Sprintf("r%d", i+1), fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1)); err != nil {
 			w.Close()
 			return nil, err
 		}
 	}
-	if err := w.Discovery.start(w); err != nil {
+	if err := w.Discovery.listenDefault(w); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -63,13 +63,13 @@
 	r := &Region{Name: name, Addr: l.Addr().String(), w: w, listener: l, conns: map[net.Conn]bool{}}
 	r.weight.Store(5)
 	w.Regions = append(w.Regions, r)
-	w.OnClose(func() { r.Vanish() })
+	w.OnClose(func() { r.Terminate() })
 	w.Go(r.accept)
 	return nil
 }
 
 // Now is the run's time.
-func (w *World) Now() time.Duration { return time.Since(w.began) }
+func (w *World) Now() time.Duration { return time.Since(w.start) }
 
 // Saw tells the checker of something.
 func (w *World) Saw(kind rules.Kind, id, region, text string) {
@@ -85,7 +85,7 @@
 	w.Checker.Add(e)
 }
 
-func (w *World) who(c net.Conn) string {
+func (w *World) balancerOf(c net.Conn) string {
 	if w.Who == nil {
 		return ""
 	}
@@ -95,26 +95,26 @@
 // OnClose has something ended with the world, the last first.
 func (w *World) OnClose(f func()) {
 	w.mu.Lock()
-	w.ends = append(w.ends, f)
+	w.closers = append(w.closers, f)
 	w.mu.Unlock()
 }
 
 // Go runs f until it ends, which Close waits for.
 func (w *World) Go(f func()) {
-	w.wait.Add(1)
-	go func() { defer w.wait.Done(); f() }()
+	w.goroutines.Add(1)
+	go func() { defer w.goroutines.Done(); f() }()
 }
 
 // Close ends all parties and waits until they have gone.
 func (w *World) Close() {
 	w.mu.Lock()
-	ends := w.ends
-	w.ends = nil
+	closers := w.closers
+	w.closers = nil
 	w.mu.Unlock()
-	for i := len(ends) - 1; i >= 0; i-- {
-		ends[i]()
+	for i := len(closers) - 1; i >= 0; i-- {
+		closers[i]()
 	}
-	w.wait.Wait()
+	w.goroutines.Wait()
 }
 
 // Host is a region in discovery's form.
@@ -133,7 +133,7 @@
 func (w *World) Hosts() []Host {
 	var list []Host
 	for _, r := range w.Regions {
-		list = append(list, Host{Host: r.Name, Dial: r.Addr, Site: r.site(), Class: "m", Health: "ready", Share: 1})
+		list = append(list, Host{Host: r.Name, Dial: r.Addr, Site: r.zone(), Class: "m", Health: "ready", Share: 1})
 	}
 	return list
 }
@@ -152,7 +152,7 @@
 	Bulk              bool              // there is a second class, bulk, that is worth less
 }
 
-const here = "here"
+const defaultZone = "here"
 
 // Config is a balancer's PROXY_CONFIG. It listens on a free port of listen.
 func (w *World) Config(name, listen string, o Options) []byte {
@@ -178,7 +178,7 @@
 		}
 	}
 	if o.Zone == "" {
-		o.Zone = here
+		o.Zone = defaultZone
 	}
 	classes := []map[string]any{{"name": "chat", "aim-ms": 800.0, "give-up-ms": 2000.0, "semantics": "safe", "group": "all", "stream": true}}
 	if o.Bulk {
@@ -198,8 +198,8 @@
 				"max-retry-after-ms": 2000.0, "connect-timeout-ms": 250.0},
 			"reporting":   map[string]any{"how": "pull", "columns": []string{"lat_ms", "rif", "x0"}},
 			"family-info": map[string]any{"groups": true, "mode": mode, "message-aim-ms": []float64{150}, "tenant-quota-connections": quotas},
-			"rules": map[string]any{"ask-every-ms": 10000.0, "cold-from": coldFrom, "cold-ms": float64(coldFor.Milliseconds()), "fall-multiple": tipAt,
-				"tip-after-ms": float64(tipAfter.Milliseconds())},
+			"rules": map[string]any{"ask-every-ms": 10000.0, "cold-from": warmUpInitialShare, "cold-ms": float64(warmUpDuration.Milliseconds()), "fall-multiple": overloadFactor,
+				"tip-after-ms": float64(overloadDuration.Milliseconds())},
 			"tenants": tenants,
 			"classes": classes,
 		}})
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,12 +1,11 @@
-// Package rules checks what a balancer did against the rules that it is held to, from what was seen at its
-// terminals, its regions and discovery. It owns the rules' wording and their limits; it must never look into the
-// program that it judges, and never take part in a run.
+// Package rules checks the behaviour of balancers against invariants, from events observed at clients, servers and
+// discovery. It depends neither on the balancer's code nor on its state, and does not take part in a run.
 //
-//   - One final answer for every transaction that was picked up, never two, and none that no region gave.
-//   - Never two routed tasks of one transaction out at once.
-//   - Nothing new to a region later than Grace after discovery told that it drains or is gone.
-//   - No cold region is pushed over, whoever sent how much.
-//   - Bytes pass unchanged: what a terminal gets back is what it sent, in order, once.
+//   - Every request that was sent gets exactly one final answer, and an UP carries a receipt that a server gave.
+//   - A request never has two attempts in flight at once.
+//   - A server gets no new request later than Grace after discovery reported it as draining or gone.
+//   - A server that is warming up is not overloaded, whichever balancers send the requests.
+//   - Bytes pass unchanged: a client gets back exactly what it sent, in order and once.
 package rules
 
 import (
@@ -18,37 +17,37 @@
 	"time"
 )
 
-// Kind says what was seen.
+// Kind is the kind of an observed event.
 type Kind uint8
 
-// The kinds. ID names the transaction, Region the region, Text what else there is.
+// The kinds of events. In an Event, ID is the request's, Region names the server, and Text holds further details.
 const (
-	Asked       Kind = iota // a terminal's first line has left, its last byte included
-	Answered                // a terminal got its answer: Text is the line
-	Unanswered              // the balancer ended a terminal's connection without an answer
-	Left                    // a terminal went by itself, or quit waiting
-	Routed                  // a first line came to a region
-	Receipt                 // a region answered UP; Text is the receipt
-	RoutedEnded             // a region saw the end of the connection, or ended it
-	Told                    // discovery told the balancer of a region's state: Text is ready, draining or gone
-	Sent                    // a terminal sent a numbered line: Text
-	Returned                // a line came back to it: Text
-	Lost                    // a terminal's standing connection was cut without MOVE while its region lived
-	PushedOver              // a cold region was sent more than it bears, for as long as it takes to fall over
-	Started                 // a balancer's process began: what an earlier one was told, nobody has told this one
+	Asked            Kind = iota // a client has sent the whole first line of a request
+	Answered                     // a client received its answer: Text is the line
+	Unanswered                   // the balancer closed a client's connection without an answer
+	ClientClosed                 // a client closed its connection, or stopped waiting
+	Routed                       // a server received the first line of a request
+	Receipt                      // a server answered UP; Text is the receipt
+	RoutedEnded                  // a server closed the connection of an attempt, or saw it closed
+	Told                         // discovery reported a server's state to a balancer: Text is ready, draining or gone
+	LineSent                     // a client sent a numbered line: Text
+	Returned                     // a client received a line: Text
+	Lost                         // an established connection was closed without MOVE while its server was running
+	ServerOverloaded             // a server that is warming up was overloaded for long enough to fail
+	Started                      // a balancer's process started: states reported to an earlier process do not apply to it
 )
 
 func (k Kind) String() string {
-	return [...]string{"asked", "answered", "unanswered", "left", "routed", "receipt", "routed task ended", "told", "sent",
-		"returned", "lost", "pushed over", "started"}[k]
+	return [...]string{"request sent", "answered", "unanswered", "client closed", "routed", "receipt", "attempt ended",
+		"state reported", "line sent", "line returned", "connection cut", "overloaded", "started"}[k]
 }
 
-// Event is one thing seen, at a time that all observers share.
+// Event is one observation. All observers use the same clock.
 type Event struct {
 	At               time.Duration
 	Kind             Kind
 	ID, Region, Text string
-	By               string // the balancer, where several are judged: what one was told binds that one only
+	By               string // the balancer, if there are several: a state reported to one applies only to that one
 }
 
 func (e Event) String() string {
@@ -57,12 +56,12 @@
 	)
 }
 
-// Violation is one broken rule: the event that broke it, and what had happened to the same transaction or region.
+// Violation is a broken rule: the event that broke it, and the earlier events of the same request or server.
 type Violation struct {
 	Rule    string
 	Event   Event
 	History []Event
-	Over    time.Duration // by which a bound of time was missed; 0 where it is no matter of time
+	Over    time.Duration // time by which a limit was exceeded; 0 for rules without a time limit
 }
 
 func (v Violation) String() string {
@@ -75,183 +74,187 @@
 	return b.String()
 }
 
-// Limits are the rules' figures.
+// Limits are the time limits of the rules.
 type Limits struct {
-	Grace time.Duration // after a region was told draining or gone
-	Slack time.Duration // by which observers on sockets may be late
+	Grace time.Duration // for new requests after a server was reported draining or gone
+	Slack time.Duration // delay with which observers on sockets may see an event
 }
 
-// Checker follows a run. It is safe for concurrent use; events that come out of order by less than Slack do no harm.
+// Checker checks the events of a run. It is safe for concurrent use and tolerates events that are out of order by less
+// than Slack.
 type Checker struct {
-	limits  Limits
-	mu      sync.Mutex
-	list    []Violation
-	byID    map[string]*transaction
-	told    map[[2]string]Event // the latest state of a region that takes nothing new, by balancer and region
-	counts  map[Kind]int
-	history map[string][]Event // of regions
+	limits        Limits
+	mu            sync.Mutex
+	violations    []Violation
+	requests      map[string]*request
+	notReady      map[[2]string]Event // report of a draining or gone server, by balancer and server
+	counts        map[Kind]int
+	serverHistory map[string][]Event // state reports, by server
 }
 
-type transaction struct {
-	history  []Event
-	asked    bool
-	left     bool
-	answers  int
-	out      map[string]Event // routed tasks by region, from when
-	receipts map[string]bool
-	sent     []string
-	returned int
+type request struct {
+	history       []Event
+	sent          bool
+	closed        bool
+	answers       int
+	attempts      map[string]Event // in flight, by server: the Routed event
+	receipts      map[string]bool
+	linesSent     []string
+	linesReturned int
 }
 
 const (
-	keptEvents = 64 // of a transaction's history
-	keptFaults = 100
+	maxHistoryEvents = 64 // per request
+	maxViolations    = 100
 )
 
-// New returns a checker.
+// New returns a checker with these limits.
 func New(l Limits) *Checker {
 	return &Checker{
-		limits:  l,
-		byID:    map[string]*transaction{},
-		told:    map[[2]string]Event{},
-		counts:  map[Kind]int{},
-		history: map[string][]Event{},
+		limits:        l,
+		requests:      map[string]*request{},
+		notReady:      map[[2]string]Event{},
+		counts:        map[Kind]int{},
+		serverHistory: map[string][]Event{},
 	}
 }
 
-// Add takes one event.
+// Add checks one event.
 func (c *Checker) Add(e Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[e.Kind]++
 	if e.Kind == Told {
-		c.history[e.Region] = append(c.history[e.Region], e)
-		if _, was := c.told[[2]string{e.By, e.Region}]; e.Text == "ready" {
-			delete(c.told, [2]string{e.By, e.Region})
-		} else if !was {
-			c.told[[2]string{e.By, e.Region}] = e
+		c.serverHistory[e.Region] = append(c.serverHistory[e.Region], e)
+		if _, listed := c.notReady[[2]string{e.By, e.Region}]; e.Text == "ready" {
+			delete(c.notReady, [2]string{e.By, e.Region})
+		} else if !listed {
+			c.notReady[[2]string{e.By, e.Region}] = e
 		}
 		return
 	}
 	if e.Kind == Started {
-		for of := range c.told {
-			if of[0] == e.By {
-				delete(c.told, of)
+		for key := range c.notReady {
+			if key[0] == e.By {
+				delete(c.notReady, key)
 			}
 		}
 		return
 	}
-	t := c.byID[e.ID]
-	if t == nil {
-		t = &transaction{out: map[string]Event{}, receipts: map[string]bool{}}
-		c.byID[e.ID] = t
+	r := c.requests[e.ID]
+	if r == nil {
+		r = &request{attempts: map[string]Event{}, receipts: map[string]bool{}}
+		c.requests[e.ID] = r
 	}
-	c.check(t, e)
-	if len(t.history) < keptEvents {
-		t.history = append(t.history, e)
+	c.check(r, e)
+	if len(r.history) < maxHistoryEvents {
+		r.history = append(r.history, e)
 	}
 }
 
-func (c *Checker) check(t *transaction, e Event) {
+func (c *Checker) check(r *request, e Event) {
 	switch e.Kind {
 	case Asked:
-		t.asked = true
+		r.sent = true
 	case Answered:
-		if t.answers++; t.answers > 1 {
-			c.broken("two final answers", t, e)
+		if r.answers++; r.answers > 1 {
+			c.report("two final answers", r, e)
 		}
-		if receipt, up := strings.CutPrefix(e.Text, "UP "); up && !t.receipts[receipt] {
-			c.broken("an answer that no region gave", t, e)
+		if receipt, up := strings.CutPrefix(e.Text, "UP "); up && !r.receipts[receipt] {
+			c.report("an answer that no region gave", r, e)
 		}
 	case Unanswered:
-		if t.asked && t.answers == 0 {
-			c.broken("no final answer", t, e)
+		if r.sent && r.answers == 0 {
+			c.report("no final answer", r, e)
 		}
-		t.left = true
-	case Left:
-		t.left = true
+		r.closed = true
+	case ClientClosed:
+		r.closed = true
 	case Receipt:
-		t.receipts[e.Text] = true
+		r.receipts[e.Text] = true
 	case Routed:
-		if told, ok := c.told[[2]string{e.By, e.Region}]; ok && e.At-told.At > c.limits.Grace+c.limits.Slack {
-			c.broken(
-				fmt.Sprintf("something new %v after the region was told %s", (e.At-told.At).Round(time.Millisecond), told.Text),
-				t,
+		if reported, ok := c.notReady[[2]string{e.By, e.Region}]; ok &&
+			e.At-reported.At > c.limits.Grace+c.limits.Slack {
+			c.report(
+				fmt.Sprintf("something new %v after the region was told %s",
+					(e.At-reported.At).Round(time.Millisecond), reported.Text),
+				r,
 				e,
-				told,
+				reported,
 			)
-			c.over(e.At - told.At - c.limits.Grace - c.limits.Slack)
+			c.setExcess(e.At - reported.At - c.limits.Grace - c.limits.Slack)
 		}
-		if _, again := t.out[e.Region]; again {
-			c.broken("a second routed task out at once", t, e)
+		if _, running := r.attempts[e.Region]; running {
+			c.report("a second routed task out at once", r, e)
 		}
-		t.out[e.Region] = e
+		r.attempts[e.Region] = e
 	case RoutedEnded:
-		began, ok := t.out[e.Region]
-		delete(t.out, e.Region)
+		start, ok := r.attempts[e.Region]
+		delete(r.attempts, e.Region)
 		if !ok {
 			return
 		}
-		for _, other := range t.out {
-			if other.At > began.At && e.At-other.At > c.limits.Slack {
-				c.broken("a second routed task out at once", t, e)
-				c.over(e.At - other.At - c.limits.Slack)
+		for _, other := range r.attempts {
+			if other.At > start.At && e.At-other.At > c.limits.Slack {
+				c.report("a second routed task out at once", r, e)
+				c.setExcess(e.At - other.At - c.limits.Slack)
 			}
 		}
-	case Sent:
-		t.sent = append(t.sent, e.Text)
+	case LineSent:
+		r.linesSent = append(r.linesSent, e.Text)
 	case Returned:
 		switch {
-		case t.returned >= len(t.sent):
-			c.broken("a line that was never sent", t, e)
-		case t.sent[t.returned] != e.Text:
-			c.broken(fmt.Sprintf("a line lost, repeated or changed: %q was to come", t.sent[t.returned]), t, e)
+		case r.linesReturned >= len(r.linesSent):
+			c.report("a line that was never sent", r, e)
+		case r.linesSent[r.linesReturned] != e.Text:
+			c.report(fmt.Sprintf("a line lost, repeated or changed: %q was to come", r.linesSent[r.linesReturned]), r, e)
 		}
-		t.returned++
-	case PushedOver:
-		c.broken("a cold region pushed over", t, e)
+		r.linesReturned++
+	case ServerOverloaded:
+		c.report("a cold region pushed over", r, e)
 	case Lost:
-		c.broken("a standing connection cut without MOVE", t, e)
+		c.report("a standing connection cut without MOVE", r, e)
 	}
 }
 
-func (c *Checker) broken(rule string, t *transaction, e Event, more ...Event) {
-	if len(c.list) >= keptFaults {
+func (c *Checker) report(rule string, r *request, e Event, related ...Event) {
+	if len(c.violations) >= maxViolations {
 		return
 	}
-	history := append(slices.Clone(more), t.history...)
+	history := append(slices.Clone(related), r.history...)
 	slices.SortStableFunc(history, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	c.list = append(c.list, Violation{Rule: rule, Event: e, History: history})
+	c.violations = append(c.violations, Violation{Rule: rule, Event: e, History: history})
 }
 
-// over notes by how much the violation that was just found missed its time.
-func (c *Checker) over(d time.Duration) { c.list[len(c.list)-1].Over = d }
+// setExcess records by how much the latest violation exceeded its time limit.
+func (c *Checker) setExcess(d time.Duration) { c.violations[len(c.violations)-1].Over = d }
 
-// End closes the run at a time: what is owed then was never given. It returns all violations, the first first.
+// End closes the run at the given time: a request without an answer by then counts as unanswered. It returns all
+// violations in the order of their times.
 func (c *Checker) End(at time.Duration) []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ids := make([]string, 0, len(c.byID))
-	for id := range c.byID {
+	ids := make([]string, 0, len(c.requests))
+	for id := range c.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		t := c.byID[id]
-		if t.asked && !t.left && t.answers == 0 {
-			c.broken("no final answer", t, Event{At: at, Kind: Unanswered, ID: id})
-			t.left = true
+		r := c.requests[id]
+		if r.sent && !r.closed && r.answers == 0 {
+			c.report("no final answer", r, Event{At: at, Kind: Unanswered, ID: id})
+			r.closed = true
 		}
-		if len(t.out) > 1 {
-			c.broken("a second routed task out at once", t, Event{At: at, Kind: RoutedEnded, ID: id})
-			t.out = nil
+		if len(r.attempts) > 1 {
+			c.report("a second routed task out at once", r, Event{At: at, Kind: RoutedEnded, ID: id})
+			r.attempts = nil
 		}
 	}
-	slices.SortStableFunc(c.list, func(a, b Violation) int { return cmp.Compare(a.Event.At, b.Event.At) })
-	return c.list
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.Event.At, b.Event.At) })
+	return c.violations
 }
 
-// Count is how many events of a kind came: a check that saw none proves nothing.
+// Count returns the number of events of a kind. A check that observed none of them proves nothing.
 func (c *Checker) Count(k Kind) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
