--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -15,31 +15,31 @@
 	"oatloft/internal/rules"
 )
 
-// Terminal is one client connection.
+// Terminal is a connection of a fake client.
 type Terminal struct {
 	ID        string
-	By        string // the balancer that it asks, where several are judged
+	By        string // name of the balancer that it is connected to, if there are several
 	w         *World
 	conn      *net.TCPConn
 	in        *bufio.Reader
 	closed    bool
 	linesSent int
-	// Excuse, if set, tells that the balancer owes nothing: it was killed meanwhile, say. What it left unanswered then is
-	// no broken rule.
+	// Excuse, if set, reports whether the balancer need not answer, for instance because it was killed. A missing answer
+	// is then not a violation.
 	Excuse func(Answer) bool
-	After  time.Duration // it listens on for so long, once it has quit waiting, for how late the answer is
+	After  time.Duration // time to keep reading after the wait, to measure how late the answer is
 }
 
 var lastID atomic.Int64
 
-// Ask is what a terminal wants.
+// Ask is a client's request.
 type Ask struct {
 	Key, Class, Tenant string
-	Wait               time.Duration // how long it waits for its answer; 2 s if 0
-	More               string        // further fields, ",r=1"
+	Wait               time.Duration // time to wait for the answer; 2 s if 0
+	More               string        // further fields, such as ",r=1"
 }
 
-// Line is the first line of a transaction.
+// Line returns the first line of the request.
 func (a Ask) Line(id string) string {
 	if a.Class == "" {
 		a.Class = "chat"
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("OPEN %s %s c=%s,t=%s,d=%d%s\r\n", id, a.Key, a.Class, a.Tenant, a.Wait.Milliseconds(), a.More)
 }
 
-// Connect opens a terminal's connection from one address to another.
+// Connect opens a client connection from one address to another.
 func (w *World) Connect(from, to string) (*Terminal, error) {
 	d := net.Dialer{Timeout: 5 * time.Second}
 	if from != "" {
@@ -63,26 +63,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Terminal{ID: fmt.Sprintf("%x-%x", os.Getpid(), lastID.Add(1)), w: w, conn: c.(*net.TCPConn), in: bufio.NewReaderSize(c, 4096)}, nil
+	return &Terminal{
+		ID:   fmt.Sprintf("%x-%x", os.Getpid(), lastID.Add(1)),
+		w:    w,
+		conn: c.(*net.TCPConn),
+		in:   bufio.NewReaderSize(c, 4096),
+	}, nil
 }
 
-// Answer is how a transaction was answered: "UP", "BUSY", "ERR", "reset" (the connection broke), "end" (it ended
-// without a word) or "none" (nothing came while the terminal waited).
+// Answer is the answer to a request. What is "UP", "BUSY", "ERR", "reset" (the connection was reset), "end" (it was
+// closed without an answer) or "none" (nothing arrived while the client waited).
 type Answer struct {
 	What string
-	Line string        // as it came
-	Took time.Duration // from the first line's last byte
-	Late time.Duration // none came while the terminal waited, but one so much later; 0 if none
+	Line string        // as received
+	Took time.Duration // since the first line was sent
+	Late time.Duration // time after the wait at which a late answer arrived; 0 if there was none
 }
 
-// Open sends the first line and waits for the answer.
+// Open sends the first line of a request and waits for the answer.
 func (t *Terminal) Open(a Ask) Answer {
 	if a.Wait == 0 {
 		a.Wait = 2 * time.Second
 	}
 	sentAt := time.Now()
 	if _, err := io.WriteString(t.conn, a.Line(t.ID)); err != nil {
-		// It may have been refused before it spoke: what it was told is still there to be read.
+		// The balancer may have refused the connection before the request was sent: its answer can still be read.
 		return t.readAnswer(sentAt, a.Wait)
 	}
 	t.w.SawBy(t.By, rules.Asked, t.ID, "", "")
@@ -90,7 +95,7 @@
 }
 
 func (t *Terminal) readAnswer(sentAt time.Time, wait time.Duration) Answer {
-	deadline := sentAt.Add(wait + 50*time.Millisecond) // the rules' limits on sockets are that much longer
+	deadline := sentAt.Add(wait + 50*time.Millisecond) // 50 ms: the Slack of the rules
 	_ = t.conn.SetReadDeadline(deadline)
 	line, err := t.in.ReadString('\n')
 	late := time.Duration(0)
@@ -128,10 +133,10 @@
 	return a
 }
 
-// Listen waits for an answer without asking for anything.
+// Listen waits for an answer without sending a request.
 func (t *Terminal) Listen(wait time.Duration) Answer { return t.readAnswer(time.Now(), wait) }
 
-// Echo sends a numbered line and waits until it has come back. A MOVE is an error of its own.
+// Echo sends a numbered line and waits until it is returned. It returns ErrMoved if it receives MOVE instead.
 func (t *Terminal) Echo(wait time.Duration) error {
 	t.linesSent++
 	text := fmt.Sprintf("%s line %d", t.ID, t.linesSent)
@@ -151,9 +156,9 @@
 	return nil
 }
 
-// Pour sends pieces of so many bytes, one each pause or as fast as they are taken if they are taken slower, until stop
-// is closed or the connection ends; took is told what has come back. Bytes are not judged one by one: a line's text is the
-// terminal's own, so that anything foreign or out of order in it is an error.
+// Pour sends lines of size bytes, one per pause or more slowly if the connection accepts them more slowly, until stop
+// is closed or the connection ends. It calls onBytes with the number of bytes returned. The bytes are not reported to
+// the checker: a line consists of the client's own ID, so that foreign, lost or reordered bytes in it are an error.
 func (t *Terminal) Pour(size int, pause time.Duration, stop <-chan struct{}, onBytes func(bytes int)) error {
 	line := []byte(strings.Repeat(t.ID+".", size/(len(t.ID)+1)+1)[:size-1] + "\n")
 	go func() {
@@ -188,7 +193,11 @@
 				if strings.HasPrefix(string(buf[i:n]), "MOVE\r\n") {
 					return ErrMoved
 				}
-				return &UnexpectedError{hint.Annotated{What: fmt.Sprintf("byte %d of a line", offset), Cause: ErrChanged, Do: inspectBalancerLog}}
+				return &UnexpectedError{hint.Annotated{
+					What:  fmt.Sprintf("byte %d of a line", offset),
+					Cause: ErrChanged,
+					Do:    inspectBalancerLog,
+				}}
 			}
 			offset = (offset + 1) % len(line)
 		}
@@ -198,37 +207,37 @@
 	}
 }
 
-// UnexpectedError is what a stand-in met that it didn't ask for.
+// UnexpectedError reports unexpected behaviour of the balancer.
 type UnexpectedError struct{ hint.Annotated }
 
-const inspectBalancerLog = "look into the balancer's log, then play it again with the same seed"
+const inspectBalancerLog = "see the balancer's log, then run again with the same seed"
 
-// ErrChanged tells that what came back is not what was sent.
+// ErrChanged reports that the bytes returned are not those sent.
 var ErrChanged error = &UnexpectedError{hint.Annotated{What: "bytes lost, repeated or changed", Do: inspectBalancerLog}}
 
-// Moved waits until the terminal is told to come again; anything else is an error.
+// Moved waits for MOVE; anything else is an error.
 func (t *Terminal) Moved(wait time.Duration) error {
 	_ = t.conn.SetReadDeadline(time.Now().Add(wait))
 	line, err := t.in.ReadString('\n')
 	if err == nil && line != "MOVE\r\n" {
-		err = &UnexpectedError{hint.Annotated{What: fmt.Sprintf("%q in place of MOVE", line), Do: inspectBalancerLog}}
+		err = &UnexpectedError{hint.Annotated{What: fmt.Sprintf("received %q instead of MOVE", line), Do: inspectBalancerLog}}
 	}
 	return err
 }
 
-// ErrMoved tells that the terminal was told to come again.
-var ErrMoved error = &UnexpectedError{hint.Annotated{What: "moved", Do: "connect again"}}
+// ErrMoved reports that the client received MOVE and has to connect again.
+var ErrMoved error = &UnexpectedError{hint.Annotated{What: "received MOVE", Do: "connect again"}}
 
-// Say sends bytes as they are.
+// Say sends text unchanged.
 func (t *Terminal) Say(text string) error {
 	_, err := io.WriteString(t.conn, text)
 	return err
 }
 
-// Close ends the connection in order, Break with a reset.
+// Close closes the connection gracefully.
 func (t *Terminal) Close() { t.disconnect(false) }
 
-// Break ends the connection with a reset, which leaves no port behind.
+// Break resets the connection, so that its port is free at once.
 func (t *Terminal) Break() { t.disconnect(true) }
 
 func (t *Terminal) disconnect(reset bool) {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -12,22 +12,23 @@
 	"oatloft/internal/rules"
 )
 
-// Discovery lists the regions, whole or as a watch on changes, over HTTP/1.1. Its zero value is started by New.
+// Discovery serves the list of servers over HTTP/1.1, either the whole list or a watch on its changes. New starts the
+// zero value.
 type Discovery struct {
 	Addr string
 
 	w       *World
 	mu      sync.Mutex
-	changed chan struct{} // closed and made anew at each change
-	seq     int64
+	changed chan struct{} // closed and replaced at each change
+	version int64
 	hosts   map[string]Host
 	changes []healthChange
 	down    bool
 }
 
 type healthChange struct {
-	seq  int64
-	host Host
+	version int64
+	host    Host
 }
 
 func (d *Discovery) listenDefault(w *World) error {
@@ -45,20 +46,21 @@
 	return nil
 }
 
-// front is where one balancer, or any, asks: the regions' addresses are those that it reaches them at.
+// endpoint is discovery as one balancer, or any of them, sees it: with the server addresses that the balancer dials.
 type endpoint struct {
 	discovery     *Discovery
 	balancer      string
 	dialAddresses map[string]string
 }
 
-// Front opens an address of its own for one balancer, which is told dial in place of the regions' addresses.
-func (d *Discovery) Front(addr, by string, dial map[string]string) (string, error) {
+// Front opens a separate address of discovery for one balancer. Lists served there have the addresses in dialAddresses, by
+// server name, instead of the servers' own.
+func (d *Discovery) Front(addr, balancer string, dialAddresses map[string]string) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	d.listen(l, endpoint{discovery: d, balancer: by, dialAddresses: dial})
+	d.listen(l, endpoint{discovery: d, balancer: balancer, dialAddresses: dialAddresses})
 	return l.Addr().String(), nil
 }
 
@@ -70,38 +72,39 @@
 	d.w.Go(func() { _ = s.Serve(l) })
 }
 
-// Tell changes a region's health: ready, draining or gone. Watches that stand are told at once.
-func (d *Discovery) Tell(region, health string) { d.setHealth(region, health, 0) }
+// Tell sets a server's health to ready, draining or gone. Open watches are notified at once.
+func (d *Discovery) Tell(server, health string) { d.setHealth(server, health, 0) }
 
-// Renew lists a region again as one that came up just now.
-func (d *Discovery) Renew(region string) { d.setHealth(region, "ready", time.Now().UnixMilli()) }
+// Renew lists a server as ready and as started just now.
+func (d *Discovery) Renew(server string) { d.setHealth(server, "ready", time.Now().UnixMilli()) }
 
-func (d *Discovery) setHealth(region, health string, born int64) {
+func (d *Discovery) setHealth(server, health string, startedMS int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h, ok := d.hosts[region]
+	h, ok := d.hosts[server]
 	for _, r := range d.w.Regions {
-		if r.Name == region && !ok {
+		if r.Name == server && !ok {
 			h = Host{Host: r.Name, Dial: r.Addr, Class: "m", Share: 1}
 		}
-		if r.Name == region {
+		if r.Name == server {
 			h.Site = r.zone()
 		}
 	}
-	if h.Health = health; born > 0 {
-		h.BornMS = born
+	if h.Health = health; startedMS > 0 {
+		h.BornMS = startedMS
 	}
-	if d.seq++; health == "gone" {
-		delete(d.hosts, region)
+	if d.version++; health == "gone" {
+		delete(d.hosts, server)
 	} else {
-		d.hosts[region] = h
+		d.hosts[server] = h
 	}
-	d.changes = append(d.changes, healthChange{d.seq, h})
+	d.changes = append(d.changes, healthChange{d.version, h})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Cut takes discovery down or up again: watches end, and calls are answered 503 meanwhile.
+// Cut makes discovery unavailable or available again. While it is unavailable, watches end and requests are answered
+// with 503.
 func (d *Discovery) Cut(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,23 +130,23 @@
 		return
 	}
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	flush, _ := out.(http.Flusher)
+	flusher, _ := out.(http.Flusher)
 	for {
 		d.mu.Lock()
 		changed, stop := d.changed, d.down
 		var body []byte
-		if from < d.seq {
+		if from < d.version {
 			body = d.list(from, f.dialAddresses)
 		}
-		seq, reported := d.seq, d.changesAfter(from)
+		seq, reported := d.version, d.changesAfter(from)
 		d.mu.Unlock()
 		if stop {
-			panic(http.ErrAbortHandler) // ends the connection with the chunk open
+			panic(http.ErrAbortHandler) // closes the connection within the chunked body
 		}
 		if _, err := fmt.Fprintf(out, "%s\n", body); err != nil {
 			return
 		}
-		flush.Flush()
+		flusher.Flush()
 		for _, c := range reported {
 			d.w.SawBy(f.balancer, rules.Told, "", c.host.Host, c.host.Health)
 		}
@@ -157,22 +160,22 @@
 	}
 }
 
-func (d *Discovery) changesAfter(from int64) (list []healthChange) {
+func (d *Discovery) changesAfter(from int64) (changes []healthChange) {
 	for _, c := range d.changes {
-		if c.seq > from {
-			list = append(list, c)
+		if c.version > from {
+			changes = append(changes, c)
 		}
 	}
-	return list
+	return changes
 }
 
-// list is the whole list, or the changes after a version.
-func (d *Discovery) list(from int64, dial map[string]string) []byte {
+// list returns the JSON of the changes after a version, or of the whole list if from is negative.
+func (d *Discovery) list(from int64, dialAddresses map[string]string) []byte {
 	msg := struct {
 		Seq   int64  `json:"seq"`
 		Whole bool   `json:"whole"`
 		Hosts []Host `json:"hosts"`
-	}{Seq: d.seq, Whole: from < 0}
+	}{Seq: d.version, Whole: from < 0}
 	if from < 0 {
 		for _, h := range d.hosts {
 			msg.Hosts = append(msg.Hosts, h)
@@ -184,8 +187,8 @@
 		}
 	}
 	for i, h := range msg.Hosts {
-		if to := dial[h.Host]; to != "" {
-			msg.Hosts[i].Dial = to
+		if address := dialAddresses[h.Host]; address != "" {
+			msg.Hosts[i].Dial = address
 		}
 	}
 	body, _ := json.Marshal(msg)
--- a/internal/fake/flood.go
+++ b/internal/fake/flood.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Noise is what a noisy address does.
+// Noise is a kind of abusive client behaviour.
 type Noise string
 
 // The kinds of noise.
@@ -23,7 +23,7 @@
 	OpenBytes  Noise = "sends lines without an end"
 )
 
-// Flood runs loops of one kind of noise until it is stopped.
+// Flood generates one kind of noise until it is stopped.
 type Flood struct {
 	Opened, Refused, Got, Failed atomic.Int64
 
@@ -31,18 +31,18 @@
 	loops  sync.WaitGroup
 }
 
-// Flood starts so many loops against a balancer at addr, from the addresses that from returns in turn. No loop
-// goes faster than the balancer answers.
+// Flood starts the given number of loops that connect to the balancer at addr, from the addresses that addressOf
+// returns for increasing indices. A loop is no faster than the balancer's answers.
 func (w *World) Flood(kind Noise, loops int, addressOf func(i int) string, addr string) *Flood {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Flood{cancel: cancel}
+	flood := &Flood{cancel: cancel}
 	if kind == NoNoise {
-		return f
+		return flood
 	}
 	for i := range loops {
-		f.loops.Add(1)
+		flood.loops.Add(1)
 		go func() {
-			defer f.loops.Done()
+			defer flood.loops.Done()
 			var open []*Terminal
 			defer func() {
 				for _, client := range open {
@@ -52,30 +52,30 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				client, err := w.Connect(addressOf(i+n*loops), addr)
 				if err != nil {
-					f.Failed.Add(1)
+					flood.Failed.Add(1)
 					sleepContext(ctx, time.Millisecond)
 					continue
 				}
-				f.Opened.Add(1)
-				if client = f.connect(ctx, kind, client, n); client != nil {
+				flood.Opened.Add(1)
+				if client = flood.connect(ctx, kind, client, n); client != nil {
 					open = append(open, client)
 				}
-				if len(open) > 200 { // of each loop; thousands in all
+				if len(open) > 200 { // connections per loop; thousands in all
 					open[0].Break()
 					open = open[1:]
 				}
 			}
 		}()
 	}
-	return f
+	return flood
 }
 
-// noise does one round, and returns the terminal if it is to be kept open.
+// connect runs one round, and returns the client if its connection is to stay open.
 func (f *Flood) connect(ctx context.Context, kind Noise, t *Terminal, n int) *Terminal {
 	switch kind {
 	case OpenClose:
 	case OpenSilent:
-		// Whoever is refused is told so at once, or a little later if it has to make room.
+		// A refusal comes at once, or a little later if the connection is closed to free capacity.
 		if a := t.Listen(2 * time.Millisecond); a.What == "none" {
 			return t
 		}
@@ -107,45 +107,48 @@
 	}
 }
 
-// Stop ends the loops and what they kept.
+// Stop ends the loops and closes their connections.
 func (f *Flood) Stop() {
 	f.cancel()
 	f.loops.Wait()
 }
 
-// ServeResult is how good terminals fared.
+// ServeResult is the result of World.Serve.
 type ServeResult struct {
 	Asked, Served int
-	By            map[string]int // answers
+	By            map[string]int // number of clients by the first word of their answer
 	Latency       *hdrhistogram.Histogram
 	Echoes, Moved int
-	Cut           int // standing connections that ended before their terminal did
+	Cut           int // established connections that the client did not close itself
 }
 
-// Share is the share that was served.
+// Share returns the fraction of the requests that was served.
 func (g ServeResult) Share() float64 { return float64(g.Served) / float64(max(1, g.Asked)) }
 
-// Quantile is a quantile of the time from asking to UP.
+// Quantile returns a quantile (in percent) of the time from the request to UP.
 func (g ServeResult) Quantile(q float64) time.Duration {
 	return time.Duration(g.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// GoodClient is a good terminal: an address and what it asks.
+// GoodClient is a well-behaved client: its address and its request.
 type GoodClient struct {
 	From string
 	Ask  Ask
 }
 
-// Customers makes n of them, each at an address and with a key of its own.
-func Customers(n int) (list []GoodClient) {
+// Customers returns n well-behaved clients, each with its own address and key.
+func Customers(n int) (clients []GoodClient) {
 	for i := range n {
-		list = append(list, GoodClient{fmt.Sprintf("127.%d.%d.%d", 20+i/200, i%200/10, i%10+1), Ask{Key: fmt.Sprintf("customer%d", i)}})
+		clients = append(clients, GoodClient{
+			fmt.Sprintf("127.%d.%d.%d", 20+i/200, i%200/10, i%10+1),
+			Ask{Key: fmt.Sprintf("customer%d", i)},
+		})
 	}
-	return list
+	return clients
 }
 
-// Serve has each customer come once, so many a second (0: all at once), ask, and stand for a while, a line every
-// 100 ms. It returns when all have ended.
+// Serve connects each client once, perSecond of them a second (0: all at once). Each sends its request and, if it is
+// served, keeps its connection for the time hold and sends a line every 100 ms. Serve returns when all have ended.
 func (w *World) Serve(goodClients []GoodClient, perSecond float64, hold time.Duration, addr string) ServeResult {
 	result := ServeResult{By: map[string]int{}, Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
--- a/internal/fake/main_test.go
+++ b/internal/fake/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails if a test leaves a goroutine running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -16,7 +16,7 @@
 	"oatloft/internal/hint"
 )
 
-// Process is a balancer that runs as a process of its own, so that its limits are real.
+// Process is a balancer in a separate process, so that the operating system enforces its limits.
 type Process struct {
 	Addr   string
 	cmd    *exec.Cmd
@@ -25,48 +25,49 @@
 	err    error
 }
 
-// log keeps the end of what the process has written.
+// outputBuffer keeps the last part of the process's output.
 type outputBuffer struct {
 	mu          sync.Mutex
 	buf         bytes.Buffer
 	onLine      func(line string)
-	partialLine []byte // of a line that has no end yet
+	partialLine []byte // start of a line whose end has not been written yet
 }
 
-func (l *outputBuffer) Write(b []byte) (int, error) {
+func (l *outputBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.buf.Len() > 1<<20 {
 		l.buf.Next(l.buf.Len() / 2)
 	}
 	if l.onLine != nil {
-		l.partialLine = append(l.partialLine, b...)
+		l.partialLine = append(l.partialLine, p...)
 		for i := bytes.IndexByte(l.partialLine, '\n'); i >= 0; i = bytes.IndexByte(l.partialLine, '\n') {
 			l.onLine(string(l.partialLine[:i]))
 			l.partialLine = l.partialLine[i+1:]
 		}
 	}
-	return l.buf.Write(b)
+	return l.buf.Write(p)
 }
 
-// Launch says how a balancer is started.
+// Launch describes how to start a balancer.
 type Launch struct {
 	Binary, Config, Addr string
 	Descriptors          int // the process's hard limit; 0: as many as this process may have
-	Inherited            int // descriptors that it holds from the start and knows nothing of
+	Inherited            int // number of open descriptors that it inherits and does not use
 	Args                 []string
 	Env                  []string
-	Management           string            // where operators call it; it has started once it says yes to status
+	Management           string            // management address; if set, the balancer is ready when it answers status
 	Listener             *os.File          // the listening socket that it inherits as descriptor 3
-	Lines                func(line string) // told each line that it writes; must not block
+	Lines                func(line string) // called with each line of its output; must not block
 }
 
-// started tells by the answer to status: who waits to hear which revision is in force has started.
+// hasStarted reports whether an answer to status comes from a started balancer. One that does not know the revision in
+// force yet has started too.
 func (l Launch) hasStarted(answer string) bool {
 	return strings.HasPrefix(answer, "+OK") || strings.HasPrefix(answer, "-ERR without a revision")
 }
 
-// Call is an operator's call: one line there, one line back.
+// Call makes a management call: it sends one line and returns the answer, also one line, or the text of an error.
 func Call(addr, line string) string {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -82,7 +83,8 @@
 	return strings.TrimRight(answer, "\r\n")
 }
 
-// Start runs Binary serve until the world ends, and returns once it answers PING.
+// Start runs the command serve of l.Binary until the world is closed, and returns once the balancer is ready: it
+// answers PING, or status if l.Management is set.
 func (w *World) Start(l Launch) (*Process, error) {
 	addr, line := l.Addr, `exec "$0" "$@"`
 	if l.Descriptors > 0 {
@@ -124,15 +126,22 @@
 		}
 		select {
 		case <-p.exited:
-			return nil, &UnexpectedError{hint.Annotated{What: "no PONG, it ended\n" + p.Log(), Cause: p.err, Do: "mend what its log says"}}
+			return nil, &UnexpectedError{hint.Annotated{
+				What:  "no PONG: the balancer exited\n" + p.Log(),
+				Cause: p.err,
+				Do:    "correct what its log reports",
+			}}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	p.Kill() // who comes next finds its addresses free
-	return nil, &UnexpectedError{hint.Annotated{What: "no PONG within 10 s\n" + p.Log(), Do: "see that the address is free and the machine isn't too busy"}}
+	p.Kill() // frees its addresses for the next process
+	return nil, &UnexpectedError{hint.Annotated{
+		What: "no PONG within 10 s\n" + p.Log(),
+		Do:   "check that the address is free and the machine is not overloaded",
+	}}
 }
 
-// Ping is the front's question, and what comes back.
+// Ping sends PING, as the layer in front of the balancers does, and returns the answer, "" if there is none.
 func Ping(addr string) string {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -145,26 +154,26 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// Log is what the process has written so far.
+// Log returns the process's output so far; of a long output, the last part.
 func (p *Process) Log() string {
 	p.output.mu.Lock()
 	defer p.output.mu.Unlock()
 	return p.output.buf.String()
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends it at once.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Over tells, once it has ended, how.
+// Over waits for the process to exit and returns the error of its exit, or an UnexpectedError if it is still running.
 func (p *Process) Over(wait time.Duration) error {
 	select {
 	case <-p.exited:
@@ -174,13 +183,13 @@
 	}
 }
 
-// Descriptors is how many the process holds now.
+// Descriptors returns the number of descriptors that the process has open.
 func (p *Process) Descriptors() int {
-	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	return len(list)
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	return len(entries)
 }
 
-// ResidentKB is the memory that the process holds now, and the most that it has held.
+// ResidentKB returns the process's current and peak resident memory, in KiB.
 func (p *Process) ResidentKB() (now, peak int) {
 	body, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for _, line := range strings.Split(string(body), "\n") {
@@ -196,7 +205,7 @@
 	return now, peak
 }
 
-// CPU is the processor time that the process has used.
+// CPU returns the processor time that the process has used.
 func (p *Process) CPU() time.Duration {
 	body, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	f := strings.Fields(string(body[max(0, bytes.LastIndexByte(body, ')')):]))
@@ -208,19 +217,19 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// Datagrams is how many UDP sockets the process holds now.
+// Datagrams returns the number of UDP sockets that the process has open.
 func (p *Process) Datagrams() (n int) {
-	mine := map[string]bool{}
+	ownSockets := map[string]bool{}
 	dir := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
-	list, _ := os.ReadDir(dir)
-	for _, e := range list {
-		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil {
-			mine[strings.TrimSuffix(strings.TrimPrefix(to, "socket:["), "]")] = true
+	entries, _ := os.ReadDir(dir)
+	for _, e := range entries {
+		if target, err := os.Readlink(dir + "/" + e.Name()); err == nil {
+			ownSockets[strings.TrimSuffix(strings.TrimPrefix(target, "socket:["), "]")] = true
 		}
 	}
 	body, _ := os.ReadFile(fmt.Sprintf("/proc/%d/net/udp", p.cmd.Process.Pid))
 	for _, line := range strings.Split(string(body), "\n")[1:] {
-		if f := strings.Fields(line); len(f) > 9 && mine[f[9]] {
+		if f := strings.Fields(line); len(f) > 9 && ownSockets[f[9]] {
 			n++
 		}
 	}
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -12,23 +12,23 @@
 	"oatloft/internal/rules"
 )
 
-// Fault is what a region does wrong, or at all unlike an idle one.
+// Fault is a way in which a server differs from an idle, healthy one.
 type Fault int32
 
-// The faults. They hold for connections that come while they are set; probes are answered in all but Vanished,
-// Stalled and Reset.
+// The faults. They apply to connections that are accepted while they are set. Probes are answered in spite of all
+// faults but Stalled and Reset, and not after Terminate.
 const (
 	None          Fault = iota
-	Busy                // turns every request away
+	Busy                // answers every request with BUSY
 	ErrorAnswer         // answers ERR
-	Reset               // resets after the first line
-	Stalled             // takes the line and says nothing
-	PartialAnswer       // answers half a line and ends
-	Lying               // reports no load, whatever it holds
+	Reset               // resets the connection after the first line
+	Stalled             // reads the line and does not answer
+	PartialAnswer       // answers half a line and closes the connection
+	Lying               // reports no load, however many connections it has
 	RefusedProbes       // answers NO to probes
 )
 
-// Region is one server.
+// Region is a fake server.
 type Region struct {
 	Name, Addr string
 	Zone       string // "here" if ""
@@ -36,11 +36,11 @@
 	w         *World
 	listener  net.Listener
 	fault     atomic.Int32
-	load      atomic.Int64 // what x0 is reported as, in thousandths, for each connection it holds weight more
+	load      atomic.Int64 // reported x0 without connections, in thousandths; each connection adds weight
 	weight    atomic.Int64
-	startedAt atomic.Int64 // when it came up cold, by the world's clock; 0 for warm
-	peakLoad  atomic.Int64 // most of what it can do that it was sent while cold, in thousandths
-	delay     atomic.Int64 // before UP
+	startedAt atomic.Int64 // start of the warm-up, by the world's clock; 0 if there is none
+	peakLoad  atomic.Int64 // highest load factor during the warm-up, in thousandths
+	delay     atomic.Int64 // of the answer UP, in nanoseconds
 	open      atomic.Int64
 	requests  atomic.Int64
 	probes    atomic.Int64
@@ -50,17 +50,18 @@
 	receipts  int
 }
 
-// Set has the region do something wrong from now on.
+// Set sets the server's fault for subsequent connections.
 func (r *Region) Set(f Fault) { r.fault.Store(int32(f)) }
 
-// SetLoad sets x0, the load asked over what it can do, without any connection.
+// SetLoad sets the load factor x0 (load over capacity) that the server reports without any connection.
 func (r *Region) SetLoad(x0 float64) { r.load.Store(int64(x0 * 1000)) }
 
-// SetWeight sets how much of what it can do a connection takes, warm.
+// SetWeight sets the share of the warmed-up server's capacity that a connection takes.
 func (r *Region) SetWeight(x0 float64) { r.weight.Store(int64(x0 * 1000)) }
 
-// A region that came up can do coldFrom of what it does warm, and all of it after coldFor; it falls over when sent more than
-// tipAt times what it can do for tipAfter. Config tells the balancers so.
+// The capacity of a server that is warming up rises from warmUpInitialShare of its full capacity to all of it within
+// warmUpDuration. The server fails if its load exceeds overloadFactor times its current capacity for overloadDuration.
+// Config passes these values to the balancers.
 const (
 	warmUpInitialShare = 0.34
 	warmUpDuration     = 8600 * time.Millisecond
@@ -70,15 +71,15 @@
 
 func (r *Region) loadFactor(connections int64) float64 {
 	x := float64(r.load.Load()+r.weight.Load()*connections) / 1000
-	if born := r.startedAt.Load(); born > 0 {
-		if age := r.w.Now() - time.Duration(born); age < warmUpDuration {
+	if startedAt := r.startedAt.Load(); startedAt > 0 {
+		if age := r.w.Now() - time.Duration(startedAt); age < warmUpDuration {
 			x /= warmUpInitialShare + (1-warmUpInitialShare)*float64(age)/float64(warmUpDuration)
 		}
 	}
 	return x
 }
 
-// Renew has the region be one that came up just now. Who sends it too much for too long is found.
+// Renew starts the server's warm-up anew. An overload that lasts too long during it is reported to the checker.
 func (r *Region) Renew() {
 	r.startedAt.Store(int64(r.w.Now()))
 	r.w.Go(func() {
@@ -91,7 +92,7 @@
 			if x <= overloadFactor {
 				overloaded = 0
 			} else if overloaded += now - previous; overloaded >= overloadDuration {
-				r.w.Saw(rules.ServerOverloaded, "", r.Name, fmt.Sprintf("%.1f times what it can do", x))
+				r.w.Saw(rules.ServerOverloaded, "", r.Name, fmt.Sprintf("%.1f times its capacity", x))
 				return
 			}
 			previous = now
@@ -105,22 +106,22 @@
 	})
 }
 
-// Pushed is the most that it was sent while cold, over what it could do.
+// Pushed returns the highest load factor during the warm-up.
 func (r *Region) Pushed() float64 { return float64(r.peakLoad.Load()) / 1000 }
 
-// SetDelay sets how long it takes until UP.
+// SetDelay sets the delay of the answer UP.
 func (r *Region) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Open is how many connections it holds, Took how many requests came, Probes how many probes.
+// Open returns the number of served connections that are open.
 func (r *Region) Open() int64 { return r.open.Load() }
 
-// Took is how many requests came.
+// Took returns the number of requests received.
 func (r *Region) Took() int64 { return r.requests.Load() }
 
-// Probes is how many probes came.
+// Probes returns the number of probes received.
 func (r *Region) Probes() int64 { return r.probes.Load() }
 
-// Terminate ends the region: its connections are reset and new ones refused.
+// Terminate stops the server: its connections are reset and new ones are refused.
 func (r *Region) Terminate() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -134,7 +135,7 @@
 	}
 }
 
-// SendAway moves all its terminals, as a draining server does.
+// SendAway sends MOVE to all clients, as a draining server does.
 func (r *Region) SendAway() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +171,7 @@
 	}
 }
 
-// serve answers probes until the first line of a request comes.
+// serve answers probes until it reads the first line of a request.
 func (r *Region) serve(c net.Conn) {
 	in := bufio.NewReaderSize(c, 4096)
 	for {
@@ -229,7 +230,7 @@
 		fmt.Fprint(c, "UP hal")
 		return
 	case Stalled:
-		_, _ = in.ReadByte() // until the balancer ends it
+		_, _ = in.ReadByte() // until the balancer closes the connection
 		return
 	}
 	if d := time.Duration(r.delay.Load()); d > 0 {
@@ -268,7 +269,7 @@
 	}
 }
 
-// class is what a first line's last field says.
+// class is what a first line's last field names.
 func classOf(fields string) string {
 	for f := range strings.SplitSeq(fields, ",") {
 		if name, ok := strings.CutPrefix(f, "c="); ok {
--- a/internal/fake/warm_up_test.go
+++ b/internal/fake/warm_up_test.go
@@ -8,7 +8,7 @@
 	"oatloft/internal/rules"
 )
 
-// A cold region that holds too much for long is found, and one that holds it for a moment is not.
+// An overloaded server that is warming up is reported if the overload lasts, and not if it is brief.
 func TestServerOverloadedDuringWarmUp(t *testing.T) {
 	w, err := New(2)
 	if err != nil {
@@ -17,7 +17,7 @@
 	defer w.Close()
 	for _, r := range w.Regions {
 		r.SetWeight(0.2)
-		r.open.Store(8) // 1.6 of what it does warm, 4.7 of what it can do now
+		r.open.Store(8) // load of 1.6 times its full capacity, 4.7 times its current one
 		r.Renew()
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -25,12 +25,12 @@
 	w.Regions[0].open.Store(30)
 	time.Sleep(overloadDuration + 300*time.Millisecond)
 	if n := w.Checker.Count(rules.ServerOverloaded); n != 1 {
-		t.Fatalf("%d regions pushed over", n)
+		t.Fatalf("%d servers overloaded, want 1", n)
 	}
 	if v := w.Violations(); !strings.Contains(v, "a cold region pushed over") || !strings.Contains(v, w.Regions[0].Name) {
 		t.Error(v)
 	}
 	if p := w.Regions[1].Pushed(); p < 4 || p > 5 {
-		t.Errorf("pushed to %.1f", p)
+		t.Errorf("peak load factor %.1f, want 4 to 5", p)
 	}
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -1,9 +1,9 @@
-// Package fake plays what a balancer meets on the platform: regions, discovery and terminals, on loopback sockets,
-// by the published protocol and with faults on demand. Tests and tools build on it. It owns the parties' sides of
-// the conversation and tells a rules.Checker what they see; it must never use the balancer's own parsers or state,
-// since both would then be wrong together, and never send traffic off loopback.
+// Package fake implements the servers, the discovery service and the clients that a balancer talks to, on loopback
+// sockets, by the published protocol and with faults on demand, for tests and tools. They report what they observe to a
+// rules.Checker. The package does not use the balancer's own parsers or state, since an error in those would then go
+// unnoticed, and it sends no traffic off loopback.
 //
-// A World is one run: its parties share its clock and its checker. All that they start ends with Close.
+// A World is one run: all fakes in it share its clock and its checker, and Close stops them.
 package fake
 
 import (
@@ -20,16 +20,17 @@
 	"oatloft/internal/rules"
 )
 
-// World holds what the parties of one run share.
+// World is the state that the fakes of one run share.
 type World struct {
 	Checker   *rules.Checker
 	Regions   []*Region
 	Discovery Discovery
-	// Who names the balancer that a connection comes from, where several run; "" is all of them.
+	// Who returns the name of the balancer that a connection comes from, if several run; "" stands for any of them.
 	Who func(from net.Addr) string
-	// Carried, if set, is told the bytes of a class that a region has read from a balancer. It must not block.
+	// Carried, if set, is called with the number of bytes of a class that a server has read from a balancer. It must
+	// not block.
 	Carried func(by, region, class string, bytes int)
-	// Watch, if set, is told every event that the checker is told, before it. It must not block.
+	// Watch, if set, is called with every event before the checker gets it. It must not block.
 	Watch      func(rules.Event)
 	start      time.Time
 	mu         sync.Mutex
@@ -37,11 +38,14 @@
 	goroutines sync.WaitGroup
 }
 
-// New starts a world with so many regions, r1 and on, and a discovery that lists them. The regions listen on
-// addresses of their own within 127.9.0.0/16, so that none is reached by mistake.
-func New(regions int) (*World, error) {
-	w := &World{Checker: rules.New(rules.Limits{Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond}), start: time.Now()}
-	for i := range regions {
+// New starts a world with the given number of servers, named r1, r2 and so on, and a discovery service that lists them.
+// Each server listens on its own address within 127.9.0.0/16, so that none is reached by mistake.
+func New(servers int) (*World, error) {
+	w := &World{
+		Checker: rules.New(rules.Limits{Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond}),
+		start:   time.Now(),
+	}
+	for i := range servers {
 		if err := w.AddRegion(fmt.Sprintf("r%d", i+1), fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1)); err != nil {
 			w.Close()
 			return nil, err
@@ -54,7 +58,7 @@
 	return w, nil
 }
 
-// AddRegion starts another region; Discovery doesn't list it until it is told to.
+// AddRegion starts another server. Discovery does not list it until Discovery.Tell is called.
 func (w *World) AddRegion(name, addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -68,17 +72,17 @@
 	return nil
 }
 
-// Now is the run's time.
+// Now returns the time since the start of the run.
 func (w *World) Now() time.Duration { return time.Since(w.start) }
 
-// Saw tells the checker of something.
-func (w *World) Saw(kind rules.Kind, id, region, text string) {
-	w.SawBy("", kind, id, region, text)
+// Saw reports an event to the checker.
+func (w *World) Saw(kind rules.Kind, id, server, text string) {
+	w.SawBy("", kind, id, server, text)
 }
 
-// SawBy tells the checker of something that one balancer did or was told.
-func (w *World) SawBy(by string, kind rules.Kind, id, region, text string) {
-	e := rules.Event{At: w.Now(), Kind: kind, ID: id, Region: region, Text: text, By: by}
+// SawBy reports an event that concerns one balancer to the checker.
+func (w *World) SawBy(balancer string, kind rules.Kind, id, server, text string) {
+	e := rules.Event{At: w.Now(), Kind: kind, ID: id, Region: server, Text: text, By: balancer}
 	if w.Watch != nil {
 		w.Watch(e)
 	}
@@ -92,20 +96,20 @@
 	return w.Who(c.RemoteAddr())
 }
 
-// OnClose has something ended with the world, the last first.
+// OnClose registers a function for Close, which calls them in reverse order.
 func (w *World) OnClose(f func()) {
 	w.mu.Lock()
 	w.closers = append(w.closers, f)
 	w.mu.Unlock()
 }
 
-// Go runs f until it ends, which Close waits for.
+// Go runs f in a goroutine that Close waits for.
 func (w *World) Go(f func()) {
 	w.goroutines.Add(1)
 	go func() { defer w.goroutines.Done(); f() }()
 }
 
-// Close ends all parties and waits until they have gone.
+// Close stops all fakes and waits for their goroutines.
 func (w *World) Close() {
 	w.mu.Lock()
 	closers := w.closers
@@ -117,7 +121,7 @@
 	w.goroutines.Wait()
 }
 
-// Host is a region in discovery's form.
+// Host is a server in the format of the discovery list.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -129,32 +133,32 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Hosts lists all regions as ready.
+// Hosts returns all servers as ready.
 func (w *World) Hosts() []Host {
-	var list []Host
+	var hosts []Host
 	for _, r := range w.Regions {
-		list = append(list, Host{Host: r.Name, Dial: r.Addr, Site: r.zone(), Class: "m", Health: "ready", Share: 1})
+		hosts = append(hosts, Host{Host: r.Name, Dial: r.Addr, Site: r.zone(), Class: "m", Health: "ready", Share: 1})
 	}
-	return list
+	return hosts
 }
 
-// Options are what a balancer in this world is told beside its address.
+// Options are the settings of a balancer in this world, apart from its address.
 type Options struct {
 	Sockets, MemoryMB int
-	Attempts          int  // for a transaction; 3 if 0
-	Advice            bool // terminals heed BUSY MS
-	PassThrough       bool // packets pass through
+	Attempts          int  // attempts per request; 3 if 0
+	Advice            bool // clients follow the hint in BUSY MS
+	PassThrough       bool // pass-through mode
 	Tenants           map[string]float64
-	Discovery         string            // where this balancer finds it; the world's own address if ""
-	Dial              map[string]string // where this balancer reaches a region, by name; its own address if none
-	Balancers         int               // 1 if 0
-	Zone              string            // the balancer's; "here" if ""
-	Bulk              bool              // there is a second class, bulk, that is worth less
+	Discovery         string            // address of discovery for this balancer; the world's own if ""
+	Dial              map[string]string // address of a server for this balancer, by name; the server's own if missing
+	Balancers         int               // number of balancers; 1 if 0
+	Zone              string            // zone of the balancer; "here" if ""
+	Bulk              bool              // adds a second class, bulk, with a lower priority weight
 }
 
 const defaultZone = "here"
 
-// Config is a balancer's PROXY_CONFIG. It listens on a free port of listen.
+// Config returns a balancer's PROXY_CONFIG. The balancer listens on the address listen.
 func (w *World) Config(name, listen string, o Options) []byte {
 	if o.Attempts == 0 {
 		o.Attempts = 3
@@ -173,16 +177,20 @@
 	}
 	known := w.Hosts()
 	for i, h := range known {
-		if to := o.Dial[h.Host]; to != "" {
-			known[i].Dial = to
+		if address := o.Dial[h.Host]; address != "" {
+			known[i].Dial = address
 		}
 	}
 	if o.Zone == "" {
 		o.Zone = defaultZone
 	}
-	classes := []map[string]any{{"name": "chat", "aim-ms": 800.0, "give-up-ms": 2000.0, "semantics": "safe", "group": "all", "stream": true}}
+	classes := []map[string]any{{
+		"name": "chat", "aim-ms": 800.0, "give-up-ms": 2000.0, "semantics": "safe", "group": "all", "stream": true,
+	}}
 	if o.Bulk {
-		classes = append(classes, map[string]any{"name": "bulk", "aim-ms": 2000.0, "give-up-ms": 4000.0, "semantics": "safe", "group": "all", "stream": true})
+		classes = append(classes, map[string]any{
+			"name": "bulk", "aim-ms": 2000.0, "give-up-ms": 4000.0, "semantics": "safe", "group": "all", "stream": true,
+		})
 	}
 	mode := "proxy"
 	if o.PassThrough {
@@ -196,20 +204,22 @@
 			"zone": o.Zone, "balancers": max(1, o.Balancers), "granularity-ms": 5.0, "membership-mode": "on_request",
 			"limits": map[string]any{"max-attempts": o.Attempts, "probes": true, "retry-after": o.Advice,
 				"max-retry-after-ms": 2000.0, "connect-timeout-ms": 250.0},
-			"reporting":   map[string]any{"how": "pull", "columns": []string{"lat_ms", "rif", "x0"}},
-			"family-info": map[string]any{"groups": true, "mode": mode, "message-aim-ms": []float64{150}, "tenant-quota-connections": quotas},
-			"rules": map[string]any{"ask-every-ms": 10000.0, "cold-from": warmUpInitialShare, "cold-ms": float64(warmUpDuration.Milliseconds()), "fall-multiple": overloadFactor,
+			"reporting": map[string]any{"how": "pull", "columns": []string{"lat_ms", "rif", "x0"}},
+			"family-info": map[string]any{"groups": true, "mode": mode, "message-aim-ms": []float64{150},
+				"tenant-quota-connections": quotas},
+			"rules": map[string]any{"ask-every-ms": 10000.0, "cold-from": warmUpInitialShare,
+				"cold-ms": float64(warmUpDuration.Milliseconds()), "fall-multiple": overloadFactor,
 				"tip-after-ms": float64(overloadDuration.Milliseconds())},
 			"tenants": tenants,
 			"classes": classes,
 		}})
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // all values can be marshalled
 	}
 	return body
 }
 
-// WriteConfig writes Config to dir and returns its path and the address that it names.
+// WriteConfig writes Config to dir, with a free port of host, and returns its path and the listening address.
 func (w *World) WriteConfig(dir, name, host string, o Options) (path, addr string, err error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -221,12 +231,12 @@
 	return path, addr, os.WriteFile(path, w.Config(name, addr, o), 0o600)
 }
 
-// Violations ends the checker's run and writes what it found, "" if nothing.
+// Violations ends the checker's run and returns its first violations as text, "" if there are none.
 func (w *World) Violations() string {
 	return w.ViolationsBut(func(rules.Violation) bool { return false })
 }
 
-// ViolationsBut leaves out what is excused.
+// ViolationsBut is Violations without those for which excused returns true.
 func (w *World) ViolationsBut(excused func(rules.Violation) bool) string {
 	var b strings.Builder
 	for i, v := range slices.DeleteFunc(w.Checker.End(w.Now()), excused) {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -38,8 +38,8 @@
 )
 
 func (k Kind) String() string {
-	return [...]string{"request sent", "answered", "unanswered", "client closed", "routed", "receipt", "attempt ended",
-		"state reported", "line sent", "line returned", "connection cut", "overloaded", "started"}[k]
+	return [...]string{"asked", "answered", "unanswered", "left", "routed", "receipt", "attempt ended", "told", "sent",
+		"returned", "lost", "overloaded", "started"}[k]
 }
 
 // Event is one observation. All observers use the same clock.
