--- a/cmd/oatlab/admission.go
+++ b/cmd/oatlab/admission.go
@@ -20,58 +20,63 @@
 	"oatloft/internal/hint"
 )
 
-// admissionTable prints the table of docs/operators/admission.md.
-type admissionTable struct {
-	Balancer    string        `help:"The balancer's program." default:"bin/oatloft" type:"path"`
-	Edge        string        `help:"Settings of admission (CUE)." default:"deploy/edge.cue" type:"path"`
-	Descriptors []int         `help:"Limits of descriptors to measure at." default:"512,256"`
-	Memory      int           `help:"Limit of memory, in MB." default:"64"`
-	Good        int           `help:"Good terminals, each from an address of its own." default:"200"`
-	Rate        float64       `help:"Good terminals a second." default:"50"`
-	Stand       time.Duration `help:"How long a good terminal stands." default:"500ms"`
-	Loops       int           `help:"Loops of noise." default:"64"`
-	Only        string        `help:"Rows whose name holds this."`
+// admissionTable measures admission control and prints the table in docs/operators/admission.md.
+type admissionCommand struct {
+	Balancer    string        `help:"Executable of the balancer." default:"bin/oatloft" type:"path"`
+	Edge        string        `help:"Settings file with the admission settings (CUE)." default:"deploy/edge.cue" type:"path"`
+	Descriptors []int         `help:"Descriptor limits to measure with." default:"512,256"`
+	Memory      int           `help:"Memory limit, in MB." default:"64"`
+	Good        int           `help:"Number of well-behaved clients, each with its own address." default:"200"`
+	Rate        float64       `help:"Well-behaved clients started per second." default:"50"`
+	Stand       time.Duration `help:"Time for which a well-behaved client stays connected." default:"500ms"`
+	Loops       int           `help:"Number of loops that generate noise." default:"64"`
+	Only        string        `help:"Measure only rows whose name contains this."`
 	Off         bool          `help:"Measure with admission off only."`
-	Counters    bool          `help:"Print the balancer's counters behind each row."`
+	Counters    bool          `help:"Print the balancer's counters after each row."`
 	On          bool          `help:"Measure with admission on only."`
 }
 
-// noise is a process of its own, on one core, so that it takes no time from the good terminals and the regions.
-type noise struct {
+// noise generates noise in a separate process limited to one core, so that it takes no processor time from the
+// well-behaved clients and the servers.
+type noiseCommand struct {
 	Addr      string        `arg:"" help:"The balancer's host:port, on loopback."`
-	Kind      fake.Noise    `help:"What the noisy do." required:""`
+	Kind      fake.Noise    `help:"Kind of noise." required:""`
 	Loops     int           `default:"64"`
 	Addresses int           `default:"1"`
-	Most      time.Duration `help:"It ends by itself then." default:"60s"`
+	Most      time.Duration `help:"Time limit of the run." default:"60s"`
 }
 
-func (n *noise) Run() error {
+func (n *noiseCommand) Run() error {
 	if host, _, err := net.SplitHostPort(n.Addr); err != nil || !net.ParseIP(host).IsLoopback() {
-		return &unfit{hint.Annotated{Where: n.Addr, What: "noise is for loopback only", Do: "give an address such as 127.0.0.1:9000"}}
+		return &invalidFlag{hint.Annotated{
+			Where: n.Addr,
+			What:  "not a loopback address",
+			Do:    "give an address such as 127.0.0.1:9000",
+		}}
 	}
 	runtime.GOMAXPROCS(1)
-	w, err := fake.New(0)
+	world, err := fake.New(0)
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	f := w.Flood(n.Kind, n.Loops, func(i int) string {
+	defer world.Close()
+	flood := world.Flood(n.Kind, n.Loops, func(i int) string {
 		i %= n.Addresses
 		return fmt.Sprintf("127.66.%d.%d", i%10, i/10+1)
 	}, n.Addr)
-	ended := make(chan struct{})
-	go func() { _, _ = io.Copy(io.Discard, os.Stdin); close(ended) }()
+	inputClosed := make(chan struct{})
+	go func() { _, _ = io.Copy(io.Discard, os.Stdin); close(inputClosed) }()
 	select {
-	case <-ended:
+	case <-inputClosed:
 	case <-time.After(n.Most):
 	}
-	fmt.Println(f.Opened.Load(), f.Refused.Load(), f.Got.Load())
-	f.Stop()
+	fmt.Println(flood.Opened.Load(), flood.Refused.Load(), flood.Got.Load())
+	flood.Stop()
 	return nil
 }
 
-// startNoise runs noise until stop is called, which tells what it did.
-func startNoise(addr string, r row, loops int) (stop func() (opened, refused, got int64), err error) {
+// startNoise runs the noise command until stop is called, which returns its counters.
+func startNoise(addr string, r noiseRow, loops int) (stop func() (opened, refused, got int64), err error) {
 	if r.kind == fake.NoNoise {
 		return func() (int64, int64, int64) { return 0, 0, 0 }, nil
 	}
@@ -79,7 +84,8 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(self, "noise", addr, "--kind", string(r.kind), "--loops", strconv.Itoa(loops), "--addresses", strconv.Itoa(r.addresses))
+	cmd := exec.Command(self, "noise", addr, "--kind", string(r.kind),
+		"--loops", strconv.Itoa(loops), "--addresses", strconv.Itoa(r.addresses))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -98,15 +104,15 @@
 	}, nil
 }
 
-type row struct {
+type noiseRow struct {
 	name      string
 	kind      fake.Noise
 	addresses int
-	known     bool // the good terminals have stood before
+	returning bool // the well-behaved clients have been connected before
 }
 
-func (a *admissionTable) Run() error {
-	rows := []row{
+func (a *admissionCommand) Run() error {
+	rows := []noiseRow{
 		{"none", fake.NoNoise, 1, false},
 		{"one opens and closes", fake.OpenClose, 1, false},
 		{"one opens and says nothing", fake.OpenSilent, 1, false},
@@ -125,16 +131,18 @@
 	if err != nil {
 		return err
 	}
-	// A measurement can't wait for 10 s until customers are known.
+	// Clients count as known after 300 ms instead of 10 s, which would make the measurement too long.
 	body = []byte(strings.Replace(string(body), `"stand_for": "10s"`, `"stand_for": "300ms"`, 1))
 	edge := filepath.Join(dir, "edge.json")
 	if err := os.WriteFile(edge, body, 0o600); err != nil {
 		return err
 	}
-	fmt.Printf("%d good terminals, %.0f a second, standing for %v; noise by %d loops\n\n", a.Good, a.Rate, a.Stand, a.Loops)
-	fmt.Println("| descriptors | admission | noise | good served | p50 | p99 | others of good | noise opened, refused, up | balancer CPU | most memory | rules |")
+	fmt.Printf("%d well-behaved clients, %.0f a second, each connected for %v; noise by %d loops\n\n",
+		a.Good, a.Rate, a.Stand, a.Loops)
+	fmt.Println("| descriptors | admission | noise | good served | p50 | p99 | others of good " +
+		"| noise opened, refused, up | balancer CPU | most memory | rules |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var broken []error
+	var errs []error
 	for _, n := range a.Descriptors {
 		for _, on := range []bool{false, true} {
 			if on && a.Off || !on && a.On {
@@ -145,15 +153,15 @@
 					continue
 				}
 				if err := a.measure(dir, edge, n, on, r); err != nil {
-					broken = append(broken, err)
+					errs = append(errs, err)
 				}
 			}
 		}
 	}
-	return errors.Join(broken...)
+	return errors.Join(errs...)
 }
 
-func (a *admissionTable) measure(dir, edge string, descriptors int, on bool, r row) error {
+func (a *admissionCommand) measure(dir, edge string, descriptors int, admissionOn bool, r noiseRow) error {
 	w, err := fake.New(4)
 	if err != nil {
 		return err
@@ -164,57 +172,59 @@
 		return err
 	}
 	args, state := []string{"--log-level=info"}, "off"
-	if on {
+	if admissionOn {
 		args, state = append(args, "--edge", edge), "on"
 	}
 	p, err := w.Start(fake.Launch{Binary: a.Balancer, Config: config, Addr: addr, Descriptors: descriptors, Args: args})
 	if err != nil {
 		return err
 	}
-	good := fake.Customers(a.Good)
-	if r.known {
-		// No faster than they all fit in: everybody has stood once before.
-		w.Serve(good, 0.7*float64(descriptors)/4/0.6, 600*time.Millisecond, addr)
+	clients := fake.Customers(a.Good)
+	if r.returning {
+		// At this rate all of them are admitted, so that each client has been connected once.
+		w.Serve(clients, 0.7*float64(descriptors)/4/0.6, 600*time.Millisecond, addr)
 	}
 	cpu := p.CPU()
-	began := time.Now()
+	start := time.Now()
 	stop, err := startNoise(addr, r, a.Loops)
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	g := w.Serve(good, a.Rate, a.Stand, addr)
-	took := time.Since(began)
-	busy := float64(p.CPU()-cpu) / float64(took)
-	_, most := p.ResidentKB()
-	opened, refused, got := stop()
+	result := w.Serve(clients, a.Rate, a.Stand, addr)
+	elapsed := time.Since(start)
+	cpuShare := float64(p.CPU()-cpu) / float64(elapsed)
+	_, peak := p.ResidentKB()
+	opened, refused, up := stop()
 	if a.Counters {
 		p.Signal(syscall.SIGTERM)
 		_ = p.Over(10 * time.Second)
 		fmt.Fprintln(os.Stderr, p.Log())
 	}
-	verdict := w.Violations()
+	violations := w.Violations()
 	rules := "kept"
-	if verdict != "" {
+	if violations != "" {
 		rules = "BROKEN"
-		fmt.Fprint(os.Stderr, verdict)
+		fmt.Fprint(os.Stderr, violations)
 	}
 	var others []string
-	for what, n := range g.By {
+	for what, n := range result.By {
 		if what != "UP" {
 			others = append(others, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	if g.Cut > 0 {
-		others = append(others, fmt.Sprintf("%d cut", g.Cut))
+	if result.Cut > 0 {
+		others = append(others, fmt.Sprintf("%d cut", result.Cut))
 	}
-	fmt.Printf("| %d | %s | %s | %d of %d | %.1f ms | %.1f ms | %s | %d, %d, %d | %.0f%% | %d MB | %s |\n", descriptors, state, r.name, g.Served, g.Asked,
-		float64(g.Quantile(50))/1e6, float64(g.Quantile(99))/1e6, strings.Join(others, ", "), opened, refused, got, 100*busy, most>>10, rules)
+	fmt.Printf("| %d | %s | %s | %d of %d | %.1f ms | %.1f ms | %s | %d, %d, %d | %.0f%% | %d MB | %s |\n",
+		descriptors, state, r.name, result.Served, result.Asked,
+		float64(result.Quantile(50))/1e6, float64(result.Quantile(99))/1e6, strings.Join(others, ", "),
+		opened, refused, up, 100*cpuShare, peak>>10, rules)
 	if err := p.Over(0); !a.Counters && (err == nil || !strings.Contains(err.Error(), "running")) {
-		return &failed{hint.Annotated{Where: r.name, What: "the balancer ended\n" + p.Log(), Cause: err, Do: lookAt}}
+		return &failedRun{hint.Annotated{Where: r.name, What: "the balancer exited\n" + p.Log(), Cause: err, Do: inspectOutput}}
 	}
-	if verdict != "" {
-		return &failed{hint.Annotated{Where: r.name, What: "a rule was broken", Do: lookAt}}
+	if violations != "" {
+		return &failedRun{hint.Annotated{Where: r.name, What: "a rule was broken", Do: inspectOutput}}
 	}
 	return nil
 }
--- a/cmd/oatlab/cost.go
+++ b/cmd/oatlab/cost.go
@@ -13,52 +13,55 @@
 	"oatloft/internal/hint"
 )
 
-// cost measures what a balancer costs while nothing is wrong: idle memory, the time of a line, of a set-up, and of the
-// processor, and the bytes that it passes at full tilt. Given two programs it runs them in turns.
-type cost struct {
-	Balancer string        `help:"The balancer's program." default:"bin/oatloft" type:"path"`
-	Against  string        `help:"Another program, for instance an older build." type:"path"`
-	Runs     int           `help:"Runs of each." default:"5"`
-	Lines    int           `help:"Lines that go to a region and back, one after the other, in a run." default:"20000"`
-	Setups   int           `help:"Set-ups one after the other in a run." default:"500"`
-	Bulk     time.Duration `help:"Time for which four terminals send as fast as they can, in a run." default:"1s"`
-	Idle     time.Duration `help:"Time before idle memory is read." default:"1s"`
-	Args     []string      `help:"Further arguments for the balancer, not for the other one."`
+// cost measures a balancer's resource use without faults: idle memory, latency of a line and of a connection set-up,
+// processor time per line, and throughput. With two executables it runs them alternately.
+type costCommand struct {
+	Balancer string        `help:"Executable of the balancer." default:"bin/oatloft" type:"path"`
+	Against  string        `help:"Executable to compare with, for instance an older build." type:"path"`
+	Runs     int           `help:"Runs of each executable." default:"5"`
+	Lines    int           `help:"Lines sent to a server and back, one after the other, in a run." default:"20000"`
+	Setups   int           `help:"Connections set up one after the other in a run." default:"500"`
+	Bulk     time.Duration `help:"Time for which four clients send as fast as they can, in a run." default:"1s"`
+	Idle     time.Duration `help:"Time to wait before reading the idle memory." default:"1s"`
+	Args     []string      `help:"Further arguments for --balancer, not for --against."`
 }
 
-type costs struct{ idleKB, mostKB, echo50, echo99, setup50, setup99, cpu, bulk float64 }
+// costs are the results of one run: memory in KiB, times in microseconds, throughput in MB per second.
+type costSample struct{ idleKB, peakKB, echo50, echo99, setup50, setup99, cpuPerLine, throughput float64 }
 
-func (c *cost) Run() error {
+func (c *costCommand) Run() error {
 	programs := []string{c.Balancer}
 	if c.Against != "" {
 		programs = append(programs, c.Against)
 	}
-	got := make([][]costs, len(programs))
+	samples := make([][]costSample, len(programs))
 	for range c.Runs {
-		for i, p := range programs {
+		for i, program := range programs {
 			args := c.Args
 			if i > 0 {
 				args = nil
 			}
-			x, err := c.once(p, args)
+			x, err := c.measure(program, args)
 			if err != nil {
 				return err
 			}
-			got[i] = append(got[i], x)
+			samples[i] = append(samples[i], x)
 		}
 	}
-	fmt.Printf("%d runs in turns; least, median, most of the runs\n\n", c.Runs)
-	fmt.Println("| program | idle KB | most KB | echo p50 us | echo p99 us | set-up p50 us | set-up p99 us | CPU us a line | bulk MB/s |")
+	fmt.Printf("%d alternating runs; minimum, median, maximum of the runs\n\n", c.Runs)
+	fmt.Println("| program | idle KB | most KB | echo p50 us | echo p99 us " +
+		"| set-up p50 us | set-up p99 us | CPU us a line | bulk MB/s |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for i, p := range programs {
-		fmt.Printf("| %s |", p)
-		for _, of := range []func(costs) float64{func(x costs) float64 { return x.idleKB }, func(x costs) float64 { return x.mostKB },
-			func(x costs) float64 { return x.echo50 }, func(x costs) float64 { return x.echo99 }, func(x costs) float64 { return x.setup50 },
-			func(x costs) float64 { return x.setup99 }, func(x costs) float64 { return x.cpu },
-			func(x costs) float64 { return x.bulk }} {
+	for i, program := range programs {
+		fmt.Printf("| %s |", program)
+		for _, column := range []func(costSample) float64{
+			func(x costSample) float64 { return x.idleKB }, func(x costSample) float64 { return x.peakKB },
+			func(x costSample) float64 { return x.echo50 }, func(x costSample) float64 { return x.echo99 },
+			func(x costSample) float64 { return x.setup50 }, func(x costSample) float64 { return x.setup99 },
+			func(x costSample) float64 { return x.cpuPerLine }, func(x costSample) float64 { return x.throughput }} {
 			var list []float64
-			for _, x := range got[i] {
-				list = append(list, of(x))
+			for _, x := range samples[i] {
+				list = append(list, column(x))
 			}
 			slices.Sort(list)
 			fmt.Printf(" %.0f, %.0f, %.0f |", list[0], list[len(list)/2], list[len(list)-1])
@@ -68,7 +71,7 @@
 	return nil
 }
 
-func (c *cost) once(binary string, args []string) (x costs, err error) {
+func (c *costCommand) measure(binary string, args []string) (x costSample, err error) {
 	w, err := fake.New(4)
 	if err != nil {
 		return x, err
@@ -96,7 +99,7 @@
 	}
 	defer t.Close()
 	if a := t.Open(fake.Ask{Key: "cost"}); a.What != "UP" {
-		return x, &failed{hint.Annotated{What: fmt.Sprintf("not served: %+v", a), Do: lookAt}}
+		return x, &failedRun{hint.Annotated{What: fmt.Sprintf("request not served: %+v", a), Do: inspectOutput}}
 	}
 	times := make([]time.Duration, 0, c.Lines)
 	before := p.CPU()
@@ -107,58 +110,59 @@
 		}
 		times = append(times, time.Since(began))
 	}
-	x.cpu = float64((p.CPU() - before).Microseconds()) / float64(c.Lines)
+	x.cpuPerLine = float64((p.CPU() - before).Microseconds()) / float64(c.Lines)
 	x.echo50, x.echo99 = quantiles(times)
 	times = times[:0]
 	for i := range c.Setups {
-		t, err := w.Connect(fmt.Sprintf("127.50.%d.%d", i/10%250, i%10+1), addr) // admission, where it is on, has nothing against these
+		// Different addresses, so that admission, if enabled, does not refuse them.
+		t, err := w.Connect(fmt.Sprintf("127.50.%d.%d", i/10%250, i%10+1), addr)
 		if err != nil {
 			return x, err
 		}
 		a := t.Open(fake.Ask{Key: fmt.Sprint("setup", i)})
 		t.Close()
 		if a.What != "UP" {
-			return x, &failed{hint.Annotated{What: fmt.Sprintf("set-up %d: %+v", i, a), Do: lookAt}}
+			return x, &failedRun{hint.Annotated{What: fmt.Sprintf("connection %d not served: %+v", i, a), Do: inspectOutput}}
 		}
 		times = append(times, a.Took)
 	}
 	x.setup50, x.setup99 = quantiles(times)
-	if x.bulk, err = c.pour(w, addr); err != nil {
+	if x.throughput, err = c.measureThroughput(w, addr); err != nil {
 		return x, err
 	}
-	_, most := p.ResidentKB()
-	x.mostKB = float64(most)
+	_, peak := p.ResidentKB()
+	x.peakKB = float64(peak)
 	return x, nil
 }
 
-// pour is what comes back to terminals that send as fast as they can, in MB a second.
-func (c *cost) pour(w *fake.World, addr string) (float64, error) {
-	const terminals, piece = 4, 32 << 10
+// measureThroughput returns the throughput of clients that send as fast as they can, in MB per second.
+func (c *costCommand) measureThroughput(w *fake.World, addr string) (float64, error) {
+	const clients, lineBytes = 4, 32 << 10
 	if c.Bulk <= 0 {
 		return 0, nil
 	}
-	var sum atomic.Int64
-	var all sync.WaitGroup
-	defer all.Wait()
+	var received atomic.Int64
+	var clientsDone sync.WaitGroup
+	defer clientsDone.Wait()
 	stop := make(chan struct{})
 	defer close(stop)
-	for i := range terminals {
+	for i := range clients {
 		t, err := w.Connect(fmt.Sprintf("127.51.0.%d", i+1), addr)
 		if err != nil {
 			return 0, err
 		}
 		if a := t.Open(fake.Ask{Key: fmt.Sprint("pour", i)}); a.What != "UP" {
-			return 0, &failed{hint.Annotated{What: fmt.Sprintf("bulk terminal %d: %+v", i, a), Do: lookAt}}
+			return 0, &failedRun{hint.Annotated{What: fmt.Sprintf("bulk client %d not served: %+v", i, a), Do: inspectOutput}}
 		}
-		all.Go(func() { _ = t.Pour(piece, 0, stop, func(n int) { sum.Add(int64(n)) }); t.Break() })
+		clientsDone.Go(func() { _ = t.Pour(lineBytes, 0, stop, func(n int) { received.Add(int64(n)) }); t.Break() })
 	}
 	time.Sleep(200 * time.Millisecond)
-	was, began := sum.Load(), time.Now()
+	before, began := received.Load(), time.Now()
 	time.Sleep(c.Bulk)
-	return float64(sum.Load()-was) / 1e6 / time.Since(began).Seconds(), nil
+	return float64(received.Load()-before) / 1e6 / time.Since(began).Seconds(), nil
 }
 
-// quantiles are p50 and p99 in microseconds.
+// quantiles sorts list and returns its p50 and p99, in microseconds.
 func quantiles(list []time.Duration) (p50, p99 float64) {
 	slices.SortFunc(list, cmp.Compare[time.Duration])
 	return float64(list[len(list)/2].Nanoseconds()) / 1e3, float64(list[len(list)*99/100].Nanoseconds()) / 1e3
--- a/cmd/oatlab/crowd.go
+++ b/cmd/oatlab/crowd.go
@@ -19,7 +19,7 @@
 )
 
 // crowdCmd steps many balancers' modules side by side, each alone, with each of the means of acting together, and with all.
-type crowdCmd struct {
+type crowdCommand struct {
 	Balancers []int         `default:"3,30,300" help:"Numbers of balancers."`
 	Regions   []int         `default:"10,90" help:"Numbers of regions."`
 	Subset    int           `default:"8" help:"Regions that a balancer looks at by itself, where subsets are on."`
@@ -34,7 +34,7 @@
 }
 
 // drawn plays drawn deployments, and names the worst tenth with what was lost there and not by the policy that sees all.
-func (c *crowdCmd) drawn() error {
+func (c *crowdCommand) drawn() error {
 	fmt.Println("| seed | served | by who sees all, late | part | placed | refused | failed | late | attempts a placement | probes | cold regions fallen | broken |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	var all []simulation.Played
@@ -60,14 +60,14 @@
 		}
 	}
 	if broken > 0 {
-		return &failed{hint.Annotated{What: fmt.Sprintf("a rule broke in %d of %d deployments", broken, len(all)), Do: lookAt}}
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("a rule broke in %d of %d deployments", broken, len(all)), Do: inspectOutput}}
 	}
 	return nil
 }
 
-func (c *crowdCmd) Run() error {
+func (c *crowdCommand) Run() error {
 	if c.Subset < 1 || c.Subset > 128 || c.Load <= 0 || c.Load > 2 || c.Slow < 0 || c.Slow >= 1 || c.Lag < 0 {
-		return &unfit{hint.Annotated{What: "--subset has to be 1 to 128, --load above 0 and up to 2, --slow 0 to 1, --lag not negative", Do: "set the flags within these"}}
+		return &invalidFlag{hint.Annotated{What: "--subset has to be 1 to 128, --load above 0 and up to 2, --slow 0 to 1, --lag not negative", Do: "set the flags within these"}}
 	}
 	if c.Drawn > 0 {
 		return c.drawn()
--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -17,7 +17,7 @@
 
 // demo shows a newcomer what the balancers do: three of them, six stand-in regions, terminals that come and go. Keys, or
 // flags where there is no terminal, kill a balancer, cut links and drain a region.
-type demo struct {
+type demoCommand struct {
 	Binary    string  `default:"bin/oatloft" type:"path" help:"The balancer."`
 	Balancers int     `default:"3"`
 	Regions   int     `default:"6"`
@@ -29,20 +29,20 @@
 	Plain     bool    `help:"Plain lines also on a terminal."`
 }
 
-func (c *demo) Run() error {
+func (c *demoCommand) Run() error {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
 		return err
 	}
 	if _, err := os.Stat(binary); err != nil {
-		return &unfit{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
+		return &invalidFlag{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd()))
 	if c.Seconds == 0 && !live {
 		c.Seconds = 20
 	}
 	if !(c.Seconds >= 0 && c.Seconds <= 600) {
-		return &unfit{hint.Annotated{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
+		return &invalidFlag{hint.Annotated{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
 	}
 	s := &faultinjection.Schedule{Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1)}
 	w, err := faultinjection.Open(s, faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
@@ -59,14 +59,14 @@
 		return err
 	}
 	if broken := w.Judge(); len(broken) > 0 {
-		return &failed{hint.Annotated{What: "a rule broke: " + broken[0], Do: lookAt}}
+		return &failedRun{hint.Annotated{What: "a rule broke: " + broken[0], Do: inspectOutput}}
 	}
 	fmt.Println("all rules kept")
 	return nil
 }
 
 // begin starts a fault by hand; what it returns ends it.
-func (c *demo) begin(w *faultinjection.Scenario, key string) (what string, end func()) {
+func (c *demoCommand) begin(w *faultinjection.Scenario, key string) (what string, end func()) {
 	switch key {
 	case "k":
 		return "balancer b02 is killed", w.StartFault(faultinjection.Fault{Kind: "kill", A: min(2, c.Balancers)})
@@ -79,7 +79,7 @@
 }
 
 // lines prints what stands where, a line a second.
-func (c *demo) lines(w *faultinjection.Scenario) error {
+func (c *demoCommand) lines(w *faultinjection.Scenario) error {
 	began, length := time.Now(), time.Duration(c.Seconds*float64(time.Second))
 	steps := []struct {
 		on       bool
@@ -117,7 +117,7 @@
 }
 
 // words are the parts of what is seen: regions, members, terminals.
-func (c *demo) words(w *faultinjection.Scenario) []string {
+func (c *demoCommand) words(w *faultinjection.Scenario) []string {
 	var regions, members []string
 	for _, r := range w.Regions {
 		regions = append(regions, fmt.Sprintf("%s %d", r.Name, r.Open()))
@@ -128,7 +128,7 @@
 
 // screen is the live view.
 type screen struct {
-	c     *demo
+	c     *demoCommand
 	w     *faultinjection.Scenario
 	began time.Time
 	ends  map[string]func()
@@ -174,7 +174,7 @@
 		"\n\nk kills b02, c cuts b01 off, d drains r1; the same key again ends it; q leaves\n"
 }
 
-func (c *demo) live(w *faultinjection.Scenario) error {
+func (c *demoCommand) live(w *faultinjection.Scenario) error {
 	s := &screen{c: c, w: w, began: time.Now(), ends: map[string]func(){}, parts: c.words(w)}
 	_, err := tea.NewProgram(s).Run()
 	for _, end := range s.ends {
--- a/cmd/oatlab/faults.go
+++ b/cmd/oatlab/faults.go
@@ -19,7 +19,7 @@
 )
 
 // faultsCmd puts faults between several processes of the balancer, by schedules drawn from seeds or read from a file.
-type faultsCmd struct {
+type faultsCommand struct {
 	Balancers int     `default:"5" help:"Processes."`
 	Seed      uint64  `default:"1" help:"First seed."`
 	Seeds     int     `default:"5" help:"How many, each the one before and one more."`
@@ -51,21 +51,21 @@
 	lease time.Duration
 }
 
-func (c *faultsCmd) Run() error {
+func (c *faultsCommand) Run() error {
 	silent, err := time.ParseDuration(c.Silent)
 	if err != nil {
-		return &unfit{hint.Annotated{Where: "--silent", What: fmt.Sprintf("%q is no time", c.Silent), Do: "write it as 1.5s"}}
+		return &invalidFlag{hint.Annotated{Where: "--silent", What: fmt.Sprintf("%q is no time", c.Silent), Do: "write it as 1.5s"}}
 	}
 	if c.lease, err = time.ParseDuration(c.Lease); err != nil || c.lease < 100*time.Millisecond {
-		return &unfit{hint.Annotated{Where: "--lease", What: fmt.Sprintf("%q is no time of 100ms or more", c.Lease), Do: "write it as 2s"}}
+		return &invalidFlag{hint.Annotated{Where: "--lease", What: fmt.Sprintf("%q is no time of 100ms or more", c.Lease), Do: "write it as 2s"}}
 	}
 	planned := c.Changes > 0 || c.Rollbacks > 0 || c.Before > 0
 	c.Revisions = c.Revisions || c.Links || planned
 	if c.Seeds < 1 || c.Jobs < 1 || c.Jobs > 16 || c.Seeds > 10000 {
-		return &unfit{hint.Annotated{What: "--seeds has to be 1 to 10000, --jobs 1 to 16", Do: "set the flags within these"}}
+		return &invalidFlag{hint.Annotated{What: "--seeds has to be 1 to 10000, --jobs 1 to 16", Do: "set the flags within these"}}
 	}
 	if c.OnCut == "both" && !planned {
-		return &unfit{hint.Annotated{Where: "--on-cut", What: "both goes with --changes", Do: "add --changes N, or name one of the two"}}
+		return &invalidFlag{hint.Annotated{Where: "--on-cut", What: "both goes with --changes", Do: "add --changes N, or name one of the two"}}
 	}
 	var fixed *faultinjection.Schedule
 	if c.Schedule != "" {
@@ -78,7 +78,7 @@
 		return err
 	}
 	if _, err := os.Stat(binary); err != nil {
-		return &unfit{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
+		return &invalidFlag{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
 	if c.Defects != "" {
 		return c.find(silent)
@@ -176,20 +176,20 @@
 	fmt.Printf("FAULTS seeds=%d broken=%d void=%d plays=%d\n", c.Seeds, broken, void, plays)
 	switch {
 	case broken > 0:
-		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs broke something", broken, c.Seeds), Do: lookAt}}
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs broke something", broken, c.Seeds), Do: inspectOutput}}
 	case void > 0:
-		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs show nothing: the machine had no processor to give", void, c.Seeds),
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs show nothing: the machine had no processor to give", void, c.Seeds),
 			Do: "play them again, or with fewer --jobs"}}
 	}
 	return nil
 }
 
-func (c *faultsCmd) options(binary string, net int, silent time.Duration) faultinjection.Options {
+func (c *faultsCommand) options(binary string, net int, silent time.Duration) faultinjection.Options {
 	return faultinjection.Options{Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, Readings: c.Readings, Turns: c.Turns,
 		Revisions: c.Revisions, Links: c.Links, Lease: c.lease}
 }
 
-func (c *faultsCmd) draw(seed uint64) *faultinjection.Schedule {
+func (c *faultsCommand) draw(seed uint64) *faultinjection.Schedule {
 	if !c.Revisions {
 		return faultinjection.Draw(seed, c.Balancers, c.Seconds)
 	}
@@ -207,7 +207,7 @@
 }
 
 // find plays fault runs against a balancer with one defect after the other, until each is found or the seeds are over.
-func (c *faultsCmd) find(silent time.Duration) error {
+func (c *faultsCommand) find(silent time.Duration) error {
 	type found struct {
 		seeds int
 		what  string
@@ -217,7 +217,7 @@
 		names := strings.Split(c.Only, ",")
 		list = slices.DeleteFunc(slices.Clone(list), func(d failpoint.Defect) bool { return !slices.Contains(names, d.Name) })
 		if len(list) != len(names) {
-			return &unfit{hint.Annotated{Where: "--only", What: fmt.Sprintf("%d of these %d defects are known", len(list), len(names)), Do: "take names from the table in docs/design/faultinjection.md"}}
+			return &invalidFlag{hint.Annotated{Where: "--only", What: fmt.Sprintf("%d of these %d defects are known", len(list), len(names)), Do: "take names from the table in docs/design/faultinjection.md"}}
 		}
 	}
 	results := make([]found, len(list))
@@ -261,16 +261,16 @@
 		fmt.Printf("| %s | %s | %s | %d | %s |\n", d.Name, d.Breaks, d.FoundBy, r.seeds, first)
 	}
 	if missed > 0 {
-		return &failed{hint.Annotated{What: fmt.Sprintf("%d defects were not found", missed), Do: "give more --seeds; if they stay hidden, a check is missing"}}
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d defects were not found", missed), Do: "give more --seeds; if they stay hidden, a check is missing"}}
 	}
 	return nil
 }
 
 // change plays runs of changes, each seed with each of what goes on meanwhile and each on_cut, and prints a row for each.
-func (c *faultsCmd) change(binary string, silent time.Duration) error {
+func (c *faultsCommand) change(binary string, silent time.Duration) error {
 	within, err := time.ParseDuration(c.Within)
 	if err != nil || within <= 0 {
-		return &unfit{hint.Annotated{Where: "--within", What: fmt.Sprintf("%q is no time", c.Within), Do: "write it as 10s"}}
+		return &invalidFlag{hint.Annotated{Where: "--within", What: fmt.Sprintf("%q is no time", c.Within), Do: "write it as 10s"}}
 	}
 	cuts := map[string][]string{"both": {"refuse", "hold"}, "drawn": {"refuse"}}[c.OnCut]
 	if cuts == nil {
@@ -345,7 +345,7 @@
 	}
 	fmt.Printf("CHANGES runs=%d broken=%d\n", len(runs), broken)
 	if broken > 0 {
-		return &failed{hint.Annotated{What: fmt.Sprintf("%d of %d runs broke something:\n%s", broken, len(runs), strings.Join(why, "\n")), Do: lookAt}}
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d runs broke something:\n%s", broken, len(runs), strings.Join(why, "\n")), Do: inspectOutput}}
 	}
 	return nil
 }
--- a/cmd/oatlab/fleet.go
+++ b/cmd/oatlab/fleet.go
@@ -18,7 +18,7 @@
 
 // fleet counts over the traces of many balancers at once (serve --log-level debug, one file each): what is harmless
 // from one of them shows only in the sum. It must never take a line that is cut off for one that counts.
-type fleet struct {
+type fleetCommand struct {
 	Logs   string `arg:"" help:"Folder with one trace a balancer (*.log)." type:"existingdir"`
 	Region bool   `help:"Also print set-ups begun and the mean reported load, by region and second."`
 	Why    bool   `help:"Also print, by second and class, what was asked, placed and refused, why, and which regions had room."`
@@ -127,7 +127,7 @@
 }
 
 // Run reads all traces and prints the tables.
-func (f *fleet) Run() error {
+func (f *fleetCommand) Run() error {
 	files, err := filepath.Glob(filepath.Join(f.Logs, "*.log"))
 	if err != nil {
 		return err
@@ -141,11 +141,11 @@
 		err = c.read(in)
 		_ = in.Close()
 		if err != nil {
-			return &failed{hint.Annotated{Where: name, Cause: err, Do: "give whole files, as serve --log-level debug writes them"}}
+			return &failedRun{hint.Annotated{Where: name, Cause: err, Do: "give whole files, as serve --log-level debug writes them"}}
 		}
 	}
 	if c.first < 0 {
-		return &failed{hint.Annotated{Where: f.Logs, What: fmt.Sprintf("no trace in %d files", len(files)), Do: "run the balancers with --log-level debug"}}
+		return &failedRun{hint.Annotated{Where: f.Logs, What: fmt.Sprintf("no trace in %d files", len(files)), Do: "run the balancers with --log-level debug"}}
 	}
 	c.print(os.Stdout, len(files), f.Region)
 	if f.Why {
--- a/cmd/oatlab/golden_test.go
+++ b/cmd/oatlab/golden_test.go
@@ -6,4 +6,4 @@
 	"oatloft/internal/golden"
 )
 
-func TestFormOfCommandLine(t *testing.T) { golden.Flags(t, "flags.txt", &flags{}) }
+func TestCommandLineFormat(t *testing.T) { golden.Flags(t, "flags.txt", &flags{}) }
--- a/cmd/oatlab/main.go
+++ b/cmd/oatlab/main.go
@@ -1,5 +1,5 @@
-// Command oatlab is the project's laboratory: load, failures and measurements against stand-ins on loopback. It may
-// use heavy libraries and all cores; it must never be part of a running deployment, and what it starts ends with it.
+// Command oatlab runs load tests, fault injection and measurements against fakes on loopback. It may import large
+// libraries and use all cores. It is not part of a deployment, and the processes that it starts end with it.
 package main
 
 import (
@@ -13,39 +13,40 @@
 )
 
 type flags struct {
-	Cost      cost           `cmd:"" help:"Measure idle memory, a line and a set-up; of two programs in turns."`
-	Noise     noise          `cmd:"" help:"Open noisy connections to a balancer until standard input ends; print what was served."`
-	Admission admissionTable `cmd:"" help:"Measure good clients beside a noisy address, with admission off and on."`
-	Fleet     fleet          `cmd:"" help:"Count over many balancers' traces (serve --log-level debug), by second and server."`
-	Faults    faultsCmd      `cmd:"" aliases:"storm" help:"Put faults between several balancers, and judge what they do together."`
-	Demo      demo           `cmd:"" help:"Three balancers, six servers and clients that come and go, to look at and to disturb."`
-	Peers     peersTable     `cmd:"" help:"Measure membership in stepped time: deaths, false suspicions, bytes."`
-	Crowd     crowdCmd       `cmd:"" help:"Step many balancers side by side, alone and together; probes, crowding, evenness."`
+	Cost      costCommand      `cmd:"" help:"Measure memory, latency and throughput of one or two executables."`
+	Noise     noiseCommand     `cmd:"" help:"Generate noise until standard input ends, and print its counters."`
+	Admission admissionCommand `cmd:"" help:"Measure service to well-behaved clients under noise, with admission off and on."`
+	Fleet     fleetCommand     `cmd:"" help:"Summarise many balancers' traces (serve --log-level debug) by second."`
+	Faults    faultsCommand    `cmd:"" aliases:"storm" help:"Inject faults into a group of balancers and check the rules."`
+	Demo      demoCommand      `cmd:"" help:"Run balancers, servers and clients interactively, with faults on demand."`
+	Peers     peersCommand     `cmd:"" help:"Measure membership in stepped time: failures, false suspicions, bytes."`
+	Crowd     crowdCommand     `cmd:"" help:"Simulate many balancers, independent and coordinated: probes, overload, balance."`
 }
 
-// oldVerbs are the names that verbs had before. They work for a release, with a warning.
-var oldVerbs = map[string]string{"storm": "faults"}
+// renamedCommands maps former names of commands to the current ones. A former name works for one release, with a warning.
+var renamedCommands = map[string]string{"storm": "faults"}
 
-// warnOldVerb tells on out that the verb in the arguments has another name now.
-func warnOldVerb(out io.Writer, arguments []string) {
+// warnRenamedCommand writes a warning to out if the arguments use the former name of a command.
+func warnRenamedCommand(out io.Writer, arguments []string) {
 	if len(arguments) == 0 {
 		return
 	}
-	if name, ok := oldVerbs[arguments[0]]; ok {
-		fmt.Fprintf(out, "oatlab: warning: %s is now called %s; the old name goes with the next release\n", arguments[0], name)
+	if name, ok := renamedCommands[arguments[0]]; ok {
+		fmt.Fprintf(out, "oatlab: warning: %s is now called %s; the old name will be removed in the next release\n",
+			arguments[0], name)
 	}
 }
 
-// unfit is a flag that can't work.
-type unfit struct{ hint.Annotated }
+// invalidFlag reports a flag with an invalid value.
+type invalidFlag struct{ hint.Annotated }
 
-// failed is a run that didn't come to its end, or found something broken.
-type failed struct{ hint.Annotated }
+// failedRun reports a run that could not be completed or in which a check failed.
+type failedRun struct{ hint.Annotated }
 
-const lookAt = "look into what is printed above; the same seed plays it again"
+const inspectOutput = "see the output above; the same seed repeats the run"
 
 func main() {
-	warnOldVerb(os.Stderr, os.Args[1:])
+	warnRenamedCommand(os.Stderr, os.Args[1:])
 	ctx := kong.Parse(&flags{}, kong.Name("oatlab"),
 		kong.Description("Load, failures and measurements for oatloft, on loopback."))
 	if err := ctx.Run(); err != nil {
--- a/cmd/oatlab/main_test.go
+++ b/cmd/oatlab/main_test.go
@@ -7,24 +7,25 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestOldVerbsWork holds that each old name of a verb still selects it, with a warning that names the new one.
-func TestOldVerbsWork(t *testing.T) {
-	for old, name := range oldVerbs {
-		for _, verb := range []string{old, name} {
+// TestRenamedCommandsWork checks that the former name of a command still selects it, with a warning that gives the new
+// name.
+func TestRenamedCommandsWork(t *testing.T) {
+	for old, name := range renamedCommands {
+		for _, command := range []string{old, name} {
 			parser, err := kong.New(&flags{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			ctx, err := parser.Parse([]string{verb, "--seed", "7"})
+			ctx, err := parser.Parse([]string{command, "--seed", "7"})
 			if err != nil || ctx.Command() != name {
-				t.Errorf("%s: %v, %v", verb, ctx, err)
+				t.Errorf("%s: %v, %v", command, ctx, err)
 			}
-			var said strings.Builder
-			warnOldVerb(&said, []string{verb, "--seed", "7"})
-			if warned := strings.Contains(said.String(), old+" is now called "+name); warned != (verb == old) {
-				t.Errorf("%s: said %q", verb, said.String())
+			var output strings.Builder
+			warnRenamedCommand(&output, []string{command, "--seed", "7"})
+			if warned := strings.Contains(output.String(), old+" is now called "+name); warned != (command == old) {
+				t.Errorf("%s: said %q", command, output.String())
 			}
 		}
 	}
-	warnOldVerb(nil, nil) // without arguments nothing is said
+	warnRenamedCommand(nil, nil) // without arguments there is no warning
 }
--- a/cmd/oatlab/peers.go
+++ b/cmd/oatlab/peers.go
@@ -9,24 +9,26 @@
 	"oatloft/internal/membership/stepped"
 )
 
-// peersTable measures internal/membership in stepped time: how long a death takes to be known, who is held gone though alive,
-// and what it all sends.
-type peersTable struct {
+// peersTable measures internal/membership in stepped time: the time until a failure is detected by all members, the rate
+// of members wrongly considered gone, and the bytes sent.
+type peersCommand struct {
 	Members []int         `default:"5,50,200" help:"Numbers of members."`
 	Silent  time.Duration `default:"3s" help:"silent_after."`
-	Deaths  int           `default:"3" help:"Deaths to measure."`
-	Signals int           `default:"12" help:"Signals that each member tells every half a second."`
-	Calm    time.Duration `default:"60s" help:"Time without faults, and time of one member's flapping."`
+	Deaths  int           `default:"3" help:"Failures to measure."`
+	Signals int           `default:"12" help:"Signals that each member announces every 0.5 s."`
+	Calm    time.Duration `default:"60s" help:"Duration of the phase without faults, and of the phase with a flapping member."`
 	Seed    uint64        `default:"1"`
 }
 
-func (c *peersTable) Run() error {
-	fmt.Printf("stepped time, silent_after %v, 1 to 5 ms a way, each member tells %d signals each half a second\n\n", c.Silent, c.Signals)
-	fmt.Println("| members | loss | a death known to all after | suspicions an hour and member | held gone though alive, an hour and member | bytes a second and member | the same while one flaps |")
+func (c *peersCommand) Run() error {
+	fmt.Printf("stepped time, silent_after %v, one-way delay 1 to 5 ms, each member announces %d signals every 0.5 s\n\n",
+		c.Silent, c.Signals)
+	fmt.Println("| members | loss | failure known to all after | suspicions per hour and member " +
+		"| wrongly gone per hour and member | bytes per second and member | same while one member flaps |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- |")
 	for _, n := range c.Members {
 		for _, loss := range []float64{0, 0.1} {
-			if err := c.row(n, loss); err != nil {
+			if err := c.measure(n, loss); err != nil {
 				return err
 			}
 		}
@@ -34,21 +36,22 @@
 	return nil
 }
 
-func (c *peersTable) row(n int, loss float64) error {
-	w, err := stepped.New(n, c.Seed, c.Silent, stepped.Net{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: loss, Double: loss / 5})
+func (c *peersCommand) measure(n int, loss float64) error {
+	w, err := stepped.New(n, c.Seed, c.Silent,
+		stepped.Net{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: loss, Double: loss / 5})
 	if err != nil {
 		return err
 	}
 	if _, missing := w.Settle(40 * c.Silent); missing != "" {
-		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: lookAt}}
+		return &failedRun{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: inspectOutput}}
 	}
-	suspicions, wrong := 0, 0
+	suspicions, falselyGone := 0, 0
 	w.Changes = func(_ *stepped.Node, e membership.Changed) {
 		if e.State == membership.Gone {
-			wrong++
+			falselyGone++
 		}
 	}
-	live := func(d time.Duration, each func()) int64 {
+	run := func(d time.Duration, onStep func()) int64 {
 		before := w.Bytes
 		for end := w.Now + d; w.Now < end; {
 			for i := range n {
@@ -56,28 +59,28 @@
 					w.Set(i, fmt.Sprint("r/", k), fmt.Append(nil, w.Now.Milliseconds(), " 120 0"), 5*time.Second)
 				}
 			}
-			if each != nil {
-				each()
+			if onStep != nil {
+				onStep()
 			}
 			w.Run(500 * time.Millisecond)
 		}
 		return int64(float64(w.Bytes-before) / d.Seconds() / float64(n))
 	}
-	live(10*time.Second, nil)
+	run(10*time.Second, nil)
 	for _, d := range w.Nodes {
 		suspicions -= int(d.M.Counters.Suspected)
 	}
-	calm := live(c.Calm, nil)
+	baselineBytes := run(c.Calm, nil)
 	for _, d := range w.Nodes {
 		suspicions += int(d.M.Counters.Suspected)
 	}
 	hours := c.Calm.Hours() * float64(n)
-	falseEnds := wrong
-	flap := live(c.Calm, func() {
+	falselyGoneWithoutFaults := falselyGone
+	flappingBytes := run(c.Calm, func() {
 		if w.Nodes[n-1].M != nil {
 			w.Kill(n - 1)
 		} else if err := w.Start(n - 1); err != nil {
-			panic(err) // it has started before
+			panic(err) // the member has been started before
 		}
 	})
 	if w.Nodes[n-1].M == nil {
@@ -85,25 +88,34 @@
 			return err
 		}
 	}
-	known := ""
+	detectionTimes := ""
 	for k := range c.Deaths {
-		if took, missing := w.Settle(20 * c.Silent); missing != "" {
-			return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: fmt.Sprintf("after %v: %s", took, missing), Do: lookAt}}
+		if elapsed, missing := w.Settle(20 * c.Silent); missing != "" {
+			return &failedRun{hint.Annotated{
+				Where: fmt.Sprintf("%d members, loss %v", n, loss),
+				What:  fmt.Sprintf("after %v: %s", elapsed, missing),
+				Do:    inspectOutput,
+			}}
 		}
 		i := 2 + k%(n-2)
 		w.Kill(i)
-		took, missing := w.Settle(20 * c.Silent)
+		elapsed, missing := w.Settle(20 * c.Silent)
 		if missing != "" {
-			return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: "a death: " + missing, Do: lookAt}}
+			return &failedRun{hint.Annotated{
+				Where: fmt.Sprintf("%d members, loss %v", n, loss),
+				What:  "failure not detected: " + missing,
+				Do:    inspectOutput,
+			}}
 		}
-		known += fmt.Sprintf(" %.1f s", took.Seconds())
+		detectionTimes += fmt.Sprintf(" %.1f s", elapsed.Seconds())
 		if err := w.Start(i); err != nil {
 			return err
 		}
 	}
 	if len(w.Faults) > 0 {
-		return &failed{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: lookAt}}
+		return &failedRun{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: inspectOutput}}
 	}
-	fmt.Printf("| %d | %.0f%% |%s | %.1f | %.2f | %d | %d |\n", n, 100*loss, known, float64(suspicions)/hours, float64(falseEnds)/hours, calm, flap)
+	fmt.Printf("| %d | %.0f%% |%s | %.1f | %.2f | %d | %d |\n",
+		n, 100*loss, detectionTimes, float64(suspicions)/hours, float64(falselyGoneWithoutFaults)/hours, baselineBytes, flappingBytes)
 	return nil
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -53,8 +53,8 @@
 	dialAddresses map[string]string
 }
 
-// Front opens a separate address of discovery for one balancer. Lists served there have the addresses in dialAddresses, by
-// server name, instead of the servers' own.
+// Front opens a separate address of discovery for one balancer. Lists served there have the addresses in dialAddresses,
+// by server name, instead of the servers' own.
 func (d *Discovery) Front(addr, balancer string, dialAddresses map[string]string) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
