--- a/cmd/oatlab/admission.go
+++ b/cmd/oatlab/admission.go
@@ -20,10 +20,10 @@
 	"oatloft/internal/hint"
 )
 
-// admissionTable measures admission control and prints the table in docs/operators/admission.md.
+// admissionCommand measures admission control and prints the table in docs/operators/admission.md.
 type admissionCommand struct {
 	Balancer    string        `help:"Executable of the balancer." default:"bin/oatloft" type:"path"`
-	Edge        string        `help:"Settings file with the admission settings (CUE)." default:"deploy/edge.cue" type:"path"`
+	Edge        string        `help:"File with the admission settings (CUE)." default:"deploy/edge.cue" type:"path"`
 	Descriptors []int         `help:"Descriptor limits to measure with." default:"512,256"`
 	Memory      int           `help:"Memory limit, in MB." default:"64"`
 	Good        int           `help:"Number of well-behaved clients, each with its own address." default:"200"`
@@ -36,7 +36,7 @@
 	On          bool          `help:"Measure with admission on only."`
 }
 
-// noise generates noise in a separate process limited to one core, so that it takes no processor time from the
+// noiseCommand generates noise in a separate process limited to one core, so that it takes no processor time from the
 // well-behaved clients and the servers.
 type noiseCommand struct {
 	Addr      string        `arg:"" help:"The balancer's host:port, on loopback."`
@@ -221,7 +221,12 @@
 		float64(result.Quantile(50))/1e6, float64(result.Quantile(99))/1e6, strings.Join(others, ", "),
 		opened, refused, up, 100*cpuShare, peak>>10, rules)
 	if err := p.Over(0); !a.Counters && (err == nil || !strings.Contains(err.Error(), "running")) {
-		return &failedRun{hint.Annotated{Where: r.name, What: "the balancer exited\n" + p.Log(), Cause: err, Do: inspectOutput}}
+		return &failedRun{hint.Annotated{
+			Where: r.name,
+			What:  "the balancer exited\n" + p.Log(),
+			Cause: err,
+			Do:    inspectOutput,
+		}}
 	}
 	if violations != "" {
 		return &failedRun{hint.Annotated{Where: r.name, What: "a rule was broken", Do: inspectOutput}}
--- a/cmd/oatlab/cost.go
+++ b/cmd/oatlab/cost.go
@@ -13,8 +13,8 @@
 	"oatloft/internal/hint"
 )
 
-// cost measures a balancer's resource use without faults: idle memory, latency of a line and of a connection set-up,
-// processor time per line, and throughput. With two executables it runs them alternately.
+// costCommand measures a balancer's resource use without faults: idle memory, latency of a line and of a connection
+// set-up, processor time per line, and throughput. With two executables it runs them alternately.
 type costCommand struct {
 	Balancer string        `help:"Executable of the balancer." default:"bin/oatloft" type:"path"`
 	Against  string        `help:"Executable to compare with, for instance an older build." type:"path"`
@@ -26,7 +26,7 @@
 	Args     []string      `help:"Further arguments for --balancer, not for --against."`
 }
 
-// costs are the results of one run: memory in KiB, times in microseconds, throughput in MB per second.
+// costSample holds the results of one run: memory in KiB, times in microseconds, throughput in MB per second.
 type costSample struct{ idleKB, peakKB, echo50, echo99, setup50, setup99, cpuPerLine, throughput float64 }
 
 func (c *costCommand) Run() error {
--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -15,18 +15,18 @@
 	"oatloft/internal/hint"
 )
 
-// demo shows a newcomer what the balancers do: three of them, six stand-in regions, terminals that come and go. Keys, or
-// flags where there is no terminal, kill a balancer, cut links and drain a region.
+// demoCommand demonstrates the balancers: by default three of them, with six fake servers and clients that connect and
+// disconnect. Keys, or flags without an interactive terminal, kill a balancer, cut links and drain a server.
 type demoCommand struct {
-	Binary    string  `default:"bin/oatloft" type:"path" help:"The balancer."`
+	Binary    string  `default:"bin/oatloft" type:"path" help:"Executable of the balancer."`
 	Balancers int     `default:"3"`
 	Regions   int     `default:"6"`
 	Terminals int     `default:"30"`
-	Seconds   float64 `help:"End by itself after so long; 0: at a key, or after 20 s where there is no terminal."`
+	Seconds   float64 `help:"Time limit; 0: until a key is pressed, or 20 s without an interactive terminal."`
 	Kill      bool    `help:"Kill a balancer after a quarter of the time, for a quarter of it."`
-	Cut       bool    `help:"Cut the talk between the first balancer and the others at half-time, for a quarter of it."`
-	Drain     bool    `help:"Drain a region at half-time, for a quarter of the time."`
-	Plain     bool    `help:"Plain lines also on a terminal."`
+	Cut       bool    `help:"Cut the links between the first balancer and the others at half-time, for a quarter of it."`
+	Drain     bool    `help:"Drain a server at half-time, for a quarter of the time."`
+	Plain     bool    `help:"Print plain lines even on an interactive terminal."`
 }
 
 func (c *demoCommand) Run() error {
@@ -37,75 +37,82 @@
 	if _, err := os.Stat(binary); err != nil {
 		return &invalidFlag{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
-	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd()))
-	if c.Seconds == 0 && !live {
+	interactive := !c.Plain && term.IsTerminal(int(os.Stdout.Fd()))
+	if c.Seconds == 0 && !interactive {
 		c.Seconds = 20
 	}
 	if !(c.Seconds >= 0 && c.Seconds <= 600) {
-		return &invalidFlag{hint.Annotated{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
+		return &invalidFlag{hint.Annotated{Where: "--seconds", What: "must be 0 to 600", Do: "set it within these limits"}}
 	}
-	s := &faultinjection.Schedule{Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1)}
-	w, err := faultinjection.Open(s, faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
+	s := &faultinjection.Schedule{
+		Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1),
+	}
+	w, err := faultinjection.Open(s,
+		faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	defer w.Close()
-	if live {
-		err = c.live(w)
+	if interactive {
+		err = c.runInteractive(w)
 	} else {
-		err = c.lines(w)
+		err = c.runPlain(w)
 	}
 	if err != nil {
 		return err
 	}
 	if broken := w.Judge(); len(broken) > 0 {
-		return &failedRun{hint.Annotated{What: "a rule broke: " + broken[0], Do: inspectOutput}}
+		return &failedRun{hint.Annotated{What: "a rule was broken: " + broken[0], Do: inspectOutput}}
 	}
 	fmt.Println("all rules kept")
 	return nil
 }
 
-// begin starts a fault by hand; what it returns ends it.
-func (c *demoCommand) begin(w *faultinjection.Scenario, key string) (what string, end func()) {
+// startFault starts the fault of a key and returns its description and a function that ends it.
+func (c *demoCommand) startFault(w *faultinjection.Scenario, key string) (description string, end func()) {
 	switch key {
 	case "k":
 		return "balancer b02 is killed", w.StartFault(faultinjection.Fault{Kind: "kill", A: min(2, c.Balancers)})
 	case "c":
 		return "b01 is cut off from the other balancers", w.StartFault(faultinjection.Fault{Kind: "talk-cut", A: 1})
 	case "d":
-		return "region r1 drains", w.StartFault(faultinjection.Fault{Kind: "region-drains", B: 1})
+		return "server r1 drains", w.StartFault(faultinjection.Fault{Kind: "region-drains", B: 1})
 	}
 	return "", nil
 }
 
-// lines prints what stands where, a line a second.
-func (c *demoCommand) lines(w *faultinjection.Scenario) error {
-	began, length := time.Now(), time.Duration(c.Seconds*float64(time.Second))
+// runPlain prints the current state once a second.
+func (c *demoCommand) runPlain(w *faultinjection.Scenario) error {
+	start, duration := time.Now(), time.Duration(c.Seconds*float64(time.Second))
 	steps := []struct {
 		on       bool
 		key      string
 		from, to float64
 		end      func()
 		done     bool
-	}{{on: c.Kill, key: "k", from: 0.25, to: 0.5}, {on: c.Cut, key: "c", from: 0.5, to: 0.75}, {on: c.Drain, key: "d", from: 0.5, to: 0.75}}
-	for next := began; time.Since(began) < length; time.Sleep(50 * time.Millisecond) {
-		part := time.Since(began).Seconds() / length.Seconds()
+	}{
+		{on: c.Kill, key: "k", from: 0.25, to: 0.5},
+		{on: c.Cut, key: "c", from: 0.5, to: 0.75},
+		{on: c.Drain, key: "d", from: 0.5, to: 0.75},
+	}
+	for next := start; time.Since(start) < duration; time.Sleep(50 * time.Millisecond) {
+		fraction := time.Since(start).Seconds() / duration.Seconds()
 		for i := range steps {
 			x := &steps[i]
 			switch {
-			case x.on && x.end == nil && !x.done && part >= x.from:
-				var what string
-				what, x.end = c.begin(w, x.key)
-				fmt.Println("--", what)
-			case x.end != nil && part >= x.to:
+			case x.on && x.end == nil && !x.done && fraction >= x.from:
+				var description string
+				description, x.end = c.startFault(w, x.key)
+				fmt.Println("--", description)
+			case x.end != nil && fraction >= x.to:
 				x.end()
 				x.end, x.done = nil, true
-				fmt.Println("-- and that is over")
+				fmt.Println("-- the fault has ended")
 			}
 		}
 		if time.Now().After(next) {
 			next = next.Add(time.Second)
-			fmt.Printf("%4.0f s  %s\n", time.Since(began).Seconds(), strings.Join(c.words(w), "  |  "))
+			fmt.Printf("%4.0f s  %s\n", time.Since(start).Seconds(), strings.Join(c.summary(w), "  |  "))
 		}
 	}
 	for _, x := range steps {
@@ -116,68 +123,75 @@
 	return nil
 }
 
-// words are the parts of what is seen: regions, members, terminals.
-func (c *demoCommand) words(w *faultinjection.Scenario) []string {
-	var regions, members []string
+// summary returns the parts of the displayed state: servers, members, clients.
+func (c *demoCommand) summary(w *faultinjection.Scenario) []string {
+	var servers, members []string
 	for _, r := range w.Regions {
-		regions = append(regions, fmt.Sprintf("%s %d", r.Name, r.Open()))
+		servers = append(servers, fmt.Sprintf("%s %d", r.Name, r.Open()))
 	}
 	members = append(members, w.MembershipViews()...)
-	return []string{"standing: " + strings.Join(regions, ", "), "members: " + strings.Join(members, ", "), fmt.Sprintf("served: %d", w.Count())}
+	return []string{
+		"connections: " + strings.Join(servers, ", "),
+		"members: " + strings.Join(members, ", "),
+		fmt.Sprintf("served: %d", w.Count()),
+	}
 }
 
-// screen is the live view.
+// screen is the interactive view.
 type screen struct {
-	c     *demoCommand
-	w     *faultinjection.Scenario
-	began time.Time
-	ends  map[string]func()
-	said  []string
-	parts []string
+	command  *demoCommand
+	scenario *faultinjection.Scenario
+	start    time.Time
+	endFault map[string]func()
+	messages []string
+	parts    []string
 }
 
-type beat struct{}
+type tick struct{}
 
-func wait() tea.Cmd { return tea.Tick(500*time.Millisecond, func(time.Time) tea.Msg { return beat{} }) }
+func nextTick() tea.Cmd {
+	return tea.Tick(500*time.Millisecond, func(time.Time) tea.Msg { return tick{} })
+}
 
-func (s *screen) Init() tea.Cmd { return wait() }
+func (s *screen) Init() tea.Cmd { return nextTick() }
 
 func (s *screen) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
-	case beat:
-		s.parts = s.c.words(s.w)
-		if s.c.Seconds > 0 && time.Since(s.began).Seconds() >= s.c.Seconds {
+	case tick:
+		s.parts = s.command.summary(s.scenario)
+		if s.command.Seconds > 0 && time.Since(s.start).Seconds() >= s.command.Seconds {
 			return s, tea.Quit
 		}
-		return s, wait()
+		return s, nextTick()
 	case tea.KeyMsg:
 		key := msg.String()
 		if key == "q" || key == "ctrl+c" || key == "esc" {
 			return s, tea.Quit
 		}
-		if end := s.ends[key]; end != nil {
-			delete(s.ends, key)
-			go end() // a process takes its time to start
-			s.said = append(s.said, "and that is over")
-		} else if what, end := s.c.begin(s.w, key); end != nil {
-			s.ends[key] = end
-			s.said = append(s.said, what)
+		if end := s.endFault[key]; end != nil {
+			delete(s.endFault, key)
+			go end() // in the background, since starting a process takes time
+			s.messages = append(s.messages, "the fault has ended")
+		} else if description, end := s.command.startFault(s.scenario, key); end != nil {
+			s.endFault[key] = end
+			s.messages = append(s.messages, description)
 		}
 	}
 	return s, nil
 }
 
 func (s *screen) View() string {
-	title := lipgloss.NewStyle().Bold(true).Render(fmt.Sprintf("oatloft: %d balancers, %d regions, %.0f s", s.c.Balancers, s.c.Regions, time.Since(s.began).Seconds()))
-	said := s.said[max(0, len(s.said)-5):]
-	return title + "\n\n" + strings.Join(s.parts, "\n") + "\n\n" + strings.Join(said, "\n") +
-		"\n\nk kills b02, c cuts b01 off, d drains r1; the same key again ends it; q leaves\n"
+	title := lipgloss.NewStyle().Bold(true).Render(fmt.Sprintf("oatloft: %d balancers, %d servers, %.0f s",
+		s.command.Balancers, s.command.Regions, time.Since(s.start).Seconds()))
+	messages := s.messages[max(0, len(s.messages)-5):]
+	return title + "\n\n" + strings.Join(s.parts, "\n") + "\n\n" + strings.Join(messages, "\n") +
+		"\n\nk kills b02, c cuts b01 off, d drains r1; the same key again ends the fault; q quits\n"
 }
 
-func (c *demoCommand) live(w *faultinjection.Scenario) error {
-	s := &screen{c: c, w: w, began: time.Now(), ends: map[string]func(){}, parts: c.words(w)}
+func (c *demoCommand) runInteractive(w *faultinjection.Scenario) error {
+	s := &screen{command: c, scenario: w, start: time.Now(), endFault: map[string]func(){}, parts: c.summary(w)}
 	_, err := tea.NewProgram(s).Run()
-	for _, end := range s.ends {
+	for _, end := range s.endFault {
 		end()
 	}
 	return err
--- a/cmd/oatlab/faults.go
+++ b/cmd/oatlab/faults.go
@@ -18,35 +18,36 @@
 	"oatloft/internal/hint"
 )
 
-// faultsCmd puts faults between several processes of the balancer, by schedules drawn from seeds or read from a file.
+// faultsCommand injects faults into several processes of the balancer, by schedules generated from seeds or read from a
+// file.
 type faultsCommand struct {
-	Balancers int     `default:"5" help:"Processes."`
+	Balancers int     `default:"5" help:"Number of balancer processes."`
 	Seed      uint64  `default:"1" help:"First seed."`
-	Seeds     int     `default:"5" help:"How many, each the one before and one more."`
-	Seconds   float64 `default:"6" help:"Of faults, in each faultinjection."`
-	Schedule  string  `type:"existingfile" help:"Play this schedule in place of drawn ones, Seeds times."`
-	Binary    string  `default:"bin/oatloft" type:"path" help:"The balancer."`
-	Jobs      int     `default:"2" help:"Fault runs side by side."`
-	Again     int     `default:"2" help:"Plays more of a fault run that is void, since the machine had no processor to give when it mattered."`
+	Seeds     int     `default:"5" help:"Number of consecutive seeds."`
+	Seconds   float64 `default:"6" help:"Duration of the faults in each run."`
+	Schedule  string  `type:"existingfile" help:"Run this schedule --seeds times instead of generated ones."`
+	Binary    string  `default:"bin/oatloft" type:"path" help:"Executable of the balancer."`
+	Jobs      int     `default:"2" help:"Number of concurrent runs."`
+	Again     int     `default:"2" help:"Repetitions of a run that is void because the machine was overloaded."`
 	Silent    string  `default:"600ms" help:"silent_after of the members."`
-	Shrink    int     `default:"12" help:"Plays to spend on shrinking the first fault run that breaks; 0 for none."`
-	Defects   string  `type:"path" help:"A balancer built with -tags defects: play until each of its defects is found, and print a table."`
-	Net       int     `default:"20" help:"Second byte of the first run's addresses; those side by side have the next ones."`
-	Logs      string  `type:"path" help:"Folder for what the processes log, in one folder for each schedule."`
-	Only      string  `help:"With --defects: these only, by name, with commas between them."`
-	Print     bool    `help:"Print each drawn schedule too."`
-	Subset    int     `help:"Regions that a balancer looks at by itself; 0 for all."`
-	Readings  bool    `help:"One probe serves many."`
-	Turns     bool    `help:"Shares, slots and clock go by the members."`
-	Revisions bool    `help:"One routing revision for all, operators that change it, and faults of the folders."`
-	Links     bool    `help:"Scarce links between two zones; switches revisions on."`
+	Shrink    int     `default:"12" help:"Runs to spend on reducing the first failing schedule; 0 for none."`
+	Defects   string  `type:"path" help:"Balancer built with -tags defects: run until each defect is found."`
+	Net       int     `default:"20" help:"Second byte of the first run's addresses; concurrent runs use the next ones."`
+	Logs      string  `type:"path" help:"Directory for the logs, with a subdirectory for each schedule."`
+	Only      string  `help:"With --defects: comma-separated names of the defects to test."`
+	Print     bool    `help:"Print each schedule too."`
+	Subset    int     `help:"Servers that a balancer probes itself; 0 for all."`
+	Readings  bool    `help:"Share probe results between balancers."`
+	Turns     bool    `help:"Derive shares, slots and clock from the members."`
+	Revisions bool    `help:"Use routing revisions, change them, and damage the folders that store them."`
+	Links     bool    `help:"Limit the bandwidth between two zones; enables --revisions."`
 	Lease     string  `default:"1s" help:"lease of revisions."`
-	OnCut     string  `enum:"drawn,refuse,hold,both" default:"drawn" help:"on_cut of revisions, in place of what the schedule says; both with --changes."`
-	Changes   int     `help:"Make so many changes one after the other while faults come and go, in place of drawn schedules; prints a table."`
-	Rollbacks int     `help:"After these so many rollbacks to drawn revisions; switches --changes on."`
-	Before    int     `help:"With --changes: revisions settled in calm before."`
-	How       string  `default:"mixed" help:"With --changes, what goes on meanwhile, several with commas between them: mixed (one or two of all killed, stopped or cut off), calm, one-down, two-down, one-cut, majority-lost."`
-	Within    string  `default:"10m" help:"With --changes: none is begun later."`
+	OnCut     string  `enum:"drawn,refuse,hold,both" default:"drawn" help:"on_cut of revisions; both with --changes."`
+	Changes   int     `help:"Make so many revision changes under faults instead, and print a table."`
+	Rollbacks int     `help:"Rollbacks to random revisions after the changes; enables --changes."`
+	Before    int     `help:"With --changes: revisions settled before the first fault."`
+	How       string  `default:"mixed" help:"With --changes, comma-separated: mixed (one or two killed, stopped or cut off), calm, one-down, two-down, one-cut, majority-lost."`
+	Within    string  `default:"10m" help:"With --changes: time limit for starting changes."`
 
 	lease time.Duration
 }
@@ -54,18 +55,33 @@
 func (c *faultsCommand) Run() error {
 	silent, err := time.ParseDuration(c.Silent)
 	if err != nil {
-		return &invalidFlag{hint.Annotated{Where: "--silent", What: fmt.Sprintf("%q is no time", c.Silent), Do: "write it as 1.5s"}}
+		return &invalidFlag{hint.Annotated{
+			Where: "--silent",
+			What:  fmt.Sprintf("%q is not a duration", c.Silent),
+			Do:    "write it as 1.5s",
+		}}
 	}
 	if c.lease, err = time.ParseDuration(c.Lease); err != nil || c.lease < 100*time.Millisecond {
-		return &invalidFlag{hint.Annotated{Where: "--lease", What: fmt.Sprintf("%q is no time of 100ms or more", c.Lease), Do: "write it as 2s"}}
-	}
-	planned := c.Changes > 0 || c.Rollbacks > 0 || c.Before > 0
-	c.Revisions = c.Revisions || c.Links || planned
+		return &invalidFlag{hint.Annotated{
+			Where: "--lease",
+			What:  fmt.Sprintf("%q is not a duration of 100ms or more", c.Lease),
+			Do:    "write it as 2s",
+		}}
+	}
+	withChanges := c.Changes > 0 || c.Rollbacks > 0 || c.Before > 0
+	c.Revisions = c.Revisions || c.Links || withChanges
 	if c.Seeds < 1 || c.Jobs < 1 || c.Jobs > 16 || c.Seeds > 10000 {
-		return &invalidFlag{hint.Annotated{What: "--seeds has to be 1 to 10000, --jobs 1 to 16", Do: "set the flags within these"}}
-	}
-	if c.OnCut == "both" && !planned {
-		return &invalidFlag{hint.Annotated{Where: "--on-cut", What: "both goes with --changes", Do: "add --changes N, or name one of the two"}}
+		return &invalidFlag{hint.Annotated{
+			What: "--seeds must be 1 to 10000, --jobs 1 to 16",
+			Do:   "set the flags within these limits",
+		}}
+	}
+	if c.OnCut == "both" && !withChanges {
+		return &invalidFlag{hint.Annotated{
+			Where: "--on-cut",
+			What:  "both requires --changes",
+			Do:    "add --changes N, or give one of the two",
+		}}
 	}
 	var fixed *faultinjection.Schedule
 	if c.Schedule != "" {
@@ -81,10 +97,10 @@
 		return &invalidFlag{hint.Annotated{Where: "--binary", Cause: err, Do: "build it: go build -o bin/ ./cmd/..."}}
 	}
 	if c.Defects != "" {
-		return c.find(silent)
+		return c.findDefects(silent)
 	}
-	if planned {
-		return c.change(binary, silent)
+	if withChanges {
+		return c.runChanges(binary, silent)
 	}
 	type outcome struct {
 		r   *faultinjection.Report
@@ -112,20 +128,21 @@
 			for i := range next {
 				s := fixed
 				if s == nil {
-					s = c.draw(c.Seed + uint64(i))
+					s = c.generate(c.Seed + uint64(i))
 				}
 				n := <-nets
-				o := c.options(binary, n, silent)
+				o := c.runOptions(binary, n, silent)
 				if c.Logs != "" {
 					o.Logs = filepath.Join(c.Logs, s.Name)
 				}
 				var all []outcome
-				for try := 0; ; try++ {
+				for repetition := 0; ; repetition++ {
 					r, err := faultinjection.Run(s, o)
-					if x := (*faultinjection.MachineOverloaded)(nil); errors.As(err, &x) { // it did not even begin
-						r, err = &faultinjection.Report{Schedule: s, Void: []string{x.Error()}}, nil
+					if overloaded := (*faultinjection.MachineOverloaded)(nil); errors.As(err, &overloaded) { // the run did not start
+						r, err = &faultinjection.Report{Schedule: s, Void: []string{overloaded.Error()}}, nil
 					}
-					if all = append(all, outcome{r, err}); err != nil || len(r.Broken) > 0 || len(r.Void) == 0 || try >= c.Again {
+					if all = append(all, outcome{r, err}); err != nil || len(r.Broken) > 0 || len(r.Void) == 0 ||
+						repetition >= c.Again {
 						break
 					}
 				}
@@ -134,17 +151,17 @@
 			}
 		}()
 	}
-	broken, void, plays := 0, 0, 0
+	broken, void, runCount := 0, 0, 0
 	var first *faultinjection.Report
 	for i := range results {
-		tries := <-results[i]
-		for _, t := range tries[:len(tries)-1] {
-			fmt.Println(t.r.Line() + ": played again")
+		repetitions := <-results[i]
+		for _, t := range repetitions[:len(repetitions)-1] {
+			fmt.Println(t.r.Line() + ": repeated")
 		}
-		plays += len(tries)
-		o := tries[len(tries)-1]
-		if o.err != nil { // the others go on: what they have started ends with them
-			fmt.Println("not played:", o.err)
+		runCount += len(repetitions)
+		o := repetitions[len(repetitions)-1]
+		if o.err != nil { // the other runs go on, so that their processes are stopped
+			fmt.Println("not run:", o.err)
 			broken++
 			continue
 		}
@@ -169,27 +186,31 @@
 	}
 	all.Wait()
 	if first != nil && c.Shrink > 0 {
-		less, _ := faultinjection.Shrink(first.Schedule, c.options(binary, c.Net, silent), c.Shrink)
-		fmt.Println("the fewest faults found that still break it, a file for --schedule:")
-		printSchedule(less)
+		reduced, _ := faultinjection.Shrink(first.Schedule, c.runOptions(binary, c.Net, silent), c.Shrink)
+		fmt.Println("reduced schedule that still fails, for --schedule:")
+		printSchedule(reduced)
 	}
-	fmt.Printf("FAULTS seeds=%d broken=%d void=%d plays=%d\n", c.Seeds, broken, void, plays)
+	fmt.Printf("FAULTS seeds=%d broken=%d void=%d plays=%d\n", c.Seeds, broken, void, runCount)
 	switch {
 	case broken > 0:
-		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs broke something", broken, c.Seeds), Do: inspectOutput}}
+		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs failed", broken, c.Seeds), Do: inspectOutput}}
 	case void > 0:
-		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d fault runs show nothing: the machine had no processor to give", void, c.Seeds),
-			Do: "play them again, or with fewer --jobs"}}
+		return &failedRun{hint.Annotated{
+			What: fmt.Sprintf("%d of %d fault runs are void: the machine was overloaded", void, c.Seeds),
+			Do:   "run them again, or with fewer --jobs",
+		}}
 	}
 	return nil
 }
 
-func (c *faultsCommand) options(binary string, net int, silent time.Duration) faultinjection.Options {
-	return faultinjection.Options{Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, Readings: c.Readings, Turns: c.Turns,
-		Revisions: c.Revisions, Links: c.Links, Lease: c.lease}
+func (c *faultsCommand) runOptions(binary string, net int, silent time.Duration) faultinjection.Options {
+	return faultinjection.Options{
+		Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, Readings: c.Readings, Turns: c.Turns,
+		Revisions: c.Revisions, Links: c.Links, Lease: c.lease,
+	}
 }
 
-func (c *faultsCommand) draw(seed uint64) *faultinjection.Schedule {
+func (c *faultsCommand) generate(seed uint64) *faultinjection.Schedule {
 	if !c.Revisions {
 		return faultinjection.Draw(seed, c.Balancers, c.Seconds)
 	}
@@ -206,35 +227,40 @@
 	}
 }
 
-// find plays fault runs against a balancer with one defect after the other, until each is found or the seeds are over.
-func (c *faultsCommand) find(silent time.Duration) error {
+// findDefects runs a balancer with one defect after the other, each until a run fails or all seeds have been used.
+func (c *faultsCommand) findDefects(silent time.Duration) error {
 	type found struct {
 		seeds int
 		what  string
 	}
-	list := failpoint.All
+	defects := failpoint.All
 	if c.Only != "" {
 		names := strings.Split(c.Only, ",")
-		list = slices.DeleteFunc(slices.Clone(list), func(d failpoint.Defect) bool { return !slices.Contains(names, d.Name) })
-		if len(list) != len(names) {
-			return &invalidFlag{hint.Annotated{Where: "--only", What: fmt.Sprintf("%d of these %d defects are known", len(list), len(names)), Do: "take names from the table in docs/design/faultinjection.md"}}
+		defects = slices.DeleteFunc(slices.Clone(defects),
+			func(d failpoint.Defect) bool { return !slices.Contains(names, d.Name) })
+		if len(defects) != len(names) {
+			return &invalidFlag{hint.Annotated{
+				Where: "--only",
+				What:  fmt.Sprintf("%d of these %d defects are known", len(defects), len(names)),
+				Do:    "take names from the table in docs/design/faultinjection.md",
+			}}
 		}
 	}
-	results := make([]found, len(list))
+	results := make([]found, len(defects))
 	nets := make(chan int, c.Jobs)
 	for n := range c.Jobs {
 		nets <- c.Net + n
 	}
 	var all errgroup.Group
 	all.SetLimit(c.Jobs)
-	for i := range list {
+	for i := range defects {
 		all.Go(func() error {
 			n := <-nets
 			defer func() { nets <- n }()
 			for seed := range c.Seeds {
-				o := c.options(c.Defects, n, silent)
-				o.Env = []string{"OATLOFT_DEFECT=" + list[i].Name}
-				r, err := faultinjection.Run(c.draw(c.Seed+uint64(seed)), o)
+				o := c.runOptions(c.Defects, n, silent)
+				o.Env = []string{"OATLOFT_DEFECT=" + defects[i].Name}
+				r, err := faultinjection.Run(c.generate(c.Seed+uint64(seed)), o)
 				if err != nil {
 					results[i] = found{seed + 1, "at the start: " + err.Error()}
 					break
@@ -249,8 +275,8 @@
 	}
 	_ = all.Wait()
 	missed := 0
-	fmt.Println("| defect | what it breaks | to be found by | seeds | found |\n| --- | --- | --- | --- | --- |")
-	for i, d := range list {
+	fmt.Println("| defect | effect | expected check | seeds | found |\n| --- | --- | --- | --- | --- |")
+	for i, d := range defects {
 		r := results[i]
 		if r.seeds == 0 {
 			missed++
@@ -261,16 +287,23 @@
 		fmt.Printf("| %s | %s | %s | %d | %s |\n", d.Name, d.Breaks, d.FoundBy, r.seeds, first)
 	}
 	if missed > 0 {
-		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d defects were not found", missed), Do: "give more --seeds; if they stay hidden, a check is missing"}}
+		return &failedRun{hint.Annotated{
+			What: fmt.Sprintf("%d defects were not found", missed),
+			Do:   "give more --seeds; if they are still not found, a check is missing",
+		}}
 	}
 	return nil
 }
 
-// change plays runs of changes, each seed with each of what goes on meanwhile and each on_cut, and prints a row for each.
-func (c *faultsCommand) change(binary string, silent time.Duration) error {
+// runChanges runs revision changes for each combination of fault kind, on_cut and seed, and prints a row for each run.
+func (c *faultsCommand) runChanges(binary string, silent time.Duration) error {
 	within, err := time.ParseDuration(c.Within)
 	if err != nil || within <= 0 {
-		return &invalidFlag{hint.Annotated{Where: "--within", What: fmt.Sprintf("%q is no time", c.Within), Do: "write it as 10s"}}
+		return &invalidFlag{hint.Annotated{
+			Where: "--within",
+			What:  fmt.Sprintf("%q is not a duration", c.Within),
+			Do:    "write it as 10s",
+		}}
 	}
 	cuts := map[string][]string{"both": {"refuse", "hold"}, "drawn": {"refuse"}}[c.OnCut]
 	if cuts == nil {
@@ -286,8 +319,11 @@
 	for _, how := range strings.Split(c.How, ",") {
 		for _, cut := range cuts {
 			for i := range c.Seeds {
-				p := &faultinjection.Plan{Seed: c.Seed + uint64(i), Before: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks, How: how, Within: within}
-				o := c.options(binary, 0, silent)
+				p := &faultinjection.Plan{
+					Seed: c.Seed + uint64(i), Before: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks,
+					How: how, Within: within,
+				}
+				o := c.runOptions(binary, 0, silent)
 				o.Plan = p
 				runs = append(runs, &run{s: p.Schedule(c.Balancers, cut), o: o})
 			}
@@ -297,9 +333,9 @@
 	for i := range done {
 		done[i] = make(chan struct{})
 	}
-	at := map[*run]chan struct{}{}
+	finished := map[*run]chan struct{}{}
 	for i, r := range runs {
-		at[r] = done[i]
+		finished[r] = done[i]
 	}
 	for n := range c.Jobs {
 		go func() {
@@ -309,7 +345,7 @@
 					r.o.Logs = filepath.Join(c.Logs, r.s.Name+"-"+r.s.OnCut)
 				}
 				r.r, r.e = faultinjection.Run(r.s, r.o)
-				close(at[r])
+				close(finished[r])
 			}
 		}()
 	}
@@ -321,18 +357,18 @@
 	}()
 	fmt.Println(faultinjection.RowHead)
 	broken := 0
-	var why []string
+	var failures []string
 	for i, r := range runs {
 		<-done[i]
 		if r.e != nil {
 			broken++
-			why = append(why, fmt.Sprintf("%s %s: not played: %v", r.s.Name, r.s.OnCut, r.e))
+			failures = append(failures, fmt.Sprintf("%s %s: not run: %v", r.s.Name, r.s.OnCut, r.e))
 			continue
 		}
 		fmt.Println(r.r.Row())
 		for _, b := range r.r.Broken {
 			fmt.Println("   ", b)
-			why = append(why, fmt.Sprintf("%s %s: %s", r.s.Name, r.s.OnCut, strings.SplitN(b, "\n", 2)[0]))
+			failures = append(failures, fmt.Sprintf("%s %s: %s", r.s.Name, r.s.OnCut, strings.SplitN(b, "\n", 2)[0]))
 		}
 		if len(r.r.Broken) > 0 {
 			broken++
@@ -345,7 +381,10 @@
 	}
 	fmt.Printf("CHANGES runs=%d broken=%d\n", len(runs), broken)
 	if broken > 0 {
-		return &failedRun{hint.Annotated{What: fmt.Sprintf("%d of %d runs broke something:\n%s", broken, len(runs), strings.Join(why, "\n")), Do: inspectOutput}}
+		return &failedRun{hint.Annotated{
+			What: fmt.Sprintf("%d of %d runs failed:\n%s", broken, len(runs), strings.Join(failures, "\n")),
+			Do:   inspectOutput,
+		}}
 	}
 	return nil
 }
--- a/cmd/oatlab/fleet.go
+++ b/cmd/oatlab/fleet.go
@@ -16,113 +16,115 @@
 	"oatloft/internal/hint"
 )
 
-// fleet counts over the traces of many balancers at once (serve --log-level debug, one file each): what is harmless
-// from one of them shows only in the sum. It must never take a line that is cut off for one that counts.
+// fleetCommand counts events over the traces of many balancers (serve --log-level debug, one file each), to show
+// problems that are visible only in the sum of all balancers. Truncated lines are not counted.
 type fleetCommand struct {
-	Logs   string `arg:"" help:"Folder with one trace a balancer (*.log)." type:"existingdir"`
-	Region bool   `help:"Also print set-ups begun and the mean reported load, by region and second."`
-	Why    bool   `help:"Also print, by second and class, what was asked, placed and refused, why, and which regions had room."`
+	Logs   string `arg:"" help:"Directory with one trace per balancer (*.log)." type:"existingdir"`
+	Region bool   `help:"Also print dials and the mean reported load, by server and second."`
+	Why    bool   `help:"Also print the causes of refusals, by second and class, and the events by server."`
 }
 
-// columns are what is counted, in the order printed.
-var columns = []string{"opened", "mid-flow", "dial", "up", "refused", "full", "error", "reset", "short", "failed", "move",
-	"probe", "probe-dials", "probe-fails", "watch", "listed"}
+// columns are the counted events, in the order of the printed columns.
+var columns = []string{
+	"opened", "mid-flow", "dial", "up", "refused", "full", "error", "reset", "short", "failed", "move",
+	"probe", "probe-dials", "probe-fails", "watch", "listed",
+}
 
-// ends names the columns of a routed task's endings, by core.Ending.
-var ends = map[string]string{"1": "reset", "2": "refused", "3": "full", "4": "error"}
+// endings are the columns of the ways in which an attempt ends, by the number of core.Ending.
+var endings = map[string]string{"1": "reset", "2": "refused", "3": "full", "4": "error"}
 
-type counts struct {
-	first   int64 // microseconds; -1 until a line has come
-	seconds map[int64]map[string]int
-	dials   map[string]map[int64]int
-	loads   map[string]map[int64][]float64
-	lines   []told // what the second look needs, of all balancers
-	files   int
+type traceCounts struct {
+	firstSecond int64 // second of the first line; -1 before the first line
+	bySecond    map[int64]map[string]int
+	dials       map[string]map[int64]int
+	loads       map[string]map[int64][]float64
+	lines       []traceLine // of all balancers, for printCauses
+	files       int
 }
 
-// told is one line of one balancer.
-type told struct {
-	us   int64
-	from int // which balancer
-	kind string
-	v    map[string]string
+// traceLine is a line of a balancer's trace.
+type traceLine struct {
+	us       int64 // time in microseconds since 1970
+	balancer int   // number of the balancer
+	kind     string
+	values   map[string]string
 }
 
-// traced is one line: what it tells, its values by name, and its time.
-func traced(line string) (kind string, values map[string]string, us int64, ok bool) {
+// parseTraceLine returns the message of a line, its values by name, and its time in microseconds.
+func parseTraceLine(line string) (kind string, values map[string]string, us int64, ok bool) {
 	values = map[string]string{}
 	for _, field := range strings.Fields(line) {
 		if name, value, found := strings.Cut(field, "="); found {
 			values[name] = value
 		}
 	}
-	us, err := strconv.ParseInt(values["us"], 10, 64) // last on its line: a cut one has none, or too short a one
+	us, err := strconv.ParseInt(values["us"], 10, 64) // the last value: missing or too short in a truncated line
 	return values["msg"], values, us, err == nil && us > 1e15
 }
 
-func (c *counts) read(r io.Reader) error {
+func (c *traceCounts) readTrace(r io.Reader) error {
 	c.files++
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
-		kind, v, us, ok := traced(in.Text())
+		kind, v, us, ok := parseTraceLine(in.Text())
 		if !ok {
 			continue
 		}
-		at := us / 1e6
-		if c.seconds[at] == nil {
-			c.seconds[at] = map[string]int{}
+		second := us / 1e6
+		if c.bySecond[second] == nil {
+			c.bySecond[second] = map[string]int{}
 		}
-		if c.first < 0 || at < c.first {
-			c.first = at
+		if c.firstSecond < 0 || second < c.firstSecond {
+			c.firstSecond = second
 		}
-		n := c.seconds[at]
-		c.lines = append(c.lines, told{us, c.files, kind, v})
+		count := c.bySecond[second]
+		c.lines = append(c.lines, traceLine{us, c.files, kind, v})
 		switch kind {
 		case "opened":
-			if n["opened"]++; v["mid"] == "true" {
-				n["mid-flow"]++
+			if count["opened"]++; v["mid"] == "true" {
+				count["mid-flow"]++
 			}
 		case "dial":
-			n["dial"]++
-			add(c.dials, v["region"], at, 1)
+			count["dial"]++
+			addCount(c.dials, v["region"], second, 1)
 		case "task-ended":
-			n[ends[v["how"]]]++
+			count[endings[v["how"]]]++
 		case "answer":
 			if v["short"] == "true" {
-				n["short"]++
+				count["short"]++
 			} else {
-				n["failed"]++
+				count["failed"]++
 			}
 		case "probe":
-			if n["probe"]++; v["dials"] == "true" {
-				n["probe-dials"]++
+			if count["probe"]++; v["dials"] == "true" {
+				count["probe-dials"]++
 			}
 		case "probed":
 			x, err := strconv.ParseFloat(v["x"], 64)
 			if v["result"] != "0" || err != nil {
-				n["probe-fails"]++
+				count["probe-fails"]++
 			} else if c.loads[v["region"]] == nil {
-				c.loads[v["region"]] = map[int64][]float64{at: {x}}
+				c.loads[v["region"]] = map[int64][]float64{second: {x}}
 			} else {
-				c.loads[v["region"]][at] = append(c.loads[v["region"]][at], x)
+				c.loads[v["region"]][second] = append(c.loads[v["region"]][second], x)
 			}
 		default:
-			n[kind]++
+			count[kind]++
 		}
 	}
 	return in.Err()
 }
 
-func add(to map[string]map[int64]int, region string, at int64, n int) {
-	if to[region] == nil {
-		to[region] = map[int64]int{}
+func addCount(counts map[string]map[int64]int, server string, second int64, n int) {
+	if counts[server] == nil {
+		counts[server] = map[int64]int{}
 	}
-	to[region][at] += n
+	counts[server][second] += n
 }
 
-func newCounts() *counts {
-	return &counts{first: -1, seconds: map[int64]map[string]int{}, dials: map[string]map[int64]int{},
+func newTraceCounts() *traceCounts {
+	return &traceCounts{firstSecond: -1, bySecond: map[int64]map[string]int{}, dials: map[string]map[int64]int{},
 		loads: map[string]map[int64][]float64{}}
 }
 
@@ -132,43 +134,52 @@
 	if err != nil {
 		return err
 	}
-	c := newCounts()
+	c := newTraceCounts()
 	for _, name := range files {
 		in, err := os.Open(name)
 		if err != nil {
 			return err
 		}
-		err = c.read(in)
+		err = c.readTrace(in)
 		_ = in.Close()
 		if err != nil {
-			return &failedRun{hint.Annotated{Where: name, Cause: err, Do: "give whole files, as serve --log-level debug writes them"}}
+			return &failedRun{hint.Annotated{
+				Where: name,
+				Cause: err,
+				Do:    "give complete files, as serve --log-level debug writes them",
+			}}
 		}
 	}
-	if c.first < 0 {
-		return &failedRun{hint.Annotated{Where: f.Logs, What: fmt.Sprintf("no trace in %d files", len(files)), Do: "run the balancers with --log-level debug"}}
+	if c.firstSecond < 0 {
+		return &failedRun{hint.Annotated{
+			Where: f.Logs,
+			What:  fmt.Sprintf("no trace in %d files", len(files)),
+			Do:    "run the balancers with --log-level debug",
+		}}
 	}
 	c.print(os.Stdout, len(files), f.Region)
 	if f.Why {
-		c.printWhy(os.Stdout)
+		c.printCauses(os.Stdout)
 	}
 	return nil
 }
 
-func (c *counts) print(w io.Writer, balancers int, regions bool) {
-	var at []int64
-	for s := range c.seconds {
-		at = append(at, s)
+func (c *traceCounts) print(w io.Writer, balancers int, withServers bool) {
+	var seconds []int64
+	for second := range c.bySecond {
+		seconds = append(seconds, second)
 	}
-	slices.Sort(at)
-	fmt.Fprintf(w, "%d balancers\n\n| second | %s |\n|%s\n", balancers, strings.Join(columns, " | "), strings.Repeat(" --- |", len(columns)+1))
-	for _, s := range at {
-		fmt.Fprintf(w, "| %d |", s-c.first)
+	slices.Sort(seconds)
+	fmt.Fprintf(w, "%d balancers\n\n| second | %s |\n|%s\n",
+		balancers, strings.Join(columns, " | "), strings.Repeat(" --- |", len(columns)+1))
+	for _, second := range seconds {
+		fmt.Fprintf(w, "| %d |", second-c.firstSecond)
 		for _, name := range columns {
-			fmt.Fprintf(w, " %d |", c.seconds[s][name])
+			fmt.Fprintf(w, " %d |", c.bySecond[second][name])
 		}
 		fmt.Fprintln(w)
 	}
-	if !regions {
+	if !withServers {
 		return
 	}
 	var names []string
@@ -176,12 +187,12 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	fmt.Fprintf(w, "\nSet-ups begun / mean reported load, by region and second\n\n")
+	fmt.Fprintf(w, "\nDials / mean reported load, by server and second\n\n")
 	for _, name := range names {
 		fmt.Fprintf(w, "%s", name)
-		for _, s := range at {
-			fmt.Fprintf(w, "  %d/", c.dials[name][s])
-			if x := mean(c.loads[name][s]); math.IsNaN(x) {
+		for _, second := range seconds {
+			fmt.Fprintf(w, "  %d/", c.dials[name][second])
+			if x := mean(c.loads[name][second]); math.IsNaN(x) {
 				fmt.Fprint(w, "-")
 			} else {
 				fmt.Fprintf(w, "%.2f", x)
@@ -192,72 +203,73 @@
 }
 
 const (
-	roomUnder = 0.8       // reported load under which a region has room
-	reportFor = 1_000_000 // microseconds for which a report is held for true
+	freeBelowLoad        = 0.8       // reported load factor below which a server has free capacity
+	reportLifetimeMicros = 1_000_000 // microseconds for which a load report is used
 )
 
-// printWhy goes through all lines in the order of their times. A refusal is told apart by what would have had room by the
-// latest reports that any balancer read: a warm region, else a cold one, else none.
-func (c *counts) printWhy(w io.Writer) {
+// printCauses processes all lines in the order of their times. It classifies refusals by the servers that had free
+// capacity according to the latest load reports to any balancer: a warmed-up server, else one that is warming up, else
+// none.
+func (c *traceCounts) printCauses(w io.Writer) {
 	type task struct{ class, region string }
 	type state struct {
 		x        float64
 		at, warm int64
 		live     bool
 	}
-	slices.SortStableFunc(c.lines, func(a, b told) int { return cmp.Compare(a.us, b.us) })
-	tasks, keys, regions := map[string]*task{}, map[string]bool{}, map[string]*state{}
-	byClass, byRegion := map[string]map[string]int{}, map[string]map[string]int{}
-	count := func(into map[string]map[string]int, us int64, name, what string) {
-		row := fmt.Sprintf("%4d | %s", us/1e6-c.first, name)
+	slices.SortStableFunc(c.lines, func(a, b traceLine) int { return cmp.Compare(a.us, b.us) })
+	tasks, keys, servers := map[string]*task{}, map[string]bool{}, map[string]*state{}
+	byClass, byServer := map[string]map[string]int{}, map[string]map[string]int{}
+	countEvent := func(into map[string]map[string]int, us int64, name, what string) {
+		row := fmt.Sprintf("%4d | %s", us/1e6-c.firstSecond, name)
 		if into[row] == nil {
 			into[row] = map[string]int{}
 		}
 		into[row][what]++
 	}
-	room := func(us int64) string {
+	freeCapacity := func(us int64) string {
 		found := "no-room"
-		for _, g := range regions {
-			if !g.live || g.at < us-reportFor || g.x < 0 || g.x >= roomUnder {
+		for _, server := range servers {
+			if !server.live || server.at < us-reportLifetimeMicros || server.x < 0 || server.x >= freeBelowLoad {
 				continue
 			}
-			if g.warm <= us {
+			if server.warm <= us {
 				return "warm-room"
 			}
 			found = "cold-room"
 		}
 		return found
 	}
-	region := func(id string) *state {
-		if regions[id] == nil {
-			regions[id] = &state{live: true}
+	serverOf := func(id string) *state {
+		if servers[id] == nil {
+			servers[id] = &state{live: true}
 		}
-		return regions[id]
+		return servers[id]
 	}
 	for _, l := range c.lines {
-		of := fmt.Sprint(l.from, "/", l.v["of"])
-		t := tasks[of]
+		id := fmt.Sprint(l.balancer, "/", l.values["of"])
+		t := tasks[id]
 		switch l.kind {
 		case "opened":
-			t = &task{class: l.v["class"]}
-			tasks[of] = t
-			count(byClass, l.us, t.class, "asked")
-			if l.v["mid"] == "true" {
-				count(byClass, l.us, t.class, "mid-flow")
-			} else if keys[l.v["key"]] {
-				count(byClass, l.us, t.class, "again")
+			t = &task{class: l.values["class"]}
+			tasks[id] = t
+			countEvent(byClass, l.us, t.class, "asked")
+			if l.values["mid"] == "true" {
+				countEvent(byClass, l.us, t.class, "mid-flow")
+			} else if keys[l.values["key"]] {
+				countEvent(byClass, l.us, t.class, "again")
 			}
-			keys[l.v["key"]] = true
+			keys[l.values["key"]] = true
 		case "region":
-			g := region(l.v["region"])
-			g.live = l.v["state"] == "0"
-			g.warm, _ = strconv.ParseInt(l.v["warm"], 10, 64)
+			server := serverOf(l.values["region"])
+			server.live = l.values["state"] == "0"
+			server.warm, _ = strconv.ParseInt(l.values["warm"], 10, 64)
 		case "probed":
-			if x, err := strconv.ParseFloat(l.v["x"], 64); err == nil && l.v["result"] == "0" {
-				g := region(l.v["region"])
-				g.x, g.at = x, l.us
+			if x, err := strconv.ParseFloat(l.values["x"], 64); err == nil && l.values["result"] == "0" {
+				server := serverOf(l.values["region"])
+				server.x, server.at = x, l.us
 			} else {
-				count(byRegion, l.us, l.v["region"], "probe-"+l.v["result"])
+				countEvent(byServer, l.us, l.values["region"], "probe-"+l.values["result"])
 			}
 		}
 		if t == nil {
@@ -265,33 +277,33 @@
 		}
 		switch l.kind {
 		case "dial":
-			t.region = l.v["region"]
-			count(byRegion, l.us, t.region, "dial")
-			if l.v["attempt"] != "0" {
-				count(byClass, l.us, t.class, "another-attempt")
+			t.region = l.values["region"]
+			countEvent(byServer, l.us, t.region, "dial")
+			if l.values["attempt"] != "0" {
+				countEvent(byClass, l.us, t.class, "another-attempt")
 			}
 		case "up":
-			count(byClass, l.us, t.class, "placed")
-			count(byRegion, l.us, t.region, "up")
+			countEvent(byClass, l.us, t.class, "placed")
+			countEvent(byServer, l.us, t.region, "up")
 		case "task-ended":
-			count(byRegion, l.us, t.region, "ended-"+cmp.Or(ends[l.v["how"]], "closed"))
+			countEvent(byServer, l.us, t.region, "ended-"+cmp.Or(endings[l.values["how"]], "closed"))
 		case "drop":
-			count(byRegion, l.us, t.region, "dropped-"+l.v["why"])
+			countEvent(byServer, l.us, t.region, "dropped-"+l.values["why"])
 		case "move":
-			count(byRegion, l.us, t.region, "move-"+l.v["why"])
+			countEvent(byServer, l.us, t.region, "move-"+l.values["why"])
 		case "answer":
 			what := "failed"
-			if l.v["short"] == "true" {
+			if l.values["short"] == "true" {
 				what = "refused"
 			}
-			count(byClass, l.us, t.class, what+"-"+l.v["why"]+"-"+room(l.us))
+			countEvent(byClass, l.us, t.class, what+"-"+l.values["why"]+"-"+freeCapacity(l.us))
 		}
 	}
 	for _, table := range []struct {
 		name string
 		rows map[string]map[string]int
-	}{{"class", byClass}, {"region", byRegion}} {
-		fmt.Fprintf(w, "\n| second | %s | what, and how often |\n| --- | --- | --- |\n", table.name)
+	}{{"class", byClass}, {"region", byServer}} {
+		fmt.Fprintf(w, "\n| second | %s | events with their counts |\n| --- | --- | --- |\n", table.name)
 		sums := map[string]int{}
 		for _, row := range slices.Sorted(maps.Keys(table.rows)) {
 			fmt.Fprintf(w, "| %s |", row)
--- a/cmd/oatlab/fleet_test.go
+++ b/cmd/oatlab/fleet_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Traces of two balancers add up by second; a line that was cut off where its balancer was killed counts for nothing.
-func TestFleetAddsUp(t *testing.T) {
-	c := newCounts()
+// Counts of two balancers are added by second, and a line that was truncated when its balancer was killed is ignored.
+func TestFleetAddsCounts(t *testing.T) {
+	c := newTraceCounts()
 	for _, trace := range []string{
 		`time=x level=DEBUG msg=opened of=2 id=a key=k class=chat mid=true at=false us=1796145833158053
 time=x level=DEBUG msg=dial of=2 attempt=0 region=r1 us=1796145833160000
@@ -18,7 +18,7 @@
 time=x level=DEBUG msg=probe region=r1 dials=true us=1796145834000001
 time=x level=DEBUG msg=move of=7 us=17961458`,
 	} {
-		if err := c.read(strings.NewReader(trace)); err != nil {
+		if err := c.readTrace(strings.NewReader(trace)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -35,9 +35,10 @@
 	}
 }
 
-// Refusals are told apart by why, and by what had room then: reports of one balancer count for another's refusals, for a second.
-func TestFleetTellsWhy(t *testing.T) {
-	c := newCounts()
+// Refusals are classified by cause and by the servers with free capacity at the time. A load report to one balancer is
+// used for the refusals of another one for a second.
+func TestFleetClassifiesRefusals(t *testing.T) {
+	c := newTraceCounts()
 	for _, trace := range []string{
 		`level=DEBUG msg=region region=cold state=0 warm=1796145843000000 us=1796145833000000
 level=DEBUG msg=region region=warm state=0 warm=0 us=1796145833000000
@@ -53,12 +54,12 @@
 level=DEBUG msg=opened of=4 key=j class=chat mid=false us=1796145834910000
 level=DEBUG msg=answer of=4 short=true why=lot us=1796145834910001`,
 	} {
-		if err := c.read(strings.NewReader(trace)); err != nil {
+		if err := c.readTrace(strings.NewReader(trace)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var out strings.Builder
-	c.printWhy(&out)
+	c.printCauses(&out)
 	for _, want := range []string{
 		"|    0 | chat | asked 1 refused-none-cold-room 1 |",
 		"|    1 | chat | again 1 asked 2 refused-full-no-room 1 refused-lot-warm-room 1 |",
--- a/cmd/oatlab/peers.go
+++ b/cmd/oatlab/peers.go
@@ -9,14 +9,14 @@
 	"oatloft/internal/membership/stepped"
 )
 
-// peersTable measures internal/membership in stepped time: the time until a failure is detected by all members, the rate
-// of members wrongly considered gone, and the bytes sent.
+// peersCommand measures internal/membership in stepped time: the time until a failure is detected by all members, the
+// rate of members wrongly considered gone, and the bytes sent.
 type peersCommand struct {
 	Members []int         `default:"5,50,200" help:"Numbers of members."`
 	Silent  time.Duration `default:"3s" help:"silent_after."`
 	Deaths  int           `default:"3" help:"Failures to measure."`
 	Signals int           `default:"12" help:"Signals that each member announces every 0.5 s."`
-	Calm    time.Duration `default:"60s" help:"Duration of the phase without faults, and of the phase with a flapping member."`
+	Calm    time.Duration `default:"60s" help:"Duration of the phase without faults, and of the one with flapping."`
 	Seed    uint64        `default:"1"`
 }
 
@@ -43,7 +43,11 @@
 		return err
 	}
 	if _, missing := w.Settle(40 * c.Silent); missing != "" {
-		return &failedRun{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: missing, Do: inspectOutput}}
+		return &failedRun{hint.Annotated{
+			Where: fmt.Sprintf("%d members, loss %v", n, loss),
+			What:  missing,
+			Do:    inspectOutput,
+		}}
 	}
 	suspicions, falselyGone := 0, 0
 	w.Changes = func(_ *stepped.Node, e membership.Changed) {
@@ -113,9 +117,14 @@
 		}
 	}
 	if len(w.Faults) > 0 {
-		return &failedRun{hint.Annotated{Where: fmt.Sprintf("%d members, loss %v", n, loss), What: w.Faults[0], Do: inspectOutput}}
+		return &failedRun{hint.Annotated{
+			Where: fmt.Sprintf("%d members, loss %v", n, loss),
+			What:  w.Faults[0],
+			Do:    inspectOutput,
+		}}
 	}
 	fmt.Printf("| %d | %.0f%% |%s | %.1f | %.2f | %d | %d |\n",
-		n, 100*loss, detectionTimes, float64(suspicions)/hours, float64(falselyGoneWithoutFaults)/hours, baselineBytes, flappingBytes)
+		n, 100*loss, detectionTimes, float64(suspicions)/hours, float64(falselyGoneWithoutFaults)/hours,
+		baselineBytes, flappingBytes)
 	return nil
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy plays the other parties of example/config.json, so that a newcomer can try the balancer:
-// two regions that take every connection and send each line back, and a discovery that lists them. It
-// must never be taken for a measure of anything.
+// Command toy runs the servers and the discovery service of example/config.json, for trying out the balancer: two
+// servers that accept every connection and echo each line, and a discovery service that lists them. It is not suitable
+// for measurements.
 package main
 
 import (
@@ -14,8 +14,8 @@
 )
 
 func main() {
-	go listen("127.0.0.1:9101", region("toy-1"))
-	go listen("127.0.0.1:9102", region("toy-2"))
+	go listen("127.0.0.1:9101", server("toy-1"))
+	go listen("127.0.0.1:9102", server("toy-2"))
 	listen("127.0.0.1:8500", discovery)
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// region answers the first line with UP and every later one with itself; probes get a load report.
-func region(name string) func(net.Conn) {
+// server answers probes with a load report, the first line of a request with UP, and echoes every later line.
+func server(name string) func(net.Conn) {
 	var open atomic.Int64
 	return func(c net.Conn) {
 		in := bufio.NewScanner(c)
@@ -49,7 +49,7 @@
 		if !strings.HasPrefix(in.Text(), "OPEN ") {
 			return
 		}
-		log.Println(name, "took", in.Text())
+		log.Println(name, "accepted", in.Text())
 		open.Add(1)
 		defer open.Add(-1)
 		fmt.Fprintf(c, "UP %s\r\n", name)
@@ -59,7 +59,7 @@
 	}
 }
 
-// discovery answers a watch: nothing has changed since the list in example/config.json, and nothing does.
+// discovery answers a watch without any changes to the list in example/config.json.
 func discovery(c net.Conn) {
 	call, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
