--- a/cmd/oatlab/admission.go
+++ b/cmd/oatlab/admission.go
@@ -76,16 +76,16 @@
 }
 
 // startNoise runs the noise command until stop is called, which returns its counters.
-func startNoise(addr string, r noiseRow, loops int) (stop func() (opened, refused, got int64), err error) {
-	if r.kind == fake.NoNoise {
+func startNoise(addr string, row noiseRow, loops int) (stop func() (opened, refused, got int64), err error) {
+	if row.kind == fake.NoNoise {
 		return func() (int64, int64, int64) { return 0, 0, 0 }, nil
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(self, "noise", addr, "--kind", string(r.kind),
-		"--loops", strconv.Itoa(loops), "--addresses", strconv.Itoa(r.addresses))
+	cmd := exec.Command(self, "noise", addr, "--kind", string(row.kind),
+		"--loops", strconv.Itoa(loops), "--addresses", strconv.Itoa(row.addresses))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -47,21 +47,21 @@
 	s := &faultinjection.Schedule{
 		Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1),
 	}
-	w, err := faultinjection.Open(s,
+	scenario, err := faultinjection.Open(s,
 		faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
+	defer scenario.Close()
 	if interactive {
-		err = c.runInteractive(w)
+		err = c.runInteractive(scenario)
 	} else {
-		err = c.runPlain(w)
+		err = c.runPlain(scenario)
 	}
 	if err != nil {
 		return err
 	}
-	if broken := w.Judge(); len(broken) > 0 {
+	if broken := scenario.Judge(); len(broken) > 0 {
 		return &failedRun{hint.Annotated{What: "a rule was broken: " + broken[0], Do: inspectOutput}}
 	}
 	fmt.Println("all rules kept")
--- a/cmd/oatlab/fleet.go
+++ b/cmd/oatlab/fleet.go
@@ -211,21 +211,21 @@
 // capacity according to the latest load reports to any balancer: a warmed-up server, else one that is warming up, else
 // none.
 func (c *traceCounts) printCauses(w io.Writer) {
-	type task struct{ class, region string }
+	type request struct{ class, server string }
 	type state struct {
 		x        float64
 		at, warm int64
 		live     bool
 	}
 	slices.SortStableFunc(c.lines, func(a, b traceLine) int { return cmp.Compare(a.us, b.us) })
-	tasks, keys, servers := map[string]*task{}, map[string]bool{}, map[string]*state{}
+	requests, keys, servers := map[string]*request{}, map[string]bool{}, map[string]*state{}
 	byClass, byServer := map[string]map[string]int{}, map[string]map[string]int{}
-	countEvent := func(into map[string]map[string]int, us int64, name, what string) {
+	countEvent := func(into map[string]map[string]int, us int64, name, event string) {
 		row := fmt.Sprintf("%4d | %s", us/1e6-c.firstSecond, name)
 		if into[row] == nil {
 			into[row] = map[string]int{}
 		}
-		into[row][what]++
+		into[row][event]++
 	}
 	freeCapacity := func(us int64) string {
 		found := "no-room"
@@ -246,57 +246,57 @@
 		}
 		return servers[id]
 	}
-	for _, l := range c.lines {
-		id := fmt.Sprint(l.balancer, "/", l.values["of"])
-		t := tasks[id]
-		switch l.kind {
+	for _, line := range c.lines {
+		id := fmt.Sprint(line.balancer, "/", line.values["of"])
+		r := requests[id]
+		switch line.kind {
 		case "opened":
-			t = &task{class: l.values["class"]}
-			tasks[id] = t
-			countEvent(byClass, l.us, t.class, "asked")
-			if l.values["mid"] == "true" {
-				countEvent(byClass, l.us, t.class, "mid-flow")
-			} else if keys[l.values["key"]] {
-				countEvent(byClass, l.us, t.class, "again")
+			r = &request{class: line.values["class"]}
+			requests[id] = r
+			countEvent(byClass, line.us, r.class, "asked")
+			if line.values["mid"] == "true" {
+				countEvent(byClass, line.us, r.class, "mid-flow")
+			} else if keys[line.values["key"]] {
+				countEvent(byClass, line.us, r.class, "again")
 			}
-			keys[l.values["key"]] = true
+			keys[line.values["key"]] = true
 		case "region":
-			server := serverOf(l.values["region"])
-			server.live = l.values["state"] == "0"
-			server.warm, _ = strconv.ParseInt(l.values["warm"], 10, 64)
+			server := serverOf(line.values["region"])
+			server.live = line.values["state"] == "0"
+			server.warm, _ = strconv.ParseInt(line.values["warm"], 10, 64)
 		case "probed":
-			if x, err := strconv.ParseFloat(l.values["x"], 64); err == nil && l.values["result"] == "0" {
-				server := serverOf(l.values["region"])
-				server.x, server.at = x, l.us
+			if x, err := strconv.ParseFloat(line.values["x"], 64); err == nil && line.values["result"] == "0" {
+				server := serverOf(line.values["region"])
+				server.x, server.at = x, line.us
 			} else {
-				countEvent(byServer, l.us, l.values["region"], "probe-"+l.values["result"])
+				countEvent(byServer, line.us, line.values["region"], "probe-"+line.values["result"])
 			}
 		}
-		if t == nil {
+		if r == nil {
 			continue
 		}
-		switch l.kind {
+		switch line.kind {
 		case "dial":
-			t.region = l.values["region"]
-			countEvent(byServer, l.us, t.region, "dial")
-			if l.values["attempt"] != "0" {
-				countEvent(byClass, l.us, t.class, "another-attempt")
+			r.server = line.values["region"]
+			countEvent(byServer, line.us, r.server, "dial")
+			if line.values["attempt"] != "0" {
+				countEvent(byClass, line.us, r.class, "another-attempt")
 			}
 		case "up":
-			countEvent(byClass, l.us, t.class, "placed")
-			countEvent(byServer, l.us, t.region, "up")
+			countEvent(byClass, line.us, r.class, "placed")
+			countEvent(byServer, line.us, r.server, "up")
 		case "task-ended":
-			countEvent(byServer, l.us, t.region, "ended-"+cmp.Or(endings[l.values["how"]], "closed"))
+			countEvent(byServer, line.us, r.server, "ended-"+cmp.Or(endings[line.values["how"]], "closed"))
 		case "drop":
-			countEvent(byServer, l.us, t.region, "dropped-"+l.values["why"])
+			countEvent(byServer, line.us, r.server, "dropped-"+line.values["why"])
 		case "move":
-			countEvent(byServer, l.us, t.region, "move-"+l.values["why"])
+			countEvent(byServer, line.us, r.server, "move-"+line.values["why"])
 		case "answer":
-			what := "failed"
-			if l.values["short"] == "true" {
-				what = "refused"
+			event := "failed"
+			if line.values["short"] == "true" {
+				event = "refused"
 			}
-			countEvent(byClass, l.us, t.class, what+"-"+l.values["why"]+"-"+freeCapacity(l.us))
+			countEvent(byClass, line.us, r.class, event+"-"+line.values["why"]+"-"+freeCapacity(line.us))
 		}
 	}
 	for _, table := range []struct {
@@ -307,15 +307,15 @@
 		sums := map[string]int{}
 		for _, row := range slices.Sorted(maps.Keys(table.rows)) {
 			fmt.Fprintf(w, "| %s |", row)
-			for _, what := range slices.Sorted(maps.Keys(table.rows[row])) {
-				fmt.Fprintf(w, " %s %d", what, table.rows[row][what])
-				sums[what] += table.rows[row][what]
+			for _, event := range slices.Sorted(maps.Keys(table.rows[row])) {
+				fmt.Fprintf(w, " %s %d", event, table.rows[row][event])
+				sums[event] += table.rows[row][event]
 			}
 			fmt.Fprintln(w, " |")
 		}
 		fmt.Fprint(w, "| all | |")
-		for _, what := range slices.Sorted(maps.Keys(sums)) {
-			fmt.Fprintf(w, " %s %d", what, sums[what])
+		for _, event := range slices.Sorted(maps.Keys(sums)) {
+			fmt.Fprintf(w, " %s %d", event, sums[event])
 		}
 		fmt.Fprintln(w, " |")
 	}
--- a/cmd/oatlab/main.go
+++ b/cmd/oatlab/main.go
@@ -13,14 +13,14 @@
 )
 
 type flags struct {
-	Cost      costCommand      `cmd:"" help:"Measure memory, latency and throughput of one or two executables."`
-	Noise     noiseCommand     `cmd:"" help:"Generate noise until standard input ends, and print its counters."`
-	Admission admissionCommand `cmd:"" help:"Measure service to good clients under noise, with admission off and on."`
-	Fleet     fleetCommand     `cmd:"" help:"Summarise many balancers' traces (serve --log-level debug) by second."`
-	Faults    faultsCommand    `cmd:"" aliases:"storm" help:"Inject faults into a group of balancers and check the rules."`
-	Demo      demoCommand      `cmd:"" help:"Run balancers, servers and clients interactively, with faults on demand."`
-	Peers     peersCommand     `cmd:"" help:"Measure membership in stepped time: failures, false suspicions, bytes."`
-	Crowd     crowdCommand     `cmd:"" help:"Simulate many balancers, independent and coordinated."`
+	Cost      costCommand       `cmd:"" help:"Measure memory, latency and throughput of one or two executables."`
+	Noise     noiseCommand      `cmd:"" help:"Generate noise until standard input ends, and print its counters."`
+	Admission admissionCommand  `cmd:"" help:"Measure service to good clients under noise, with admission off and on."`
+	Fleet     fleetCommand      `cmd:"" help:"Summarise many balancers' traces (serve --log-level debug) by second."`
+	Faults    faultsCommand     `cmd:"" aliases:"storm" help:"Inject faults into several balancers and check the rules."`
+	Demo      demoCommand       `cmd:"" help:"Run balancers, servers and clients interactively, with faults on demand."`
+	Peers     peersCommand      `cmd:"" help:"Measure membership in stepped time: failures, false suspicions, bytes."`
+	Crowd     simulationCommand `cmd:"" help:"Simulate many balancers, independent and coordinated."`
 }
 
 // renamedCommands maps former names of commands to the current ones. A former name works for one release, with a
--- a/cmd/oatlab/simulate.go
+++ b/cmd/oatlab/simulate.go
@@ -18,9 +18,9 @@
 	"oatloft/internal/simulation"
 )
 
-// crowdCommand simulates many balancers: independent ones, ones with each means of coordination, and ones with all of
-// them.
-type crowdCommand struct {
+// simulationCommand simulates many balancers: independent ones, ones with each means of coordination, and ones with all
+// of them.
+type simulationCommand struct {
 	Balancers []int         `default:"3,30,300" help:"Numbers of balancers."`
 	Regions   []int         `default:"10,90" help:"Numbers of servers."`
 	Subset    int           `default:"8" help:"Servers that a balancer probes itself, if subsets are on."`
@@ -36,7 +36,7 @@
 
 // runGenerated simulates generated deployments, checks the rules, and compares what is served with a reference policy
 // that sees the true state with a delay. It prints the worst tenth with the requests that only the balancers lost.
-func (c *crowdCommand) runGenerated() error {
+func (c *simulationCommand) runGenerated() error {
 	fmt.Println("| seed | served | by the reference policy | ratio | placed | refused | failed | late " +
 		"| attempts per placement | probes | servers failed in warm-up | broken rules |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (c *crowdCommand) Run() error {
+func (c *simulationCommand) Run() error {
 	if c.Subset < 1 || c.Subset > 128 || c.Load <= 0 || c.Load > 2 || c.Slow < 0 || c.Slow >= 1 || c.Lag < 0 {
 		return &invalidFlag{hint.Annotated{
 			What: "--subset must be 1 to 128, --load above 0 and at most 2, --slow at least 0 and below 1, " +
@@ -102,7 +102,7 @@
 		"| s until balanced after the server change | refused | refused despite free capacity | moves " +
 		"| servers failed |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	lines := map[string]plotter.XYs{}
+	series := map[string]plotter.XYs{}
 	for _, servers := range c.Regions {
 		for _, n := range c.Balancers {
 			for _, m := range simulation.Means(c.Subset) {
@@ -120,7 +120,7 @@
 					n, servers, m.Name, r.AllProbes, r.Probes, r.Owners,
 					r.Crowded, r.Worst, r.Spread, r.Wave, r.Shrunk, r.Refused, r.Beside, r.Moves, r.Fell)
 				name := fmt.Sprintf("%s, %d servers", m.Name, servers)
-				lines[name] = append(lines[name], plotter.XY{X: float64(n), Y: max(0.1, r.Probes)})
+				series[name] = append(series[name], plotter.XY{X: float64(n), Y: max(0.1, r.Probes)})
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 		var args []any
 		for _, m := range simulation.Means(c.Subset) {
-			if list := lines[fmt.Sprintf("%s, %d servers", m.Name, servers)]; len(list) > 1 {
+			if list := series[fmt.Sprintf("%s, %d servers", m.Name, servers)]; len(list) > 1 {
 				args = append(args, m.Name, list)
 			}
 		}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -49,7 +49,7 @@
 		if !strings.HasPrefix(in.Text(), "OPEN ") {
 			return
 		}
-		log.Println(name, "accepted", in.Text())
+		log.Println(name, "took", in.Text())
 		open.Add(1)
 		defer open.Add(-1)
 		fmt.Fprintf(c, "UP %s\r\n", name)
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -226,7 +226,7 @@
 }
 
 // ErrMoved reports that the client received MOVE and has to connect again.
-var ErrMoved error = &UnexpectedError{hint.Annotated{What: "received MOVE", Do: "connect again"}}
+var ErrMoved error = &UnexpectedError{hint.Annotated{What: "moved", Do: "connect again"}}
 
 // Say sends text unchanged.
 func (t *Terminal) Say(text string) error {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -29,7 +29,7 @@
 	Who func(from net.Addr) string
 	// Carried, if set, is called with the number of bytes of a class that a server has read from a balancer. It must
 	// not block.
-	Carried func(by, region, class string, bytes int)
+	Carried func(by, server, class string, bytes int)
 	// Watch, if set, is called with every event before the checker gets it. It must not block.
 	Watch      func(rules.Event)
 	start      time.Time
