--- a/internal/fake/flood.go
+++ b/internal/fake/flood.go
@@ -132,8 +132,8 @@
 
 // GoodClient is a well-behaved client: its address and its request.
 type GoodClient struct {
-	From string
-	Ask  Ask
+	Address string
+	Request Ask
 }
 
 // Customers returns n well-behaved clients, each with its own address and key.
@@ -161,7 +161,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			t, err := w.Connect(c.From, addr)
+			t, err := w.Connect(c.Address, addr)
 			if err != nil {
 				mu.Lock()
 				result.Asked++
@@ -170,7 +170,7 @@
 				return
 			}
 			defer t.Close()
-			a := t.Open(c.Ask)
+			a := t.Open(c.Request)
 			mu.Lock()
 			result.Asked++
 			result.By[a.What]++
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -15,8 +15,8 @@
 // Fault is a way in which a server differs from an idle, healthy one.
 type Fault int32
 
-// The faults. They apply to connections that are accepted while they are set. Probes are answered in spite of all
-// faults but Stalled and Reset, and not after Terminate.
+// The faults. They apply to requests and probes that are received while they are set. Probes are answered in spite of
+// all faults but Stalled and Reset, and not after Terminate.
 const (
 	None          Fault = iota
 	Busy                // answers every request with BUSY
@@ -50,7 +50,7 @@
 	receipts  int
 }
 
-// Set sets the server's fault for subsequent connections.
+// Set sets the server's fault for subsequent requests and probes.
 func (r *Region) Set(f Fault) { r.fault.Store(int32(f)) }
 
 // SetLoad sets the load factor x0 (load over capacity) that the server reports without any connection.
@@ -269,7 +269,7 @@
 	}
 }
 
-// class is what a first line's last field names.
+// classOf returns the class that the last field of a request's first line names, "" if it names none.
 func classOf(fields string) string {
 	for f := range strings.SplitSeq(fields, ",") {
 		if name, ok := strings.CutPrefix(f, "c="); ok {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -37,6 +37,7 @@
 	Started                      // a balancer's process started: states reported to an earlier process do not apply to it
 )
 
+// String returns the name of the kind in histories.
 func (k Kind) String() string {
 	return [...]string{"asked", "answered", "unanswered", "left", "routed", "receipt", "attempt ended", "told", "sent",
 		"returned", "lost", "overloaded", "started"}[k]
@@ -50,6 +51,7 @@
 	By               string // the balancer, if there are several: a state reported to one applies only to that one
 }
 
+// String returns the event as a line of a history.
 func (e Event) String() string {
 	return strings.TrimSpace(
 		fmt.Sprintf("%10.3f ms  %-18v %s %s %s %s", float64(e.At)/1e6, e.Kind, e.ID, e.Region, e.Text, e.By),
@@ -64,6 +66,7 @@
 	Over    time.Duration // time by which a limit was exceeded; 0 for rules without a time limit
 }
 
+// String returns the rule, the earlier events and the event that broke the rule, a line each.
 func (v Violation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", v.Rule)
