--- a/internal/bandwidth/allocator.go
+++ b/internal/bandwidth/allocator.go
@@ -18,8 +18,8 @@
 	Waiting int     // most connections waiting at once; the weight among balancers that get too little
 }
 
-// Ask is a balancer's request for its part of one link.
-type Ask struct {
+// LinkRequest is a balancer's request for its part of one link.
+type LinkRequest struct {
 	Link        string
 	GrantedRate float64 // bytes per second granted to it and not expired; 0 if none
 	SafeRate    float64 // bytes per second it falls back to, by the table it follows
@@ -31,7 +31,7 @@
 type Request struct {
 	Number  uint64
 	Applied uint64
-	Links   []Ask
+	Links   []LinkRequest
 }
 
 // FlowRate is the planned rate of one class and tenant. The rates are the weights among the flows of one priority.
@@ -120,7 +120,7 @@
 	before := al.links
 	al.links = map[string]*linkState{}
 	for _, l := range table {
-		state := before[Name(l.From, l.To)]
+		state := before[LinkName(l.From, l.To)]
 		if state == nil {
 			state = &linkState{holders: map[string]*holderState{}}
 		}
@@ -130,7 +130,7 @@
 			state.committed += max(0, h.safeRate-h.committed)
 			h.committed = max(h.committed, h.safeRate)
 		}
-		al.links[Name(l.From, l.To)] = state
+		al.links[LinkName(l.From, l.To)] = state
 	}
 }
 
@@ -219,7 +219,7 @@
 	names := slices.Sorted(maps.Keys(al.links))
 	for _, name := range names {
 		l := al.links[name]
-		i := slices.IndexFunc(request.Links, func(x Ask) bool { return x.Link == name })
+		i := slices.IndexFunc(request.Links, func(x LinkRequest) bool { return x.Link == name })
 		if i < 0 {
 			continue // it sends nothing there or follows an earlier table: a safe part is reserved for it
 		}
--- a/internal/bandwidth/bench_test.go
+++ b/internal/bandwidth/bench_test.go
@@ -114,17 +114,17 @@
 	for _, n := range []int{3, 30, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			al := NewAllocator(Settings{Lease: 2 * time.Second, SafePart: 0.04, Holders: 2 * n})
-			part, err := NewPart(al.settings)
+			part, err := NewParticipant(al.settings)
 			if err != nil {
 				b.Fatal(err)
 			}
 			part.allocator = al
 			table := append([]revision.Link{},
 				threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6), threeClassLink(1e6))
-			var linkRequests []Ask
+			var linkRequests []LinkRequest
 			for i := range table {
 				table[i].To = fmt.Sprint("zone", i)
-				a := Ask{Link: Name("a", table[i].To), SafeRate: 100, GrantedRate: 1000}
+				a := LinkRequest{Link: LinkName("a", table[i].To), SafeRate: 100, GrantedRate: 1000}
 				for _, c := range []string{"top", "mid", "bulk"} {
 					a.Demands = append(a.Demands, Demand{c, "tenant", 123456.789, 3})
 				}
@@ -132,11 +132,11 @@
 			}
 			al.SetTable(table, nil)
 			al.Elected(-time.Hour)
-			requester, err := NewPart(al.settings)
+			requester, err := NewParticipant(al.settings)
 			if err != nil {
 				b.Fatal(err)
 			}
-			requester.Bind(func() []Ask { return linkRequests }, func([]Grant, time.Time) {}, nil)
+			requester.Bind(func() []LinkRequest { return linkRequests }, func([]Grant, time.Time) {}, nil)
 			now, bytes := time.Duration(0), 0
 			names := make([]string, n)
 			for i := range names {
@@ -146,9 +146,9 @@
 			spent := processorTime()
 			for i := range b.N {
 				now += 250 * time.Millisecond / time.Duration(n)
-				body := requester.Demand()
-				answer, _ := part.Grant(names[i%n], body, now)
-				requester.Granted(answer, epoch.Add(now))
+				body := requester.NextRequest()
+				answer, _ := part.HandleRequest(names[i%n], body, now)
+				requester.ApplyResponse(answer, epoch.Add(now))
 				bytes += len(body) + len(answer)
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
--- a/internal/bandwidth/cluster_test.go
+++ b/internal/bandwidth/cluster_test.go
@@ -16,7 +16,7 @@
 	now         time.Duration
 	link        revision.Link
 	settings    Settings
-	coordinator *Part
+	coordinator *Participant
 	members     []*member
 	linkFreeAt  time.Duration // when the link has passed on all bytes received so far
 	bytes       map[string]float64
@@ -29,7 +29,7 @@
 type member struct {
 	name         string
 	shaper       *Shaper[*sender]
-	part         *Part
+	part         *Participant
 	answer       []byte
 	requestedAt  time.Duration
 	answerAt     time.Duration
@@ -61,16 +61,16 @@
 		bytes: map[string]float64{}, requesting: requesting, roundTrip: 4 * time.Millisecond}
 	c.now = 4 * time.Second
 	for i := range n {
-		part, err := NewPart(c.settings)
+		part, err := NewParticipant(c.settings)
 		if err != nil {
 			panic(err)
 		}
 		s := &member{name: fmt.Sprint("p", i), shaper: NewShaper[*sender](c.now), part: part,
 			nextRequest: c.now + time.Duration(i)*7*time.Millisecond%(c.settings.Lease/8)}
-		s.shaper.SetLink(c.now, l, part.Safe(l.Bytes), nil)
-		part.Bind(func() []Ask { return []Ask{s.shaper.Wants(c.now)} }, func(g []Grant, until time.Time) {
+		s.shaper.SetLink(c.now, l, part.SafeRate(l.Bytes), nil)
+		part.Bind(func() []LinkRequest { return []LinkRequest{s.shaper.Demand(c.now)} }, func(g []Grant, until time.Time) {
 			for _, x := range g {
-				s.shaper.Lend(c.now, x, until.Sub(epoch))
+				s.shaper.ApplyGrant(c.now, x, until.Sub(epoch))
 			}
 		}, nil)
 		part.SetTable([]revision.Link{l}, nil)
@@ -125,16 +125,16 @@
 			if s.answerAt > 0 && c.now >= s.answerAt {
 				s.answerAt = 0
 				if !s.disconnected {
-					s.part.Granted(s.answer, epoch.Add(s.requestedAt))
+					s.part.ApplyResponse(s.answer, epoch.Add(s.requestedAt))
 				}
 			}
 			if c.requesting && c.now >= s.nextRequest {
 				s.nextRequest += c.settings.Lease / 8
-				body := s.part.Demand()
+				body := s.part.NextRequest()
 				if !s.disconnected {
 					again := time.Duration(0)
 					c.requests++
-					if s.answer, again = c.coordinator.Grant(s.name, body, c.now); again > 0 {
+					if s.answer, again = c.coordinator.HandleRequest(s.name, body, c.now); again > 0 {
 						s.nextRequest = min(s.nextRequest, c.now+c.roundTrip+again)
 					}
 					s.requestedAt, s.answerAt = c.now, c.now+c.roundTrip
@@ -229,7 +229,7 @@
 	shares := map[string]float64{"large": 3, "small": 1}
 	for _, s := range c.members {
 		s.part.SetTable([]revision.Link{c.link}, shares)
-		s.shaper.SetLink(c.now, c.link, s.part.Safe(c.link.Bytes), shares)
+		s.shaper.SetLink(c.now, c.link, s.part.SafeRate(c.link.Bytes), shares)
 	}
 	var by [2]*sender
 	by[0] = c.addSender(0, "mid", "large", 0, 0)
@@ -274,7 +274,7 @@
 	before := c.members[9].sentBytes()
 	_, sum := c.usage(2 * time.Second)
 	if rate := (c.members[9].sentBytes() - before) / 2; sum < 0.93 || sum > 1.01 ||
-		rate > 1.05*c.members[9].part.Safe(1e6) {
+		rate > 1.05*c.members[9].part.SafeRate(1e6) {
 		t.Errorf("disconnected: sum %v, %v bytes per second of its own", sum, rate)
 	}
 	c.members[9].disconnected = false
@@ -372,7 +372,7 @@
 		c.coordinator.SetTable([]revision.Link{l}, nil)
 		for i, s := range c.members {
 			s.part.SetTable([]revision.Link{l}, nil)
-			s.shaper.SetLink(c.now, l, s.part.Safe(bytes), nil)
+			s.shaper.SetLink(c.now, l, s.part.SafeRate(bytes), nil)
 			if i == 1 { // the others apply it later
 				c.run(60 * time.Millisecond)
 			}
@@ -426,7 +426,7 @@
 		return (c.members[3].sentBytes() + c.members[4].sentBytes() + c.members[5].sentBytes() - before) / d.Seconds()
 	}
 	setPartition(true, c.settings.grantTTL()+time.Second)
-	if got, safe := remoteRate(2*time.Second), 3*c.coordinator.Safe(1e6); got > 1.05*safe || got < 0.9*safe {
+	if got, safe := remoteRate(2*time.Second), 3*c.coordinator.SafeRate(1e6); got > 1.05*safe || got < 0.9*safe {
 		t.Errorf("%.0f bytes per second beyond the partition, where the safe parts are %.0f", got, safe)
 	}
 	if _, sum := c.usage(2 * time.Second); sum < 0.93 || sum > 1.01 {
@@ -484,7 +484,7 @@
 				}
 				send(now, n)
 			}
-			if wakeAt = now + s.Soon(now) + 20*time.Microsecond; wakeDelay > 0 && now > lateAt {
+			if wakeAt = now + s.NextDelay(now) + 20*time.Microsecond; wakeDelay > 0 && now > lateAt {
 				wakeAt, lateAt = wakeAt+wakeDelay, now+50*time.Millisecond
 			}
 		}
--- a/internal/bandwidth/links.go
+++ b/internal/bandwidth/links.go
@@ -1,8 +1,8 @@
 // Package bandwidth bounds the bytes that pass between two zones. Each link, an ordered pair of zones, is divided among
 // the balancers that send over it, and at each balancer among classes and tenants. links.go holds the arithmetic of the
 // division, allocator.go the grants made by the member that coordinates, shaper.go the scheduling at every balancer,
-// part.go the exchange between balancers, and wire.go its encoding. Apart from the lock and the counter in part.go the
-// package is pure: it uses no socket, clock or goroutine.
+// participant.go the exchange between balancers, and wire.go its encoding. Apart from the lock and the counter in
+// participant.go the package is pure: it uses no socket, clock or goroutine.
 //
 // The granted parts, together with the safe parts that need no grant, never sum to more than a link. Bytes are never
 // dropped or reordered, only delayed.
@@ -59,8 +59,8 @@
 	return linkRate * s.SafePart / float64(s.Holders)
 }
 
-// Name returns a link's name in messages, metrics and logs.
-func Name(from, to string) string { return from + ">" + to }
+// LinkName returns a link's name in messages, metrics and logs.
+func LinkName(from, to string) string { return from + ">" + to }
 
 // DefaultMinShare is the fraction of a link guaranteed to an active class without a minimum share of its own, so that
 // no class starves.
--- a/internal/bandwidth/links_test.go
+++ b/internal/bandwidth/links_test.go
@@ -62,7 +62,7 @@
 type process struct {
 	name      string
 	clockRate float64 // of its clock, relative to real time
-	part      *Part
+	part      *Participant
 	shapers   []*Shaper[int]
 	demands   []Demand
 	now       time.Duration // by its own clock
@@ -73,7 +73,7 @@
 func startProcess(
 	settings Settings, name string, clockRate float64, table []revision.Link, now time.Duration,
 ) *process {
-	part, err := NewPart(settings)
+	part, err := NewParticipant(settings)
 	if err != nil {
 		panic(err)
 	}
@@ -83,9 +83,9 @@
 		p.shapers = append(p.shapers, NewShaper[int](p.now))
 	}
 	p.follow(table)
-	part.Bind(func() (list []Ask) {
+	part.Bind(func() (list []LinkRequest) {
 		for _, s := range p.shapers {
-			a := s.Wants(p.now)
+			a := s.Demand(p.now)
 			a.Demands = p.demands
 			list = append(list, a)
 		}
@@ -93,8 +93,8 @@
 	}, func(grants []Grant, until time.Time) {
 		for _, g := range grants {
 			for i, l := range p.table {
-				if Name(l.From, l.To) == g.Link {
-					p.shapers[i].Lend(p.now, g, until.Sub(epoch))
+				if LinkName(l.From, l.To) == g.Link {
+					p.shapers[i].ApplyGrant(p.now, g, until.Sub(epoch))
 				}
 			}
 		}
@@ -107,7 +107,7 @@
 func (p *process) follow(table []revision.Link) {
 	p.table = table
 	for i, s := range p.shapers {
-		s.SetLink(p.now, table[i], p.part.Safe(table[i].Bytes), nil)
+		s.SetLink(p.now, table[i], p.part.SafeRate(table[i].Bytes), nil)
 	}
 }
 
@@ -153,7 +153,7 @@
 				continue
 			}
 			d.to.readClock(now)
-			d.to.part.Granted(d.body, epoch.Add(d.requestedAt))
+			d.to.part.ApplyResponse(d.body, epoch.Add(d.requestedAt))
 		}
 		deliveries = pending
 		p := processes[rapid.IntRange(0, len(processes)-1).Draw(t, "who")]
@@ -169,7 +169,7 @@
 			for _, c := range []string{"top", "bulk"} {
 				p.demands = append(p.demands, Demand{c, "t", rapid.SampledFrom([]float64{0, 100, 1e4, 1e5}).Draw(t, "want"), 1})
 			}
-			body := p.part.Demand()
+			body := p.part.NextRequest()
 			var a Request
 			if err := a.decode(body); err != nil {
 				return err
--- a/internal/bandwidth/part.go
+++ b/internal/bandwidth/participant.go
@@ -10,11 +10,12 @@
 	"oatloft/internal/revision"
 )
 
-// Part is one process's side of the exchange: it requests what the data path demands, passes on what was granted, and
-// grants at the member that coordinates. It is safe for concurrent use and never blocks on another process.
-type Part struct {
+// Participant is one process's side of the exchange: it requests what the data path demands, passes on what was
+// granted, and grants at the member that coordinates. It is safe for concurrent use and never blocks on another
+// process.
+type Participant struct {
 	settings    Settings
-	measure     func() []Ask             // returns the demand since the last call; nil before Bind
+	measure     func() []LinkRequest     // returns the demand since the last call; nil before Bind
 	applyGrants func([]Grant, time.Time) // receives the grants and the time at which they expire
 	reportError func(error)              // receives an *Undecodable
 	mu          sync.Mutex
@@ -24,31 +25,33 @@
 	undecodable atomic.Int64
 }
 
-// NewPart returns a Part with these settings, or the error of their Check.
-func NewPart(settings Settings) (*Part, error) {
+// NewParticipant returns a Participant with these settings, or the error of their Check.
+func NewParticipant(settings Settings) (*Participant, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Part{settings: settings, allocator: NewAllocator(settings)}, nil
+	return &Participant{settings: settings, allocator: NewAllocator(settings)}, nil
 }
 
-// Settings returns the settings that the Part was created with.
-func (p *Part) Settings() Settings { return p.settings }
+// Settings returns the settings that the Participant was created with.
+func (p *Participant) Settings() Settings { return p.settings }
 
-// Safe returns the bytes per second of a link that this process may use without a grant.
-func (p *Part) Safe(linkRate float64) float64 { return p.settings.safeRate(linkRate) }
+// SafeRate returns the bytes per second of a link that this process may use without a grant.
+func (p *Participant) SafeRate(linkRate float64) float64 { return p.settings.safeRate(linkRate) }
 
 // Bind connects the data path: measure is called for each request, applyGrants with each response, and reportError with
-// messages that cannot be decoded. They are called one at a time on the goroutine that calls Demand, Granted or Grant,
-// and must not call back.
-func (p *Part) Bind(measure func() []Ask, applyGrants func([]Grant, time.Time), reportError func(error)) {
+// messages that cannot be decoded. They are called one at a time on the goroutine that calls NextRequest, ApplyResponse
+// or HandleRequest, and must not call back.
+func (p *Participant) Bind(
+	measure func() []LinkRequest, applyGrants func([]Grant, time.Time), reportError func(error),
+) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.measure, p.applyGrants, p.reportError = measure, applyGrants, reportError
 }
 
 // SetTable applies the links of the revision in force, and the tenants' weights.
-func (p *Part) SetTable(table []revision.Link, tenantWeights map[string]float64) {
+func (p *Participant) SetTable(table []revision.Link, tenantWeights map[string]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.allocator.SetTable(table, tenantWeights)
@@ -77,8 +80,8 @@
 	return "check whether it runs another version; its links use their safe parts until its messages can be decoded"
 }
 
-// Demand returns the next request, encoded.
-func (p *Part) Demand() []byte {
+// NextRequest returns the next request, encoded.
+func (p *Participant) NextRequest() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastRequest++
@@ -89,9 +92,9 @@
 	return request.encode()
 }
 
-// Granted applies a response to the request made at requestedAt, by this process's clock. It ignores a response that is
-// no newer than the last one applied, or that answers no request made so far.
-func (p *Part) Granted(body []byte, requestedAt time.Time) {
+// ApplyResponse applies a response to the request made at requestedAt, by this process's clock. It ignores a response
+// that is no newer than the last one applied, or that answers no request made so far.
+func (p *Participant) ApplyResponse(body []byte, requestedAt time.Time) {
 	if len(body) == 0 {
 		return
 	}
@@ -110,10 +113,12 @@
 	}
 }
 
-// Grant answers another process's request at the member that coordinates. now is when the request arrived, before the
-// check that this member still coordinates. If again is above 0, the process should ask again after that time, since
-// part of a link is changing hands.
-func (p *Part) Grant(holder string, body []byte, now time.Duration) (answer []byte, again time.Duration) {
+// HandleRequest answers another process's request at the member that coordinates. now is when the request arrived,
+// before the check that this member still coordinates. If again is above 0, the process should ask again after that
+// time, since part of a link is changing hands.
+func (p *Participant) HandleRequest(
+	holder string, body []byte, now time.Duration,
+) (answer []byte, again time.Duration) {
 	var request Request
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +129,7 @@
 	return response.encode(), again
 }
 
-func (p *Part) decode(from string, body []byte, into interface{ decode([]byte) error }) bool {
+func (p *Participant) decode(from string, body []byte, into interface{ decode([]byte) error }) bool {
 	err := into.decode(body)
 	if err == nil {
 		return true
@@ -136,19 +141,19 @@
 	return false
 }
 
-// Elected notifies the Part that this member coordinates from now on.
-func (p *Part) Elected(now time.Duration) {
+// Elected notifies the Participant that this member coordinates from now on.
+func (p *Participant) Elected(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.allocator.Elected(now)
 }
 
-// HolderLeft notifies the Part that a process has left or is considered expired.
-func (p *Part) HolderLeft(holder string) {
+// HolderLeft notifies the Participant that a process has left or is considered expired.
+func (p *Participant) HolderLeft(holder string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.allocator.HolderLeft(holder)
 }
 
-// Unread returns the number of messages that could not be decoded.
-func (p *Part) Unread() int64 { return p.undecodable.Load() }
+// UndecodableMessages returns the number of messages that could not be decoded.
+func (p *Participant) UndecodableMessages() int64 { return p.undecodable.Load() }
--- a/internal/bandwidth/shaper.go
+++ b/internal/bandwidth/shaper.go
@@ -169,8 +169,8 @@
 	panic("links: class missing after it was added")
 }
 
-// Lend applies a grant until its expiry.
-func (s *Shaper[W]) Lend(now time.Duration, g Grant, until time.Duration) {
+// ApplyGrant applies a grant until its expiry.
+func (s *Shaper[W]) ApplyGrant(now time.Duration, g Grant, until time.Duration) {
 	s.refill(now)
 	if until <= now {
 		return
@@ -433,14 +433,14 @@
 	}
 }
 
-// Owe charges bytes that passed without asking, such as first lines; later ones wait for them.
-func (s *Shaper[W]) Owe(now time.Duration, f *Flow[W], n int) {
+// Charge charges bytes that passed without asking, such as first lines; later ones wait for them.
+func (s *Shaper[W]) Charge(now time.Duration, f *Flow[W], n int) {
 	s.refill(now)
 	s.charge(f, n, now)
 }
 
-// Soon returns the time until Next may serve another sender, an hour if none waits.
-func (s *Shaper[W]) Soon(now time.Duration) time.Duration {
+// NextDelay returns the time until Next may serve another sender, an hour if none waits.
+func (s *Shaper[W]) NextDelay(now time.Duration) time.Duration {
 	if s.waiting == 0 {
 		return time.Hour
 	}
@@ -481,11 +481,11 @@
 	return all
 }
 
-// Wants returns what each class and tenant would send without shaping, in bytes per second since the last measurement.
+// Demand returns what each class and tenant would send without shaping, in bytes per second since the last measurement.
 // A flow that was backlogged nearly all of the time may demand any amount, and is taken to demand the whole link.
-func (s *Shaper[W]) Wants(now time.Duration) Ask {
+func (s *Shaper[W]) Demand(now time.Duration) LinkRequest {
 	s.refill(now)
-	a := Ask{Link: Name(s.link.From, s.link.To), SafeRate: s.safeRate}
+	a := LinkRequest{Link: LinkName(s.link.From, s.link.To), SafeRate: s.safeRate}
 	if s.grantExpiry > 0 {
 		a.GrantedRate = s.rate
 	}
@@ -523,9 +523,9 @@
 	return a
 }
 
-// Short returns the classes for which the link is saturated: as the grant reports, or without a grant those waiting
+// Saturated returns the classes for which the link is saturated: as the grant reports, or without a grant those waiting
 // here.
-func (s *Shaper[W]) Short() []string {
+func (s *Shaper[W]) Saturated() []string {
 	if s.grantExpiry > 0 {
 		return s.saturated
 	}
@@ -538,8 +538,8 @@
 	return list
 }
 
-// Figures are a link's counters and state.
-type Figures struct {
+// LinkStats are a link's counters and state.
+type LinkStats struct {
 	Link    string           `json:"link"`
 	Rate    float64          `json:"bytes_per_second"`
 	Granted bool             `json:"lent"` // and not expired
@@ -547,10 +547,10 @@
 	Bytes   map[string]int64 `json:"bytes"` // by class
 }
 
-// Figures returns the counters and state.
-func (s *Shaper[W]) Figures(now time.Duration) Figures {
+// Stats returns the counters and state.
+func (s *Shaper[W]) Stats(now time.Duration) LinkStats {
 	s.refill(now)
-	f := Figures{Link: Name(s.link.From, s.link.To), Rate: math.Round(s.rate), Granted: s.grantExpiry > 0,
+	f := LinkStats{Link: LinkName(s.link.From, s.link.To), Rate: math.Round(s.rate), Granted: s.grantExpiry > 0,
 		Waiting: s.waiting, Bytes: map[string]int64{}}
 	for _, c := range s.classes {
 		for _, x := range c.flows {
--- a/internal/bandwidth/wire.go
+++ b/internal/bandwidth/wire.go
@@ -12,9 +12,9 @@
 // Requests and responses use protobuf's wire format with the schema below. A truncated message is never accepted as a
 // shorter one, nor a figure that no balancer can mean.
 //
-//	message Request   { uint32 version = 1; uint64 number = 2; uint64 applied = 3; repeated Ask links = 4;
+//	message Request   { uint32 version = 1; uint64 number = 2; uint64 applied = 3; repeated LinkRequest links = 4;
 //	                    uint32 end = 15; }
-//	message Ask       { string link = 1; double granted_rate = 2; double safe_rate = 3; repeated Demand demands = 4; }
+//	message LinkRequest { string link = 1; double granted_rate = 2; double safe_rate = 3; repeated Demand demands = 4; }
 //	message Demand    { string class = 1; string tenant = 2; float rate = 3; uint32 waiting = 4; }
 //	message Response  { uint32 version = 1; uint64 number = 2; repeated Grant links = 4; uint32 end = 15; }
 //	message Grant     { string link = 1; double rate = 2; repeated FlowRate flows = 3;
@@ -252,7 +252,7 @@
 func (request *Request) decode(b []byte) error {
 	var d decoder
 	return d.envelope(b, &request.Number, &request.Applied, func(b []byte) error {
-		var l Ask
+		var l LinkRequest
 		err := d.eachField(b, func(f field) error {
 			switch f.number {
 			case 1:
--- a/internal/bandwidth/wire_test.go
+++ b/internal/bandwidth/wire_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var sampleRequest = Request{Number: 7, Applied: 6, Links: []Ask{
+var sampleRequest = Request{Number: 7, Applied: 6, Links: []LinkRequest{
 	{Link: "nrb>mba", GrantedRate: 1234.5678901, SafeRate: 0.8, Demands: []Demand{
 		{"chat", "acme", 0.5, 0}, {"bulk", "", 2e6, 300},
 		{Class: "bulk", Tenant: string(bytes.Repeat([]byte("t"), 200))}}},
@@ -58,10 +58,10 @@
 		}
 	}
 	for name, a := range map[string]Request{
-		"negative":         {Links: []Ask{{GrantedRate: -1}}},
-		"infinite":         {Links: []Ask{{SafeRate: 1 / zero}}},
-		"not a number":     {Links: []Ask{{Demands: []Demand{{Rate: zero / zero}}}}},
-		"too many entries": {Links: []Ask{{Demands: make([]Demand, maxEntries+1)}}},
+		"negative":         {Links: []LinkRequest{{GrantedRate: -1}}},
+		"infinite":         {Links: []LinkRequest{{SafeRate: 1 / zero}}},
+		"not a number":     {Links: []LinkRequest{{Demands: []Demand{{Rate: zero / zero}}}}},
+		"too many entries": {Links: []LinkRequest{{Demands: make([]Demand, maxEntries+1)}}},
 	} {
 		if err := new(Request).decode(a.encode()); err == nil {
 			t.Errorf("%s was decoded", name)
@@ -79,7 +79,7 @@
 		small := rapid.Map(rapid.Float32Range(0, 1e15), func(v float32) float64 { return float64(v) })
 		a := Request{Number: rapid.Uint64().Draw(t, "number"), Applied: rapid.Uint64().Draw(t, "took")}
 		for range rapid.IntRange(0, 4).Draw(t, "links") {
-			l := Ask{Link: name.Draw(t, "link"), GrantedRate: figure.Draw(t, "held"), SafeRate: figure.Draw(t, "safe")}
+			l := LinkRequest{Link: name.Draw(t, "link"), GrantedRate: figure.Draw(t, "held"), SafeRate: figure.Draw(t, "safe")}
 			for range rapid.IntRange(0, 3).Draw(t, "wants") {
 				l.Demands = append(l.Demands, Demand{name.Draw(t, "class"), name.Draw(t, "tenant"),
 					small.Draw(t, "bytes"), rapid.IntRange(0, 1<<31-1).Draw(t, "senders")})
--- a/internal/proxy/link_scheduler.go
+++ b/internal/proxy/link_scheduler.go
@@ -65,7 +65,7 @@
 func (l *zoneLink) untilNextRead(clock func() time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shaper.Soon(clock())
+	return l.shaper.NextDelay(clock())
 }
 
 // signal wakes the scheduling goroutine.
--- a/internal/proxy/zone_harness_test.go
+++ b/internal/proxy/zone_harness_test.go
@@ -167,8 +167,8 @@
 	part.Elected(-time.Hour)
 	for ctx.Err() == nil {
 		asked := time.Now()
-		answer, _ := part.Grant("n0", part.Demand(), asked.Sub(began))
-		part.Granted(answer, asked)
+		answer, _ := part.HandleRequest("n0", part.NextRequest(), asked.Sub(began))
+		part.ApplyResponse(answer, asked)
 		time.Sleep(25 * time.Millisecond)
 	}
 }
--- a/internal/proxy/zone_links.go
+++ b/internal/proxy/zone_links.go
@@ -30,7 +30,7 @@
 	byZone        map[string]linkPair
 	shares        map[string]float64 // of tenants; replaced, never changed
 	nextReportAt  time.Time
-	part          *bandwidth.Part
+	part          *bandwidth.Participant
 	all           atomic.Pointer[[]*zoneLink]
 	readCount     atomic.Int64
 	wake          chan struct{}
@@ -48,7 +48,7 @@
 
 // newZoneLinks prepares for bounded links; there are none before setLinks.
 func newZoneLinks(b *Balancer, settings bandwidth.Settings, receiveBuffer int) (*zoneLinks, error) {
-	part, err := bandwidth.NewPart(settings)
+	part, err := bandwidth.NewParticipant(settings)
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	link.link = entry
-	link.shaper.SetLink(now, entry, z.part.Safe(entry.Bytes), z.shares)
+	link.shaper.SetLink(now, entry, z.part.SafeRate(entry.Bytes), z.shares)
 	return link
 }
 
@@ -219,7 +219,7 @@
 	queue := link.queueFor(c)
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	link.shaper.Owe(z.balancer.now(), queue.flow, n)
+	link.shaper.Charge(z.balancer.now(), queue.flow, n)
 }
 
 // shapeFromStart shapes an attempt's connection before any other goroutine uses it. The system's receive buffer is
@@ -231,11 +231,11 @@
 }
 
 // measure returns the links' demand since the last call.
-func (z *zoneLinks) measure() (list []bandwidth.Ask) {
+func (z *zoneLinks) measure() (list []bandwidth.LinkRequest) {
 	now := z.balancer.now()
 	for _, link := range *z.all.Load() {
 		link.mu.Lock()
-		list = append(list, link.shaper.Wants(now))
+		list = append(list, link.shaper.Demand(now))
 		link.mu.Unlock()
 	}
 	return list
@@ -248,8 +248,8 @@
 	for _, link := range *z.all.Load() {
 		link.mu.Lock()
 		for _, g := range grants {
-			if g.Link == bandwidth.Name(link.link.From, link.link.To) {
-				link.shaper.Lend(now, g, expiry)
+			if g.Link == bandwidth.LinkName(link.link.From, link.link.To) {
+				link.shaper.ApplyGrant(now, g, expiry)
 			}
 		}
 		link.mu.Unlock()
@@ -270,7 +270,7 @@
 		last, full := lowest, false
 		for _, link := range pair.bounded() {
 			link.mu.Lock()
-			for _, class := range link.shaper.Short() {
+			for _, class := range link.shaper.Saturated() {
 				if rank, ok := ranks[class]; ok {
 					last, full = min(last, rank-1), true
 				}
@@ -289,17 +289,18 @@
 
 // linksReport is the part of the counters about links.
 type linksReport struct {
-	ScheduledReads int64               `json:"turns"`
-	Unread         int64               `json:"unread"`
-	Links          []bandwidth.Figures `json:"links"`
+	ScheduledReads int64                 `json:"turns"`
+	Unread         int64                 `json:"unread"`
+	Links          []bandwidth.LinkStats `json:"links"`
 }
 
 func (z *zoneLinks) report() linksReport {
 	now := z.balancer.now()
-	report := linksReport{ScheduledReads: z.readCount.Load(), Unread: z.part.Unread(), Links: []bandwidth.Figures{}}
+	report := linksReport{ScheduledReads: z.readCount.Load(), Unread: z.part.UndecodableMessages(),
+		Links: []bandwidth.LinkStats{}}
 	for _, link := range *z.all.Load() {
 		link.mu.Lock()
-		report.Links = append(report.Links, link.shaper.Figures(now))
+		report.Links = append(report.Links, link.shaper.Stats(now))
 		link.mu.Unlock()
 	}
 	return report
--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -308,7 +308,7 @@
 		return nil, &NotLeader{h.cfg.Name}
 	}
 	if request.Links != nil && reply.Known && h.cfg.Bandwidth != nil {
-		grants, renewAfter := h.cfg.Bandwidth.Grant(request.Holder.String(), request.Links, received)
+		grants, renewAfter := h.cfg.Bandwidth.HandleRequest(request.Holder.String(), request.Links, received)
 		reply.Links = grants
 		if renewAfter > 0 {
 			reply.RenewAfter = min(reply.RenewAfter, renewAfter)
--- a/internal/revision/host/holder.go
+++ b/internal/revision/host/holder.go
@@ -144,7 +144,7 @@
 		Late:     totals[3].Load(),
 	}
 	if h.cfg.Bandwidth != nil {
-		request.Links = h.cfg.Bandwidth.Demand()
+		request.Links = h.cfg.Bandwidth.NextRequest()
 	}
 	timeout := max(h.cfg.Lease, minRenewTimeout)
 	h.startCall(leader, requestedAt, func() answer {
@@ -218,7 +218,7 @@
 	h.logAnswer(nil)
 	h.nextCall = now + a.reply.RenewAfter
 	if h.cfg.Bandwidth != nil && a.reply.Links != nil {
-		h.cfg.Bandwidth.Granted(a.reply.Links, h.base.Add(a.requestedAt))
+		h.cfg.Bandwidth.ApplyResponse(a.reply.Links, h.base.Add(a.requestedAt))
 	}
 	if a.reply.Known || h.joining {
 		return
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -87,13 +87,13 @@
 // Bandwidth exchanges the link bandwidth that internal/bandwidth manages: this balancer's demand, and at the leader
 // the grants of all balancers. Its methods are safe for concurrent use and do not block.
 type Bandwidth interface {
-	// Demand returns the demand to send with the next renewal, or nil for none.
-	Demand() []byte
-	// Granted processes the leader's answer to the demand sent at requestedAt.
-	Granted(body []byte, requestedAt time.Time)
-	// Grant answers a holder's demand at the leader. The holder renews after renewAfter, or after the usual interval
-	// if it is 0.
-	Grant(holder string, body []byte, now time.Duration) (answer []byte, renewAfter time.Duration)
+	// NextRequest returns the demand to send with the next renewal, or nil for none.
+	NextRequest() []byte
+	// ApplyResponse processes the leader's answer to the demand sent at requestedAt.
+	ApplyResponse(body []byte, requestedAt time.Time)
+	// HandleRequest answers a holder's demand at the leader. The holder renews after renewAfter, or after the usual
+	// interval if it is 0.
+	HandleRequest(holder string, body []byte, now time.Duration) (answer []byte, renewAfter time.Duration)
 	// Elected reports that this process leads from now on and has no record of earlier grants.
 	Elected(now time.Duration)
 	// HolderLeft reports that a holder no longer uses any bandwidth.
