--- a/internal/generate/deployment_test.go
+++ b/internal/generate/deployment_test.go
@@ -36,7 +36,7 @@
 		list := d.ListJSON(3, true, []generate.Endpoint{
 			{ID: "x", Address: "10.0.0.1:9", Zone: d.ZoneName(zone), Cell: 2, Health: "draining", Weight: 0.5,
 				StartedAtMS: startedAt}})
-		reader := platform.WatchReader{Zero: epoch}
+		reader := platform.WatchReader{ClockStart: epoch}
 		var got []core.EndpointsListed
 		data := append([]byte("HTTP/1.1 200 OK\r\n\r\n"), bytes.Repeat(list, 2)...)
 		for len(data) > 0 {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -44,9 +44,9 @@
 // serverStates maps the health values of an entry.
 var serverStates = map[string]policy.ServerState{"ready": policy.Live, "draining": policy.Draining, "gone": policy.Gone}
 
-// ParseList parses a list and fails if any entry is invalid. Start times are relative to clockStart, the zero of the
-// balancer's clock.
-func ParseList(body []byte, clockStart time.Time) (core.EndpointsListed, error) {
+// ParseServerList parses a list and fails if any entry is invalid. Start times are relative to clockStart, the zero of
+// the balancer's clock.
+func ParseServerList(body []byte, clockStart time.Time) (core.EndpointsListed, error) {
 	var l serverList
 	if err := json.Unmarshal(body, &l); err != nil {
 		return core.EndpointsListed{}, invalidList(err)
@@ -65,7 +65,7 @@
 // parseTolerant parses one list of a watch. It skips invalid entries and passes an error for each to reportInvalid, so
 // that one bad entry does not keep the others from being used.
 func parseTolerant(body []byte, clockStart time.Time, reportInvalid func(error)) (core.EndpointsListed, error) {
-	out, err := ParseList(body, clockStart)
+	out, err := ParseServerList(body, clockStart)
 	if err == nil {
 		return out, nil
 	}
@@ -136,16 +136,16 @@
 
 // WatchReader parses the response to a watch as it arrives in pieces.
 type WatchReader struct {
-	Zero      time.Time   // zero of the balancer's clock
-	Unread    func(error) // called with the error of each invalid entry; may be nil
-	pending   []byte      // data not parsed yet: of the head, or of the chunk framing
-	line      []byte      // incomplete list or line of the body
-	delivered bool        // the list on this line is delivered, and the end of the line has not arrived yet
-	nesting   nesting
-	headRead  bool // the head is complete
-	chunked   bool
-	chunkLeft int // bytes of the current chunk still to read
-	skipBytes int // bytes still to skip of the line end behind the chunk
+	ClockStart     time.Time   // zero of the balancer's clock
+	OnInvalidEntry func(error) // called with the error of each invalid entry; may be nil
+	pending        []byte      // data not parsed yet: of the head, or of the chunk framing
+	line           []byte      // incomplete list or line of the body
+	delivered      bool        // the list on this line is delivered, and the end of the line has not arrived yet
+	nesting        nesting
+	headRead       bool // the head is complete
+	chunked        bool
+	chunkLeft      int // bytes of the current chunk still to read
+	skipBytes      int // bytes still to skip of the line end behind the chunk
 }
 
 const maxListBytes = 4 << 20 // longest list, and longest chunk
@@ -295,7 +295,7 @@
 			}
 			continue
 		}
-		l, err := parseTolerant(line, w.Zero, w.Unread)
+		l, err := parseTolerant(line, w.ClockStart, w.OnInvalidEntry)
 		if err != nil {
 			return err
 		}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,7 +24,7 @@
 
 // readAnswer reads text in pieces of one size, from a buffer that is reused.
 func readAnswer(text string, size int) (r readResult) {
-	w := WatchReader{Zero: time.UnixMilli(1000), Unread: func(err error) { r.text += "!" }}
+	w := WatchReader{ClockStart: time.UnixMilli(1000), OnInvalidEntry: func(err error) { r.text += "!" }}
 	buf := make([]byte, size)
 	for rest := []byte(text); len(rest) > 0 && r.err == nil; {
 		piece := buf[:copy(buf, rest)]
@@ -84,7 +84,7 @@
 			list := `{"seq":8,"whole":true,"hosts":[` + hosts + "]}"
 			want := fmt.Sprintf("!(8 a:%d b:%d%s)-", policy.Draining, policy.Gone, named)
 			checkReading(t, chunkedHead+chunk(list+"\n")+chunk("\n"), want, false)
-			if _, err := ParseList([]byte(list), time.Now()); err == nil {
+			if _, err := ParseServerList([]byte(list), time.Now()); err == nil {
 				t.Errorf("%s: accepted in a configuration", bad)
 			}
 		}
@@ -94,7 +94,7 @@
 // TestInvalidEntryIsReported checks that the error is one line that names the server or field, and has a hint.
 func TestInvalidEntryIsReported(t *testing.T) {
 	var reported []string
-	w := WatchReader{Unread: func(err error) {
+	w := WatchReader{OnInvalidEntry: func(err error) {
 		var invalid *InvalidList
 		if !errors.As(err, &invalid) {
 			t.Errorf("%T", err)
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("%q became %q: %v, %v", line, out, again.Timeout, err)
 		}
 		again.Timeout = o.Timeout
-		if again.Request != o.Request || again.At != o.At {
+		if again.Request != o.Request || again.EstablishedAt != o.EstablishedAt {
 			t.Fatalf("%q became %q", line, out)
 		}
 	})
@@ -91,7 +91,7 @@
 			if first != wantEnd || !bytes.HasPrefix(text, all) {
 				t.Fatalf("%q in pieces: piece %d ended it with a line of %d bytes, want %d", text, i, first, wantEnd)
 			}
-			if word := AnswerOf(all[:first]); word != AnswerOf(text[:wantEnd]) || first == 0 && word != Line {
+			if word := AnswerKind(all[:first]); word != AnswerKind(text[:wantEnd]) || first == 0 && word != OtherLine {
 				t.Fatalf("%q in pieces: %v", text, word)
 			} else if word == Up && (first < len("UP 1\r\n") || !bytes.HasSuffix(all[:first], []byte("\r\n"))) {
 				t.Fatalf("%q is accepted as UP", all[:first])
@@ -114,35 +114,35 @@
 		f.Add([]byte(text), []byte{0, 0, 3, 31, 30})
 	}
 	f.Fuzz(func(t *testing.T, text, cuts []byte) {
-		var want Seen
+		var want ScanSummary
 		lines := bytes.Split(text, []byte("\n"))
 		for _, line := range lines[:len(lines)-1] {
-			switch w := WordOf(line); w {
+			switch w := KindOf(line); w {
 			case Load:
-				want.Load, want.Told = true, 0
+				want.Load, want.LoadValue = true, 0
 				if len(line) < 32 {
-					want.Told = parseLoad(line)
+					want.LoadValue = parseLoad(line)
 				}
-			case Bye, MoveAway:
+			case Bye, MoveLine:
 				want.Lines++
 				want.Last = w
 			default:
 				want.Lines++
-				want.Last = Line
+				want.Last = OtherLine
 			}
 		}
-		var s Scan
-		var got Seen
+		var s LineScanner
+		var got ScanSummary
 		for _, piece := range pieces(text, cuts) {
 			seen := s.Read(piece)
 			if seen.Lines > 0 {
 				got.Last = seen.Last
 			}
 			if got.Lines += seen.Lines; seen.Load {
-				got.Load, got.Told = true, seen.Told
+				got.Load, got.LoadValue = true, seen.LoadValue
 			}
 		}
-		if got != want || s.Between() != (len(lines[len(lines)-1]) == 0) {
+		if got != want || s.BetweenLines() != (len(lines[len(lines)-1]) == 0) {
 			t.Fatalf("%q in pieces: %+v, want %+v", text, got, want)
 		}
 	})
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -41,13 +41,13 @@
 // Open is a client's first line.
 type Open struct {
 	policy.Request
-	At          string // the server that had the connection before the run
-	timeoutSpan [2]int // start and end of the timeout in the line
-	template    []byte // the line; shares memory with the buffer until Keep
+	EstablishedAt string // the server that had the connection before the run
+	timeoutSpan   [2]int // start and end of the timeout in the line
+	template      []byte // the line; shares memory with the buffer until Keep
 }
 
-// Cut returns the first whole line of data with its end, or nil. tooLong reports that data cannot become a line.
-func Cut(data []byte) (line []byte, tooLong bool) {
+// CutLine returns the first whole line of data with its end, or nil. tooLong reports that data cannot become a line.
+func CutLine(data []byte) (line []byte, tooLong bool) {
 	i := bytes.IndexByte(data, '\n')
 	if i < 0 {
 		return nil, len(data) >= MaxLine
@@ -66,7 +66,7 @@
 	if len(r.partial) > 0 {
 		data = append(r.partial, data...)
 	}
-	line, tooLong := Cut(data)
+	line, tooLong := CutLine(data)
 	switch {
 	case tooLong:
 		r.partial = nil
@@ -132,7 +132,7 @@
 		case "g":
 			o.Group = string(value)
 		case "at":
-			o.At = string(value)
+			o.EstablishedAt = string(value)
 		case "mid":
 			o.MidFlow = string(value) == "1"
 		case "d":
@@ -164,8 +164,8 @@
 	return append(dst, o.template[o.timeoutSpan[1]:]...)
 }
 
-// AppendShort appends the rejection for lack of capacity, with the time to retry after.
-func AppendShort(dst []byte, after time.Duration) []byte {
+// AppendRejection appends the rejection for lack of capacity, with the time to retry after.
+func AppendRejection(dst []byte, after time.Duration) []byte {
 	dst = append(dst, "BUSY"...)
 	if after > 0 {
 		dst = strconv.AppendInt(append(dst, ' '), max(1, after.Milliseconds()), 10)
@@ -173,42 +173,42 @@
 	return append(dst, "\r\n"...)
 }
 
-// Word is the kind of a server's line.
-type Word int
+// LineKind is the kind of a server's line.
+type LineKind int
 
-// Kinds of lines that a server sends. Line is any other line.
+// Kinds of lines that a server sends. OtherLine is any other line.
 const (
-	Line Word = iota
+	OtherLine LineKind = iota
 	Up
 	Bye
-	MoveAway
+	MoveLine
 	Err
 	Busy
 	Load
-	PongBack
+	PongLine
 )
 
 // lineKinds maps the first word of a server's line to its kind.
-var lineKinds = map[string]Word{
-	"UP": Up, "BYE": Bye, "MOVE": MoveAway, "ERR": Err, "BUSY": Busy, "LOAD": Load, "PONG": PongBack,
+var lineKinds = map[string]LineKind{
+	"UP": Up, "BYE": Bye, "MOVE": MoveLine, "ERR": Err, "BUSY": Busy, "LOAD": Load, "PONG": PongLine,
 }
 
-// WordOf returns the kind of a server's line, given with or without its end.
-func WordOf(line []byte) Word {
+// KindOf returns the kind of a server's line, given with or without its end.
+func KindOf(line []byte) LineKind {
 	word, _, _ := bytes.Cut(trimLineEnd(line), []byte(" "))
 	return lineKinds[string(word)]
 }
 
-// AnswerOf returns the kind of a server's answer to a first line or a probe: a whole line, as LineReader returned it. A
-// malformed line, or an UP without a receipt, is returned as Line, since it proves nothing.
-func AnswerOf(line []byte) Word {
+// AnswerKind returns the kind of a server's answer to a first line or a probe: a whole line, as LineReader returned it.
+// A malformed line, or an UP without a receipt, is returned as OtherLine, since it proves nothing.
+func AnswerKind(line []byte) LineKind {
 	text, ended := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ended || len(line) > MaxLine || !printable(text) {
-		return Line
+		return OtherLine
 	}
-	word := WordOf(text)
+	word := KindOf(text)
 	if _, receipt, _ := bytes.Cut(text, []byte(" ")); word == Up && len(bytes.TrimSpace(receipt)) == 0 {
-		return Line
+		return OtherLine
 	}
 	return word
 }
@@ -254,25 +254,25 @@
 	return x
 }
 
-// Scan follows a stream of lines that arrives in pieces. It keeps no more than the beginning of a line.
-type Scan struct {
+// LineScanner follows a stream of lines that arrives in pieces. It keeps no more than the beginning of a line.
+type LineScanner struct {
 	lineStart    [32]byte // beginning of the current line; enough for a whole load report line
 	lineStartLen int      // bytes in lineStart
 }
 
-// Between reports whether the stream is between two lines.
-func (s *Scan) Between() bool { return s.lineStartLen == 0 }
+// BetweenLines reports whether the stream is between two lines.
+func (s *LineScanner) BetweenLines() bool { return s.lineStartLen == 0 }
 
-// Seen is a summary of one piece of a stream.
-type Seen struct {
-	Lines int     // line ends, except those of load report lines
-	Load  bool    // a load report line ended
-	Told  float64 // by the last load report line, in microseconds of work per second; 0 if it is not a number above 0
-	Last  Word    // kind of the last line but load reports: Bye or MoveAway, or Line for any other or none
+// ScanSummary is a summary of one piece of a stream.
+type ScanSummary struct {
+	Lines     int      // line ends, except those of load report lines
+	Load      bool     // a load report line ended
+	LoadValue float64  // by the last load report line, in microseconds of work per second; 0 if it is not a number above 0
+	Last      LineKind // kind of the last line but load reports: Bye or MoveLine, or OtherLine for any other or none
 }
 
 // Read scans the next piece.
-func (s *Scan) Read(data []byte) (seen Seen) {
+func (s *LineScanner) Read(data []byte) (seen ScanSummary) {
 	for len(data) > 0 {
 		i := bytes.IndexByte(data, '\n')
 		part := data
@@ -283,17 +283,17 @@
 		if i < 0 {
 			return seen
 		}
-		switch w := WordOf(s.lineStart[:s.lineStartLen]); w {
+		switch w := KindOf(s.lineStart[:s.lineStartLen]); w {
 		case Load:
-			seen.Load, seen.Told = true, parseLoad(s.lineStart[:s.lineStartLen])
+			seen.Load, seen.LoadValue = true, parseLoad(s.lineStart[:s.lineStartLen])
 			if s.lineStartLen == len(s.lineStart) { // its number may have been cut off
-				seen.Told = 0
+				seen.LoadValue = 0
 			}
-		case Bye, MoveAway:
+		case Bye, MoveLine:
 			seen.Last = w
 			seen.Lines++
 		default:
-			seen.Last = Line
+			seen.Last = OtherLine
 			seen.Lines++
 		}
 		s.lineStartLen = 0
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -15,7 +15,7 @@
 	line := "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=0.25,again=1,mid=1,new=x=y\r\n"
 	o, err := ParseOpen([]byte(line))
 	if err != nil || o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" ||
-		o.Timeout != 2*time.Second || !o.MidFlow || o.At != "" {
+		o.Timeout != 2*time.Second || !o.MidFlow || o.EstablishedAt != "" {
 		t.Fatalf("%+v %v", o, err)
 	}
 	if got := string(o.AppendLine(nil, 1987*time.Millisecond)); got != strings.Replace(line, "2000", "1987", 1) {
@@ -49,15 +49,15 @@
 func TestScan(t *testing.T) {
 	text := "one\r\nLOAD 12.5\r\nLOADED\r\n\r\nMOVE\r\nhalf"
 	for size := 1; size <= len(text); size++ {
-		var s Scan
-		var sum Seen
+		var s LineScanner
+		var sum ScanSummary
 		for rest := []byte(text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
 			seen := s.Read(rest[:min(size, len(rest))])
 			sum.Lines += seen.Lines
-			sum.Load, sum.Told = sum.Load || seen.Load, max(sum.Told, seen.Told)
+			sum.Load, sum.LoadValue = sum.Load || seen.Load, max(sum.LoadValue, seen.LoadValue)
 			sum.Last = max(sum.Last, seen.Last)
 		}
-		if sum != (Seen{Lines: 4, Load: true, Told: 12.5, Last: MoveAway}) || s.Between() {
+		if sum != (ScanSummary{Lines: 4, Load: true, LoadValue: 12.5, Last: MoveLine}) || s.BetweenLines() {
 			t.Fatalf("pieces of %d: %+v", size, sum)
 		}
 	}
@@ -70,8 +70,8 @@
 		"LOAD 12.5": 12.5, "LOAD 1e6": 1e6, "LOAD": 0, "LOAD ": 0, "LOAD -3": 0, "LOAD 0": 0, "LOAD inf": 0, "LOAD nan": 0,
 		"LOAD 7 8": 0, "LOAD 1" + strings.Repeat("0", 60): 0,
 	} {
-		var s Scan
-		if seen := s.Read([]byte(line + "\r\n")); !seen.Load || seen.Told != want || seen.Lines != 0 {
+		var s LineScanner
+		if seen := s.Read([]byte(line + "\r\n")); !seen.Load || seen.LoadValue != want || seen.Lines != 0 {
 			t.Errorf("%q: %+v, want %v", line, seen, want)
 		}
 	}
@@ -86,7 +86,7 @@
 		chunk(list[:20]) + chunk(list[20:]+"\r\n") +
 		chunk(`{"seq":44,"whole":false,"hosts":[]}`+"\n")
 	for size := 1; size <= len(text); size++ {
-		w := WatchReader{Zero: clockStart}
+		w := WatchReader{ClockStart: clockStart}
 		var lists []core.EndpointsListed
 		empty := 0
 		for rest := []byte(text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -21,9 +21,9 @@
 	finished    bool // nothing more is to be answered or forwarded
 
 	answerReader   platform.LineReader // of the attempt
-	fromServer     platform.Scan
-	toServer       platform.Scan
-	lastServerLine platform.Word // type of the server's latest line
+	fromServer     platform.LineScanner
+	toServer       platform.LineScanner
+	lastServerLine platform.LineKind // type of the server's latest line
 
 	migration    migration
 	backpressure [2]bool // index 0: towards the client; index 1: towards the server
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -38,7 +38,7 @@
 	dropWatch(&b.watch)
 	b.watch = &watch{
 		conn:    &connection{balancer: b, role: watchRole},
-		reader:  platform.WatchReader{Zero: b.cfg.ClockOrigin, Unread: b.logUnreadable},
+		reader:  platform.WatchReader{ClockStart: b.cfg.ClockOrigin, OnInvalidEntry: b.logUnreadable},
 		version: version,
 	}
 	b.dial(b.watch.conn, b.cfg.Discovery, watchDialTimeout)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -73,7 +73,7 @@
 
 // dialServer starts an attempt by dialing its server.
 func (b *Balancer) dialServer(c *client, e core.Dial) {
-	c.answerReader, c.lastServerLine, c.fromServer = platform.LineReader{}, platform.Line, platform.Scan{}
+	c.answerReader, c.lastServerLine, c.fromServer = platform.LineReader{}, platform.OtherLine, platform.LineScanner{}
 	c.server = &connection{balancer: b, role: serverRole, client: c, attempt: e.Attempt, server: e.Server}
 	b.dial(c.server, e.Address, e.Timeout+dialMargin)
 }
@@ -98,7 +98,7 @@
 func (b *Balancer) answer(c *client, e core.Answer) {
 	line := platform.Failed
 	if e.Rejected {
-		b.lineBuffer = platform.AppendShort(b.lineBuffer[:0], e.RetryAfter)
+		b.lineBuffer = platform.AppendRejection(b.lineBuffer[:0], e.RetryAfter)
 		line = b.lineBuffer
 	}
 	b.finalAnswer(c, line)
--- a/internal/proxy/lingering_close.go
+++ b/internal/proxy/lingering_close.go
@@ -34,7 +34,7 @@
 	}
 	var line [maxRejectLine]byte
 	// a new socket's send buffer has room for it
-	_, _ = syscall.Write(fd, platform.AppendShort(line[:0], verdict.RetryAfter))
+	_, _ = syscall.Write(fd, platform.AppendRejection(line[:0], verdict.RetryAfter))
 	if verdict.CloseAtOnce || a.cfg.MaxLingering == 0 {
 		_ = syscall.Close(fd)
 		return
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -22,7 +22,7 @@
 
 // migrate sends MOVE to a client, immediately or after the end of the server's line.
 func (b *Balancer) migrate(c *client) {
-	if c.fromServer.Between() {
+	if c.fromServer.BetweenLines() {
 		b.sendMove(c)
 		return
 	}
@@ -64,7 +64,7 @@
 	}
 	seen := c.fromServer.Read(data[:end])
 	c.conn.write(data[:end])
-	if seen.Last != platform.Line {
+	if seen.Last != platform.OtherLine {
 		b.endMigrating(c, core.CloseEOF)
 		return
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	c.server.setQueue(nil)
-	if !c.toServer.Between() {
+	if !c.toServer.BetweenLines() {
 		c.migration.forwardingRequest = c.conn.exemptFromTurns()
 	}
 }
--- a/internal/proxy/parse_config.go
+++ b/internal/proxy/parse_config.go
@@ -122,7 +122,7 @@
 	if isAbsent(file.Known) {
 		return c, nil
 	}
-	known, err := platform.ParseList(file.Known, c.ClockOrigin)
+	known, err := platform.ParseServerList(file.Known, c.ClockOrigin)
 	if err != nil {
 		return c, &ConfigError{
 			hint.Annotated{Where: "known", Cause: err, Do: "fix the list of known servers, or remove it"},
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -67,8 +67,8 @@
 	if len(data) > first {
 		p.drop()
 	}
-	switch line := data[:first]; platform.AnswerOf(line) {
-	case platform.PongBack:
+	switch line := data[:first]; platform.AnswerKind(line) {
+	case platform.PongLine:
 		b.finishProbe(conn.server, p, policy.ResultOK, platform.ParseStats(line))
 	case platform.Busy:
 		b.finishProbe(conn.server, p, policy.ResultRejected, nil)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -20,7 +20,7 @@
 		data = c.partialLine
 	}
 	for len(data) > 0 {
-		line, tooLong := platform.Cut(data)
+		line, tooLong := platform.CutLine(data)
 		switch {
 		case tooLong:
 			b.rejectMalformed(c)
@@ -72,7 +72,7 @@
 		b.reject(c, verdict)
 		return
 	}
-	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedServer: request.At})
+	b.step(core.RequestReceived{Client: c.handle, Request: request.Request, EstablishedServer: request.EstablishedAt})
 }
 
 // admit returns the verdict on a client's request. Once the reducer has finished, every request is rejected; without a
@@ -81,7 +81,7 @@
 	switch {
 	case b.exiting:
 		return admission.Verdict{Reason: admission.NoDescriptor}
-	case !b.mayPlaceClients() && c.request.At == "":
+	case !b.mayPlaceClients() && c.request.EstablishedAt == "":
 		return admission.Verdict{Reason: admission.NoLease, RetryAfter: b.retryAfterNoLease()}
 	case b.admission != nil:
 		return b.admission.request(c.conn.ticket, c.request)
@@ -121,5 +121,5 @@
 			slog.Any("from", c.conn.remoteAddr), slog.Duration("after", verdict.RetryAfter))
 	}
 	b.step(core.ClientClosed{Client: c.handle})
-	b.finalAnswer(c, platform.AppendShort(nil, verdict.RetryAfter))
+	b.finalAnswer(c, platform.AppendRejection(nil, verdict.RetryAfter))
 }
--- a/internal/proxy/server_connection.go
+++ b/internal/proxy/server_connection.go
@@ -39,7 +39,7 @@
 	switch c.lastServerLine {
 	case platform.Bye:
 		reason = core.CloseFinished
-	case platform.MoveAway:
+	case platform.MoveLine:
 		reason = core.CloseMigrated
 	}
 	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
@@ -56,7 +56,7 @@
 		return
 	}
 	reason := core.CloseFailed
-	switch platform.AnswerOf(data[:first]) {
+	switch platform.AnswerKind(data[:first]) {
 	case platform.Up:
 		b.establish(c, conn, data, data[first:])
 		return
@@ -64,7 +64,7 @@
 		reason = core.CloseRejected
 	case platform.Bye:
 		reason = core.CloseFinished
-	case platform.MoveAway:
+	case platform.MoveLine:
 		reason = core.CloseMigrated
 	}
 	b.step(core.AttemptClosed{Client: c.handle, Attempt: conn.attempt, Reason: reason})
@@ -85,7 +85,7 @@
 	b.step(core.AttemptAccepted{
 		Client:  c.handle,
 		Attempt: conn.attempt,
-		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told},
+		Payload: core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.LoadValue},
 	})
 }
 
@@ -102,6 +102,6 @@
 	b.step(core.DataReceived{
 		Client:     c.handle,
 		FromServer: true,
-		Payload:    core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.Told},
+		Payload:    core.Payload{Data: data, Lines: seen.Lines, HasLoad: seen.Load, Load: seen.LoadValue},
 	})
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -132,7 +132,7 @@
 			break
 		}
 	}
-	_, _ = syscall.Write(fd, platform.AppendShort(nil, 0))
+	_, _ = syscall.Write(fd, platform.AppendRejection(nil, 0))
 }
 
 // mayExit reports whether the loop may end: all accepted clients have received everything, or the deadline has passed.
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -363,7 +363,7 @@
 		requests: map[core.Handle]*request{}, notified: map[*siteServer]time.Duration{}}
 	s.balancers[slot] = b
 	if cachedList != nil {
-		list, err := platform.ParseList(cachedList, s.epoch)
+		list, err := platform.ParseServerList(cachedList, s.epoch)
 		if err != nil {
 			return err
 		}
@@ -843,7 +843,7 @@
 	if b.watch != nil && b.watch.answered {
 		b.previousWatch = b.watch
 	}
-	w := &watch{reader: platform.WatchReader{Zero: s.epoch}, version: version}
+	w := &watch{reader: platform.WatchReader{ClockStart: s.epoch}, version: version}
 	b.watch, b.watchRequestedAt = w, s.now
 	s.Evaluation.watchRequests++
 	s.schedule(s.randomDuration(2*time.Millisecond, 60*time.Millisecond), func() {
