--- a/cmd/oatlab/crowd.go
+++ b/cmd/oatlab/crowd.go
@@ -37,26 +37,26 @@
 func (c *crowdCmd) drawn() error {
 	fmt.Println("| seed | served | by who sees all, late | part | placed | refused | failed | late | attempts a placement | probes | cold regions fallen | broken |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var all []simulation.Played
+	var all []simulation.Comparison
 	broken, total := 0, 0.0
-	err := simulation.PlayMany(int(c.Seed), c.Drawn, func(p simulation.Played) {
+	err := simulation.CompareMany(int(c.Seed), c.Drawn, func(p simulation.Comparison) {
 		j := &p.Own
-		broke := p.Broke()
-		fmt.Printf("| %d | %.3f | %.3f | %.2f | %d | %d | %d | %d | %.2f | %d | %d | %s |\n", p.D.Seed, j.Score(), p.Seer.Score(), p.Share(), j.Placed, j.Refused, j.Failed, j.Late,
-			float64(j.Dials)/float64(max(1, j.Placed)), j.ProbesSent, j.Fell, strings.Join(broke, ", "))
-		broken += min(1, j.Broken())
+		broke := p.Failures()
+		fmt.Printf("| %d | %.3f | %.3f | %.2f | %d | %d | %d | %d | %.2f | %d | %d | %s |\n", p.Deployment.Seed, j.Score(), p.Baseline.Score(), p.Share(), j.Established, j.Rejected, j.Failed, j.Late,
+			float64(j.Attempts)/float64(max(1, j.Established)), j.ProbesSent, j.Overloaded, strings.Join(broke, ", "))
+		broken += min(1, j.ViolationCount())
 		total += p.Share()
 		all = append(all, p)
 	})
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(all, func(a, b simulation.Played) int { return cmp.Compare(a.Share(), b.Share()) })
+	slices.SortStableFunc(all, func(a, b simulation.Comparison) int { return cmp.Compare(a.Share(), b.Share()) })
 	fmt.Printf("\n%d deployments, mean part %.3f, median %.3f; a rule broke in %d.\n\n| worst | part | lost here, and not by who sees all | deployment | first faults |\n| --- | --- | --- | --- | --- |\n",
 		len(all), total/float64(len(all)), all[len(all)/2].Share(), broken)
 	for i, p := range all {
-		if i < (len(all)+9)/10 || p.Own.Broken() > 0 {
-			fmt.Printf("| %d | %.2f | %s | %s | %s |\n", p.D.Seed, p.Share(), p.Causes(), simulation.Describe(p.D), strings.Join(p.Own.First, "; "))
+		if i < (len(all)+9)/10 || p.Own.ViolationCount() > 0 {
+			fmt.Printf("| %d | %.2f | %s | %s | %s |\n", p.Deployment.Seed, p.Share(), p.LossCauses(), simulation.Describe(p.Deployment), strings.Join(p.Own.FirstViolations, "; "))
 		}
 	}
 	if broken > 0 {
@@ -86,21 +86,21 @@
 	lines := map[string]plotter.XYs{}
 	for _, regions := range c.Regions {
 		for _, n := range c.Balancers {
-			for _, m := range simulation.Means(c.Subset) {
+			for _, m := range simulation.CoordinationModes(c.Subset) {
 				if !wanted(m.Name) {
 					continue
 				}
-				set := simulation.Default(n, regions, c.Seed)
-				set.Load, set.Skew, set.Lag, set.Slow = c.Load, c.Skew, c.Lag, c.Slow
+				set := simulation.DefaultSettings(n, regions, c.Seed)
+				set.Load, set.Skew, set.PeerDelay, set.MissingCapacity = c.Load, c.Skew, c.Lag, c.Slow
 				m.With(&set)
-				r, err := simulation.Play(set)
+				r, err := simulation.RunScenario(set)
 				if err != nil {
 					return err
 				}
-				fmt.Printf("| %d | %d | %s | %.0f | %.1f | %.0f | %.2f | %.2f | %d | %d | %d | %d | %d | %d | %d |\n", n, regions, m.Name, r.AllProbes, r.Probes, r.Owners,
-					r.Crowded, r.Worst, r.Spread, r.Wave, r.Shrunk, r.Refused, r.Beside, r.Moves, r.Fell)
+				fmt.Printf("| %d | %d | %s | %.0f | %.1f | %.0f | %.2f | %.2f | %d | %d | %d | %d | %d | %d | %d |\n", n, regions, m.Name, r.AllProbes, r.MaxServerProbes, r.MaxBalancersPerServer,
+					r.ArrivalConcentration, r.LoadImbalance, r.SubsetSpread, r.KillRecoverySeconds, r.ServerChangeRecoverySeconds, r.Rejected, r.RejectedWithCapacity, r.Migrations, r.Overloaded)
 				name := fmt.Sprintf("%s, %d regions", m.Name, regions)
-				lines[name] = append(lines[name], plotter.XY{X: float64(n), Y: max(0.1, r.Probes)})
+				lines[name] = append(lines[name], plotter.XY{X: float64(n), Y: max(0.1, r.MaxServerProbes)})
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 		var args []any
-		for _, m := range simulation.Means(c.Subset) {
+		for _, m := range simulation.CoordinationModes(c.Subset) {
 			if list := lines[fmt.Sprintf("%s, %d regions", m.Name, regions)]; len(list) > 1 {
 				args = append(args, m.Name, list)
 			}
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -16,19 +16,19 @@
 	"oatloft/internal/hint"
 )
 
-// Played holds the results of a deployment's run with its own balancers (Own) and with the baseline (Seer): one policy
-// in place of all balancers that knows the true state with a delay.
-type Played struct {
-	D         generate.Deployment
-	Own, Seer Evaluation
+// Comparison holds the results of a deployment's run with its own balancers (Own) and with the baseline (Baseline): one
+// policy in place of all balancers that knows the true state with a delay.
+type Comparison struct {
+	Deployment    generate.Deployment
+	Own, Baseline Evaluation
 }
 
 // CompareSeed runs the deployment of a seed.
-func CompareSeed(seed int) (Played, error) { return CompareDeployment(generate.FromSeed(seed)) }
+func CompareSeed(seed int) (Comparison, error) { return CompareDeployment(generate.FromSeed(seed)) }
 
 // CompareDeployment runs a deployment with its balancers and with the baseline.
-func CompareDeployment(d generate.Deployment) (Played, error) {
-	result := Played{D: d}
+func CompareDeployment(d generate.Deployment) (Comparison, error) {
+	result := Comparison{Deployment: d}
 	for _, baseline := range []bool{false, true} {
 		s, err := NewSite(d, baseline, Defect{})
 		if err != nil {
@@ -38,7 +38,7 @@
 		}
 		s.Run()
 		if baseline {
-			result.Seer = s.Evaluation
+			result.Baseline = s.Evaluation
 		} else {
 			result.Own = s.Evaluation
 		}
@@ -47,38 +47,38 @@
 }
 
 // Share returns the score of the run as a fraction of the baseline's score.
-func (p *Played) Share() float64 { return p.Own.Score() / max(1e-9, p.Seer.Score()) }
+func (p *Comparison) Share() float64 { return p.Own.Score() / max(1e-9, p.Baseline.Score()) }
 
-// Broke returns the violated rules and the missed criteria. Whatever the deployment, a run has to serve half of what
+// Failures returns the violated rules and the missed criteria. Whatever the deployment, a run has to serve half of what
 // the baseline serves, in total and for each class; for each tenant, a third. Classes and tenants count if they have
 // more than a twentieth of the priority weight and the baseline serves at least 0.3 of it.
-func (p *Played) Broke() (list []string) {
+func (p *Comparison) Failures() (list []string) {
 	for _, rule := range slices.Sorted(maps.Keys(p.Own.Violations)) {
 		list = append(list, fmt.Sprintf("%s (%d)", rule, p.Own.Violations[rule]))
 	}
-	if p.Own.Score() < 0.5*p.Seer.Score() {
-		list = append(list, fmt.Sprintf("served %.2f of %.2f", p.Own.Score(), p.Seer.Score()))
+	if p.Own.Score() < 0.5*p.Baseline.Score() {
+		list = append(list, fmt.Sprintf("served %.2f of %.2f", p.Own.Score(), p.Baseline.Score()))
 	}
 	compareParts := func(label string, ownSums, baseline [][2]float64, minShare float64) {
 		for i := range ownSums {
 			ownShare, baselineShare := ownSums[i][0]/max(1e-9, ownSums[i][1]), baseline[i][0]/max(1e-9, baseline[i][1])
-			if ownSums[i][1] > p.Own.Demanded/20 && baseline[i][1] > p.Seer.Demanded/20 && baselineShare >= 0.3 &&
+			if ownSums[i][1] > p.Own.Demanded/20 && baseline[i][1] > p.Baseline.Demanded/20 && baselineShare >= 0.3 &&
 				ownShare < minShare*baselineShare {
 				list = append(list, fmt.Sprintf("%s %d served %.2f of %.2f", label, i, ownShare, baselineShare))
 			}
 		}
 	}
-	compareParts("class", p.Own.ByClass, p.Seer.ByClass, 0.5)
-	compareParts("tenant", p.Own.ByTenant, p.Seer.ByTenant, 1.0/3)
+	compareParts("class", p.Own.ByClass, p.Baseline.ByClass, 0.5)
+	compareParts("tenant", p.Own.ByTenant, p.Baseline.ByTenant, 1.0/3)
 	return list
 }
 
-// PlayMany runs the deployments of n consecutive seeds concurrently, and calls report for each one in the order of
+// CompareMany runs the deployments of n consecutive seeds concurrently, and calls report for each one in the order of
 // seeds.
-func PlayMany(from, n int, report func(Played)) error {
-	results := make([]chan Played, n)
+func CompareMany(from, n int, report func(Comparison)) error {
+	results := make([]chan Comparison, n)
 	for i := range results {
-		results[i] = make(chan Played, 1)
+		results[i] = make(chan Comparison, 1)
 	}
 	var workers errgroup.Group
 	workers.SetLimit(max(1, min(n, runtime.GOMAXPROCS(0))))
@@ -131,9 +131,9 @@
 		strings.Join(kinds, ", "))
 }
 
-// Causes lists the causes of the priority weight that was lost in the run and not in the baseline, the largest loss
+// LossCauses lists the causes of the priority weight that was lost in the run and not in the baseline, the largest loss
 // first. Differences up to 0.01 of the demand are left out.
-func (p *Played) Causes() string {
+func (p *Comparison) LossCauses() string {
 	type loss struct {
 		cause lossCause
 		share float64
@@ -141,7 +141,7 @@
 	var list []loss
 	for _, cause := range slices.Sorted(maps.Keys(p.Own.LossByCause)) {
 		if share := p.Own.LossByCause[cause]/max(1e-9, p.Own.Demanded) -
-			p.Seer.LossByCause[cause]/max(1e-9, p.Seer.Demanded); share > 0.01 {
+			p.Baseline.LossByCause[cause]/max(1e-9, p.Baseline.Demanded); share > 0.01 {
 			list = append(list, loss{cause, share})
 		}
 	}
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -51,7 +51,7 @@
 				continue
 			}
 			tried++
-			var results [2]Played
+			var results [2]Comparison
 			for i, chosen := range []string{"", defect.name} {
 				failpoint.Choose(chosen)
 				var err error
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -32,11 +32,11 @@
 	Load                      float64       // mean load of all servers at the start, as a fraction of their capacity
 	ConnectionLifetime        time.Duration // mean lifetime
 	ReportDelay               time.Duration // longest delay of load reports; the shortest is half of it
-	Lag                       time.Duration // delay of updates from peers
+	PeerDelay                 time.Duration // delay of updates from peers
 	Skew                      float64       // traffic of the first balancer over the mean of the others; 0 for 1
 	SubsetSize                int
 	ShareReadings, Stagger    bool
-	Slow                      float64 // fraction of its capacity that each server of the first tenth lacks from the start
+	MissingCapacity           float64 // fraction of its capacity that each server of the first tenth lacks from the start
 }
 
 // Time step, update interval, and the servers' warm-up and overload behavior.
@@ -183,7 +183,7 @@
 		reconnects: map[time.Duration][]string{}, trafficFactor: 1, endpointsVersion: -1}
 	e.AddServers(set.Servers, false)
 	for i := range int(float64(set.Servers) * 0.1) {
-		e.servers[i].slowdown = set.Slow
+		e.servers[i].slowdown = set.MissingCapacity
 	}
 	if err := e.AddBalancers(set.Balancers); err != nil {
 		return nil, err
@@ -497,8 +497,8 @@
 	e.handleEvent(b, policy.TimerFired{Token: "tick"})
 }
 
-// collectReports collects what peers have received from each balancer by now: its latest report that is at least Lag
-// old.
+// collectReports collects what peers have received from each balancer by now: its latest report that is at least
+// PeerDelay old.
 func (e *Environment) collectReports(alive []*balancer) {
 	e.received = e.received[:0]
 	if e.Settings.SubsetSize == 0 && !e.Settings.ShareReadings && !e.Settings.Stagger {
@@ -513,7 +513,7 @@
 		}
 		member := coordination.Member{Name: b.name, Zone: b.zone}
 		for i := len(b.sentReports) - 1; i >= 0; i-- {
-			if age := e.Now - b.sentReports[i].sentAt; age >= e.Settings.Lag && age < 5*time.Second {
+			if age := e.Now - b.sentReports[i].sentAt; age >= e.Settings.PeerDelay && age < 5*time.Second {
 				member = b.sentReports[i].Member
 				member.SlotAge += age
 				break
@@ -566,9 +566,9 @@
 		for _, id := range state.Readings {
 			switch r, ok := b.readings[id]; {
 			case b.sendsFalseLoad:
-				member.Readings[id] = stagger.Report{Load: b.falseLoad, Age: e.Settings.Lag}
+				member.Readings[id] = stagger.Report{Load: b.falseLoad, Age: e.Settings.PeerDelay}
 			case ok && e.Now-r.readAt < 5*time.Second:
-				member.Readings[id] = stagger.Report{Load: r.load, Age: e.Now - r.readAt + e.Settings.Lag,
+				member.Readings[id] = stagger.Report{Load: r.load, Age: e.Now - r.readAt + e.Settings.PeerDelay,
 					FailedProbes: r.failedProbes}
 			}
 		}
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -12,7 +12,7 @@
 )
 
 func fleetSettings(balancers, servers int, with func(*Settings)) Settings {
-	set := Default(balancers, servers, 5)
+	set := DefaultSettings(balancers, servers, 5)
 	set.ServerCapacity = 40
 	with(&set)
 	return set
@@ -136,7 +136,7 @@
 // readings.
 func TestReportsFiveSecondsLate(t *testing.T) {
 	set := fleetSettings(20, 12, allModes)
-	set.Lag = 5 * time.Second
+	set.PeerDelay = 5 * time.Second
 	e, err := NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/evaluation.go
+++ b/internal/simulation/evaluation.go
@@ -38,15 +38,15 @@
 
 // Evaluation holds the results of a run.
 type Evaluation struct {
-	Violations                           map[string]int // number of violations by rule
-	First                                []string       // the first violations
-	Demanded, Served                     float64        // priority weight times seconds
-	LossByCause                          map[lossCause]float64
-	ByClass, ByTenant                    [][2]float64 // served, demanded
-	Placed, Refused, Failed, Late, Dials int
-	Fell                                 int
-	ProbesSent                           int
-	requests, migrations, watchRequests  int
+	Violations                                    map[string]int // number of violations by rule
+	FirstViolations                               []string       // the first violations
+	Demanded, Served                              float64        // priority weight times seconds
+	LossByCause                                   map[lossCause]float64
+	ByClass, ByTenant                             [][2]float64 // served, demanded
+	Established, Rejected, Failed, Late, Attempts int
+	Overloaded                                    int
+	ProbesSent                                    int
+	requests, migrations, watchRequests           int
 }
 
 func (v *Evaluation) reset(s *Site) {
@@ -55,13 +55,14 @@
 }
 
 func (v *Evaluation) violation(s *Site, rule, format string, args ...any) {
-	if v.Violations[rule]++; len(v.First) < 4 {
-		v.First = append(v.First, fmt.Sprintf("%v, %s: %s", s.now-time.Hour, rule, fmt.Sprintf(format, args...)))
+	if v.Violations[rule]++; len(v.FirstViolations) < 4 {
+		v.FirstViolations = append(v.FirstViolations,
+			fmt.Sprintf("%v, %s: %s", s.now-time.Hour, rule, fmt.Sprintf(format, args...)))
 	}
 }
 
-// Broken returns the number of violations.
-func (v *Evaluation) Broken() (n int) {
+// ViolationCount returns the number of violations.
+func (v *Evaluation) ViolationCount() (n int) {
 	for _, k := range v.Violations {
 		n += k
 	}
@@ -72,7 +73,7 @@
 func (v *Evaluation) Score() float64 { return v.Served / max(1e-9, v.Demanded) }
 
 func (v *Evaluation) recordConnect(s *Site, r *request) {
-	v.Dials++
+	v.Attempts++
 	if r.attempts++; r.attempts > s.Deployment.MaxAttempts {
 		v.violation(s, "attempts", "%s has had %d attempts of at most %d", r.id, r.attempts, s.Deployment.MaxAttempts)
 	}
@@ -149,7 +150,7 @@
 		v.violation(s, "answer deadline", "%s was answered %v after its deadline", r.id, s.now-r.deadline)
 	}
 	if answer == nil {
-		if v.Placed++; s.now > r.receivedAt+r.client.class.LatencyObjective {
+		if v.Established++; s.now > r.receivedAt+r.client.class.LatencyObjective {
 			v.Late++
 		}
 		return
@@ -184,7 +185,7 @@
 		v.Failed++
 		return lossFailed
 	}
-	v.Refused++
+	v.Rejected++
 	cause := lossNoCapacity
 	if r.balancer.receivedVersion == 0 {
 		return lossNoList
@@ -232,7 +233,7 @@
 	if sum <= limit+2*math.Sqrt(limit)+2 {
 		return
 	}
-	v.Fell++
+	v.Overloaded++
 	if !srv.overloadedBefore && informedSum > sum*2/3 {
 		v.violation(s, "cold", "%s received a load of %.1f within %v, %.1f of it from notified balancers; its limit is %.1f",
 			srv.Endpoint.ID, sum, s.Deployment.OverloadWindow, informedSum, limit)
@@ -359,11 +360,11 @@
 	}
 	if best == nil {
 		c.cause = lossNoCapacity
-		s.Evaluation.Refused++
+		s.Evaluation.Rejected++
 		s.retry(c, s.randomDuration(s.Deployment.RetryDelay/2, s.Deployment.RetryDelay))
 		return
 	}
-	s.Evaluation.Dials++
+	s.Evaluation.Attempts++
 	r := &request{id: c.key, client: c, receivedAt: s.now}
 	a := &attempt{request: r, server: best, startedAt: s.now}
 	r.attempt = a
@@ -376,7 +377,7 @@
 		return
 	}
 	c.request, c.established, c.cause = r, a, lossNone
-	s.Evaluation.Placed++
+	s.Evaluation.Established++
 	s.occupy(a)
 	s.schedule(max(0, c.end-s.now), func() {
 		if c.established == a {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -10,22 +10,25 @@
 // time and half as many servers as at the start, which are warming up, are added.
 type ScenarioResult struct {
 	Settings
-	Probes       float64 // probes per second at the server that is probed most, mean of the steady phase
-	AllProbes    float64
-	Owners       float64 // largest number of balancers with connections at one server, mean of the steady phase
-	Crowded      float64 // most new connections at one server within a slot, over the mean
-	Worst        float64 // highest load of a server over the mean, mean of the steady phase
-	Spread       int     // balancers that have a server in their subset: maximum minus minimum at the end
-	Wave, Shrunk int     // seconds until the load was balanced again: after the kill, after the change of servers
-	Beside       int     // rejections while a warmed-up server had capacity
-	Refused      int
-	Fell         int // servers that were overloaded during their warm-up
-	Moves        int
-	Elapsed      time.Duration
+	MaxServerProbes       float64 // probes per second at the server that is probed most, mean of the steady phase
+	AllProbes             float64
+	MaxBalancersPerServer float64 // largest number of balancers with connections at one server, mean of the steady phase
+	ArrivalConcentration  float64 // most new connections at one server within a slot, over the mean
+	LoadImbalance         float64 // highest load of a server over the mean, mean of the steady phase
+	SubsetSpread          int     // balancers that have a server in their subset: maximum minus minimum at the end
+
+	// seconds until the load was balanced again: after the kill, after the change of servers
+	KillRecoverySeconds, ServerChangeRecoverySeconds int
+
+	RejectedWithCapacity int // rejections while a warmed-up server had capacity
+	Rejected             int
+	Overloaded           int // servers that were overloaded during their warm-up
+	Migrations           int
+	Elapsed              time.Duration
 }
 
-// Play runs the scenario.
-func Play(set Settings) (ScenarioResult, error) {
+// RunScenario runs the scenario.
+func RunScenario(set Settings) (ScenarioResult, error) {
 	began := time.Now()
 	result := ScenarioResult{Settings: set}
 	env, err := NewEnvironment(set)
@@ -34,12 +37,12 @@
 	}
 	env.Run(32 * time.Second)
 	steady := env.Seconds[8:]
-	result.Probes = Mean(steady, func(s SecondStats) float64 { return float64(s.MaxServerProbes) })
+	result.MaxServerProbes = Mean(steady, func(s SecondStats) float64 { return float64(s.MaxServerProbes) })
 	result.AllProbes = Mean(steady, func(s SecondStats) float64 { return float64(s.Probes) })
-	result.Owners = Mean(steady, func(s SecondStats) float64 { return float64(s.MaxBalancersPerServer) })
-	result.Worst = Mean(steady, func(s SecondStats) float64 { return s.LoadImbalance })
-	result.Crowded = ArrivalConcentration(steady)
-	balanced := func(s SecondStats) bool { return s.LoadImbalance < result.Worst+0.25 }
+	result.MaxBalancersPerServer = Mean(steady, func(s SecondStats) float64 { return float64(s.MaxBalancersPerServer) })
+	result.LoadImbalance = Mean(steady, func(s SecondStats) float64 { return s.LoadImbalance })
+	result.ArrivalConcentration = ArrivalConcentration(steady)
+	balanced := func(s SecondStats) bool { return s.LoadImbalance < result.LoadImbalance+0.25 }
 	from := len(env.Seconds)
 	env.KillBalancers(set.Balancers * 7 / 10)
 	env.Run(2 * time.Second)
@@ -47,7 +50,7 @@
 		return result, err
 	}
 	env.Run(18 * time.Second)
-	result.Wave = SecondsUntilStable(env.Seconds[from:], balanced)
+	result.KillRecoverySeconds = SecondsUntilStable(env.Seconds[from:], balanced)
 	if err := env.AddBalancers(set.Balancers / 2); err != nil {
 		return result, err
 	}
@@ -56,17 +59,17 @@
 	env.RemoveServers(set.Servers / 3)
 	env.AddServers(set.Servers/2, true)
 	env.Run(25 * time.Second)
-	result.Shrunk = SecondsUntilStable(env.Seconds[from:], balanced)
+	result.ServerChangeRecoverySeconds = SecondsUntilStable(env.Seconds[from:], balanced)
 	last := env.Seconds[len(env.Seconds)-1]
-	result.Spread = last.MaxCandidates - last.MinCandidates
-	result.Beside, result.Refused, result.Fell, result.Moves = env.Counts.RejectedWithCapacity, env.Counts.Rejected,
-		env.Counts.Overloaded, env.Counts.Migrations
+	result.SubsetSpread = last.MaxCandidates - last.MinCandidates
+	result.RejectedWithCapacity, result.Rejected, result.Overloaded, result.Migrations =
+		env.Counts.RejectedWithCapacity, env.Counts.Rejected, env.Counts.Overloaded, env.Counts.Migrations
 	result.Elapsed = time.Since(began)
 	return result, nil
 }
 
-// Means returns the modes of coordination that are compared, by name.
-func Means(size int) []struct {
+// CoordinationModes returns the modes of coordination that are compared, by name.
+func CoordinationModes(size int) []struct {
 	Name string
 	With func(*Settings)
 } {
@@ -82,9 +85,9 @@
 	}
 }
 
-// Default returns settings that are typical of deployments, for a number of balancers and servers.
-func Default(balancers, servers int, seed uint64) Settings {
+// DefaultSettings returns settings that are typical of deployments, for a number of balancers and servers.
+func DefaultSettings(balancers, servers int, seed uint64) Settings {
 	return Settings{Balancers: balancers, Servers: servers, Zones: min(3, max(1, servers/4)), Seed: seed,
 		ServerCapacity: 100, Load: 0.55, ConnectionLifetime: 40 * time.Second,
-		ReportDelay: 400 * time.Millisecond, Lag: time.Second, Skew: cmp.Or(0.0, 1)}
+		ReportDelay: 400 * time.Millisecond, PeerDelay: time.Second, Skew: cmp.Or(0.0, 1)}
 }
--- a/internal/simulation/site_test.go
+++ b/internal/simulation/site_test.go
@@ -36,10 +36,10 @@
 			t.Fatal(err)
 		}
 		served += p.Share()
-		if failures := p.Broke(); len(failures) > 0 {
-			t.Errorf("seed %d: %v\n%s\n%s", d.Seed, failures, Describe(d), p.Own.First)
+		if failures := p.Failures(); len(failures) > 0 {
+			t.Errorf("seed %d: %v\n%s\n%s", d.Seed, failures, Describe(d), p.Own.FirstViolations)
 		}
-		if p.Own.Placed == 0 || p.Own.Demanded == 0 || p.Seer.Demanded == 0 {
+		if p.Own.Established == 0 || p.Own.Demanded == 0 || p.Baseline.Demanded == 0 {
 			t.Errorf("seed %d: no connection was established or demanded: %+v", d.Seed, p.Own)
 		}
 	}
@@ -120,8 +120,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Run(); s.Evaluation.Broken() > 0 {
-			t.Errorf("%v\n%s", s.Evaluation.First, Describe(s.Deployment))
+		if s.Run(); s.Evaluation.ViolationCount() > 0 {
+			t.Errorf("%v\n%s", s.Evaluation.FirstViolations, Describe(s.Deployment))
 		}
 	}))
 }
