--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -296,7 +296,7 @@
 // read is an operator's file; - is standard input.
 func read(path string) (string, []byte, *revision.Content, error) {
 	if path == "-" {
-		body, err := io.ReadAll(io.LimitReader(os.Stdin, revisioncue.Most+1))
+		body, err := io.ReadAll(io.LimitReader(os.Stdin, revisioncue.MaxBytes+1))
 		if err != nil {
 			return path, nil, nil, err
 		}
@@ -329,7 +329,7 @@
 	err = c.run(revision.Call{Verb: revision.VerbPropose, Text: revision.Encode(content)},
 		revision.HashPrefix(revision.Hash(content)))
 	if e, ok := err.(*refused); ok && e.at == "" {
-		if at := revisioncue.Where(path, body, e.text); at != path {
+		if at := revisioncue.Position(path, body, e.text); at != path {
 			e.at = at
 		}
 	}
--- a/internal/admission/reference_test.go
+++ b/internal/admission/reference_test.go
@@ -64,7 +64,7 @@
 
 // With random operations, the controller applies an address's caps exactly as the reference does, its ledger's sums are
 // correct, and no more descriptors are in use than the budget and victimSlack.
-func TestGateMatchesReference(t *testing.T) {
+func TestControllerMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
 		cfg.Network.NewPerSecond, cfg.Network.Burst = 1e6, 1<<20 // the reference doesn't model networks
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -51,7 +51,7 @@
 
 // withDefaults validates the settings and replaces zero values by defaults. The error is a *ConfigError.
 func (c Config) withDefaults() (Config, error) {
-	for _, check := range []func() error{c.checkNames, c.checkMembers, c.checkReach, c.checkListen} {
+	for _, check := range []func() error{c.checkNames, c.checkMembers, c.checkAddressOverrides, c.checkListen} {
 		if err := check(); err != nil {
 			return c, err
 		}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (c Config) checkReach() error {
+func (c Config) checkAddressOverrides() error {
 	for name, address := range c.AddressOverrides {
 		if c.candidate(name) == nil || !isAddress(address) {
 			return &ConfigError{
--- a/internal/proxy/revision_config.go
+++ b/internal/proxy/revision_config.go
@@ -68,14 +68,14 @@
 		History:              section.History,
 		HistoryBytes:         int64(section.HistoryBytes),
 		Log: lease.Log{
-			Cluster:      section.Cluster,
-			Name:         c.Name,
-			Listen:       section.Listen,
-			Voters:       section.Voters,
-			Reach:        section.Reach,
-			Folder:       section.Folder,
-			ReplaceAfter: time.Duration(section.ReplaceAfter),
-			Seed:         uint64(c.Core.Seed),
+			Cluster:          section.Cluster,
+			Name:             c.Name,
+			Listen:           section.Listen,
+			Voters:           section.Voters,
+			AddressOverrides: section.Reach,
+			Folder:           section.Folder,
+			ReplaceAfter:     time.Duration(section.ReplaceAfter),
+			Seed:             uint64(c.Core.Seed),
 		},
 	}
 }
--- a/internal/revision/doc.go
+++ b/internal/revision/doc.go
@@ -21,6 +21,6 @@
 //	member.go       a process's side of the protocol
 //	leader.go       the leader's side of the protocol
 //	guard.go        automatic rollback of a new revision
-//	orders.go       calls by operators
+//	calls.go        calls by operators
 //	errors.go       errors with hints for operators
 package revision
--- a/internal/revision/host/coordinator.go
+++ b/internal/revision/host/coordinator.go
@@ -19,7 +19,7 @@
 	methodJoin    = "join"    // adds a process to the lease holders
 	methodLeave   = "leave"   // gives up a process's lease for good
 	methodEnded   = "ended"   // reports that another process of the caller's balancer has ended
-	methodOperate = "operate" // carries out an operator's order
+	methodOperate = "operate" // carries out an operator's call
 )
 
 const (
@@ -262,11 +262,11 @@
 		}
 		return nil, h.processEnded(ctx, from, ended)
 	case methodOperate:
-		order, err := revision.ParseCall(string(body))
+		call, err := revision.ParseCall(string(body))
 		if err != nil {
 			return nil, err
 		}
-		text, err := h.executeOrder(ctx, order)
+		text, err := h.executeCall(ctx, call)
 		return []byte(text), err
 	}
 	return nil, &revision.Corrupt{Cause: "unknown method: " + method}
--- a/internal/revision/host/host.go
+++ b/internal/revision/host/host.go
@@ -127,7 +127,7 @@
 		Name:             log.Name,
 		Listen:           log.Listen,
 		Voters:           log.Voters,
-		AddressOverrides: log.Reach,
+		AddressOverrides: log.AddressOverrides,
 		Folder:           log.Folder,
 		Tick:             log.Tick,
 		ReplaceAfter:     log.ReplaceAfter,
--- a/internal/revision/host/operate.go
+++ b/internal/revision/host/operate.go
@@ -26,17 +26,17 @@
 	maxWaitingNames = 8
 )
 
-// Operate carries out an operator's order, the words after "revision", at the current leader. The error has a hint;
+// Operate carries out an operator's call, the words after "revision", at the current leader. The error has a hint;
 // if it begins with revision.RetryLaterPrefix, the same call may be retried.
 func (h *Host) Operate(ctx context.Context, words string) (string, error) {
-	order, err := revision.ParseCall(words)
+	call, err := revision.ParseCall(words)
 	if err != nil {
 		return "", err
 	}
-	switch order.Verb {
+	switch call.Verb {
 	case revision.VerbPropose:
-		if incompatible := h.check(order.Text); incompatible != nil { // each other member checks against its settings
-			return h.earlierOutcome(ctx, order.Key, incompatible)
+		if incompatible := h.check(call.Text); incompatible != nil { // each other member checks against its settings
+			return h.earlierOutcome(ctx, call.Key, incompatible)
 		}
 	case revision.VerbStatus:
 		return h.status(ctx), nil
@@ -58,7 +58,7 @@
 	return "", incompatible
 }
 
-// callAnyLeader sends an order to the leader, and retries at the leader known by then until one answers or ctx ends.
+// callAnyLeader sends a call to the leader, and retries at the leader known by then until one answers or ctx ends.
 func (h *Host) callAnyLeader(ctx context.Context, words string) (string, error) {
 	cause := "no leader is known"
 	timeout := leaderTimeout
@@ -94,31 +94,31 @@
 		errors.As(err, new(*consensus.NotLeader))
 }
 
-// executeOrder carries out an order on the leader.
-func (h *Host) executeOrder(ctx context.Context, order revision.Call) (string, error) {
+// executeCall carries out a call on the leader.
+func (h *Host) executeCall(ctx context.Context, call revision.Call) (string, error) {
 	if err := h.lockAsLeader(ctx); err != nil {
 		return "", err
 	}
 	defer h.mu.Unlock()
-	switch order.Verb {
+	switch call.Verb {
 	case revision.VerbStatus:
 		return h.leaderStatus(), nil
 	case revision.VerbGet:
-		return revisionText(h.state, order.Number)
+		return revisionText(h.state, call.Number)
 	case revision.VerbList:
-		return listRevision(h.state, order.Number), nil
+		return listRevision(h.state, call.Number), nil
 	case revision.VerbOutcome:
-		return h.outcome(order.Key)
+		return h.outcome(call.Key)
 	case revision.VerbReplace:
-		return h.replaceVoter(ctx, order)
+		return h.replaceVoter(ctx, call)
 	case revision.VerbForget:
-		forget := revision.Command{Op: revision.OpForget, LeaderTerm: h.state.LeaderTerm, Name: order.Name}
+		forget := revision.Command{Op: revision.OpForget, LeaderTerm: h.state.LeaderTerm, Name: call.Name}
 		if err := h.commitUnlocked(ctx, forget); err != nil {
 			return "", err
 		}
-		return "forgotten " + order.Name, nil
+		return "forgotten " + call.Name, nil
 	}
-	return h.propose(ctx, order)
+	return h.propose(ctx, call)
 }
 
 func revisionText(state *revision.State, number uint64) (string, error) {
@@ -133,14 +133,14 @@
 }
 
 // replaceVoter replaces a voter of the log. It is called with mu held, and unlocks it during the call.
-func (h *Host) replaceVoter(ctx context.Context, order revision.Call) (string, error) {
+func (h *Host) replaceVoter(ctx context.Context, call revision.Call) (string, error) {
 	h.mu.Unlock()
-	err := h.node.Replace(ctx, order.Name, order.NewName)
+	err := h.node.Replace(ctx, call.Name, call.NewName)
 	h.mu.Lock()
 	if err != nil {
 		return "", err
 	}
-	return "voter " + order.Name + " replaced by " + order.NewName, nil
+	return "voter " + call.Name + " replaced by " + call.NewName, nil
 }
 
 // commitUnlocked commits a command. It is called with mu held, and unlocks it during the commit.
@@ -152,11 +152,11 @@
 }
 
 // propose commits a proposal, unless its key is known. It is called with mu held, and unlocks it during the commit.
-func (h *Host) propose(ctx context.Context, order revision.Call) (string, error) {
-	if text, err := h.outcome(order.Key); !errors.As(err, new(*UnknownKey)) {
+func (h *Host) propose(ctx context.Context, call revision.Call) (string, error) {
+	if text, err := h.outcome(call.Key); !errors.As(err, new(*UnknownKey)) {
 		return text, err
 	}
-	command, err := proposal(h.state, order)
+	command, err := proposal(h.state, call)
 	if err != nil {
 		return "", err
 	}
@@ -164,30 +164,30 @@
 		return "", err
 	}
 	signal(h.wakeCoordinator)
-	return h.outcome(order.Key)
+	return h.outcome(call.Key)
 }
 
 // proposal returns the command for an operator's proposal or rollback.
-func proposal(state *revision.State, order revision.Call) (revision.Command, error) {
+func proposal(state *revision.State, call revision.Call) (revision.Command, error) {
 	command := revision.Command{
 		Op:            revision.OpPropose,
 		Kind:          revision.KindProposed,
-		Key:           order.Key,
-		Base:          order.Base,
-		By:            cmp.Or(order.By, "-"),
-		GuardDuration: int64(order.GuardDuration),
-		Deadline:      int64(order.Deadline),
+		Key:           call.Key,
+		Base:          call.Base,
+		By:            cmp.Or(call.By, "-"),
+		GuardDuration: int64(call.GuardDuration),
+		Deadline:      int64(call.Deadline),
 		ProposedAt:    time.Now().UnixMilli(),
 	}
-	if order.Base == revision.Latest {
+	if call.Base == revision.Latest {
 		command.Base = state.InForce().Number
 	}
-	if order.Verb == revision.VerbRollback {
-		command.Kind, command.Source = revision.KindRollback, order.Number
-		_, err := state.Revision(order.Number)
+	if call.Verb == revision.VerbRollback {
+		command.Kind, command.Source = revision.KindRollback, call.Number
+		_, err := state.Revision(call.Number)
 		return command, err
 	}
-	content, err := revision.Decode(order.Text)
+	content, err := revision.Decode(call.Text)
 	if err != nil {
 		return command, err
 	}
--- a/internal/revision/host/sockets_test.go
+++ b/internal/revision/host/sockets_test.go
@@ -187,7 +187,7 @@
 	s.balancer = b
 }
 
-// operateWithRetry carries out an order, and retries it while its error permits that.
+// operateWithRetry carries out a call, and retries it while its error permits that.
 func (s *restartableMember) operateWithRetry(t *testing.T, words string) (got string, err error) {
 	t.Helper()
 	waitFor(t, words, func() bool {
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -21,7 +21,7 @@
 	// SetTotals sets the running totals over new clients and routed requests: all of them, and those rejected, failed,
 	// and answered late.
 	SetTotals(requests, rejected, failed, late int64)
-	// Operate carries out an operator's order, the words after "revision". The error has a hint.
+	// Operate carries out an operator's call, the words after "revision". The error has a hint.
 	Operate(ctx context.Context, words string) (string, error)
 	// Leave gives up the lease for good. It returns once the leader has confirmed, or when ctx ends.
 	Leave(ctx context.Context)
@@ -41,16 +41,16 @@
 
 // Log holds the settings of the replicated log, as in consensus.Config.
 type Log struct {
-	Cluster      string
-	Name         string
-	Listen       string
-	Candidates   []Candidate
-	Voters       int
-	Reach        map[string]string
-	Folder       string
-	Tick         time.Duration
-	ReplaceAfter time.Duration
-	Seed         uint64
+	Cluster          string
+	Name             string
+	Listen           string
+	Candidates       []Candidate
+	Voters           int
+	AddressOverrides map[string]string
+	Folder           string
+	Tick             time.Duration
+	ReplaceAfter     time.Duration
+	Seed             uint64
 }
 
 // Phase is the state of a lease: whether it allows placing new clients, and if not, why.
--- a/internal/revisioncue/revisioncue.go
+++ b/internal/revisioncue/revisioncue.go
@@ -31,8 +31,8 @@
 
 const schemaFile = "schema.cue"
 
-// Most is the maximum length of an operator's text, in bytes.
-const Most = 1 << 20
+// MaxBytes is the maximum length of an operator's text, in bytes.
+const MaxBytes = 1 << 20
 
 // Fault is one error in an operator's text.
 type Fault struct {
@@ -40,7 +40,7 @@
 	Line, Column int // from 1; 0 for a fault without a position
 	Field        string
 	What         string
-	Do           string
+	Remedy       string
 }
 
 // Error implements error.
@@ -56,7 +56,7 @@
 }
 
 // Hint implements hint.Hinter.
-func (f Fault) Hint() string { return f.Do }
+func (f Fault) Hint() string { return f.Remedy }
 
 // Faults is the error of a text that is not a valid revision. It lists all faults and is not empty.
 type Faults []Fault
@@ -71,7 +71,7 @@
 }
 
 // Hint returns the hint of the first fault.
-func (l Faults) Hint() string { return l[0].Do }
+func (l Faults) Hint() string { return l[0].Remedy }
 
 // Unwrap returns the first fault, for errors.As.
 func (l Faults) Unwrap() error { return l[0] }
@@ -101,9 +101,9 @@
 // Parse reads an operator's or a balancer's text, of which path is the name, and checks everything that does not
 // depend on a balancer's settings. The error is Faults.
 func Parse(path string, body []byte) (*revision.Content, error) {
-	if len(body) > Most {
+	if len(body) > MaxBytes {
 		return nil, Faults{{
-			path, 0, 0, "", fmt.Sprintf("%d bytes, more than %d", len(body), Most),
+			path, 0, 0, "", fmt.Sprintf("%d bytes, more than %d", len(body), MaxBytes),
 			"make the revision shorter: leave out what equals the settings",
 		}}
 	}
@@ -187,9 +187,9 @@
 
 var fieldName = regexp.MustCompile(`\b(note|classes|tenants|regions|zones|budgets|moves|links)(\[\d+\]|\.[a-z_]+)*: `)
 
-// Where returns the position in the operator's text, "path:line:column", of the first field that a balancer's answer
+// Position returns the position in the operator's text, "path:line:column", of the first field that a balancer's answer
 // names, or path alone if the answer names no field of the text.
-func Where(path string, body []byte, answer string) string {
+func Position(path string, body []byte, answer string) string {
 	field := strings.TrimSuffix(fieldName.FindString(answer), ": ")
 	if line, column := positionOf(path, cuecontext.New().CompileBytes(body, cue.Filename(path)), field); line > 0 {
 		return fmt.Sprintf("%s:%d:%d", path, line, column)
@@ -272,7 +272,7 @@
 	for _, e := range errors.Errors(err) {
 		form, args := e.Msg()
 		at, what := fieldPath(e.Path()), strings.ReplaceAll(fmt.Sprintf(form, args...), "\n", " ")
-		f := Fault{File: path, Field: at, What: what, Do: cmp.Or(do, hintFor(what, at))}
+		f := Fault{File: path, Field: at, What: what, Remedy: cmp.Or(do, hintFor(what, at))}
 		for _, p := range append(errors.Positions(e), e.Position()) {
 			if p.Filename() == path {
 				f.Line, f.Column = p.Line(), p.Column()
@@ -301,7 +301,7 @@
 		weights[f.Field] = max(weights[f.Field], weight)
 	}
 	if len(list) == 0 {
-		list = Faults{{File: path, What: err.Error(), Do: "write it as in docs/operators/revisions.md"}}
+		list = Faults{{File: path, What: err.Error(), Remedy: "write it as in docs/operators/revisions.md"}}
 	}
 	return list
 }
--- a/internal/revisioncue/revisioncue_test.go
+++ b/internal/revisioncue/revisioncue_test.go
@@ -133,20 +133,20 @@
 		"oatloft_revision: 1": "oatloft_revision: field not allowed",
 		`{"oatloft_revision":1,"zones":[{"id":"a"}]}`: "x.cue: zones[0].weight: is not set, and the entry is not excluded",
 		`{"oatloft_revision":2}`:                      "x.cue: invalid revision text: oatloft_revision: format version 2",
-		strings.Repeat(" ", Most+1):                   "more than",
+		strings.Repeat(" ", MaxBytes+1):               "more than",
 	} {
 		_, err := Parse("x.cue", []byte(text))
 		var all Faults
 		var one Fault
 		if !errors.As(err, &all) || !errors.As(err, &one) || !strings.Contains(hint.Line(err), want) ||
-			one.Do == "" || strings.Contains(hint.Line(err), "%!") {
+			one.Remedy == "" || strings.Contains(hint.Line(err), "%!") {
 			t.Errorf("%.80q: %s\nwant %s", text, hint.Line(err), want)
 		}
 	}
 }
 
-// Where finds the field that a balancer's answer names in the operator's own file.
-func TestWhere(t *testing.T) {
+// Position finds the field that a balancer's answer names in the operator's own file.
+func TestPosition(t *testing.T) {
 	c, err := Parse("x.cue", []byte(sample))
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 		"budgets.setups: 100 is": "x.cue:9:25",
 		"later: nobody leads":    "x.cue",
 	} {
-		if got := Where("x.cue", []byte(sample), text); got != want {
+		if got := Position("x.cue", []byte(sample), text); got != want {
 			t.Errorf("%s: %s, not %s", text, got, want)
 		}
 	}
