--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -44,7 +44,7 @@
 	if !(c.Seconds >= 0 && c.Seconds <= 600) {
 		return &unfit{hint.Annotated{Where: "--seconds", What: "has to be 0 to 600", Do: "set it within"}}
 	}
-	s := &faultinjection.Schedule{Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1)}
+	s := &faultinjection.Schedule{Name: "demo", Balancers: c.Balancers, Servers: c.Regions, Clients: c.Terminals, Seconds: max(c.Seconds, 1)}
 	w, err := faultinjection.Open(s, faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
 	if err != nil {
 		return err
--- a/cmd/oatlab/faults.go
+++ b/cmd/oatlab/faults.go
@@ -185,15 +185,15 @@
 }
 
 func (c *faultsCmd) options(binary string, net int, silent time.Duration) faultinjection.Options {
-	return faultinjection.Options{Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, Readings: c.Readings, Turns: c.Turns,
+	return faultinjection.Options{Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, SharedProbes: c.Readings, SharedLimits: c.Turns,
 		Revisions: c.Revisions, Links: c.Links, Lease: c.lease}
 }
 
 func (c *faultsCmd) draw(seed uint64) *faultinjection.Schedule {
 	if !c.Revisions {
-		return faultinjection.Draw(seed, c.Balancers, c.Seconds)
+		return faultinjection.Generate(seed, c.Balancers, c.Seconds)
 	}
-	s := faultinjection.DrawRevisions(seed, c.Balancers, c.Seconds, c.Links)
+	s := faultinjection.GenerateRevisions(seed, c.Balancers, c.Seconds, c.Links)
 	if c.OnCut != "drawn" {
 		s.OnCut = c.OnCut
 	}
@@ -286,7 +286,7 @@
 	for _, how := range strings.Split(c.How, ",") {
 		for _, cut := range cuts {
 			for i := range c.Seeds {
-				p := &faultinjection.Plan{Seed: c.Seed + uint64(i), Before: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks, How: how, Within: within}
+				p := &faultinjection.Plan{Seed: c.Seed + uint64(i), InitialRevisions: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks, FaultPattern: how, TimeLimit: within}
 				o := c.options(binary, 0, silent)
 				o.Plan = p
 				runs = append(runs, &run{s: p.Schedule(c.Balancers, cut), o: o})
@@ -319,7 +319,7 @@
 		}
 		close(next)
 	}()
-	fmt.Println(faultinjection.RowHead)
+	fmt.Println(faultinjection.RowHeader)
 	broken := 0
 	var why []string
 	for i, r := range runs {
--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -21,12 +21,12 @@
 // Plan sets how many changes are made, and which faults occur meanwhile. A fault run with a plan ignores the faults and
 // calls of its schedule.
 type Plan struct {
-	Seed      uint64
-	Before    int           // revisions that are settled first, without faults
-	Changes   int           // accepted requests, under faults
-	Rollbacks int           // after the changes, under faults too, to random earlier revisions
-	How       string        // one of FaultPatterns
-	Within    time.Duration // no change begins later than this after the start
+	Seed             uint64
+	InitialRevisions int           // revisions that are settled first, without faults
+	Changes          int           // accepted requests, under faults
+	Rollbacks        int           // after the changes, under faults too, to random earlier revisions
+	FaultPattern     string        // one of FaultPatterns
+	TimeLimit        time.Duration // no change begins later than this after the start
 }
 
 // faultPattern describes the faults while changes are made: rounds of a fault at some balancers, with a pause after
@@ -68,17 +68,18 @@
 
 // Schedule returns the schedule of a run of the plan.
 func (p *Plan) Schedule(balancers int, onCut string) *Schedule {
-	return &Schedule{Name: fmt.Sprintf("changes-%d-%s", p.Seed, p.How), Balancers: balancers, Regions: 6,
-		Terminals: 4 * balancers, Seconds: 1, OnCut: onCut}
+	return &Schedule{Name: fmt.Sprintf("changes-%d-%s", p.Seed, p.FaultPattern), Balancers: balancers, Servers: 6,
+		Clients: 4 * balancers, Seconds: 1, OnCut: onCut}
 }
 
 func (p *Plan) check() error {
-	switch _, ok := faultPatterns[p.How]; {
+	switch _, ok := faultPatterns[p.FaultPattern]; {
 	case !ok:
-		return &InvalidSchedule{"how", fmt.Sprintf("%q is not one of %s", p.How, strings.Join(FaultPatterns(), ", "))}
-	case p.Changes < 0 || p.Rollbacks < 0 || p.Before < 0 || p.Changes+p.Rollbacks+p.Before > maxChanges:
-		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: the sum exceeds %d, or one is negative", p.Before,
-			p.Changes, p.Rollbacks, maxChanges)}
+		return &InvalidSchedule{"how", fmt.Sprintf("%q is not one of %s", p.FaultPattern, strings.Join(FaultPatterns(), ", "))}
+	case p.Changes < 0 || p.Rollbacks < 0 || p.InitialRevisions < 0 ||
+		p.Changes+p.Rollbacks+p.InitialRevisions > maxChanges:
+		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: the sum exceeds %d, or one is negative",
+			p.InitialRevisions, p.Changes, p.Rollbacks, maxChanges)}
 	}
 	return nil
 }
@@ -116,8 +117,8 @@
 		count++
 		return w.playCall(count, c)
 	}
-	randomServer := func() int { return 1 + rng.IntN(w.Schedule.Regions) }
-	for made := 0; made < p.Before && w.Now() < began+p.Within; {
+	randomServer := func() int { return 1 + rng.IntN(w.Schedule.Servers) }
+	for made := 0; made < p.InitialRevisions && w.Now() < began+p.TimeLimit; {
 		if nextCall(Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: randomServer()}) == Settled {
 			made++
 		}
@@ -125,15 +126,17 @@
 	from, answersBefore := w.Now(), w.answerCounts()
 	faultsOver := make(chan struct{})
 	var faults sync.WaitGroup
-	faults.Go(func() { w.playFaultRounds(faultPatterns[p.How], rand.New(rand.NewPCG(p.Seed, 37)), faultsOver) })
-	for made := 0; made < p.Changes+p.Rollbacks && w.Now() < began+p.Within; {
+	faults.Go(func() {
+		w.playFaultRounds(faultPatterns[p.FaultPattern], rand.New(rand.NewPCG(p.Seed, 37)), faultsOver)
+	})
+	for made := 0; made < p.Changes+p.Rollbacks && w.Now() < began+p.TimeLimit; {
 		c := Call{Kind: "propose", To: 1 + rng.IntN(w.Schedule.Balancers), Only: randomServer(), From: rng.IntN(2) == 0,
 			Lost: rng.IntN(3) == 0, Again: rng.IntN(3) == 0}
 		if rng.IntN(3) == 0 {
 			c.Also = 1 + rng.IntN(w.Schedule.Balancers)
 		}
 		if made >= p.Changes {
-			c.Kind, c.Only, c.Back = "rollback", 0, 1+rng.IntN(max(1, p.Before+p.Changes))
+			c.Kind, c.Only, c.Back = "rollback", 0, 1+rng.IntN(max(1, p.InitialRevisions+p.Changes))
 		} else if rng.IntN(6) == 0 {
 			c.Kind, c.Only, c.Back = "rollback", 0, 1+rng.IntN(3)
 		}
@@ -410,7 +413,7 @@
 	return revision.Decode([]byte(a.Text[strings.IndexByte(a.Text, '{'):]))
 }
 
-// Row returns the result of a run of changes as a row of a table with the heading RowHead.
+// Row returns the result of a run of changes as a row of a table with the heading RowHeader.
 func (r *Report) Row() string {
 	c := r.PlanResult
 	if c == nil {
@@ -435,8 +438,8 @@
 		c.Judged, c.Recovered, c.Equal, c.Rollbacks, c.Entries, c.Leaders, len(r.Broken))
 }
 
-// RowHead is the heading of the table whose rows Report.Row returns.
-const RowHead = "| run | on_cut | s | faults | in force everywhere | nowhere | mixed | " +
+// RowHeader is the heading of the table whose rows Report.Row returns.
+const RowHeader = "| run | on_cut | s | faults | in force everywhere | nowhere | mixed | " +
 	"in force after, median / most, s | requests served /s | refused /s | no answer /s | " +
 	"first requests judged | rollbacks equal everywhere | revisions | broken |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
--- a/internal/faultinjection/faults.go
+++ b/internal/faultinjection/faults.go
@@ -28,7 +28,7 @@
 }
 
 func randomServerLink(rng *rand.Rand, s *Schedule) Fault {
-	return Fault{A: rng.IntN(s.Balancers + 1), B: rng.IntN(s.Regions + 1)}
+	return Fault{A: rng.IntN(s.Balancers + 1), B: rng.IntN(s.Servers + 1)}
 }
 
 // each calls f for balancer a, counted from 1, or for all if a is 0.
@@ -218,7 +218,7 @@
 		return LinkFaults{Delay: time.Duration(f.Value * float64(time.Millisecond))}
 	}, false)})
 	register("region-thinks", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
-		return Fault{B: rng.IntN(s.Regions + 1), Value: 200 + 2500*rng.Float64()} // ms until the server answers
+		return Fault{B: rng.IntN(s.Servers + 1), Value: 200 + 2500*rng.Float64()} // ms until the server answers
 	}, targetB: "region", begin: func(w *Scenario, f Fault) func() {
 		set := func(d time.Duration) {
 			for j, r := range w.Regions {
@@ -246,7 +246,7 @@
 			return func() {}
 		}})
 	register("region-drains", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
-		return Fault{B: 1 + rng.IntN(s.Regions)}
+		return Fault{B: 1 + rng.IntN(s.Servers)}
 	}, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
 			name := w.Regions[max(0, f.B-1)].Name
@@ -254,7 +254,7 @@
 			return func() { w.Discovery.Tell(name, "ready") }
 		}})
 	register("region-anew", kind{generate: func(rng *rand.Rand, s *Schedule) Fault {
-		return Fault{B: 1 + rng.IntN(s.Regions)}
+		return Fault{B: 1 + rng.IntN(s.Servers)}
 	}, targetB: "region",
 		begin: func(w *Scenario, f Fault) func() {
 			r := w.Regions[max(0, f.B-1)]
--- a/internal/faultinjection/golden_test.go
+++ b/internal/faultinjection/golden_test.go
@@ -14,9 +14,9 @@
 func TestScheduleFormat(t *testing.T) {
 	golden.JSON[Schedule](t, "schedule-fields.json")
 	for seed := range uint64(6) {
-		s := Draw(seed, 5, 20)
+		s := Generate(seed, 5, 20)
 		if seed >= 3 {
-			s = DrawRevisions(seed, 5, 20, true)
+			s = GenerateRevisions(seed, 5, 20, true)
 		}
 		name := fmt.Sprintf("schedule-%d.json", seed)
 		body, err := json.MarshalIndent(s, "", "  ")
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -254,7 +254,7 @@
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
 		n := 1 + int(seed%9)
-		s := DrawRevisions(seed, n, 5, seed%2 == 0)
+		s := GenerateRevisions(seed, n, 5, seed%2 == 0)
 		if err := s.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -264,7 +264,7 @@
 				t.Fatalf("seed %d: %v of %d voters", seed, f, voters(n))
 			}
 		}
-		for _, f := range Draw(seed, n, 5).Faults {
+		for _, f := range Generate(seed, n, 5).Faults {
 			if kinds[f.Kind].needs != "" {
 				t.Fatalf("seed %d: %v without revisions", seed, f)
 			}
@@ -379,19 +379,20 @@
 	for _, x := range []struct {
 		p    Plan
 		want string
-	}{{Plan{How: "none"}, "how: "}, {Plan{How: "calm", Changes: maxChanges + 1}, "changes: "},
-		{Plan{How: "calm", Before: -1}, "changes: "}} {
+	}{{Plan{FaultPattern: "none"}, "how: "}, {Plan{FaultPattern: "calm", Changes: maxChanges + 1}, "changes: "},
+		{Plan{FaultPattern: "calm", InitialRevisions: -1}, "changes: "}} {
 		if _, err := Run(x.p.Schedule(5, ""), Options{Net: 20, Revisions: true, Plan: &x.p}); err == nil ||
 			!strings.HasPrefix(err.Error(), x.want) || hint.Of(err) == "" {
 			t.Errorf("%+v: %v", x.p, err)
 		}
 	}
-	if _, err := Run((&Plan{How: "calm"}).Schedule(5, ""), Options{Net: 20, Plan: &Plan{How: "calm"}}); err == nil ||
+	if _, err := Run((&Plan{FaultPattern: "calm"}).Schedule(5, ""),
+		Options{Net: 20, Plan: &Plan{FaultPattern: "calm"}}); err == nil ||
 		!strings.HasPrefix(err.Error(), "plan: ") {
 		t.Error(err)
 	}
 	for _, name := range FaultPatterns() {
-		s := (&Plan{How: name}).Schedule(5, "hold")
+		s := (&Plan{FaultPattern: name}).Schedule(5, "hold")
 		for seed := range uint64(50) {
 			list := faultPatterns[name].generate(rand.New(rand.NewPCG(seed, 1)), s)
 			s.Faults = list
--- a/internal/faultinjection/operators.go
+++ b/internal/faultinjection/operators.go
@@ -219,7 +219,7 @@
 	for at := 0.1 + 0.3*rng.Float64(); at < s.Seconds; at += 0.1 + 0.8*rng.Float64() {
 		c := Call{At: Span(time.Duration(at * float64(time.Second)).Truncate(10 * time.Millisecond)), Kind: "propose",
 			To:  1 + rng.IntN(s.Balancers),
-			Out: 1 + rng.IntN(s.Regions), From: rng.IntN(2) == 0, Lost: rng.IntN(4) == 0, Again: rng.IntN(4) == 0}
+			Out: 1 + rng.IntN(s.Servers), From: rng.IntN(2) == 0, Lost: rng.IntN(4) == 0, Again: rng.IntN(4) == 0}
 		if rng.IntN(4) == 0 {
 			c.Also = 1 + rng.IntN(s.Balancers)
 		}
--- a/internal/faultinjection/run.go
+++ b/internal/faultinjection/run.go
@@ -60,7 +60,7 @@
 	if o.Plan != nil { // other fault runs check membership more thoroughly
 		invariants = append(invariants[1:], PlanOutcome{})
 	}
-	if o.Off {
+	if o.WithoutPeers {
 		invariants = nil
 	}
 	if missing := w.settle(invariants, 20*w.options.SilentAfter+2*time.Second+w.revisionsSettle()); missing != "" {
@@ -147,7 +147,7 @@
 	for _, g := range w.Regions {
 		r.WarmingUpLoad = max(r.WarmingUpLoad, g.Pushed())
 	}
-	if r.Served == 0 && s.Terminals > 0 {
+	if r.Served == 0 && s.Clients > 0 {
 		r.Broken = append(r.Broken, "no request was served: the run tests nothing")
 	}
 	return r, nil
--- a/internal/faultinjection/schedule.go
+++ b/internal/faultinjection/schedule.go
@@ -52,8 +52,8 @@
 type Schedule struct {
 	Name      string  `json:"name"`
 	Balancers int     `json:"balancers"`
-	Regions   int     `json:"regions"`
-	Terminals int     `json:"terminals"`
+	Servers   int     `json:"regions"`
+	Clients   int     `json:"terminals"`
 	Seconds   float64 `json:"seconds"` // duration of the faults, before the time to settle
 	Faults    []Fault `json:"faults"`
 	Calls     []Call  `json:"calls,omitempty"`  // of operators, with revisions
@@ -106,16 +106,16 @@
 	switch {
 	case s.Balancers < 1 || s.Balancers > maxBalancers:
 		return &InvalidSchedule{"balancers", fmt.Sprintf("%d is outside 1 to %d", s.Balancers, maxBalancers)}
-	case s.Regions < 1 || s.Regions > maxServers:
-		return &InvalidSchedule{"regions", fmt.Sprintf("%d is outside 1 to %d", s.Regions, maxServers)}
-	case s.Terminals < 0 || s.Terminals > maxClients:
-		return &InvalidSchedule{"terminals", fmt.Sprintf("%d is outside 0 to %d", s.Terminals, maxClients)}
+	case s.Servers < 1 || s.Servers > maxServers:
+		return &InvalidSchedule{"regions", fmt.Sprintf("%d is outside 1 to %d", s.Servers, maxServers)}
+	case s.Clients < 0 || s.Clients > maxClients:
+		return &InvalidSchedule{"terminals", fmt.Sprintf("%d is outside 0 to %d", s.Clients, maxClients)}
 	case !(s.Seconds > 0 && s.Seconds <= maxSeconds):
 		return &InvalidSchedule{"seconds", fmt.Sprintf("%v is outside 0 to %d", s.Seconds, maxSeconds)}
 	}
 	for i, f := range s.Faults {
 		k, ok := kinds[f.Kind]
-		maxB := map[string]int{"balancer": s.Balancers, "region": s.Regions}[k.targetB]
+		maxB := map[string]int{"balancer": s.Balancers, "region": s.Servers}[k.targetB]
 		switch {
 		case !ok:
 			return &InvalidSchedule{fmt.Sprintf("faults[%d].kind", i),
@@ -154,15 +154,16 @@
 	return s, nil
 }
 
-// Draw generates a schedule from a seed: one to eight faults, which may overlap. The kind of the first fault cycles
+// Generate generates a schedule from a seed: one to eight faults, which may overlap. The kind of the first fault cycles
 // through all kinds from seed to seed, and it lasts longer; the kinds of the others are random.
-func Draw(seed uint64, balancers int, seconds float64) *Schedule {
+func Generate(seed uint64, balancers int, seconds float64) *Schedule {
 	return generate(seed, balancers, seconds, slices.DeleteFunc(Kinds(),
 		func(name string) bool { return kinds[name].needs != "" }))
 }
 
-// DrawRevisions generates a schedule with operators' calls, and with the faults that need revisions among the others.
-func DrawRevisions(seed uint64, balancers int, seconds float64, links bool) *Schedule {
+// GenerateRevisions generates a schedule with operators' calls, and with the faults that need revisions among the
+// others.
+func GenerateRevisions(seed uint64, balancers int, seconds float64, links bool) *Schedule {
 	names := slices.DeleteFunc(Kinds(), func(name string) bool { return kinds[name].manualOnly })
 	if voters(balancers) < 3 { // the only voter must not lose its folder
 		names = slices.DeleteFunc(names, func(name string) bool { return strings.HasPrefix(name, "folder-") })
@@ -177,8 +178,8 @@
 
 func generate(seed uint64, balancers int, seconds float64, names []string) *Schedule {
 	rng := rand.New(rand.NewPCG(seed, 23))
-	s := &Schedule{Name: fmt.Sprintf("seed-%d", seed), Balancers: balancers, Regions: 4 + rng.IntN(5),
-		Terminals: 4 * balancers, Seconds: seconds}
+	s := &Schedule{Name: fmt.Sprintf("seed-%d", seed), Balancers: balancers, Servers: 4 + rng.IntN(5),
+		Clients: 4 * balancers, Seconds: seconds}
 	for n := range 1 + rng.IntN(8) {
 		name := names[rng.IntN(len(names))]
 		if n == 0 {
--- a/internal/faultinjection/world.go
+++ b/internal/faultinjection/world.go
@@ -21,19 +21,19 @@
 
 // Options configure a fault run.
 type Options struct {
-	Binary      string        // the balancer's executable
-	Net         int           // second byte of the run's addresses, 20 to 119; concurrent fault runs need different ones
-	SilentAfter time.Duration // silent_after of the members; 0 stands for 600 ms
-	Env         []string      // additional environment of the balancers
-	Off         bool          // without the peers section: no balancer knows another
-	Subset      int           // servers that a balancer probes itself; 0 for all
-	Readings    bool          // balancers share the results of probes
-	Turns       bool          // shares, slots and the clock depend on the members
-	Revisions   bool          // all balancers route by one revision, which operators change
-	Links       bool          // limited links between two zones; needs Revisions
-	Lease       time.Duration // to route by a revision; 0 stands for 1 s
-	Logs        string        // folder for the logs of the processes; "" for none
-	Plan        *Plan         // changes under faults, in place of the schedule's faults and calls; needs Revisions
+	Binary       string        // the balancer's executable
+	Net          int           // second byte of the run's addresses, 20 to 119; concurrent fault runs need different ones
+	SilentAfter  time.Duration // silent_after of the members; 0 stands for 600 ms
+	Env          []string      // additional environment of the balancers
+	WithoutPeers bool          // without the peers section: no balancer knows another
+	Subset       int           // servers that a balancer probes itself; 0 for all
+	SharedProbes bool          // balancers share the results of probes
+	SharedLimits bool          // shares, slots and the clock depend on the members
+	Revisions    bool          // all balancers route by one revision, which operators change
+	Links        bool          // limited links between two zones; needs Revisions
+	Lease        time.Duration // to route by a revision; 0 stands for 1 s
+	Logs         string        // folder for the logs of the processes; "" for none
+	Plan         *Plan         // changes under faults, in place of the schedule's faults and calls; needs Revisions
 }
 
 // Scenario is one fault run in progress.
@@ -112,7 +112,7 @@
 	if o.Lease == 0 {
 		o.Lease = time.Second
 	}
-	if o.Off {
+	if o.WithoutPeers {
 		o.Revisions, o.Links = false, false
 	}
 	if o.Links && !o.Revisions {
@@ -128,7 +128,7 @@
 	}
 	w = &Scenario{Schedule: s, options: o, stop: make(chan struct{}), over: make(chan struct{}),
 		ended: make(chan struct{}), answers: map[string]int{}}
-	if w.World, err = fake.New(s.Regions); err != nil {
+	if w.World, err = fake.New(s.Servers); err != nil {
 		return nil, err
 	}
 	scenario := w
@@ -154,12 +154,12 @@
 			scenario.Close()
 		}
 	}()
-	included := s.Regions
+	included := s.Servers
 	if o.Plan != nil {
 		included = planServers
 	}
 	for _, r := range w.Regions { // the included servers are half full if every client is connected
-		r.SetWeight(min(0.25, 0.5*float64(included)/float64(max(1, s.Terminals))))
+		r.SetWeight(min(0.25, 0.5*float64(included)/float64(max(1, s.Clients))))
 	}
 	w.Who = func(from net.Addr) string {
 		t, ok := from.(*net.TCPAddr)
@@ -191,7 +191,7 @@
 			Do: "check the logs of the processes, and that the addresses of --net are free"}}
 	}
 	w.Go(w.watchProcesses)
-	for n := range s.Terminals {
+	for n := range s.Clients {
 		w.clients.Add(1)
 		w.Go(func() { defer w.clients.Done(); w.runClient(n) })
 	}
@@ -221,7 +221,7 @@
 	reach := map[string]string{}
 	var join []string
 	for j := range n {
-		if i == j || w.options.Off {
+		if i == j || w.options.WithoutPeers {
 			continue
 		}
 		at := w.addr(i+1, j+1, peerPort)
@@ -281,13 +281,13 @@
 	}
 	l := fake.Launch{Binary: w.options.Binary, Config: config, Addr: listen, Management: w.addr(0, i+1, managementPort),
 		Env: append([]string{"TMPDIR=" + dir}, w.options.Env...)}
-	if !w.options.Off {
+	if !w.options.WithoutPeers {
 		file := filepath.Join(w.temp, w.name(i)+".edge.json")
 		e := edgeconfig.Settings{Form: edgeconfig.Form, Source: "faults",
 			Peers: &edgeconfig.Peers{Cluster: "faults", Listen: w.addr(0, i+1, peerPort), Join: join,
 				Reach: reach, SilentAfter: edgeconfig.Duration(w.options.SilentAfter), MaxMembers: 256, SignalBytes: 4096,
 				SignalEvery: edgeconfig.Duration(200 * time.Millisecond), SignalLife: edgeconfig.Duration(2 * time.Second),
-				Subset: w.options.Subset, Readings: w.options.Readings, Turns: w.options.Turns}}
+				Subset: w.options.Subset, Readings: w.options.SharedProbes, Turns: w.options.SharedLimits}}
 		if w.options.Revisions {
 			if e.Revisions, err = w.revisions(i); err != nil {
 				return err
--- a/internal/testrun/knownred.go
+++ b/internal/testrun/knownred.go
@@ -23,11 +23,11 @@
 	issue string
 }
 
-// badList is the error that a list of known failures is invalid.
-type badList struct{ hint.Annotated }
+// invalidList is the error that a list of known failures is invalid.
+type invalidList struct{ hint.Annotated }
 
 func badLine(where, what, do string) error {
-	return &badList{hint.Annotated{Where: where, What: what, Do: do}}
+	return &invalidList{hint.Annotated{Where: where, What: what, Do: do}}
 }
 
 var (
@@ -42,7 +42,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "make the file readable, or remove it"}}
+		return nil, &invalidList{hint.Annotated{Where: file, Cause: err, Do: "make the file readable, or remove it"}}
 	}
 	return parseKnownRed(filepath.Base(file), string(text))
 }
@@ -125,7 +125,7 @@
 	for _, file := range files {
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return nil, &badList{hint.Annotated{Where: file, Cause: err, Do: "correct the test file"}}
+			return nil, &invalidList{hint.Annotated{Where: file, Cause: err, Do: "correct the test file"}}
 		}
 		for _, declaration := range parsed.Decls {
 			if function, ok := declaration.(*ast.FuncDecl); ok && function.Recv == nil {
