--- a/internal/faultinjection/changes.go
+++ b/internal/faultinjection/changes.go
@@ -75,7 +75,8 @@
 func (p *Plan) check() error {
 	switch _, ok := faultPatterns[p.FaultPattern]; {
 	case !ok:
-		return &InvalidSchedule{"how", fmt.Sprintf("%q is not one of %s", p.FaultPattern, strings.Join(FaultPatterns(), ", "))}
+		return &InvalidSchedule{"how",
+			fmt.Sprintf("%q is not one of %s", p.FaultPattern, strings.Join(FaultPatterns(), ", "))}
 	case p.Changes < 0 || p.Rollbacks < 0 || p.InitialRevisions < 0 ||
 		p.Changes+p.Rollbacks+p.InitialRevisions > maxChanges:
 		return &InvalidSchedule{"changes", fmt.Sprintf("%d, %d and %d: the sum exceeds %d, or one is negative",
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -28,8 +28,14 @@
 }
 
 // Log lines are parsed into periods of routing, with unrelated lines ignored. A process that was stopped and then
-// killed did nothing since the stop.
+// killed did nothing since the stop. The messages are those of this version and of the previous one.
 func TestWorkFromLogLines(t *testing.T) {
+	t.Run("this version", func(t *testing.T) { checkWorkFromLogLines(t, "active", "released") })
+	t.Run("previous version", func(t *testing.T) { checkWorkFromLogLines(t, "at work", "let go") })
+}
+
+func checkWorkFromLogLines(t *testing.T, active, released string) {
+	t.Helper()
 	r := newRecord(0)
 	at := func(d time.Duration) int64 { return r.epoch + d.Microseconds() }
 	say := func(process int, what string, n int, d time.Duration, more string) {
@@ -37,15 +43,15 @@
 			fmt.Sprintf(`time=2026-01-01T00:00:00Z level=INFO msg="revision %s" number=%d hash=h%d at=%d%s`,
 				what, n, n, at(d), more))
 	}
-	say(1, "at work", 0, 10*ms, "")
-	say(1, "at work", 0, 20*ms, "") // renewed
+	say(1, active, 0, 10*ms, "")
+	say(1, active, 0, 20*ms, "") // renewed
 	r.parseLine("b01", 1, `level=INFO msg="something else" number=7 at=1`)
-	say(1, "let go", 0, 50*ms, ` why="in between"`)
-	say(1, "at work", 1, 60*ms, "")
+	say(1, released, 0, 50*ms, ` why="in between"`)
+	say(1, active, 1, 60*ms, "")
 	r.setStopped(1, 70*ms, true)
 	r.endProcess(1, 900*ms)
-	say(2, "at work", 2, 80*ms, "")
-	say(2, "at work", 3, 90*ms, "")
+	say(2, active, 2, 80*ms, "")
+	say(2, active, 3, 90*ms, "")
 	got := ""
 	for _, w := range r.Works() {
 		to := w.To
@@ -59,11 +65,11 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	r.endProcess(3, 200*ms)
-	say(3, "at work", 3, 100*ms, "") // its last log line, read after it was killed
+	say(3, active, 3, 100*ms, "") // its last log line, read after it was killed
 	if w := r.Works(); w[4].To != 200*ms {
 		t.Errorf("the last one ends %v", w[4].To)
 	}
-	r.parseLine("b01", 1, `msg="revision at work" number=x at=1`)
+	r.parseLine("b01", 1, fmt.Sprintf(`msg="revision %s" number=x at=1`, active))
 	if len(r.unparsed) != 1 {
 		t.Error("an invalid line was not recorded")
 	}
--- a/internal/faultinjection/record.go
+++ b/internal/faultinjection/record.go
@@ -80,8 +80,9 @@
 
 // parseLine records one line of a process's log, in slog's text format.
 func (r *Record) parseLine(by string, process int, line string) {
-	began := strings.Contains(line, `msg="revision at work"`)
-	if !began && !strings.Contains(line, `msg="revision let go"`) {
+	// Balancers of the previous version write "revision at work" and "revision let go": runs that upgrade read both.
+	began := strings.Contains(line, `msg="revision active"`) || strings.Contains(line, `msg="revision at work"`)
+	if !began && !strings.Contains(line, `msg="revision released"`) && !strings.Contains(line, `msg="revision let go"`) {
 		return
 	}
 	f := fields(line)
--- a/internal/revision/host/host_test.go
+++ b/internal/revision/host/host_test.go
@@ -322,7 +322,7 @@
 		h.Acknowledge(seq)
 	}
 	h.collectAcks()
-	if got := b.String(); strings.Count(got, `"revision at work"`) != 1 || strings.Count(got, `"revision let go"`) != 1 {
+	if got := b.String(); strings.Count(got, `"revision active"`) != 1 || strings.Count(got, `"revision released"`) != 1 {
 		t.Error(got)
 	}
 }
--- a/internal/revision/host/publish.go
+++ b/internal/revision/host/publish.go
@@ -144,7 +144,7 @@
 		h.logRelease(at, releasedSuspended)
 	}
 	p.activeNumber = number
-	h.log.Info("revision at work", "number", l.Number, "hash", revision.HashPrefix(l.Hash), "at", at)
+	h.log.Info("revision active", "number", l.Number, "hash", revision.HashPrefix(l.Hash), "at", at)
 	signal(h.wakeCoordinator)
 	h.nextCall = 0
 }
@@ -161,6 +161,6 @@
 }
 
 func (h *leaseHolder) logRelease(at int64, reason string) {
-	h.log.Info("revision let go", "number", h.published.activeNumber, "at", at, "why", reason)
+	h.log.Info("revision released", "number", h.published.activeNumber, "at", at, "why", reason)
 	h.published.activeNumber = noNumber
 }
