--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -102,11 +102,12 @@
 
 // Config holds the settings of a host.
 type Config struct {
-	Log                  Log
-	Name                 string
-	Generation           uint64 // of this process; higher for later starts
-	PredecessorEnded     bool   // the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
-	KeepLeaseOnPartition bool   // on_cut = hold: the lease does not expire during a partition
+	Log        Log
+	Name       string
+	Generation uint64 // of this process; higher for later starts
+	// the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
+	PredecessorEnded     bool
+	KeepLeaseOnPartition bool // on_cut = hold: the lease does not expire during a partition
 	Lease                time.Duration
 	Deadline             time.Duration                 // of a proposal
 	History              int                           // revisions to keep; at least 2
