--- a/cmd/oatctl/revision.go
+++ b/cmd/oatctl/revision.go
@@ -305,7 +305,7 @@
 // its text.
 func readRevision(path string) (string, []byte, *revision.Content, error) {
 	if path == "-" {
-		body, err := io.ReadAll(io.LimitReader(os.Stdin, revisioncue.Most+1))
+		body, err := io.ReadAll(io.LimitReader(os.Stdin, revisioncue.MaxBytes+1))
 		if err != nil {
 			return path, nil, nil, err
 		}
@@ -340,7 +340,7 @@
 		revision.HashPrefix(revision.Hash(content)),
 	)
 	if e, ok := err.(*refusedError); ok && e.at == "" {
-		if at := revisioncue.Where(path, body, e.text); at != path {
+		if at := revisioncue.Position(path, body, e.text); at != path {
 			e.at = at
 		}
 	}
--- a/cmd/oatlab/demo.go
+++ b/cmd/oatlab/demo.go
@@ -45,7 +45,7 @@
 		return &invalidFlag{hint.Annotated{Where: "--seconds", What: "must be 0 to 600", Do: "set it within these limits"}}
 	}
 	s := &faultinjection.Schedule{
-		Name: "demo", Balancers: c.Balancers, Regions: c.Regions, Terminals: c.Terminals, Seconds: max(c.Seconds, 1),
+		Name: "demo", Balancers: c.Balancers, Servers: c.Regions, Clients: c.Terminals, Seconds: max(c.Seconds, 1),
 	}
 	scenario, err := faultinjection.Open(s,
 		faultinjection.Options{Binary: binary, Net: 119, SilentAfter: 1500 * time.Millisecond})
--- a/cmd/oatlab/faults.go
+++ b/cmd/oatlab/faults.go
@@ -205,16 +205,16 @@
 
 func (c *faultsCommand) runOptions(binary string, net int, silent time.Duration) faultinjection.Options {
 	return faultinjection.Options{
-		Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, Readings: c.Readings, Turns: c.Turns,
+		Binary: binary, Net: net, SilentAfter: silent, Subset: c.Subset, SharedProbes: c.Readings, SharedLimits: c.Turns,
 		Revisions: c.Revisions, Links: c.Links, Lease: c.lease,
 	}
 }
 
 func (c *faultsCommand) generate(seed uint64) *faultinjection.Schedule {
 	if !c.Revisions {
-		return faultinjection.Draw(seed, c.Balancers, c.Seconds)
+		return faultinjection.Generate(seed, c.Balancers, c.Seconds)
 	}
-	s := faultinjection.DrawRevisions(seed, c.Balancers, c.Seconds, c.Links)
+	s := faultinjection.GenerateRevisions(seed, c.Balancers, c.Seconds, c.Links)
 	if c.OnCut != "drawn" {
 		s.OnCut = c.OnCut
 	}
@@ -320,8 +320,8 @@
 		for _, cut := range cuts {
 			for i := range c.Seeds {
 				p := &faultinjection.Plan{
-					Seed: c.Seed + uint64(i), Before: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks,
-					How: how, Within: within,
+					Seed: c.Seed + uint64(i), InitialRevisions: c.Before, Changes: c.Changes, Rollbacks: c.Rollbacks,
+					FaultPattern: how, TimeLimit: within,
 				}
 				o := c.runOptions(binary, 0, silent)
 				o.Plan = p
@@ -355,7 +355,7 @@
 		}
 		close(next)
 	}()
-	fmt.Println(faultinjection.RowHead)
+	fmt.Println(faultinjection.RowHeader)
 	broken := 0
 	var failures []string
 	for i, r := range runs {
--- a/cmd/oatlab/simulate.go
+++ b/cmd/oatlab/simulate.go
@@ -40,30 +40,30 @@
 	fmt.Println("| seed | served | by the reference policy | ratio | placed | refused | failed | late " +
 		"| attempts per placement | probes | servers failed in warm-up | broken rules |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var results []simulation.Played
+	var results []simulation.Comparison
 	broken, total := 0, 0.0
-	err := simulation.PlayMany(int(c.Seed), c.Drawn, func(p simulation.Played) {
+	err := simulation.CompareMany(int(c.Seed), c.Drawn, func(p simulation.Comparison) {
 		own := &p.Own
-		brokenRules := p.Broke()
+		brokenRules := p.Failures()
 		fmt.Printf("| %d | %.3f | %.3f | %.2f | %d | %d | %d | %d | %.2f | %d | %d | %s |\n",
-			p.D.Seed, own.Score(), p.Seer.Score(), p.Share(), own.Placed, own.Refused, own.Failed, own.Late,
-			float64(own.Dials)/float64(max(1, own.Placed)), own.ProbesSent, own.Fell, strings.Join(brokenRules, ", "))
-		broken += min(1, own.Broken())
+			p.Deployment.Seed, own.Score(), p.Baseline.Score(), p.Share(), own.Established, own.Rejected, own.Failed, own.Late,
+			float64(own.Attempts)/float64(max(1, own.Established)), own.ProbesSent, own.Overloaded, strings.Join(brokenRules, ", "))
+		broken += min(1, own.ViolationCount())
 		total += p.Share()
 		results = append(results, p)
 	})
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(results, func(a, b simulation.Played) int { return cmp.Compare(a.Share(), b.Share()) })
+	slices.SortStableFunc(results, func(a, b simulation.Comparison) int { return cmp.Compare(a.Share(), b.Share()) })
 	fmt.Printf("\n%d deployments, mean ratio %.3f, median %.3f; rules broken in %d.\n\n"+
 		"| worst | ratio | lost by the balancers only | deployment | first faults |\n"+
 		"| --- | --- | --- | --- | --- |\n",
 		len(results), total/float64(len(results)), results[len(results)/2].Share(), broken)
 	for i, p := range results {
-		if i < (len(results)+9)/10 || p.Own.Broken() > 0 {
+		if i < (len(results)+9)/10 || p.Own.ViolationCount() > 0 {
 			fmt.Printf("| %d | %.2f | %s | %s | %s |\n",
-				p.D.Seed, p.Share(), p.Causes(), simulation.Describe(p.D), strings.Join(p.Own.First, "; "))
+				p.Deployment.Seed, p.Share(), p.LossCauses(), simulation.Describe(p.Deployment), strings.Join(p.Own.FirstViolations, "; "))
 		}
 	}
 	if broken > 0 {
@@ -105,22 +105,22 @@
 	series := map[string]plotter.XYs{}
 	for _, servers := range c.Regions {
 		for _, n := range c.Balancers {
-			for _, m := range simulation.Means(c.Subset) {
+			for _, m := range simulation.CoordinationModes(c.Subset) {
 				if !isSelected(m.Name) {
 					continue
 				}
-				settings := simulation.Default(n, servers, c.Seed)
-				settings.Load, settings.Skew, settings.Lag, settings.Slow = c.Load, c.Skew, c.Lag, c.Slow
+				settings := simulation.DefaultSettings(n, servers, c.Seed)
+				settings.Load, settings.Skew, settings.PeerDelay, settings.MissingCapacity = c.Load, c.Skew, c.Lag, c.Slow
 				m.With(&settings)
-				r, err := simulation.Play(settings)
+				r, err := simulation.RunScenario(settings)
 				if err != nil {
 					return err
 				}
 				fmt.Printf("| %d | %d | %s | %.0f | %.1f | %.0f | %.2f | %.2f | %d | %d | %d | %d | %d | %d | %d |\n",
-					n, servers, m.Name, r.AllProbes, r.Probes, r.Owners,
-					r.Crowded, r.Worst, r.Spread, r.Wave, r.Shrunk, r.Refused, r.Beside, r.Moves, r.Fell)
+					n, servers, m.Name, r.AllProbes, r.MaxServerProbes, r.MaxBalancersPerServer,
+					r.ArrivalConcentration, r.LoadImbalance, r.SubsetSpread, r.KillRecoverySeconds, r.ServerChangeRecoverySeconds, r.Rejected, r.RejectedWithCapacity, r.Migrations, r.Overloaded)
 				name := fmt.Sprintf("%s, %d servers", m.Name, servers)
-				series[name] = append(series[name], plotter.XY{X: float64(n), Y: max(0.1, r.Probes)})
+				series[name] = append(series[name], plotter.XY{X: float64(n), Y: max(0.1, r.MaxServerProbes)})
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 		var args []any
-		for _, m := range simulation.Means(c.Subset) {
+		for _, m := range simulation.CoordinationModes(c.Subset) {
 			if list := series[fmt.Sprintf("%s, %d servers", m.Name, servers)]; len(list) > 1 {
 				args = append(args, m.Name, list)
 			}
--- a/internal/faultinjection/invariants_test.go
+++ b/internal/faultinjection/invariants_test.go
@@ -28,8 +28,14 @@
 }
 
 // Log lines are parsed into periods of routing, with unrelated lines ignored. A process that was stopped and then
-// killed did nothing since the stop.
+// killed did nothing since the stop. The messages are those of this version and of the previous one.
 func TestWorkFromLogLines(t *testing.T) {
+	t.Run("this version", func(t *testing.T) { checkWorkFromLogLines(t, "active", "released") })
+	t.Run("previous version", func(t *testing.T) { checkWorkFromLogLines(t, "at work", "let go") })
+}
+
+func checkWorkFromLogLines(t *testing.T, active, released string) {
+	t.Helper()
 	r := newRecord(0)
 	at := func(d time.Duration) int64 { return r.epoch + d.Microseconds() }
 	say := func(process int, what string, n int, d time.Duration, more string) {
@@ -37,15 +43,15 @@
 			fmt.Sprintf(`time=2026-01-01T00:00:00Z level=INFO msg="revision %s" number=%d hash=h%d at=%d%s`,
 				what, n, n, at(d), more))
 	}
-	say(1, "at work", 0, 10*ms, "")
-	say(1, "at work", 0, 20*ms, "") // renewed
+	say(1, active, 0, 10*ms, "")
+	say(1, active, 0, 20*ms, "") // renewed
 	r.parseLine("b01", 1, `level=INFO msg="something else" number=7 at=1`)
-	say(1, "let go", 0, 50*ms, ` why="in between"`)
-	say(1, "at work", 1, 60*ms, "")
+	say(1, released, 0, 50*ms, ` why="in between"`)
+	say(1, active, 1, 60*ms, "")
 	r.setStopped(1, 70*ms, true)
 	r.endProcess(1, 900*ms)
-	say(2, "at work", 2, 80*ms, "")
-	say(2, "at work", 3, 90*ms, "")
+	say(2, active, 2, 80*ms, "")
+	say(2, active, 3, 90*ms, "")
 	got := ""
 	for _, w := range r.Works() {
 		to := w.To
@@ -59,11 +65,11 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	r.endProcess(3, 200*ms)
-	say(3, "at work", 3, 100*ms, "") // its last log line, read after it was killed
+	say(3, active, 3, 100*ms, "") // its last log line, read after it was killed
 	if w := r.Works(); w[4].To != 200*ms {
 		t.Errorf("the last one ends %v", w[4].To)
 	}
-	r.parseLine("b01", 1, `msg="revision at work" number=x at=1`)
+	r.parseLine("b01", 1, fmt.Sprintf(`msg="revision %s" number=x at=1`, active))
 	if len(r.unparsed) != 1 {
 		t.Error("an invalid line was not recorded")
 	}
@@ -254,7 +260,7 @@
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
 		n := 1 + int(seed%9)
-		s := DrawRevisions(seed, n, 5, seed%2 == 0)
+		s := GenerateRevisions(seed, n, 5, seed%2 == 0)
 		if err := s.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -264,7 +270,7 @@
 				t.Fatalf("seed %d: %v of %d voters", seed, f, voters(n))
 			}
 		}
-		for _, f := range Draw(seed, n, 5).Faults {
+		for _, f := range Generate(seed, n, 5).Faults {
 			if kinds[f.Kind].needs != "" {
 				t.Fatalf("seed %d: %v without revisions", seed, f)
 			}
@@ -379,19 +385,20 @@
 	for _, x := range []struct {
 		p    Plan
 		want string
-	}{{Plan{How: "none"}, "how: "}, {Plan{How: "calm", Changes: maxChanges + 1}, "changes: "},
-		{Plan{How: "calm", Before: -1}, "changes: "}} {
+	}{{Plan{FaultPattern: "none"}, "how: "}, {Plan{FaultPattern: "calm", Changes: maxChanges + 1}, "changes: "},
+		{Plan{FaultPattern: "calm", InitialRevisions: -1}, "changes: "}} {
 		if _, err := Run(x.p.Schedule(5, ""), Options{Net: 20, Revisions: true, Plan: &x.p}); err == nil ||
 			!strings.HasPrefix(err.Error(), x.want) || hint.Of(err) == "" {
 			t.Errorf("%+v: %v", x.p, err)
 		}
 	}
-	if _, err := Run((&Plan{How: "calm"}).Schedule(5, ""), Options{Net: 20, Plan: &Plan{How: "calm"}}); err == nil ||
+	if _, err := Run((&Plan{FaultPattern: "calm"}).Schedule(5, ""),
+		Options{Net: 20, Plan: &Plan{FaultPattern: "calm"}}); err == nil ||
 		!strings.HasPrefix(err.Error(), "plan: ") {
 		t.Error(err)
 	}
 	for _, name := range FaultPatterns() {
-		s := (&Plan{How: name}).Schedule(5, "hold")
+		s := (&Plan{FaultPattern: name}).Schedule(5, "hold")
 		for seed := range uint64(50) {
 			list := faultPatterns[name].generate(rand.New(rand.NewPCG(seed, 1)), s)
 			s.Faults = list
--- a/internal/revision/lease/lease.go
+++ b/internal/revision/lease/lease.go
@@ -21,7 +21,7 @@
 	// SetTotals sets the running totals over new clients and routed requests: all of them, and those rejected, failed,
 	// and answered late.
 	SetTotals(requests, rejected, failed, late int64)
-	// Operate carries out an operator's order, the words after "revision". The error has a hint.
+	// Operate carries out an operator's call, the words after "revision". The error has a hint.
 	Operate(ctx context.Context, words string) (string, error)
 	// Leave gives up the lease for good. It returns once the leader has confirmed, or when ctx ends.
 	Leave(ctx context.Context)
@@ -41,16 +41,16 @@
 
 // Log holds the settings of the replicated log, as in consensus.Config.
 type Log struct {
-	Cluster      string
-	Name         string
-	Listen       string
-	Candidates   []Candidate
-	Voters       int
-	Reach        map[string]string
-	Folder       string
-	Tick         time.Duration
-	ReplaceAfter time.Duration
-	Seed         uint64
+	Cluster          string
+	Name             string
+	Listen           string
+	Candidates       []Candidate
+	Voters           int
+	AddressOverrides map[string]string
+	Folder           string
+	Tick             time.Duration
+	ReplaceAfter     time.Duration
+	Seed             uint64
 }
 
 // Phase is the state of a lease: whether it allows placing new clients, and if not, why.
@@ -87,13 +87,13 @@
 // Bandwidth exchanges the link bandwidth that internal/bandwidth manages: this balancer's demand, and at the leader
 // the grants of all balancers. Its methods are safe for concurrent use and do not block.
 type Bandwidth interface {
-	// Demand returns the demand to send with the next renewal, or nil for none.
-	Demand() []byte
-	// Granted processes the leader's answer to the demand sent at requestedAt.
-	Granted(body []byte, requestedAt time.Time)
-	// Grant answers a holder's demand at the leader. The holder renews after renewAfter, or after the usual interval
-	// if it is 0.
-	Grant(holder string, body []byte, now time.Duration) (answer []byte, renewAfter time.Duration)
+	// NextRequest returns the demand to send with the next renewal, or nil for none.
+	NextRequest() []byte
+	// ApplyResponse processes the leader's answer to the demand sent at requestedAt.
+	ApplyResponse(body []byte, requestedAt time.Time)
+	// HandleRequest answers a holder's demand at the leader. The holder renews after renewAfter, or after the usual
+	// interval if it is 0.
+	HandleRequest(holder string, body []byte, now time.Duration) (answer []byte, renewAfter time.Duration)
 	// Elected reports that this process leads from now on and has no record of earlier grants.
 	Elected(now time.Duration)
 	// HolderLeft reports that a holder no longer uses any bandwidth.
@@ -102,11 +102,12 @@
 
 // Config holds the settings of a host.
 type Config struct {
-	Log                  Log
-	Name                 string
-	Generation           uint64 // of this process; higher for later starts
-	PredecessorEnded     bool   // the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
-	KeepLeaseOnPartition bool   // on_cut = hold: the lease does not expire during a partition
+	Log        Log
+	Name       string
+	Generation uint64 // of this process; higher for later starts
+	// the name's earlier process is known to have ended; if not, its file in Log.Folder is checked
+	PredecessorEnded     bool
+	KeepLeaseOnPartition bool // on_cut = hold: the lease does not expire during a partition
 	Lease                time.Duration
 	Deadline             time.Duration                 // of a proposal
 	History              int                           // revisions to keep; at least 2
