--- a/cmd/oatlab/simulate.go
+++ b/cmd/oatlab/simulate.go
@@ -47,7 +47,8 @@
 		brokenRules := p.Failures()
 		fmt.Printf("| %d | %.3f | %.3f | %.2f | %d | %d | %d | %d | %.2f | %d | %d | %s |\n",
 			p.Deployment.Seed, own.Score(), p.Baseline.Score(), p.Share(), own.Established, own.Rejected, own.Failed, own.Late,
-			float64(own.Attempts)/float64(max(1, own.Established)), own.ProbesSent, own.Overloaded, strings.Join(brokenRules, ", "))
+			float64(own.Attempts)/float64(max(1, own.Established)), own.ProbesSent, own.Overloaded,
+			strings.Join(brokenRules, ", "))
 		broken += min(1, own.ViolationCount())
 		total += p.Share()
 		results = append(results, p)
@@ -63,7 +64,8 @@
 	for i, p := range results {
 		if i < (len(results)+9)/10 || p.Own.ViolationCount() > 0 {
 			fmt.Printf("| %d | %.2f | %s | %s | %s |\n",
-				p.Deployment.Seed, p.Share(), p.LossCauses(), simulation.Describe(p.Deployment), strings.Join(p.Own.FirstViolations, "; "))
+				p.Deployment.Seed, p.Share(), p.LossCauses(), simulation.Describe(p.Deployment),
+				strings.Join(p.Own.FirstViolations, "; "))
 		}
 	}
 	if broken > 0 {
@@ -118,7 +120,8 @@
 				}
 				fmt.Printf("| %d | %d | %s | %.0f | %.1f | %.0f | %.2f | %.2f | %d | %d | %d | %d | %d | %d | %d |\n",
 					n, servers, m.Name, r.AllProbes, r.MaxServerProbes, r.MaxBalancersPerServer,
-					r.ArrivalConcentration, r.LoadImbalance, r.SubsetSpread, r.KillRecoverySeconds, r.ServerChangeRecoverySeconds, r.Rejected, r.RejectedWithCapacity, r.Migrations, r.Overloaded)
+					r.ArrivalConcentration, r.LoadImbalance, r.SubsetSpread, r.KillRecoverySeconds,
+					r.ServerChangeRecoverySeconds, r.Rejected, r.RejectedWithCapacity, r.Migrations, r.Overloaded)
 				name := fmt.Sprintf("%s, %d servers", m.Name, servers)
 				series[name] = append(series[name], plotter.XY{X: float64(n), Y: max(0.1, r.MaxServerProbes)})
 			}
--- a/cmd/oatloft/admission_test.go
+++ b/cmd/oatloft/admission_test.go
@@ -26,9 +26,11 @@
 }
 
 const edgeJSON = `{"oatloft_edge":1,"source":"test","admission":{
- "address":{"max_connections":16,"max_silent":8,"new_per_second":10,"burst":20,"max_bytes":"16KiB","short_patience":"500ms","ipv6_prefix":64,"table":4096,"exempt":[]},
+ "address":{"max_connections":16,"max_silent":8,"new_per_second":10,"burst":20,"max_bytes":"16KiB",` +
+	`"short_patience":"500ms","ipv6_prefix":64,"table":4096,"exempt":[]},
  "network":{"ipv4_prefix":24,"ipv6_prefix":48,"new_per_second":1000,"burst":1000,"max_share":0.5,"table":1024},
- "reserve":{"identity":"flow","known_share":0.5,"stand_for":"200ms","remember_for":"30m","max":4096,"max_per_network":64,"max_per_client":2,"mute_for":"1m",
+ "reserve":{"identity":"flow","known_share":0.5,"stand_for":"200ms","remember_for":"30m","max":4096,` +
+	`"max_per_network":64,"max_per_client":2,"mute_for":"1m",
   "snapshot":{"path":"$known","every":"1s","max_age":"30m"}},
  "descriptors":{"silent_share":0.2,"overhead":16,"good_byes":16,"tight":0.75,"short":0.9,"full":0.98,"hysteresis":0.15},
  "memory":{"base":"16MiB","silent":"8KiB","transaction":"32KiB","max_share":0.8},
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -29,108 +29,6 @@
 	"oatloft/internal/hint"
 )
 
-// Ticket identifies one accepted connection from Accept to Closed. It is invalid afterwards, even if its index is used
-// again for another connection. The zero Ticket means none.
-type Ticket uint64
-
-func (t Ticket) index() int32 { return int32(uint32(t)) }
-
-// Use is the purpose that a descriptor is used for.
-type Use uint8
-
-// The uses. An attempt's descriptor is reserved together with its client's: Unanswered and Established count two each.
-const (
-	Free        Use = iota
-	Silent          // a client that has not sent its first line
-	Unanswered      // its request was admitted and not answered yet; a descriptor is reserved for its attempt
-	Established     // client and server are connected
-	Closing         // answered or ended; the descriptor is not closed yet
-	Probe           // this and the following uses are the caller's own, set by SetReserved
-	Discovery
-	Spare // for answering when the process has none left, and for closing refused connections gracefully
-	useCount
-)
-
-// String returns the name of the use in reports.
-func (u Use) String() string {
-	return [...]string{"free", "silent", "owed", "standing", "leaving", "probe", "discovery", "spare"}[u]
-}
-
-// descriptorsPerUse is the number of descriptors that a client takes in each use.
-var descriptorsPerUse = [useCount]int{Silent: 1, Unanswered: 2, Established: 2, Closing: 1}
-
-// Rank is how well a client is known.
-type Rank uint8
-
-// The ranks.
-const (
-	Unknown  Rank = iota
-	Claimant      // presents a known client's key from another network than that client's
-	Known
-)
-
-// String returns the name of the rank.
-func (r Rank) String() string { return [...]string{"stranger", "claimant", "known"}[r] }
-
-// Level is how scarce the balancer's descriptors and memory are.
-type Level uint8
-
-// The levels.
-const (
-	Normal Level = iota
-	Tight
-	Short
-	Full
-)
-
-// String returns the name of the level in logs and reports.
-func (l Level) String() string { return [...]string{"calm", "tight", "short", "full"}[l] }
-
-// Reason is why a client was refused or closed.
-type Reason uint8
-
-// The reasons.
-const (
-	Admitted Reason = iota
-	AddressConnections
-	AddressSilent
-	AddressRate
-	AddressBytes
-	NetworkRate
-	NetworkShare
-	ReservedForKnown
-	TenantShare
-	LevelFull
-	NoDescriptor
-	NoMemory
-	Exhaustion       // the process had no descriptor left although the budget was not used up
-	Reclaimed        // closed while silent, to free its descriptor
-	FirstLineTimeout // closed after Address.FirstLineTimeout because it was silent at level Short or above
-	NoLease          // the balancer has no lease for a revision
-	reasonCount
-)
-
-var reasonNames = [reasonCount]string{"admitted", "address_connections", "address_silent", "address_rate",
-	"address_bytes", "network_rate", "network_share", "reserve_kept", "tenant_share", "level_full", "no_descriptor",
-	"no_memory", "exhaustion", "made_room", "impatience", "no_permit"}
-
-// String returns the name of the reason in logs and reports.
-func (r Reason) String() string { return reasonNames[r] }
-
-// Verdict is a decision. RetryAfter is the time after which a refused client should retry, or 0 for no retry time.
-type Verdict struct {
-	Reason     Reason
-	RetryAfter time.Duration
-	// the address connects too often: close right after the answer, without waiting for the client to close
-	CloseAtOnce bool
-}
-
-// OK reports whether the client is admitted.
-func (v Verdict) OK() bool { return v.Reason == Admitted }
-
-// ClaimedIdentity is the identity that a client presents in its first line. It is not authenticated.
-type ClaimedIdentity struct{ Key, Tenant string }
-
 // Constants that are not configurable.
 const (
 	MinVictimAge    = 10 * time.Millisecond  // younger silent clients stay: their first line may be on the way
@@ -156,13 +54,6 @@
 	tenant           int
 }
 
-// Counters counts the decisions since the start.
-type Counters struct {
-	Accepted, Requests, ByKnown, ByClaimants, Promoted, Forgotten, Muted, Evicted, Exhausted, LevelChanges int64
-
-	Refused [reasonCount]int64 // by reason
-}
-
 // Controller makes the admission decisions. It is not safe for concurrent use.
 type Controller struct {
 	Counters Counters
@@ -535,20 +426,6 @@
 	g.Counters.Forgotten += g.known.expire(g.now)
 }
 
-// Victim is a silent client that the caller must answer with BUSY and close now.
-type Victim struct {
-	Ticket
-	RetryAfter time.Duration // time after which it should retry, or 0 for no retry time
-}
-
-// Victims returns the silent clients to close; each is returned once. The slice is valid until the next call of a
-// method of the Controller.
-func (g *Controller) Victims() []Victim {
-	v := g.victims
-	g.victims = g.victims[:0]
-	return v
-}
-
 // promote makes a client known, from its next connection on, once its flow has been established for long enough. No
 // client becomes known from level Tight on, because the clients of a flood keep their flows established too. The
 // connection itself keeps its rank: if it counted as a known client's from now on, the free part of the reserve would
@@ -562,33 +439,6 @@
 	}
 }
 
-// evictSilent chooses a silent client to close. If the new connection comes from the address that has the most silent
-// clients, none is closed, and the new connection is to be refused. anyAddress lifts this restriction.
-func (g *Controller) evictSilent(anyAddress bool, newAddress int32) bool {
-	i, ok := g.silent.victim(g)
-	if !ok || !anyAddress && g.connections[i].address == newAddress {
-		return false
-	}
-	g.evict(i, Reclaimed)
-	return true
-}
-
-// evictSilentFor chooses a silent client to close for another one whose request needs one more descriptor.
-func (g *Controller) evictSilentFor(i int32) bool {
-	g.silent.remove(g, i)
-	ok := g.evictSilent(true, 0)
-	g.silent.add(g, i)
-	return ok
-}
-
-func (g *Controller) evict(i int32, reason Reason) {
-	g.Counters.Refused[reason]++
-	g.connections[i].victim = true
-	g.openVictims++
-	g.silent.remove(g, i)
-	g.victims = append(g.victims, Victim{g.ticketAt(i), g.retryAfter()})
-}
-
 func (g *Controller) ticketAt(i int32) Ticket {
 	return Ticket(g.connections[i].generation)<<32 | Ticket(uint32(i))
 }
@@ -637,44 +487,3 @@
 	g.randomState += 0x9e3779b97f4a7c15
 	return mix(g.randomState, 0xbf58476d1ce4e5b9)
 }
-
-// Report is the state of the Controller as operators see it.
-type Report struct {
-	Level        string           `json:"Level"`
-	Descriptors  map[string]int   `json:"Descriptors"`
-	Budget       int              `json:"Budget"`
-	Cut          int              `json:"Cut"`
-	Known        int              `json:"Known"`
-	Addresses    int              `json:"Addresses"`
-	Networks     int              `json:"Networks"`
-	Accepted     int64            `json:"Accepted"`
-	Requests     int64            `json:"Requests"`
-	Promoted     int64            `json:"Promoted"`
-	Muted        int64            `json:"Muted"`
-	Exhausted    int64            `json:"Exhausted"`
-	ByKnown      int64            `json:"ByKnown"`
-	ByClaimants  int64            `json:"ByClaimants"`
-	Forgotten    int64            `json:"Forgotten"`
-	Evicted      int64            `json:"Evicted"`
-	LevelChanges int64            `json:"Turns"`
-	Refused      map[string]int64 `json:"Refused"`
-}
-
-// Report returns the current state and counters.
-func (g *Controller) Report() Report {
-	c := &g.Counters
-	r := Report{Level: g.ledger.level.String(), Descriptors: map[string]int{}, Refused: map[string]int64{},
-		Budget: g.ledger.budget, Cut: g.ledger.cut, Known: len(g.known.index), Addresses: len(g.addresses.index),
-		Networks: len(g.networks.index), Accepted: c.Accepted, Requests: c.Requests, Promoted: c.Promoted, Muted: c.Muted,
-		Exhausted: c.Exhausted, ByKnown: c.ByKnown, ByClaimants: c.ByClaimants, Forgotten: c.Forgotten,
-		Evicted: g.addresses.evicted + g.networks.evicted, LevelChanges: c.LevelChanges}
-	for u := Silent; u < useCount; u++ {
-		r.Descriptors[u.String()] = g.ledger.inUse[u]
-	}
-	for i, n := range c.Refused {
-		if n > 0 {
-			r.Refused[Reason(i).String()] = n
-		}
-	}
-	return r
-}
--- a/internal/bandwidth/links.go
+++ b/internal/bandwidth/links.go
@@ -1,8 +1,9 @@
 // Package bandwidth bounds the bytes that pass between two zones. Each link, an ordered pair of zones, is divided among
 // the balancers that send over it, and at each balancer among classes and tenants. links.go holds the arithmetic of the
 // division, allocator.go the grants made by the member that coordinates, shaper.go the scheduling at every balancer,
-// participant.go the exchange between balancers, and wire.go its encoding. Apart from the lock and the counter in
-// participant.go the package is pure: it uses no socket, clock or goroutine.
+// demand.go what a balancer demands and its statistics, participant.go the exchange between balancers, and wire.go its
+// encoding. Apart from the lock and the counter in participant.go the package is pure: it uses no socket, clock or
+// goroutine.
 //
 // The granted parts, together with the safe parts that need no grant, never sum to more than a link. Bytes are never
 // dropped or reordered, only delayed.
--- a/internal/hint/hint.go
+++ b/internal/hint/hint.go
@@ -34,6 +34,7 @@
 	Do    string // what an operator can do, never empty
 }
 
+// Error returns Where, What and the text of Cause, as far as they are set.
 func (a *Annotated) Error() string {
 	s := a.Where
 	for _, part := range [...]string{a.What, errorText(a.Cause)} {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -119,6 +119,7 @@
 // BuildMismatch is the error that oatloft and oatloft-revisions were built from different sources.
 type BuildMismatch struct{ Starter, Own string }
 
+// Error describes the builds of both programs.
 func (e *BuildMismatch) Error() string {
 	return "revisions: the program with revision support was built from other sources: it is " + e.Own +
 		", the program that started it is " + e.Starter
@@ -135,6 +136,7 @@
 	Cause error
 }
 
+// Error names the path of the program and the cause.
 func (e *RevisionsProgramNotStarted) Error() string {
 	return "revisions: cannot start the program with revision support: " + e.Path + ": " + e.Cause.Error()
 }
--- a/internal/revision/host/processes_test.go
+++ b/internal/revision/host/processes_test.go
@@ -198,7 +198,8 @@
 		}
 	})
 	b.close()
-	if files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder)); len(files) != 1 { // other's incomplete file
+	// the other's incomplete file is left
+	if files, _ := os.ReadDir(filepath.Join(folder, consensus.ProcessesFolder)); len(files) != 1 {
 		t.Errorf("%d files are left: %v", len(files), files)
 	}
 	waitFor(t, "the process is no longer a holder", func() bool { return holders(all) == "a/1 b/1" })
--- a/internal/revisioncue/revisioncue_test.go
+++ b/internal/revisioncue/revisioncue_test.go
@@ -115,13 +115,15 @@
 		"classes: [{name: \"a\"},\n {name: \"a\"}]": `x.cue:2:3: classes[1].name: "a" is already ` +
 			`in classes[0]; do: combine`,
 		"regions: [{id: \"a\", out: true,\n weight: 2}]": `x.cue:2:2: regions[0].weight: 2 is set on an excluded entry`,
-		"zones: [{id: \"b\"}]":                           `x.cue:1:9: zones[0].weight: is not set, and the entry is not excluded`,
-		`tenants: [{name: "t", connections: -1}]`:        "x.cue:1:36: tenants[0].connections: invalid value -1",
-		`budgets: setups: 1.5`:                           "x.cue:1:18: budgets.setups: ",
-		`budgets: retries: "x"`:                          "x.cue:1:19: budgets.retries: conflicting values",
-		`links: [{from: "a", to: "a", bytes: 5}]`:        `x.cue:1:21: links[0].to: "a" is also the zone that the link starts from (of "a>a")`,
-		`links: [{from: "a", to: "b", bytes: 0}]`:        "x.cue:1:37: links[0].bytes: invalid value 0",
-		`links: [{from: "a", to: "b"}]`:                  "links[0].bytes: incomplete value",
+		"zones: [{id: \"b\"}]": `x.cue:1:9: zones[0].weight: is not set, ` +
+			`and the entry is not excluded`,
+		`tenants: [{name: "t", connections: -1}]`: "x.cue:1:36: tenants[0].connections: invalid value -1",
+		`budgets: setups: 1.5`:                    "x.cue:1:18: budgets.setups: ",
+		`budgets: retries: "x"`:                   "x.cue:1:19: budgets.retries: conflicting values",
+		`links: [{from: "a", to: "a", bytes: 5}]`: `x.cue:1:21: links[0].to: "a" is also the zone ` +
+			`that the link starts from (of "a>a")`,
+		`links: [{from: "a", to: "b", bytes: 0}]`: "x.cue:1:37: links[0].bytes: invalid value 0",
+		`links: [{from: "a", to: "b"}]`:           "links[0].bytes: incomplete value",
 
 		`links: [{from: "a", to: "b", bytes: 5, classes: [{name: "x", least: 0.6}, {name: "y", least: 0.6}]}]`: `x.cue:` +
 			`1:40: links[0].classes: have minimum shares (least) that sum to 1.2`,
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,8 +10,6 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
-	"math"
 	"math/rand/v2"
 	"runtime"
 	"slices"
@@ -147,24 +145,6 @@
 	connID   string
 }
 
-// Counts are totals over the run.
-type Counts struct {
-	Requests, Established, Rejected, RejectedWithCapacity, Migrations, Overloaded, Plans int
-}
-
-// SecondStats are the statistics of one second.
-type SecondStats struct {
-	Probes                       int     // of all servers
-	MaxServerProbes              int     // at the server that was probed most
-	LoadImbalance                float64 // highest load of a warmed-up server over their mean load
-	MaxBalancersPerServer        int     // largest number of balancers with connections at one server
-	Rejected                     int
-	RejectedWithCapacity         int     // while a server had free capacity
-	MinCandidates, MaxCandidates int     // number of balancers that have a server in their subset
-	MaxWarmUpLoad                float64 // highest load of a server that is warming up, over its current capacity
-	newConnections               map[string]int
-}
-
 // InvalidSettingsError reports settings that cannot be simulated.
 type InvalidSettingsError struct{ hint.Annotated }
 
@@ -207,151 +187,6 @@
 
 func nextStep(t time.Duration) time.Duration { return t.Truncate(stepDuration) + stepDuration }
 
-// AddServers adds n servers. With warmingUp set, they start to warm up.
-func (e *Environment) AddServers(n int, warmingUp bool) {
-	for range n {
-		id := fmt.Sprintf("r%05d", e.nextServer)
-		srv := &fleetServer{Server: policy.Server{ID: id, Zone: fmt.Sprint("z", e.nextServer%e.Settings.Zones), Weight: 1},
-			warmingSince: -1, byBalancer: map[*balancer]int{}, history: []float64{0}}
-		e.nextServer++
-		if warmingUp {
-			srv.warmingSince, srv.StartedAt = e.Now, e.Now
-		}
-		e.byID[id] = srv
-		e.servers = append(e.servers, srv)
-	}
-	e.listVersion++
-}
-
-// RemoveServers removes the n oldest servers. Their clients connect again.
-func (e *Environment) RemoveServers(n int) {
-	for _, srv := range e.servers[:n] {
-		delete(e.byID, srv.ID)
-	}
-	e.servers = slices.Clone(e.servers[n:])
-	e.listVersion++
-	for _, b := range e.balancers {
-		for _, id := range slices.Sorted(maps.Keys(b.conns)) {
-			if c := b.conns[id]; c.server != nil && e.byID[c.server.ID] == nil {
-				e.endConnection(b, id)
-				e.reconnect(c.key)
-			}
-		}
-	}
-}
-
-// AddBalancers starts n balancers at the same time.
-func (e *Environment) AddBalancers(n int) error {
-	for range n {
-		i := len(e.balancers)
-		b := &balancer{name: fmt.Sprintf("b%05d", i), zone: fmt.Sprint("z", i%e.Settings.Zones),
-			rng: rand.New(rand.NewPCG(e.Settings.Seed, uint64(100+i)))}
-		if err := e.startBalancer(b); err != nil {
-			return err
-		}
-		e.balancers = append(e.balancers, b)
-	}
-	return nil
-}
-
-func (e *Environment) startBalancer(b *balancer) (err error) {
-	policyConfig := policy.Config{Zone: b.zone, Balancers: e.Settings.Balancers,
-		Classes: []policy.Class{
-			{Name: "c", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: time.Second}},
-		TimerResolution: stepDuration, MaxAttempts: 4, ProbesEnabled: true, PollInterval: 10 * time.Second,
-		CrossZoneCost: 0.02, WarmUpInitialCapacity: warmUpInitialCapacity, WarmUpDuration: warmUpDuration,
-		OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow}
-	if b.policy, err = policy.New(policyConfig, int64(b.rng.Uint64()>>1)); err != nil {
-		return err
-	}
-	b.conns, b.readings, b.sentReports, b.dead, b.listVersion, b.coordinator, b.candidates =
-		map[string]*conn{}, map[string]reading{}, nil, false, -1, nil, nil
-	config := coordination.Config{Name: b.name, Zone: b.zone, Balancers: e.Settings.Balancers,
-		PeerTimeout: 3 * time.Second, SubsetSize: e.Settings.SubsetSize, ShareReadings: e.Settings.ShareReadings,
-		Stagger: e.Settings.Stagger}
-	if config.Enabled() {
-		b.coordinator = coordination.New(config)
-		b.coordinator.Layouts = &e.layouts
-	}
-	e.buildEndpoints()
-	b.nextUpdate = e.Now + time.Duration(b.rng.Float64()*float64(e.updateInterval()))
-	e.deliverList(b)
-	return nil
-}
-
-// buildEndpoints builds the endpoint list of the current version.
-func (e *Environment) buildEndpoints() {
-	if e.endpointsVersion != e.listVersion {
-		e.endpointsVersion, e.endpoints = e.listVersion, nil
-		for _, srv := range e.servers {
-			e.endpoints = append(e.endpoints, srv.Server)
-		}
-	}
-}
-
-// updateInterval returns the time between two updates from peers. It grows with the fleet when there are thousands of
-// balancers.
-func (e *Environment) updateInterval() time.Duration {
-	return max(minUpdateInterval, time.Duration(len(e.balancers)/1000)*time.Second/2)
-}
-
-func (e *Environment) deliverList(b *balancer) {
-	if b.listVersion == e.listVersion {
-		return
-	}
-	b.listVersion = e.listVersion
-	e.handleEvent(b, policy.ServerList{Kind: policy.ListFull, Servers: e.endpoints})
-}
-
-// KillBalancers kills n balancers at the same time. Their clients connect again.
-func (e *Environment) KillBalancers(n int) {
-	for _, b := range e.balancers {
-		if n <= 0 || b.dead {
-			continue
-		}
-		n--
-		b.dead = true
-		for _, id := range slices.Sorted(maps.Keys(b.conns)) {
-			c := b.conns[id]
-			e.release(b, c)
-			e.reconnect(c.key)
-		}
-		b.conns = map[string]*conn{}
-	}
-}
-
-// RestartBalancers starts all balancers that were killed.
-func (e *Environment) RestartBalancers() error {
-	for _, b := range e.balancers {
-		if b.dead {
-			if err := e.startBalancer(b); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// Partition splits the balancers into n groups that see only their own members. 1 joins all balancers again, 0 isolates
-// each one.
-func (e *Environment) Partition(n int) {
-	for i, b := range e.balancers {
-		if b.group = -1; n > 0 {
-			b.group = i % n
-		}
-	}
-}
-
-// SendFalseLoad makes the first n balancers send load as their reading of every server.
-func (e *Environment) SendFalseLoad(n int, load float64) {
-	for _, b := range e.balancers[:n] {
-		b.falseLoad, b.sendsFalseLoad = load, true
-	}
-}
-
-// SetTraffic sets the traffic as a multiple of that at the start.
-func (e *Environment) SetTraffic(factor float64) { e.trafficFactor = factor }
-
 // reconnect makes a client connect again within a second.
 func (e *Environment) reconnect(key string) {
 	t := nextStep(e.Now + time.Duration(e.rng.Float64()*float64(time.Second)))
@@ -621,95 +456,9 @@
 	})
 }
 
-// recordStep records the load of each server, detects overloaded servers, and completes the statistics of each second.
-func (e *Environment) recordStep() {
-	for _, srv := range e.servers {
-		srv.history = append(srv.history, srv.connections)
-		if len(srv.history) > 64 {
-			srv.history = slices.Delete(srv.history, 0, 32)
-		}
-		load := e.loadRatio(srv, srv.connections)
-		if srv.warmUpFactor(e.Now) < 1 {
-			e.current.MaxWarmUpLoad = max(e.current.MaxWarmUpLoad, load)
-		}
-		if load <= overloadMultiple || srv.warmUpFactor(e.Now) >= 1 {
-			srv.overloadedFor = 0
-		} else if srv.overloadedFor += stepDuration; srv.overloadedFor >= overloadWindow && srv.downUntil < e.Now {
-			srv.downUntil = e.Now + 5*time.Second
-			e.Counts.Overloaded++
-		}
-	}
-	if e.Now%time.Second != 0 {
-		return
-	}
-	candidates := map[string]int{}
-	for _, b := range e.balancers {
-		for _, id := range b.candidates {
-			candidates[id]++
-		}
-	}
-	total, maxLoad, warmedUp := 0.0, 0.0, 0.0
-	e.current.MinCandidates, e.current.newConnections = math.MaxInt, map[string]int{}
-	for _, srv := range e.servers {
-		e.current.MaxServerProbes = max(e.current.MaxServerProbes, srv.probes)
-		e.current.MaxBalancersPerServer = max(e.current.MaxBalancersPerServer, len(srv.byBalancer))
-		e.current.MinCandidates, e.current.MaxCandidates = min(e.current.MinCandidates, candidates[srv.ID]),
-			max(e.current.MaxCandidates, candidates[srv.ID])
-		e.current.newConnections[srv.ID] = srv.newConnections
-		srv.probes, srv.newConnections = 0, 0
-		if srv.warmUpFactor(e.Now) >= 1 {
-			load := e.loadRatio(srv, srv.connections)
-			total, maxLoad, warmedUp = total+load, max(maxLoad, load), warmedUp+1
-		}
-	}
-	if total > 0 {
-		e.current.LoadImbalance = maxLoad / (total / warmedUp)
-	}
-	e.Seconds = append(e.Seconds, e.current)
-	e.current = SecondStats{}
-}
-
 // Run advances the time by d.
 func (e *Environment) Run(d time.Duration) {
 	for end := e.Now + d; e.Now < end; {
 		e.Step()
 	}
 }
-
-// Mean returns the mean of a figure over seconds.
-func Mean(list []SecondStats, figure func(SecondStats) float64) float64 {
-	total := 0.0
-	for _, s := range list {
-		total += figure(s)
-	}
-	return total / float64(max(1, len(list)))
-}
-
-// ArrivalConcentration returns the highest number of new connections at one server over the mean of all servers, within
-// a slot of eight seconds.
-func ArrivalConcentration(list []SecondStats) (worst float64) {
-	for from := 0; from+8 <= len(list); from += 8 {
-		arrivals, total := map[string]int{}, 0
-		for _, s := range list[from : from+8] {
-			for id, n := range s.newConnections {
-				arrivals[id] += n
-				total += n
-			}
-		}
-		for _, n := range arrivals {
-			worst = max(worst, float64(n)*float64(len(arrivals))/float64(max(1, total)))
-		}
-	}
-	return worst
-}
-
-// SecondsUntilStable returns the number of seconds until a figure stayed within its bound for three seconds in a row,
-// or the length of the list if it never did.
-func SecondsUntilStable(list []SecondStats, withinBound func(SecondStats) bool) int {
-	for i := range list {
-		if i+3 <= len(list) && withinBound(list[i]) && withinBound(list[i+1]) && withinBound(list[i+2]) {
-			return i
-		}
-	}
-	return len(list)
-}
