--- a/internal/faultinjection/linear.go
+++ b/internal/faultinjection/linear.go
@@ -9,25 +9,25 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Linearizability is the invariant that the operators' calls, together, are those of one register that is compared and set: there is one
-// order of them, each at some moment between its call and its answer, in which every answer is right. A request whose outcome
-// nobody was told may be in that order or not.
-type Linearizability struct{ atTheEnd }
+// Linearizability is the invariant that the operators' calls behave as operations on one compare-and-set register:
+// there is a sequential order, with each operation between its call and its answer, in which every answer is correct. A
+// request with an unknown outcome may be in that order or not.
+type Linearizability struct{ finalOnly }
 
-// Judge has the calls checked, and with them what stands in the history without a call that was told so (the way back of a
-// guarded change among them).
+// Judge checks the calls, and with them the revisions in the history that no call reported as settled, such as the
+// rollback of a guarded change.
 func (Linearizability) Judge(w *Scenario) []string {
 	h, err := w.history(0)
 	if err != nil {
-		return nil // Kept says so
+		return nil // Durability reports it
 	}
-	return linear(w.record.Ops(), h)
+	return checkLinear(w.record.Ops(), h)
 }
 
-// casRegister is the state: what is in force, and what became of each key.
+// casRegister is the state of the model: the revision in force, and the outcome of each key.
 type casRegister struct {
 	inForce uint64
-	done    string // " key=number" of all that are settled, by key; "key=0" where ended
+	done    string // " key=number" for each settled key, " key=0" for each ended one, sorted
 }
 
 func (r casRegister) outcome(key string) (uint64, bool) {
@@ -37,7 +37,7 @@
 	return n, ok
 }
 
-func (r casRegister) with(key string, n uint64) casRegister {
+func (r casRegister) withOutcome(key string, n uint64) casRegister {
 	list := append(strings.Fields(r.done), fmt.Sprintf("%s=%d", key, n))
 	sort.Strings(list)
 	r.done = " " + strings.Join(list, " ")
@@ -59,7 +59,7 @@
 				return []any{r}
 			}
 			if fits && o.Settled == r.inForce+1 {
-				return []any{r.with(o.Key, o.Settled)}
+				return []any{r.withOutcome(o.Key, o.Settled)}
 			}
 			return nil
 		case Refused:
@@ -69,7 +69,7 @@
 			return nil
 		case Unknown:
 			if fits {
-				return []any{r, r.with(o.Key, r.inForce+1)}
+				return []any{r, r.withOutcome(o.Key, r.inForce+1)}
 			}
 			return []any{r}
 		case Ended:
@@ -77,7 +77,7 @@
 				return nil
 			}
 			if !done {
-				r = r.with(o.Key, 0)
+				r = r.withOutcome(o.Key, 0)
 			}
 			return []any{r}
 		}
@@ -90,33 +90,34 @@
 	},
 }
 
-func linear(ops []Op, history []Entry) []string {
-	told := map[string]bool{}
-	at := map[uint64]Op{}
+func checkLinear(ops []Op, history []Entry) []string {
+	settled := map[string]bool{}
+	byNumber := map[uint64]Op{}
 	for _, o := range ops {
 		if o.Result == Settled {
-			told[o.Key], at[o.Settled] = true, o
+			settled[o.Key], byNumber[o.Settled] = true, o
 		}
 	}
 	var list []porcupine.Operation
 	add := func(o Op) {
-		list = append(list, porcupine.Operation{ClientId: len(list), Input: o, Call: int64(o.Called), Return: int64(o.Returned)})
+		list = append(list, porcupine.Operation{ClientId: len(list), Input: o, Call: int64(o.Called),
+			Return: int64(o.Returned)})
 	}
 	for _, e := range history {
-		if told[e.Key] {
+		if settled[e.Key] {
 			continue
 		}
-		o := Op{Key: e.Key, From: -1, Result: Settled, Settled: e.Number, Returned: forEver}
-		for i := range ops { // its operator gave up before it was told
+		o := Op{Key: e.Key, From: -1, Result: Settled, Settled: e.Number, Returned: unbounded}
+		for i := range ops { // its operator gave up before the answer
 			if ops[i].Key == e.Key {
 				o.From, o.Called = ops[i].From, ops[i].Called
 			}
 		}
-		told[e.Key] = true
+		settled[e.Key] = true
 		add(o)
 	}
 	for _, o := range ops {
-		if o.Result == Untaken || o.Result == Unknown { // an unknown one that isn't in the history left nothing
+		if o.Result == Rejected || o.Result == Unknown { // an unknown one that isn't in the history had no effect
 			continue
 		}
 		add(o)
@@ -124,15 +125,16 @@
 	model := registerModel.ToModel()
 	switch porcupine.CheckOperationsTimeout(model, list, 20*time.Second) {
 	case porcupine.Illegal:
-		lines := []string{"no order of the operators' calls makes all answers right:"}
+		lines := []string{"no sequential order of the operators' calls explains all answers:"}
 		for _, o := range list {
-			x := o.Input.(Op)
-			lines = append(lines, fmt.Sprintf("  %v to %v: %s %s", time.Duration(o.Call).Round(time.Millisecond), time.Duration(min(o.Return, int64(time.Hour))).Round(time.Millisecond),
-				registerModel.DescribeOperation(x, nil), x.Text))
+			op := o.Input.(Op)
+			lines = append(lines, fmt.Sprintf("  %v to %v: %s %s", time.Duration(o.Call).Round(time.Millisecond),
+				time.Duration(min(o.Return, int64(time.Hour))).Round(time.Millisecond),
+				registerModel.DescribeOperation(op, nil), op.Text))
 		}
 		return []string{strings.Join(lines, "\n")}
 	case porcupine.Unknown:
-		return []string{"whether the operators' calls can be put in order was not found out within 20 s"}
+		return []string{"the linearizability check of the operators' calls did not finish within 20 s"}
 	}
 	return nil
 }
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -22,7 +22,7 @@
 
 // migrate sends MOVE to a client, immediately or after the end of the server's line.
 func (b *Balancer) migrate(c *client) {
-	if c.fromServer.Between() {
+	if c.fromServer.BetweenLines() {
 		b.sendMove(c)
 		return
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// passRestOfAnswer forwards the rest of the server's line and sends MOVE after it. If the line is BYE or MOVE of the
+// forwardRestOfAnswer forwards the rest of the server's line and sends MOVE after it. If the line is BYE or MOVE of the
 // server itself, nothing is sent after it.
-func (b *Balancer) passRestOfAnswer(c *client, data []byte) {
+func (b *Balancer) forwardRestOfAnswer(c *client, data []byte) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if end == 0 {
 		c.fromServer.Read(data)
@@ -64,7 +64,7 @@
 	}
 	seen := c.fromServer.Read(data[:end])
 	c.conn.write(data[:end])
-	if seen.Last != platform.Line {
+	if seen.Last != platform.OtherLine {
 		b.endMigrating(c, core.CloseEOF)
 		return
 	}
@@ -107,8 +107,8 @@
 		return
 	}
 	c.server.setQueue(nil)
-	if !c.toServer.Between() {
-		c.migration.forwardingRequest = c.conn.bypassQueue()
+	if !c.toServer.BetweenLines() {
+		c.migration.forwardingRequest = c.conn.exemptFromTurns()
 	}
 }
 
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -12,7 +12,7 @@
 )
 
 func fleetSettings(balancers, servers int, with func(*Settings)) Settings {
-	set := Default(balancers, servers, 5)
+	set := DefaultSettings(balancers, servers, 5)
 	set.ServerCapacity = 40
 	with(&set)
 	return set
@@ -136,15 +136,15 @@
 // readings.
 func TestReportsFiveSecondsLate(t *testing.T) {
 	set := fleetSettings(20, 12, allModes)
-	set.Lag = 5 * time.Second
+	set.PeerDelay = 5 * time.Second
 	e, err := NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.Run(20 * time.Second)
 	for _, b := range e.balancers {
-		if b.coordinator.Counts.Received > 0 {
-			t.Fatalf("%s used %d readings", b.name, b.coordinator.Counts.Received)
+		if b.coordinator.Counts.PassedOn > 0 {
+			t.Fatalf("%s used %d readings", b.name, b.coordinator.Counts.PassedOn)
 		}
 	}
 	if got := meanImbalance(e, 8); got > 1.6 {
